--- /dev/null
+++ b/tests/faulty_nodes.py
@@ -0,0 +1,23 @@
+"""A node under faults below the program: see `faults`."""
+
+import tempfile
+
+from faults import FaultPlan
+from nodes import NodeCase
+
+
+class FaultyNodeCase(NodeCase):
+    """A node whose system calls and wall clock the test can break, by `self.plan`, from its start on."""
+
+    def prepare(self) -> None:
+        super().prepare()
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.plan = FaultPlan(folder.name)
+        self.arm_first()
+
+    def arm_first(self) -> None:
+        """Faults that hold before the node starts."""
+
+    def command(self, module: str, *arguments: str) -> list[str]:
+        return self.plan.command(module, *arguments)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -224,12 +224,12 @@
         self.addCleanup(os.unlink, file.name)
         self.path = file.name
         env = {**os.environ, "LB_CONFIG": file.name, "TMPDIR": self.tmpdir.name, **self.env}
-        command = [sys.executable, "-m", "cedarmill"]
+        command = self.command("cedarmill")
         if self.conf or self.log_format != "text":
             Path(f"{file.name}.xml").write_text(f'<cedarmill version="1">{self.conf}</cedarmill>')
             self.addCleanup(os.unlink, f"{file.name}.xml")
-            command += [".cli", "node", "-c", f"{file.name}.xml", "--log-format", self.log_format]
-            command[2:4] = ["cedarmill.cli"]
+            own = ["node", "-c", f"{file.name}.xml", "--log-format", self.log_format]
+            command = self.command("cedarmill.cli", *own)
         limit = self.nofile
         bounded = (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))) if limit else None
         return subprocess.Popen(
@@ -242,6 +242,10 @@
             preexec_fn=bounded,
         )
 
+    def command(self, module: str, *arguments: str) -> list[str]:
+        """The command line that runs a module of the program."""
+        return [sys.executable, "-m", module, *arguments]
+
     def wait_log(self, words: str) -> str:
         """Read the log up to a line with those words."""
         late = threading.Timer(WAIT, self.process.kill)  # a log that stays silent must not hang the test
--- /dev/null
+++ b/tests/test_faults.py
@@ -0,0 +1,22 @@
+"""The layer that breaks system calls: that a node under it serves, meets what is armed, and only that."""
+
+from faults import Fault
+from faulty_nodes import FaultyNodeCase
+
+
+class Layer(FaultyNodeCase):
+    def test_a_node_without_faults_serves(self):
+        self.assertEqual(self.served_by(), 0)
+        self.assertEqual(self.plan.hits(), 0)
+
+    def test_an_accept_without_descriptors_is_tried_again(self):
+        self.plan.arm(Fault("accept", "EMFILE"))
+        self.assertEqual(self.served_by(), 0)
+        self.assertEqual(self.plan.hits("accept"), 1)
+        self.wait_log("accept failed")
+
+    def test_a_connect_fails_where_its_address_matches(self):
+        self.plan.arm(Fault("connect", "ENETUNREACH", match=self.servers[0].address, times=0))
+        client = self.client().ask()
+        self.assertIn(client.answer()[0], (502, 503))
+        self.assertGreater(self.plan.hits("connect"), 0)
