--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -26,6 +26,7 @@
 import msgspec
 from golden import reach
 from golden.reach import DATA
+from nodes import SETTINGS
 
 SEEDS = {"fleet": range(20), "log": range(20), "zones": range(20), "storm": range(20)}
 FLEET_SEED = 5  # whose fleet plans zones, drains and keeps its permits till the end
@@ -194,6 +195,13 @@
     return "".join(line(file=name, values=value) for name, value in reach.xml_files().items())
 
 
+def node_configurations() -> str:
+    """The example's, and one with the settings of the tests: text, and what a node makes of it."""
+    example = json.loads((reach.ROOT / "example" / "config.json").read_text())
+    texts = [json.dumps(one) for one in (example, {**example, "settings": SETTINGS, "mgmt": "127.0.0.1:7"})]
+    return "".join(line(text=text, values=reach.node_configuration(text.encode())) for text in texts)
+
+
 def command_line() -> str:
     return "".join(line(command=name, options=rows) for name, rows in reach.command_line().items())
 
@@ -216,6 +224,7 @@
     "agreed_log.jsonl": agreed_log,
     "fleet_answers.jsonl": fleet_answers,
     "xml_values.jsonl": xml_values,
+    "node_configurations.jsonl": node_configurations,
     "command_line.jsonl": command_line,
     "admin_api.jsonl": admin_api,
     "timelines.jsonl": timelines,
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -451,6 +451,16 @@
     return found
 
 
+def node_configuration(text: bytes) -> dict[str, Any]:
+    """The values that a node makes of its configuration file."""
+    from cedarmill.net.config import Config
+
+    one = Config(text)
+    return {"name": one.name, "listen": plain(one.listen), "discovery": plain(one.discovery),
+            "seed": one.seed, "mgmt": plain(one.mgmt), "limits": plain(one.limits),
+            "known": plain(one.known), "settings": plain(one.settings)}  # fmt: skip
+
+
 @contextlib.contextmanager
 def _without_comments(path: Path) -> Iterator[str]:
     """A copy of a file without its comments: one of them was not XML when the data were made."""
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -225,6 +225,13 @@
         for name, values in expected.items():
             self.assertEqual(found[name], values, name)
 
+    def test_each_node_configuration_means_the_same(self):
+        found = rows("node_configurations")
+        self.assertEqual(len(found), 2)
+        for row in found:
+            values = json.loads(json.dumps(reach.node_configuration(row["text"].encode())))
+            self.assertEqual(values, row["values"])
+
     def test_sub_commands_and_options_keep_their_names_and_defaults(self):
         """New names may come beside the old ones."""
         found = json.loads(json.dumps(reach.command_line()))
