--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -470,6 +470,20 @@
         yield bare.name
 
 
+def refused_xml() -> dict[str, str]:
+    """Of the files that the repository ships, those that their own readers refuse, and why."""
+    from cedarmill.conf import fleet
+    from cedarmill.conf.settings import Settings
+
+    found, readers = {}, {"keeper": fleet.keeper, "steward": fleet.steward, "cedarmill": Settings}
+    for path in sorted(ROOT.glob("deploy/**/*.xml")):
+        try:
+            readers[path.stem](path)
+        except ValueError as error:
+            found[path.stem] = str(error)
+    return found
+
+
 def admin_answers() -> list[list]:
     """What a node's operators' listener answers: for each request in order, all bytes of the answer."""
     from nodes import WAIT, NodeCase
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -225,6 +225,9 @@
         for name, values in expected.items():
             self.assertEqual(found[name], values, name)
 
+    def test_each_xml_file_that_is_shipped_can_be_read(self):
+        self.assertEqual(reach.refused_xml(), {})
+
     def test_each_node_configuration_means_the_same(self):
         found = rows("node_configurations")
         self.assertEqual(len(found), 2)
