--- a/cedarmill/decisions/brain.py
+++ b/cedarmill/decisions/brain.py
@@ -21,7 +21,9 @@
 PAYS_START = 0.65  # share of cuts of running jobs that make room at once, as taken at first
 PAYS_FLOOR = 0.6  # under this share running jobs are not cut, only waiting ones
 PAYS_SURE = 0.75  # up to this share one cut at a time is tried, till the job in its place has shown its worth
-COLD_MARGIN = 0.8  # part of the cold budget used: job sizes vary, and few nodes try in each window
+COLD_CHANCE = 1.5  # standard deviations of what all processes send by chance that have to stay within it
+COLD_PARTS = 1.75  # what the parts that all take of it may add up to: uneven traffic, bursts, retries
+COLD_FEW = 30  # requests of mean work in a window under which the slack for chance is wider (standing page)
 OVER_SHARE = 1.2  # times this dispatcher's part of a tenant's quota: traffic over its share
 TENANT_WINDOW = 4e6  # us, memory of the tenants' rates
 SAMPLE = 8  # workers of a zone looked at for one job: the cost of an event must not grow with the fleet
@@ -39,6 +41,20 @@
 BACK = 0.25  # of a job's slack, after which a refused client may come back
 
 
+def _requests_for_all(allowed: float, instances: int) -> float:
+    """Requests of mean work that all processes may aim to send a cold worker in a window.
+
+    It falls above `allowed` and the slack for chance, and each process draws for itself: COLD_CHANCE standard
+    deviations of the sum must fit below (x + COLD_CHANCE * deviation = stands). Where most send one or none,
+    that is the root of x; where each sends many, only its last one is drawn, a deviation of 1/2 for each.
+    """
+    slack = 3 if allowed < COLD_FEW else 2
+    stands = allowed + slack * math.sqrt(allowed) + slack
+    by_many = ((math.sqrt(COLD_CHANCE**2 + 4 * stands) - COLD_CHANCE) / 2) ** 2
+    by_few = stands - COLD_CHANCE * math.sqrt(instances) / 2
+    return max(by_many, by_few) / min(instances, COLD_PARTS)
+
+
 class Brain:
     """The decisions of one dispatcher: `handle` takes an event and its time, and gives the actions."""
 
@@ -60,7 +76,9 @@
         self.errors_at = columns.get("errors_per_s", -1)
         self.slots_at, self.memory_at = columns.get("free_slots", -1), columns.get("free_memory", -1)
         self.queue_at = columns.get("queue", -1)
-        self.slots: dict[int, float] = {}  # most ever seen at a worker of each kind
+        self.slots: dict[int, float] = {}  # most ever seen free at a worker of each kind
+        self.sizes: dict[int, float] = {}  # the listed size of that worker
+        self.usual = (self.means[0][0], 0)  # mean of the slot-time of requests, as hinted, and their number
         self.zones = [1.0, 1.0]  # idle slots by size, as reports show them: in the own zone, in the others
         self.plan: dict[tuple[int, ...], dict[int, float]] = {}  # shares of zones, by where jobs may run
         self.left: list[Worker] = []  # where own jobs ended last
@@ -100,7 +118,11 @@
             # where starts go untold, own jobs that wait look like slots: only free ones are sure
             sure = worker.base if self.settings.tells_start else math.floor(free + 0.5)
             worker.slots = max(worker.slots, sure)
-            self.slots[worker.kind] = max(self.slots.get(worker.kind, 1.0), worker.slots)
+            shown = max(
+                1, math.floor(free + 0.5)
+            )  # own jobs may have been among them: never more than it has
+            if shown > self.slots.get(worker.kind, 0.0):
+                self.slots[worker.kind], self.sizes[worker.kind] = shown, worker.size
             held = own, worker.slots - free
             self.idle += (free / worker.size - self.idle) / (2 * MEMORY)
             zone = int(worker.zone != self.settings.zone)
@@ -114,6 +136,8 @@
     def _beside(self, event: api.Beside) -> None:
         """Jobs of the node's other process hold slots as own ones do; only that one knows when they end."""
         if (worker := self.workers.get(event.worker)) is not None:
+            if self._cold(worker) and (more := event.slots - worker.beside) > 0:
+                worker.cold_log += [(self.now, self.usual[0])] * math.ceil(more)  # one a slot
             worker.held += event.slots - worker.beside
             worker.memory_held += event.memory - worker.memory_beside
             worker.beside, worker.memory_beside = event.slots, event.memory
@@ -156,6 +180,10 @@
         request = self.requests[event.request] = Request(
             event.request, event.job_class, event.slots, event.memory, event.hint_us, spec, self.now +
             event.time_left_us, self._worth(event, spec), event.homes, most, event.cut or BACK)  # fmt: skip
+        if self.means[request.index][2]:
+            usual, count = self.usual if self.usual[1] else (self.means[request.index][0], MEMORY)
+            count = min(count + 1, 20 * MEMORY)
+            self.usual = usual + (self._hinted(request) - usual) / count, count
         (self._turn_away if event.cut else self._admit)(request)
 
     def _admit(self, request: Request) -> None:
@@ -391,28 +419,56 @@
     def _warm_enough(self, worker: Worker, request: Request) -> bool:
         """Rule 4: this dispatcher's part of what a cold worker stands, in slot-time for each window."""
         s, age = self.settings, self.now - worker.since
-        if not worker.since or age >= s.cold_us:
+        if not self._cold(worker):
             return True
         share = s.cold_share + (1 - s.cold_share) * max(0, age - s.overload_window_us) / s.cold_us
         worker.cold_log = [entry for entry in worker.cold_log if entry[0] > self.now - s.overload_window_us]
-        stands = s.fall_multiple * share * max(worker.slots, self.slots.get(worker.kind, 1.0))
-        whole = COLD_MARGIN * stands * s.overload_window_us  # for all dispatchers together
+        stands = s.fall_multiple * share * self._slots_like(worker) * s.overload_window_us  # slot-time
+        usual = self.usual[0]
+        most = usual * _requests_for_all(stands / usual, s.instances)  # for all dispatchers together
+        whole = min(stands, most)
         if self.now - worker.drawn_at > s.overload_window_us:  # parts of a job: by chance, anew each window
             worker.drawn_at, worker.luck = self.now, self.random.random()
         cost, sent = self._work(request), sum(work for _, work in worker.cold_log)
-        return sent + cost <= whole * self._part() + worker.luck * min(cost, whole)
+        part = self._cold_part()
+        if sent + cost > whole * part + worker.luck * min(cost, whole):
+            return False
+        # it falls by work or by the number of requests, each taken for a usual one
+        return (len(worker.cold_log) + 1) * usual <= most * part + worker.luck * min(usual, most)
+
+    def _cold(self, worker: Worker) -> bool:
+        return worker.since > 0 and self.now - worker.since < self.settings.cold_us
+
+    def _slots_like(self, worker: Worker) -> float:
+        """Slots of a cold worker: what those of its kind have shown, less where it is listed as smaller."""
+        if worker.kind not in self.slots:
+            return worker.slots
+        return max(
+            1.0, self.slots[worker.kind] * min(1.0, worker.size / self.sizes.get(worker.kind, worker.size))
+        )
 
     def _work(self, request: Request) -> float:
         """Slot-time that a job is likely to take, by its hint; what a rough one calls short runs longer."""
+        least = (
+            request.slots * self.means[request.index][0] / 2
+        )  # what falls over by many may be short jobs all
+        return max(self._hinted(request), least)
+
+    def _hinted(self, request: Request) -> float:
+        """Slot-time that a job is likely to take, by its hint alone."""
         mean, log, seen = self.means[request.index]
-        hinted = request.hint_us * math.exp(log) if request.hint_us and seen else mean
-        return request.slots * max(hinted, mean / 2)  # what falls over by many may be short jobs all
+        return request.slots * (request.hint_us * math.exp(log) if request.hint_us and seen else mean)
 
     def _part(self) -> float:
         """This dispatcher's part of all traffic: at least an even one, else what it sees of the quotas."""
         seen = sum(map(self._load, range(len(self.loads))))
         return max(1 / self.settings.instances, min(1.0, seen / self.quota) if self.quota else 0.0)
 
+    def _cold_part(self) -> float:
+        """Its part of what all may send a cold worker: a few even parts may be a burst that all see."""
+        even, part = 1 / self.settings.instances, self._part()
+        return min(part, max(COLD_PARTS * even, part - even))
+
     def _send(self, request: Request, worker: Worker, cut: bool = False) -> bool:
         if not self._may_send(request, worker):
             return False
@@ -425,7 +481,7 @@
         request.attempts.append(attempt)
         worker.own[request.id, attempt.number] = attempt
         attempt.hold(1)
-        if worker.since:
+        if self._cold(worker):
             worker.cold_log.append((self.now, self._work(request)))
         self.actions.append(api.Send(request.id, worker.id))
         return True
@@ -521,6 +577,8 @@
                 worker = Worker(entry.worker, entry.zone, entry.cell, entry.kind, entry.started_at,
                                 slots=old.slots if old else 1.0, base=1.0, waiting=WAITING_START,
                                 size=entry.size or 1.0, own=old.own if old else {}, listed=False)  # fmt: skip
+                if old:  # a start that is told again, or anew by a little, is no second budget
+                    worker.cold_log, worker.drawn_at, worker.luck = old.cold_log, old.drawn_at, old.luck
                 self.workers[entry.worker] = worker
             elif entry.state == WorkerState.READY and (entry.zone, entry.cell) != (worker.zone, worker.cell):
                 self.pools.leave(worker)  # the list is true; attempts out keep the group they were sent to
