--- a/cedarmill/decisions/brain.py
+++ b/cedarmill/decisions/brain.py
@@ -38,6 +38,10 @@
 ASK_DOUBLED = 16  # so many times: for the smallest fleet too the rest is beyond the longest wait
 ZONES = 10  # reports that the idle slots of the own zone and of the others are the mean of
 TRIED = 0.05  # share by a plan that only tries a zone: what finds no place there goes to the others
+WRITE_DELAY_US = 150_000  # a node may be held up so long between its clock and the write (standing page)
+CLOSED_US = (
+    100_000  # an attempt that begins later than that after its client's end is a lost request (same page)
+)
 BACK = 0.25  # of a job's slack, after which a refused client may come back
 
 
@@ -209,7 +213,7 @@
         """No room: refuse, or hold a job that was cut or lost while it may still be repeated, or fail it."""
         if request.done or request.out or request.asking:
             return
-        left = request.deadline - self.now - 2 * self.settings.tick_us
+        left = self._last_choice(request) - self.now
         tried = len(request.attempts) >= request.tries or request.spec.effect == Effect.UNSAFE
         if self._may_refuse(request):
             advice = int(request.back * self._slack(request))  # clients come back once or twice
@@ -394,8 +398,8 @@
 
     def _may_send(self, request: Request, worker: Worker) -> bool:
         """The one guard of sends: rules 1 (ended), 2 (effects), 3 (drains) and 4 (cold workers)."""
-        spec, soon = request.spec, self.now + 2 * self.settings.tick_us
-        over = request.done or self.now >= request.deadline or len(request.attempts) >= request.tries
+        spec, last = request.spec, self._last_choice(request) if request.attempts else request.deadline
+        over = request.done or self.now >= last or len(request.attempts) >= request.tries
         if over or not worker.listed or (request.homes and worker.zone not in request.homes):
             return False
         if spec.worker_kind not in (-1, worker.kind) or not self._warm_enough(worker, request):
@@ -406,10 +410,19 @@
             if not attempt.ran or spec.effect == Effect.SAFE:
                 continue
             same = spec.group == Group.ALL or getattr(attempt, spec.group) == getattr(worker, spec.group)
-            if spec.effect == Effect.UNSAFE or not same or soon >= attempt.sent + spec.repeat_window_us:
+            if spec.effect == Effect.UNSAFE or not same:
                 return False
         return True
 
+    def _last_choice(self, request: Request) -> int:
+        """Until when a further attempt may be chosen: one held up on its way out must not come too late."""
+        spec, margin = request.spec, 2 * self.settings.tick_us
+        ends = [request.deadline - max(margin, WRITE_DELAY_US - CLOSED_US)]
+        if spec.effect == Effect.KEYED:  # its window: a repeat that arrives later is run once more
+            windows = (a.sent + spec.repeat_window_us for a in request.attempts if a.ran)
+            ends += [end - margin - WRITE_DELAY_US for end in windows]
+        return min(ends)
+
     def _may_refuse(self, request: Request) -> bool:
         """The one guard of refusals: rules 1 and 2."""
         spec = request.spec
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -561,6 +561,43 @@
     assert d.brain._may_refuse(request) == harmless
 
 
+def broken(after: int, window: int, left: int = 5_000_000, group: Group = Group.ZONE):
+    """What follows when the one attempt of a keyed job breaks so long after it was sent."""
+    d = Driver(keyed(group, window), workers=2)
+    assert sends(d.arrive(0, left=left))
+    worker = d.brain.requests[1].attempts[0].worker.id
+    d.now += after
+    return d, d.end(1, worker, Outcome.RESET)
+
+
+@pytest.mark.parametrize("after,window", [(0, 155_000), (1_000, 100_000), (2_845_000, 3_000_000)])
+def test_a_repeat_that_may_be_written_after_its_window_is_not_chosen_and_answered_at_once(after, window):
+    """Chosen two ticks before the end, it was written 0.15 s later, or taken back and held to the end."""
+    assert kinds(broken(after, window)[1]) == ["Fail"]
+    assert kinds(broken(after, window, group=Group.ALL)[1]) == ["Refuse"]
+
+
+def test_a_repeat_within_its_window_is_chosen_as_before():
+    assert kinds(broken(2_830_000, 3_000_000)[1]) == ["Send"]
+
+
+def test_a_further_attempt_does_not_begin_when_its_client_is_about_to_give_up():
+    """Held up for 0.15 s, it began later than 0.1 s after its client had gone."""
+    assert kinds(broken(955_000, 3_000_000, left=1_000_000)[1]) == ["Fail"]
+    assert kinds(broken(940_000, 3_000_000, left=1_000_000)[1]) == ["Send"]
+
+
+def test_a_held_job_is_answered_when_its_window_closes():
+    """It was held to its deadline, though nothing could follow any longer."""
+    d = Driver(keyed(Group.ZONE, 1_000_000), workers=1)
+    d.arrive(0)
+    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(1, WorkerState.GONE)]))
+    actions = d.end(1, 1, Outcome.RESET)
+    (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
+    assert timer.delay_us == 1_000_000 - 150_000 - 2 * d.brain.settings.tick_us
+    assert kinds(d.fire_all([timer], timer.delay_us)) == ["Fail"]
+
+
 def test_nothing_follows_the_end_or_the_last_attempt():
     d = Driver(workers=2, max_attempts=1)
     d.arrive(0)
