--- a/cedarmill/decisions/memory.py
+++ b/cedarmill/decisions/memory.py
@@ -48,8 +48,6 @@
     idle: float
     run: float
     pays: float
-    sizes: dict[int, float] = {}  # documents of before know neither this nor the next
-    usual: tuple[float, int] = (0.0, 0)
 
 
 def remember(brain: Brain, names: Mapping[int, str], now: int) -> Memory:
@@ -58,7 +56,7 @@
     loads = [(load, now - since) for load, since in brain.loads]
     return Memory(workers, [(run, log, seen) for run, log, seen in brain.means], loads, dict(brain.slots),
                   (brain.busy[0], brain.busy[1]), (brain.zones[0], brain.zones[1]), brain.errors, brain.idle,
-                  brain.run, brain.pays, dict(brain.sizes), brain.usual)  # fmt: skip
+                  brain.run, brain.pays)  # fmt: skip
 
 
 def _worker(worker: Worker, now: int) -> WorkerMemory:
@@ -79,8 +77,6 @@
     brain.loads = [(load, now - age) for load, age in memory.loads]
     named = range(len(brain.settings.kinds))  # other kinds are numbered as each process meets them
     brain.slots = {kind: slots for kind, slots in memory.slots.items() if kind in named}
-    brain.sizes = {kind: size for kind, size in memory.sizes.items() if kind in named}
-    brain.usual = memory.usual if memory.usual[1] else brain.usual
     brain.busy, brain.zones = list(memory.busy), list(memory.zones)
     brain.errors, brain.idle, brain.run, brain.pays = memory.errors, memory.idle, memory.run, memory.pays
     brain.heir = True
