--- a/cedarmill/decisions/brain.py
+++ b/cedarmill/decisions/brain.py
@@ -437,7 +437,7 @@
         share = s.cold_share + (1 - s.cold_share) * max(0, age - s.overload_window_us) / s.cold_us
         worker.cold_log = [entry for entry in worker.cold_log if entry[0] > self.now - s.overload_window_us]
         stands = s.fall_multiple * share * self._slots_like(worker) * s.overload_window_us  # slot-time
-        usual = self.usual[0]
+        usual = max(1.0, self.usual[0])  # jobs may need no slots at all
         most = usual * _requests_for_all(stands / usual, s.instances)  # for all dispatchers together
         whole = min(stands, most)
         if self.now - worker.drawn_at > s.overload_window_us:  # parts of a job: by chance, anew each window
@@ -450,7 +450,7 @@
         return (len(worker.cold_log) + 1) * usual <= most * part + worker.luck * min(usual, most)
 
     def _cold(self, worker: Worker) -> bool:
-        return worker.since > 0 and self.now - worker.since < self.settings.cold_us
+        return worker.since > 0 and self.now - worker.since < self.settings.cold_us > 0
 
     def _slots_like(self, worker: Worker) -> float:
         """Slots of a cold worker: what those of its kind have shown, less where it is listed as smaller."""
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -242,6 +242,12 @@
         self.assertEqual(self.sent(alone) - self.sent(beside), 5)
         self.assertEqual(len(beside.brain.workers[1].cold_log), len(alone.brain.workers[1].cold_log))
 
+    def test_a_start_ahead_of_the_clock_counts_for_nothing_where_none_is_cold(self) -> None:
+        """With no time of slow start in the settings, one listed a moment ahead raised for each request."""
+        driver = Driver(entries=[entry(1, started_at=1_000_500_000)], cold_us=0)
+        driver.report(1, 10)
+        self.assertTrue(sends(driver.arrive(0)))
+
     def test_sends_to_a_warm_executor_are_not_kept(self) -> None:
         """Each send to an executor with a known start stayed in its record for good."""
         driver = self.cold()
