--- a/tests/faults.py
+++ b/tests/faults.py
@@ -8,7 +8,8 @@
   `replace`, `remove`, `listdir`, `stat`: files, matched by path where the call names one;
 * `connect` (matched by HOST:PORT) and `open_session`: what the event loop opens and accepts;
 * `outgoing.NAME` and `accepted.NAME`: the transport's method NAME (`write`, `write_eof`, `pause_reading`,
-  `resume_reading`, `get_extra_info`, `abort`) of connections that the program opened or accepted.
+  `resume_reading`, `get_extra_info`, `set_write_buffer_limits`, `abort`) of connections that the program
+  opened or accepted.
 """
 
 import builtins
@@ -27,7 +28,15 @@
 ROOT = Path(__file__).parent.parent
 PLAN, HITS = "plan.json", "hits"
 TRANSPORT_CALLS = frozenset(
-    ("write", "write_eof", "pause_reading", "resume_reading", "get_extra_info", "abort")
+    (
+        "write",
+        "write_eof",
+        "pause_reading",
+        "resume_reading",
+        "get_extra_info",
+        "set_write_buffer_limits",
+        "abort",
+    )
 )
 
 
