--- a/tests/faults.py
+++ b/tests/faults.py
@@ -9,7 +9,7 @@
 * `connect` (matched by HOST:PORT) and `open_session`: what the event loop opens and accepts;
 * `outgoing.NAME` and `accepted.NAME`: the transport's method NAME (`write`, `write_eof`, `pause_reading`,
   `resume_reading`, `get_extra_info`, `set_write_buffer_limits`, `abort`) of connections that the program
-  opened or accepted.
+  opened (matched by HOST:PORT) or accepted.
 """
 
 import builtins
@@ -197,7 +197,7 @@
             async def create_connection(self, factory, host=None, port=None, **more):
                 layer.check("connect", f"{host}:{port}")
                 return await super().create_connection(
-                    lambda: _watched(layer, factory(), "outgoing"), host, port, **more
+                    lambda: _watched(layer, factory(), "outgoing", f"{host}:{port}"), host, port, **more
                 )
 
             async def connect_accepted_socket(self, factory, sock, **more):
@@ -215,18 +215,18 @@
     return (first, second[:most] if not isinstance(second, int) else min(second, most), *rest)
 
 
-def _watched(layer: FaultLayer, protocol, side: str):
+def _watched(layer: FaultLayer, protocol, side: str, about: str = ""):
     """The protocol, which is given a transport that this layer can break."""
     made = protocol.connection_made
-    protocol.connection_made = lambda transport: made(FaultyTransport(layer, transport, side))
+    protocol.connection_made = lambda transport: made(FaultyTransport(layer, transport, side, about))
     return protocol
 
 
 class FaultyTransport:
     """A transport whose methods raise when the plan says so."""
 
-    def __init__(self, layer: FaultLayer, transport, side: str) -> None:
-        self._layer, self._transport, self._side = layer, transport, side
+    def __init__(self, layer: FaultLayer, transport, side: str, about: str) -> None:
+        self._layer, self._transport, self._side, self._about = layer, transport, side, about
 
     def __getattr__(self, name: str):
         found = getattr(self._transport, name)
@@ -234,7 +234,7 @@
             return found
 
         def call(*args, **keywords):
-            self._layer.check(f"{self._side}.{name}")
+            self._layer.check(f"{self._side}.{name}", self._about)
             return found(*args, **keywords)
 
         return call
