--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -58,8 +58,8 @@
                     self.send(owner.early)
                 while line := (early or b"") + file.readline():
                     headers = http.client.parse_headers(file)
-                    body = file.read(int(headers.get("Content-Length", 0)))
-                    if not early:  # else it has its answer
+                    body = file.read(length := int(headers.get("Content-Length", 0)))
+                    if not early and len(body) == length:  # else it has its answer, or never came whole
                         owner.asked.put(Asked(self, line.decode().split(), headers, body))
                     early = None
         except OSError:
