--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -16,6 +16,8 @@
 from cedarmill.log import say
 from cedarmill.values import DeadlineOptions
 
+HOLD_UP_US = 150_000  # a node may be held up so long between its clock and its write (standing test)
+
 
 class ClientPort(Protocol):
     """Takes the one final answer of a req."""
@@ -238,17 +240,33 @@
 
     def may_write(self, now: int, attempt: Attempt) -> bool:
         """Whether an attempt may still be sent: it can outlive its right while it waits to connect."""
+        return self.barred(now, attempt) is None
+
+    def barred(self, now: int, attempt: Attempt) -> Outcome | None:
+        """The outcome of an attempt that may not be sent any longer, or None where it may.
+
+        MOOT: no other attempt may be sent either, so that the request is answered at once. DROPPED: another
+        executor may take it, and this one is not to blame.
+        """
         req = attempt.req
         if attempt.outcome is not None or not self.budget.may_start(now, req.claim):
-            return False
+            return Outcome.MOOT
+        if not self._within_window(now, attempt):
+            return Outcome.MOOT
         if self.fence is not None and not self.fence(now):
-            return False
+            return Outcome.DROPPED
         if attempt.worker not in self.listed_ready:  # drains or is gone since the brain chose it
-            return False
+            return Outcome.DROPPED
+        return None
+
+    def _within_window(self, now: int, attempt: Attempt) -> bool:
+        """Whether it would arrive before repeats count anew, also if this node is held up at the write."""
+        req = attempt.req
+        if req.spec.effect != api.Effect.KEYED:
+            return True
+        arrives = now + HOLD_UP_US + 2 * self.brain.settings.tick_us  # the ticks are the way there
         ran = [a for a in req.attempts if a is not attempt and a.outcome not in api.NEVER_RAN]
-        guarded = req.spec.effect == api.Effect.KEYED
-        arrives = now + 2 * self.brain.settings.tick_us  # as the module reckons it
-        return not guarded or all(arrives < a.sent_at + req.spec.repeat_window_us for a in ran)
+        return all(arrives < a.sent_at + req.spec.repeat_window_us for a in ran)
 
     def busy(self) -> set[int]:
         """Backends with attempts that have not ended."""
@@ -306,6 +324,9 @@
             self._answer(now, req.id, *(("failed",) if ran else ("refused", 0)))
             self.ended(now, attempt, Outcome.MOOT)
             return
+        if (barred := self.barred(now, attempt)) is not None:
+            self.ended(now, attempt, barred)
+            return
         try:
             self.backends.send(attempt)
         except Exception:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,6 +10,7 @@
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.decisions import interface as api
+from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.interface import Group, Outcome
 from cedarmill.net.config import Endpoint, ListReader
 
@@ -162,8 +163,10 @@
         """Up to a connect time-out passes before it is written: drains, windows and budgets do not wait."""
         self.arrive(api.Send(1, 1), api.Send(1, 1))
         first, second = self.ports.sent
-        self.assertTrue(self.dispatch.may_write(989_999, second))
-        self.assertFalse(self.dispatch.may_write(990_000, second))  # it would arrive as the window ends
+        self.assertTrue(self.dispatch.may_write(839_999, second))
+        self.assertFalse(
+            self.dispatch.may_write(840_000, second)
+        )  # held up, it would arrive as the window ends
         self.dispatch.ended(1, first, Outcome.FULL)
         self.assertTrue(self.dispatch.may_write(1_000_000, second))
         self.assertFalse(self.dispatch.may_write(5_000_000, second))
@@ -171,6 +174,31 @@
         self.dispatch.listed(2, api.WorkerList(api.ListKind.DELTA, drained))
         self.assertFalse(self.dispatch.may_write(2, second))
 
+    def test_what_may_not_be_sent_tells_why(self):
+        """MOOT where no other may be sent either: the module answers at once. Else no executor is blamed."""
+        self.arrive(api.Send(1, 1), api.Send(1, 1))
+        second = self.ports.sent[1]
+        self.assertIs(self.dispatch.barred(840_000, second), Outcome.MOOT)
+        self.assertIs(self.dispatch.barred(5_000_000, second), Outcome.MOOT)
+        self.dispatch.fence = lambda now: False
+        self.assertIs(self.dispatch.barred(1, second), Outcome.DROPPED)
+        self.dispatch.fence = None
+        self.dispatch.listed(2, api.WorkerList(api.ListKind.DELTA, [entry(1, api.WorkerState.DRAINING)]))
+        self.assertIs(self.dispatch.barred(2, second), Outcome.DROPPED)
+
+    def test_a_repeat_past_its_window_is_answered_at_once(self):
+        """The module was told of a failed connect, tried as often as it may, and struck sound executors."""
+        brain = Brain(settings(keyed(Group.ZONE, window=1_000_000)), 1)
+        self.dispatch.brain = brain
+        self.dispatch.listed(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
+        req = self.arrive(due=5_000_000)
+        self.dispatch.written(0, self.ports.sent[0])
+        self.dispatch.ended(900_000, self.ports.sent[0], Outcome.RESET)
+        self.assertEqual(len(self.ports.sent), 1)
+        self.check_over(("failed",))
+        self.assertTrue(req.answered)
+        self.assertEqual([worker.strikes for worker in brain.workers.values()], [0, 0])
+
     def test_a_client_that_leaves_is_owed_nothing(self):
         """The attempt is still out: its outcome is told later, and nobody is answered."""
         req = self.arrive(api.Send(1, 1))
