--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -163,6 +163,14 @@
         for probe in [probe for probe in req.probes if not probe.written]:
             self._recall(now, probe)
 
+    def answer_by(self, until: int) -> None:
+        """Each open request has its final answer by then (us): the process may be killed soon after."""
+        for req in list(self.reqs.values()):
+            if not req.answered and req.due > until:
+                self.deadlines.cancel(req.deadline)
+                req.due = req.claim.due = until
+                req.deadline = self.deadlines.add(until, lambda at, req=req: self._overdue(at, req))
+
     def _recall(self, now: int, probe: Probe) -> None:
         try:
             self.backends.recall(probe)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -199,6 +199,18 @@
         self.assertTrue(req.answered)
         self.assertEqual([worker.strikes for worker in brain.workers.values()], [0, 0])
 
+    def test_what_is_open_when_the_process_has_to_end_is_answered_before(self):
+        """Its own deadline may lie behind the kill: an executor that hangs would hold it till then."""
+        self.arrive(api.Send(1, 1), due=5_000_000)
+        self.arrive(due=1_000)
+        self.dispatch.answer_by(2_000_000)
+        self.sweep(1_000)
+        self.assertEqual(self.ports.answers, [("failed",)])
+        self.sweep(1_999_999)
+        self.assertEqual(len(self.ports.answers), 1)
+        self.sweep(2_000_000)
+        self.check_over(("failed",), ("failed",))
+
     def test_a_client_that_leaves_is_owed_nothing(self):
         """The attempt is still out: its outcome is told later, and nobody is answered."""
         req = self.arrive(api.Send(1, 1))
