--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/backends.py
@@ -21,6 +21,9 @@
 WARY_US = 30_000_000  # after a kept connection broke under a request, unsafe attempts go out on new ones
 LATE_ANSWER_US = 50_000  # a second answer may come so long after the first: it must not meet the next request
 MAX_ANSWER = 1024 * 1024  # bytes of one answer, with all its lines
+AT_ONCE = 8 * 1024  # bytes that the system's buffer takes at once; of more the last byte is held back
+LEAVE_US = 50_000  # for a request's last byte to leave: the time that it tells was reckoned before
+ABORT_AGAIN_US = 20_000  # till a transport that could not be aborted is tried again
 TAIL_US = 1_000_000  # for an answer's message to end after its last line
 
 
@@ -35,12 +38,15 @@
         exchange.connection = self
         self.last = b""  # of the request, while it is held back
         self.kept = False  # whether it has served before
-        self.written = False  # whether the exchange's last byte has left
+        self.handed = False  # whether the exchange's last byte was given to the transport: it may leave
+        self.written = False  # whether it has left
         self.complete = self.keep_alive = False
         self.closed = False
         self.opened_at = self.rested_at = 0
         self.answer_bytes = 0
         self.deadline: Deadline | None = None
+        self.text_at = 0  # when the request's text was made, and the time that it tells
+        self.leaving: Deadline | None = None  # of what the system has not taken yet
         self.task: asyncio.Task | None = None
 
     def open(self) -> None:
@@ -70,9 +76,13 @@
     def connection_made(self, transport) -> None:
         self.turn.deadlines.cancel(self.deadline)
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # resume_writing then tells that all has left
         if self.closed:
-            transport.abort()
+            self._abort_transport()
+            return
+        try:
+            transport.set_write_buffer_limits(high=0)  # resume_writing then tells that all has left
+        except (OSError, RuntimeError):  # it has broken meanwhile
+            self.abort()
             return
         trip = self.turn.now() - self.opened_at
         self.backend.backends.dispatch.budget.margins.trip(self.backend.number, trip)
@@ -83,43 +93,65 @@
         """Send an exchange out, if it still may be sent."""
         now = self.turn.now()
         self.turn.deadlines.cancel(self.deadline)
-        text = exchange.request(now)
-        if text is None:
+        outcome = exchange.barred(now)
+        if outcome is not None:
             self._rest()
-            exchange.finish(now, Outcome.CONNECT_FAILED)
+            exchange.finish(now, outcome)
             return
+        text = exchange.request(now)
         self.exchange, exchange.connection = exchange, self
-        self.written = self.complete = False
-        self.answer_bytes = 0
-        if not exchange.unsafe:
+        self.handed = self.written = self.complete = False
+        self.answer_bytes, self.text_at = 0, now
+        if not exchange.unsafe and len(text) <= AT_ONCE:
             self._write(text)
             return
-        # a break that the request itself brings about comes before its last byte: then it never ran
+        # a break that the request itself brings about comes before its last byte: then it never ran; and
+        # what leaves slowly may lose its right meanwhile
         self.last = text[-1:]
         self._write(text[:-1])
-        self.deadline = self.turn.deadlines.add(now + COMMIT_US, self._commit)
+        if not self.closed:
+            wait = COMMIT_US if exchange.unsafe else 0
+            self.deadline = self.turn.deadlines.add(now + wait, self._commit)
 
     def _write(self, text: bytes) -> None:
-        self.transport.write(text)
-        self._has_left(not (self.last or self.transport.get_write_buffer_size()))
+        """Hand bytes to the transport, and give up what it does not let go of in time."""
+        try:
+            self.transport.write(text)
+            waiting = self.transport.get_write_buffer_size() > 0
+        except (OSError, RuntimeError):  # it has broken: nothing of this has left
+            self.abort()
+            return
+        if self.last or self.transport.is_closing():  # closing: it broke, and connection_lost comes
+            return
+        self.handed = True
+        if waiting:
+            self.leaving = self.turn.deadlines.add(self.text_at + LEAVE_US, lambda now: self.abort())
+        else:
+            self._has_left()
 
-    def _has_left(self, whole: bool) -> None:
-        self.written = whole
-        if whole and self.exchange is not None:
+    def _has_left(self) -> None:
+        self.turn.deadlines.cancel(self.leaving)
+        self.written = True
+        if self.exchange is not None:
             self.exchange.on_written(self.turn.now())
 
     def _commit(self, now: int) -> None:
-        """Send the last byte, if the attempt still may be sent."""
+        """Send the last byte once the rest has left, if the attempt still may be sent."""
         exchange = self.exchange
-        if exchange.request(now) is None:
+        outcome = Outcome.DROPPED if now - self.text_at > LEAVE_US else exchange.barred(now)
+        if outcome is not None:
             self.abort_quietly()
-            exchange.finish(now, Outcome.CONNECT_FAILED)
-            return
-        last, self.last = self.last, b""
-        self._write(last)
+            exchange.finish(now, outcome)
+        elif self.transport.get_write_buffer_size():
+            self.deadline = self.turn.deadlines.add(now + COMMIT_US, self._commit)
+        else:
+            last, self.last = self.last, b""
+            self._write(last)
 
     def resume_writing(self) -> None:
-        self._has_left(not self.last)
+        """All that was written has left."""
+        if self.handed and not self.written:
+            self._has_left()
 
     @callback
     def data_received(self, data: bytes) -> None:
@@ -138,7 +170,7 @@
         if not whole:
             self.abort_quietly()
         elif self.complete:  # free before the brain hears of it: it may send here at once
-            if self.keep_alive and not self.last and not self.transport.is_closing():
+            if self.keep_alive and self.written and not self.transport.is_closing():
                 self._rest()
             else:
                 self.abort_quietly()
@@ -171,8 +203,11 @@
 
     # Its end.
 
+    @callback
     def eof_received(self) -> None:
-        """The other side has closed: out of the pool at once."""
+        """The other side has closed: out of the pool at once, and nothing more leaves on it."""
+        if self.exchange is not None and not self.written:
+            self.abort()  # or the loop would first let all leave that it still holds
         self.backend.drop(self)
 
     @callback
@@ -181,24 +216,38 @@
         self.parser = None  # or the cycle with it would stay till a full collection
 
     def _lost(self) -> None:
+        """The one end that what it carries hears of."""
         exchange = self.exchange
         self.abort_quietly()
-        if exchange is not None:
-            if self.kept and not exchange.status:
-                self.backend.backends.wary_until = self.turn.now() + WARY_US
-            written = self.written and self.transport is not None
-            unsent = Outcome.CONNECT_FAILED if self.transport is None else Outcome.DROPPED
-            exchange.finish(self.turn.now(), Outcome.RESET if written else unsent)
+        if exchange is None:
+            return
+        now = self.turn.now()
+        if self.kept and not exchange.status:
+            self.backend.backends.wary_until = now + WARY_US
+        if self.transport is None:
+            exchange.finish(now, Outcome.CONNECT_FAILED)
+        else:
+            exchange.finish(now, Outcome.RESET if self.handed else Outcome.DROPPED)
 
     def abort_quietly(self) -> None:
         """End the connection; what it carries is told nothing."""
         self.exchange, self.closed = None, True
-        self.turn.deadlines.cancel(self.deadline)
+        self._cancel_deadlines()
         self.backend.drop(self)
         if self.task is not None:
             self.task.cancel()
         if self.transport is not None:
+            self._abort_transport()
+
+    def _cancel_deadlines(self) -> None:
+        self.turn.deadlines.cancel(self.deadline)
+        self.turn.deadlines.cancel(self.leaving)
+
+    def _abort_transport(self, now: int = 0) -> None:
+        try:
             self.transport.abort()
+        except (OSError, RuntimeError):  # its descriptor must not stay
+            self.turn.deadlines.add(self.turn.now() + ABORT_AGAIN_US, self._abort_transport)
 
     def abort(self) -> None:
         """End the connection, and what it carries with it."""
@@ -208,9 +257,13 @@
     def end_sending(self) -> None:
         """Give up what it carries by ending the sending: the backend stops, and closes."""
         self.exchange = None
-        self.turn.deadlines.cancel(self.deadline)
+        self._cancel_deadlines()
+        try:
+            self.transport.write_eof()
+        except (OSError, RuntimeError):
+            self.abort_quietly()
+            return
         self.deadline = self.turn.deadlines.add(self.turn.now() + TAIL_US, lambda now: self.abort())
-        self.transport.write_eof()
 
     def _rest(self) -> None:
         """Into the pool."""
@@ -220,6 +273,13 @@
         wait = int(self.backend.backends.settings.conn_idle_us * IDLE_SHARE)
         self.deadline = self.turn.deadlines.add(self.rested_at + wait, lambda now: self.abort())
 
+    def hung_up(self) -> bool:
+        """Whether the other side has closed, or the socket can't be asked any more."""
+        try:
+            return hung_up(self.transport)
+        except (OSError, RuntimeError):
+            return True
+
     def rested(self, now: int) -> bool:
         """Whether no second answer to its last request can come any more."""
         return now - self.rested_at >= LATE_ANSWER_US
@@ -259,7 +319,7 @@
         rested = [connection for connection in usable if connection.rested(now)]
         choice = rested if exchange.unsafe else rested + usable
         # its close may have come and not be read yet; one call of the system for each that is asked
-        return next((connection for connection in choice if not hung_up(connection.transport)), None)
+        return next((connection for connection in choice if not connection.hung_up()), None)
 
     def drop(self, connection: Connection) -> None:
         """Forget a connection."""
--- a/cedarmill/net/exchanges.py
+++ b/cedarmill/net/exchanges.py
@@ -3,6 +3,7 @@
 They read answers and hold the state of an attempt; the sockets are in net/backends.py.
 """
 
+import contextlib
 from typing import TYPE_CHECKING, Any
 
 import msgspec
@@ -10,6 +11,7 @@
 from cedarmill.core.dispatch import Attempt, Probe
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
+from cedarmill.net.hangup import hung_up
 
 if TYPE_CHECKING:
     from cedarmill.net.backends import Backend, Backends, Connection
@@ -68,8 +70,12 @@
         self.ending: tuple | None = None  # what the answer has told
         self.told = False  # whether the end has been reported
 
-    def request(self, now: int) -> bytes | None:
-        """The text to write, or None where it may not be sent any longer."""
+    def barred(self, now: int) -> Outcome | None:
+        """The outcome where it may not be sent any longer, or None."""
+        raise NotImplementedError
+
+    def request(self, now: int) -> bytes:
+        """The text to write."""
         raise NotImplementedError
 
     def on_written(self, now: int) -> None:
@@ -111,9 +117,20 @@
         self.guarded = attempt.req.spec.effect != api.Effect.SAFE
         attempt.link, attempt.blind = self, backend.kind.cancel not in ("close", "end")
 
-    def request(self, now: int) -> bytes | None:
-        if not self.backends.dispatch.may_write(now, self.attempt):
-            return None
+    def barred(self, now: int) -> Outcome | None:
+        return Outcome.MOOT if self._client_left() else self.backends.dispatch.barred(now, self.attempt)
+
+    def _client_left(self) -> bool:
+        """Whether the client has closed and the loop has not read it yet: it may have been held up."""
+        options = self.backends.options.deadlines
+        transport = getattr(self.attempt.req.client, "transport", None)  # None: nobody waits for the answer
+        if transport is None or options.on_leave == "ignore":
+            return False
+        with contextlib.suppress(OSError, RuntimeError):  # of a socket that broke just now the loop will tell
+            return hung_up(transport, half_counts=options.half_close == "leaves")
+        return False
+
+    def request(self, now: int) -> bytes:
         message = self.attempt.req.payload
         margins = self.backends.dispatch.budget.margins
         rest = margins.passed_on(self.backend.number, self.attempt.req.due - now)
@@ -216,9 +233,11 @@
             self.connection.abort_quietly()
         self.finish(now, Outcome.TIMEOUT)
 
-    def request(self, now: int) -> bytes | None:
-        if self.probe.link is None or not self.backends.dispatch.may_probe(self.probe):
-            return None
+    def barred(self, now: int) -> Outcome | None:
+        wanted = self.probe.link is not None and self.backends.dispatch.may_probe(self.probe)
+        return None if wanted else Outcome.MOOT
+
+    def request(self, now: int) -> bytes:
         return b"GET /status/load HTTP/1.1\r\nHost: %s\r\n\r\n" % str(self.backend.address.host).encode()
 
     def on_written(self, now: int) -> None:
