--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/backends.py
@@ -1,6 +1,7 @@
 """Backends: a pool of HTTP/1.1 connections to each executor, which carry exchanges (net/exchanges.py)."""
 
 import asyncio
+import errno
 
 import httptools
 
@@ -24,6 +25,8 @@
 AT_ONCE = 8 * 1024  # bytes that the system's buffer takes at once; of more the last byte is held back
 LEAVE_US = 50_000  # for a request's last byte to leave: the time that it tells was reckoned before
 ABORT_AGAIN_US = 20_000  # till a transport that could not be aborted is tried again
+# connect fails so for want of descriptors, memory or ports of this machine: that says nothing of the executor
+OWN_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 TAIL_US = 1_000_000  # for an answer's message to end after its last line
 
 
@@ -69,8 +72,10 @@
     @callback
     def _opened(self, task: asyncio.Task) -> None:
         self.task = None
-        if task.cancelled() or task.exception() is not None:
-            self._lost()
+        error = None if task.cancelled() else task.exception()
+        if task.cancelled() or error is not None:
+            own = isinstance(error, OSError) and error.errno in OWN_ERRORS
+            self._lost(Outcome.DROPPED if own else Outcome.CONNECT_FAILED)
 
     @callback
     def connection_made(self, transport) -> None:
@@ -215,8 +220,8 @@
         self._lost()
         self.parser = None  # or the cycle with it would stay till a full collection
 
-    def _lost(self) -> None:
-        """The one end that what it carries hears of."""
+    def _lost(self, unopened: Outcome = Outcome.CONNECT_FAILED) -> None:
+        """The one end that what it carries hears of; `unopened`: what it means where it never came up."""
         exchange = self.exchange
         self.abort_quietly()
         if exchange is None:
@@ -225,7 +230,7 @@
         if self.kept and not exchange.status:
             self.backend.backends.wary_until = now + WARY_US
         if self.transport is None:
-            exchange.finish(now, Outcome.CONNECT_FAILED)
+            exchange.finish(now, unopened)
         else:
             exchange.finish(now, Outcome.RESET if self.handed else Outcome.DROPPED)
 
@@ -304,7 +309,7 @@
             return
         if not self.backends.make_room():
             say("backends-full", bound=self.backends.bound)
-            exchange.finish(now, Outcome.CONNECT_FAILED)
+            exchange.finish(now, Outcome.DROPPED)
             return
         connection = Connection(self, exchange)
         self.connections.add(connection)
@@ -359,19 +364,21 @@
             backend.close_idle()
 
     def make_room(self) -> bool:
-        """Keep to the bound: an idle connection elsewhere gives way to a new one."""
-        if self.connections < self.bound:
-            return True
-        fullest = max(self.by_number.values(), key=lambda backend: len(backend.idle))
-        if not fullest.idle:
-            return False
-        fullest.idle[0].abort()
+        """Keep to the bound: idle connections elsewhere give way to a new one."""
+        while self.connections >= self.bound:
+            fullest = max(self.by_number.values(), key=lambda backend: len(backend.idle), default=None)
+            if fullest is None or not fullest.idle:
+                return False
+            fullest.idle[0].abort()
         return True
 
     # The dispatch's port.
 
     def send(self, attempt: Attempt) -> None:
-        backend = self.by_number[attempt.worker]
+        backend = self.by_number.get(attempt.worker)
+        if backend is None:  # it was never listed with an address
+            self.dispatch.ended(self.turn.now(), attempt, Outcome.CONNECT_FAILED)
+            return
         job = NodeJob if backend.kind.speaks == "node" else Job
         backend.carry(job(self, backend, attempt))
 
@@ -390,7 +397,10 @@
         return True
 
     def probe(self, probe: Probe) -> None:
-        backend = self.by_number[probe.worker]
+        backend = self.by_number.get(probe.worker)
+        if backend is None:
+            self.dispatch.probed(self.turn.now(), probe, Outcome.CONNECT_FAILED)
+            return
         backend.carry(Check(self, backend, probe))
 
     def recall(self, probe: Probe) -> None:
--- a/tests/test_executor_faults.py
+++ b/tests/test_executor_faults.py
@@ -22,6 +22,8 @@
 SLACK_S = 0.15  # of the deadline that an attempt tells (standing test)
 SOON_S = 0.6  # an answer that does not wait for its deadline
 
+OWN = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL")
+UNREACHABLE = ("ECONNABORTED", "ENETUNREACH", "EHOSTUNREACH", "ECONNREFUSED", "ETIMEDOUT")
 BROKEN = ("ETIMEDOUT", "EHOSTUNREACH", "EPIPE")
 
 
@@ -66,6 +68,44 @@
         self.wait_for(lambda: time.monotonic() >= moment)
 
 
+class Connect(ExecutorCase):
+    def refuse_connects(self, name: str):
+        """A request in flight, and one whose connects fail; the first, its exchange, and the descriptors."""
+        first, asked = self.out()
+        self.close_all_but(asked.wire)
+        before = self.descriptors()
+        self.plan.arm(self.fault("connect", name, times=0))
+        second = self.client().ask("issue")
+        self.check_answered_soon(second, 503)  # it never ran: a refusal
+        second.close()
+        self.wait_for(lambda: self.descriptors() <= before)
+        self.assertGreater(self.plan.hits("connect"), 0)
+        self.plan.arm()
+        return first, asked
+
+    def test_what_this_machine_lacks_is_no_fault_of_an_executor(self):
+        """A moment without descriptors struck every executor: the node then refused although it was over."""
+        for name in OWN:
+            with self.subTest(name):
+                first, asked = self.refuse_connects(name)
+                self.check_served(*self.out())  # on a new connection, at once
+                self.check_served(first, asked)
+
+    def test_an_executor_that_cannot_be_reached_costs_its_attempt_only(self):
+        for name in UNREACHABLE:
+            with self.subTest(name):
+                first, asked = self.refuse_connects(name)
+                self.check_served(first, asked)
+                client, statuses = self.client(), []
+                self.servers[0].early = "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n" + (
+                    '{"state":"done","result":1}'
+                )
+                self.wait_for(
+                    lambda c=client, s=statuses: s.append(c.ask("issue").answer()[0]) or s[-1] == 200
+                )
+                self.servers[0].early = None
+
+
 class Transports(ExecutorCase):
     """Methods of a transport that raise, since its socket has just broken."""
 
@@ -326,6 +366,15 @@
         connection.data_received(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual((exchange.backend.idle, connection.transport.aborted), ([], True))
 
+    def test_no_room_is_no_error_where_no_executor_is_known(self):
+        """Beside a sibling the bound may be 0."""
+        self.assertFalse(self.backends.make_room())
+        attempt = Mock(worker=7)
+        self.backends.send(attempt)  # listed, and never with an address
+        self.assertEqual(self.backends.dispatch.ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED))
+        self.backends.probe(attempt)
+        self.assertEqual(self.backends.dispatch.probed.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED))
+
 
 class LittleTime(ExecutorCase):
     def test_a_request_with_very_little_time_gets_its_answer_in_time(self):
