--- a/tests/test_executor_faults.py
+++ b/tests/test_executor_faults.py
@@ -2,8 +2,10 @@
 
 import contextlib
 import queue
+import signal
 import time
 import unittest
+from pathlib import Path
 from unittest.mock import Mock
 
 from faults import Fault
@@ -19,6 +21,7 @@
 from cedarmill.net.turn import Turn
 from cedarmill.values import KindOptions, Options
 
+LOAD = {"x0": 100, "x1": 100}  # as the executor reports it: free slots, free memory
 SLACK_S = 0.15  # of the deadline that an attempt tells (standing test)
 SOON_S = 0.6  # an answer that does not wait for its deadline
 
@@ -44,7 +47,7 @@
 
     def check_served(self, client, asked) -> None:
         asked.head()
-        asked.job("done", result="fine", load={"x0": 100, "x1": 100})
+        asked.job("done", result="fine", load=LOAD)
         asked.wire.send("0\r\n\r\n")
         self.assertEqual(client.answer(), (200, b"fine"))
 
@@ -172,6 +175,24 @@
         self.assertEqual(self.plan.hits("accepted.get_extra_info"), 1)
 
 
+class Probes(ExecutorCase):
+    changes = {"caps.probes": True}
+
+    def test_a_probe_whose_write_fails_holds_up_no_request(self):
+        """The module holds the request for its answer."""
+        for name in BROKEN:
+            with self.subTest(name):
+                hits = self.plan.hits()
+                self.plan.arm(self.fault("outgoing.write", name))
+                client, asked = self.out("pin")
+                while asked.method == "GET":
+                    asked.wire.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    asked = self.servers[0].next()
+                self.assertEqual(self.plan.hits() - hits, 1)
+                self.plan.arm()
+                self.check_served(client, asked)
+
+
 class EndOfSending(ExecutorCase):
     conf = '<backends><kind name="box" cancel="end"/></backends>'
 
@@ -212,6 +233,23 @@
         self.check_served(client, asked)
         self.check_nothing_asked()
 
+    def test_one_that_left_before_a_retry_starts_nothing(self):
+        """A loop that stood still hears first what came first, and sent again before it read the close."""
+        client, asked = self.out("pin")
+        self.process.send_signal(signal.SIGSTOP)
+        self.addCleanup(self.process.send_signal, signal.SIGCONT)
+        stat = Path(f"/proc/{self.process.pid}/stat")
+        self.wait_for(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
+        asked.head()
+        asked.job("returned", load=LOAD)
+        asked.wire.send("0\r\n\r\n")
+        client.close()
+        self.process.send_signal(signal.SIGCONT)
+        client, asked = self.out("issue")
+        self.assertEqual(asked.headers["X-Call-Class"], "issue")
+        self.check_served(client, asked)
+        self.check_nothing_asked()
+
     def test_the_time_that_an_attempt_tells_is_true_when_it_leaves(self):
         """It was reckoned before the held byte waited."""
         for budget in (1000, 2000):
@@ -259,12 +297,19 @@
 
 
 class SlowTransport:
-    """A transport whose peer reads nothing; `taken` bytes of each write leave, the rest waits."""
+    """A transport whose peer reads nothing; `taken` bytes of each write leave, the rest waits.
+
+    With `breaks` its socket refuses the first write, and it closes as the loop's do.
+    """
 
-    def __init__(self, taken: int) -> None:
+    def __init__(self, taken: int, breaks: bool = False) -> None:
         self.taken, self.waiting, self.writes, self.aborted = taken, 0, [], False
+        self.breaks = breaks
 
     def write(self, data: bytes) -> None:
+        if self.breaks:
+            self.aborted = True
+            return
         self.writes.append(data)
         self.waiting += max(0, len(data) - self.taken)
 
@@ -304,13 +349,13 @@
         self.backends = Backends(Turn(Mock(), self.deadlines), settings(), 0, Options())
         self.backends.dispatch = Mock()
 
-    def send(self, taken: int, size: int, unsafe: bool = False):
+    def send(self, taken: int, size: int, unsafe: bool = False, breaks: bool = False):
         """The connection and the exchange that it sent, of so many bytes."""
         exchange = Noted(self.backends, self.backend())
         exchange.text, exchange.unsafe, exchange.outcome = b"x" * size, unsafe, None
         connection = Connection(exchange.backend, exchange)
         exchange.backend.connections.add(connection)
-        connection.connection_made(SlowTransport(taken))
+        connection.connection_made(SlowTransport(taken, breaks))
         return connection, exchange
 
     def backend(self) -> Backend:
@@ -345,6 +390,12 @@
                 self.assertEqual((exchange.outcome, connection.transport.aborted), (outcome, True))
                 self.assertEqual(exchange.backend.connections, set())
 
+    def test_what_the_socket_refused_never_ran(self):
+        """The loop closes a transport whose write fails, and its buffer is empty: that looked like sent."""
+        connection, exchange = self.send(100, 100, breaks=True)
+        connection.connection_lost(BrokenPipeError())
+        self.assertEqual((exchange.outcome, connection.written), (Outcome.DROPPED, False))
+
     def test_the_right_to_send_is_asked_for_again_before_the_last_byte(self):
         connection, exchange = self.send(10_000, 100, unsafe=True)
         exchange.bar = Outcome.MOOT
@@ -369,6 +420,9 @@
     def test_no_room_is_no_error_where_no_executor_is_known(self):
         """Beside a sibling the bound may be 0."""
         self.assertFalse(self.backends.make_room())
+        exchange = Noted(self.backends, self.backend())
+        exchange.backend.carry(exchange)
+        self.assertIs(exchange.outcome, Outcome.DROPPED)  # the bound is this node's: it blames no executor
         attempt = Mock(worker=7)
         self.backends.send(attempt)  # listed, and never with an address
         self.assertEqual(self.backends.dispatch.ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED))
