--- a/cedarmill/log.py
+++ b/cedarmill/log.py
@@ -58,6 +58,11 @@
     "keeper-torn": Event(logging.WARNING, "store: a torn tail of {bytes} bytes was cut off"),
     "keeper-doubtful": Event(logging.WARNING, "store: {reason}: no vote till it is brought up to date"),
     "keeper-disk": Event(logging.ERROR, "store: the disk failed, this keeper ends: {reason}"),
+    "replica-disk-failed": Event(
+        logging.ERROR, "store: the disk failed, nothing is promised till it works again: {reason}"
+    ),
+    "replica-disk-retry": Event(logging.WARNING, "store: the disk still fails, tried again soon: {reason}"),
+    "replica-disk-recovered": Event(logging.INFO, "store: the disk works again after {seconds:.1f} s"),
     "keeper-role": Event(logging.INFO, "keeper: {part}, leader {leader}, term {term}"),
     "keeper-alarm": Event(logging.ERROR, "keeper: {reason}"),
     "steward-serves": Event(logging.INFO, "steward {name} runs {units}"),
