--- a/cedarmill/lab/fleet/disks.py
+++ b/cedarmill/lab/fleet/disks.py
@@ -36,6 +36,12 @@
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC), self.path)
         self.waiting += text
 
+    def cut(self, size: int) -> None:
+        """Drop what is behind, in the process first: the file itself may end before `size`."""
+        written = os.fstat(self._file).st_size
+        self.waiting = self.waiting[: max(0, size - written)]
+        super().cut(min(size, written))
+
     def sync(self) -> None:
         word = self._word()
         if word == "fsync":
--- a/cedarmill/store/files.py
+++ b/cedarmill/store/files.py
@@ -1,7 +1,11 @@
 """Files as the store uses them: the one layer under which faults are put in. Raises OSError throughout."""
 
+import contextlib
+import fcntl
 import os
 
+LOCK = "lock"  # the file whose lock a process holds while it uses a folder
+
 
 class File:
     """One file that grows at its end."""
@@ -33,9 +37,10 @@
         os.fsync(self._file)
 
     def close(self) -> None:
+        """Give the descriptor back, also where closing fails: Linux frees it then, too."""
         if self._file >= 0:
-            os.close(self._file)
-            self._file = -1
+            number, self._file = self._file, -1
+            os.close(number)
 
 
 class Files:
@@ -58,18 +63,42 @@
         return os.path.exists(self.path(name))
 
     def replace(self, name: str, text: bytes) -> None:
-        """Write a file whole, or leave the old one."""
+        """Write a file whole, or leave the old one.
+
+        After an OSError either may stand there, each of them whole: the last step is the folder's sync.
+        """
         new = self.path(f"{name}.new")
-        if os.path.exists(new):
+        with contextlib.suppress(FileNotFoundError):  # what a kill has left must not be appended to
             os.remove(new)
-        file = self.file(new)
+        try:
+            self._write_new(new, text)
+            os.replace(new, self.path(name))
+        except OSError:
+            with contextlib.suppress(OSError):
+                os.remove(new)  # half a file would only take room on a full disk
+            raise
+        self.sync_folder()
+
+    def _write_new(self, path: str, text: bytes) -> None:
+        file = self.file(path)
         try:
             file.write(text)
             file.sync()
         finally:
             file.close()
-        os.replace(new, self.path(name))
-        self.sync_folder()
+
+    def lock(self) -> int:
+        """Keep other processes out of the folder until the descriptor returned is closed.
+
+        Raises BlockingIOError where another process has it.
+        """
+        number = os.open(self.path(LOCK), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        try:
+            fcntl.flock(number, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError:
+            os.close(number)
+            raise
+        return number
 
     def sync_folder(self) -> None:
         """What was made or renamed is on the disk too."""
--- a/cedarmill/store/keep.py
+++ b/cedarmill/store/keep.py
@@ -3,10 +3,16 @@
 Records: the disk's identity and how often it was started on, the term and vote, entries, a cut by a
 snapshot. A snapshot goes into LMDB first, whole and with its checksum; then the log is rewritten without
 what it holds. A crash in between leaves both, and the newer snapshot wins.
+
+Each opening writes the log anew, whole, from what was read: after a failed sync the system's memory may hold
+what the disk does not, also for the next process, and only what is written and synced again is sure.
 """
 
+import contextlib
+import errno
 import os
 import secrets
+from collections.abc import Iterator
 from typing import NamedTuple
 
 import lmdb
@@ -64,32 +70,39 @@
     damaged: bool
 
 
+class Persisted(NamedTuple):
+    """What a replica may have promised: the term, the vote, and the last entry, all of them synced."""
+
+    term: int
+    vote: str
+    last_term: int
+    last_index: int
+
+
 class Snapshots:
-    """Snapshots in LMDB, by index, each with its checksum."""
+    """Snapshots in LMDB, by index, each with its checksum. Raises OSError where LMDB fails."""
 
-    def __init__(self, files: Files) -> None:
+    def __init__(self, files: Files, map_bytes: int = MAP_BYTES) -> None:
         self.files = files
-        self._env = lmdb.open(files.path("snapshots"), map_size=MAP_BYTES, subdir=True, max_dbs=0)
+        with self._lmdb_errors():
+            self._env = lmdb.open(files.path("snapshots"), map_size=map_bytes, subdir=True, max_dbs=0)
 
     def put(self, snapshot: w.Snapshot) -> None:
         """Keep it, and drop all but the newest; raises OSError."""
         text = msgspec.msgpack.encode(snapshot)
         whole = xxhash.xxh3_64_digest(text) + text
-        try:
-            with self._env.begin(write=True) as change:
-                change.put(b"%020d" % snapshot.index, whole)
-                keys = [bytes(key) for key, _ in change.cursor()]
-                for key in keys[:-SNAPSHOTS]:
-                    change.delete(key)
-        except lmdb.Error as error:
-            raise OSError(f"{self.files.path('snapshots')}: {error}") from None
+        with self._lmdb_errors(), self._env.begin(write=True) as change:
+            change.put(b"%020d" % snapshot.index, whole)
+            keys = [bytes(key) for key, _ in change.cursor()]
+            for key in keys[:-SNAPSHOTS]:
+                change.delete(key)
 
     def newest(self) -> w.Snapshot:
-        """The newest that is whole; an empty one where there is none. Raises StoreError where all are
-        damaged.
+        """The newest that is whole; an empty one where there is none. Raises OSError, or StoreError where all
+        are damaged.
         """
         found = 0
-        with self._env.begin() as look:
+        with self._lmdb_errors(), self._env.begin() as look:
             cursor = look.cursor()
             for _, text in reversed(list(cursor)):
                 found += 1
@@ -99,6 +112,14 @@
             raise StoreError(f"{self.files.path('snapshots')}: {found} snapshots, all damaged")
         return _EMPTY
 
+    @contextlib.contextmanager
+    def _lmdb_errors(self) -> Iterator[None]:
+        """LMDB's errors (a full map, or a system call that failed) as OSError."""
+        try:
+            yield
+        except lmdb.Error as error:
+            raise OSError(errno.EIO, str(error), self.files.path("snapshots")) from None
+
     def close(self) -> None:
         self._env.close()
 
@@ -107,15 +128,28 @@
     """All that a keeper keeps."""
 
     def __init__(self, files: Files, cluster: str, name: str, disk: str = "") -> None:
-        """Open, recover, and count this start; a disk that is formatted now gets the name `disk` or one by
-        chance.
+        """Open, recover, and count this start.
 
-        Raises StoreError or OSError.
+        `disk` names a disk to be formatted, and one that holds anything is refused; else a disk that holds
+        nothing gets a name by chance. Raises StoreError or OSError, and nothing is left open then.
         """
-        self.files, self.snapshots = files, Snapshots(files)
-        self.log = DiskLog(files)
+        self.files = files
         self.met: dict[str, int] = {}
         self.identity: Identity | None = None
+        with contextlib.ExitStack() as opened:
+            self.snapshots = Snapshots(files)
+            opened.callback(self.snapshots.close)
+            self.log = DiskLog(files)
+            opened.callback(self.log.close)
+            self._lock = self._locked()
+            opened.callback(os.close, self._lock)
+            self._recover()
+            self._check_owner(cluster, name, disk)
+            self._begin(cluster, name, disk)
+            opened.pop_all()
+
+    def _recover(self) -> None:
+        """Take up what the disk holds; raises StoreError or OSError."""
         snapshot = self.snapshots.newest()
         term, vote, entries = 0, "", []
         for text in self.log.recovered.records:
@@ -130,17 +164,18 @@
                 self._lay(entries, record.entries)
         self.told = Told(self.log.recovered.torn, self.log.recovered.damaged)
         self.fresh = self.identity is None
-        self._begin(cluster, name, disk)
         rest = [entry for entry in entries if entry.index > snapshot.index]
         if rest and rest[0].index != snapshot.index + 1:
             raise StoreError(
-                f"{files.path('log')}: begins at {rest[0].index}, the snapshot ends at {snapshot.index}"
+                f"{self.files.path('log')}: begins at {rest[0].index}, the snapshot ends at {snapshot.index}"
             )
-        doubtful = self.told.damaged or (self.fresh and not snapshot.index)
+        doubtful = self.told.damaged or self.fresh
         if snapshot.term > term:
             term, vote = snapshot.term, ""
         self.saved = Saved(term, vote, snapshot, tuple(rest), doubtful)
         self._term = term, vote
+        last = rest[-1] if rest else snapshot
+        self._last = last.term, last.index
 
     def _decode(self, text: bytes) -> Record:
         try:
@@ -154,18 +189,47 @@
             entries.pop()
         entries.extend(new)
 
-    def _begin(self, cluster: str, name: str, disk: str) -> None:
+    def _check_owner(self, cluster: str, name: str, disk: str) -> None:
+        """Raise StoreError for another replica's disk, a newer format, and for formatting a disk in use."""
         before = self.identity
-        if before is not None and (before.cluster, before.name) != (cluster, name):
+        if before is None:
+            return
+        if (before.cluster, before.name) != (cluster, name):
             raise StoreError(f"{self.files.folder}: of keeper {before.name} of cluster {before.cluster}")
-        if before is not None and before.format > FORMAT:
+        if before.format > FORMAT:
             raise StoreError(
                 f"{self.files.folder}: format {before.format}, this program reads up to {FORMAT}"
             )
+        half_formatted = before.disk == disk and not self._term[0] and not self._last[1]
+        if disk and not half_formatted:
+            raise StoreError(f"{self.files.folder}: holds the disk {before.disk} already")
+
+    def _locked(self) -> int:
+        """The folder's lock; raises StoreError where another process has it, or OSError."""
+        try:
+            return self.files.lock()
+        except BlockingIOError:
+            self._recover()
+            held = self.identity.disk if self.identity is not None else "of another process"
+            raise StoreError(
+                f"{self.files.folder}: holds the disk {held} already, and it is in use"
+            ) from None
+
+    def _begin(self, cluster: str, name: str, disk: str) -> None:
+        """Write anew all that was recovered, with this start's identity; raises OSError."""
+        before = self.identity
         disk = before.disk if before is not None else disk or secrets.token_hex(6)
         self.identity = Identity(FORMAT, cluster, name, disk, before.boot + 1 if before is not None else 1)
-        self._add(self.identity)
-        self.log.sync()
+        self._rewrite(self.saved.entries)
+
+    def _rewrite(self, entries: tuple[w.Entry, ...]) -> None:
+        """The log anew: the identity, the term and vote, the disks met, and these entries; raises OSError."""
+        records: list[Record] = [self.identity, Term(*self._term)]
+        records += [Met(disk, boot) for disk, boot in self.met.items()]
+        if entries:
+            records.append(Entries(entries))
+        self.log.rewrite([msgspec.msgpack.encode(record) for record in records])
+        self.persisted = Persisted(*self._term, *self._last)
 
     def _add(self, record: Record) -> None:
         self.log.add(msgspec.msgpack.encode(record))
@@ -173,37 +237,53 @@
     def save(self, action: w.Save | w.Put) -> None:
         """Take what is to be kept; it is after `sync`. Raises OSError."""
         if isinstance(action, w.Save):
-            self._term = action.term, action.vote
             self._add(Term(action.term, action.vote))
+            self._term = action.term, action.vote
         else:
             self._add(Entries(action.entries))
+            self._last = action.entries[-1].term, action.entries[-1].index
 
     def meet(self, disk: str, boot: int) -> bool:
-        """Another keeper's disk says hello; False: it was seen with a later start, so this is an old copy."""
+        """Another keeper's disk says hello; False: it was seen with a later start, so this is an old copy.
+
+        Raises OSError.
+        """
         known = self.met.get(disk, 0)
         if boot < known:
             return False
         if boot > known:
-            self.met[disk] = boot
             self._add(Met(disk, boot))
+            self.met[disk] = boot
         return True
 
     def sync(self) -> bool:
         """All that was taken is on the disk; raises OSError, and nothing more may be promised then."""
-        return self.log.sync()
+        synced = self.log.sync()
+        self.persisted = Persisted(*self._term, *self._last)
+        return synced
+
+    def lacks(self, promised: Persisted) -> bool:
+        """Whether this disk, as it was read, may have lost something that was synced before."""
+        term, vote, last_term, last_index = self.persisted
+        forgot_vote = term == promised.term and promised.vote not in ("", vote)
+        forgot_entries = (last_term, last_index) < (promised.last_term, promised.last_index)
+        return term < promised.term or forgot_vote or forgot_entries
 
     def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None:
         """Keep a snapshot, then the log without what it holds; raises OSError."""
         self.snapshots.put(snapshot)
-        records: list[Record] = [self.identity, Term(*self._term)]
-        records += [Met(disk, boot) for disk, boot in self.met.items()]
-        if entries:
-            records.append(Entries(tuple(entries)))
-        self.log.rewrite([msgspec.msgpack.encode(record) for record in records])
+        last = entries[-1] if entries else snapshot
+        self._last = last.term, last.index
+        self._rewrite(tuple(entries))
 
     def close(self) -> None:
-        self.log.close()
+        """Give all back; what was not synced may be lost."""
+        with contextlib.suppress(OSError):
+            self.log.close()
         self.snapshots.close()
+        if self._lock >= 0:
+            number, self._lock = self._lock, -1
+            os.close(number)
 
 
 def restore(text: bytes) -> w.Snapshot:
--- a/cedarmill/store/log.py
+++ b/cedarmill/store/log.py
@@ -7,7 +7,10 @@
 promised it.
 """
 
+import contextlib
+import errno
 import struct
+from collections.abc import Iterator
 from typing import NamedTuple
 
 import xxhash
@@ -79,47 +82,89 @@
 
 
 class DiskLog:
-    """An open log: `add` any number of records, then `sync` once."""
+    """An open log: `add` any number of records, then `sync` once.
+
+    A record that was written in part is cut off before another may follow it. After a failed sync, cut or
+    rewrite the log is unusable until it was opened and read anew: Linux reports a failed sync once, marks
+    what was not written as clean, and lets the next sync succeed without it.
+    """
 
     def __init__(self, files: Files, name: str = "log") -> None:
-        """Open and recover; raises StoreError or OSError."""
+        """Open and read; nothing is changed before the first `add` or `rewrite`.
+
+        Raises StoreError or OSError.
+        """
         self.files, self.name = files, name
         self.file = files.open(name)
-        text = self.file.read()
-        self.recovered, good = scan(text, files.path(name))
-        if not good:
-            self.file.cut(0)
-            self.file.write(MAGIC)
-            self.file.sync()
-            files.sync_folder()
-            good = len(MAGIC)
-        elif good < len(text):
-            self.file.cut(good)
-        self.size = good
+        try:
+            text = self.file.read()
+            self.recovered, self.size = scan(text, files.path(name))
+        except BaseException:
+            self.file.close()
+            raise
+        self._torn = self.size < len(text)
         self._dirty = False
+        self._failed = False
 
     def add(self, text: bytes) -> None:
         """Append a record; raises OSError, and nothing more may be promised then."""
-        whole = record(text)
-        self.file.write(whole)
-        self.size += len(whole)
+        self._check()
+        if self._torn:
+            self._cut()
+        whole = record(text) if self.size else MAGIC + record(text)
         self._dirty = True
+        self._torn = True  # until all of it is written
+        try:
+            self.file.write(whole)
+        except OSError:
+            self._cut()
+            raise
+        self._torn = False
+        self.size += len(whole)
 
     def sync(self) -> bool:
         """Everything added is on the disk; whether there was anything. Raises OSError."""
+        self._check()
         if not self._dirty:
             return False
-        self.file.sync()
+        with self._failing():
+            self.file.sync()
         self._dirty = False
         return True
 
     def rewrite(self, records: list[bytes]) -> None:
-        """Replace the log whole by these; raises OSError, and the old one stays then."""
+        """Replace the log whole by these.
+
+        Raises OSError; the folder holds the old log or the new one then, and which is known by opening anew.
+        """
+        self._check()
         text = MAGIC + b"".join(map(record, records))
-        self.files.replace(self.name, text)
-        self.file.close()
-        self.file = self.files.open(self.name)
-        self.size, self._dirty = len(text), False
+        with self._failing():
+            self.files.replace(self.name, text)
+            file = self.files.open(self.name)
+            self.file, before = file, self.file
+            before.close()
+        self.size, self._dirty, self._torn = len(text), False, False
 
     def close(self) -> None:
+        self._failed = True
         self.file.close()
+
+    def _cut(self) -> None:
+        """Drop what was written in part; raises OSError."""
+        with self._failing():
+            self.file.cut(self.size)
+        self._torn = False
+
+    def _check(self) -> None:
+        if self._failed:
+            raise OSError(errno.EIO, "an earlier write or sync failed, the log was not read since", self.name)
+
+    @contextlib.contextmanager
+    def _failing(self) -> Iterator[None]:
+        """The log is unusable once what is done here has failed."""
+        try:
+            yield
+        except OSError:
+            self._failed = True
+            raise
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -3,12 +3,17 @@
 import contextlib
 import errno
 import os
+import subprocess
+import sys
 import tempfile
 import unittest
 from pathlib import Path
+from unittest import mock
 
+import lmdb
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from nodes import ROOT
 
 from cedarmill.fleet.agree import words as w
 from cedarmill.store import keep
@@ -41,6 +46,19 @@
             self.assertEqual(found.records, RECORDS[:2])
             self.assertTrue(found.damaged or found.torn)
 
+    def test_after_a_kill_at_any_byte_the_next_records_are_read_back(self):
+        with tempfile.TemporaryDirectory() as folder:
+            for size in range(len(WHOLE) + 1):
+                Path(folder, "log").write_bytes(WHOLE[:size])
+                log = DiskLog(Files(folder))
+                log.add(b"next")
+                log.sync()
+                log.close()
+                again = DiskLog(Files(folder))
+                again.close()
+                whole = sum(end <= size for end in ENDS[1:])
+                self.assertEqual(again.recovered.records, [*RECORDS[:whole], b"next"], size)
+
     @given(st.binary(max_size=200))
     @settings(max_examples=200)
     def test_any_bytes_are_refused_or_read_and_never_a_traceback(self, text: bytes):
@@ -161,52 +179,291 @@
                 keep.restore(broken)
 
 
+class FaultyFile(File):
+    """A file whose calls fail as its folder says; what was synced is known by its inode."""
+
+    def __init__(self, path: str, folder: "FaultyFiles") -> None:
+        super().__init__(path)
+        self.folder, self.number = folder, os.fstat(self._file).st_ino
+        self.written: list[tuple[int, bytes]] = []  # since the last sync, whether that failed or not
+
+    def write(self, text: bytes) -> None:
+        try:
+            self.folder.check("write")
+        except OSError:
+            self._append(text[: self.folder.short])
+            raise
+        self._append(text)
+
+    def _append(self, text: bytes) -> None:
+        self.written.append((os.fstat(self._file).st_size, text))
+        super().write(text)
+
+    def sync(self) -> None:
+        written, self.written = self.written, []  # marked as clean, also by a sync that fails
+        self.folder.check("sync")
+        image = self.folder.image(self.number)
+        for start, text in written:
+            image.extend(bytes(max(0, start - len(image))))  # what was lost before reads as zeros
+            image[start : start + len(text)] = text
+        super().sync()
+
+    def cut(self, size: int) -> None:
+        self.folder.check("cut")
+        del self.folder.image(self.number)[size:]
+        super().cut(size)
+
+
+class FaultyFiles(Files):
+    """A folder whose calls `failing` fail with that errno, a write after `short` bytes."""
+
+    def __init__(self, folder: str) -> None:
+        super().__init__(folder)
+        self.failing: dict[str, int] = {}
+        self.short = 0
+        self.images: dict[int, bytearray] = {}
+        self.file = lambda path: FaultyFile(path, self)
+
+    def check(self, call: str) -> None:
+        if call in self.failing:
+            raise OSError(self.failing[call], os.strerror(self.failing[call]))
+
+    def image(self, number: int) -> bytearray:
+        """What of a file is on the disk, whatever a reader of it sees."""
+        return self.images.setdefault(number, bytearray())
+
+    def open(self, name: str) -> File:
+        self.check("open")
+        return super().open(name)
+
+    def sync_folder(self) -> None:
+        self.check("sync_folder")
+        super().sync_folder()
+
+    def replace(self, name: str, text: bytes) -> None:
+        real = os.replace
+
+        def renamed(*paths: str) -> None:
+            self.check("rename")
+            real(*paths)
+
+        with mock.patch("os.replace", renamed):
+            super().replace(name, text)
+
+    def cut_power(self, name: str = "log") -> None:
+        """Only what was synced is left of a file."""
+        path = Path(self.path(name))
+        path.write_bytes(self.image(path.stat().st_ino))
+
+
+ERRORS = (errno.ENOSPC, errno.EIO)
+
+
 class Failing(Folder):
     """Faults put in under the store: nothing is said to be kept that is not."""
 
-    def files(self, fault: str) -> Files:
-        class Faulty(File):
-            on = False
-
-            def write(self, text: bytes) -> None:
-                if Faulty.on and fault == "full":
-                    raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-                super().write(text)
+    def setUp(self):
+        super().setUp()
+        self.files = FaultyFiles(self.folder)
 
-            def sync(self) -> None:
-                if Faulty.on and fault == "fsync":
-                    raise OSError(errno.EIO, os.strerror(errno.EIO))
-                super().sync()
+    def open_log(self) -> DiskLog:
+        log = DiskLog(self.files)
+        self.addCleanup(log.close)
+        return log
 
-        files = Files(self.folder)
-        files.file = Faulty
-        return files
+    def log_with(self, *records: bytes) -> DiskLog:
+        log = self.open_log()
+        log.rewrite(list(records))
+        return log
 
     def test_a_full_disk_and_a_failed_sync_are_told(self):
-        for fault in ("full", "fsync"):
-            with self.subTest(fault):
-                files = self.files(fault)
-                store = self.store(files)
-                files.file.on = True
+        store = self.store(self.files)
+        for call in ("write", "sync"):
+            with self.subTest(call):
+                self.files.failing = {call: errno.EIO}
                 with self.assertRaises(OSError):
                     store.save(w.Save(9, "k1"))
                     store.sync()
-                files.file.on = False
+                self.files.failing = {}
                 store.close()
+                store = self.store(self.files)
+
+    def test_a_record_written_in_part_is_cut_before_the_next_one_at_any_byte(self):
+        for number in ERRORS:
+            for short in range(len(record(b"half"))):
+                with self.subTest(number=number, short=short):
+                    log = self.log_with(b"first")
+                    self.files.failing, self.files.short = {"write": number}, short
+                    with self.assertRaises(OSError):
+                        log.add(b"half")
+                    self.files.failing = {}
+                    log.add(b"next")
+                    log.sync()
+                    log.close()
+                    self.assertEqual(self.open_log().recovered.records, [b"first", b"next"])
+
+    def test_where_the_part_cannot_be_cut_nothing_goes_behind_it_till_the_log_is_read_anew(self):
+        log = self.log_with(b"first")
+        self.files.failing, self.files.short = {"write": errno.ENOSPC, "cut": errno.EIO}, 5
+        with self.assertRaises(OSError):
+            log.add(b"half")
+        self.files.failing = {}
+        for use in (lambda: log.add(b"next"), log.sync, lambda: log.rewrite([])):
+            with self.assertRaisesRegex(OSError, "not read since"):
+                use()
+        log.close()
+        again = self.open_log()
+        self.assertEqual((again.recovered.records, again.recovered.torn), ([b"first"], 5))
+        again.add(b"next")
+        again.sync()
+        again.close()
+        self.assertEqual(self.open_log().recovered.records, [b"first", b"next"])
+
+    def test_a_sync_after_a_failed_one_is_not_believed(self):
+        log = self.log_with(b"first")
+        log.add(b"lost")
+        self.files.failing = {"sync": errno.EIO}
+        with self.assertRaises(OSError):
+            log.sync()
+        self.files.failing = {}
+        for use in (log.sync, lambda: log.add(b"next")):
+            with self.assertRaisesRegex(OSError, "not read since"):
+                use()
+
+    def test_what_is_recovered_after_a_failed_sync_is_on_the_disk_when_power_is_cut(self):
+        """A reader sees what was written, the disk never had it, and a later sync does not bring it there."""
+        store = self.store(self.files)
+        store.put_snapshot(w.Snapshot(1, 1, {"k0": w.Peer("")}, b""), [])
+        store.save(w.Save(4, "k2"))
+        store.sync()
+        self.files.failing = {"sync": errno.EIO}
+        store.save(w.Put(self.entries(2, 2)))
+        with self.assertRaises(OSError):
+            store.sync()
+        self.files.failing = {}
+        store.close()
+        again = self.store(self.files)
+        self.assertEqual([entry.index for entry in again.saved.entries], [2, 3])
+        again.save(w.Put(self.entries(4, 1)))
+        again.sync()
+        again.close()
+        self.files.cut_power()
+        last = self.store(self.files)
+        self.assertEqual([entry.index for entry in last.saved.entries], [2, 3, 4])
+        self.assertEqual((last.saved.term, last.saved.vote, last.saved.doubtful), (4, "k2", False))
+
+    def test_a_store_that_fails_while_it_opens_leaves_the_log_and_nothing_open(self):
+        self.formatted().close()
+        before = len(os.listdir("/proc/self/fd"))
+        for call in ("open", "write", "sync", "rename", "sync_folder"):
+            for number in (*ERRORS, errno.EMFILE):
+                with self.subTest(call=call, number=number):
+                    self.files.failing, self.files.short = {call: number}, 3
+                    with self.assertRaises(OSError):
+                        keep.Store(self.files, "c", "k0")
+                    self.assertEqual(len(os.listdir("/proc/self/fd")), before)
+                    self.assertNotIn("log.new", os.listdir(self.folder))
+        self.files.failing = {}
+        self.assertEqual(self.store(self.files).saved.snapshot.index, 1)
+
+    def test_a_rewrite_that_fails_at_any_step_leaves_the_old_log_or_the_new_one(self):
+        for call in ("write", "sync", "rename", "sync_folder", "open"):
+            for number in ERRORS:
+                with self.subTest(call=call, number=number):
+                    log = self.log_with(b"old")
+                    self.files.failing, self.files.short = {call: number}, 7
+                    with self.assertRaises(OSError):
+                        log.rewrite([b"new"])
+                    self.files.failing = {}
+                    with self.assertRaisesRegex(OSError, "not read since"):
+                        log.add(b"to a file that is none any more")
+                    log.close()
+                    kept = [b"new"] if call in ("sync_folder", "open") else [b"old"]
+                    self.assertEqual(self.open_log().recovered.records, kept)
 
     def test_a_failed_rewrite_leaves_the_log_as_it_was(self):
-        store = self.formatted()
+        store = self.store(self.files)
+        store.put_snapshot(w.Snapshot(1, 1, {"k0": w.Peer("")}, b""), [])
         store.save(w.Put(self.entries(2, 2)))
         store.sync()
-        files = self.files("full")
-        store.log.files = files
-        files.file.on = True
+        self.files.failing = {"write": errno.ENOSPC}
         with self.assertRaises(OSError):
             store.put_snapshot(w.Snapshot(3, 1, {}, b"x"), [])
-        files.file.on = False
+        self.files.failing = {}
         store.close()
         self.assertEqual(self.store().saved.snapshot.index, 3)  # it was whole before the log was touched
 
+    def test_what_a_kill_left_beside_a_file_is_not_taken_into_it(self):
+        left = Path(self.folder) / "kept.new"
+        left.write_bytes(b"half of an older")
+        with mock.patch("os.stat", side_effect=OSError(errno.EIO, "no stat")):
+            self.files.replace("kept", b"whole")
+        self.assertEqual((Path(self.folder) / "kept").read_bytes(), b"whole")
+        self.assertFalse(left.exists())
+
+    def test_a_full_map_and_a_failing_call_of_lmdb_are_told_and_the_older_snapshot_stays(self):
+        self.formatted().close()
+        snapshots = keep.Snapshots(self.files, map_bytes=1 << 16)
+        self.addCleanup(snapshots.close)
+        large = w.Snapshot(5, 1, {}, bytes(1 << 17))
+        with self.assertRaisesRegex(OSError, "MDB_MAP_FULL"):
+            snapshots.put(large)
+        self.assertEqual(snapshots.newest().index, 1)
+        real = snapshots._env
+        for name, use in (("begin", lambda: snapshots.put(large)), ("begin", snapshots.newest)):
+            snapshots._env = mock.Mock(**{f"{name}.side_effect": lmdb.DiskError("mdb_txn_commit: EIO")})
+            with self.assertRaisesRegex(OSError, "mdb_txn_commit: EIO"):
+                use()
+        snapshots._env = real
+        with (
+            mock.patch("lmdb.open", side_effect=lmdb.Error("No space left on device")),
+            self.assertRaisesRegex(OSError, "No space left"),
+        ):
+            keep.Store(FaultyFiles(self.folder), "c", "k0")
+
+    def test_a_disk_that_lacks_what_was_synced_is_known(self):
+        store = self.formatted()
+        store.save(w.Save(4, "k2"))
+        store.save(w.Put(self.entries(2, 2, term=4)))
+        store.sync()
+        kept = store.persisted
+        self.assertFalse(store.lacks(kept))
+        for change in ({"term": 5}, {"vote": "k1"}, {"last_index": 4}, {"last_term": 5}):
+            self.assertTrue(store.lacks(kept._replace(**change)), change)
+        self.assertFalse(store.lacks(kept._replace(last_index=1, vote="")))
+        store.save(w.Put(self.entries(4, 1, term=4)))
+        self.assertEqual(store.persisted, kept, "not before it was synced")
+
+    def test_a_folder_in_use_by_another_process_is_refused_before_anything_is_written(self):
+        store = self.formatted()
+        before = (Path(self.folder) / "log").read_bytes()
+        code = "from cedarmill.store import files, keep; keep.Store(files.Files('.'), 'c', 'k0')"
+        done = subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=self.folder,
+            env={**os.environ, "PYTHONPATH": str(ROOT)},
+            capture_output=True,
+            text=True,
+        )
+        self.assertRegex(done.stderr, "StoreError: .* holds the disk .* already, and it is in use")
+        self.assertEqual((Path(self.folder) / "log").read_bytes(), before)
+        store.close()
+        self.store()
+
+    def test_formatting_that_failed_half_way_may_be_tried_again(self):
+        store = keep.Store(self.files, "c", "k0", "c/k0/1")
+        store.close()  # killed before the first snapshot
+        again = keep.Store(self.files, "c", "k0", "c/k0/1")
+        again.put_snapshot(w.Snapshot(1, 1, {"k0": w.Peer("")}, b""), [])
+        again.close()
+        with self.assertRaisesRegex(StoreError, "holds the disk c/k0/1 already"):
+            keep.Store(self.files, "c", "k0", "c/k0/1")
+
+    def test_a_log_that_is_gone_beside_its_snapshots_is_doubted(self):
+        self.formatted().close()
+        os.remove(Path(self.folder) / "log")
+        self.assertTrue(self.store().saved.doubtful)
+
 
 if __name__ == "__main__":
     unittest.main()
