--- a/cedarmill/fleet/hosting.py
+++ b/cedarmill/fleet/hosting.py
@@ -32,7 +32,11 @@
         self.pending += actions
 
     def flush(self, now: int) -> None:
-        """Carry out all that is pending, and what follows of it; raises OSError where the disk fails."""
+        """Carry out all that is pending, and what follows of it.
+
+        Raises OSError where the disk fails: nothing of this turn was sent or answered then, and nothing more
+        may be taken; a new host and core start from what the disk holds.
+        """
         outward: list = []
         while self.pending:
             actions, self.pending = self.pending, []
--- a/cedarmill/fleet/keeper.py
+++ b/cedarmill/fleet/keeper.py
@@ -60,7 +60,7 @@
         self.compared = now
         self.observed = now
         self.sides: dict[int, compare.Sides] = {}  # of releases that are being compared
-        self._tokens = 0
+        self._tokens = (seed & 0xFFFFFFFF) << 24  # answers to what an earlier start relayed may still come
         self._waits: dict[int, tuple[int, f.Ask]] = {}  # our token: the asker's, and what it asked
         self._placed: dict[int, tuple[int, int, f.Ask]] = {}  # index: term, the asker's token, what it asked
         self._reads: dict[int, tuple[int, f.Ask]] = {}
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -1,4 +1,9 @@
-"""A keeper's process: the core on its disk and its connections. It carries no reqs."""
+"""A keeper's process: the core on its disk and its connections. It carries no reqs.
+
+Where the disk fails, the process promises nothing more: what was not synced is neither sent nor answered,
+another replica is asked to lead, and requests are refused with the reason. The store is then opened anew
+till that succeeds, and the replica starts from what was read, as after a restart.
+"""
 
 import dataclasses
 import signal
@@ -33,7 +38,9 @@
 ACCEPTS = 32  # in one turn
 ACCEPT_AGAIN_US = 50_000
 FIRST = 1  # index and term of what a cluster begins with
-DISK_FAILED = 3  # exit code
+RETRY_FIRST_US = 100_000  # from a failure of the disk to the first try to open it anew
+RETRY_MOST_US = 2_000_000  # between two tries; each wait is twice the one before
+DISK_REFUSAL = "this replica's disk has failed: ask another one, with the same id"
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
@@ -86,22 +93,30 @@
         self.loop.set_exception_handler(self._exception)
         self.deadlines = Deadlines()
         self.turn = Turn(self.loop, self.deadlines)
-        self.store = Store(files or Files(options.data), options.cluster, options.name)
-        seed = int.from_bytes(self.store.identity.disk.encode()[-6:], "big") + self.store.identity.boot
-        self.keeper = Keeper(options.name, self.store.saved, self.turn.now(), seed)
-        self.host = Host(self.keeper, self)
+        self.files = files or Files(options.data)
+        self.store = Store(self.files, options.cluster, options.name)
+        self._start_replica()
+        self.recovering = False  # the disk has failed, and was not opened anew yet
+        self.failed_at = 0
+        self.retry_us = RETRY_FIRST_US
         self.wires: dict[str, Wire] = {}  # to other keepers, one each
         self.dialling: dict[str, Wire] = {}
         self.askers: dict[Wire, str] = {}
         self.tokens: dict[int, tuple[Wire, int]] = {}
         self.port = 0
-        self.code = 0
         self.alarms: set[str] = set()
         self._count = 0
         self._soon = False
         self._timer = None
         self._words = {f.Hello: self._hello, f.Refused: self._refused}
 
+    def _start_replica(self) -> None:
+        """The core as the store tells it."""
+        identity = self.store.identity
+        seed = int.from_bytes(identity.disk.encode()[-6:], "big") + identity.boot
+        self.keeper = Keeper(self.options.name, self.store.saved, self.turn.now(), seed)
+        self.host = Host(self.keeper, self)
+
     # The port of the host.
 
     def save(self, action: w.Save | w.Put) -> None:
@@ -147,6 +162,8 @@
     @callback
     def _flush(self) -> None:
         self._soon = False
+        if self.recovering:
+            return
         try:
             self.host.flush(self.turn.now())
         except OSError as error:
@@ -155,17 +172,57 @@
         self._arm()
 
     def _disk_failed(self, error: OSError) -> None:
-        """Nothing more may be promised: this keeper ends, and says so."""
-        say("keeper-disk", reason=error.strerror or error)
+        """Nothing more may be promised till the store was opened anew: stop leading, refuse what waits."""
+        if self.recovering:
+            return
+        say("replica-disk-failed", reason=error.strerror or error)
+        self.recovering, self.failed_at, self.retry_us = True, self.turn.now(), RETRY_FIRST_US
         self.host.pending.clear()
-        self.code = DISK_FAILED
-        self.loop.stop()
+        self.deadlines.cancel(self._timer)
+        self._let_another_lead()
+        waiting, self.tokens = self.tokens, {}
+        for wire, number in waiting.values():
+            wire.say(number, f.NotHere(DISK_REFUSAL))
+        self.deadlines.add(self.failed_at + self.retry_us, self._recover)
+
+    def _let_another_lead(self) -> None:
+        """Ask the follower that is furthest to stand for election; that promises nothing, and needs no disk.
+
+        What this leader could not sync was sent to nobody, so `hand_over` would wait for it in vain.
+        """
+        agree = self.keeper.agree
+        followers = [name for name in agree.voters if name in self.wires and name in agree.followers]
+        if self.keeper.leads and followers:
+            target = max(followers, key=lambda name: agree.followers[name].match)
+            self.send(target, w.Lead(agree.term))
+
+    def _recover(self, now: int) -> None:
+        """Open the store anew and start from what it holds, as after a restart; else try again later."""
+        promised = self.store.persisted
+        self.store.close()
+        try:
+            store = Store(self.files, self.options.cluster, self.options.name)
+        except (StoreError, OSError) as error:
+            say("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
+            self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
+            self.deadlines.add(now + self.retry_us, self._recover)
+            return
+        store.saved.doubtful |= self.keeper.agree.doubtful or store.lacks(promised)
+        self.store, self.recovering = store, False
+        self._start_replica()
+        for wire in list(self.wires.values()):
+            wire.end("started anew")  # what the others sent was for the replica before
+        say("replica-disk-recovered", seconds=(self.turn.now() - self.failed_at) / 1e6)
+        self._tell_store()
+        self._arm()
 
     def _arm(self) -> None:
         self.deadlines.cancel(self._timer)
         self._timer = self.deadlines.add(max(self.keeper.due, self.turn.now() + 1000), self._passed)
 
     def _passed(self, now: int) -> None:
+        if self.recovering:
+            return
         self._take(self.keeper.passed(now))
         for wire in list(self.wires.values()):
             if now - wire.last > SILENT_US:
@@ -179,6 +236,8 @@
     def _dial_again(self, now: int) -> None:
         """Of a pair, the one whose name comes first dials."""
         self.deadlines.add(now + DIAL_US, self._dial_again)
+        if self.recovering:
+            return
         for name, address in self._addresses().items():
             if self.options.name < name and name not in self.wires and name not in self.dialling:
                 wire = Wire(self.turn, self._heard, self._ended, self._greet)
@@ -220,7 +279,15 @@
         return ""
 
     def _hello(self, wire: Wire, number: int, hello: f.Hello) -> None:
-        reason = self._admit(hello)
+        if self.recovering and hello.role == "keeper":
+            wire.end("the disk has failed")
+            return
+        try:
+            reason = self._admit(hello)
+        except OSError as error:  # how often the other's disk was started on could not be kept
+            self._disk_failed(error)
+            wire.end("the disk has failed")
+            return
         if reason:
             self._alarm(f"a connection of {hello.name} is refused: {reason}")
             wire.refuse(reason)
@@ -249,7 +316,8 @@
         elif wire in self.askers:
             self._asked(wire, number, word)
         elif self.wires.get(wire.name) is wire:
-            self._take(self.keeper.heard(self.turn.now(), wire.name, word))
+            if not self.recovering:
+                self._take(self.keeper.heard(self.turn.now(), wire.name, word))
         else:
             wire.end("no hello came first")
 
@@ -257,6 +325,10 @@
         if not isinstance(word, f.Ask):
             wire.end("not a request")
             return
+        if self.recovering:
+            name = self.options.name
+            wire.say(number, f.Pong(name, "") if isinstance(word, f.Ping) else f.NotHere(DISK_REFUSAL))
+            return
         self._count += 1
         self.tokens[self._count] = wire, number
         self._take(self.keeper.asked(self.turn.now(), self._count, word))
@@ -318,7 +390,7 @@
         self.loop.run_forever()
         self.store.close()
         say("ended", name=self.options.name)
-        return self.code
+        return 0
 
     def _tell_store(self) -> None:
         told, saved = self.store.told, self.store.saved
@@ -327,14 +399,12 @@
         if told.torn:
             say("keeper-torn", bytes=told.torn)
         if saved.doubtful:
-            say(
-                "keeper-doubtful",
-                reason="its last record is damaged" if told.damaged else "its disk is empty",
-            )
+            lost = "its disk is empty" if self.store.fresh else "its disk has lost what was synced"
+            say("keeper-doubtful", reason="its last record is damaged" if told.damaged else lost)
 
     def _terminate(self) -> None:
         """Hand the lead over first, so that nobody has to miss a leader."""
-        if self.keeper.leads and len(self.keeper.agree.voters) > 1:
+        if not self.recovering and self.keeper.leads and len(self.keeper.agree.voters) > 1:
             self._take(self.keeper.hand_over(self.turn.now()))
             self.deadlines.add(self.turn.now() + 300_000, lambda now: self.loop.stop())
             self.turn.end()
@@ -354,15 +424,16 @@
         files or Files(options.data), options.cluster, options.name, disk_name(options.cluster, options.name)
     )
     try:
-        if not store.fresh:
-            raise StoreError(f"{options.data}: holds the disk {store.identity.disk} already")
         store.put_snapshot(first_snapshot(options, backup), [])
     finally:
         store.close()
 
 
 def main(options: KeeperOptions, log_format: str = "text", files: Files | None = None) -> int:
-    """Run a keeper; the exit code: 0 ended by a signal, 2 it could not start, 3 its disk failed."""
+    """Run a keeper; the exit code: 0 ended by a signal, 2 it could not start.
+
+    A disk that fails while it runs does not end it.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # till the loop runs
     log.begin(log_format)
     try:
--- /dev/null
+++ b/tests/test_replica_disk.py
@@ -0,0 +1,249 @@
+"""Replicas whose disks fail for a while: they stop promising, refuse with the reason, and come back alone."""
+
+import errno
+import subprocess
+import tempfile
+import unittest
+
+from faults import Fault, FaultPlan
+from fleets import LONG, KeeperCase, Member
+from nodes import ROOT
+from test_store import FaultyFiles
+
+from cedarmill.fleet import commands
+from cedarmill.fleet import words as f
+from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.agree.core import Saved
+from cedarmill.fleet.keeper import Keeper
+from cedarmill.net.keeper import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
+from cedarmill.net.operator import NoKeeper, Operator, new_id
+from cedarmill.store.keep import Store
+from cedarmill.values import KeeperOptions
+
+FULL = (Fault("write", "ENOSPC", times=0),)
+FULL_IN_A_RECORD = (Fault("write", short=7), *FULL)
+FULL_AND_NOT_CUT = (*FULL_IN_A_RECORD, Fault("ftruncate", "EIO", times=0))
+SYNC_FAILS = (Fault("fdatasync", "EIO", times=0),)
+SYNC_FAILS_ONCE = (Fault("fdatasync", "EIO"),)
+NO_DESCRIPTORS = (Fault("fdatasync", "EIO"), Fault("open", "EMFILE", match="log", times=4))
+NO_RENAME = (Fault("fdatasync", "EIO"), Fault("replace", "EIO", times=4))
+NO_FOLDER_SYNC = (Fault("fdatasync", "EIO"), Fault("fsync", "EIO", times=4))
+NO_READ = (Fault("fdatasync", "EIO"), Fault("pread", "EIO", times=4))
+NO_LOCK = (Fault("fdatasync", "EIO"), Fault("flock", "ENOLCK", times=4))
+LASTING = (FULL, FULL_IN_A_RECORD, FULL_AND_NOT_CUT, SYNC_FAILS)
+PASSING = (SYNC_FAILS_ONCE, NO_DESCRIPTORS, NO_RENAME, NO_FOLDER_SYNC, NO_READ, NO_LOCK)
+BOXES = 12
+FAILED, RECOVERED = "store: the disk failed", "store: the disk works again"
+
+
+class DiskCase(KeeperCase):
+    """Replicas whose system calls the test can break."""
+
+    def setUp(self) -> None:
+        self.plans: dict[str, FaultPlan] = {}
+        super().setUp()
+
+    def start_keeper(self, name: str) -> None:
+        if name not in self.plans:
+            folder = self.folder / f"{name}.plan"
+            folder.mkdir()
+            self.plans[name] = FaultPlan(str(folder))
+        command = self.plans[name].command("cedarmill.cli", "keeper", "-c", str(self.folder / f"{name}.xml"))
+        with open(self.folder / f"{name}.log", "a") as log:
+            self.running[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
+
+    def ask_for(self, target: str) -> f.Do:
+        return f.Do(commands.Ask(0, "operator", new_id(), "executor", (target,)))
+
+    def asked_alone(self, name: str, ask: f.Ask, wait_s: float = 1) -> f.Answer:
+        """The answer of this replica and no other."""
+        return Operator("main", [f"127.0.0.1:{self.ports[name]}"], "test").ask(ask, wait_s)
+
+    def permits(self) -> dict[str, int]:
+        """How many permits there are of each target."""
+        targets = [row["target"] for row in self.look("permits")]
+        return {target: targets.count(target) for target in targets}
+
+
+class Three(DiskCase):
+    def test_a_leader_whose_disk_fails_for_a_while_lets_another_lead_and_comes_back(self):
+        Member(self, "n0", BOXES).join()
+        self.assertEqual(self.operator.ask(self.ask_for("b0"), LONG).permits[0][1], "b0")
+        for number, faults in enumerate((FULL_IN_A_RECORD, SYNC_FAILS), start=1):
+            with self.subTest(faults=faults):
+                before, leader = self.permits(), self.leader()
+                self.plans[leader].arm(*faults)
+                ask = self.ask_for(f"b{number}")
+                self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number}")
+                self.wait_for(lambda name=leader: FAILED in self.keeper_log(name))
+                self.assertNotEqual(self.leader(), leader)
+                with self.assertRaisesRegex(NoKeeper, DISK_REFUSAL):
+                    self.asked_alone(leader, f.Look("status"))
+                self.assertEqual(self.asked_alone(leader, f.Ping("test")).name, leader)
+                self.plans[leader].arm()
+                self.wait_for(lambda name=leader: RECOVERED in self.keeper_log(name))
+                self.wait_for(lambda name=leader: self.look("status")["keepers"][name].get("silent_s", 0) < 1)
+                self.operator.ask(f.Keepers("lead", leader), LONG)
+                self.wait_for(lambda name=leader: self.leader() == name)
+                self.assertEqual(self.permits(), before | {f"b{number}": 1})
+                self.assertIsNone(self.running[leader].poll())
+
+
+class Alone(DiskCase):
+    keepers = 1
+
+    def starts(self) -> int:
+        """How often the process has opened its store (the log has the same line once in ten seconds only)."""
+        return self.keeper_log("k0").count("store: disk ")
+
+    def test_what_was_granted_stays_nothing_is_granted_falsely_and_it_serves_again(self):
+        Member(self, "n0", BOXES).join()
+        self.operator.ask(self.ask_for("b0"), LONG)
+        for number, faults in enumerate(LASTING):
+            with self.subTest(faults=faults):
+                before, ask = self.permits(), self.ask_for(f"b{number + 1}")
+                self.plans["k0"].arm(*faults)
+                with self.assertRaises(NoKeeper):
+                    self.operator.ask(ask, 1.5)
+                with self.assertRaisesRegex(NoKeeper, DISK_REFUSAL):
+                    self.operator.ask(f.Look("permits"), 0.5)
+                self.assertEqual(self.operator.ask(f.Ping("test"), LONG).name, "k0")
+                self.plans["k0"].arm()
+                self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number + 1}")
+                self.assertEqual(self.permits(), before | {f"b{number + 1}": 1})
+                self.assertEqual(self.starts(), number + 2)
+                self.assertIsNone(self.running["k0"].poll())
+        granted = self.permits()
+        self.kill("k0")
+        self.start_keeper("k0")
+        self.assertEqual(self.permits(), granted)
+
+    def test_it_tries_again_whatever_fails_on_the_way_back(self):
+        Member(self, "n0", BOXES).join()
+        for number, faults in enumerate(PASSING):
+            with self.subTest(faults=faults):
+                before, ask = self.permits(), self.ask_for(f"b{number + 1}")
+                self.plans["k0"].arm(*faults)
+                self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number + 1}")
+                self.assertEqual(self.permits(), before | {f"b{number + 1}": 1})
+                self.assertEqual(self.starts(), number + 2)
+        self.assertIsNone(self.running["k0"].poll())
+
+    def test_it_ends_by_a_signal_while_its_disk_fails(self):
+        self.wait_for(lambda: self.leader() == "k0")
+        self.plans["k0"].arm(*FULL)
+        with self.assertRaises(NoKeeper):
+            self.operator.ask(self.ask_for("b0"), 1)
+        self.wait_for(lambda: FAILED in self.keeper_log("k0"))
+        self.running["k0"].terminate()
+        self.assertEqual(self.running["k0"].wait(LONG), 0)
+
+
+class WireStub:
+    """A connection that keeps what is said on it."""
+
+    def __init__(self, name: str = "") -> None:
+        self.name, self.said, self.reason = name, [], ""
+
+    def say(self, number: int, message: object) -> None:
+        self.said.append(message)
+
+    def end(self, reason: str) -> None:
+        self.reason = reason
+
+
+class InProcess(unittest.TestCase):
+    """A replica of three in this process, with faults under its store and nothing listening."""
+
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        peers = {name: "127.0.0.1:1" for name in ("k0", "k1", "k2")}
+        options = KeeperOptions("main", "k0", "127.0.0.1:0", folder.name, peers)
+        self.files = FaultyFiles(folder.name)
+        store = Store(self.files, "main", "k0", disk_name("main", "k0"))
+        store.put_snapshot(first_snapshot(options), [])
+        store.close()
+        self.process = KeeperProcess(options, self.files)
+        self.addCleanup(self.process.loop.close)
+        self.addCleanup(lambda: self.process.store.close())
+
+    def carry_out(self, actions: list) -> None:
+        """A whole turn of the loop."""
+        self.process._take(actions)
+        self.process._flush()
+
+    def fail(self, call: str = "write") -> None:
+        self.files.failing = {call: errno.EIO}
+
+    def test_a_leader_asks_the_follower_that_is_furthest_to_lead(self):
+        process, keeper = self.process, self.process.keeper
+        process.wires = {name: WireStub(name) for name in ("k1", "k2")}
+        self.carry_out(keeper.passed(keeper.due))
+        for pre in (True, False):
+            term = keeper.agree.term + pre
+            self.carry_out(keeper.heard(process.turn.now(), "k2", w.Voted(term, True, pre)))
+        self.assertTrue(keeper.leads)
+        answer = w.Appended(keeper.agree.term, True, keeper.agree.log.last, 1)
+        self.carry_out(keeper.heard(process.turn.now(), "k2", answer))
+        self.fail()
+        sent = len(process.wires["k2"].said)
+        self.carry_out(
+            keeper.asked(process.turn.now(), 1, f.Do(commands.Ask(0, "o", "1", "executor", ("b",))))
+        )
+        self.assertTrue(process.recovering)
+        self.assertEqual(process.wires["k2"].said[sent:], [w.Lead(keeper.agree.term)])
+        self.assertNotIn(w.Lead(keeper.agree.term), process.wires["k1"].said)
+
+    def test_a_start_of_another_disk_that_cannot_be_kept_is_a_failure_of_the_disk(self):
+        wire = WireStub()
+        self.fail()
+        self.process._hello(wire, 0, f.Hello("main", "k1", "keeper", disk_name("main", "k1"), 7))
+        self.assertTrue(self.process.recovering)
+        self.assertTrue(wire.reason)
+        self.assertEqual(self.process.wires, {})
+
+    def test_a_replica_whose_disk_has_lost_what_was_synced_does_not_vote(self):
+        process, wire = self.process, WireStub("k1")
+        process.wires = {"k1": wire}
+        ask = w.Vote(5, 9, 5, False)
+        self.carry_out(process.keeper.heard(process.turn.now() + 10_000_000, "k1", ask))
+        self.assertEqual(wire.said, [w.Voted(5, True, False)])
+        with open(self.files.path("log"), "rb+") as log:
+            log.truncate(len(log.read()) - 1)  # the record of its vote
+        self.fail()
+        process._disk_failed(OSError("told"))
+        self.files.failing = {}
+        process._recover(process.turn.now())
+        self.assertFalse(process.recovering)
+        self.assertTrue(process.keeper.agree.doubtful)
+        process.wires = {"k2": WireStub("k2")}
+        self.carry_out(process.keeper.heard(process.turn.now() + 10_000_000, "k2", ask))
+        self.assertEqual([reply.granted for reply in process.wires["k2"].said], [False])
+        process._disk_failed(OSError("again"))
+        process._recover(process.turn.now())
+        self.assertTrue(process.keeper.agree.doubtful, "no second failure ends the doubt")
+
+    def test_the_waits_between_two_tries_grow_to_a_bound(self):
+        self.process._disk_failed(OSError("told"))
+        self.fail("open")
+        waits = []
+        for _ in range(7):
+            self.process._recover(0)
+            waits.append(self.process.retry_us)
+        self.assertEqual(waits, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
+
+    def test_an_answer_to_what_an_earlier_start_relayed_reaches_nobody(self):
+        """A leader that answers late knows the id only: ids of two starts on one disk have to differ."""
+        ids = []
+        for boot in (1, 2):
+            keeper = Keeper("k0", Saved(1, "", w.Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
+            keeper.heard(0, "k1", w.Append(1, 1, 1, (), 1, 1))
+            for token in range(3):
+                [sent] = keeper.asked(1, token + 1, f.Look("status"))
+                ids.append(sent.message.id)
+        self.assertEqual(len(set(ids)), 6)
+
+
+if __name__ == "__main__":
+    unittest.main()
