--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -173,7 +173,7 @@
         self.process._take(actions)
         self.process._flush()
 
-    def fail(self, call: str = "write") -> None:
+    def break_disk(self, call: str = "write") -> None:
         self.files.failing = {call: errno.EIO}
 
     def test_a_leader_asks_the_follower_that_is_furthest_to_lead(self):
@@ -186,7 +186,7 @@
         self.assertTrue(keeper.leads)
         answer = w.Appended(keeper.agree.term, True, keeper.agree.log.last, 1)
         self.carry_out(keeper.heard(process.turn.now(), "k2", answer))
-        self.fail()
+        self.break_disk()
         sent = len(process.wires["k2"].said)
         self.carry_out(
             keeper.asked(process.turn.now(), 1, f.Do(commands.Ask(0, "o", "1", "executor", ("b",))))
@@ -197,7 +197,7 @@
 
     def test_a_start_of_another_disk_that_cannot_be_kept_is_a_failure_of_the_disk(self):
         wire = WireStub()
-        self.fail()
+        self.break_disk()
         self.process._hello(wire, 0, f.Hello("main", "k1", "keeper", disk_name("main", "k1"), 7))
         self.assertTrue(self.process.recovering)
         self.assertTrue(wire.reason)
@@ -211,7 +211,7 @@
         self.assertEqual(wire.said, [w.Voted(5, True, False)])
         with open(self.files.path("log"), "rb+") as log:
             log.truncate(len(log.read()) - 1)  # the record of its vote
-        self.fail()
+        self.break_disk()
         process._disk_failed(OSError("told"))
         self.files.failing = {}
         process._recover(process.turn.now())
@@ -226,7 +226,7 @@
 
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
         self.process._disk_failed(OSError("told"))
-        self.fail("open")
+        self.break_disk("open")
         waits = []
         for _ in range(7):
             self.process._recover(0)
