--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -131,12 +131,20 @@
     def send(self, target: str, message: object) -> None:
         wire = self.wires.get(target)
         if wire is not None:
-            wire.say(0, message)
+            self._say(wire, 0, message)
 
     def reply(self, token: int, answer: object) -> None:
         found = self.tokens.pop(token, None)
         if found is not None:
-            found[0].say(found[1], answer)
+            self._say(*found, answer)
+
+    @staticmethod
+    def _say(wire: Wire, number: int, message: object) -> None:
+        """Write a frame; a connection that breaks meanwhile costs itself only."""
+        try:
+            wire.say(number, message)
+        except OSError as error:
+            wire.end(f"write failed: {error.strerror or error}")
 
     def tell(self, action: w.Role | w.Alarm) -> None:
         if isinstance(action, w.Role):
@@ -166,7 +174,7 @@
             return
         try:
             self.host.flush(self.turn.now())
-        except OSError as error:
+        except OSError as error:  # of the disk: `send`, `reply` and `tell` raise none
             self._disk_failed(error)
             return
         self._arm()
@@ -182,7 +190,7 @@
         self._let_another_lead()
         waiting, self.tokens = self.tokens, {}
         for wire, number in waiting.values():
-            wire.say(number, f.NotHere(DISK_REFUSAL))
+            self._say(wire, number, f.NotHere(DISK_REFUSAL))
         self.deadlines.add(self.failed_at + self.retry_us, self._recover)
 
     def _let_another_lead(self) -> None:
@@ -327,7 +335,8 @@
             return
         if self.recovering:
             name = self.options.name
-            wire.say(number, f.Pong(name, "") if isinstance(word, f.Ping) else f.NotHere(DISK_REFUSAL))
+            answer = f.Pong(name, "") if isinstance(word, f.Ping) else f.NotHere(DISK_REFUSAL)
+            self._say(wire, number, answer)
             return
         self._count += 1
         self.tokens[self._count] = wire, number
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -129,6 +129,14 @@
                 self.assertEqual(self.starts(), number + 2)
         self.assertIsNone(self.running["k0"].poll())
 
+    def test_a_connection_that_breaks_under_an_answer_is_no_failure_of_the_disk(self):
+        self.wait_for(lambda: self.leader() == "k0")
+        plan = self.plans["k0"]
+        plan.arm(Fault("accepted.write", "EPIPE"))
+        self.assertEqual(self.operator.ask(self.ask_for("b0"), LONG).ok, False)
+        self.assertEqual((plan.hits("accepted.write"), self.starts()), (1, 1))
+        self.assertNotIn(FAILED, self.keeper_log("k0"))
+
     def test_it_ends_by_a_signal_while_its_disk_fails(self):
         self.wait_for(lambda: self.leader() == "k0")
         self.plans["k0"].arm(*FULL)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -459,6 +459,32 @@
         with self.assertRaisesRegex(StoreError, "holds the disk c/k0/1 already"):
             keep.Store(self.files, "c", "k0", "c/k0/1")
 
+    def test_after_a_kill_at_any_byte_of_what_was_added_the_store_opens_with_what_was_whole(self):
+        store = self.formatted()
+        begins = store.log.size
+        ends = []
+        for action in (
+            w.Save(4, "k2"),
+            w.Put(self.entries(2, 2)),
+            w.Save(5, ""),
+            w.Put(self.entries(3, 2, 5)),
+        ):
+            store.save(action)
+            ends.append(store.log.size)
+        store.sync()
+        store.close()
+        path = Path(self.folder) / "log"
+        whole = path.read_bytes()
+        states = [(1, "", []), (4, "k2", []), (4, "k2", [2, 3]), (5, "", [2, 3]), (5, "", [2, 3, 4])]
+        for size in range(begins, len(whole) + 1):
+            path.write_bytes(whole[:size])
+            store = self.store()
+            store.close()
+            saved = store.saved
+            found = saved.term, saved.vote, [entry.index for entry in saved.entries]
+            self.assertEqual(found, states[sum(end <= size for end in ends)], size)
+            self.assertFalse(saved.doubtful)
+
     def test_a_log_that_is_gone_beside_its_snapshots_is_doubted(self):
         self.formatted().close()
         os.remove(Path(self.folder) / "log")
