--- a/cedarmill/store/files.py
+++ b/cedarmill/store/files.py
@@ -60,7 +60,12 @@
         return self.file(self.path(name))
 
     def exists(self, name: str) -> bool:
-        return os.path.exists(self.path(name))
+        """Whether a file is there; a folder that cannot be looked at is an error, not an empty one."""
+        try:
+            os.stat(self.path(name))
+        except FileNotFoundError:
+            return False
+        return True
 
     def replace(self, name: str, text: bytes) -> None:
         """Write a file whole, or leave the old one.
--- a/cedarmill/store/keep.py
+++ b/cedarmill/store/keep.py
@@ -99,7 +99,7 @@
 
     def newest(self) -> w.Snapshot:
         """The newest that is whole; an empty one where there is none. Raises OSError, or StoreError where all
-        are damaged.
+        are damaged or the newest is of another format.
         """
         found = 0
         with self._lmdb_errors(), self._env.begin() as look:
@@ -107,11 +107,17 @@
             for _, text in reversed(list(cursor)):
                 found += 1
                 if xxhash.xxh3_64_digest(text[8:]) == text[:8]:
-                    return _SNAPSHOT.decode(text[8:])
+                    return self._decode(text[8:])
         if found:
             raise StoreError(f"{self.files.path('snapshots')}: {found} snapshots, all damaged")
         return _EMPTY
 
+    def _decode(self, text: bytes) -> w.Snapshot:
+        try:
+            return _SNAPSHOT.decode(text)
+        except msgspec.MsgspecError as error:
+            raise StoreError(f"{self.files.path('snapshots')}: of another format: {error}") from None
+
     @contextlib.contextmanager
     def _lmdb_errors(self) -> Iterator[None]:
         """LMDB's errors (a full map, or a system call that failed) as OSError."""
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -450,6 +450,21 @@
         store.close()
         self.store()
 
+    def test_a_folder_that_cannot_be_looked_at_is_no_empty_one(self):
+        self.assertFalse(self.files.exists("kept"))
+        self.files.replace("kept", b"whole")
+        self.assertTrue(self.files.exists("kept"))
+        with mock.patch("os.stat", side_effect=OSError(errno.EIO, "no stat")), self.assertRaises(OSError):
+            self.files.exists("kept")
+
+    def test_a_snapshot_of_another_format_is_refused_in_one_line(self):
+        store = self.formatted()
+        text = keep.msgspec.msgpack.encode(["of", "another", "format"])
+        with store.snapshots._env.begin(write=True) as change:
+            change.put(b"%020d" % 9, keep.xxhash.xxh3_64_digest(text) + text)
+        with self.assertRaisesRegex(StoreError, "snapshots: of another format"):
+            store.snapshots.newest()
+
     def test_formatting_that_failed_half_way_may_be_tried_again(self):
         store = keep.Store(self.files, "c", "k0", "c/k0/1")
         store.close()  # killed before the first snapshot
