--- a/cedarmill/net/clients.py
+++ b/cedarmill/net/clients.py
@@ -1,6 +1,5 @@
 """The clients' listening socket, the bound on their sessions, and the end of both."""
 
-import asyncio
 import socket
 from itertools import islice
 
@@ -8,23 +7,22 @@
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Accepting, listening_socket
+from cedarmill.net.listening import Acceptor, Taken, listening_socket
 from cedarmill.net.sessions import ClientSession
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.turn import Turn
 from cedarmill.values import DeadlineOptions
 
 GRACE_US = 150_000  # a session younger than that makes no room for others
 ROOM_LINGER_US = 200_000  # for a client to close whose session makes room for others
 BACKLOG_US = 500_000  # for the backlog to be taken at the end, where sessions are at their bound
 BACKLOG_AGAIN_US = 20_000
-ACCEPT_AGAIN_US = 50_000
 ACCEPTS = 32  # in one turn: a flood of connections must not hold up the reqs
 BACKLOG = 1024
 ONCE = frozenset((b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-again", b"x-call-cost",
                   b"x-call-info", b"idempotency-key", b"content-type", b"host"))  # fmt: skip
 
 
-class Clients(Accepting):
+class Clients:
     """The listening socket and its sessions."""
 
     def __init__(self, turn: Turn, settings: api.Settings, bound: int, options: DeadlineOptions) -> None:
@@ -42,46 +40,35 @@
         self.sending_away = False  # evacuated: each answer ends its connection, idle ones are closed
         self.answer_by = 0  # when the platform may kill the node, once it is told to end
         self.port = 0
-        self._opening: set[asyncio.Task] = set()
+        self._acceptor: Acceptor | None = None
 
     def listen(self, address: Address, inherited: socket.socket | None = None) -> None:
         """Bind and accept, or accept on a listening socket that the platform holds; raises OSError."""
-        self._socket = inherited if inherited is not None else listening_socket(address, BACKLOG)
-        self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # taken on by accepted sockets
-        self._socket.setblocking(False)
-        self.port = self._socket.getsockname()[1]
-        self._accept_on()
+        sock = inherited if inherited is not None else listening_socket(address, BACKLOG)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # taken on by accepted sockets
+        sock.setblocking(False)
+        self._acceptor = Acceptor(
+            self.turn,
+            sock,
+            lambda: ClientSession(self),
+            listener="clients",
+            batch=ACCEPTS,
+            has_room=self._has_room,
+        )
+        self.port = self._acceptor.port
+        self._acceptor.resume()
 
     def ready(self) -> bool:
         """Whether reqs can be served."""
         return bool(self.dispatch.listed_ready) and not self.draining
 
-    @callback
-    def _accept(self) -> bool:
-        """Take some of what has come; False when no more can be taken now."""
-        for _ in range(ACCEPTS):
-            if self._full():
-                self._make_room()
-                return False
-            try:
-                sock, _ = self._socket.accept()
-            except (BlockingIOError, ConnectionAbortedError):
-                return False
-            except OSError as error:  # no descriptors: accepting goes on when some may be free
-                say("accept-failed", reason=error.strerror)
-                self._accept_later()
-                return False
-            sock.setblocking(False)
-            opening = self.turn.loop.connect_accepted_socket(lambda: ClientSession(self), sock)
-            task = self.turn.loop.create_task(opening)
-            self._opening.add(task)
-            task.add_done_callback(self._opened)
+    def _has_room(self) -> bool:
+        """Whether one more session fits; at the bound others are asked to go."""
+        if self._full():
+            self._make_room()
+            return False
         return True
 
-    def _accept_later(self) -> None:
-        self._accept_off()
-        self.turn.deadlines.add(self.turn.now() + ACCEPT_AGAIN_US, self._accept_on)
-
     def _make_room(self) -> None:
         """At the bound those that never sent a good request go first, then those that rest longest.
 
@@ -97,15 +84,10 @@
                 session.close(ROOM_LINGER_US)
                 self.resting.pop(session, None)
         if going:
-            self._accept_off()  # `left` puts it on
+            self._acceptor.pause()  # `left` resumes
         else:
             say("sessions-full", bound=self.bound)
-            self._accept_later()
-
-    def _opened(self, task: asyncio.Task) -> None:
-        self._opening.discard(task)
-        if not task.cancelled() and task.exception() is not None:
-            say("session-not-opened", reason=task.exception())
+            self._acceptor.resume_later()
 
     def came(self, session: ClientSession) -> None:
         """A session is new: nothing is known of its client."""
@@ -130,10 +112,8 @@
         self.sessions.discard(session)
         self.unproven.pop(session, None)
         self.resting.pop(session, None)
-        self._accept_on()
-
-    def abort(self) -> None:
-        """Nothing to end: `callback` asks for it."""
+        if self._acceptor is not None:
+            self._acceptor.resume()
 
     # The end of the node.
 
@@ -151,22 +131,23 @@
         The backlog of a socket that another process of the node shares is left to that process.
         """
         self.closing = True
-        self._take_backlog(self.turn.now() + (BACKLOG_US if take_backlog else 0), take_backlog)
+        if take_backlog:
+            self._take_backlog(self.turn.now() + BACKLOG_US)
+        else:
+            self._acceptor.close()
 
-    def _take_backlog(self, until: int, take: bool) -> None:
-        """Accept what waits, then close the socket; at the bound of sessions a while is left for room."""
-        while take and self._accept():
-            pass
+    def _take_backlog(self, until: int) -> None:
+        """Accept what waits, then close the socket; without room or descriptors it is tried for a while."""
         now = self.turn.now()
-        if take and self._full() and now < until:
-            self.turn.deadlines.add(now + BACKLOG_AGAIN_US, lambda now: self._take_backlog(until, take))
+        taken = self._acceptor.take()
+        if taken is Taken.EMPTY or now >= until:
+            self._acceptor.close()
             return
-        self._accept_off()
-        self._socket.close()
-        self._socket = None
+        again = now if taken is Taken.MORE else now + BACKLOG_AGAIN_US
+        self.turn.deadlines.add(again, lambda now: self._take_backlog(until))
 
     def _full(self) -> bool:
-        return len(self.sessions) + len(self._opening) >= self.bound
+        return len(self.sessions) + self._acceptor.opening >= self.bound
 
     def close_idle(self) -> None:
         """End the sessions that hold no req, nor one that has come and is not read yet."""
@@ -175,4 +156,4 @@
 
     def all_gone(self) -> bool:
         """Whether no session is left, nor one that opens or waits: whatever was answered has also left."""
-        return not self.sessions and not self._opening and self._socket is None
+        return not self.sessions and not self._acceptor.opening and self._acceptor.closed
--- a/cedarmill/net/door.py
+++ b/cedarmill/net/door.py
@@ -12,7 +12,7 @@
 
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Accepting, listening_socket
+from cedarmill.net.listening import Acceptor, listening_socket
 from cedarmill.net.turn import Turn, callback
 from cedarmill.ops import door as calls
 
@@ -20,7 +20,6 @@
 DESCRIPTORS = SESSIONS + 1  # with the listening socket
 CALL_US = 2_000_000  # for a call to arrive whole: calls are a line and a few headers
 LINGER_US = 1_000_000  # for the caller to read the answer
-ACCEPT_AGAIN_US = 50_000  # after the process ran out of descriptors
 MAX_CALL = 8 * 1024  # bytes of head and body together
 HEAD = b"HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n%s\r\n"
 REASONS = {
@@ -128,45 +127,34 @@
             self.transport.abort()
 
 
-class Door(Accepting):
+class Door:
     """The listening socket of the door and its sessions, the oldest first."""
 
     def __init__(self, turn: Turn, obey: Callable[[calls.Call, Answer], None]) -> None:
         self.turn, self.obey = turn, obey
         self.sessions: dict[DoorSession, None] = {}
         self.port = 0
-        self._opening = 0
+        self._acceptor: Acceptor | None = None
 
     def listen(self, address: Address) -> None:
         """Bind and accept; raises OSError."""
-        self._socket = listening_socket(address, SESSIONS * 4)
-        self.port = self._socket.getsockname()[1]
-        self._accept_on()
-
-    @callback
-    def _accept(self) -> None:
-        for _ in range(SESSIONS):
-            if len(self.sessions) + self._opening >= SESSIONS:
-                self._make_room()
-            try:
-                sock, _ = self._socket.accept()
-            except (BlockingIOError, ConnectionAbortedError):
-                return
-            except OSError as error:  # out of descriptors: the call waits in the backlog for one
-                say("accept-failed", reason=error.strerror, listener="door")
-                self._make_room()
-                self._accept_off()
-                self.turn.deadlines.add(self.turn.now() + ACCEPT_AGAIN_US, self._accept_on)
-                return
-            sock.setblocking(False)
-            self._opening += 1
-            opening = self.turn.loop.connect_accepted_socket(lambda: DoorSession(self), sock)
-            self.turn.loop.create_task(opening).add_done_callback(self._opened)
-
-    def _opened(self, task: asyncio.Task) -> None:
-        self._opening -= 1
-        if not task.cancelled() and task.exception() is not None:
-            say("session-not-opened", reason=task.exception(), listener="door")
+        self._acceptor = Acceptor(
+            self.turn,
+            listening_socket(address, SESSIONS * 4),
+            lambda: DoorSession(self),
+            listener="door",
+            batch=SESSIONS,
+            has_room=self._has_room,
+            exhausted=self._make_room,
+        )
+        self.port = self._acceptor.port
+        self._acceptor.resume()
+
+    def _has_room(self) -> bool:
+        """There always is: at the bound the oldest session goes."""
+        if len(self.sessions) + self._acceptor.opening >= SESSIONS:
+            self._make_room()
+        return True
 
     def _make_room(self) -> None:
         """The oldest session goes: it has had its answer or has held its place longest without a call."""
@@ -180,6 +168,3 @@
 
     def left(self, session: DoorSession) -> None:
         self.sessions.pop(session, None)
-
-    def abort(self) -> None:
-        """Nothing to end: `callback` asks for it."""
--- a/cedarmill/net/health.py
+++ b/cedarmill/net/health.py
@@ -8,9 +8,12 @@
 from cedarmill.health.wire.http import Answer, Check, compose
 from cedarmill.net.clients import Clients
 from cedarmill.net.config import Address
+from cedarmill.net.listening import Acceptor, listening_socket
 from cedarmill.net.turn import Turn, callback
 
 SESSIONS = 32  # open at once on each listener: a checker that connects by hundreds gets the rest closed
+ACCEPTS = 4  # in one turn: so many descriptors more are held for a moment
+BACKLOG = 100
 SESSION_US = 3_000_000  # for a session to ask, and to read what it gets
 IDLE_US = 60_000_000  # afterwards, between two checks on one connection
 MAX_HEAD = 8 * 1024
@@ -170,12 +173,19 @@
         self.turn, self.told, self.kind = turn, told, kind
         self.sessions: set[Session] = set()
         self.port = 0
+        self._acceptor: Acceptor | None = None
 
     def changed(self) -> None:
         """The node's health may have changed: for listeners whose checkers watch."""
 
     def listen(self, address: Address) -> None:
         """Bind and accept; raises OSError."""
-        opening = self.turn.loop.create_server(lambda: self.kind(self), address.host, address.port)
-        server = self.turn.loop.run_until_complete(opening)
-        self.port = server.sockets[0].getsockname()[1]
+        self._acceptor = Acceptor(
+            self.turn,
+            listening_socket(address, BACKLOG),
+            lambda: self.kind(self),
+            listener="health",
+            batch=ACCEPTS,
+        )
+        self.port = self._acceptor.port
+        self._acceptor.resume()
--- a/cedarmill/net/listening.py
+++ b/cedarmill/net/listening.py
@@ -1,23 +1,160 @@
-"""A listening socket of the node's and the reader that takes its connections, switched on and off."""
+"""Listening sockets, and the one loop that takes connections from them."""
 
+import asyncio
+import enum
+import errno
 import socket
+from collections.abc import Callable
 
+from cedarmill.log import say
 from cedarmill.net.config import Address
+from cedarmill.net.turn import Turn, callback
+
+ACCEPT_AGAIN_US = 50_000  # after the system had no descriptor or memory for a connection
+# accept(2): these tell of the one connection, or of the call, and the next may be well
+ONE_CONNECTION = frozenset(
+    (
+        errno.ECONNABORTED,
+        errno.EINTR,
+        errno.EPERM,
+        errno.EPROTO,
+        errno.ENETDOWN,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+        errno.ETIMEDOUT,
+    )
+)
 
 
 def listening_socket(address: Address, backlog: int) -> socket.socket:
     """Bound, listening and without blocking; raises OSError."""
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    sock.bind((address.host, address.port))
-    sock.listen(backlog)
-    sock.setblocking(False)
+    try:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.bind((address.host, address.port))
+        sock.listen(backlog)
+        sock.setblocking(False)
+    except BaseException:
+        sock.close()
+        raise
     return sock
 
 
+class Taken(enum.Enum):
+    """What one round of accepting came to."""
+
+    EMPTY = enum.auto()  # nobody waits any more
+    MORE = enum.auto()  # the batch is full: others may wait
+    NO_ROOM = enum.auto()  # the owner has no room for one more
+    EXHAUSTED = enum.auto()  # the system has no descriptor or memory, or fails otherwise: later
+
+
+class Acceptor:
+    """Takes connections from one listening socket and opens a session for each.
+
+    Connections that fail by themselves (`ONE_CONNECTION`) are passed over. Where the system has no
+    descriptor or memory, accepting rests for `ACCEPT_AGAIN_US`. A connection whose session does not open is
+    closed. `has_room` is asked before each accept; an owner that says no resumes by `resume` or
+    `resume_later`. `exhausted` hears that the system had nothing: an owner may let something go.
+    """
+
+    def __init__(self, turn: Turn, sock: socket.socket, session: Callable[[], asyncio.Protocol], *,
+                 listener: str, batch: int, has_room: Callable[[], bool] = lambda: True,
+                 exhausted: Callable[[], None] = lambda: None) -> None:  # fmt: skip
+        self.turn, self.listener, self.batch = turn, listener, batch
+        self.port: int = sock.getsockname()[1]
+        self._socket: socket.socket | None = sock
+        self._session, self._has_room, self._exhausted = session, has_room, exhausted
+        self._opening: dict[asyncio.Task, socket.socket] = {}
+        self._reads = False
+
+    @property
+    def opening(self) -> int:
+        """Connections that were accepted and whose session is not open yet."""
+        return len(self._opening)
+
+    @property
+    def closed(self) -> bool:
+        """Whether the listening has ended."""
+        return self._socket is None
+
+    def resume(self, now: int = 0) -> None:
+        """Take what comes; passed over once it is closed."""
+        if self._socket is not None and not self._reads:
+            self._reads = True
+            self.turn.loop.add_reader(self._socket.fileno(), self._readable)
+
+    def pause(self) -> None:
+        """What comes waits in the backlog."""
+        if self._reads:
+            self._reads = False
+            self.turn.loop.remove_reader(self._socket.fileno())
+
+    def resume_later(self) -> None:
+        """Pause, and resume after `ACCEPT_AGAIN_US`."""
+        self.pause()
+        self.turn.deadlines.add(self.turn.now() + ACCEPT_AGAIN_US, self.resume)
+
+    def close(self) -> None:
+        """End the listening; sessions stay. What still waits in the backlog is reset by the system."""
+        self.pause()
+        if self._socket is not None:
+            self._socket.close()
+            self._socket = None
+
+    @callback
+    def _readable(self) -> None:
+        if self.take() is Taken.EXHAUSTED:
+            self.resume_later()
+
+    def take(self) -> Taken:
+        """Accept one batch at most."""
+        for _ in range(self.batch):
+            if not self._has_room():
+                return Taken.NO_ROOM
+            try:
+                sock, _ = self._socket.accept()
+            except BlockingIOError:
+                return Taken.EMPTY
+            except OSError as error:
+                if error.errno in ONE_CONNECTION:
+                    continue
+                say("accept-failed", reason=error.strerror, listener=self.listener)
+                self._exhausted()
+                return Taken.EXHAUSTED
+            self._open(sock)
+        return Taken.MORE
+
+    def _open(self, sock: socket.socket) -> None:
+        sock.setblocking(False)
+        opening = self.turn.loop.connect_accepted_socket(self._session, sock)
+        task = self.turn.loop.create_task(opening)
+        self._opening[task] = sock
+        task.add_done_callback(self._opened)
+
+    @callback
+    def _opened(self, task: asyncio.Task) -> None:
+        sock = self._opening.pop(task)
+        if task.cancelled() or task.exception() is not None:
+            sock.close()  # no transport has taken it over
+            reason = "cancelled" if task.cancelled() else task.exception()
+            say("session-not-opened", reason=reason, listener=self.listener)
+            self.resume()  # its place is free again
+
+    def abort(self) -> None:
+        """`callback` asks for it: a defect in one round must not end the listening."""
+
+
 class Accepting:
-    """Switches the loop's reader of `_socket` that calls `_accept`; the class that takes it in has `turn`."""
+    """Switches the loop's reader of `_socket` that calls `_accept`; the class that takes it in has `turn`.
+
+    `Acceptor` takes its place; the replica and the members' listener still use it.
+    """
 
     _socket: socket.socket | None = None
     _accepting = False
