--- a/cedarmill/net/clients.py
+++ b/cedarmill/net/clients.py
@@ -74,10 +74,9 @@
 
         Until they have gone, or where none can go, the backlog holds what is new.
         """
-        before = self.turn.now() - GRACE_US
-        going = [session for session in islice(self.unproven, ACCEPTS) if session.born <= before]
-        for session in going:
-            session.abort()
+        now = self.turn.now()
+        old = [session for session in islice(self.unproven, ACCEPTS) if session.born <= now - GRACE_US]
+        going = [session for session in old if session.give_way(now, GRACE_US)]
         if not going:
             going = [session for session in islice(self.resting, ACCEPTS) if not session.unread()]
             for session in going:
--- a/cedarmill/net/sessions.py
+++ b/cedarmill/net/sessions.py
@@ -1,12 +1,8 @@
 """Client sessions: HTTP/1.1 from a client, one request at a time, and their final answers."""
 
 import asyncio
-import contextlib
-import fcntl
 import re
-import termios
 import time
-from array import array
 from collections import deque
 from typing import TYPE_CHECKING
 
@@ -16,7 +12,7 @@
 from cedarmill.core.dispatch import Req
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
-from cedarmill.net.hangup import hung_up
+from cedarmill.net.hangup import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
 from cedarmill.net.messages import BadMessage, Message
 from cedarmill.net.turn import callback
 
@@ -27,10 +23,15 @@
 MAX_HEAD = 16 * 1024
 MAX_PIPELINED = 8
 MAX_UNREAD = 1024 * 1024  # of what comes after the last answer is read and dropped
-FIRST_US = 2_800_000  # for a session's first good request to arrive whole
+FIRST_US = 2_800_000  # for a session's first good request to arrive whole, however its bytes come
 IDLE_US = 60_000_000  # afterwards, between requests
-SLOW_US = 15_000_000  # afterwards, for a request to arrive whole
+SLOW_US = 15_000_000  # afterwards, for a request to arrive whole while its bytes keep coming
+# since the last byte of half a request: 3 s, less twice 0.15 s (read late, and ended late)
+STOPPED_US = 2_700_000
+UNREAD_US = 20_000  # for the loop to read what already waits at the socket, before a client counts as late
 LINGER_US = 1_000_000  # for a client to read the last answer and close, though it may still be sending
+ROOM_ERROR_LINGER_US = 20_000  # for the error to leave that a stopped client gets as it makes room
+ABORT_AGAIN_US = 50_000  # after a connection could not be aborted
 HANGUP_US = 50_000  # between two looks whether a client has gone from whom nothing is read for now
 CALL_ID = re.compile(rb"[!-~]{1,256}")
 REASONS = {
@@ -51,6 +52,10 @@
         self.head_bytes = self.passed_over = 0
         self.proven = False  # whether it has sent a good request
         self.born = self.turn.now()
+        self.asked_since = self.born  # from when it may send, unless proven: its birth or its last answer
+        self.heard_at = self.born  # its last byte
+        self.looked = False  # what waited unread at its deadline was given time
+        self.unread_there = self.ends_by = 0  # while it ends: what the client has not read, the last moment
         self.faulty = False  # its input has gone wrong: nothing more is read from it
         self.waiting: deque[Message] = deque()
         self.answering: Message | None = None
@@ -59,6 +64,7 @@
         self.ending = self.clogged = self.paused = False
         self.half_closed = False  # it sends no more, but still reads
         self.deadline = self.look = None
+        self.until = 0  # of the deadline
 
     @callback
     def connection_made(self, transport) -> None:
@@ -104,24 +110,92 @@
     def resume_writing(self) -> None:
         self.clogged = False
         self._next()
+        if self.idle and self.proven:
+            self.clients.rested(self)
 
     def abort(self) -> None:
-        if self.transport is not None:
+        """One of this session's callbacks raised (`callback` asks for it): what was read gets its error."""
+        if self.ending or self.transport is None:
+            self.drop()
+            return
+        try:
+            self.answer_all(500, 500)
+        except Exception:
+            say("defect", True, what="the end of a session")
+            self.drop()
+
+    def drop(self) -> None:
+        """End the connection at once; what is not written stays so, what is open is withdrawn."""
+        self._gone()
+        if self.transport is None:
+            return
+        try:
             self.transport.abort()
+        except TRANSPORT_ERRORS:
+            self._await(self.turn.now() + ABORT_AGAIN_US)
+
+    def answer_all(self, in_flight: int, unsent: int) -> None:
+        """Answer all that is owed now, in order, and end; nothing more is forwarded.
+
+        The statuses are for the request that may have been forwarded, and for those that were not, half a
+        one included.
+        """
+        if self.ending:
+            return
+        if self.req is not None:
+            self.clients.dispatch.withdraw(self.turn.now(), self._release())
+        if self.message is not None:
+            self.waiting.append(self.message)
+        self.message, self.faulty = None, True
+        last = self.waiting[-1] if self.waiting else self.answering
+        if last is not None:
+            last.keep_alive = False
+        status = in_flight
+        while not self.ending and (self.answering is not None or self.waiting):
+            if self.answering is None:
+                self.answering, status = self.waiting.popleft(), unsent
+            self._write(status, REASONS[status].lower().encode() + b"\n")
+        if not self.ending:
+            self.close()
+
+    def answer_before_kill(self) -> None:
+        """The process may be killed soon."""
+        forwarded = self.req is not None and any(attempt.written for attempt in self.req.attempts)
+        self.answer_all(502 if forwarded else 503, 503)
+
+    def give_way(self, now: int, grace: int) -> bool:
+        """Make room for another session, where nothing whole is lost by it; whether this one goes.
+
+        A client in the middle of a request goes if it sent nothing during `grace`, and gets its error.
+        """
+        if self.ending:
+            if self.until > now + ROOM_ERROR_LINGER_US:
+                self._await(now + ROOM_ERROR_LINGER_US)
+            return True
+        if self.answering is not None or self.waiting or self.unread():
+            return False
+        if self.message is None:
+            self.drop()
+            return True
+        if self.heard_at > now - grace:
+            return False
+        self._too_late()
+        self._await(now + ROOM_ERROR_LINGER_US)
+        return True
 
     @property
     def idle(self) -> bool:
-        return self.answering is None and self.message is None and not self.ending
+        """Whether nothing is owed, and no request has begun to arrive."""
+        owes = self.answering is not None or self.waiting
+        return not owes and self.message is None and not self.ending
 
     def unread(self) -> bool:
         """Whether bytes wait at the socket: a loop that was held up runs its timers before it reads them."""
-        waiting = array("i", [0])
-        with contextlib.suppress(OSError):
-            fcntl.ioctl(self.transport.get_extra_info("socket").fileno(), termios.FIONREAD, waiting)
-        return waiting[0] > 0
+        return bytes_wait(self.transport)
 
     def close(self, linger: int = LINGER_US) -> None:
-        """End it when all that was written has left and the client has closed, or soon.
+        """End it when all that was written has left and the client has closed, or soon: a slow reader has
+        `SLOW_US`, as long as it gets on.
 
         The sending side ends first, and what still comes is read and dropped: a close over bytes that were
         not read resets the connection, and takes the last answer with it.
@@ -130,11 +204,17 @@
         if self.transport.is_closing():  # the client was first
             return
         self._pause(False)
-        self.transport.write_eof()
-        self._await(self.turn.now() + linger)
+        now = self.turn.now()
+        self.unread_there, self.ends_by = bytes_unread(self.transport), now + SLOW_US
+        try:
+            self.transport.write_eof()
+        except TRANSPORT_ERRORS:
+            self.transport.close()  # what was written still leaves
+        self._await(now + linger)
 
     @callback
     def data_received(self, data: bytes) -> None:
+        self.heard_at = self.turn.now()
         if self.ending or self.faulty:
             self.passed_over += len(data)
             self._pause(self.passed_over > MAX_UNREAD)
@@ -162,6 +242,8 @@
             say("defect", fault, what="callback on a message")
             fault = BadMessage(500, "internal error")
         message, self.message = self.message or Message(self.turn.now()), None
+        message.body = bytearray()  # not kept for a client that may linger, nor in the error's frames
+        fault.__traceback__ = None
         message.fault, message.keep_alive, self.faulty = fault, False, True
         self.waiting.append(message)
 
@@ -197,7 +279,7 @@
         if body and self.parser.should_upgrade():  # the parser would stop before it
             raise BadMessage(400, "an offer to upgrade takes no body")
         if message.headers.get(b"expect", b"").lower() == b"100-continue" and self.answering is None:
-            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+            self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
         self.message.body += data
@@ -214,17 +296,31 @@
     def _await(self, until: int) -> None:
         """End the session unless it gets on by then."""
         self.turn.deadlines.cancel(self.deadline)
+        self.until = until
         self.deadline = self.turn.deadlines.add(until, self._late)
 
     def _pause(self, pause: bool) -> None:
         if pause == self.paused or self.transport.is_closing():
             return
+        try:
+            if pause:
+                self.transport.pause_reading()
+            else:
+                self.transport.resume_reading()
+        except TRANSPORT_ERRORS:
+            if not pause:
+                self._reads_no_more()
+            return  # not paused: what comes is bounded by `MAX_PIPELINED`, and it is tried again
         self.paused = pause
         if pause:
-            self.transport.pause_reading()
             self._look_later()
-        else:
-            self.transport.resume_reading()
+
+    def _reads_no_more(self) -> None:
+        """Reading cannot be resumed: as if the client sent no more, what was read gets its answer."""
+        self.half_closed = True
+        self._look_later()
+        if self.answering is None and not self.waiting and not self.ending:
+            self.close()
 
     def _look_later(self) -> None:
         """Nothing is read for now, not even the client's end: look for it."""
@@ -232,35 +328,63 @@
         self.look = self.turn.deadlines.add(self.turn.now() + HANGUP_US, self._look)
 
     def _look(self, now: int) -> None:
-        if self.paused and not self._end_if_left():
+        if (self.paused or self.half_closed) and not self._end_if_left():
             self._look_later()
 
     def _end_if_left(self) -> bool:
-        """Whether the client has gone while nothing was read from it; then the session ends."""
-        left = self.transport.is_closing() or hung_up(
-            self.transport, half_counts=self.clients.options.half_close == "leaves"
-        )
+        """Whether the client has gone, though that is not read yet; then the session ends."""
+        left = self._left() is True
         if left:
-            self._gone()
-            self.abort()
+            self.drop()
         return left
 
+    def _left(self) -> bool | None:
+        """Whether the client has gone, as the system knows it; None: it does not say."""
+        if self.transport.is_closing():
+            return True
+        return peer_closed(self.transport, half_counts=self.clients.options.half_close == "leaves")
+
+    def present(self) -> bool:
+        """Whether the client is still there, as the system knows it; one that has left is withdrawn here."""
+        return not self._end_if_left()
+
     def _late(self, now: int) -> None:
         if self.ending:
-            self.abort()
+            self._late_to_close(now)
+        elif not self.looked and self.unread():
+            self.looked = True
+            self._await(now + UNREAD_US)
         elif self.message is not None and not self.faulty:
-            self._reject(BadMessage(408, "the request did not arrive in time"))
-            self._next()
+            self._too_late()
         else:
             self.close()
 
+    def _late_to_close(self, now: int) -> None:
+        """Its time to close is over; a client that still reads its last answer gets on a while."""
+        before, self.unread_there = self.unread_there, bytes_unread(self.transport)
+        gets_on = self.unread_there < before and now < self.ends_by
+        if gets_on and self.transport.get_write_buffer_size():  # what the system holds leaves by itself
+            self._await(now + LINGER_US)
+        else:
+            self.drop()
+
+    def _too_late(self) -> None:
+        self._reject(BadMessage(408, "the request did not arrive in time"))
+        self._next()
+
+    def _whole_by(self) -> int:
+        """When the request that arrives now has to be whole."""
+        return self.message.began_at + SLOW_US if self.proven else self.asked_since + FIRST_US
+
     def _rest(self) -> None:
         """Wait for what the client sends next."""
         now = self.turn.now()
+        self.looked = self.looked and self.message is not None and now >= self._whole_by()
         if self.message is not None:
-            self._await((self.message.began_at + SLOW_US) if self.proven else (self.born + FIRST_US))
+            self._await(min(self._whole_by(), self.heard_at + STOPPED_US))
         elif self.proven:
-            self.clients.rested(self)
+            if self.idle and not self.clogged:
+                self.clients.rested(self)
             self._await(now + IDLE_US)
         else:
             self._await(now + FIRST_US)
@@ -271,12 +395,16 @@
                 return
             self.turn.deadlines.cancel(self.deadline)
             self.answering = message = self.waiting.popleft()
+            if message.fault is not None:
+                self._write(message.fault.status, str(message.fault).encode() + b"\n")
+                continue
             try:
                 self._serve(message)
             except BadMessage as fault:
                 self._write(fault.status, str(fault).encode() + b"\n")
             except Exception:
                 say("defect", True, what="callback on a req")
+                self._release()
                 self._write(500, b"internal error\n")
         if self.answering is None and not self.ending and self.message is not None:
             self._rest()
@@ -284,8 +412,6 @@
             self._pause(bool(self.waiting))  # a client that sends ahead is read no further for now
 
     def _serve(self, message: Message) -> None:
-        if message.fault is not None:
-            raise message.fault
         path = message.target.partition(b"?")[0]
         if path == b"/ready":
             if message.method != b"GET":
@@ -361,6 +487,12 @@
             clients.tenants.get(tenant, len(clients.tenants)), key, message.headers.get(b"x-again") == b"1",
         )  # fmt: skip
         clients.prove(self)
+        left = self._left()  # a loop that was held up may read a request long after its client closed
+        if left:
+            self.drop()
+            return
+        if left is None:
+            raise BadMessage(503, "refused")
         clients.open_ids[call_id] = self
         self.call_id = call_id
         req = clients.dispatch.arrive(now, self, message, due, job)
@@ -370,7 +502,8 @@
     def _release(self) -> Req | None:
         """The req is no longer open."""
         req, self.req = self.req, None
-        self.clients.open_ids.pop(self.call_id, None)
+        if self.clients.open_ids.get(self.call_id) is self:
+            del self.clients.open_ids[self.call_id]
         return req
 
     # The final answers, as the core gives them.
@@ -406,8 +539,19 @@
             more += b"Allow: GET\r\n" if message.target.startswith(b"/ready") else b"Allow: POST\r\n"
         head = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n"
         text = head % (status, REASONS[status].encode(), len(body), more)
-        self.transport.write(text if message.method == b"HEAD" else text + body)
+        if not self._send(text if message.method == b"HEAD" else text + body):
+            return
         if last or message.fault is not None:
             self.close()
         else:
+            self.asked_since = self.turn.now()
             self._rest()
+
+    def _send(self, text: bytes) -> bool:
+        """Whether it could be written: a connection that has just broken ends here, at once."""
+        try:
+            self.transport.write(text)
+        except TRANSPORT_ERRORS:
+            self.drop()
+            return False
+        return True
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -3,6 +3,7 @@
 import contextlib
 import resource
 import select
+import signal
 import socket
 import struct
 import time
@@ -73,6 +74,31 @@
         self.assertTrue(self.servers[0].asked.empty())
 
 
+class HeldUp(LeavingCase):
+    """A node that is held up reads a request when its client has long closed: nothing may start for it."""
+
+    def test_a_close_in_the_very_turn_of_a_send(self):
+        """The request was read and sent on, and the close behind it read only in the next turn."""
+        for job_class in ("pin", "issue"):
+            for leave in (socket.socket.close, reset, lambda sock: sock.shutdown(socket.SHUT_WR)):
+                with self.subTest(job_class=job_class, leave=leave):
+                    sock = self.raw_client()
+                    sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
+                    self.assertIn(b" 200 ", sock.recv(4096))
+                    self.process.send_signal(signal.SIGSTOP)
+                    sock.sendall(raw(1, job_class))
+                    leave(sock)
+                    closed = time.monotonic()
+                    self.wait_for(lambda closed=closed: time.monotonic() > closed + 0.12)
+                    self.process.send_signal(signal.SIGCONT)
+                    client = self.client().ask("pin")
+                    asked = self.servers[0].next()
+                    self.assertEqual(asked.headers["X-Call-Id"], f"{client.count:016x}")
+                    asked.done()
+                    self.assertEqual(client.answer()[0], 200)
+                    self.assertTrue(self.servers[0].asked.empty())
+
+
 class Ending(LeavingCase):
     """SIGTERM, and what comes in that instant."""
 
--- /dev/null
+++ b/tests/test_stopped_clients.py
@@ -0,0 +1,141 @@
+"""Clients that stop in the middle of a request and stay, and those that are only slow."""
+
+import select
+import time
+import unittest
+
+from test_leaving import LeavingCase, raw
+
+OWED = 3.0  # seconds within which a client that has stopped gets its error or the close
+SOON = 2.0  # a client that is slow is not taken for one that has stopped
+
+
+class Stopped(LeavingCase):
+    def proven(self):
+        """A session that has served before."""
+        sock = self.raw_client()
+        sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
+        self.assertIn(b" 200 ", sock.recv(4096))
+        return sock
+
+    def rest(self, seconds: float) -> None:
+        until = time.monotonic() + seconds
+        self.wait_for(lambda: time.monotonic() > until)
+
+    def ended(self, sock, began: float) -> None:
+        """It gets 408 and the close in time, and not at once."""
+        text = b""
+        while chunk := sock.recv(4096):
+            text += chunk
+        self.assertIn(b"HTTP/1.1 408", text)
+        self.assertLess(time.monotonic() - began, OWED)
+        self.assertGreater(time.monotonic() - began, SOON)
+
+    def test_who_stops_on_a_proven_session_is_told_within_three_seconds(self):
+        """It held its place for 15 s: only a session's first request had a short bound."""
+        whole = raw(1)
+        for part in (whole[:5], whole[:60], whole[:-1]):
+            with self.subTest(part=part):
+                sock = self.proven()
+                began = time.monotonic()
+                sock.sendall(part)
+                self.ended(sock, began)
+
+    def test_who_stops_on_a_new_session_is_told_within_three_seconds(self):
+        sock = self.raw_client()
+        began = time.monotonic()
+        sock.sendall(raw(1)[:60])
+        self.ended(sock, began)
+
+    def test_half_a_request_behind_one_in_flight_is_told_too(self):
+        sock = self.raw_client()
+        sock.sendall(raw(1) + raw(2)[:60])
+        began = time.monotonic()
+        asked = self.servers[0].next()
+        self.rest(0.5)
+        asked.done("first")
+        self.ended(sock, began)
+
+    def test_half_a_request_is_told_at_once_where_the_one_before_took_long(self):
+        sock = self.raw_client()
+        sock.sendall(raw(1) + raw(2)[:60])
+        asked = self.servers[0].next()
+        self.rest(3.0)
+        asked.done("first")
+        began = time.monotonic()
+        text = b""
+        while chunk := sock.recv(4096):
+            text += chunk
+        self.assertEqual((text.count(b"HTTP/1.1 200"), text.count(b"HTTP/1.1 408")), (1, 1))
+        self.assertLess(time.monotonic() - began, 0.5)
+
+    def test_a_slow_one_whose_bytes_keep_coming_is_served(self):
+        """Its request takes longer than a stopped one is given, a second one too."""
+        sock = self.proven()
+        whole = raw(1)
+        for start in range(0, 120, 30):
+            sock.sendall(whole[start : start + 30])
+            self.rest(1.2)
+        sock.sendall(whole[120:])
+        self.servers[0].next().done()
+        self.assertIn(b" 200 ", sock.recv(4096))
+
+    def test_a_resting_session_keeps_its_time(self):
+        sock = self.proven()
+        self.assertEqual(select.select([sock], [], [], OWED + 0.3)[0], [])
+        sock.sendall(raw(1))
+        self.servers[0].next().done()
+        self.assertIn(b" 200 ", sock.recv(4096))
+
+    def test_a_new_session_asks_again_in_pieces_after_an_error(self):
+        """Its first good request was measured from its birth, whatever it had been answered since."""
+        sock = self.raw_client()
+        self.rest(1.5)
+        sock.sendall(b"GET /nowhere HTTP/1.1\r\n\r\n")
+        self.assertIn(b" 404 ", sock.recv(4096))
+        self.rest(1.5)
+        for part in (raw(1)[:50], raw(1)[50:]):
+            sock.sendall(part)
+            self.rest(0.05)
+        self.servers[0].next().done()
+        self.assertIn(b" 200 ", sock.recv(4096))
+
+
+class MakingRoom(LeavingCase):
+    """At the bound, new sessions in the middle of their first request make room, if they have stopped."""
+
+    sockets = 64  # 20 sessions
+
+    def test_half_a_request_that_was_read_gets_its_error_as_it_makes_room(self):
+        """It was reset, with what it had sent."""
+        socks = [self.raw_client() for _ in range(20)]
+        for sock in socks:
+            sock.sendall(raw(1)[:60])
+        began = time.monotonic()
+        self.wait_for(lambda: time.monotonic() > began + 0.4)
+        client = self.client().ask()
+        self.servers[0].next().done()
+        self.assertEqual(client.answer()[0], 200)
+        self.assertLess(time.monotonic() - began, 2)
+        answers = [sock.recv(4096) for sock in socks]
+        self.assertEqual([answer[:12] for answer in answers], [b"HTTP/1.1 408"] * 20)
+
+    def test_one_whose_bytes_keep_coming_is_left_in_peace(self):
+        """It was reset 0.15 s after it had connected, its request half read."""
+        socks = [self.raw_client() for _ in range(19)]
+        slow, whole = self.raw_client(), raw(1)
+        self.wait_for(lambda: self.descriptors() > 25)
+        slow.sendall(whole[:30])
+        others = [self.raw_client() for _ in range(20)]
+        for start in range(30, 130, 5):
+            slow.sendall(whole[start : start + 5])
+            until = time.monotonic() + 0.05
+            self.wait_for(lambda until=until: time.monotonic() > until)
+        slow.sendall(whole[130:])
+        self.servers[0].next().done()
+        self.assertIn(b" 200 ", slow.recv(4096))
+        self.assertEqual(len(socks + others), 39)
+
+
+if __name__ == "__main__":
+    unittest.main()
