--- a/cedarmill/net/clients.py
+++ b/cedarmill/net/clients.py
@@ -16,6 +16,7 @@
 ROOM_LINGER_US = 200_000  # for a client to close whose session makes room for others
 BACKLOG_US = 500_000  # for the backlog to be taken at the end, where sessions are at their bound
 BACKLOG_AGAIN_US = 20_000
+BACKLOG_READ_US = 50_000  # before all has to be answered: for what was taken last to be read
 ACCEPTS = 32  # in one turn: a flood of connections must not hold up the reqs
 BACKLOG = 1024
 ONCE = frozenset((b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-again", b"x-call-cost",
@@ -38,7 +39,7 @@
         self.open_ids: dict[bytes, ClientSession] = {}
         self.draining = self.closing = False
         self.sending_away = False  # evacuated: each answer ends its connection, idle ones are closed
-        self.answer_by = 0  # when the platform may kill the node, once it is told to end
+        self.answer_by = 0  # once the node is told to end: when all that was read has its answer
         self.port = 0
         self._acceptor: Acceptor | None = None
 
@@ -131,7 +132,7 @@
         """
         self.closing = True
         if take_backlog:
-            self._take_backlog(self.turn.now() + BACKLOG_US)
+            self._take_backlog(min(self.turn.now() + BACKLOG_US, self.answer_by - BACKLOG_READ_US))
         else:
             self._acceptor.close()
 
@@ -145,6 +146,11 @@
         again = now if taken is Taken.MORE else now + BACKLOG_AGAIN_US
         self.turn.deadlines.add(again, lambda now: self._take_backlog(until))
 
+    def answer_all(self, now: int) -> None:
+        """The process may be killed soon: whoever still waits is answered now."""
+        for session in list(self.sessions):
+            session.answer_before_kill()
+
     def _full(self) -> bool:
         return len(self.sessions) + self._acceptor.opening >= self.bound
 
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -33,10 +33,12 @@
 OWN_MEMORY_MB = 24  # measured: 16 to 20 before the first session
 SESSION_MB = 0.096  # measured: 0.07 with a body of 64 KiB that waits for its end
 ACCEPT_ON_US = 600_000  # after SIGTERM: new connections come for up to 0.4 s more
+ACCEPT_LEAST_US = 450_000  # the same where the kill comes soon
 LAST_READ_US = 100_000  # then, for what the sessions taken last have sent to be read
 KILL_US = 700_000  # after SIGTERM and the longest deadline, of which no more counts than:
 KILL_DEADLINE_US = 3_000_000
-KILL_MARGIN_US = 150_000
+KILL_MARGIN_US = 170_000  # between the last answers and the kill: the node may be held up for 0.15 s
+ANSWER_ALL_US = 10_000  # after the last answers are due: for requests that were promised more time
 CHECK_END_US = 10_000
 SPENT = (
     "{job_class} {cause}: {attempts} attempts, {before:.2f} s before, {after:.2f} s after, "
@@ -191,16 +193,20 @@
         for listener in self.checkers:
             listener.changed()
         self.term_at = self.turn.now()
-        # a socket that the platform holds is served by the new process already: what comes is left to it
-        self.deadlines.add(self.term_at + (ACCEPT_ON_US if self.inherited is None else 0), self._stop)
+        longest = max(spec.deadline_us for spec in self.config.settings.classes)
+        kill = self.term_at + KILL_US + min(longest, KILL_DEADLINE_US)
+        answer_by = self.clients.answer_by = kill - KILL_MARGIN_US
+        self.deadlines.add(answer_by + ANSWER_ALL_US, self.clients.answer_all)
+        accept_until = self.term_at  # a socket that the platform holds: its new process takes what comes
+        if self.inherited is None:
+            soon = max(accept_until + ACCEPT_LEAST_US, answer_by - LAST_READ_US)
+            accept_until = min(accept_until + ACCEPT_ON_US, soon)
+        self.deadlines.add(accept_until, self._stop)
         self.turn.end()
 
     def _stop(self, now: int) -> None:
         self.clients.stop_listening(take_backlog=self.inherited is None)
         say("closed", held=self.dispatch.owed)
-        longest = max(spec.deadline_us for spec in self.config.settings.classes)
-        kill = self.term_at + KILL_US + min(longest, KILL_DEADLINE_US)
-        self.clients.answer_by = kill - KILL_MARGIN_US
         self.deadlines.add(now + LAST_READ_US, self._end_if_done)
 
     def _end_if_done(self, now: int) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,7 @@
 """Endings at the wrong instant, on the real program: scripted peers hold, split and reset at a known byte."""
 
 import contextlib
+import queue
 import resource
 import select
 import signal
@@ -12,7 +13,9 @@
 from nodes import WAIT, NodeCase
 from test_leaving import LeavingCase, raw
 
+INSTANT = 'HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n{"state":"done","result":1}'
 NEVER_RAN = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+BIG = 200_000  # bytes of an answer
 GONE = 0.3  # seconds within which nothing more may be sent on for a client that has gone
 
 
@@ -169,6 +172,110 @@
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertLess(time.monotonic() - began, 3.5)
 
+    def fill(self, sock: socket.socket, letter: str) -> int:
+        """Ask, and read nothing, till the answers are stuck at the node; how many it gave."""
+        for number in range(60):
+            sock.sendall(raw(f"{letter}{number}"))
+            try:
+                self.servers[0].asked.get(timeout=0.5).done(letter * BIG)
+            except queue.Empty:
+                return number
+        raise AssertionError("the answers never got stuck")
+
+    def test_a_slow_reader_gets_its_whole_answer_beside_a_drain(self):
+        """It was cut off 1 s after its answer was written, however it got on; others must not wait for it."""
+        slow, stuck = (socket.socket() for _ in range(2))
+        for sock in (slow, stuck):
+            self.addCleanup(sock.close)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            sock.connect(("127.0.0.1", self.port))
+            sock.settimeout(WAIT)
+        answers = {letter: self.fill(sock, letter) for sock, letter in ((slow, "x"), (stuck, "y"))}
+        self.terminate()
+        self.wait_log("draining")
+        other = self.client().ask()
+        while not other.answered(0.01):
+            if not self.servers[0].asked.empty():
+                asked = self.servers[0].next()
+                letter = asked.headers["X-Call-Id"].removeprefix("raw")[0]
+                if letter in answers:  # the system took more
+                    answers[letter] += 1
+                asked.done(letter * BIG if letter in answers else "other")
+        self.assertEqual(other.answer(), (200, b"other"))
+        self.wait_log("no new sessions from now on")
+        size, began = 0, time.monotonic()
+        while chunk := slow.recv(65_536):
+            size += chunk.count(b"x")
+            pause = began + size / 700_000
+            while time.monotonic() < pause:
+                select.select([], [], [], 0.01)
+        self.assertEqual(size, answers["x"] * BIG)
+        self.assertGreater(time.monotonic() - began, 1.2)
+        self.assertEqual(self.process.wait(WAIT), 0)  # nor does one that reads nothing hold the node
+
+
+class BoundAtTheEnd(LeavingCase):
+    """Sessions are at their bound when the node stops listening: the backlog is taken as they end."""
+
+    sockets = 64
+
+    def test_what_waits_in_the_backlog_is_answered(self):
+        held, waiting = [], []
+        with contextlib.suppress(queue.Empty):
+            for number in range(30):
+                held.append(self.raw_client())
+                held[-1].sendall(raw(number))
+                self.servers[0].asked.get(timeout=0.3).wire.sock.fileno()
+        for number in range(4):
+            waiting.append(self.raw_client())
+            waiting[-1].sendall(raw(100 + number))
+        self.terminate()
+        self.wait_log("no new sessions from now on")
+        self.servers[0].early = INSTANT
+        for sock in held[:10]:
+            sock.close()
+        for sock in waiting:
+            self.assertRegex(sock.recv(4096), rb"HTTP/1.1 (200|503)")
+
+
+class KilledSoon(NodeCase):
+    """SIGKILL comes the longest deadline, or 3 s, and 0.7 s after SIGTERM; all has its answer by then."""
+
+    hard_limit = 200_000
+    kill = 0.9
+
+    def config(self) -> dict:
+        config = super().config()
+        for one in config["settings"]["request_classes"]:
+            one.update(hard_limit=self.hard_limit, aim=min(one["aim"], self.hard_limit))
+        return config
+
+    def test_what_was_read_is_answered_before_the_kill(self):
+        """The last answers were due 0.15 s before the kill, and nothing at all for what came before 0.6 s."""
+        clients = [self.client().ask("issue", budget=9000) for _ in range(2)]
+        for _ in clients:
+            self.servers[0].next()
+        self.terminate()
+        began = time.monotonic()
+        self.wait_log("draining")
+        late = self.client()
+        late.connect()
+        while time.monotonic() < began + 0.5:
+            select.select([], [], [], 0.01)
+        late.ask("issue", budget=9000)
+        clients.append(late)
+        statuses = [client.answer()[0] for client in clients]
+        self.assertLess(time.monotonic() - began, self.kill - 0.15)
+        self.assertTrue(set(statuses) <= {502, 503}, statuses)
+        self.assertEqual(self.process.wait(WAIT), 0)
+
+
+class KilledLater(KilledSoon):
+    """The deadlines are longer than what the platform counts of them."""
+
+    hard_limit = 8_000_000
+    kill = 3.7
+
 
 class Answers(NodeCase):
     """Executors that answer twice, late, without end, or half."""
