--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -358,6 +358,9 @@
     def is_closing(self) -> bool:
         return self.closed
 
+    def get_write_buffer_size(self) -> int:
+        return 0
+
     def write_eof(self) -> None:
         if self.closed:
             raise RuntimeError("the handler is closed")  # as the loop's transports do
