--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -25,6 +25,7 @@
     def served(self, result: Any) -> None: ...
     def refused(self, retry_after_us: int) -> None: ...
     def failed(self) -> None: ...
+    def present(self) -> bool: ...  # asked as bytes are written; one that has left is withdrawn by it
 
 
 class BackendPort(Protocol):
@@ -53,6 +54,10 @@
     def refused(self, retry_after_us: int) -> None: ...
     def failed(self) -> None: ...
 
+    def present(self) -> bool:
+        """Always: the work is wanted although nobody waits for the answer."""
+        return True
+
 
 class Req:
     """One req that the node has taken."""
@@ -259,6 +264,8 @@
         req = attempt.req
         if attempt.outcome is not None or not self.budget.may_start(now, req.claim):
             return Outcome.MOOT
+        if not req.client.present():  # its close may wait unread where the loop was held up
+            return Outcome.MOOT
         if not self._within_window(now, attempt):
             return Outcome.MOOT
         if self.fence is not None and not self.fence(now):
--- a/cedarmill/net/exchanges.py
+++ b/cedarmill/net/exchanges.py
@@ -3,7 +3,6 @@
 They read answers and hold the state of an attempt; the sockets are in net/backends.py.
 """
 
-import contextlib
 from typing import TYPE_CHECKING, Any
 
 import msgspec
@@ -11,7 +10,6 @@
 from cedarmill.core.dispatch import Attempt, Probe
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
-from cedarmill.net.hangup import hung_up
 
 if TYPE_CHECKING:
     from cedarmill.net.backends import Backend, Backends, Connection
@@ -118,17 +116,7 @@
         attempt.link, attempt.blind = self, backend.kind.cancel not in ("close", "end")
 
     def barred(self, now: int) -> Outcome | None:
-        return Outcome.MOOT if self._client_left() else self.backends.dispatch.barred(now, self.attempt)
-
-    def _client_left(self) -> bool:
-        """Whether the client has closed and the loop has not read it yet: it may have been held up."""
-        options = self.backends.options.deadlines
-        transport = getattr(self.attempt.req.client, "transport", None)  # None: nobody waits for the answer
-        if transport is None or options.on_leave == "ignore":
-            return False
-        with contextlib.suppress(OSError, RuntimeError):  # of a socket that broke just now the loop will tell
-            return hung_up(transport, half_counts=options.half_close == "leaves")
-        return False
+        return self.backends.dispatch.barred(now, self.attempt)
 
     def request(self, now: int) -> bytes:
         message = self.attempt.req.payload
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -24,7 +24,7 @@
 from cedarmill.fleet.zones import Zoning
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Accepting, listening_socket
+from cedarmill.net.listening import Acceptor, listening_socket
 from cedarmill.net.peers import HELLO_US, SILENT_US, Wire
 from cedarmill.net.turn import Turn, callback
 from cedarmill.store.files import Files
@@ -36,7 +36,6 @@
 SESSIONS = 4096  # connections of members and operators: nodes, stewards, and a few operators
 BACKLOG = 1024
 ACCEPTS = 32  # in one turn
-ACCEPT_AGAIN_US = 50_000
 FIRST = 1  # index and term of what a cluster begins with
 RETRY_FIRST_US = 100_000  # from a failure of the disk to the first try to open it anew
 RETRY_MOST_US = 2_000_000  # between two tries; each wait is twice the one before
@@ -83,7 +82,7 @@
     return w.Snapshot(before.index, max(before.term, FIRST), config, freeze(world))
 
 
-class KeeperProcess(Accepting):
+class KeeperProcess:
     """One keeper on one loop."""
 
     def __init__(self, options: KeeperOptions, files: Files | None = None) -> None:
@@ -352,27 +351,11 @@
 
     # Listening.
 
-    @callback
-    def _accept(self) -> None:
-        for _ in range(ACCEPTS):
-            try:
-                sock, _ = self._socket.accept()
-            except (BlockingIOError, ConnectionAbortedError):
-                return
-            except OSError as error:
-                say("accept-failed", reason=error.strerror, listener="keeper")
-                self._accept_off()
-                self.deadlines.add(self.turn.now() + ACCEPT_AGAIN_US, self._accept_on)
-                return
-            sock.setblocking(False)
-            wire = Wire(self.turn, self._heard, self._ended)
-            opening = self.loop.connect_accepted_socket(lambda wire=wire: wire, sock)
-            self.loop.create_task(opening).add_done_callback(self._opened)
-            self.deadlines.add(self.turn.now() + HELLO_US, lambda now, wire=wire: self._no_hello(wire))
-
-    def _opened(self, task) -> None:
-        if not task.cancelled() and task.exception() is not None:
-            say("session-not-opened", reason=task.exception(), listener="keeper")
+    def _incoming(self) -> Wire:
+        """The connection of one who has dialled this process."""
+        wire = Wire(self.turn, self._heard, self._ended)
+        self.deadlines.add(self.turn.now() + HELLO_US, lambda now: self._no_hello(wire))
+        return wire
 
     def _no_hello(self, wire: Wire) -> None:
         if not wire.name:
@@ -386,9 +369,10 @@
         for number in SIGNALS:
             self.loop.add_signal_handler(number, self._terminate)
         listen = Address.parse(self.options.listen)
-        self._socket = listening_socket(listen, BACKLOG)
-        self.port = self._socket.getsockname()[1]
-        self._accept_on()
+        sock = listening_socket(listen, BACKLOG)
+        self.acceptor = Acceptor(self.turn, sock, self._incoming, listener="keeper", batch=ACCEPTS)
+        self.port = self.acceptor.port
+        self.acceptor.resume()
         self._tell_store()
         self._dial_again(self.turn.now())
         self._arm()
--- a/cedarmill/net/listening.py
+++ b/cedarmill/net/listening.py
@@ -148,25 +148,3 @@
 
     def abort(self) -> None:
         """`callback` asks for it: a defect in one round must not end the listening."""
-
-
-class Accepting:
-    """Switches the loop's reader of `_socket` that calls `_accept`; the class that takes it in has `turn`.
-
-    `Acceptor` takes its place; the replica and the members' listener still use it.
-    """
-
-    _socket: socket.socket | None = None
-    _accepting = False
-
-    def _accept(self) -> object: ...
-
-    def _accept_on(self, now: int = 0) -> None:
-        if self._socket is not None and not self._accepting:
-            self._accepting = True
-            self.turn.loop.add_reader(self._socket.fileno(), self._accept)
-
-    def _accept_off(self) -> None:
-        if self._accepting:
-            self._accepting = False
-            self.turn.loop.remove_reader(self._socket.fileno())
--- a/cedarmill/net/member.py
+++ b/cedarmill/net/member.py
@@ -6,16 +6,16 @@
 from cedarmill.fleet.agent import Agent, Dial, Facts, Follow, Glance, Lapse, Resume, Say, Who
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Accepting, listening_socket
+from cedarmill.net.listening import Acceptor, listening_socket
 from cedarmill.net.peers import Wire
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.turn import Turn
 
 GLANCE_US = 800_000  # for a member that is looked at to answer
 PINGERS = 64  # connections of members that look, at once
 LEAVE_US = 300_000  # for a keeper to hear that this life ends
 
 
-class Membership(Accepting):
+class Membership:
     """Keeps the session of this process; `follow`, `lapsed` and `resumed` are its owner's."""
 
     def __init__(
@@ -53,9 +53,12 @@
 
     def listen(self, address: Address) -> None:
         """Where members look; raises OSError."""
-        self._socket = listening_socket(address, PINGERS)
-        self.port = self._socket.getsockname()[1]
-        self._accept_on()
+        sock = listening_socket(address, PINGERS)
+        self.acceptor = Acceptor(
+            self.turn, sock, self._incoming, listener="member", batch=PINGERS, has_room=self._has_room
+        )
+        self.port = self.acceptor.port
+        self.acceptor.resume()
 
     def start(self) -> None:
         """Begin to beat."""
@@ -169,20 +172,19 @@
             return
         self.turn.deadlines.add(self.turn.now() + GLANCE_US, lambda now: done(wire, False))
 
-    @callback
-    def _accept(self) -> None:
-        try:
-            sock, _ = self._socket.accept()
-        except OSError:
-            return
-        sock.setblocking(False)
+    def _incoming(self) -> Wire:
+        """The connection of one who looks whether this process lives."""
         wire = Wire(self.turn, self._pinged, lambda wire, reason: self._pings.discard(wire))
-        if len(self._pings) >= PINGERS:
-            sock.close()
-            return
         self._pings.add(wire)
-        self.turn.loop.create_task(self.turn.loop.connect_accepted_socket(lambda: wire, sock))
         self.turn.deadlines.add(self.turn.now() + GLANCE_US, lambda now: self._late_ping(wire))
+        return wire
+
+    def _has_room(self) -> bool:
+        """Whether one more may look; at the bound they wait in the backlog."""
+        if len(self._pings) < PINGERS:
+            return True
+        self.acceptor.resume_later()
+        return False
 
     def _late_ping(self, wire: Wire) -> None:
         if wire in self._pings:
@@ -196,6 +198,3 @@
             return
         if isinstance(word, f.Ping):
             wire.say(number, f.Pong(self.who.name, self.who.life))
-
-    def abort(self) -> None:
-        """Nothing to end: `callback` asks for it."""
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -196,6 +196,7 @@
         longest = max(spec.deadline_us for spec in self.config.settings.classes)
         kill = self.term_at + KILL_US + min(longest, KILL_DEADLINE_US)
         answer_by = self.clients.answer_by = kill - KILL_MARGIN_US
+        self.dispatch.answer_by(answer_by)
         self.deadlines.add(answer_by + ANSWER_ALL_US, self.clients.answer_all)
         accept_until = self.term_at  # a socket that the platform holds: its new process takes what comes
         if self.inherited is None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -64,6 +64,9 @@
     def refused(self, retry_after_us: int) -> None:
         self._note("refused", self.answers, ("refused", retry_after_us))
 
+    def present(self) -> bool:
+        return True
+
     def failed(self) -> None:
         self._note("failed", self.answers, ("failed",))
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -101,6 +101,25 @@
                     self.assertEqual(client.answer()[0], 200)
                     self.assertTrue(self.servers[0].asked.empty())
 
+    def test_no_retry_for_one_who_closed_while_the_node_was_held_up(self):
+        """Its attempt and the client ended meanwhile: the retry was written before the close was read."""
+        sock = self.raw_client()
+        sock.sendall(raw(1))
+        asked = self.servers[0].next()
+        self.process.send_signal(signal.SIGSTOP)
+        asked.wire.send(NEVER_RAN)
+        until = time.monotonic() + 0.12
+        sock.close()
+        self.wait_for(lambda: time.monotonic() > until)
+        self.process.send_signal(signal.SIGCONT)
+        client = self.client().ask("pin")
+        while not client.answered(0.01):
+            if not self.servers[0].asked.empty():
+                asked = self.servers[0].next()
+                self.assertEqual(asked.headers["X-Call-Id"], f"{client.count:016x}")
+                asked.done()
+        self.assertIn(client.answer()[0], (200, 503))  # the module may wait for the executor to recover
+
 
 class Ending(LeavingCase):
     """SIGTERM, and what comes in that instant."""
@@ -203,10 +222,10 @@
                 asked.done(letter * BIG if letter in answers else "other")
         self.assertEqual(other.answer(), (200, b"other"))
         self.wait_log("no new sessions from now on")
-        size, began = 0, time.monotonic()
+        size, began, rate = 0, time.monotonic(), answers["x"] * BIG / 1.6  # bytes a second: it takes 1.6 s
         while chunk := slow.recv(65_536):
             size += chunk.count(b"x")
-            pause = began + size / 700_000
+            pause = began + size / rate
             while time.monotonic() < pause:
                 select.select([], [], [], 0.01)
         self.assertEqual(size, answers["x"] * BIG)
