--- a/cedarmill/log.py
+++ b/cedarmill/log.py
@@ -4,8 +4,13 @@
 form is rendered by structlog, which is loaded when it is asked for.
 """
 
+import contextlib
 import logging
+import os
+import select
+import stat
 import sys
+import time
 from typing import Any, NamedTuple
 
 log = logging.getLogger("cedarmill")
@@ -83,6 +88,10 @@
     "beside-failed": Event(logging.WARNING, "what this node's other process has out not exchanged: {reason}"),
     "beside-unread": Event(logging.WARNING, "what this node's other process has out not read: {reason}"),
     "beside": Event(logging.INFO, "other processes of this node that live: {others}"),
+    "boot-unknown": Event(
+        logging.WARNING, "this machine's start has no id, documents are aged by Unix time: {reason}"
+    ),
+    "log-lost": Event(logging.WARNING, "lines of this log that could not be written: {lines}"),
     "evacuated": Event(logging.INFO, "evacuated: /ready says no, answers end their connections, {held} held"),
     "rejoined": Event(logging.INFO, "rejoined: /ready says yes again"),
     "defect": Event(logging.ERROR, "{what} failed"),
@@ -108,9 +117,58 @@
         self._said: dict[str, float] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        text = record.getMessage()
-        self._said = {t: at for t, at in self._said.items() if record.created - at < self.SECONDS}
-        return self._said.setdefault(text, record.created) == record.created
+        text, now = record.getMessage(), time.monotonic()  # a step back of Unix time would silence it
+        self._said = {t: at for t, at in self._said.items() if now - at < self.SECONDS}
+        return self._said.setdefault(text, now) == now
+
+
+class StderrHandler(logging.Handler):
+    """Writes lines to a descriptor, and never waits for whoever reads them: what it cannot take is counted.
+
+    A reader that stands still would stop the loop's thread, and with it each request. The descriptor is
+    shared with other processes, so it is not made non-blocking; one that is no file is asked whether it
+    takes more.
+    """
+
+    CHUNK = select.PIPE_BUF  # bytes that a pipe which can be written takes without a wait
+
+    def __init__(self, descriptor: int) -> None:
+        super().__init__()
+        self.descriptor = descriptor
+        self.lost = 0  # lines since the last that was written
+        self._torn = False  # the last write ended within a line
+        self._poll: select.poll | None = None
+        if not stat.S_ISREG(os.fstat(descriptor).st_mode):
+            self._poll = select.poll()
+            self._poll.register(descriptor, select.POLLOUT)
+
+    def emit(self, record: logging.LogRecord) -> None:
+        """Write it, after how many before it were lost."""
+        try:
+            line = self.format(record)
+            if self.lost and self._write(self._lost_line()):
+                self.lost = 0
+        except Exception:
+            self.handleError(record)
+            return
+        self.lost += not self._write(line)
+
+    def _lost_line(self) -> str:
+        kind, fields = EVENTS["log-lost"], {"lines": self.lost}
+        record = log.makeRecord(log.name, kind.level, "", 0, kind.words.format(**fields), (), None,
+                                extra={"event_name": "log-lost", "event_fields": fields})  # fmt: skip
+        return self.format(record)
+
+    def _write(self, line: str) -> bool:
+        rest = ("\n" * self._torn + line + "\n").encode(errors="backslashreplace")
+        try:
+            while rest and (self._poll is None or self._poll.poll(0)):
+                written = os.write(self.descriptor, rest[: self.CHUNK])
+                self._torn = rest[written - 1 : written] != b"\n"
+                rest = rest[written:]
+        except OSError:  # nobody reads it any more, the disk is full
+            return False
+        return not rest
 
 
 def _json() -> logging.Formatter:
@@ -129,7 +187,9 @@
 
 def begin(form: str = "text") -> None:
     """Send the log to standard error in one of FORMATS."""
-    handler = logging.StreamHandler(sys.stderr)
+    handler: logging.Handler = logging.StreamHandler(sys.stderr)
+    with contextlib.suppress(OSError, ValueError, AttributeError):  # closed, or none of the system's
+        handler = StderrHandler(sys.stderr.fileno())
     handler.addFilter(Sparing())
     handler.setFormatter(_json() if form == "json" else logging.Formatter(TEXT_FORM))
     logging.basicConfig(handlers=[handler], level=logging.INFO)
