--- a/cedarmill/net/beside.py
+++ b/cedarmill/net/beside.py
@@ -15,8 +15,9 @@
 from cedarmill.log import say
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.kept import KeptInPlace, kept_path
-from cedarmill.net.turn import Turn, unix_us
+from cedarmill.net.turn import Turn, moment
 from cedarmill.ops import document
+from cedarmill.ops.document import Moment
 from cedarmill.ops.share import Room
 
 KIND = "out"
@@ -39,21 +40,36 @@
 
 
 class Other:
-    """What another process's file has told."""
+    """What another process's file has told, and when it last gave a sign of life.
+
+    A change that this process sees is a sign of life now, whatever any clock says. Only what stood there at
+    the first sight is judged by the time in it: by the machine's clock, which both processes share. Where
+    that cannot be read (an older program's document), it counts from the first sight.
+    """
 
     def __init__(self, path: str) -> None:
         self.kept = KeptInPlace(path)
         self.texts: list[bytes] = []
-        self.at = 0  # Unix us, when what counts was written
+        self.alive_at: int | None = None  # in the brain's clock; None: nothing whole was read yet
         self.told = Told({}, Room(0, 0))
 
-    def read(self, node: str) -> None:
+    def read(self, node: str, now: Moment) -> None:
         """Take up what is new; raises ValueError (what held goes on) or OSError."""
         if (texts := self.kept.texts()) == self.texts:
             return
         self.texts = texts
-        self.at, body = document.newest(texts, KIND, node)
+        written, body = document.newest(texts, KIND, node, now)
         self.told = _DECODE.decode(body)
+        if self.alive_at is None and written.comparable(now):
+            self.alive_at = written.clock_us
+        elif self.alive_at is None and written.other_boot(now):
+            self.alive_at = now.clock_us - SILENT_US - 1  # of no process of this machine, till it changes
+        else:
+            self.alive_at = now.clock_us
+
+    def silent_for(self, now_us: int, span_us: int) -> bool:
+        """Whether it has given no sign of life for that long; a file that was only just made is none yet."""
+        return self.alive_at is not None and now_us - self.alive_at > span_us
 
 
 class Beside:
@@ -66,7 +82,8 @@
         self.own = KeptInPlace(kept_path(node, f"{KIND}-{os.getpid()}"))
         self.folder, name = os.path.split(self.own.path)
         self.prefix = name[: name.rindex(KIND)] + f"{KIND}-"
-        self.others: dict[str, Other] = {}  # by file
+        self.files: dict[str, Other] = {}  # all that there are, by name
+        self.others: dict[str, Other] = {}  # those of them that live
         self.told: Out = {}  # to the module
         self.written: tuple[int, Told | None] = (0, None)
         self.rooms: list[Room] = []  # held by the others, as last heard
@@ -81,49 +98,57 @@
 
     def _look(self, now: int) -> None:
         """The one chain of looks."""
-        unix = unix_us()
+        self.turn.deadlines.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
+        here = moment(now)
+        self._read(here)
         try:
-            self._read(unix)
-            self._write(now, unix)
-        except OSError as error:
+            self._write(here)
+        except OSError as error:  # the others' word counts all the same
             say("beside-failed", reason=error)
+        self._count(now)
         self._tell(now)
         if (rooms := [other.told.room for other in self.others.values()]) != self.rooms:
             if len(rooms) != len(self.rooms):
                 say("beside", others=len(rooms))
             self.rooms = rooms
             self.shared(rooms)
-        self.turn.deadlines.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
 
-    def _read(self, unix: int) -> None:
-        names = {n for n in os.listdir(self.folder) if n.startswith(self.prefix) and n.endswith(".json")}
+    def _read(self, here: Moment) -> None:
+        names = self._names()
         for name in names - {os.path.basename(self.own.path)}:
-            other = self.others.get(name) or Other(os.path.join(self.folder, name))
+            other = self.files.setdefault(name, Other(os.path.join(self.folder, name)))
             try:
-                other.read(self.node)
-            except ValueError as error:  # msgspec's errors are ValueErrors too
+                other.read(self.node, here)
+            except (OSError, ValueError) as error:  # msgspec's errors are ValueErrors too
                 say("beside-unread", reason=error)
-            self._heard(name, other, unix)
-        for name in self.others.keys() - names:
-            self.others.pop(name).kept.close()
-
-    def _heard(self, name: str, other: Other, unix: int) -> None:
-        """Count it while it gives signs of life; what is left of a dead one is removed in the end."""
-        if unix - other.at <= SILENT_US:
-            self.others[name] = other
-            return
-        self.others.pop(name, None)
-        other.kept.close()
-        if other.at and unix - other.at > GONE_US:  # 0: only just made, and not written yet
-            other.kept.remove()
+        for name in self.files.keys() - names:
+            self.files.pop(name).kept.close()
 
-    def _write(self, now: int, unix: int) -> None:
+    def _names(self) -> set[str]:
+        """The files of this node's processes; those known already while the folder cannot be read."""
+        try:
+            found = os.listdir(self.folder)
+        except OSError as error:
+            say("beside-failed", reason=error)
+            return set(self.files)
+        return {n for n in found if n.startswith(self.prefix) and n.endswith(".json")}
+
+    def _count(self, now: int) -> None:
+        """Those count that give signs of life; what is left of a dead one is removed in the end."""
+        self.others = {name: other for name, other in self.files.items()
+                       if other.alive_at is not None and not other.silent_for(now, SILENT_US)}  # fmt: skip
+        for name in self.files.keys() - self.others.keys():
+            self.files[name].kept.close()  # opened anew at each look: its owner may have made it anew
+            if self.files[name].silent_for(now, GONE_US):
+                self.files.pop(name).kept.remove()
+
+    def _write(self, here: Moment) -> None:
         """Tell what is out: when it changed, for one that starts reads it at once; else now and then."""
         at, before = self.written
         told = Told(out(self.dispatch.brain, self.discovery.reader.names), self.held())
-        if told != before or now - at >= BEAT_US:
-            self.own.write(document.seal(KIND, self.node, unix, msgspec.json.encode(told)))
-            self.written = now, told
+        if told != before or here.clock_us - at >= BEAT_US:
+            self.own.write(document.seal(KIND, self.node, here, msgspec.json.encode(told)))
+            self.written = here.clock_us, told
 
     def _tell(self, now: int) -> None:
         """The module hears of each executor where the sum has changed."""
--- a/cedarmill/net/discovery.py
+++ b/cedarmill/net/discovery.py
@@ -1,6 +1,7 @@
 """The discovery client: the list of executors, first as the configuration holds it, then by a watch."""
 
 import asyncio
+import contextlib
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
@@ -13,13 +14,22 @@
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.backends import Backends
-from cedarmill.net.config import Address, Listing, ListReader
+from cedarmill.net.config import Address, Listing, ListReader, Start
 from cedarmill.net.list_stream import ListStream
 from cedarmill.net.turn import Turn, callback
 
 QUIET_US = 30_000_000  # between two lines that tell of a lost watch: a discovery may come and go
 
 
+TRANSPORT_ERRORS = (OSError, RuntimeError)  # of a transport whose socket has just broken, or is closed
+
+
+def abort_quietly(transport: asyncio.Transport) -> None:
+    """End a connection of which nothing more is wanted, in whatever state its socket is."""
+    with contextlib.suppress(*TRANSPORT_ERRORS):
+        transport.abort()
+
+
 class WatchConnection(asyncio.Protocol):
     """One connection to discovery, which carries one call for changes."""
 
@@ -28,6 +38,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.lists = ListStream()
+        self.listed = False  # whether a list has come: from then on an empty line says that it is the newest
         self.over = False
         self.task: asyncio.Task | None = None
 
@@ -46,14 +57,17 @@
     def connection_made(self, transport) -> None:
         self.transport = transport
         if self.over:
-            transport.abort()
+            abort_quietly(transport)
             return
         self.client.happened(Event.CONNECTED)
 
     def call(self, index: int) -> None:
         """Ask for what has changed since that version."""
         path = b"/v1/endpoints?watch=1&from=%d" % index
-        self.transport.write(b"GET %s HTTP/1.1\r\nHost: discovery\r\n\r\n" % path)
+        try:
+            self.transport.write(b"GET %s HTTP/1.1\r\nHost: discovery\r\n\r\n" % path)
+        except TRANSPORT_ERRORS as error:
+            self.broken(f"not asked: {error}")
 
     @callback
     def data_received(self, data: bytes) -> None:
@@ -65,6 +79,8 @@
             self.broken(f"malformed answer: {error.__context__ or error}")
         if not self.over:
             self.client.happened(Event.HEARD_PART if self.lists.partial else Event.HEARD)
+            if self.listed and not self.lists.partial:
+                self.client.current_at = self.turn.now()
 
     # httptools calls these.
 
@@ -83,6 +99,7 @@
     def _take(self, listings: list[Listing]) -> None:
         for listing in listings:
             self.client.news(listing)
+            self.listed = True
 
     def eof_received(self) -> None:
         """The loop closes the transport, and connection_lost does the rest."""
@@ -105,7 +122,7 @@
         if self.task is not None:
             self.task.cancel()
         if self.transport is not None:
-            self.transport.abort()
+            abort_quietly(self.transport)
 
 
 class DiscoveryClient:
@@ -129,6 +146,7 @@
         self.held = False  # nothing may be sent: to the module all drain
         self.hidden: set[str] = set()  # not used by this node, by the fleet's plan: to the module they drain
         self.listed_start: dict[int, int] = {}  # Unix ms, as discovery tells it
+        self.current_at: int | None = None  # when discovery last told that the list was the newest
 
     def first(self, known: Listing) -> None:
         """The list of the configuration; an agent that pushes the list is asked for changes at once."""
@@ -136,6 +154,11 @@
         if self.pushed:
             self.watch()
 
+    def inherit(self, starts: dict[str, Start], current_at: int | None) -> None:
+        """What the process before this one knew: the executors' starts, and when its list was the newest."""
+        self.reader.starts.update(starts)
+        self.current_at = current_at
+
     def news(self, listing: Listing) -> None:
         """A list that the watch has brought."""
         self.watching.listed()
@@ -145,9 +168,9 @@
         self._tell(listing, api.ListKind.FULL if listing.snapshot else api.ListKind.DELTA)
 
     def _tell(self, listing: Listing, kind: api.ListKind) -> None:
-        entries = []
+        now, entries = self.turn.now(), []
         for endpoint in listing.endpoints:
-            entry = self.reader.entry(endpoint)
+            entry = self.reader.entry(endpoint, now, self.current_at)
             try:
                 self.backends.update(entry.worker, endpoint)
             except ValueError as error:
@@ -159,7 +182,9 @@
             self.entries.clear()
         self.entries.update((entry.worker, entry) for entry in entries)
         self.listed_start.update((self.reader.numbers[e.name], e.since_ms) for e in listing.endpoints)
-        self.dispatch.listed(self.turn.now(), api.WorkerList(kind, [self._told(entry) for entry in entries]))
+        if kind != api.ListKind.CACHED:
+            self.current_at = now
+        self.dispatch.listed(now, api.WorkerList(kind, [self._told(entry) for entry in entries]))
         if self.heard is not None:
             self.heard()
 
@@ -217,6 +242,7 @@
     def move(self, address: Address) -> None:
         """Discovery is elsewhere now and may count otherwise: the list is out of date till all of it came."""
         self.address, self.index, self.told, self.quiet_until = address, 0, None, 0
+        self.current_at = None  # the new one may know executors that the old one never named
         self.happened(Event.MOVED)
         news = api.WorkerList(api.ListKind.CACHED, [self._told(entry) for entry in self.entries.values()])
         self.dispatch.listed(self.turn.now(), news)
@@ -224,11 +250,12 @@
     def happened(self, event: Event, reason: str = "") -> None:
         """Let the state machine take an event, and carry out what it orders."""
         before = self.watching.deadline
-        for action in self.watching.step(self.turn.now(), event):
-            self._do(action, reason)
-        if self.watching.deadline != before:
+        actions = self.watching.step(self.turn.now(), event)
+        if self.watching.deadline != before:  # first: whatever fails below, the watch is asked for again
             self.turn.deadlines.cancel(self._deadline)
             self._deadline = self.turn.deadlines.add(self.watching.deadline, self._due)
+        for action in actions:
+            self._do(action, reason)
 
     def _due(self, now: int) -> None:
         self.happened(Event.DUE)
--- a/cedarmill/net/hands.py
+++ b/cedarmill/net/hands.py
@@ -12,11 +12,13 @@
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.door import Answer
 from cedarmill.net.kept import KeptFile, kept_path
-from cedarmill.net.turn import Turn, unix_us
+from cedarmill.net.turn import Turn, moment
 from cedarmill.ops.door import Act, Call
 from cedarmill.ops.exclusions import KIND, Exclusions
 
 LOOK_US = 500_000  # between two looks at the kept file: the node's other process may have changed it
+LOCK_WAIT_US = 500_000  # for the node's other process to leave that file: a call is answered within 1 s
+LOCK_AGAIN_US = 10_000  # between two tries
 AWAY_IDLE_US = 1_000_000  # after an evacuation, before idle connections close: new ones stop 0.2 s after a no
 SWEEP_US = 100_000  # then between two closings of what has become idle
 
@@ -32,8 +34,7 @@
         self.agreed: Callable[[Call, Answer], None] | None = None  # where a fleet decides
         self.by_fleet: dict[str, int] = {}  # executors out by the fleet's word
         self._away = 0  # grows with each evacuation: an old sweep ends when it sees a newer one
-        self._acts = {Act.READY: self._ready, Act.EXCLUDE: self._mark, Act.INCLUDE: self._mark,
-                      Act.EVACUATE: self._evacuate, Act.REJOIN: self._rejoin}  # fmt: skip
+        self._acts = {Act.READY: self._ready, Act.EVACUATE: self._evacuate, Act.REJOIN: self._rejoin}
 
     def start(self) -> None:
         """Take up the marks that an earlier process of this node left, before the first list is told."""
@@ -48,7 +49,7 @@
         """Take up what the node's other process kept, if it changed."""
         try:
             text = self.kept.read()
-            changed = self.exclusions.adopt(text, unix_us()) if text is not None else set()
+            changed = self.exclusions.adopt(text, moment(self.turn.now())) if text is not None else set()
         except (OSError, ValueError) as error:
             say("exclusions-unread", reason=error)
             return
@@ -58,14 +59,15 @@
 
     def _tell(self) -> None:
         """Lay the marks as they now stand over what the module hears of these executors."""
-        at = self.discovery.reader.at
-        own = {name: at(since) for name, since in self.exclusions.since.items()}
-        self.discovery.mark({**self.by_fleet, **own})
+        self.discovery.mark({**self.by_fleet, **self.exclusions.marked_us})
 
     def obey(self, call: Call, answer: Answer) -> None:
         """Answer a call understood: at once, or when the fleet has been asked, where there is one."""
         if self.agreed is not None and call.act != Act.READY:
             self.agreed(call, answer)
+        elif call.act in (Act.EXCLUDE, Act.INCLUDE):
+            now = self.turn.now()
+            self._mark(call, answer, now, now + LOCK_WAIT_US)
         else:
             answer(*self._acts[call.act](call))
 
@@ -81,24 +83,33 @@
     def _ready(self, call: Call) -> tuple[int, bytes]:
         return (200, b"ready\n") if self.clients.ready() else (503, b"not ready\n")
 
-    def _mark(self, call: Call) -> tuple[int, bytes]:
-        before = dict(self.exclusions.since), self.exclusions.version
+    def _mark(self, call: Call, answer: Answer, now: int, until: int) -> None:
+        """Make the mark as soon as the node's other process leaves the file; a no if it has not by then."""
         try:
             with self.kept.alone():  # the node's other process may mark at the same time
-                return self._mark_alone(call.executor, call.act == Act.EXCLUDE)
-        except OSError as error:  # nothing half done: the mark is taken back
-            self.exclusions.since, self.exclusions.version = before
-            say("exclusions-unkept", reason=error)
-            return 503, b"the mark could not be kept\n"
+                done = self._mark_alone(call.executor, call.act == Act.EXCLUDE)
+        except OSError as error:  # nothing half done: `_mark_alone` takes the mark back
+            if not isinstance(error, BlockingIOError) or now >= until:
+                say("exclusions-unkept", reason=error)
+                done = 503, b"the mark could not be kept\n"
+            else:
+                self.turn.deadlines.add(now + LOCK_AGAIN_US, lambda now: self._mark(call, answer, now, until))
+                return
+        answer(*done)
 
     def _mark_alone(self, name: str, out: bool) -> tuple[int, bytes]:
         """Make the mark on the newest word of both processes; raises OSError where it cannot be kept."""
         self._take_up()
         if not (self.discovery.knows(name) or name in self.exclusions.since):
             return 404, b"no executor of that id\n"
-        now, done = unix_us(), b"excluded\n" if out else b"included\n"
+        now, done = moment(self.turn.now()), b"excluded\n" if out else b"included\n"
+        before = self.exclusions.copy()
         if self.exclusions.exclude(name, now) if out else self.exclusions.include(name):
-            self.kept.write(self.exclusions.encode(now))
+            try:
+                self.kept.write(self.exclusions.encode(now))
+            except OSError:
+                self.exclusions = before
+                raise
             say("excluded" if out else "included", executor=name)
             self._tell()
         return 200, done
--- a/cedarmill/net/kept.py
+++ b/cedarmill/net/kept.py
@@ -2,12 +2,16 @@
 
 Two processes of one node (an old one and its replacement) share the folder; each writes its own temporary
 file and renames it over the kept one, so neither ever reads the other's half-written bytes.
+
+All of it runs on the loop's thread, so nothing here waits for another process, and only regular files of a
+bounded size are read. `$TMPDIR` is taken for a local file system: the calls themselves cannot be bounded.
 """
 
 import contextlib
 import errno
 import fcntl
 import os
+import stat
 from collections.abc import Iterator
 
 
@@ -17,9 +21,40 @@
     return os.path.join(os.environ.get("TMPDIR") or "/tmp", f"cedarmill-{safe}-{kind}.json")
 
 
+def _open(path: str, flags: int) -> int:
+    """A regular file's descriptor; raises OSError, also for what a read or write could wait on."""
+    file = os.open(path, flags | os.O_CLOEXEC | os.O_NONBLOCK, 0o600)
+    try:
+        if not stat.S_ISREG(os.fstat(file).st_mode):
+            raise OSError(errno.EINVAL, "not a regular file", path)
+    except OSError:
+        os.close(file)
+        raise
+    return file
+
+
+def _write_all(file: int, text: bytes, at: int) -> None:
+    """Write at that place, however short the system cuts it; raises OSError, and a part may be written."""
+    while text:
+        written = os.pwrite(file, text, at)
+        if not written:
+            raise OSError(errno.EIO, "nothing written")
+        text, at = text[written:], at + written
+
+
+def _read_all(file: int, length: int, at: int) -> bytes:
+    """So many bytes from there, fewer where the file ends; raises OSError."""
+    text = b""
+    while len(text) < length and (part := os.pread(file, length - len(text), at + len(text))):
+        text += part
+    return text
+
+
 class KeptFile:
     """One kept document; `read` gives it only when the file changed since this process last saw it."""
 
+    MOST = 1024 * 1024  # bytes of a document: what is larger is none of ours, and is not read
+
     def __init__(self, path: str) -> None:
         self.path = path
         self._seen: tuple[int, int, int] | None = None  # inode, size, change time in ns
@@ -27,26 +62,31 @@
     def read(self) -> bytes | None:
         """The document if it is new to this process; None if unchanged or absent. Raises OSError."""
         try:
-            stat = os.stat(self.path)
+            if _identity(os.stat(self.path)) == self._seen:
+                return None
+            file = _open(self.path, os.O_RDONLY)
         except FileNotFoundError:
             return None
-        seen = (stat.st_ino, stat.st_size, stat.st_mtime_ns)
-        if seen == self._seen:
-            return None
-        with open(self.path, "rb") as file:
-            text = file.read()
-        self._seen = seen
+        try:
+            seen = os.fstat(file)
+            if seen.st_size > self.MOST:
+                raise OSError(errno.EFBIG, os.strerror(errno.EFBIG), self.path)
+            text = _read_all(file, self.MOST, 0)
+        finally:
+            os.close(file)
+        self._seen = _identity(seen)
         return text
 
     @contextlib.contextmanager
     def alone(self) -> Iterator[None]:
-        """Between a read and the write that follows from it, no other process changes it; raises OSError.
+        """Between a read and the write that follows from it, no other process changes it.
 
-        Waits for the other process, which holds it for the time of one small write; a killed one lets go.
+        Raises BlockingIOError at once while another process holds it: for the time of one small write, or
+        for as long as that process stands still; a killed one lets go. Raises OSError where it fails.
         """
-        file = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        file = _open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT)
         try:
-            fcntl.flock(file, fcntl.LOCK_EX)
+            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
             yield
         finally:
             os.close(file)
@@ -55,14 +95,21 @@
         """Replace the document whole; raises OSError, and the old document then stays."""
         temporary = f"{self.path}.{os.getpid()}-{id(self)}.tmp"
         try:
-            with open(temporary, "wb") as file:
-                file.write(text)
+            file = _open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
+            try:
+                _write_all(file, text, 0)
+                seen = _identity(os.fstat(file))  # before the rename: after it nothing may fail any more
+            finally:
+                os.close(file)
             os.replace(temporary, self.path)
         except OSError:
             _remove(temporary)
             raise
-        stat = os.stat(self.path)
-        self._seen = (stat.st_ino, stat.st_size, stat.st_mtime_ns)
+        self._seen = seen
+
+
+def _identity(found: os.stat_result) -> tuple[int, int, int]:
+    return found.st_ino, found.st_size, found.st_mtime_ns
 
 
 class KeptInPlace:
@@ -89,21 +136,26 @@
         return [text for half in range(2) if (text := self._half(half * self.HALF))]
 
     def _half(self, at: int) -> bytes:
-        head = os.pread(self._file, self.HEAD, at)
+        head = _read_all(self._file, self.HEAD, at)
         length = int(head) if head.strip().isdigit() else 0
-        return os.pread(self._file, min(length, self.HALF - self.HEAD), at + self.HEAD)
+        return _read_all(self._file, min(length, self.HALF - self.HEAD), at + self.HEAD)
 
     def write(self, text: bytes) -> None:
-        """Put the document into the half not written last; raises OSError."""
+        """Put the document into the half not written last; raises OSError, and that half is then torn.
+
+        The next document goes there again, so that the other half holds till one is whole.
+        """
         if len(text) > self.HALF - self.HEAD:
             raise OSError(errno.EFBIG, os.strerror(errno.EFBIG), self.path)
+        if self._file >= 0 and not os.fstat(self._file).st_nlink:
+            self.close()  # removed under us: what is written there nobody would read
         self._open(os.O_RDWR | os.O_CREAT)
-        os.pwrite(self._file, b"%07d\n" % len(text) + text, self._turn * self.HALF)
+        _write_all(self._file, b"%07d\n" % len(text) + text, self._turn * self.HALF)
         self._turn = 1 - self._turn
 
     def _open(self, flags: int) -> None:
         if self._file < 0:
-            self._file = os.open(self.path, flags | os.O_CLOEXEC, 0o600)
+            self._file = _open(self.path, flags)
 
     def close(self) -> None:
         """Let go of the file."""
--- a/cedarmill/net/memory.py
+++ b/cedarmill/net/memory.py
@@ -10,16 +10,30 @@
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.memory import Memory, recall, recall_worker, remember
 from cedarmill.log import say
+from cedarmill.net.config import Start
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.kept import KeptInPlace, kept_path
-from cedarmill.net.turn import Turn, unix_us
+from cedarmill.net.turn import Turn, moment
 from cedarmill.ops import document
 
 KIND = "memory"
 KEEP_US = 500_000  # between two writings: a replaced process hands over news that are at most that old
 MOST_US = 30_000_000  # an older document is not believed: in that time a fleet can be another one
 LATE_US = 3_000_000  # for the first lists to name the executors that the document tells of
-_DECODE = msgspec.json.Decoder(Memory)
+
+
+class _Kept(Memory):
+    """The module's memory, and what this process knows of the executors' starts.
+
+    Kept apart from the module's: a stamp of discovery that the next process reads by a wall clock stepped
+    meanwhile would make an executor younger or older. Older programs pass over these fields.
+    """
+
+    starts: dict[str, tuple[int, int]] = {}  # discovery's stamp (Unix ms) and the start's age, by name
+    list_age_us: int | None = None  # since discovery's list was last known to be the newest
+
+
+_DECODE = msgspec.json.Decoder(_Kept)
 
 
 class Keeper:
@@ -43,8 +57,9 @@
         self.turn.deadlines.add(now + KEEP_US, self._keep)
 
     def _take_up(self, texts: list[bytes], now: int) -> None:
-        at_us, body = document.newest(texts, KIND, self.node)
-        age = document.age_us(at_us, unix_us(), MOST_US)
+        here = moment(now)
+        written_at, body = document.newest(texts, KIND, self.node, here)
+        age = document.age_us(written_at, here, MOST_US)
         try:
             memory = _DECODE.decode(body)
         except msgspec.MsgspecError as error:
@@ -54,6 +69,10 @@
             raise ValueError("of other settings: classes or tenants differ")
         self.pending, self.pending_until = memory, now + LATE_US
         say("recalled", workers=len(memory.workers), age=age / 1e6)
+        self.discovery.inherit(
+            {name: Start(stamp, written - ago) for name, (stamp, ago) in memory.starts.items()},
+            None if memory.list_age_us is None else written - memory.list_age_us,
+        )
         self.discovery.heard = lambda: self._lay(written)
 
     def _lay(self, written: int) -> None:
@@ -69,8 +88,17 @@
         if self.ending():
             return
         self.turn.deadlines.add(now + KEEP_US, self._keep)
-        body = msgspec.json.encode(remember(self.brain, self.discovery.reader.names, now))
         try:
-            self.kept.write(document.seal(KIND, self.node, unix_us(), body))
+            self.kept.write(document.seal(KIND, self.node, moment(now), self._body(now)))
         except OSError as error:
             say("memory-unkept", reason=error)
+
+    def _body(self, now: int) -> bytes:
+        discovery = self.discovery
+        memory = remember(self.brain, discovery.reader.names, now)
+        listed = (discovery.reader.names[number] for number in discovery.entries)
+        known = ((name, start) for name in listed if (start := discovery.reader.starts.get(name)))
+        starts = {name: (start.since_ms, now - start.at_us) for name, start in known}
+        list_age = None if discovery.current_at is None else now - discovery.current_at
+        fields = {name: getattr(memory, name) for name in Memory.__struct_fields__}
+        return msgspec.json.encode(_Kept(**fields, starts=starts, list_age_us=list_age))
--- a/cedarmill/net/turn.py
+++ b/cedarmill/net/turn.py
@@ -2,17 +2,41 @@
 
 import asyncio
 import functools
+import os
 import time
 
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.log import say
+from cedarmill.ops.document import Moment
+
+BOOT_ID = "/proc/sys/kernel/random/boot_id"  # random(4): a new one with each start of the kernel
+BOOT_ID_BYTES = 64
 
 
 def unix_us() -> int:
-    """Unix time, for what other processes read."""
+    """Unix time, for people and for stamps of other machines: it may be stepped."""
     return time.time_ns() // 1000
 
 
+@functools.cache
+def boot_id() -> str:
+    """Which start of the machine the monotonic clock counts from; empty where that cannot be read."""
+    try:
+        file = os.open(BOOT_ID, os.O_RDONLY | os.O_CLOEXEC)
+        try:
+            return os.read(file, BOOT_ID_BYTES).decode("ascii", "replace").strip()
+        finally:
+            os.close(file)
+    except OSError as error:
+        say("boot-unknown", reason=error)
+        return ""
+
+
+def moment(clock_us: int) -> Moment:
+    """That time on the machine's clock (`Turn.now`), as other processes of this machine can read it."""
+    return Moment(unix_us(), clock_us, boot_id())
+
+
 class Turn:
     """Runs what the loop calls; after each call it sweeps the deadlines and sets the timer anew."""
 
@@ -23,7 +47,7 @@
 
     @staticmethod
     def now() -> int:
-        """The brain's clock: monotonic microseconds."""
+        """The brain's clock: monotonic microseconds, the same for all processes of this machine."""
         return time.monotonic_ns() // 1000
 
     def end(self) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -206,15 +206,18 @@
         reader = ListReader(settings())
         unix_ms = time.time_ns() // 1_000_000
         endpoint = Endpoint("s-1", "SERVING", since_ms=unix_ms)
-        since = reader.entry(endpoint).started_at
-        self.assertAlmostEqual(since, time.monotonic_ns() // 1000, delta=2_000_000)
-        self.assertEqual(reader.entry(endpoint).started_at, since)
-        self.assertEqual(reader.entry(Endpoint("s-2", "SERVING", since_ms=0)).started_at, 0)
+        now = time.monotonic_ns() // 1000
+        since = reader.entry(endpoint, now).started_at
+        self.assertAlmostEqual(since, now, delta=2_000_000)
+        self.assertEqual(reader.entry(endpoint, now + 5_000_000).started_at, since)
+        self.assertEqual(reader.entry(Endpoint("s-2", "SERVING", since_ms=0), now).started_at, 0)
 
     def test_each_zone_that_the_settings_do_not_name_is_one_of_its_own(self):
         """Repeats of a keyed job are dropped within a zone only: two zones must not look like one."""
         reader = ListReader(settings(zones=("here",)))
-        zones = [reader.entry(Endpoint("s", "SERVING", zone=zone)).zone for zone in ("here", "x", "y", "x")]
+        zones = [
+            reader.entry(Endpoint("s", "SERVING", zone=zone), 1).zone for zone in ("here", "x", "y", "x")
+        ]
         self.assertEqual(zones, [0, 1, 2, 1])
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,29 +1,38 @@
 """The operators' door on the real program: calls, slow callers, executors out by hand, evacuation."""
 
 import contextlib
+import errno
+import fcntl
 import os
 import queue
 import resource
 import socket
 import tempfile
 import threading
+import time
 import unittest
+from unittest import mock
 
 from helpers import settings
 from nodes import WAIT, NodeCase, call, read_answer
 
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.net.clients import Clients
-from cedarmill.net.config import ListReader
 from cedarmill.net.door import SESSIONS
-from cedarmill.net.hands import LOOK_US, Hands
+from cedarmill.net.hands import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, Hands
 from cedarmill.net.kept import KeptFile
 from cedarmill.net.sessions import ClientSession
-from cedarmill.ops import door
+from cedarmill.ops import document, door
+from cedarmill.ops.document import Moment
 from cedarmill.ops.exclusions import Exclusions
 from cedarmill.values import DeadlineOptions
 
 
+def at(us: int) -> Moment:
+    """A moment at which the wall clock and the machine's clock say the same."""
+    return Moment(us, us, "boot-1")
+
+
 class Told:
     """Takes the answer to a call."""
 
@@ -58,34 +67,51 @@
 
     def test_two_outs_take_one_in_and_the_newer_document_wins(self):
         marks = Exclusions("n0")
-        self.assertTrue(marks.exclude("s-1", 5))
-        self.assertFalse(marks.exclude("s-1", 9))
-        kept = marks.encode(10)
+        self.assertTrue(marks.exclude("s-1", at(5)))
+        self.assertFalse(marks.exclude("s-1", at(9)))
+        kept = marks.encode(at(10))
         self.assertTrue(marks.include("s-1"))
         self.assertEqual(marks.since, {})
         other = Exclusions("n0")
-        self.assertEqual(other.adopt(kept, 11), {"s-1"})
+        self.assertEqual(other.adopt(kept, at(11)), {"s-1"})
         self.assertEqual(other.since, {"s-1": 5})
-        self.assertEqual(other.adopt(marks.encode(12), 12), {"s-1"})  # version 3 after version 2
-        self.assertEqual(other.adopt(kept, 13), set())  # older: changes nothing
+        self.assertEqual(other.adopt(marks.encode(at(12)), at(12)), {"s-1"})  # version 3 after version 2
+        self.assertEqual(other.adopt(kept, at(13)), set())  # older: changes nothing
 
     def test_marks_that_are_torn_of_a_newer_program_or_of_another_node_change_nothing(self):
         other = Exclusions("n1")
-        other.exclude("s-2", 1)
-        kept = other.encode(1)
+        other.exclude("s-2", at(1))
+        kept = other.encode(at(1))
         marks = Exclusions("n0")
         for text in (kept, kept[:-1], b'{"version": 9', b"", kept.replace(b'"format":1', b'"format":2')):
             with self.subTest(text=text), self.assertRaises(ValueError):
-                marks.adopt(text, 2)
+                marks.adopt(text, at(2))
         self.assertEqual((marks.since, marks.version), ({}, 0))
 
     def test_marks_an_hour_old_and_those_of_the_program_before_hold(self):
         """They are the operators' word till it is taken back; the form before had no times."""
         marks, hour = Exclusions("n0"), 3_600_000_000
-        self.assertEqual(marks.adopt(b'{"version":1,"excluded":["s-1"]}', hour), {"s-1"})
+        self.assertEqual(marks.adopt(b'{"version":1,"excluded":["s-1"]}', at(hour)), {"s-1"})
         self.assertEqual(marks.since, {"s-1": hour})
         later = Exclusions("n0")
-        self.assertEqual(later.adopt(marks.encode(hour), 2 * hour), {"s-1"})
+        self.assertEqual(later.adopt(marks.encode(at(hour)), at(2 * hour)), {"s-1"})
+
+    def test_a_step_of_the_wall_clock_moves_no_mark(self):
+        """What decides is the time on the machine's clock; unknown, it is the latest that it can be."""
+        marks = Exclusions("n0")
+        marks.exclude("s-1", Moment(5, 100, "boot-1"))
+        kept = marks.encode(Moment(5, 100, "boot-1"))
+        for now, known in ((Moment(5 - 3_600_000_000, 900, "boot-1"), 100), (Moment(9, 70, "boot-2"), 70)):
+            other = Exclusions("n0")
+            self.assertEqual(other.adopt(kept, now), {"s-1"})
+            self.assertEqual((other.since, other.marked_us), ({"s-1": 5}, {"s-1": known}))
+
+    def test_the_program_before_drops_the_times_of_marks_and_they_are_known_still(self):
+        marks = Exclusions("n0")
+        marks.exclude("s-1", Moment(5, 100, "boot-1"))
+        body = b'{"version":2,"excluded":{"s-1":5,"s-2":9}}'
+        marks.adopt(document.seal("exclusions", "n0", Moment(9), body), Moment(9, 400, "boot-1"))
+        self.assertEqual(marks.marked_us, {"s-1": 100, "s-2": 400})
 
 
 class CountedFile(KeptFile):
@@ -101,8 +127,6 @@
 class Listed:
     """The director's side that the hands use: it knows every name, and hears the marks."""
 
-    reader = ListReader(settings())
-
     def knows(self, name: str) -> bool:
         return True
 
@@ -127,6 +151,18 @@
         self.at = until
 
 
+class Running(Ticking):
+    """A turn on the real clock, run by a test till its condition holds."""
+
+    def now(self) -> int:
+        return time.monotonic_ns() // 1000
+
+    def run_until(self, condition) -> None:
+        while not condition():
+            for due in self.deadlines.sweep(now := self.now()):
+                due(now)
+
+
 class Looks(unittest.TestCase):
     def test_calls_add_no_chains_of_looks_at_the_kept_file(self):
         """Each mark reads the file once; the looks every 0.5 s stay one chain however many calls came."""
@@ -152,7 +188,7 @@
         self.old, self.new = self.hands(), self.hands()
 
     def hands(self) -> Hands:
-        hands = Hands(Ticking(), object(), Listed(), "n0", lambda: False)
+        hands = Hands(Running(), object(), Listed(), "n0", lambda: False)
         hands.kept = KeptFile(self.path)
         return hands
 
@@ -172,7 +208,32 @@
     @staticmethod
     def mark(hands: Hands, names: list[str]) -> None:
         for name in names:
-            hands.obey(door.Call(door.Act.EXCLUDE, name), Told())
+            told = Told()
+            hands.obey(door.Call(door.Act.EXCLUDE, name), told)
+            hands.turn.run_until(lambda told=told: told.status)
+            assert told.status == 200, told.status
+
+    def test_a_process_that_stands_still_with_the_lock_holds_up_nothing_but_the_call(self):
+        """Waited for on the loop's thread, a stopped process took this one with it, requests and all."""
+        told, marked = Told(), Told()
+        with KeptFile(self.path).alone():
+            self.old.obey(door.Call(door.Act.EXCLUDE, "s-1"), told)
+            self.assertEqual(told.status, 0)  # and the call has returned
+            began = self.old.turn.now()
+            self.old.turn.run_until(lambda: told.status)
+            self.assertLessEqual(LOCK_WAIT_US, self.old.turn.now() - began + LOCK_AGAIN_US)
+            self.assertEqual((told.status, self.old.exclusions.since), (503, {}))
+            self.old.obey(door.Call(door.Act.EXCLUDE, "s-1"), marked)
+        self.old.turn.run_until(lambda: marked.status)
+        self.assertEqual((marked.status, set(self.old.exclusions.since)), (200, {"s-1"}))
+
+    def test_a_write_that_fails_takes_back_its_own_mark_only(self):
+        """The other process's mark was read just before, and would not have been read again."""
+        self.new.obey(door.Call(door.Act.EXCLUDE, "s-2"), Told())
+        told = Told()
+        with mock.patch.object(self.old.kept, "write", side_effect=OSError(errno.ENOSPC, "full")):
+            self.old.obey(door.Call(door.Act.EXCLUDE, "s-1"), told)
+        self.assertEqual((told.status, set(self.old.exclusions.since)), (503, {"s-2"}))
 
     def test_a_mark_that_cannot_be_kept_is_not_made(self):
         self.old.kept = KeptFile("/proc/none/kept.json")
@@ -227,6 +288,23 @@
         self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
 
 
+class Locked(DoorCase):
+    """Another process stands still with the lock of the kept file."""
+
+    def test_requests_are_served_and_the_call_gets_its_no_in_time(self):
+        lock = os.open(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json.lock", os.O_RDWR | os.O_CREAT)
+        self.addCleanup(os.close, lock)
+        fcntl.flock(lock, fcntl.LOCK_EX)
+        with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
+            sock.sendall(b"PUT /api/exclude/s-1 HTTP/1.1\r\nHost: door\r\n\r\n")
+            began = time.monotonic()
+            self.served_by()
+            self.assertEqual(read_answer(sock)[0], 503)
+        self.assertLess(time.monotonic() - began, 1.0)  # what the operators' page gives a call
+        fcntl.flock(lock, fcntl.LOCK_UN)
+        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
+
+
 class OutByHand(DoorCase):
     def watch(self):
         asked = self.director.next()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,9 @@
 from nodes import WAIT, Client, NodeCase, call
 
 from cedarmill.net.kept import KeptInPlace
+from cedarmill.net.turn import Turn, boot_id
 from cedarmill.ops import document
+from cedarmill.ops.document import Moment
 from cedarmill.ops.exclusions import Exclusions
 
 
@@ -123,7 +125,7 @@
         self.assertEqual(call(self.old_door, "PUT", "/api/exclude/s-1")[0], 200)
         self.assertEqual(call(self.new_door, "PUT", "/api/include/s-1")[0], 200)
         marks = Exclusions("n0")
-        marks.adopt(Path(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json").read_bytes(), 0)
+        marks.adopt(Path(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json").read_bytes(), Moment(0))
         self.assertEqual(set(marks.since), {"s-0"})
 
     def test_a_third_start_while_two_live_loses_nothing(self):
@@ -197,7 +199,11 @@
     def slots(self) -> float:
         """Of the one backend, as kept last."""
         texts = self.kept().texts()
-        body = document.newest(texts, "memory", "n0")[1] if texts else b'{"workers":{}}'
+        body = (
+            document.newest(texts, "memory", "n0", Moment(0, Turn.now(), boot_id()))[1]
+            if texts
+            else b'{"workers":{}}'
+        )
         return json.loads(body)["workers"].get("s-0", {}).get("slots", 0)
 
     def test_jobs_out_at_the_old_process_hold_their_slots_in_the_new_one_till_they_end(self):
