--- a/cedarmill/log.py
+++ b/cedarmill/log.py
@@ -118,7 +118,8 @@
 
     def filter(self, record: logging.LogRecord) -> bool:
         text, now = record.getMessage(), time.monotonic()  # a step back of Unix time would silence it
-        self._said = {t: at for t, at in self._said.items() if now - at < self.SECONDS}
+        while self._said and now - next(iter(self._said.values())) >= self.SECONDS:
+            del self._said[next(iter(self._said))]  # the oldest stands first: a burst costs no look at all
         return self._said.setdefault(text, now) == now
 
 
