--- a/cedarmill/net/memory.py
+++ b/cedarmill/net/memory.py
@@ -22,7 +22,7 @@
 LATE_US = 3_000_000  # for the first lists to name the executors that the document tells of
 
 
-class _Kept(Memory):
+class _Kept(Memory, omit_defaults=True):
     """The module's memory, and what this process knows of the executors' starts.
 
     Kept apart from the module's: a stamp of discovery that the next process reads by a wall clock stepped
