--- a/cedarmill/fleet/agree/log.py
+++ b/cedarmill/fleet/agree/log.py
@@ -1,6 +1,6 @@
 """A keeper's log in memory: what follows its snapshot."""
 
-from cedarmill.fleet.agree.words import CONFIG, Entry, Snapshot
+from cedarmill.fleet.agree.messages import CONFIG, Entry, Snapshot
 
 
 class Log:
--- a/cedarmill/lab/fleet/bugs.py
+++ b/cedarmill/lab/fleet/bugs.py
@@ -9,7 +9,7 @@
 
 from cedarmill.fleet import commands, members, permits, purse, release, slices, views
 from cedarmill.fleet.agent import Agent
-from cedarmill.fleet.agree import core
+from cedarmill.fleet.agree import node
 from cedarmill.fleet.agree import words as w
 from cedarmill.fleet.agree.core import Agree
 from cedarmill.fleet.hosting import Host
@@ -120,7 +120,7 @@
             self._commit_to(index)
             self._answer_reads()
 
-    return [(Agree, "_agree", agree), (core, "BATCH", 1)]
+    return [(Agree, "_agree", agree), (node, "BATCH", 1)]
 
 
 def votes_for_who_knows_less() -> list[Patch]:
