--- a/cedarmill/lab/fleet/bugs.py
+++ b/cedarmill/lab/fleet/bugs.py
@@ -7,11 +7,24 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
+import msgspec
+
 from cedarmill.fleet import commands, members, permits, purse, release, slices, views
 from cedarmill.fleet.agent import Agent
-from cedarmill.fleet.agree import node
-from cedarmill.fleet.agree import words as w
-from cedarmill.fleet.agree.core import Agree
+from cedarmill.fleet.agree import replication
+from cedarmill.fleet.agree.actions import (
+    LeadershipConfirmed,
+    PersistEntries,
+    PersistTermAndVote,
+    RestoreSnapshot,
+    SendMessage,
+)
+from cedarmill.fleet.agree.election import Election
+from cedarmill.fleet.agree.events import ConfirmLeadership
+from cedarmill.fleet.agree.messages import RequestVote
+from cedarmill.fleet.agree.reads import ReadIndex
+from cedarmill.fleet.agree.replication import Replicator
+from cedarmill.fleet.agree.state import NodeState
 from cedarmill.fleet.hosting import Host
 from cedarmill.fleet.keeper import Keeper
 from cedarmill.fleet.stewarding import Steward
@@ -79,31 +92,32 @@
 def stale_leader_grants() -> list[Patch]:
     """What the leader itself has is agreed, whoever else has it."""
 
-    def agree(self, now):
-        if self.synced > self.commit:
-            self._commit_to(self.synced)
+    def advance_commit_index(self: Replicator, now: int) -> None:
+        self._state.commit_up_to(self._state.persisted_index)
 
-    return [(Agree, "_agree", agree)]
+    return [(Replicator, "advance_commit_index", advance_commit_index)]
 
 
 def vote_twice() -> list[Patch]:
     """A vote is given whoever got it before, in the same term."""
-    plain = Agree._on_vote
+    plain = Election.on_request_vote
 
-    def on_vote(self, now, source, message):
-        if not message.pre_vote and message.term == self.term:
-            self.vote = ""
+    def on_request_vote(self: Election, now: int, source: str, message: RequestVote) -> None:
+        if not message.pre_vote and message.term == self._state.term:
+            self._state.vote = ""
         plain(self, now, source, message)
 
-    return [(Agree, "_on_vote", on_vote)]
+    return [(Election, "on_request_vote", on_request_vote)]
 
 
 def vote_not_kept() -> list[Patch]:
     """The vote is forgotten by a restart."""
     plain = Disk.save
 
-    def save(self, action):
-        plain(self, w.Save(action.term, "") if isinstance(action, w.Save) else action)
+    def save(self: Disk, action: PersistTermAndVote | PersistEntries) -> None:
+        if isinstance(action, PersistTermAndVote):
+            action = PersistTermAndVote(action.term, "")
+        plain(self, action)
 
     return [(Disk, "save", save)]
 
@@ -111,29 +125,29 @@
 def commit_of_an_older_term() -> list[Patch]:
     """An entry of an older term is agreed as soon as a majority has it (one entry is sent at a time)."""
 
-    def agree(self, now):
-        have = sorted(
-            (self.synced if n == self.name else self._match_of(n) for n in self.voters), reverse=True
-        )
-        index = have[len(have) // 2]
-        if index > self.commit:
-            self._commit_to(index)
-            self._answer_reads()
+    def advance_commit_index(self: Replicator, now: int) -> None:
+        state = self._state
+        index = state.cluster.reached_by_majority(state.persisted_index, state.leader_state.match_index_of)
+        if index > state.commit_index:
+            state.commit_up_to(index)
+            self._reads.answer_confirmed()
 
-    return [(Agree, "_agree", agree), (node, "BATCH", 1)]
+    return [
+        (Replicator, "advance_commit_index", advance_commit_index),
+        (replication, "MAX_BATCH_ENTRIES", 1),
+    ]
 
 
 def votes_for_who_knows_less() -> list[Patch]:
     """A keeper votes for one whose log ends before its own."""
-    plain = Agree._on_vote
+    plain = Election.on_request_vote
 
-    def on_vote(self, now, source, message):
-        known = w.Vote(
-            message.term, self.log.last, self.log.last_term, message.pre_vote, message.leadership_transfer
-        )
-        plain(self, now, source, known)
+    def on_request_vote(self: Election, now: int, source: str, message: RequestVote) -> None:
+        log = self._state.log
+        as_long = msgspec.structs.replace(message, last_log_index=log.last_index, last_log_term=log.last_term)
+        plain(self, now, source, as_long)
 
-    return [(Agree, "_on_vote", on_vote)]
+    return [(Election, "on_request_vote", on_request_vote)]
 
 
 def sent_before_synced() -> list[Patch]:
@@ -143,17 +157,18 @@
         while self.pending:
             actions, self.pending = self.pending, []
             last = -1
-            self._out([a for a in actions if not isinstance(a, w.Save | w.Put | w.Install)])
+            persists = PersistTermAndVote | PersistEntries | RestoreSnapshot
+            self._out([action for action in actions if not isinstance(action, persists)])
             for action in actions:
-                if isinstance(action, w.Save | w.Put):
+                if isinstance(action, PersistTermAndVote | PersistEntries):
                     self.port.save(action)
-                    last = action.entries[-1].index if isinstance(action, w.Put) else last
-                elif isinstance(action, w.Install):
+                    last = action.entries[-1].index if isinstance(action, PersistEntries) else last
+                elif isinstance(action, RestoreSnapshot):
                     self.port.put_snapshot(action.snapshot, list(self.keeper.agree.log.entries))
             if self.port.sync() and last >= 0:
                 self.pending += self.keeper.synced(now, last)
 
-    def promise(self, action):
+    def promise(self: Node, action: SendMessage) -> None:
         self.run.send(self.name, action)
 
     return [(Host, "flush", flush), (Node, "promise", promise)]
@@ -228,10 +243,11 @@
 def reads_without_a_majority() -> list[Patch]:
     """A leader answers by what it knows, without asking whether it leads still."""
 
-    def read(self, now, event):
-        self._actions.append(w.Confirmed(event.token, self.commit))
+    def register(self: ReadIndex, now: int, event: ConfirmLeadership) -> bool:
+        self._state.emit(LeadershipConfirmed(event.token, self._state.commit_index))
+        return False
 
-    return [(Agree, "_read", read), (Agree, "_stood_still", lambda self, now: False)]
+    return [(ReadIndex, "register", register), (NodeState, "lost_quorum_contact", lambda self, now: False)]
 
 
 def done_twice() -> list[Patch]:
--- a/cedarmill/lab/fleet/virtual_log.py
+++ b/cedarmill/lab/fleet/virtual_log.py
@@ -7,8 +7,30 @@
 
 import random
 
-from cedarmill.fleet.agree import words as w
-from cedarmill.fleet.agree.core import Agree, Saved, Timing
+from cedarmill.fleet.agree.actions import (
+    Action,
+    ApplyEntries,
+    LeadershipConfirmed,
+    PersistEntries,
+    PersistTermAndVote,
+    RestoreSnapshot,
+    RoleChanged,
+    SendMessage,
+)
+from cedarmill.fleet.agree.events import (
+    ChangeMembership,
+    ConfirmLeadership,
+    Event,
+    MessageReceived,
+    PersistenceCompleted,
+    ProposeCommand,
+    SnapshotPersisted,
+    TimeAdvanced,
+)
+from cedarmill.fleet.agree.messages import AppendEntries, Entry, Message, Peer, Snapshot
+from cedarmill.fleet.agree.node import RaftNode
+from cedarmill.fleet.agree.roles import Role
+from cedarmill.fleet.agree.state import PersistentState, Timing
 from cedarmill.lab.fleet.virtual import Disk
 
 STEP = 3_000  # us that pass at the most between two events
@@ -18,7 +40,7 @@
 class Node:
     """A keeper: its core, what is on its disk, and what is not yet."""
 
-    def __init__(self, run: "LogRun", name: str, saved: Saved) -> None:
+    def __init__(self, run: "LogRun", name: str, saved: PersistentState) -> None:
         self.run, self.name, self.disk = run, name, Disk(saved)
         self.starts = 0
         self.start()
@@ -26,48 +48,50 @@
     def start(self) -> None:
         self.starts += 1
         self.alive = True
-        self.after: list[w.Send] = []  # to be sent when that is synced
+        self.after: list[SendMessage] = []  # to be sent when that is synced
         self.skew = self.run.dice.randrange(50_000)
         seed = self.run.seed * 100 + self.starts
-        self.core = Agree(self.name, self.disk.load(), self.now(), seed, self.run.timing)
+        self.core = RaftNode(self.name, self.disk.load(), self.now(), seed, self.run.timing)
 
     def now(self) -> int:
         return self.run.time + self.skew
 
-    def step(self, event: w.Event) -> None:
+    def step(self, event: Event) -> None:
         """Let the core take an event, and take its actions."""
         for action in self.core.step(self.now(), event):
             self._take(action)
 
-    def _take(self, action: w.Action) -> None:
+    def _take(self, action: Action) -> None:
         run = self.run
-        if isinstance(action, w.Save | w.Put):
+        if isinstance(action, PersistTermAndVote | PersistEntries):
             self.disk.save(action)
-        elif isinstance(action, w.Send):
+        elif isinstance(action, SendMessage):
             self.promise(action)
-        elif isinstance(action, w.Install):
+        elif isinstance(action, RestoreSnapshot):
             self.disk.put_snapshot(action.snapshot, list(self.core.log.entries))
-        elif isinstance(action, w.Commit):
+        elif isinstance(action, ApplyEntries):
             for entry in action.entries:
                 run.agreed(self.name, entry)
-        elif isinstance(action, w.Role) and action.leads:
+        elif isinstance(action, RoleChanged) and action.leads:
             run.leads(self.name, action.term)
-        elif isinstance(action, w.Confirmed):
+        elif isinstance(action, LeadershipConfirmed):
             run.confirmed(action)
 
-    def promise(self, action: w.Send) -> None:
+    def promise(self, action: SendMessage) -> None:
         """It leaves when what it rests on is on the disk."""
         self.after.append(action)
 
     def sync(self) -> None:
         """What waits is on the disk; then what was promised by it leaves."""
-        puts = [action.entries[-1].index for action in self.disk.waiting if isinstance(action, w.Put)]
+        puts = [
+            action.entries[-1].index for action in self.disk.waiting if isinstance(action, PersistEntries)
+        ]
         self.disk.sync()
         sends, self.after = self.after, []
         for send in sends:
             self.run.send(self.name, send)
         if puts:
-            self.step(w.Synced(puts[-1]))
+            self.step(PersistenceCompleted(puts[-1]))
 
     def kill(self) -> None:
         self.alive, self.after = False, []
@@ -93,15 +117,15 @@
         self.churn, self.changes = churn, changes
         self.came = 0  # keepers that came later
         self.doomed: tuple[str, int] | None = None  # a leader, and the events that it still lives
-        self.on_the_way: list[tuple[str, str, w.Message]] = []
+        self.on_the_way: list[tuple[str, str, Message]] = []
         self.cuts: set[tuple[str, str]] = set()
         self.tokens = 0
         names = [f"k{n}" for n in range(keepers)]
-        config = {name: w.Peer("") for name in names}
-        first = w.Snapshot(1, 1, config, b"")
-        self.nodes = {name: Node(self, name, Saved(1, "", first)) for name in names}
+        config = {name: Peer("") for name in names}
+        first = Snapshot(1, 1, config, b"")
+        self.nodes = {name: Node(self, name, PersistentState(1, "", first)) for name in names}
 
-    def agreed(self, name: str, entry: w.Entry) -> None:
+    def agreed(self, name: str, entry: Entry) -> None:
         """A keeper calls an entry agreed."""
         known = self.by_index.setdefault(entry.index, (entry.term, entry.data))
         if known != (entry.term, entry.data):
@@ -118,12 +142,12 @@
             }
             self.doomed = name, self.dice.randrange(10, 120)
 
-    def confirmed(self, action: w.Confirmed) -> None:
+    def confirmed(self, action: LeadershipConfirmed) -> None:
         asked = self.reads.pop(action.token, 0)
         if action.index < asked:
             self.found.append(f"a read sees {action.index}, and {asked} was agreed when it was asked")
 
-    def send(self, source: str, send: w.Send) -> None:
+    def send(self, source: str, send: SendMessage) -> None:
         if (source, send.target) not in self.cuts and send.target in self.nodes:
             self.on_the_way.append((source, send.target, send.message))
 
@@ -138,7 +162,7 @@
 
     def _change(self) -> None:
         """The leader takes a keeper in, on an empty disk, or one out; one that is out never comes back."""
-        leader = next((n for n in self.nodes.values() if n.alive and n.core.part.value == "leader"), None)
+        leader = next((n for n in self.nodes.values() if n.alive and n.core.role is Role.LEADER), None)
         if leader is None:
             return
         names = list(leader.core.config)
@@ -146,11 +170,11 @@
         if len(names) <= 3:
             self.came += 1
             name = f"s{self.came}"
-            empty = Saved(0, "", w.Snapshot(0, 0, {}, b""), doubtful=True)
+            empty = PersistentState(0, "", Snapshot(0, 0, {}, b""), needs_catch_up=True)
             self.nodes[name] = Node(self, name, empty)
-            leader.step(w.Change(name, w.Peer("", False), self.tokens))
+            leader.step(ChangeMembership(name, Peer("", False), self.tokens))
         else:
-            leader.step(w.Change(self.dice.choice(names), None, self.tokens))
+            leader.step(ChangeMembership(self.dice.choice(names), None, self.tokens))
 
     def _event(self) -> None:
         dice = self.dice
@@ -163,16 +187,16 @@
             if dice.random() < 0.2:
                 node.start()
         elif roll < 0.75:
-            node.step(w.Passed())
+            node.step(TimeAdvanced())
         elif roll < 0.9:
             node.sync()
         elif roll < 0.97:
             self.tokens += 1
-            node.step(w.Propose(b"%d" % self.tokens, self.tokens))
+            node.step(ProposeCommand(b"%d" % self.tokens, self.tokens))
         else:
             self.tokens += 1
             self.reads[self.tokens] = self.highest
-            node.step(w.Read(self.tokens))
+            node.step(ConfirmLeadership(self.tokens))
 
     def _arrive(self) -> None:
         """Any message may be the next, but those of one link keep their order."""
@@ -181,7 +205,7 @@
         source, target, message = self.on_the_way.pop(first)
         node = self.nodes[target]
         if node.alive and self.dice.random() >= LOSE and (source, target) not in self.cuts:
-            node.step(w.Heard(source, message))
+            node.step(MessageReceived(source, message))
 
     def _faults(self) -> None:
         dice = self.dice
@@ -204,13 +228,13 @@
         if dice.random() < CHANGE and self.changes:
             self._change()
         if dice.random() < SNAP:
-            leader = next((n for n in self.nodes.values() if n.alive and n.core.part.value == "leader"), None)
-            if leader is not None and leader.core.applied > leader.core.log.snapshot.index:
-                index = leader.core.applied
-                snapshot = w.Snapshot(index, leader.core.log.term(index), leader.core.config, b"%d" % index)
+            leader = next((n for n in self.nodes.values() if n.alive and n.core.role is Role.LEADER), None)
+            if leader is not None and leader.core.commit_index > leader.core.log.snapshot.index:
+                index = leader.core.commit_index
+                snapshot = Snapshot(index, leader.core.log.term(index), leader.core.config, b"%d" % index)
                 leader.sync()
                 if leader.core.config_index <= index:
-                    leader.step(w.Kept(snapshot))
+                    leader.step(SnapshotPersisted(snapshot))
                     leader.disk.put_snapshot(snapshot, list(leader.core.log.entries))
 
 
@@ -231,24 +255,28 @@
                 node.sync()
             for source, target, message in run.on_the_way[:]:
                 run.on_the_way.remove((source, target, message))
-                if isinstance(message, w.Append) and message.entries and message.entries[-1].index > upto:
+                if (
+                    isinstance(message, AppendEntries)
+                    and message.entries
+                    and message.entries[-1].index > upto
+                ):
                     continue
                 if source in names and target in names:
-                    run.nodes[target].step(w.Heard(source, message))
+                    run.nodes[target].step(MessageReceived(source, message))
 
     def elect(node: Node, *voters: Node) -> None:
         for _ in range(40):
             run.time += 40_000
-            if run.time >= node.core.due - node.skew:
-                node.step(w.Passed())
+            if run.time >= node.core.deadline - node.skew:
+                node.step(TimeAdvanced())
             settle(node, *voters, rounds=4, upto=0)
-            if node.core.part.value == "leader":
+            if node.core.role is Role.LEADER:
                 return
 
     elect(k0, k1, k2)
     settle(k0, k1, k2, k3, k4)
-    k0.step(w.Propose(b"old", 1))
-    old = k0.core.log.last
+    k0.step(ProposeCommand(b"old", 1))
+    old = k0.core.log.last_index
     settle(k0, k1)  # stands with two of five
     k0.kill()
     run.time += 400_000
@@ -261,7 +289,7 @@
     elect(k0, k1, k2)
     for _ in range(4):
         run.time += 40_000
-        k0.step(w.Passed())
+        k0.step(TimeAdvanced())
         settle(k0, k1, k2, upto=old)  # the old entry comes to a third, nothing newer does
     k0.kill()
     run.on_the_way.clear()
@@ -269,6 +297,6 @@
     k4.start()
     elect(k4, k2, k3)
     run.time += 40_000
-    k4.step(w.Passed())
+    k4.step(TimeAdvanced())
     settle(k4, k2, k3)
     return run.found
