--- a/cedarmill/fleet/agree/core.py
+++ b/cedarmill/fleet/agree/core.py
@@ -40,6 +40,11 @@
         """The old name of `commit_index`: what is committed is applied in the same step."""
         return self.commit_index
 
+    @property
+    def doubtful(self) -> bool:
+        """The old name of `needs_catch_up`."""
+        return self.needs_catch_up
+
     @property
     def followers(self) -> dict[str, Follower]:
         """The old name of `progress`."""
--- a/cedarmill/fleet/agree/node.py
+++ b/cedarmill/fleet/agree/node.py
@@ -82,6 +82,11 @@
         """The leader of the present term; empty where it is not known."""
         return self.state.leader
 
+    @property
+    def needs_catch_up(self) -> bool:
+        """Whether the disk may have lost what was acknowledged; ends once the log is complete again."""
+        return self.state.needs_catch_up
+
     @property
     def deadline(self) -> int:
         """When TimeAdvanced has to come at the latest, in microseconds of the own clock."""
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,11 +6,15 @@
 from fleets import LONG, KeeperCase
 
 from cedarmill.fleet import words as f
-from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.agree.messages import AppendEntries, Entry, EntryKind
 from cedarmill.net.peers import HEAD, MAX_FRAME, Bad, Reader, frame
 
-WORDS = (f.Hello("c", "k0", "keeper", "d", 3), w.Append(2, 1, 1, (w.Entry(2, 2, w.COMMAND, b"x"),), 1, 9),
-         f.Relay(4, f.Look("status")), f.Beaten(1, 5, 2, f.Orders(7, {"b0": 7})))  # fmt: skip
+WORDS = (
+    f.Hello("c", "k0", "keeper", "d", 3),
+    AppendEntries(2, 1, 1, (Entry(2, 2, EntryKind.COMMAND, b"x"),), 1, 9),
+    f.Relay(4, f.Look("status")),
+    f.Beaten(1, 5, 2, f.Orders(7, {"b0": 7})),
+)
 
 
 class Frames(unittest.TestCase):
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,11 +1,14 @@
-"""The replicated log: its messages keep their form on the wire under whatever names the code gives them."""
+"""The replicated log: its messages keep their form on the wire, and roles follow each other by the table."""
 
+import itertools
 import unittest
 
 import msgspec
 
 from cedarmill.fleet.agree import messages
+from cedarmill.fleet.agree.actions import RejectionReason
 from cedarmill.fleet.agree.messages import Entry, EntryKind, Peer
+from cedarmill.fleet.agree.roles import NEXT_ROLES, InvalidTransition, Role, check_transition
 
 PEER = Peer("127.0.0.1:1", False, "d0")
 ENTRIES = (Entry(3, 2, EntryKind.COMMAND, b"xy"), Entry(4, 2, EntryKind.NOOP))
@@ -46,3 +49,22 @@
             with self.subTest(type(message).__name__):
                 self.assertEqual(msgspec.json.encode(message), text)
                 self.assertEqual(msgspec.json.decode(text, type=messages.Message), message)
+
+    def test_a_reason_is_the_sentence_that_its_caller_is_shown(self):
+        reason = RejectionReason.CHANGE_PENDING
+        self.assertEqual(msgspec.json.decode(msgspec.json.encode(reason)), f"{reason}")
+        self.assertEqual(f"{reason}", "another change of the keepers is not agreed yet")
+
+
+class Roles(unittest.TestCase):
+    def test_only_the_transitions_of_the_table_are_taken(self):
+        for before, after in itertools.product(Role, Role):
+            if after in NEXT_ROLES[before]:
+                check_transition(before, after)
+            else:
+                with self.assertRaisesRegex(InvalidTransition, f"{before.value} .* {after.value}"):
+                    check_transition(before, after)
+
+    def test_none_leads_but_by_an_election_and_each_may_be_deposed(self):
+        self.assertEqual([role for role in Role if Role.LEADER in NEXT_ROLES[role]], [Role.CANDIDATE])
+        self.assertEqual([role for role in Role if Role.FOLLOWER in NEXT_ROLES[role]], list(Role))
