--- a/cedarmill/fleet/agree/election.py
+++ b/cedarmill/fleet/agree/election.py
@@ -113,7 +113,7 @@
     def _has_live_leader(self, now: int) -> bool:
         """Whether a leader has spoken within an election timeout, or this replica leads (4.2.3)."""
         state = self._state
-        return now - state.last_leader_contact < state.timing.election or state.leads(now)
+        return now - state.last_leader_contact < state.timing.election_timeout or state.leads(now)
 
     def _may_vote_for(self, message: RequestVote) -> bool:
         """Whether the candidate's log has all that this replica's has, which it knows for certain (3.6.1)."""
--- a/cedarmill/fleet/agree/replication.py
+++ b/cedarmill/fleet/agree/replication.py
@@ -38,7 +38,7 @@
     def send_heartbeats(self, now: int) -> None:
         """Send a heartbeat to all, with what each lacks; a leader that a majority ignores steps down."""
         state, leader_state = self._state, self._state.leader_state
-        state.deadline = now + state.timing.heartbeat
+        state.deadline = now + state.timing.heartbeat_interval
         leader_state.heartbeat_round += 1
         leader_state.heartbeats_sent_at[leader_state.heartbeat_round] = now
         self._confirm_heartbeats(now)
@@ -49,7 +49,7 @@
         for name in state.cluster.others:
             progress = leader_state.progress.setdefault(name, FollowerProgress(last_index + 1, now))
             progress.chunk_in_flight = False  # a chunk without an answer is sent again
-            if progress.is_stalled(now, SILENT_HEARTBEATS * state.timing.heartbeat):
+            if progress.is_stalled(now, SILENT_HEARTBEATS * state.timing.heartbeat_interval):
                 progress.restart(last_index)
             self._replicate_to(name, progress, heartbeat=True)
 
--- a/cedarmill/fleet/agree/state.py
+++ b/cedarmill/fleet/agree/state.py
@@ -28,10 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """In microseconds. An election timeout is drawn between one and two times `election`."""
+    """Intervals of the protocol, in microseconds.
 
-    heartbeat: int = 100_000
-    election: int = 600_000
+    A follower waits for a leader between one and two times `election_timeout`.
+    """
+
+    heartbeat_interval: int = 100_000
+    election_timeout: int = 600_000
 
 
 @dataclass(slots=True)
@@ -53,6 +56,10 @@
         """The old name of `needs_catch_up`, for modules that still use it."""
         return self.needs_catch_up
 
+    @doubtful.setter
+    def doubtful(self, value: bool) -> None:
+        self.needs_catch_up = value
+
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
@@ -64,11 +71,11 @@
 
 @dataclass(slots=True)
 class LeaderState:
-    """What only a leader needs; all but the heartbeats' count begins anew with each term that it leads."""
+    """What only a leader needs; all but `heartbeat_round` begins anew with each term that it leads."""
 
-    quorum_confirmed_at: int  # when the newest heartbeat left that a majority has answered
+    quorum_confirmed_at: int  # when the newest heartbeat that a majority has answered was sent
     heartbeat_round: int = 0  # the number of the newest heartbeat
-    heartbeats_sent_at: dict[int, int] = field(default_factory=dict)  # by number, until a majority answers
+    heartbeats_sent_at: dict[int, int] = field(default_factory=dict)  # by round, until a majority answers
     progress: dict[str, FollowerProgress] = field(default_factory=dict)
     pending_reads: list[PendingRead] = field(default_factory=list)
     transfer_target: str | None = None  # to whom leadership is being transferred
@@ -102,11 +109,11 @@
         self.log = Log(persistent.snapshot, persistent.entries)
         self.cluster = ClusterConfiguration(name, self.log)
         self.commit_index = persistent.snapshot.index
-        self.persisted_index = self.log.last_index
+        self.persisted_index = self.log.last_index  # up to which the log is on the disk
         self.role = Role.FOLLOWER
         self.leader = NOBODY
         self.leader_state = LeaderState(quorum_confirmed_at=now)
-        self.last_leader_contact = now - 2 * timing.election
+        self.last_leader_contact = now - 2 * timing.election_timeout
         self.deadline = 0  # when the host has to say that time has advanced
         self.actions: list[Action] = []
         self._random = random.Random(f"{seed}/{name}")
@@ -124,12 +131,14 @@
 
     def restart_election_timer(self, now: int) -> None:
         """Wait for a leader, for a random time so that few replicas stand at once (thesis, 3.4)."""
-        self.deadline = now + self.timing.election + self._random.randrange(self.timing.election)
+        self.deadline = (
+            now + self.timing.election_timeout + self._random.randrange(self.timing.election_timeout)
+        )
 
     def lost_quorum_contact(self, now: int) -> bool:
         """Whether a leader has been out of touch for so long that another may have been elected (6.2)."""
         elapsed = now - self.leader_state.quorum_confirmed_at
-        return elapsed > self.timing.election and len(self.cluster.voters) > 1
+        return elapsed > self.timing.election_timeout and len(self.cluster.voters) > 1
 
     def leads(self, now: int) -> bool:
         """Whether this replica may act as the leader at this moment."""
--- a/cedarmill/fleet/agree/transfer.py
+++ b/cedarmill/fleet/agree/transfer.py
@@ -5,11 +5,14 @@
 from cedarmill.fleet.agree.progress import FollowerProgress
 from cedarmill.fleet.agree.state import NodeState
 
-TRANSFER_TIMEOUT = 2  # election timeouts after which the leader goes on leading
+TRANSFER_TIMEOUT = 2  # in election timeouts; after that the leader goes on leading
 
 
 class LeadershipTransfer:
-    """Tells the target to stand for election as soon as it has the whole log; proposals are rejected then."""
+    """Tells the target to stand for election as soon as it has the whole log.
+
+    As long as a transfer lasts, RaftNode rejects proposals.
+    """
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
@@ -24,7 +27,7 @@
         if target not in candidates:
             return
         leader_state.transfer_target = target
-        leader_state.transfer_deadline = now + TRANSFER_TIMEOUT * state.timing.election
+        leader_state.transfer_deadline = now + TRANSFER_TIMEOUT * state.timing.election_timeout
         if leader_state.match_index_of(target) == state.log.last_index:
             state.send(target, TimeoutNow(state.term))
 
