--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-BRAIN = (ROOT / "cedarmill/decisions/brain.py").read_text()
+BRAIN = (ROOT / "cedarmill/decisions/balancer.py").read_text()
 
 
 def test_width():
@@ -42,7 +42,7 @@
 
 def test_deploy_file():
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-    assert deploy["policy"] == ["cedarmill/decisions/brain.py"]
+    assert deploy["policy"] == ["cedarmill/decisions/balancer.py"]
     assert "cedarmill.sim.simhost" in deploy["sim"]
 
 
