--- a/cedarmill/decisions/discovery_calls.py
+++ b/cedarmill/decisions/discovery_calls.py
@@ -8,9 +8,7 @@
 CALL_SPAN_US = 50_000  # for each balancer, over which all ask for the list; doubled by each failure
 FIRST_CALL_BOUND = 0.2  # of the time in which discovery is to be asked: the first call comes within it
 NEXT_CALL_BOUND = 2.0  # the same after a failed call
-FAILURES_DOUBLED = (
-    16  # so many double the span: for the smallest fleet too the rest is beyond the longest wait
-)
+FAILURES_DOUBLED = 16  # so many double the span: for any fleet that is beyond the longest wait
 RETRY_WAIT_DIVISOR = 40  # of the same time: at least so much of it passes after a failed call
 
 
--- a/cedarmill/decisions/learning.py
+++ b/cedarmill/decisions/learning.py
@@ -110,11 +110,11 @@
 
 
 def slack_us(state: BalancerState, request: Request) -> float:
-    """What its latency objective leaves to a request beside its run, by its hint."""
-    return _slack_beside(request, request.hint_us or state.class_times(request).mean_us)
+    """What its latency objective leaves to a request besides its run, by its hint."""
+    return _slack_for_run(request, request.hint_us or state.class_times(request).mean_us)
 
 
-def _slack_beside(request: Request, run_us: float) -> float:
+def _slack_for_run(request: Request, run_us: float) -> float:
     request_class = request.request_class
     return request_class.aim_us + max(0.0, request_class.aim_stretch - 1) * run_us
 
@@ -124,7 +124,7 @@
     learned, usual_run_us = state.learned, state.class_times(request).mean_us
     if executor.stale_reservations:  # one that sends no reports must not stay full of them
         executor.release_stale(state.now - STALE_RUNS * int(usual_run_us))
-    # an old report fades into what executors show in the mean: most slots have changed hands since
+    # an old report fades into what executors show in the mean: most slots have been taken or freed since
     fresh = 0.0
     if executor.heard_at:
         fresh = math.exp((executor.heard_at - state.now) / (REPORT_FADE_RUNS * learned.mean_run_us))
@@ -135,7 +135,7 @@
     priority = request.priority / state.highest_weight
     places = executor.queue_places * (LOWEST_PRIORITY_SHARE + (1 - LOWEST_PRIORITY_SHARE) * priority)
     # fewer for one with little slack against the usual: a short one that waits is late
-    usual_slack_us = _slack_beside(request, usual_run_us)
+    usual_slack_us = _slack_for_run(request, usual_run_us)
     affordable = 1 - fresh * max(0.0, 1 - slack_us(state, request) / usual_slack_us)
     with_queue = idle + places * affordable
     if executor.memory_capacity - executor.held_memory < request.memory:
@@ -177,7 +177,7 @@
     times = state.class_times(request)
     run_us = max(1, state.now - (attempt.started_at or attempt.sent_at))
     if not state.settings.tells_start:
-        _judge_wait(state, attempt, run_us)
+        _learn_from_wait(state, attempt, run_us)
     log_ratio = math.log(run_us / (request.hint_us or 1))
     times.count = min(times.count + 1, CLASS_SAMPLES)
     times.mean_us += (run_us - times.mean_us) / times.count
@@ -186,7 +186,7 @@
     executor.slowdown += (log_ratio - times.log_ratio - executor.slowdown) / SAMPLES_REMEMBERED
 
 
-def _judge_wait(state: BalancerState, attempt: Attempt, run_us: int) -> None:
+def _learn_from_wait(state: BalancerState, attempt: Attempt, run_us: int) -> None:
     """Where starts go untold: how late an attempt was, by its own wanted time and its hint."""
     request, times = attempt.request, state.class_times(attempt.request)
     objective_us = request.request_class.aim_us
--- a/cedarmill/decisions/outliers.py
+++ b/cedarmill/decisions/outliers.py
@@ -28,7 +28,7 @@
 
 
 def trust(state: BalancerState, executor: Executor, request: Request) -> float:
-    """Weight of an executor beside its room; 0 unless its health is good or a probation attempt is due."""
+    """Weight of an executor besides its room; 0 unless its health is good or a probation attempt is due."""
     if reports_errors(state, executor):
         return 0.0  # the next report tells whether it is over
     if executor.health >= HEALTHY and not executor.consecutive_failures:
--- a/cedarmill/decisions/retries.py
+++ b/cedarmill/decisions/retries.py
@@ -29,7 +29,7 @@
 
 
 def _may_follow(state: BalancerState, attempt: Attempt, executor: Executor) -> bool:
-    """Whether another attempt may go to an executor after, or beside, this one."""
+    """Whether another attempt may go to an executor after this one, or while it runs."""
     if attempt.in_flight and not state.settings.may_duplicate:
         return False
     effect = attempt.request.request_class.effect
--- a/cedarmill/decisions/settings_types.py
+++ b/cedarmill/decisions/settings_types.py
@@ -1,6 +1,7 @@
 """What a balancer is told at its start: the settings as typed values, checked as they are made.
 
-Times are whole microseconds. The operators' JSON is turned into these by `settings.py`.
+Times are whole microseconds. The operators' JSON is turned into these by `settings.py`. Operators see the
+names of the fields where a value is refused, so those stay as they are.
 """
 
 import math
@@ -90,7 +91,7 @@
     ask_within_us: int = 10_000_000
     report_fields: tuple[str, ...] = ()
     report_by_probe: bool = False
-    may_duplicate: bool = False  # a second attempt may run beside the first
+    may_duplicate: bool = False  # a second attempt may run while the first does
     can_cancel: bool = False
     can_probe: bool = False
     max_retry_after_us: int = 0
