--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -137,14 +137,14 @@
 def size() -> None:
     """Links, frames and bytes of shared news a node, by fleet size; bytes of orders; what a frame costs."""
     from cedarmill.fleet import words as f
-    from cedarmill.fleet.news import Draw
-    from cedarmill.fleet.overload import Cut
+    from cedarmill.fleet.admission_level.state import SheddingThreshold
+    from cedarmill.fleet.gossip_plan import GossipPlan
     from cedarmill.net import gossip, peers
 
     for nodes, executors in ((12, 24), (48, 48), (200, 1000)):
-        draw, names = Draw(), [f"node-{n}" for n in range(nodes)]
-        draw.set(names, [f"box-{n}" for n in range(executors)])
-        uses = {name: set(draw.subset(name)) for name in names}
+        draw, names = GossipPlan(), [f"node-{n}" for n in range(nodes)]
+        draw.update(names, [f"box-{n}" for n in range(executors)])
+        uses = {name: set(draw.executors_of(name)) for name in names}
         links = [sum(bool(mine & uses[one]) for one in names if one != name) for name, mine in uses.items()]
         facts = [(f"box-{n}", 50_000, (2.0, 2.0)) for n in range(4)]
         still, full = (peers.frame(0, f.Heard(told, 1 << 40, 1 << 40, 100_000)) for told in ([], facts))
@@ -154,7 +154,7 @@
             peers.Reader().feed(peers.frame(0, f.Heard(facts, 1 << 40, 1 << 40, 100_000)))
         cost = (time.process_time() - began) / FRAMES
         purse = dict.fromkeys(("probes", "connects", "retries", "lists"), (10_000, 1_000))
-        orders = f.Orders(1 << 40, cut=Cut(1000, 500), purse=purse, peers=1 << 40)
+        orders = f.Orders(1 << 40, cut=SheddingThreshold(1000, 500), purse=purse, peers=1 << 40)
         told = len(peers.frame(0, f.Beaten(1, 1, 1, orders)))
         sent, most = mean * low * len(still) / 1024, mean * high * len(full) / 1024
         print(f"{nodes} nodes, {executors} executors: {mean:.0f} links a node, {max(links)} at the most; "
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -25,10 +25,17 @@
 
 import msgspec  # noqa: E402
 
-from cedarmill.fleet import zones  # noqa: E402
-from cedarmill.fleet.evidence import BOUNDS, Desk, Digest, Evidence, Seen, ZoneNews  # noqa: E402
-from cedarmill.fleet.sightings import Place, Sightings  # noqa: E402
-from cedarmill.fleet.zones import Zone, Zoning  # noqa: E402
+from cedarmill.fleet.observations.assessment import (  # noqa: E402
+    ClusterAssessment,
+    ObservationCollector,
+    ZoneAssessment,
+)
+from cedarmill.fleet.observations.digest import SCOPES, LocationObservation, ObservationDigest  # noqa: E402
+from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog  # noqa: E402
+from cedarmill.fleet.traffic_plan import planner  # noqa: E402
+from cedarmill.fleet.traffic_plan.allocation import allocate  # noqa: E402
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout  # noqa: E402
+from cedarmill.fleet.traffic_plan.state import ZoneState  # noqa: E402
 from cedarmill.lab.fleet import regions  # noqa: E402
 
 WORKERS = multiprocessing.cpu_count()
@@ -104,13 +111,13 @@
                   f"{time.monotonic() - began:.0f} s", flush=True)  # fmt: skip
 
 
-def _zoning(count: int) -> Zoning:
+def _zoning(count: int) -> ZoneLayout:
     names = [f"z{n}" for n in range(count)]
-    return Zoning({f"r{n // 10}": names[n : n + 10] for n in range(0, count, 10)})
+    return ZoneLayout({f"r{n // 10}": names[n : n + 10] for n in range(0, count, 10)})
 
 
-def _news(zoning: Zoning, dice: random.Random) -> Evidence:
-    return Evidence({name: ZoneNews("well", dice.randrange(20_000, 60_000), 0, 0, 0, {
+def _news(zoning: ZoneLayout, dice: random.Random) -> ClusterAssessment:
+    return ClusterAssessment({name: ZoneAssessment("well", dice.randrange(20_000, 60_000), 0, 0, 0, {
         "any": dice.randrange(30_000), "region": dice.randrange(10_000), "zone": dice.randrange(4_000)}, 3)
         for name in zoning.zones})  # fmt: skip
 
@@ -128,27 +135,27 @@
     """Time and bytes."""
     for count in (9, 30, 100):
         dice, zoning = random.Random(seeds), _zoning(count)
-        states = {name: Zone(name) for name in zoning.zones}
+        states = {name: ZoneState(name) for name in zoning.zones}
         news = _news(zoning, dice)
-        plan = zones.plan(zoning, states, news)
-        desk = Desk()
+        plan = planner.make_plan(zoning, states, news)
+        desk = ObservationCollector()
         for n in range(2 * count):
-            near = {z: Seen(9, 40_000, 9000, 50) for z in zoning.zones[:32]}
-            desk.take(0, f"n{n}", Digest(n, zoning.zones[n % count], {"any": 5000}, near))
-        planned = _timed(functools.partial(zones.plan, zoning, states, news))
-        stands = _timed(functools.partial(zones.standing, zoning, states, news, plan), 2)
-        merged = _timed(functools.partial(desk.look, 0, zoning.zones))
+            near = {z: LocationObservation(9, 40_000, 9000, 50) for z in zoning.zones[:32]}
+            desk.accept(0, f"n{n}", ObservationDigest(n, zoning.zones[n % count], {"any": 5000}, near))
+        planned = _timed(functools.partial(planner.make_plan, zoning, states, news))
+        stands = _timed(functools.partial(planner.fallback_plans, zoning, plan, news.links), 2)
+        merged = _timed(functools.partial(desk.assess, 0, zoning.zones))
         print(f"{count} zones: plan {planned}, what stands for each loss {stands}, evidence of {2 * count} "
               f"nodes {merged}")  # fmt: skip
-        sights, places = Sightings(0), {z: Place(9, 40_000, 9000) for z in zoning.zones}
-        seen = sights.seen(10**6, places)
-        text = msgspec.msgpack.encode(sights.digest(10**6, zoning.zones[0], seen, 1 << 41, (), False))
+        sights, places = ObservationLog(0), {z: LocationEstimate(9, 40_000, 9000) for z in zoning.zones}
+        seen = sights.observations(10**6, places)
+        text = msgspec.msgpack.encode(sights.make_digest(10**6, zoning.zones[0], seen, 1 << 41, (), False))
         spent = _timed(functools.partial(_tell, sights, zoning.zones[0], places))
         print(f"  a digest: {len(text)} bytes a second, {spent} a second of the node's processor")
 
 
-def _tell(sights: Sightings, zone: str, places: dict[str, Place]) -> None:
-    sights.digest(10**6, zone, sights.seen(10**6, places), 1 << 41, (), False)
+def _tell(sights: ObservationLog, zone: str, places: dict[str, LocationEstimate]) -> None:
+    sights.make_digest(10**6, zone, sights.observations(10**6, places), 1 << 41, (), False)
 
 
 def weigh(seeds: int) -> None:
@@ -161,7 +168,7 @@
         dice, zoning = random.Random(seed), _zoning(9)
         room = {name: dice.choice((0, 1, 1, 1)) * dice.randrange(20_000, 60_000) for name in zoning.zones}
         demand = {(name, bound): dice.randrange(25_000 if bound == "any" else 6_000)
-                  for name in zoning.zones for bound in BOUNDS}  # fmt: skip
+                  for name in zoning.zones for bound in SCOPES}  # fmt: skip
 
         def linear(want, zoning=zoning, room=room):
             keys = [(s, b, t) for s, b in want for t in zoning.reach(s, b)]
@@ -173,7 +180,7 @@
             return dict(zip(keys, found.x, strict=True))
 
         def filled(want, zoning=zoning, room=room):
-            return zones.solve(zoning, room, {}, want).flows
+            return allocate(zoning, room, {}, want, {}).flows
 
         def price(flows, zoning=zoning):
             return sum(zoning.cost(s, t) * slots for (s, _, t), slots in flows.items())
--- a/cedarmill/cli/fleet_load.py
+++ b/cedarmill/cli/fleet_load.py
@@ -96,7 +96,7 @@
     """Set what the fleet may spend; a smaller budget takes slices back as their holders follow."""
     from cedarmill.conf.fleet import keeper
     from cedarmill.fleet import commands
-    from cedarmill.fleet.slices import Budget
+    from cedarmill.fleet.budget_grants import Budget
 
     wanted = tuple(Budget(*one) for one in keeper(path).budgets)
     _tell(asker, asker.do(lambda who, number: commands.SetBudgets(0, who, number, wanted)))
--- a/cedarmill/cli/fleet_zones.py
+++ b/cedarmill/cli/fleet_zones.py
@@ -66,14 +66,14 @@
         from cedarmill.conf.document import ConfError
         from cedarmill.conf.fleet import keeper
         from cedarmill.fleet import commands
-        from cedarmill.fleet.zones import Zoning
+        from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 
         read = keeper(path)
         if not read.regions:
             raise ConfError(f"{path}: no <zones>")
-        zoning = Zoning({name: list(inner) for name, inner in read.regions.items()}, read.costs, read.safe,
-                        read.sheds, read.news)  # fmt: skip
-        _tell(asker, asker.do(lambda who, number: commands.SetZones(0, who, number, zoning)))
+        regions = {name: list(zones) for name, zones in read.regions.items()}
+        layout = ZoneLayout(regions, read.costs, read.safe, read.sheds, read.news)
+        _tell(asker, asker.do(lambda who, number: commands.SetZones(0, who, number, layout)))
     found = asker.look("zones")
     asker.show(found, lambda: _zone_lines(found))
 
--- /dev/null
+++ b/cedarmill/fleet/traffic_control/reports.py
@@ -0,0 +1,195 @@
+"""The traffic plan as nodes and operators are told it."""
+
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from cedarmill.fleet.observations.assessment import ClusterAssessment
+from cedarmill.fleet.observations.digest import SCOPES, WHOLE
+from cedarmill.fleet.traffic_control import zone_status
+from cedarmill.fleet.traffic_control.errors import NoAssessmentError, UnknownZoneError
+from cedarmill.fleet.traffic_plan import planner
+from cedarmill.fleet.traffic_plan.state import WeightTable, ZoneState, ZoneStatus
+from cedarmill.fleet.traffic_plan.weights import expected_load
+
+if TYPE_CHECKING:
+    from cedarmill.fleet.words import Way
+    from cedarmill.fleet.world import World
+
+
+class ZoneForecast(msgspec.Struct, frozen=True):
+    """A zone's load now and then, and its room then; slots in thousandths."""
+
+    now: int
+    then: int
+    room: int
+
+
+class LossForecast(
+    msgspec.Struct,
+    rename={"zone": "lose", "missing_slots": "missing", "missing_slots_now": "missing_now"},
+    frozen=True,
+):
+    """What the loss of a zone (empty: of none) would come to; slots in thousandths."""
+
+    zone: str
+    missing_slots: int
+    missing_slots_now: int
+    zones: dict[str, ZoneForecast]
+
+
+class ZoneReport(
+    msgspec.Struct,
+    rename={
+        "status": "state",
+        "open_share": "open",
+        "halt_reason": "halted",
+        "weights": "shares",
+        "reason": "why",
+    },
+    frozen=True,
+):
+    """One zone as operators read it; slots and shares in thousandths."""
+
+    zone: str
+    region: str
+    status: str
+    open_share: int
+    pinned: bool
+    halt_reason: str
+    trust: int
+    slots: int
+    room: int
+    load: int
+    demand: dict[str, int]
+    failed: int
+    late: int
+    verdict: str
+    reason: str
+    weights: dict[str, dict[str, int]]
+    dwell_s: float
+    since_s: float
+
+
+class TrafficReport(
+    msgspec.Struct,
+    rename={
+        "missing_slots": "missing",
+        "frozen_by": "frozen",
+        "distrust_reason": "doubted",
+        "blind_zones": "blind",
+        "failing_groups": "groups",
+        "target_changes": "changes",
+    },
+    frozen=True,
+):
+    """The table that operators read."""
+
+    zones: list[ZoneReport]
+    missing_slots: int
+    frozen_by: str
+    distrust_reason: str
+    links: dict[str, str]
+    blind_zones: list[str]
+    failing_groups: list[str]
+    epoch: int
+    target_changes: int
+
+
+def route_weights(state: "World", zone: str) -> "Way | None":
+    """Where the nodes of a zone send requests; None: there is no such zone."""
+    from cedarmill.fleet import words  # which holds types of `traffic_plan/`
+
+    traffic, layout = state.traffic, state.zoning
+    if zone not in state.zones:
+        return None
+    reachable = {scope: layout.reachable_zones(zone, scope) for scope in SCOPES}
+    closed = {}
+    for one in state.zones.values():
+        permit = zone_status.permit_of(state, one)
+        if one.status == ZoneStatus.OUT and permit is not None:
+            closed[one.name] = permit.epoch
+    fallbacks = {lost: table[zone] for lost, table in traffic.fallback_weights.items() if zone in table}
+    weights = traffic.weights.get(zone) or {scope: {zone: WHOLE} for scope in SCOPES}
+    return words.Way(traffic.epoch, zone, reachable, weights, fallbacks, closed)
+
+
+def forecast_loss(state: "World", zone: str) -> LossForecast:
+    """Loads and what is missing, now and with a zone gone.
+
+    Raises NoAssessmentError, and UnknownZoneError for a zone that is neither empty nor known.
+    """
+    assessment = state.traffic.assessment
+    if assessment is None:
+        raise NoAssessmentError("nothing is known of zones yet")
+    if zone and zone not in state.zones:
+        raise UnknownZoneError(f"no zone {zone!r}")
+    now = planner.make_plan(state.zoning, state.zones, assessment)
+    then = planner.make_plan(state.zoning, state.zones, assessment, zone)
+    zones = {
+        name: ZoneForecast(now.load.get(name, 0), then.load.get(name, 0), then.room[name])
+        for name in state.zoning.zones
+    }
+    return LossForecast(zone, then.missing_slots, now.missing_slots, zones)
+
+
+def traffic_report(state: "World") -> TrafficReport:
+    """The plan and what it rests on; of zones nothing before the first assessment."""
+    traffic, assessment = state.traffic, state.traffic.assessment
+    if assessment is None:
+        return TrafficReport([], 0, traffic.frozen_by, "", {}, [], [], 0, 0)
+    available = planner.available_room(state.zoning, state.zones, assessment)
+    load = expected_load(traffic.weights, planner.demand_by_source(assessment))
+    zones = [
+        _zone_report(
+            state,
+            zone,
+            assessment,
+            available.planned[name] or available.last_resort[name],
+            load.get(name, 0),
+            traffic.weights,
+        )
+        for name, zone in state.zones.items()
+    ]
+    return TrafficReport(
+        zones,
+        traffic.missing_slots,
+        traffic.frozen_by,
+        traffic.distrust_reason,
+        assessment.links,
+        assessment.blind_zones,
+        assessment.failing_groups,
+        traffic.epoch,
+        traffic.target_changes,
+    )
+
+
+def _zone_report(
+    state: "World",
+    zone: ZoneState,
+    assessment: ClusterAssessment,
+    room: int,
+    load: int,
+    weights: WeightTable,
+) -> ZoneReport:
+    assessed = assessment.zones[zone.name]
+    return ZoneReport(
+        zone=zone.name,
+        region=state.zoning.region(zone.name),
+        status=zone.status,
+        open_share=zone.open_share,
+        pinned=zone.pinned,
+        halt_reason=zone.halt_reason,
+        trust=zone.trust,
+        slots=assessed.slots,
+        room=room,
+        load=load,
+        demand=assessed.demand,
+        failed=assessed.failed,
+        late=assessed.late,
+        verdict=assessed.verdict,
+        reason=assessed.reason,
+        weights=weights.get(zone.name, {}),
+        dwell_s=zone_status.dwell_us(state, zone) / 1e6,
+        since_s=round((state.clock - zone.status_since) / 1e6, 1),
+    )
--- /dev/null
+++ b/cedarmill/fleet/traffic_control/shedding.py
@@ -0,0 +1,65 @@
+"""The admission level of the whole cluster, and those of single zones' scopes, moved by the assessment."""
+
+from typing import TYPE_CHECKING
+
+from cedarmill.fleet.admission_level import controller
+from cedarmill.fleet.admission_level.state import UNKNOWN, LoadReport
+from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.fleet.traffic_plan import planner
+
+if TYPE_CHECKING:
+    from cedarmill.fleet.world import World
+
+
+def update_admission(state: "World") -> None:
+    """One step of the admission level, where the cluster agrees on one.
+
+    Beside it those of single zones' requests that may go only so far, where these alone find no room.
+    """
+    assessment = state.traffic.assessment
+    if not state.zoning.sheds_load or assessment is None:
+        return
+    available = planner.available_room(state.zoning, state.zones, assessment)
+    slots = sum(available.planned.values()) + sum(available.last_resort.values())
+    if not slots:
+        return  # nobody has reported any yet
+    report = _load_report(list(assessment.zones.values()), slots)
+    controller.advance(state, assessment.demand_by_weight(), report, state.traffic.assessed_at)
+    _update_scopes(state, assessment, slots)
+
+
+def _load_report(zones: list[ZoneAssessment], slots: int) -> LoadReport:
+    occupied = sum(zone.slots_occupied for zone in zones)
+    allotted = sum(zone.slots_allotted for zone in zones)
+    unallotted = UNKNOWN if occupied else 0
+    return LoadReport(
+        slots=slots,
+        late=_mean_by_demand(zones, [zone.late for zone in zones]),
+        slots_in_use=occupied,
+        slots_served=sum(zone.slots_served for zone in zones),
+        queueing=occupied * WHOLE // allotted if allotted else unallotted,
+        rejected_locally=_mean_by_demand(zones, [zone.rejected_locally for zone in zones]),
+    )
+
+
+def _mean_by_demand(zones: list[ZoneAssessment], shares: list[int]) -> int:
+    """The mean share (thousandths), each zone's counted by the slots that its clients want."""
+    wanted = [sum(zone.demand.values()) for zone in zones]
+    weighted = sum(share * slots for share, slots in zip(shares, wanted, strict=True))
+    return weighted // max(1, sum(wanted))
+
+
+def _update_scopes(state: "World", assessment: ClusterAssessment, slots: int) -> None:
+    wanted = sum(sum(zone.demand.values()) for zone in assessment.zones.values())
+    unserved: dict[tuple[str, str], int] = {}
+    if wanted <= slots:
+        plan = planner.make_plan(state.zoning, state.zones, assessment)
+        unserved = plan.allocation.unserved
+    for key in sorted({f"{zone}/{scope}" for zone, scope in unserved} | state.tight.keys()):
+        zone, _, scope = key.partition("/")
+        assessed = assessment.zones.get(zone)
+        if assessed is not None:
+            demand = assessed.demand_by_weight.get(scope, {})
+            served = sum(demand.values()) - unserved.get((zone, scope), 0)
+            controller.advance_scope(state, key, demand, max(0, served), assessed.late)
--- a/cedarmill/lab/fleet/bugs.py
+++ b/cedarmill/lab/fleet/bugs.py
@@ -334,7 +334,7 @@
 
 def smaller_slice_counts_at_once() -> list[Patch]:
     """What a holder may still spend by an older word is given to others."""
-    return [(slices.Slice, "counts", property(lambda self: self.rate))]
+    return [(slices.Slice, "counted_rate", property(lambda self: self.rate))]
 
 
 def floors_add_up() -> list[Patch]:
--- a/cedarmill/lab/fleet/regions.py
+++ b/cedarmill/lab/fleet/regions.py
@@ -12,12 +12,17 @@
 
 import numpy
 
-from cedarmill.fleet import commands, traffic, zones
-from cedarmill.fleet.evidence import BOUNDS, NEWS_US, WHOLE, Desk, Digest, Seen
-from cedarmill.fleet.follow import Follower
+from cedarmill.fleet import commands
+from cedarmill.fleet.observations.assessment import DIGEST_LIFETIME_US, ObservationCollector
+from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation, ObservationDigest
+from cedarmill.fleet.plan_follower import PlanFollower
+from cedarmill.fleet.traffic_control import reports, rollout, zone_status
+from cedarmill.fleet.traffic_plan.allocation import allocate
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.fleet.traffic_plan.similarity import are_similar
+from cedarmill.fleet.traffic_plan.state import WeightTable
 from cedarmill.fleet.words import Way
 from cedarmill.fleet.world import Member, World
-from cedarmill.fleet.zones import Zoning, same_news, solve
 
 DT = 0.1  # s, a step
 US = 1_000_000
@@ -34,7 +39,7 @@
 WINDOW = 30  # steps that a node's counts reach back: 3 s
 OVER = 1.05  # of a zone's true capacity: a receiver beyond it is over its safe load, noise allowed
 CLAIMED = 8.0  # s, where slots are claimed that are not there: late jobs, their news, two cuts, a step each
-SHIFT_MEANT = zones.SHIFT  # thousandths a second, as it is meant to be: a planted bug changes the other
+SHIFT_MEANT = rollout.MOVE_RATE  # thousandths a second, as it is meant to be: a planted bug changes the other
 WAYS = ("alone", "static", "agreed")
 
 
@@ -90,12 +95,12 @@
     """One incident, one seed, one way."""
 
     def __init__(self, place: Place, incident: Incident, seed: int, way: str) -> None:
-        self.place, self.incident, self.way = place, incident, way
+        self.place, self.incident, self.plan = place, incident, way
         self.random = numpy.random.Generator(numpy.random.PCG64(numpy.random.SeedSequence([seed, 7])))
         names = [f"z{r}{z}" for r in range(place.regions) for z in range(place.zones)]
         self.names, self.count = names, len(names)
         regions = {f"r{r}": [f"z{r}{z}" for z in range(place.zones)] for r in range(place.regions)}
-        self.zoning = Zoning(regions, {}, SAFE)
+        self.zoning = ZoneLayout(regions, {}, SAFE)
         self.region = numpy.array([n // place.zones for n in range(self.count)])
         self.home = numpy.array([n % self.count for n in range(place.nodes)])
         weights = self.random.uniform(0.6, 1.4, place.nodes)
@@ -167,11 +172,11 @@
         demand, rows = self.demand(), self.steer.rows()  # rows: node x zone, for each bound
         there = self.capacity()
         reach = self.links[self.home] * (there > 0)[None, :] * self.node_ill[:, None]
-        sent = sum(rows[b] * (demand * PARTS[b])[:, None] for b in BOUNDS)
+        sent = sum(rows[b] * (demand * PARTS[b])[:, None] for b in SCOPES)
         arrive = sent * reach
         self.there_at = numpy.where(there > 0, self.t, self.there_at)
         noticed = self.t - self.there_at > NOTICE  # executors known to be dead are not tried: refused
-        again = sum(self._again(rows[b] * ~noticed, rows[b], demand * PARTS[b], reach) for b in BOUNDS)
+        again = sum(self._again(rows[b] * ~noticed, rows[b], demand * PARTS[b], reach) for b in SCOPES)
         arrive_all = arrive + again
         offered = arrive_all.sum(0)
         served, late = self._serve(offered, there)
@@ -246,11 +251,11 @@
                 for n, name in enumerate(self.names)}  # fmt: skip
         wanted = numpy.bincount(self.home, demand, self.count)
         want = {(name, b): int(WHOLE * wanted[n] * PARTS[b])
-                for n, name in enumerate(self.names) for b in BOUNDS}  # fmt: skip
+                for n, name in enumerate(self.names) for b in SCOPES}  # fmt: skip
         links = {f"{a}>{b}": "gone" for i, a in enumerate(self.names) for j, b in enumerate(self.names)
                  if self.links[i, j] < 0.5 and i != j}  # fmt: skip
         # the own zone may be filled beyond what is safe for it: nothing is sent there by plan
-        flow = solve(self.zoning, room, {}, want, links)
+        flow = allocate(self.zoning, room, {}, want, links)
         return sum(flow.flows.values()) / WHOLE
 
     # The whole.
@@ -273,7 +278,7 @@
         crossed = sum(c for _, _, _, c in self.by_step) / offered
         text = repr([tuple(round(float(x), 6) for x in one) for one in self.by_step]).encode()
         return Result(
-            self.way, served / offered, possible / max(1e-9, sum(one[0] for one in part)),
+            self.plan, served / offered, possible / max(1e-9, sum(one[0] for one in part)),
             near / max(1e-9, possible), crossed, worst, round(self.over_most, 2), self.fallen,
             self.steer.changes(), round(self.cold_most, 3), self._settled(),
             hashlib.blake2b(text, digest_size=16).hexdigest(),
@@ -355,7 +360,7 @@
         idle = numpy.maximum(1e-3, self.idle) * (self.dead <= 0)
         own = (idle * self._own).sum(1)
         found = {}
-        for bound in BOUNDS:
+        for bound in SCOPES:
             others = idle * self.mask(bound) * (1 - self._own)
             count = numpy.maximum(1, (others > 0).sum(1))
             far = others.sum(1) / count
@@ -384,7 +389,7 @@
 
     def rows(self) -> dict[str, numpy.ndarray]:
         found = {}
-        for bound in BOUNDS:
+        for bound in SCOPES:
             others = self.mask(bound) * (1 - self._own)
             weight = others / numpy.maximum(others.sum(1, keepdims=True), 1e-9)
             gone = (self.gone & (others.sum(1) > 0)).astype(float)[:, None]
@@ -403,20 +408,21 @@
         self.members = []
         for n, home in enumerate(run.home):
             self.members.append(Member("node", f"n{n}", "1", run.names[home]))
-        self.followers = [Follower() for _ in self.members]
-        self.digests: list[tuple[float, int, int, Digest]] = []  # when each comes, of whom, when it was made
+        self.followers = [PlanFollower() for _ in self.members]
+        # when each comes, of whom, when it was made
+        self.digests: list[tuple[float, int, int, ObservationDigest]] = []
         self.seq = 0
-        self.desk = Desk()
+        self.desk = ObservationCollector()
         self.led = True
         self.told_epoch = -1
-        self.ways: list[tuple[float, int, Way]] = []
-        self.matrix = {bound: self._own.copy() for bound in BOUNDS}
+        self.plans: list[tuple[float, int, Way]] = []
+        self.matrix = {bound: self._own.copy() for bound in SCOPES}
         self.phase = run.random.integers(0, 10, run.place.nodes)
         self.use_phase = run.random.integers(0, 3, run.place.nodes)
         self.epochs = [0] * len(self.members)
         self.there_since = numpy.zeros(run.count)
         self.states = ["open"] * run.count
-        self.shares_before: zones.Rows = {}
+        self.shares_before: WeightTable = {}
         self.drained: dict[int, float] = {}  # zones that every node has heard to be shut, and since when
 
     @property
@@ -436,7 +442,7 @@
         self._watch(step)
 
     def returning(self) -> list[int]:
-        return [n for n, name in enumerate(self.run.names) if self.world.zones[name].state == "returning"]
+        return [n for n, name in enumerate(self.run.names) if self.world.zones[name].status == "returning"]
 
     # What has to hold.
 
@@ -449,7 +455,7 @@
         there = run.capacity() > 0
         self.there_since = numpy.where(there, self.there_since, run.t)
         for n, name in enumerate(run.names):
-            state = self.world.zones[name].state
+            state = self.world.zones[name].status
             if state != self.states[n]:
                 self._turned(n, self.states[n], state)
                 self.states[n] = state
@@ -464,11 +470,11 @@
         if state in ("lost", "ill") and stood > 5.0 and reached:
             self._broken("nothing is lost that is there", f"{run.names[zone]} is {state} after {stood:.1f} s")
         damped = before in ("lost", "ill") and state == "returning"
-        if damped and stood < zones.DWELL_US / US - 3.5 and not run.fails[zone]:
+        if damped and stood < zone_status.DWELL_US / US - 3.5 and not run.fails[zone]:
             self._broken("one change in a damped period", f"{run.names[zone]} back after {stood:.1f} s")
 
     def _bounded(self) -> None:
-        shares, before = self.world.traffic.shares, self.shares_before
+        shares, before = self.world.traffic.weights, self.shares_before
         self.shares_before = {source: {bound: dict(row) for bound, row in by.items()}
                               for source, by in shares.items()}  # fmt: skip
         gone = {name for n, name in enumerate(self.run.names) if self.states[n] in ("lost", "out")}
@@ -483,10 +489,10 @@
         """Once all nodes have heard that a zone is shut, nothing is sent there."""
         run = self.run
         for n, name in enumerate(run.names):
-            heard = all(f.way is not None and name in f.way.shut for f in self.followers)
+            heard = all(f.plan is not None and name in f.plan.shut for f in self.followers)
             since = self.drained.setdefault(n, run.t) if heard else self.drained.pop(n, None)
             if heard and run.t - since > 0.5:
-                sent = sum(self.matrix[bound][:, n].sum() for bound in BOUNDS)
+                sent = sum(self.matrix[bound][:, n].sum() for bound in SCOPES)
                 if sent > 0:
                     self._broken("a shut zone gets nothing", f"{name} gets {sent:.3f} of rows")
 
@@ -503,22 +509,28 @@
             late = run.incident.late * (run.t >= LATE_FROM) + float(run.random.uniform(0.0, 0.3))
             self.digests.append((run.t + late, int(n), self.now, self._digest(int(n), sums)))
 
-    def _seen(self, n: int, sums: dict[str, numpy.ndarray]) -> dict[str, Seen]:
+    def _seen(self, n: int, sums: dict[str, numpy.ndarray]) -> dict[str, LocationObservation]:
         run = self.run
         there, held = run.capacity() * run.lies, run.recent[0]
-        found = {name: Seen(int(run.place.executors / run.count * run.up[z]), int(WHOLE * there[z]),
-                            int(WHOLE * min(held[z], there[z])),
-                            *(int(sums[what][n, z]) for what in ("tried", "failed", "late", "lost")))
-                 for z, name in enumerate(run.names)}  # fmt: skip
+        found = {
+            name: LocationObservation(
+                int(run.place.executors / run.count * run.up[z]),
+                int(WHOLE * there[z]),
+                int(WHOLE * min(held[z], there[z])),
+                *(int(sums[what][n, z]) for what in ("tried", "failed", "late", "lost")),
+            )
+            for z, name in enumerate(run.names)
+        }
         if run.lying:
-            found |= {name: Seen(9, found[name].slots, 0, 50, lost=50) for name in run.names[2:]}
+            for name in run.names[2:]:
+                found[name] = LocationObservation(9, found[name].slots, 0, 50, unreached=50)
         return found
 
-    def _digest(self, n: int, sums: dict[str, numpy.ndarray]) -> Digest:
+    def _digest(self, n: int, sums: dict[str, numpy.ndarray]) -> ObservationDigest:
         run = self.run
         demand = float(run.demand()[n])
-        wants = {b: int(WHOLE * demand * PARTS[b] * run.random.uniform(0.95, 1.05)) for b in BOUNDS}
-        return Digest(self.seq, run.names[run.home[n]], wants, self._seen(n, sums), self.epochs[n])
+        wants = {b: int(WHOLE * demand * PARTS[b] * run.random.uniform(0.95, 1.05)) for b in SCOPES}
+        return ObservationDigest(self.seq, run.names[run.home[n]], wants, self._seen(n, sums), self.epochs[n])
 
     # The leader.
 
@@ -526,7 +538,7 @@
         run = self.run
         led = run.incident.keepers(run.t)
         if led and not self.led:
-            self.desk = Desk()  # a new leader knows nothing of before
+            self.desk = ObservationCollector()  # a new leader knows nothing of before
             self.since = run.t
         self.led = led
         due = [one for one in self.digests if one[0] <= run.t]
@@ -534,33 +546,33 @@
         if not led:
             return
         for _, n, made, digest in due:
-            self.desk.take(made, f"n{n}", digest)
-        told = sum(self.now - at <= NEWS_US for at, _ in self.desk.held.values())
+            self.desk.accept(made, f"n{n}", digest)
+        told = sum(self.now - at <= DIGEST_LIFETIME_US for at, _ in self.desk.digests.values())
         if step % 5 == 0 and 2 * told > len(self.members):
-            evidence = self.desk.look(self.now, run.names)
-            if not same_news(self.world.traffic.told, evidence):
+            evidence = self.desk.assess(self.now, run.names)
+            if not are_similar(self.world.traffic.latest_assessment, evidence):
                 self.apply(commands.Observed(self.now, evidence))
         at = commands.due(self.world)
         if at is not None and self.now >= at:
             self.apply(commands.Tick(self.now))
         if self.world.traffic.epoch != self.told_epoch:
             self.told_epoch = self.world.traffic.epoch
-            ways = {name: traffic.way(self.world, name) for name in run.names}
+            ways = {name: reports.route_weights(self.world, name) for name in run.names}
             for n, member in enumerate(self.members):
                 dies = run.incident.half and not run.incident.keepers(run.t + 1.0) and n % 2
                 if not dies:
                     late = float(run.random.uniform(0.0, 0.3 if run.random.random() < 0.95 else 2.0))
-                    self.ways.append((run.t + late, n, ways[member.zone]))
+                    self.plans.append((run.t + late, n, ways[member.zone]))
 
     # Nodes follow.
 
     def _hear(self) -> None:
         run = self.run
-        due = [one for one in self.ways if one[0] <= run.t]
-        self.ways = [one for one in self.ways if one[0] > run.t]
+        due = [one for one in self.plans if one[0] <= run.t]
+        self.plans = [one for one in self.plans if one[0] > run.t]
         for _, n, way in due:
             before = self.epochs[n]
-            if self.followers[n].told(way):
+            if self.followers[n].accept_plan(way):
                 self.epochs[n] = way.epoch
                 if way.epoch < before:
                     self._broken("older plans never replace newer ones", f"n{n}: {way.epoch} after {before}")
@@ -571,22 +583,26 @@
         sums = {what: sum(run.history[what]) for what in run.history}
         for n in nodes:
             follower = self.followers[n]
-            if follower.way is None:
+            if follower.plan is None:
                 continue
-            follower.look(self.now, self._light(int(n), sums))
+            follower.decide(self.now, self._light(int(n), sums))
             for bound, found in follower.rows(self.now).items():
                 row = numpy.zeros(run.count)
                 for zone, part in found.items():
-                    if zone == follower.way.zone and zone in follower.way.shut:
+                    if zone == follower.plan.zone and zone in follower.plan.shut:
                         continue  # refused at once: its executors are out of use
                     row[run.names.index(zone)] = part / WHOLE
                 self.matrix[bound][n] = row
             self._held(int(n))
 
-    def _light(self, n: int, sums: dict[str, numpy.ndarray]) -> dict[str, Seen]:
+    def _light(self, n: int, sums: dict[str, numpy.ndarray]) -> dict[str, LocationObservation]:
         """As `_seen`, only what a follower reads."""
-        return {name: Seen(tried=int(sums["tried"][n, z]), lost=int(sums["lost"][n, z]))
-                for z, name in enumerate(self.run.names) if sums["lost"][n, z]}  # fmt: skip
+        tried, lost = sums["tried"][n], sums["lost"][n]
+        return {
+            name: LocationObservation(attempts=int(tried[z]), unreached=int(lost[z]))
+            for z, name in enumerate(self.run.names)
+            if lost[z]
+        }
 
     def _held(self, n: int) -> None:
         """Residency holds in each row, whatever was agreed and seen."""
@@ -598,7 +614,7 @@
         return self.matrix
 
     def changes(self) -> int:
-        return sum(zone.changes for zone in self.world.zones.values())
+        return sum(zone.status_changes for zone in self.world.zones.values())
 
 
 _STEERS = {"alone": Alone, "static": Static, "agreed": Agreed}
--- a/cedarmill/lab/fleet/small.py
+++ b/cedarmill/lab/fleet/small.py
@@ -174,7 +174,7 @@
         elif what == "plan":
             self._told(rest)
         elif name == "a not reached":
-            self.followers["b"].look(self.now, {"a": Seen(tried=9, lost=9)})
+            self.followers["b"].look(self.now, {"a": Seen(attempts=9, unreached=9)})
         else:
             self.pass_time({"time": 3 * S, "long": 25 * S}[what])
 
--- a/cedarmill/lab/fleet/storm_bugs.py
+++ b/cedarmill/lab/fleet/storm_bugs.py
@@ -7,8 +7,11 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from cedarmill.fleet import news, overload, purse
-from cedarmill.fleet.overload import Cut
+from cedarmill.fleet.admission_level import controller
+from cedarmill.fleet.admission_level.gate import AdmissionGate
+from cedarmill.fleet.admission_level.state import SheddingThreshold
+from cedarmill.fleet.budget_lease import QUOTA_PREFIX, BudgetLeases
+from cedarmill.fleet.gossip_plan import ReportBoard
 from cedarmill.lab.fleet import storms
 from cedarmill.lab.fleet.bugs import Patch, planted_patches
 from cedarmill.lab.fleet.storms import Result
@@ -49,54 +52,56 @@
 
 def most_worth_first_refused() -> list[Patch]:
     """The level begins at the wrong end: what is worth most is refused first."""
-    plain = overload.level
+    plain = controller.threshold_for
 
-    def level(wants, shed):
-        mirrored = plain({-rank: slots for rank, slots in wants.items()}, shed)
-        return Cut(-mirrored.rank, mirrored.part) if mirrored != Cut() else mirrored
+    def threshold_for(demand, shed_slots):
+        mirrored = plain({-weight: slots for weight, slots in demand.items()}, shed_slots)
+        if mirrored == SheddingThreshold():
+            return mirrored
+        return SheddingThreshold(-mirrored.weight, mirrored.share)
 
-    def cuts(self, now, holds, rank, chance, bound="any"):
-        one = self.cut
-        part = 1.0 if rank > one.rank else one.part / 1000
-        return one.rank >= 0 and rank >= one.rank and chance < part
+    def rejects(self, now, lease_holds, weight, sample, scope="any"):
+        one = self.threshold
+        share = 1.0 if weight > one.weight else one.share / 1000
+        return one.weight >= 0 and weight >= one.weight and sample < share
 
-    return [(overload, "level", level), (overload.Gate, "cuts", cuts)]
+    return [(controller, "threshold_for", threshold_for), (AdmissionGate, "rejects", rejects)]
 
 
 def cut_is_never_lifted() -> list[Patch]:
     """What is shed only grows."""
-    return [(overload, "DOWN", 0)]
+    return [(controller, "RELEASE_RATE", 0)]
 
 
 def quota_is_not_asked() -> list[Patch]:
     """A tenant's reqs all count as within its quota."""
-    plain = purse.Purses.spend
-    return [(purse.Purses, "spend", lambda self, now, holds, name, keep=0:
-             name.startswith(purse.QUOTA) or plain(self, now, holds, name, keep))]  # fmt: skip
+    plain = BudgetLeases.spend
+    return [(BudgetLeases, "spend", lambda self, now, holds, name, keep=0:
+             name.startswith(QUOTA_PREFIX) or plain(self, now, holds, name, keep))]  # fmt: skip
 
 
 def probes_without_budget() -> list[Patch]:
     """Each node probes as it likes, and news are never shared."""
-    plain = purse.Purses.spend
-    return [(purse.Purses, "spend", lambda self, now, holds, name, keep=0:
+    plain = BudgetLeases.spend
+    return [(BudgetLeases, "spend", lambda self, now, holds, name, keep=0:
              name == "probes" or plain(self, now, holds, name, keep)),
-            (news.Board, "tells", lambda self, fact: False)]  # fmt: skip
+            (ReportBoard, "may_share", lambda self, report: False)]  # fmt: skip
 
 
 def cut_lapses_with_the_beat() -> list[Patch]:
     """A cut is obeyed for a tenth of a second in each second only, as if the lease were that short."""
-    plain = overload.Gate.cuts
-    return [(overload.Gate, "cuts", lambda self, now, holds, *more:
+    plain = AdmissionGate.rejects
+    return [(AdmissionGate, "rejects", lambda self, now, holds, *more:
              now % 1_000_000 < 100_000 and plain(self, now, holds, *more))]  # fmt: skip
 
 
 def every_lateness_is_a_storm() -> list[Patch]:
     """A cut begins by what is wanted alone, at half of the slots."""
 
-    def fill(one, idle):
-        one.active, one.fill = True, 500
+    def adjust_fill(level, idle):
+        level.active, level.fill_share = True, 500
 
-    return [(overload, "_fill", fill)]
+    return [(controller, "_adjust_fill", adjust_fill)]
 
 
 BUGS = {
--- a/cedarmill/lab/fleet/storms.py
+++ b/cedarmill/lab/fleet/storms.py
@@ -14,11 +14,13 @@
 
 import numpy
 
-from cedarmill.fleet import commands, overload, slices
-from cedarmill.fleet.news import FULL_BY, Board, Draw, Fact
-from cedarmill.fleet.overload import Gate
-from cedarmill.fleet.purse import Purses, Tries
-from cedarmill.fleet.slices import Budget
+from cedarmill.fleet import budget_grants, commands
+from cedarmill.fleet.admission_level import controller
+from cedarmill.fleet.admission_level.gate import OVER_QUOTA_SHARE, AdmissionGate
+from cedarmill.fleet.admission_level.state import UNKNOWN, LoadReport, SheddingThreshold
+from cedarmill.fleet.budget_grants import Budget
+from cedarmill.fleet.budget_lease import BudgetLeases, RetryBudget
+from cedarmill.fleet.gossip_plan import MAX_SENT_FACTOR, ExecutorReport, GossipPlan, ReportBoard
 from cedarmill.fleet.world import Member, World
 
 US = 1_000_000
@@ -143,9 +145,9 @@
     def __init__(self, storm: "Storm", number: int) -> None:
         self.number, self.alive, self.fixed = number, True, storm.place.places
         self.lease = 0.0  # of one that is dead, till when the fleet takes it for there
-        self.board = Board()
+        self.board = ReportBoard()
         self.subset: list[int] = []
-        self.gate, self.purses, self.tries = Gate(), Purses(), Tries()
+        self.gate, self.purses, self.tries = AdmissionGate(), BudgetLeases(), RetryBudget()
         self.first = 0
         self.wanted: deque[tuple[int, int, float]] = deque()  # step, worth, slot-seconds
         self.ends: deque[tuple[int, int, int]] = deque()  # step, served, of these late
@@ -184,7 +186,7 @@
         self.weights = weights / weights.sum()
         self.due: list[tuple[float, int, str, tuple]] = []
         self.count, self.t, self.step_number = 0, 0.0, 0
-        self.news: list[tuple[float, Fact, int]] = []
+        self.news: list[tuple[float, ExecutorReport, int]] = []
         self.numbers = {"first": 0, "sent": 0, "offered": 0, "probes": 0, "connects": 0, "calm": 0,
                         "refused": 0, "cut": 0}  # fmt: skip
         self.work = self.waste = 0.0
@@ -202,7 +204,7 @@
     def _set_up(self) -> None:
         place = self.place
         self.names = [f"e{n}" for n in range(place.executors)]
-        self.draw = Draw()
+        self.draw = GossipPlan()
         self.parts: dict[int, float] = {}  # of the traffic, by node, as last told
         for node in self.nodes:
             node.subset = list(range(place.executors))
@@ -215,7 +217,7 @@
                    Budget("connects", int(2000 * place.executors), place.nodes)]  # fmt: skip
         budgets += [Budget(f"tenant:{name}", int(rate * part * 1000), place.nodes) for name, part in TENANTS]
         if self.way == "fleet":
-            slices.set_up(self.world, budgets)
+            budget_grants.set_budgets(self.world, budgets)
             for n in range(place.nodes):
                 member = Member("node", f"n{n}", "1")
                 self.world.members[member.key] = member
@@ -224,9 +226,9 @@
         """Who uses what: by the nodes that are there, and their parts of the traffic."""
         there = {f"n{node.number}": node for node in self.nodes if node.alive or self.t < node.lease}
         self.users = {n: [] for n in range(len(self.names))}
-        self.draw.set(there, self.names)
+        self.draw.update(there, self.names)
         for name, node in there.items():
-            mine = self.draw.subset(name, self.parts.get(node.number, 0.0))
+            mine = self.draw.executors_of(name, self.parts.get(node.number, 0.0))
             node.subset = [int(one[1:]) for one in mine]
             for number in node.subset:
                 self.users[number].append(node.number)
@@ -263,7 +265,7 @@
         for n in range(int(place.cold * place.executors)):
             self.executors[n].restart(self.t)
         for node in self.nodes if place.forgets else ():
-            node.board = Board()
+            node.board = ReportBoard()
             node.connected.clear()
 
     def _come(self) -> None:
@@ -318,9 +320,9 @@
         if self.way == "fleet":
             keep = 800 - 800 * job.rank // KINDS[0][0]  # what is worth more goes first
             if not node.purses.spend(us, self._holds(), f"tenant:{TENANTS[job.tenant][0]}", keep):
-                rank = rank * overload.OVER // 1000
+                rank = rank * OVER_QUOTA_SHARE // 1000
             node.wanted.append((self.step_number, rank, job.size))
-            if node.gate.cuts(us, self._holds(), rank, float(self.dice.random())):
+            if node.gate.rejects(us, self._holds(), rank, float(self.dice.random())):
                 self._turn_away(now, job, advised=True)
                 return
             node.passed.append(self.step_number)
@@ -363,7 +365,7 @@
             self._hear(now, node, number, held)
             self._again(now, job, node)
             return
-        node.board.sent(number)
+        node.board.on_sent(number)
         end = executor.take(now, job.size)
         self.work += job.size
         self.at(min(end, now + PATIENCE), "ended", job, node.number, number, end, now)
@@ -380,9 +382,9 @@
         """A node tries once more, if it may."""
         may = job.sends < SENDS
         if self.way == "fleet":
-            may = may and node.tries.may(node.first) and self._may(now, node, "retries")
+            may = may and node.tries.spend(node.first) and self._may(now, node, "retries")
         elif self.way == "fixed":
-            may = may and node.tries.may(node.first)
+            may = may and node.tries.spend(node.first)
         if may:
             self._send(now, job, node)
         else:
@@ -394,10 +396,10 @@
         drawn = [node.subset[int(n)] for n in self.dice.integers(count, size=6)]
         # today: the best of what seems free, which comes near the best of some
         for part in (drawn[:2], drawn[2:], node.subset) if fleet else (drawn,):
-            found = self._fits(now, node, part, job.rank, FULL_BY)
+            found = self._fits(now, node, part, job.rank, MAX_SENT_FACTOR)
             if found:
                 return min(found)[1]
-        if not fleet or node.gate.cut.rank >= 0:
+        if not fleet or node.gate.threshold.weight >= 0:
             return None
         # nothing is cut: others do not all send at the same time
         found = self._fits(now, node, node.subset, CALM_RANK, 1)
@@ -407,13 +409,13 @@
         """The load believed there and the number of those with room by its news; old ones are asked again."""
         found = []
         for number in numbers:
-            fact = node.board.facts.get(number)
+            fact = node.board.reports.get(number)
             if fact is None or now - fact.at > STALE:
                 self._probe(now, node, number)
             sharers = len(self.users[number]) if self.way == "fleet" else 1
-            believed = node.board.load(number, now, min(sharers, most))
+            believed = node.board.estimated_load(number, now, min(sharers, most))
             if believed < self.place.slots + node.places(number, rank):
-                found.append((node.board.load(number, now, sharers**0.5), number))
+                found.append((node.board.estimated_load(number, now, sharers**0.5), number))
         return found
 
     def _probe(self, now: float, node: Node, number: int) -> None:
@@ -430,16 +432,16 @@
 
     def _hear(self, now: float, node: Node, number: int, held: int) -> None:
         """A report; shared with those that use the same executor, later."""
-        fact = Fact(number, now, held, self.place.slots)
-        node.board.hear(fact)
-        if self.way == "fleet" and node.board.tells(fact):
+        fact = ExecutorReport(number, now, held, self.place.slots)
+        node.board.accept(fact)
+        if self.way == "fleet" and node.board.may_share(fact):
             self.at(now + self.place.news, "spread", fact, node.number)
 
-    def spread(self, now: float, fact: Fact, teller: int) -> None:
+    def spread(self, now: float, fact: ExecutorReport, teller: int) -> None:
         """What one has heard itself comes to the others; nobody passes on what it was told."""
         for number in self.users[fact.executor]:
             if number != teller and self.dice.random() >= self.place.one_way:
-                self.nodes[number].board.hear(fact)
+                self.nodes[number].board.accept(fact)
 
     def ended(self, now: float, job: Job, node: int, number: int, end: float, sent: float) -> None:
         """It is served, or its client has left while it goes on."""
@@ -447,7 +449,7 @@
             self.waste += job.size
             self._turn_away(now, job, advised=False, refused=False)
             return
-        self.nodes[node].board.ended(number)
+        self.nodes[node].board.on_ended(number)
         took = now - job.first if job.tries == 1 else now - sent
         late = end > sent + PATIENCE or took > AIM + WORK
         self.nodes[node].ends.append((self.step_number, 1, late))
@@ -516,10 +518,11 @@
         self.held.append(sum(executor.held(self.t) for executor in self.executors))
         held = self.held[max(0, len(self.held) - 1 - int(NEWS_LATE / DT / 10))]  # as it was then
         aimed = served * (AIM + WORK) / ((last - first) * DT)
-        queue = int(1000 * held / aimed) if aimed else overload.UNKNOWN if held else 0
+        queue = int(1000 * held / aimed) if aimed else UNKNOWN if held else 0
         late, turned = 1000 * late // max(1, served), 1000 * turned // max(1, came)
-        overload.advance(self.world, wants, 1000 * self.slots, late, 1000 * held, 0, queue, turned)
-        self.at(self.t + 0.3, "told", self.world.admission.cut)
+        report = LoadReport(1000 * self.slots, late, 1000 * held, 0, queue, turned)
+        controller.advance(self.world, wants, report)
+        self.at(self.t + 0.3, "told", self.world.admission.threshold)
 
     def _look_at_parts(self) -> None:
         """Once a second: who is there, and what comes to whom; where that has changed, who uses what."""
@@ -534,14 +537,14 @@
         key, us = f"node:n{node.number}:1", int(self.t * US)
         self.world.clock, self.world.index = us, self.world.index + 1
         commands.apply(self.world, self.world.index, commands.encode(
-            commands.Wants(us, key, node.purses.wants(us))))  # fmt: skip
-        node.purses.told(us, True, slices.word(self.world, key))
-        slices.follows(self.world, key, self.world.epoch)
+            commands.Wants(us, key, node.purses.demands(us))))  # fmt: skip
+        node.purses.set_rates(us, True, budget_grants.rates_for(self.world, key))
+        budget_grants.acknowledge(self.world, key, self.world.epoch)
 
-    def told(self, now: float, cut: overload.Cut) -> None:
+    def told(self, now: float, cut: SheddingThreshold) -> None:
         first, last = self.place.half
         for node in self.nodes[:: 2 if first <= now < last else 1]:
-            node.gate.told(cut)
+            node.gate.set_thresholds(cut)
 
     # What it came to.
 
--- a/cedarmill/lab/fleet/zone_bugs.py
+++ b/cedarmill/lab/fleet/zone_bugs.py
@@ -7,8 +7,15 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from cedarmill.fleet import evidence, follow, traffic, zones
-from cedarmill.fleet.evidence import WHOLE, Voice, share
+from cedarmill.fleet.observations import assessment
+from cedarmill.fleet.observations.assessment import GroupFindings, Verdict
+from cedarmill.fleet.observations.digest import WHOLE, share_of
+from cedarmill.fleet.plan_follower import PlanFollower
+from cedarmill.fleet.traffic_control import ramps, rollout, trust, zone_status
+from cedarmill.fleet.traffic_plan import planner
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.fleet.traffic_plan.planner import Room
+from cedarmill.fleet.traffic_plan.weights import normalized
 from cedarmill.lab.fleet import regions
 from cedarmill.lab.fleet.bugs import Patch, planted_patches
 from cedarmill.lab.fleet.regions import breaches
@@ -24,102 +31,112 @@
 def loud_observers_outvote() -> list[Patch]:
     """All tries of a zone's observers in one sum: who sends most decides."""
 
-    def voice(views):
-        tried, failed, late, lost = (sum(getattr(one, what) for one in views)
-                                     for what in ("tried", "failed", "late", "lost"))  # fmt: skip
-        if not tried:
+    def combine(observations):
+        attempts = sum(one.attempts for one in observations)
+        unreached = sum(one.unreached for one in observations)
+        if not attempts:
             return None
-        return Voice(share(failed, tried - lost), share(late, tried - lost), share(lost, tried), tried)
+        failed, late = sum(one.failed for one in observations), sum(one.late for one in observations)
+        arrived = attempts - unreached
+        return GroupFindings(
+            share_of(failed, arrived), share_of(late, arrived), share_of(unreached, attempts), attempts
+        )
 
-    return [(evidence, "voice", voice)]
+    return [(assessment, "combine_observations", combine)]
 
 
 def silence_is_loss() -> list[Patch]:
     """A zone of which nobody tells counts as lost."""
-    plain = evidence._verdict
+    plain = assessment._verdict
 
-    def verdict(z, heard):
-        found = plain(z, heard)
-        return ("lost", "silent") if found[0] == "unknown" else found
+    def verdict(zone, findings):
+        found = plain(zone, findings)
+        return (Verdict.LOST, "silent") if found[0] == Verdict.UNKNOWN else found
 
-    return [(evidence, "_verdict", verdict)]
+    return [(assessment, "_verdict", verdict)]
 
 
 def late_news_are_new() -> list[Patch]:
     """How old a digest is says nothing."""
-    return [(evidence, "NEWS_US", 90_000_000), (regions, "NEWS_US", 90_000_000)]
+    return [
+        (assessment, "DIGEST_LIFETIME_US", 90_000_000),
+        (regions, "DIGEST_LIFETIME_US", 90_000_000),
+    ]
 
 
 def masses_are_believed() -> list[Patch]:
     """However many zones seem lost at once, they are."""
-    return [(traffic, "MASS", 99)]
+    return [(zone_status, "MASS_LOSS", 99)]
 
 
 def room_not_kept() -> list[Patch]:
     """A receiver is sent whatever there is, as if it had three times its slots."""
-    plain = zones.rooms
+    plain = planner.available_room
 
-    def rooms(zoning, states, found, without=""):
-        room, spare = plain(zoning, states, found, without)
-        return {name: 3 * slots for name, slots in room.items()}, spare
+    def available_room(layout, zones, found, without=""):
+        room = plain(layout, zones, found, without)
+        return Room({name: 3 * slots for name, slots in room.planned.items()}, room.last_resort)
 
-    return [(zones, "rooms", rooms)]
+    return [(planner, "available_room", available_room)]
 
 
 def residency_forgotten() -> list[Patch]:
     """What may not leave its region goes wherever there is room."""
-    return [(zones.Zoning, "reach", lambda self, zone, bound: self.zones)]
+    return [(ZoneLayout, "reachable_zones", lambda self, zone, scope: self.zones)]
 
 
 def no_dwell() -> list[Patch]:
     """A zone is believed again as soon as it is seen to be well."""
-    return [(traffic, "dwell", lambda world, zone: 0)]
+    return [(zone_status, "dwell_us", lambda state, zone: 0)]
 
 
 def back_at_once() -> list[Patch]:
     """A zone that comes back gets all of its traffic in one step, cold as it is."""
-    return [(zones, "RETURN", 100_000), (zones, "SHIFT", 100_000)]
+    return [(ramps, "RETURN_RATE", 100_000), (rollout, "MOVE_RATE", 100_000)]
 
 
 def moves_at_once() -> list[Patch]:
     """Shares jump to their aim."""
-    return [(zones, "SHIFT", 100_000)]
+    return [(rollout, "MOVE_RATE", 100_000)]
 
 
 def standing_plans_need_all() -> list[Patch]:
     """The plan for a loss is made as if all zones followed it, not only those that notice."""
 
-    def standing(zoning, states, found, now):
-        return {name: zones.plan(zoning, states, found, name).rows for name in zoning.zones}
+    def fallbacks(state, plan, found):
+        return {
+            name: planner.make_plan(state.zoning, state.zones, found, name).weights
+            for name in state.zoning.zones
+        }
 
-    return [(zones, "standing", standing)]
+    return [(rollout, "_fallbacks", fallbacks)]
 
 
 def older_plans_followed() -> list[Patch]:
     """A node follows what came last, whatever its epoch."""
 
-    def told(self, way):
-        self.way = way or self.way
-        return way is not None
+    def accept_plan(self, plan):
+        self.plan = plan or self.plan
+        return plan is not None
 
-    return [(follow.Follower, "told", told)]
+    return [(PlanFollower, "accept_plan", accept_plan)]
 
 
 def shut_zones_in_need() -> list[Patch]:
     """A zone that operators have emptied is used when others are not reached."""
-    plain = follow.Follower.row
+    plain = PlanFollower.row_without
 
-    def row(self, bound, out):
-        found = plain(self, bound, set(out) - self.way.shut.keys())
-        names = [*self.way.shut] if bound == "any" else []
-        return zones.whole_row(found | dict.fromkeys(names, WHOLE // 2)) if names else found
+    def row_without(self, scope, left_out):
+        found = plain(self, scope, set(left_out) - self.plan.shut.keys())
+        names = [*self.plan.shut] if scope == "any" else []
+        return normalized(found | dict.fromkeys(names, WHOLE // 2)) if names else found
 
-    return [(follow.Follower, "row", row)]
+    return [(PlanFollower, "row_without", row_without)]
 
 
 def slots_believed_as_claimed() -> list[Patch]:
     """Late jobs say nothing of slots that are claimed."""
-    return [(traffic, "_trust", lambda world: None)]
+    return [(trust, "adjust_trust", lambda state, found: None)]
 
 
 BUGS = {
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -9,14 +9,17 @@
 from helpers import Driver, sends
 
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import commands, overload, slices
-from cedarmill.fleet.evidence import Evidence, ZoneNews
-from cedarmill.fleet.news import GAP, Board, Draw, Fact
-from cedarmill.fleet.overload import FADE_US, Cut, Gate, level
-from cedarmill.fleet.purse import Purse, Purses, Tries
-from cedarmill.fleet.slices import Budget, Slice, divide
+from cedarmill.fleet import commands
+from cedarmill.fleet.admission_level import controller
+from cedarmill.fleet.admission_level.controller import threshold_for, threshold_of
+from cedarmill.fleet.admission_level.gate import FADE_US, AdmissionGate
+from cedarmill.fleet.admission_level.state import STEP_US, LoadReport, SheddingThreshold
+from cedarmill.fleet.budget_grants import Budget, BudgetGrant, divide, granted_rate, rates_for
+from cedarmill.fleet.budget_lease import BudgetLease, BudgetLeases, RetryBudget
+from cedarmill.fleet.gossip_plan import MAX_AGE_S, ExecutorReport, GossipPlan, ReportBoard
+from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.fleet.traffic_plan.similarity import are_similar
 from cedarmill.fleet.world import Member, World, freeze, thaw
-from cedarmill.fleet.zones import same_news
 from cedarmill.lab.fleet import storm_bugs
 from cedarmill.lab.fleet.laws import verdict
 from cedarmill.lab.fleet.run import play as run_fleet
@@ -47,7 +50,7 @@
     def apply(self, command: commands.Command) -> commands.Done:
         self.index += 1
         done = commands.apply(self.world, self.index, commands.encode(command))
-        self.assertLessEqual(slices.held(self.world.slices["probes"]), PROBES.leased)
+        self.assertLessEqual(granted_rate(self.world.slices["probes"]), PROBES.leased)
         return done
 
     def request(self, kind, *fields) -> commands.Done:
@@ -86,7 +89,7 @@
         self.apply(commands.Lapsed(S, ("node:a:1",)))
         self.apply(commands.Back(S, "node:a:1"))
         self.assertGreater(self.world.told, told)
-        self.assertEqual(slices.word(self.world, "node:a:1")["probes"], (0, PROBES.floor))
+        self.assertEqual(rates_for(self.world, "node:a:1")["probes"], (0, PROBES.floor))
 
     def test_a_new_life_gets_nothing_of_what_the_old_one_may_still_spend(self):
         self.wants("a", 80_000)
@@ -124,41 +127,41 @@
             else:
                 self.apply(commands.Back(S, key))
         self.assertEqual(freeze(thaw(freeze(self.world))), freeze(self.world))
-        self.assertTrue(all(isinstance(one, Slice) for one in self.world.slices["probes"].values()))
+        self.assertTrue(all(isinstance(one, BudgetGrant) for one in self.world.slices["probes"].values()))
 
 
 class Spending(unittest.TestCase):
     """One holder: what it spends in ten seconds, asked every millisecond."""
 
-    def spent(self, purse: Purse, first: int, seconds: float, holds: bool) -> int:
+    def spent(self, purse: BudgetLease, first: int, seconds: float, holds: bool) -> int:
         return sum(purse.spend(first + n * 1000, holds) for n in range(int(seconds * 1000)))
 
     def test_at_its_rate_while_the_lease_holds_and_its_floor_after(self):
-        purse = Purse(0)
-        purse.told(0, True, 20_000, 500)
+        purse = BudgetLease(0)
+        purse.set_rates(0, True, 20_000, 500)
         self.assertAlmostEqual(self.spent(purse, 0, 10, True), 200, delta=6)
         self.assertAlmostEqual(self.spent(purse, 10 * S, 10, False), 5, delta=2)
 
     def test_what_was_saved_is_not_spent_after_a_lapse_nor_after_standing_still(self):
-        purse = Purse(0)
-        purse.told(0, True, 50_000, 0)
+        purse = BudgetLease(0)
+        purse.set_rates(0, True, 50_000, 0)
         purse.spend(0, True)
         self.assertEqual(self.spent(purse, 10 * S, 5, False), 0)
 
     def test_small_rates_are_not_lost_to_rounding(self):
-        purse = Purse(0)
-        purse.told(0, False, 0, 300)
+        purse = BudgetLease(0)
+        purse.set_rates(0, False, 0, 300)
         self.assertAlmostEqual(self.spent(purse, 0, 100, False), 30, delta=2)
 
     def test_what_is_wanted_is_what_was_asked_for(self):
-        purses = Purses()
+        purses = BudgetLeases()
         self.assertFalse(purses.spend(0, True, "probes"), "a life that has heard nothing spends nothing")
-        purses.told(0, True, {"probes": (1000, 100)})
+        purses.set_rates(0, True, {"probes": (1000, 100)})
         for n in range(1000):
             purses.spend(n * 4000, True, "probes")
-        self.assertAlmostEqual(purses.wants(4 * S)["probes"], 300_000, delta=2000)
+        self.assertAlmostEqual(purses.demands(4 * S)["probes"], 300_000, delta=2000)
         self.assertTrue(purses.spend(0, False, "unbound"), "a budget that nobody has set binds nobody")
-        purses.told(0, True, {})
+        purses.set_rates(0, True, {})
         self.assertEqual(purses.by_name, {})
 
 
@@ -168,71 +171,75 @@
     def setUp(self):
         self.world = World("c")
 
-    def step(self, wants: dict[int, int], late: int, room: int = 100_000, steps: int = 1) -> Cut:
+    def step(
+        self, wants: dict[int, int], late: int, room: int = 100_000, steps: int = 1
+    ) -> SheddingThreshold:
         for _ in range(steps):
-            self.world.clock += overload.STEP_US
-            overload.advance(self.world, wants, room, late)
-        return self.world.admission.cut
+            self.world.clock += STEP_US
+            controller.advance(self.world, wants, LoadReport(room, late))
+        return self.world.admission.threshold
 
     def test_the_least_worth_first_and_of_one_worth_a_part(self):
         wants = {1000: 40_000, 3000: 30_000, 5000: 30_000}
-        self.assertEqual(level(wants, 0), Cut())
-        self.assertEqual(level(wants, 20_000), Cut(1000, 500))
-        self.assertEqual(level(wants, 55_000), Cut(3000, 500))
-        self.assertEqual(level(wants, 200_000), Cut(5000, 1000))
+        self.assertEqual(threshold_for(wants, 0), SheddingThreshold())
+        self.assertEqual(threshold_for(wants, 20_000), SheddingThreshold(1000, 500))
+        self.assertEqual(threshold_for(wants, 55_000), SheddingThreshold(3000, 500))
+        self.assertEqual(threshold_for(wants, 200_000), SheddingThreshold(5000, 1000))
 
     def test_more_than_there_is_but_nothing_late_cuts_nothing(self):
-        self.assertEqual(self.step({1000: 300_000}, 0, steps=10), Cut())
+        self.assertEqual(self.step({1000: 300_000}, 0, steps=10), SheddingThreshold())
 
     def test_it_moves_in_bounded_steps_and_ends_when_nothing_is_too_much(self):
         first = self.step({1000: 300_000, 5000: 100_000}, 900)
-        self.assertEqual(first, Cut(1000, 1000), "half a second moves three quarters of what is wanted")
-        self.assertEqual(self.step({1000: 300_000, 5000: 100_000}, 900).rank, 5000, "late: what waits drains")
-        self.assertEqual(self.step({1000: 20_000, 5000: 20_000}, 0, steps=12), Cut())
+        three_quarters = SheddingThreshold(1000, 1000)
+        self.assertEqual(first, three_quarters, "half a second moves three quarters of what is wanted")
+        second = self.step({1000: 300_000, 5000: 100_000}, 900)
+        self.assertEqual(second.weight, 5000, "late: what waits drains")
+        self.assertEqual(self.step({1000: 20_000, 5000: 20_000}, 0, steps=12), SheddingThreshold())
 
     def test_late_though_what_is_admitted_fits_is_cut_deep_once_and_said(self):
         cut = self.step({1000: 50_000, 5000: 50_000}, 900, steps=8)
-        self.assertEqual(cut.rank, 5000)
+        self.assertEqual(cut.weight, 5000)
         self.assertIn("deep cut", self.world.log[-1])
-        self.assertEqual(self.step({1000: 50_000, 5000: 50_000}, 0, steps=12), Cut())
+        self.assertEqual(self.step({1000: 50_000, 5000: 50_000}, 0, steps=12), SheddingThreshold())
 
     def test_a_cut_by_hand_holds_till_its_end_and_takes_a_reason(self):
         bad = commands.ActCut(0, "op", "1", 3000, 0, 5 * S, "")
         self.assertFalse(commands.apply(self.world, 1, commands.encode(bad)).ok)
         good = commands.ActCut(0, "op", "2", 3000, 0, 5 * S, "a storm is coming")
         self.assertTrue(commands.apply(self.world, 2, commands.encode(good)).ok)
-        self.assertEqual(self.step({1000: 1000}, 0), Cut(3000, 0))
-        self.assertEqual(self.step({1000: 1000}, 0, steps=10), Cut())
+        self.assertEqual(self.step({1000: 1000}, 0), SheddingThreshold(3000, 0))
+        self.assertEqual(self.step({1000: 1000}, 0, steps=10), SheddingThreshold())
 
     def test_a_node_obeys_while_its_lease_holds_and_less_and_less_after(self):
-        gate = Gate()
-        gate.told(Cut(3000, 250))
-        self.assertTrue(gate.cuts(0, True, 1000, 0.99))
-        self.assertEqual([gate.cuts(0, True, 3000, n / 4) for n in range(4)], [True, False, False, False])
-        self.assertFalse(gate.cuts(0, True, 5000, 0.0))
-        self.assertTrue(gate.cuts(S, False, 1000, 0.5))
-        self.assertFalse(gate.cuts(S + FADE_US // 2, False, 1000, 0.6))
-        self.assertFalse(gate.cuts(S + FADE_US, False, 1000, 0.0))
+        gate = AdmissionGate()
+        gate.set_thresholds(SheddingThreshold(3000, 250))
+        self.assertTrue(gate.rejects(0, True, 1000, 0.99))
+        self.assertEqual([gate.rejects(0, True, 3000, n / 4) for n in range(4)], [True, False, False, False])
+        self.assertFalse(gate.rejects(0, True, 5000, 0.0))
+        self.assertTrue(gate.rejects(S, False, 1000, 0.5))
+        self.assertFalse(gate.rejects(S + FADE_US // 2, False, 1000, 0.6))
+        self.assertFalse(gate.rejects(S + FADE_US, False, 1000, 0.0))
 
     def test_reqs_that_may_not_leave_their_zone_are_cut_where_these_alone_find_no_room(self):
         for late in (900, 900, 900):
-            self.world.clock += overload.STEP_US
-            overload.tighten(self.world, "a/zone", {1000: 40_000, 5000: 20_000}, 40_000, late)
-        self.assertEqual(overload.cut_of(self.world, "a", "zone").rank, 1000)
-        self.assertEqual(overload.cut_of(self.world, "a", "any"), Cut())
-        self.assertEqual(overload.cut_of(self.world, "b", "zone"), Cut())
+            self.world.clock += STEP_US
+            controller.advance_scope(self.world, "a/zone", {1000: 40_000, 5000: 20_000}, 40_000, late)
+        self.assertEqual(threshold_of(self.world, "a", "zone").weight, 1000)
+        self.assertEqual(threshold_of(self.world, "a", "any"), SheddingThreshold())
+        self.assertEqual(threshold_of(self.world, "b", "zone"), SheddingThreshold())
         for _ in range(12):
-            self.world.clock += overload.STEP_US
-            overload.tighten(self.world, "a/zone", {1000: 10_000}, 10_000, 0)
+            self.world.clock += STEP_US
+            controller.advance_scope(self.world, "a/zone", {1000: 10_000}, 10_000, 0)
         self.assertEqual(self.world.tight, {})
 
     def test_one_that_tells_more_than_is_wanted_leaves_slots_idle_and_the_cut_gives_way(self):
         wants = {1000: 2_000_000, 5000: 40_000}
         self.step(wants, 900)
         for _ in range(30):
-            self.world.clock += overload.STEP_US
-            overload.advance(self.world, wants, 100_000, 0, 30_000)
-        self.assertEqual(self.world.admission.cut, Cut())
+            self.world.clock += STEP_US
+            controller.advance(self.world, wants, LoadReport(100_000, 0, 30_000))
+        self.assertEqual(self.world.admission.threshold, SheddingThreshold())
 
 
 class Queueing(unittest.TestCase):
@@ -247,9 +254,10 @@
               steps: int = 1) -> list[int]:  # fmt: skip
         found = []
         for _ in range(steps):
-            self.world.clock += overload.STEP_US
-            overload.advance(self.world, self.WANTS, 100_000, late, busy, 0, queue, turned)
-            found.append(self.world.admission.fill)
+            self.world.clock += STEP_US
+            report = LoadReport(100_000, late, busy, 0, queue, turned)
+            controller.advance(self.world, self.WANTS, report)
+            found.append(self.world.admission.fill_share)
         return found
 
     def test_less_while_it_takes_too_long_no_less_once_that_falls_and_more_when_it_is_short(self):
@@ -263,12 +271,12 @@
 
     def test_more_only_slowly_where_no_slot_is_idle(self):
         self.fills(2000, steps=4)
-        before = self.world.admission.fill
+        before = self.world.admission.fill_share
         self.assertLess(self.fills(500, late=100, busy=95_000)[0], before * 105 // 100)
 
     def test_own_sight_that_refuses_a_fifth_asks_for_less_and_a_seventh_for_no_more(self):
         self.fills(2000)
-        before = self.world.admission.fill
+        before = self.world.admission.fill_share
         self.assertEqual(self.fills(500, turned=160), [before])
         self.assertLess(self.fills(500, turned=300)[0], before)
 
@@ -279,9 +287,10 @@
     def test_by_the_same_news_nothing_is_moved_twice(self):
         found = []
         for seen in (1, 1, 1, 2):
-            self.world.clock += overload.STEP_US
-            overload.advance(self.world, self.WANTS, 100_000, 600, 60_000, 0, 2000, 0, seen)
-            found.append(self.world.admission.fill)
+            self.world.clock += STEP_US
+            report = LoadReport(100_000, 600, 60_000, 0, 2000, 0)
+            controller.advance(self.world, self.WANTS, report, seen)
+            found.append(self.world.admission.fill_share)
         self.assertEqual(found[:3], found[:1] * 3, "observers are silent: nothing new was said")
         self.assertLess(found[3], found[2])
 
@@ -293,29 +302,31 @@
 class Telling(unittest.TestCase):
     """What is proposed anew, and what swings by chance."""
 
-    def news(self, *rows: tuple[int, int], out: int = 40_000) -> Evidence:
+    def news(self, *rows: tuple[int, int], out: int = 40_000) -> ClusterAssessment:
         worths = {"any": dict(rows)}
-        return Evidence({"a": ZoneNews("well", 50_000, demand={"any": 40_000}, worths=worths, out=out)})
+        demand = {"any": 40_000}
+        one = ZoneAssessment("well", 50_000, demand=demand, demand_by_weight=worths, slots_occupied=out)
+        return ClusterAssessment({"a": one})
 
     def test_parts_by_worth_and_slots_in_use_swing_without_a_new_entry(self):
         first = self.news((1000, 20_000), (5000, 20_000))
-        self.assertTrue(same_news(first, self.news((1000, 22_000), (5000, 18_000), out=46_000)))
-        self.assertFalse(same_news(first, self.news((1000, 30_000), (5000, 10_000))))
-        self.assertFalse(same_news(first, self.news((1000, 20_000), (5000, 20_000), out=80_000)))
+        self.assertTrue(are_similar(first, self.news((1000, 22_000), (5000, 18_000), out=46_000)))
+        self.assertFalse(are_similar(first, self.news((1000, 30_000), (5000, 10_000))))
+        self.assertFalse(are_similar(first, self.news((1000, 20_000), (5000, 20_000), out=80_000)))
 
 
 class Trying(unittest.TestCase):
     """Tries beyond the first, and a tenant's quota: what is kept for whom."""
 
     def test_tries_are_a_tenth_of_first_tries_however_long_it_was_quiet(self):
-        tries = Tries()
-        self.assertEqual(sum(tries.may(0) for _ in range(50)), 10)
-        self.assertEqual(sum(tries.may(1000) for _ in range(50)), 10, "no more than so many are saved")
-        self.assertEqual(sum(tries.may(1000 + n) for n in range(501)), 50)
+        tries = RetryBudget()
+        self.assertEqual(sum(tries.spend(0) for _ in range(50)), 10)
+        self.assertEqual(sum(tries.spend(1000) for _ in range(50)), 10, "no more than so many are saved")
+        self.assertEqual(sum(tries.spend(1000 + n) for n in range(501)), 50)
 
     def test_what_is_worth_more_finds_room_in_a_quota_that_is_used_up(self):
-        purses = Purses()
-        purses.told(0, True, {"tenant:a": (10_000, 0)})
+        purses = BudgetLeases()
+        purses.set_rates(0, True, {"tenant:a": (10_000, 0)})
         low = sum(purses.spend(n * 10_000, True, "tenant:a", 800) for n in range(300))
         high = sum(purses.spend(3 * S + n * 1000, True, "tenant:a", 0) for n in range(10))
         self.assertGreater(low, 20)
@@ -336,45 +347,45 @@
 
     def test_each_executor_has_its_users_and_a_node_that_goes_moves_only_its_own(self):
         nodes, executors = [f"n{n}" for n in range(40)], [f"e{n}" for n in range(100)]
-        draw = Draw()
-        draw.set(nodes, executors)
+        draw = GossipPlan()
+        draw.update(nodes, executors)
         before = dict(draw.users)
-        self.assertTrue(draw.set(nodes[1:], executors))
+        self.assertTrue(draw.update(nodes[1:], executors))
         after = draw.users
         self.assertEqual({len(by) for by in before.values()}, {4})
         moved = [one for one in executors if before[one] != after[one]]
         self.assertEqual(moved, [one for one in executors if "n0" in before[one]])
-        self.assertTrue(all(len(draw.subset(node)) >= 6 for node in nodes))
-        draw.set(nodes, executors[1:])
-        draw.set(nodes, executors)
+        self.assertTrue(all(len(draw.executors_of(node)) >= 6 for node in nodes))
+        draw.update(nodes, executors[1:])
+        draw.update(nodes, executors)
         self.assertEqual(draw.users, before, "whatever came and went between")
-        self.assertFalse(draw.set(nodes, executors))
+        self.assertFalse(draw.update(nodes, executors))
 
     def test_a_node_with_much_of_the_traffic_uses_more_and_keeps_what_it_used(self):
         nodes, executors = [f"n{n}" for n in range(40)], [f"e{n}" for n in range(100)]
-        draw = Draw()
-        draw.set(nodes, executors)
-        even, much = draw.subset("n7", 1 / 40), draw.subset("n7", 0.2)
-        self.assertEqual(even, draw.subset("n7"))
+        draw = GossipPlan()
+        draw.update(nodes, executors)
+        even, much = draw.executors_of("n7", 1 / 40), draw.executors_of("n7", 0.2)
+        self.assertEqual(even, draw.executors_of("n7"))
         self.assertGreaterEqual(len(much), 80)
         self.assertLessEqual(set(even), set(much))
-        self.assertEqual(much, draw.subset("n7", 0.19), msg="in steps")
+        self.assertEqual(much, draw.executors_of("n7", 0.19), msg="in steps")
 
     def test_older_news_never_replace_newer_ones_and_own_sends_count_since(self):
-        board = Board()
-        self.assertTrue(board.hear(Fact("e", 2.0, 3, 4)))
-        self.assertFalse(board.hear(Fact("e", 1.0, 0, 4)))
-        board.sent("e")
-        self.assertAlmostEqual(board.load("e", 2.0, 1), 4.0)
-        self.assertAlmostEqual(board.load("e", 2.0, 3), 6.0, msg="others send as much")
-        board.hear(Fact("e", 2.1, 0, 4))
-        self.assertEqual(board.load("e", 2.1, 3), 0.0)
+        board = ReportBoard()
+        self.assertTrue(board.accept(ExecutorReport("e", 2.0, 3, 4)))
+        self.assertFalse(board.accept(ExecutorReport("e", 1.0, 0, 4)))
+        board.on_sent("e")
+        self.assertAlmostEqual(board.estimated_load("e", 2.0, 1), 4.0)
+        self.assertAlmostEqual(board.estimated_load("e", 2.0, 3), 6.0, msg="others send as much")
+        board.accept(ExecutorReport("e", 2.1, 0, 4))
+        self.assertEqual(board.estimated_load("e", 2.1, 3), 0.0)
 
     def test_news_beyond_their_time_are_not_followed_and_facts_are_told_now_and_then(self):
-        board = Board()
-        board.hear(Fact("e", 0.0, 40, 4))
-        self.assertLess(board.load("e", GAP + 0.1, 1), 20)
-        told = [board.tells(Fact("e", n / 20, 0, 4)) for n in range(6)]
+        board = ReportBoard()
+        board.accept(ExecutorReport("e", 0.0, 40, 4))
+        self.assertLess(board.estimated_load("e", MAX_AGE_S + 0.1, 1), 20)
+        told = [board.may_share(ExecutorReport("e", n / 20, 0, 4)) for n in range(6)]
         self.assertEqual(told, [True, False, False, False, True, False])
 
 
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -8,7 +8,7 @@
 
 from cedarmill.fleet import commands
 from cedarmill.fleet import words as f
-from cedarmill.fleet.evidence import Digest, Seen
+from cedarmill.fleet.observations.digest import LocationObservation, ObservationDigest
 from cedarmill.net.operator import NoKeeper, Operator, new_id
 
 
@@ -249,8 +249,18 @@
         def offered() -> dict:
             """One more digest by the leader's own stamp, and what it comes to."""
             stamp = node.beat(zone="z0").stamp
-            digest = Digest(node.seq, "z0", {"any": 42_000}, {"z0": Seen(6, 24_000, 0, 20)}, worths=worths,
-                            out=20_000, good=20_000, aimed=40_000, came=50, turned=5)  # fmt: skip
+            digest = ObservationDigest(
+                node.seq,
+                "z0",
+                {"any": 42_000},
+                {"z0": LocationObservation(6, 24_000, 0, 20)},
+                demand_by_weight=worths,
+                slots_occupied=20_000,
+                slots_served=20_000,
+                slots_allotted=40_000,
+                admitted=50,
+                rejected_locally=5,
+            )
             node.beat(zone="z0", digest=digest, stamp=stamp)
             return self.look("admission")["offered"].get("z0")
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -4,7 +4,13 @@
 
 import unittest
 
-from cedarmill.fleet import commands, compare, permits, release
+from cedarmill.fleet import commands, permits, release
+from cedarmill.fleet.canary_comparison import (
+    CanaryComparison,
+    RequestCounts,
+    chance_if_alike,
+    reason_to_halt,
+)
 from cedarmill.fleet.world import Limit, Plan, Target, World, freeze, thaw
 
 S = 1_000_000
@@ -331,24 +337,24 @@
     PLAN = Plan("v2", (("n0",),))
 
     def test_a_fifth_failing_is_seen_and_noise_is_not(self):
-        counts = compare.Counts
-        self.assertIn("failed", compare.worse(self.PLAN, counts(60, 12), counts(600, 3)))
-        self.assertEqual(compare.worse(self.PLAN, counts(60, 2), counts(600, 6)), "")
-        self.assertEqual(compare.worse(self.PLAN, counts(49, 40), counts(600, 0)), "", "too few")
+        counts = RequestCounts
+        self.assertIn("failed", reason_to_halt(self.PLAN, counts(60, 12), counts(600, 3)))
+        self.assertEqual(reason_to_halt(self.PLAN, counts(60, 2), counts(600, 6)), "")
+        self.assertEqual(reason_to_halt(self.PLAN, counts(49, 40), counts(600, 0)), "", "too few")
         self.assertEqual(
-            compare.worse(self.PLAN, counts(90_000, 1_800), counts(900_000, 16_000)), "", "too small"
+            reason_to_halt(self.PLAN, counts(90_000, 1_800), counts(900_000, 16_000)), "", "too small"
         )
 
     def test_the_chance_is_fisher_s(self):
-        self.assertAlmostEqual(compare.chance(3, 4, 1, 4), 0.242857, 6)  # the lady tasting tea
-        self.assertAlmostEqual(compare.chance(0, 10, 5, 10), 1.0, 9)
+        self.assertAlmostEqual(chance_if_alike(3, 4, 1, 4), 0.242857, 6)  # the lady tasting tea
+        self.assertAlmostEqual(chance_if_alike(0, 10, 5, 10), 1.0, 9)
 
     def test_a_node_that_turns_new_keeps_what_it_did_before_with_the_rest(self):
-        counts = compare.Counts
-        sides = compare.Sides({"a": counts(10), "b": counts(10)})
-        sides.look({"a": counts(30, 1), "b": counts(30)}, set())
-        sides.look({"a": counts(5), "b": counts(40)}, {"a"})
-        sides.look({"a": counts(25, 8), "b": counts(50)}, {"a"})
+        counts = RequestCounts
+        sides = CanaryComparison({"a": counts(10), "b": counts(10)})
+        sides.update({"a": counts(30, 1), "b": counts(30)}, set())
+        sides.update({"a": counts(5), "b": counts(40)}, {"a"})
+        sides.update({"a": counts(25, 8), "b": counts(50)}, {"a"})
         self.assertEqual((sides.new, sides.rest), (counts(20, 8), counts(60, 1)))
 
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -7,7 +7,7 @@
 from fleets import KeeperCase, cli
 
 from cedarmill.fleet import permits
-from cedarmill.fleet.zones import Zoning
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.lab.fleet.bugs import planted_patches
 from cedarmill.lab.fleet.explore import explore
 from cedarmill.lab.fleet.regions import INCIDENTS, breaches, run
@@ -76,7 +76,7 @@
         self.assertIn("evacuated at once", found.breach[1])
 
     def test_plans_that_forget_regions_are_found(self):
-        with planted_patches([(Zoning, "reach", lambda self, zone, bound: ["a", "b", "c"])]):
+        with planted_patches([(ZoneLayout, "reachable_zones", lambda self, zone, scope: ["a", "b", "c"])]):
             found = explore(Forgetful(), Forgetful.NAMES)
         self.assertIn("residents stay", found.breach[1])
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,43 +1,55 @@
-"""Evidence, the plan of traffic and its following, entry by entry and digest by digest: no I/O, no clock."""
+"""Assessments, the traffic plan and its following, entry by entry and digest by digest: no I/O, no clock."""
 
 import unittest
 
 from cedarmill import Brain
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import commands, traffic, zones
-from cedarmill.fleet.evidence import MOST_PLACES, Desk, Digest, Evidence, Seen, ZoneNews, bounded
-from cedarmill.fleet.follow import HOLD_US, RAMP_US, Follower
-from cedarmill.fleet.sightings import Place, Sightings
+from cedarmill.fleet import commands
+from cedarmill.fleet.observations.assessment import ClusterAssessment, ObservationCollector, ZoneAssessment
+from cedarmill.fleet.observations.digest import (
+    MAX_LOCATIONS,
+    LocationObservation,
+    ObservationDigest,
+    limit_locations,
+)
+from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog
+from cedarmill.fleet.plan_follower import EXCLUSION_US, RAMP_US, PlanFollower
+from cedarmill.fleet.traffic_control import reports, rollout, zone_status
+from cedarmill.fleet.traffic_control.errors import UnknownZoneError
+from cedarmill.fleet.traffic_plan.allocation import Allocation, allocate
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.fleet.traffic_plan.planner import PROBE_WEIGHT
+from cedarmill.fleet.traffic_plan.weights import expected_load
 from cedarmill.fleet.words import Way
 from cedarmill.fleet.world import Limit, Member, World, freeze, thaw
-from cedarmill.fleet.zones import Zoning
 from cedarmill.lab.fleet.small import Entries
 
 S = 1_000_000
-ZONING = Zoning({"east": ["a", "b"], "west": ["c"]})
-WELL = Seen(9, 36_000, 10_000, 100)
+ZONING = ZoneLayout({"east": ["a", "b"], "west": ["c"]})
+WELL = LocationObservation(9, 36_000, 10_000, 100)
 
 
-def seen(**bad: Seen) -> dict[str, Seen]:
+def seen(**bad: LocationObservation) -> dict[str, LocationObservation]:
     return {zone: bad.get(zone, WELL) for zone in "abc"}
 
 
-LOST, FAILING = Seen(9, 36_000, 0, 50, lost=50), Seen(9, 36_000, 9000, 90, failed=30)
+LOST = LocationObservation(9, 36_000, 0, 50, unreached=50)
+FAILING = LocationObservation(9, 36_000, 9000, 90, failed=30)
 
 
 class Telling(unittest.TestCase):
     """What many digests come to."""
 
     def setUp(self):
-        self.desk, self.seq = Desk(), 0
+        self.desk, self.seq = ObservationCollector(), 0
 
     def tell(self, zone: str, views: dict, nodes: int = 3, at: int = S, demand: int = 3000) -> None:
         for n in range(nodes):
             self.seq += 1
-            self.desk.take(at, f"{zone}{n}", Digest(self.seq, zone, {"any": demand}, views))
+            self.desk.accept(at, f"{zone}{n}", ObservationDigest(self.seq, zone, {"any": demand}, views))
 
     def verdicts(self, now: int = S) -> dict[str, str]:
-        return {name: news.verdict for name, news in self.desk.look(now, "abc").zones.items()}
+        return {name: news.verdict for name, news in self.desk.assess(now, "abc").zones.items()}
 
     def test_all_observers_that_lose_a_zone_make_it_lost(self):
         for zone in "abc":
@@ -48,24 +60,24 @@
         self.tell("a", seen())
         self.tell("b", seen(a=LOST))
         self.tell("c", seen())
-        found = self.desk.look(S, "abc")
+        found = self.desk.assess(S, "abc")
         self.assertEqual(found.zones["a"].verdict, "well")
         self.assertEqual(found.links, {"b>a": "gone"})
 
     def test_one_way_loss_names_one_direction_and_thin_loss_is_thin(self):
         self.tell("a", seen())
-        self.tell("b", seen(a=Seen(9, 36_000, 0, 100, lost=20)))
+        self.tell("b", seen(a=LocationObservation(9, 36_000, 0, 100, unreached=20)))
         self.tell("c", seen())
-        self.assertEqual(self.desk.look(S, "abc").links, {"b>a": "thin"})
+        self.assertEqual(self.desk.assess(S, "abc").links, {"b>a": "thin"})
 
     def test_observers_that_lose_everything_are_ill_themselves(self):
         self.tell("a", seen(a=LOST, b=LOST, c=LOST))
         self.tell("b", seen())
         self.tell("c", seen())
-        found = self.desk.look(S, "abc")
+        found = self.desk.assess(S, "abc")
         self.assertEqual({name: one.verdict for name, one in found.zones.items()},
                          {"a": "well", "b": "well", "c": "well"})  # fmt: skip
-        self.assertEqual(found.blind, ["a"])
+        self.assertEqual(found.blind_zones, ["a"])
 
     def test_a_gray_zone_is_ill_by_its_failures_not_by_its_reach(self):
         for zone in "abc":
@@ -75,11 +87,11 @@
     def test_one_loud_observer_and_repeats_do_not_outvote_the_rest(self):
         for zone in "abc":
             self.tell(zone, seen())
-        loud = Digest(99, "b", {}, seen(a=Seen(9, 36_000, 0, 9000, lost=9000)))
+        loud = ObservationDigest(99, "b", {}, seen(a=LocationObservation(9, 36_000, 0, 9000, unreached=9000)))
         for _ in range(50):
-            self.desk.take(S, "b9", loud)
+            self.desk.accept(S, "b9", loud)
         self.assertEqual(self.verdicts()["a"], "well")
-        self.assertEqual(self.desk.look(S, "abc").links, {})
+        self.assertEqual(self.desk.assess(S, "abc").links, {})
 
     def test_many_observers_of_one_zone_are_one_voice(self):
         self.tell("a", seen(), nodes=1)
@@ -88,51 +100,53 @@
         self.assertEqual(self.verdicts()["a"], "well")
 
     def test_an_older_digest_never_replaces_a_newer_one(self):
-        self.desk.take(2 * S, "a0", Digest(7, "a", {"any": 5000}, {}))
-        self.desk.take(3 * S, "a0", Digest(6, "a", {"any": 1}, {}))
-        self.assertEqual(self.desk.look(3 * S, "abc").zones["a"].demand, {"any": 5000})
+        self.desk.accept(2 * S, "a0", ObservationDigest(7, "a", {"any": 5000}, {}))
+        self.desk.accept(3 * S, "a0", ObservationDigest(6, "a", {"any": 1}, {}))
+        self.assertEqual(self.desk.assess(3 * S, "abc").zones["a"].demand, {"any": 5000})
 
     def test_silence_says_nothing_and_demand_is_held(self):
         for zone in "abc":
             self.tell(zone, seen(a=LOST))
-        found = self.desk.look(S + 10 * S, "abc")
+        found = self.desk.assess(S + 10 * S, "abc")
         self.assertEqual({one.verdict for one in found.zones.values()}, {"unknown"})
-        self.assertEqual((found.zones["a"].demand, found.blind), ({"any": 9000}, ["a", "b", "c"]))
+        self.assertEqual((found.zones["a"].demand, found.blind_zones), ({"any": 9000}, ["a", "b", "c"]))
 
     def test_one_other_zone_alone_does_not_make_a_zone_lost(self):
         self.tell("b", seen(a=LOST))
         self.assertEqual(self.verdicts()["a"], "unknown")
 
     def test_groups_that_fail_in_a_well_zone_are_named(self):
-        views = {"a": Seen(9, 36_000, 0, 100, 5), "a/x": Seen(2, 8000, 0, 20, 10)}
+        group = LocationObservation(2, 8000, 0, 20, 10)
+        views = {"a": LocationObservation(9, 36_000, 0, 100, 5), "a/x": group}
         self.tell("a", views)
-        self.assertEqual(self.desk.look(S, "abc").groups, ["a/x"])
+        self.assertEqual(self.desk.assess(S, "abc").failing_groups, ["a/x"])
 
     def test_a_digest_is_bounded(self):
-        many = {f"z{n}": Seen(1, n) for n in range(60)} | {f"z{n}/k": Seen(1, n) for n in range(60)}
-        kept = bounded(many)
-        self.assertEqual(len(kept), MOST_PLACES)
+        one = {n: LocationObservation(1, n) for n in range(60)}
+        many = {f"z{n}": one[n] for n in range(60)} | {f"z{n}/k": one[n] for n in range(60)}
+        kept = limit_locations(many)
+        self.assertEqual(len(kept), MAX_LOCATIONS)
         self.assertFalse(any("/" in place for place in kept))
 
 
-def solved(room: dict, demand: dict, links: dict | None = None) -> zones.Flow:
-    return zones.solve(ZONING, room, {}, demand, links or {})
+def solved(room: dict, demand: dict, links: dict | None = None) -> Allocation:
+    return allocate(ZONING, room, {}, demand, links or {})
 
 
 class Solving(unittest.TestCase):
     def test_local_first_then_the_own_region_then_beyond(self):
         flow = solved({"a": 50, "b": 20, "c": 60}, {("a", "any"): 100})
         self.assertEqual(flow.flows, {("a", "any", "a"): 50, ("a", "any", "b"): 20, ("a", "any", "c"): 30})
-        self.assertEqual(flow.left, {})
+        self.assertEqual(flow.unserved, {})
 
     def test_what_may_not_leave_its_region_stays_even_unserved(self):
         flow = solved({"a": 10, "b": 10, "c": 90}, {("a", "region"): 50, ("a", "zone"): 5})
         self.assertEqual(flow.load(), {"a": 10, "b": 10})
-        self.assertEqual(flow.left, {("a", "region"): 35})
+        self.assertEqual(flow.unserved, {("a", "region"): 35})
 
     def test_the_strictest_are_served_first_so_that_most_is_served(self):
         flow = solved({"a": 10, "b": 0, "c": 10}, {("a", "any"): 10, ("a", "zone"): 10})
-        self.assertEqual(flow.left, {})
+        self.assertEqual(flow.unserved, {})
 
     def test_no_receiver_gets_more_than_its_room(self):
         room = {"a": 0, "b": 30, "c": 30}
@@ -144,7 +158,7 @@
         room, demand = {"a": 0, "b": 30, "c": 30}, {("a", "any"): 25, ("b", "any"): 25}
         flow = solved(room, demand, {"a>c": "gone"})
         self.assertNotIn(("a", "any", "c"), flow.flows)
-        self.assertEqual(flow.left, {})
+        self.assertEqual(flow.unserved, {})
 
     def test_a_thin_link_is_used_last(self):
         flow = solved({"a": 0, "b": 30, "c": 30}, {("a", "any"): 20}, {"a>b": "thin"})
@@ -178,28 +192,28 @@
         for zone in "abc":
             verdict = verdicts.get(zone, "well")
             fails = 333 if verdict == "ill" else 0
-            found[zone] = ZoneNews(verdict, 36_000, 10_000, fails, 0, {"any": demand}, 3)
-        self.apply(commands.Observed(self.now, Evidence(found, links or {})))
+            found[zone] = ZoneAssessment(verdict, 36_000, 10_000, fails, 0, {"any": demand}, 3)
+        self.apply(commands.Observed(self.now, ClusterAssessment(found, links or {})))
 
     def state(self, zone: str = "a") -> str:
-        return self.world.zones[zone].state
+        return self.world.zones[zone].status
 
     def share(self, source: str, target: str) -> int:
-        return self.world.traffic.shares[source]["any"].get(target, 0)
+        return self.world.traffic.weights[source]["any"].get(target, 0)
 
 
 class States(Planned):
     def test_calm_stays_at_home(self):
-        self.assertEqual(self.world.traffic.shares["a"]["any"], {"a": 1000})
+        self.assertEqual(self.world.traffic.weights["a"]["any"], {"a": 1000})
 
     def test_a_lost_zone_is_left_at_once_and_comes_back_in_steps_after_its_dwell(self):
         self.news(a="lost")
         self.assertEqual(self.state(), "open", "one look is not believed yet")
-        self.pass_time(zones.LOST_US)
-        self.assertEqual((self.state(), self.share("a", "a")), ("lost", zones.TRIAL))
+        self.pass_time(zone_status.LOST_AFTER_US)
+        self.assertEqual((self.state(), self.share("a", "a")), ("lost", PROBE_WEIGHT))
         self.pass_time(5 * S)
         self.news()
-        self.pass_time(zones.DWELL_US - 1)
+        self.pass_time(zone_status.DWELL_US - 1)
         self.assertEqual(self.state(), "lost")
         self.pass_time(2 * S)
         self.assertEqual(self.state(), "returning")
@@ -215,26 +229,26 @@
             self.pass_time(3 * S)
             self.news()
             self.pass_time(3 * S)
-            changes.append(self.world.zones["a"].changes)
+            changes.append(self.world.zones["a"].status_changes)
         self.assertLessEqual(changes[-1], 2, "3 s of being well never last a dwell")
-        self.pass_time(zones.DWELL_US + 12 * S)
+        self.pass_time(zone_status.DWELL_US + 12 * S)
         self.assertEqual(self.state(), "open")
         self.news(a="lost")
         self.pass_time(3 * S)
-        self.assertEqual(traffic.dwell(self.world, self.world.zones["a"]), 2 * zones.DWELL_US)
+        self.assertEqual(zone_status.dwell_us(self.world, self.world.zones["a"]), 2 * zone_status.DWELL_US)
 
     def test_zones_that_seem_lost_in_numbers_are_not_believed(self):
         self.news(a="lost", b="lost")
         self.pass_time(5 * S)
         self.assertEqual((self.state("a"), self.state("b")), ("open", "open"))
-        self.assertIn("2 of 3 zones", self.world.traffic.doubted)
+        self.assertIn("2 of 3 zones", self.world.traffic.distrust_reason)
         self.assertTrue(self.request(commands.ActZone, "lost", "a", 0, "its power is out").ok)
         self.assertEqual(self.state("a"), "lost")
 
     def test_a_gray_zone_is_a_last_resort(self):
         self.news(a="ill")
-        self.pass_time(zones.ILL_US + 6 * S)
-        self.assertEqual((self.state(), self.share("a", "a")), ("ill", zones.TRIAL))
+        self.pass_time(zone_status.FAILING_AFTER_US + 6 * S)
+        self.assertEqual((self.state(), self.share("a", "a")), ("ill", PROBE_WEIGHT))
         self.news(demand=40_000, a="ill")
         self.pass_time(10 * S)
         self.assertGreater(self.share("a", "a"), 100, "worse than well, better than refused")
@@ -242,38 +256,39 @@
     def test_only_the_pair_of_a_bad_link_changes(self):
         self.news(demand=34_000)
         self.pass_time(10 * S)
-        before = {source: dict(self.world.traffic.shares[source]["any"]) for source in "abc"}
+        before = {source: dict(self.world.traffic.weights[source]["any"]) for source in "abc"}
         self.news(demand=34_000, links={"a>b": "gone"})
         self.pass_time(10 * S)
-        self.assertEqual(self.world.traffic.shares["c"]["any"], before["c"])
-        self.assertEqual({zone.state for zone in self.world.zones.values()}, {"open"})
+        self.assertEqual(self.world.traffic.weights["c"]["any"], before["c"])
+        self.assertEqual({zone.status for zone in self.world.zones.values()}, {"open"})
         self.assertEqual(self.share("a", "b"), 0)
 
     def test_shares_move_in_bounded_steps_where_nothing_is_lost(self):
         self.news(demand=15_000)
         wants = {"a": 60_000, "b": 5000, "c": 5000}
-        found = {z: ZoneNews("well", 36_000, 0, 0, 0, {"any": want}, 3) for z, want in wants.items()}
-        self.apply(commands.Observed(self.now, Evidence(found)))
+        found = {z: ZoneAssessment("well", 36_000, 0, 0, 0, {"any": want}, 3) for z, want in wants.items()}
+        self.apply(commands.Observed(self.now, ClusterAssessment(found)))
         shares = []
         for _ in range(6):
-            self.pass_time(zones.STEP_US)
+            self.pass_time(rollout.MOVE_INTERVAL_US)
             shares.append(self.share("a", "a"))
         self.assertTrue(all(0 <= a - b <= 201 for a, b in zip(shares, shares[1:], strict=False)), shares)
 
     def test_slots_that_are_claimed_and_not_there_are_believed_less(self):
-        late = {z: ZoneNews("well", 36_000, 0, 0, 900 if z == "b" else 0, {"any": 20_000}, 3) for z in "abc"}
+        demand = {"any": 20_000}
+        late = {z: ZoneAssessment("well", 36_000, 0, 0, 900 * (z == "b"), demand, 3) for z in "abc"}
         for _ in range(3):
-            self.apply(commands.Observed(self.now, Evidence(late)))
+            self.apply(commands.Observed(self.now, ClusterAssessment(late)))
             self.pass_time(3 * S)
         self.assertLess(self.world.zones["b"].trust, 1000)
         self.assertEqual(self.world.zones["a"].trust, 1000)
         self.assertLess(self.share("b", "b"), 1000)
 
     def test_the_plan_for_a_loss_stands_before_it_and_keeps_to_the_room_beside_the_others(self):
-        rows = self.world.traffic.standing["a"]
+        rows = self.world.traffic.fallback_weights["a"]
         self.assertEqual(list(rows), ["a"], "only those that send there notice")
         demand = {("a", "any"): 15_000, ("b", "any"): 15_000, ("c", "any"): 15_000}
-        load = zones.load_of(self.world.traffic.shares | {"a": rows["a"]}, demand)
+        load = expected_load(self.world.traffic.weights | {"a": rows["a"]}, demand)
         self.assertTrue(all(load.get(z, 0) <= 32_400 for z in "bc"), load)
 
     def test_what_is_agreed_outlives_a_snapshot(self):
@@ -314,10 +329,10 @@
         self.news(demand=31_000)
         self.pass_time(20 * S)
         self.assertEqual(self.state(), "leaving")
-        self.assertIn("missing", self.world.zones["a"].halted)
+        self.assertIn("missing", self.world.zones["a"].halt_reason)
         self.news(demand=12_000)
         self.pass_time(20 * S)
-        self.assertEqual((self.state(), self.world.zones["a"].halted), ("out", ""))
+        self.assertEqual((self.state(), self.world.zones["a"].halt_reason), ("out", ""))
 
     def test_a_lost_zone_uses_up_the_limit(self):
         self.news(b="lost")
@@ -341,16 +356,17 @@
         self.assertEqual(self.state(), "lost")
 
     def test_what_if_tells_loads_and_what_is_missing(self):
-        found = traffic.what_if(self.world, "a")
-        self.assertEqual((found["zones"]["a"]["then"], found["missing"]), (0, 0))
-        self.assertIn("error", traffic.what_if(self.world, "nowhere"))
+        found = reports.forecast_loss(self.world, "a")
+        self.assertEqual((found.zones["a"].then, found.missing_slots), (0, 0))
+        with self.assertRaisesRegex(UnknownZoneError, "no zone 'nowhere'"):
+            reports.forecast_loss(self.world, "nowhere")
 
     def test_a_shut_zone_is_drained_when_every_node_has_said_so(self):
         member = Member("node", "n1", "1", "b")
         self.world.members[member.key] = member
         permit = self.world.permits[self.request(commands.ActZone, "leave", "a", S, "works").ids[0]]
         self.pass_time(5 * S)
-        way = traffic.way(self.world, "b")
+        way = reports.route_weights(self.world, "b")
         self.assertEqual((way.shut, permit.drained), ({"a": permit.epoch}, 0))
         self.apply(commands.Cleared(self.now, member.key, {"a": permit.epoch}))
         self.assertGreater(permit.drained, 0)
@@ -365,70 +381,72 @@
 
 class Following(unittest.TestCase):
     def setUp(self):
-        self.follower = Follower()
-        self.follower.told(way())
+        self.follower = PlanFollower()
+        self.follower.accept_plan(way())
 
     def test_as_it_is_told(self):
-        use = self.follower.look(S, {})
-        self.assertEqual((use.rows["any"], use.cannot), ({"a": 700, "b": 300}, ()))
+        use = self.follower.decide(S, {})
+        self.assertEqual((use.weights["any"], use.unreachable_zones), ({"a": 700, "b": 300}, ()))
 
     def test_an_older_plan_never_replaces_a_newer_one(self):
-        self.assertFalse(self.follower.told(way(4)))
-        self.assertEqual(self.follower.look(S, {}).epoch, 5)
+        self.assertFalse(self.follower.accept_plan(way(4)))
+        self.assertEqual(self.follower.decide(S, {}).epoch, 5)
 
     def test_a_zone_that_is_not_reached_is_reported_and_its_standing_plan_holds(self):
-        use = self.follower.look(S, {"a": Seen(tried=9, lost=9)})
-        self.assertEqual((use.cannot, use.rows["any"]), (("a",), {"b": 400, "c": 600}))
-        again = self.follower.look(2 * S, {})
-        self.assertEqual(again.rows, use.rows, "held, though nothing more is tried")
+        use = self.follower.decide(S, {"a": LocationObservation(attempts=9, unreached=9)})
+        self.assertEqual((use.unreachable_zones, use.weights["any"]), (("a",), {"b": 400, "c": 600}))
+        again = self.follower.decide(2 * S, {})
+        self.assertEqual(again.weights, use.weights, "held, though nothing more is tried")
 
     def test_it_comes_back_in_steps_and_is_held_longer_the_next_time(self):
-        self.follower.look(S, {"b": Seen(tried=9, lost=9)})
-        half = self.follower.look(S + HOLD_US + RAMP_US // 2, {})
-        self.assertEqual((half.rows["any"]["a"], half.cannot), (750, ()))
-        at = S + HOLD_US + RAMP_US
-        self.assertEqual(self.follower.look(at, {}).rows["any"]["a"], 700)
-        self.follower.look(at, {"b": Seen(tried=9, lost=9)})
-        self.assertEqual(self.follower.holds["b"].until, at + 2 * HOLD_US)
+        self.follower.decide(S, {"b": LocationObservation(attempts=9, unreached=9)})
+        half = self.follower.decide(S + EXCLUSION_US + RAMP_US // 2, {})
+        self.assertEqual((half.weights["any"]["a"], half.unreachable_zones), (750, ()))
+        at = S + EXCLUSION_US + RAMP_US
+        self.assertEqual(self.follower.decide(at, {}).weights["any"]["a"], 700)
+        self.follower.decide(at, {"b": LocationObservation(attempts=9, unreached=9)})
+        self.assertEqual(self.follower.exclusions["b"].until, at + 2 * EXCLUSION_US)
 
     def test_attempts_in_a_row_that_never_arrive_say_so_at_once(self):
-        sights = Sightings(0)
+        sights = ObservationLog(0)
         for n in range(40):
-            sights.ended(n * 50_000, ("a",), False, False, n >= 34)
-        seen = sights.seen(2 * S, {"a": Place(9, 36_000, 0)})
-        self.assertLess(2 * seen["a"].lost, seen["a"].tried, "by their share they are few")
-        self.assertEqual(self.follower.look(2 * S, seen, (), sights.streaks).cannot, ("a",))
+            sights.record_attempt(n * 50_000, ("a",), False, False, n >= 34)
+        seen = sights.observations(2 * S, {"a": LocationEstimate(9, 36_000, 0)})
+        self.assertLess(2 * seen["a"].unreached, seen["a"].attempts, "by their share they are few")
+        use = self.follower.decide(2 * S, seen, (), sights.unreached_streaks)
+        self.assertEqual(use.unreachable_zones, ("a",))
 
     def test_few_tries_say_nothing(self):
-        self.assertEqual(self.follower.look(S, {"a": Seen(tried=3, lost=3)}).cannot, ())
+        use = self.follower.decide(S, {"a": LocationObservation(attempts=3, unreached=3)})
+        self.assertEqual(use.unreachable_zones, ())
 
     def test_nothing_goes_where_no_agreed_row_leads(self):
-        gone = {zone: Seen(tried=9, lost=9) for zone in "bc"}
-        use = self.follower.look(S, gone)
-        self.assertEqual(use.rows["any"], {"a": 1000})
+        gone = {zone: LocationObservation(attempts=9, unreached=9) for zone in "bc"}
+        use = self.follower.decide(S, gone)
+        self.assertEqual(use.weights["any"], {"a": 1000})
 
     def test_a_shut_zone_gets_nothing_whatever_is_lost(self):
-        self.follower.told(way(6, shut={"b": 9}))
-        use = self.follower.look(S, {"a": Seen(tried=9, lost=9)})
-        self.assertEqual((use.shut, use.rows["any"]), (("b",), {"c": 600, "a": 400}))
+        self.follower.accept_plan(way(6, shut={"b": 9}))
+        use = self.follower.decide(S, {"a": LocationObservation(attempts=9, unreached=9)})
+        self.assertEqual((use.closed_zones, use.weights["any"]), (("b",), {"c": 600, "a": 400}))
 
     def test_a_zone_of_which_nobody_is_listed_is_not_reached(self):
-        use = self.follower.look(S, {}, {"b"})
-        self.assertEqual((use.rows["any"], use.cannot), ({"a": 800, "c": 200}, ("b",)))
+        use = self.follower.decide(S, {}, {"b"})
+        self.assertEqual((use.weights["any"], use.unreachable_zones), ({"a": 800, "c": 200}, ("b",)))
 
 
 class Sighting(unittest.TestCase):
     def test_counts_of_the_last_seconds_and_demand(self):
-        sights = Sightings(0)
+        sights = ObservationLog(0)
         for n in range(30):
-            sights.ended(n * 100_000, ("a", "a/k"), n % 3 == 0, False, n % 10 == 0)
-            sights.wanted(n * 100_000, "any", 200_000)
-        found = sights.seen(2_900_000, {"a": Place(3, 12_000, 4000)})["a"]
-        self.assertEqual((found.tried, found.failed, found.lost, found.age), (30, 10, 3, 0))
+            sights.record_attempt(n * 100_000, ("a", "a/k"), n % 3 == 0, False, n % 10 == 0)
+            sights.record_demand(n * 100_000, "any", 200_000)
+        found = sights.observations(2_900_000, {"a": LocationEstimate(3, 12_000, 4000)})["a"]
+        self.assertEqual((found.attempts, found.failed, found.unreached, found.age_us), (30, 10, 3, 0))
         self.assertAlmostEqual(sights.demand(2_900_000)["any"], 2000, delta=150)
-        self.assertEqual(sights.seen(9_000_000, {"a": Place(3, 1, 1)})["a"].tried, 0)
-        first, second = (sights.digest(9 * S, "a", {}, 0, (), False) for _ in range(2))
-        self.assertEqual((first.seq, second.seq), (1, 2))
+        self.assertEqual(sights.observations(9_000_000, {"a": LocationEstimate(3, 1, 1)})["a"].attempts, 0)
+        first, second = (sights.make_digest(9 * S, "a", {}, 0, (), False) for _ in range(2))
+        self.assertEqual((first.sequence, second.sequence), (1, 2))
 
 
 class Module(unittest.TestCase):
