--- a/cedarmill/fleet/observations/assessment.py
+++ b/cedarmill/fleet/observations/assessment.py
@@ -1,49 +1,20 @@
 """The assessment of all zones, made by the leader from the digests of all nodes.
 
-No observer, no zone of observers and no repeated digest outvotes the rest: the observers of one zone form one
-observer group, and each group has one vote on each zone. This tells apart failing executors (all groups
-report them), a failing link (one group reports one other zone), failing observers (one group reports most
-other zones), high load (late requests without failures) and missing digests.
+`verdicts.py` holds how the observers' votes are counted.
 """
 
-from collections.abc import Iterable, Mapping
-from enum import StrEnum
+from collections.abc import Iterable
 from typing import NamedTuple
 
 import msgspec
 
 from cedarmill.fleet.former_names import former_field
-from cedarmill.fleet.observations.digest import (
-    WHOLE,
-    LocationObservation,
-    ObservationDigest,
-    median,
-    share_of,
-)
+from cedarmill.fleet.observations import verdicts
+from cedarmill.fleet.observations.digest import ObservationDigest, median, share_of
+from cedarmill.fleet.observations.verdicts import UNREACHED_SHARE, Digests, GroupFindings, ZoneVerdict
 
 DIGEST_LIFETIME_US = 3_000_000  # for which a digest counts
 DEMAND_LIFETIME_US = 30_000_000  # for which demand and slots of silent observers are kept
-MIN_ATTEMPTS = 4  # of a node, below which its shares count only together with others'
-UNREACHED_SHARE = 500  # thousandths of attempts without a connection: the zone is not reached
-DEGRADED_SHARE = 100  # the same, of a link that loses some
-FAILING_SHARE = 150  # thousandths of attempts that fail: the executors are failing
-LATE_SHARE = 300  # thousandths of served requests that are late
-
-
-class Verdict(StrEnum):
-    """What the observer groups together say of a zone."""
-
-    WELL = "well"
-    FAILING = "ill"
-    LOST = "lost"
-    UNKNOWN = "unknown"
-
-
-class LinkState(StrEnum):
-    """What is wrong with the link from one zone to another."""
-
-    GONE = "gone"
-    DEGRADED = "thin"
 
 
 class ZoneAssessment(msgspec.Struct, array_like=True, frozen=True):
@@ -84,19 +55,6 @@
         return dict(sorted(total.items()))
 
 
-class GroupFindings(msgspec.Struct, array_like=True, frozen=True):
-    """What one observer group says of a zone or executor group; shares are thousandths."""
-
-    failed: int
-    late: int
-    unreached: int
-    attempts: int
-
-
-Findings = dict[str, dict[str, GroupFindings]]  # by the zone observed, then by the observing zone
-Digests = dict[str, list[ObservationDigest]]  # by the observing zone
-
-
 class ReceivedDigest(NamedTuple):
     """A node's newest digest, and when it was made or later (us)."""
 
@@ -143,130 +101,44 @@
 
 def assess_zones(names: list[str], fresh: Digests, kept: Digests) -> ClusterAssessment:
     """Assess all zones: verdicts by fresh digests, demand and slots by all that are kept."""
-    findings = _findings(names, fresh)
-    failing = [observer for observer in names if _observers_fail(observer, findings)]
+    findings = verdicts.group_findings(names, fresh)
+    failing = [observer for observer in names if verdicts.observers_fail(observer, findings)]
     sound = {
         zone: {observer: one for observer, one in by_observer.items() if observer not in failing}
         for zone, by_observer in findings.items()
     }
-    verdicts = {zone: _verdict(zone, sound[zone]) for zone in names}
-    zones = {zone: _assess_zone(zone, names, verdicts[zone], sound[zone], fresh, kept) for zone in names}
-    blind = sorted({*failing, *(observer for observer in names if not fresh[observer])})
+    by_zone = {zone: verdicts.verdict_on(zone, sound[zone]) for zone in names}
+    zones = {zone: _assess_zone(zone, names, by_zone[zone], sound[zone], fresh, kept) for zone in names}
     return ClusterAssessment(
-        zones, _failing_links(sound, verdicts), blind, _failing_groups(names, fresh, verdicts)
+        zones,
+        links=verdicts.failing_links(sound, by_zone),
+        blind_zones=sorted({*failing, *(observer for observer in names if not fresh[observer])}),
+        failing_groups=verdicts.failing_groups(names, fresh, by_zone),
     )
 
 
-def _findings(names: list[str], fresh: Digests) -> Findings:
-    findings: Findings = {zone: {} for zone in names}
-    for observer in names:
-        locations = {location for digest in fresh[observer] for location in digest.observations}
-        for zone in sorted(locations & findings.keys()):
-            combined = combine_observations(_observations_of(zone, fresh[observer]))
-            if combined is not None:
-                findings[zone][observer] = combined
-    return findings
-
-
-def _observations_of(location: str, digests: list[ObservationDigest]) -> list[LocationObservation]:
-    return [digest.observations[location] for digest in digests if location in digest.observations]
-
-
-def combine_observations(observations: list[LocationObservation]) -> GroupFindings | None:
-    """One group's findings: the median of observers with enough attempts; None: nobody has tried.
-
-    Where too few observers have enough, all attempts are pooled; no observer counts for more than twice the
-    median number of attempts.
-    """
-    tried = [one for one in observations if one.attempts]
-    if not tried:
-        return None
-    attempts = sum(one.attempts for one in tried)
-    sure = [one for one in tried if one.attempts >= MIN_ATTEMPTS]
-    if len(sure) >= min(2, len(tried)):
-        failed, late, unreached = (median(shares) for shares in zip(*map(_shares, sure), strict=True))
-        return GroupFindings(failed, late, unreached, sum(one.attempts for one in sure))
-    return GroupFindings(*_shares(_pooled(tried)), attempts)
-
-
-def _shares(one: LocationObservation) -> tuple[int, int, int]:
-    """Thousandths that failed, were late and never arrived."""
-    arrived = one.attempts - one.unreached
-    return (
-        share_of(one.failed, arrived),
-        share_of(one.late, arrived),
-        share_of(one.unreached, one.attempts),
-    )
-
-
-def _pooled(tried: list[LocationObservation]) -> LocationObservation:
-    cap = 2 * max(1, median(one.attempts for one in tried))
-    attempts = failed = late = unreached = 0
-    for one in tried:
-        counted = min(one.attempts, cap) * WHOLE
-        attempts += one.attempts * counted // one.attempts
-        failed += one.failed * counted // one.attempts
-        late += one.late * counted // one.attempts
-        unreached += one.unreached * counted // one.attempts
-    return LocationObservation(attempts=attempts, failed=failed, late=late, unreached=unreached)
-
-
-def _observers_fail(observer: str, findings: Findings) -> bool:
-    """Whether they report most zones as bad, and the others contradict them on most of these."""
-    observed = [zone for zone, by_observer in findings.items() if observer in by_observer]
-    bad = [zone for zone in observed if _is_bad(findings[zone][observer])]
-    if len(bad) < 2 or 2 * len(bad) <= len(observed):
-        return False
-    contradicted = 0
-    for zone in bad:
-        others = [one for name, one in findings[zone].items() if name != observer]
-        denials = sum(not _is_bad(one) for one in others)
-        contradicted += bool(others) and 2 * denials > len(others)
-    return 2 * contradicted > len(bad)
-
-
-def _is_bad(one: GroupFindings) -> bool:
-    return one.unreached >= UNREACHED_SHARE or one.failed >= UNREACHED_SHARE
-
-
-def _verdict(zone: str, findings: dict[str, GroupFindings]) -> tuple[Verdict, str]:
-    """Of one zone, and its reason."""
-    if not findings:
-        return Verdict.UNKNOWN, "nobody has tried it lately"
-    unreached_by = [observer for observer, one in findings.items() if one.unreached >= UNREACHED_SHARE]
-    not_one_link = len(findings) > 1 or list(findings) == [zone]  # one other group may have a bad link
-    if 2 * len(unreached_by) > len(findings) and not_one_link:
-        return Verdict.LOST, f"not reached by {', '.join(unreached_by)}"
-    if len(unreached_by) == len(findings):
-        return Verdict.UNKNOWN, f"only {unreached_by[0]} has tried it, and does not reach it"
-    failed = median(one.failed for observer, one in findings.items() if observer not in unreached_by)
-    if failed >= FAILING_SHARE:
-        return Verdict.FAILING, f"{failed / 10:g}% of attempts fail"
-    return Verdict.WELL, ""
-
-
 def _assess_zone(
     zone: str,
     names: list[str],
-    verdict: tuple[Verdict, str],
+    verdict: ZoneVerdict,
     findings: dict[str, GroupFindings],
     fresh: Digests,
     kept: Digests,
 ) -> ZoneAssessment:
     arrived = [one for one in findings.values() if one.unreached < UNREACHED_SHARE]
-    by_group = [_observations_of(zone, fresh[observer] or kept[observer]) for observer in names]
+    by_group = [verdicts.observations_of(zone, fresh[observer] or kept[observer]) for observer in names]
     by_group = [group for group in by_group if group]
     own = fresh[zone]
     demand, by_weight = _demand(kept[zone])
     return ZoneAssessment(
-        verdict[0],
+        verdict.verdict,
         slots=median(median(one.slots for one in group) for group in by_group),
         slots_in_use=median(median(one.slots_in_use for one in group) for group in by_group),
         failed=median(one.failed for one in arrived),
         late=median(one.late for one in arrived),
         demand=demand,
         observers=len(findings),
-        reason=verdict[1],
+        reason=verdict.reason,
         demand_by_weight=by_weight,
         slots_occupied=sum(digest.slots_occupied for digest in own),
         slots_served=sum(digest.slots_served for digest in own),
@@ -289,36 +161,3 @@
             for weight, slots in weights.items():
                 sums[weight] = sums.get(weight, 0) + slots
     return demand, by_weight
-
-
-def _failing_links(findings: Findings, verdicts: Mapping[str, tuple[str, str]]) -> dict[str, str]:
-    """Links on which one group finds a zone bad that is not lost itself."""
-    found: dict[str, str] = {}
-    pairs = sorted((observer, zone) for zone, by_observer in findings.items() for observer in by_observer)
-    for observer, zone in pairs:
-        if observer == zone or verdicts[zone][0] == Verdict.LOST:
-            continue
-        one = findings[zone][observer]
-        others = [other for name, other in findings[zone].items() if name != observer]
-        late = bool(others) and one.late >= LATE_SHARE > 2 * median(other.late for other in others)
-        if one.unreached >= UNREACHED_SHARE:
-            found[f"{observer}>{zone}"] = LinkState.GONE
-        elif one.unreached >= DEGRADED_SHARE or late:
-            found[f"{observer}>{zone}"] = LinkState.DEGRADED
-    return found
-
-
-def _failing_groups(names: list[str], fresh: Digests, verdicts: Mapping[str, tuple[str, str]]) -> list[str]:
-    """Executor groups that fail within a zone that is well as a whole."""
-    digests = [digest for by_observer in fresh.values() for digest in by_observer]
-    groups = sorted({location for digest in digests for location in digest.observations if "/" in location})
-    found = []
-    for group in groups:
-        zone = group.partition("/")[0]
-        if verdicts.get(zone, ("",))[0] != Verdict.WELL:
-            continue
-        combined = [combine_observations(_observations_of(group, fresh[observer])) for observer in names]
-        findings = [one for one in combined if one is not None]
-        if findings and median(one.failed for one in findings) >= FAILING_SHARE:
-            found.append(group)
-    return found
--- a/cedarmill/fleet/plan_follower.py
+++ b/cedarmill/fleet/plan_follower.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 
 from cedarmill.fleet.former_names import former_field
-from cedarmill.fleet.observations.assessment import MIN_ATTEMPTS, UNREACHED_SHARE
 from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation, share_of
+from cedarmill.fleet.observations.verdicts import MIN_ATTEMPTS, UNREACHED_SHARE
 from cedarmill.fleet.traffic_plan.planner import PROBE_WEIGHT
 from cedarmill.fleet.traffic_plan.state import WeightRow
 from cedarmill.fleet.traffic_plan.weights import normalized
--- a/cedarmill/fleet/traffic_control/intake.py
+++ b/cedarmill/fleet/traffic_control/intake.py
@@ -5,14 +5,9 @@
 import msgspec
 
 from cedarmill.fleet import permits
-from cedarmill.fleet.observations.assessment import (
-    DEMAND_LIFETIME_US,
-    FAILING_SHARE,
-    ClusterAssessment,
-    Verdict,
-    ZoneAssessment,
-)
+from cedarmill.fleet.observations.assessment import DEMAND_LIFETIME_US, ClusterAssessment, ZoneAssessment
 from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.fleet.observations.verdicts import FAILING_SHARE, Verdict
 from cedarmill.fleet.traffic_control.errors import InvalidLayoutError
 from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.fleet.traffic_plan.state import ZoneState
--- a/cedarmill/fleet/traffic_control/trust.py
+++ b/cedarmill/fleet/traffic_control/trust.py
@@ -4,8 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet.observations.assessment import LATE_SHARE, ClusterAssessment, Verdict
+from cedarmill.fleet.observations.assessment import ClusterAssessment
 from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.fleet.observations.verdicts import LATE_SHARE, Verdict
 from cedarmill.fleet.traffic_control.zone_status import LOSS_MEMORY_US
 from cedarmill.fleet.traffic_plan import planner
 from cedarmill.fleet.traffic_plan.state import ZoneState, ZoneStatus
--- a/cedarmill/fleet/traffic_control/zone_status.py
+++ b/cedarmill/fleet/traffic_control/zone_status.py
@@ -6,8 +6,9 @@
 from typing import TYPE_CHECKING
 
 from cedarmill.fleet import permits
-from cedarmill.fleet.observations.assessment import ClusterAssessment, Verdict
+from cedarmill.fleet.observations.assessment import ClusterAssessment
 from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.fleet.observations.verdicts import Verdict
 from cedarmill.fleet.traffic_plan.state import TRANSITIONS, ZoneEvent, ZoneState, ZoneStatus
 
 if TYPE_CHECKING:
--- a/cedarmill/fleet/traffic_plan/allocation.py
+++ b/cedarmill/fleet/traffic_plan/allocation.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarmill.fleet.observations.assessment import LinkState
 from cedarmill.fleet.observations.digest import SCOPES, WHOLE
+from cedarmill.fleet.observations.verdicts import LinkState
 from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 
 LOCAL_GROWTH = 50  # thousandths by which a zone's own demand may grow before others have moved away
--- a/cedarmill/lab/fleet/zone_bugs.py
+++ b/cedarmill/lab/fleet/zone_bugs.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from cedarmill.fleet.observations import assessment
-from cedarmill.fleet.observations.assessment import GroupFindings, Verdict
+from cedarmill.fleet.observations import assessment, verdicts
 from cedarmill.fleet.observations.digest import WHOLE, share_of
+from cedarmill.fleet.observations.verdicts import GroupFindings, Verdict, ZoneVerdict
 from cedarmill.fleet.plan_follower import PlanFollower
 from cedarmill.fleet.traffic_control import ramps, rollout, trust, zone_status
 from cedarmill.fleet.traffic_plan import planner
@@ -42,18 +42,18 @@
             share_of(failed, arrived), share_of(late, arrived), share_of(unreached, attempts), attempts
         )
 
-    return [(assessment, "combine_observations", combine)]
+    return [(verdicts, "combine_observations", combine)]
 
 
 def silence_is_loss() -> list[Patch]:
     """A zone of which nobody tells counts as lost."""
-    plain = assessment._verdict
+    plain = verdicts.verdict_on
 
-    def verdict(zone, findings):
+    def verdict_on(zone, findings):
         found = plain(zone, findings)
-        return (Verdict.LOST, "silent") if found[0] == Verdict.UNKNOWN else found
+        return ZoneVerdict(Verdict.LOST, "silent") if found.verdict == Verdict.UNKNOWN else found
 
-    return [(assessment, "_verdict", verdict)]
+    return [(verdicts, "verdict_on", verdict_on)]
 
 
 def late_news_are_new() -> list[Patch]:
