--- a/cedarmill/lab/fleet/regions.py
+++ b/cedarmill/lab/fleet/regions.py
@@ -95,7 +95,7 @@
     """One incident, one seed, one way."""
 
     def __init__(self, place: Place, incident: Incident, seed: int, way: str) -> None:
-        self.place, self.incident, self.plan = place, incident, way
+        self.place, self.incident, self.way = place, incident, way
         self.random = numpy.random.Generator(numpy.random.PCG64(numpy.random.SeedSequence([seed, 7])))
         names = [f"z{r}{z}" for r in range(place.regions) for z in range(place.zones)]
         self.names, self.count = names, len(names)
@@ -278,7 +278,7 @@
         crossed = sum(c for _, _, _, c in self.by_step) / offered
         text = repr([tuple(round(float(x), 6) for x in one) for one in self.by_step]).encode()
         return Result(
-            self.plan, served / offered, possible / max(1e-9, sum(one[0] for one in part)),
+            self.way, served / offered, possible / max(1e-9, sum(one[0] for one in part)),
             near / max(1e-9, possible), crossed, worst, round(self.over_most, 2), self.fallen,
             self.steer.changes(), round(self.cold_most, 3), self._settled(),
             hashlib.blake2b(text, digest_size=16).hexdigest(),
