--- a/cedarmill/fleet/keeper.py
+++ b/cedarmill/fleet/keeper.py
@@ -250,7 +250,7 @@
         elif isinstance(ask, f.Look):
             self._read(now, token, ask)
         elif isinstance(ask, f.Do):
-            self._propose(now, msgspec.structs.replace(ask.request, at=self.clock(now)), token, ask)
+            self._propose(now, msgspec.structs.replace(ask.request, time_us=self.clock(now)), token, ask)
         else:
             self._keepers(now, token, ask)
 
--- a/cedarmill/fleet/permits.py
+++ b/cedarmill/fleet/permits.py
@@ -184,6 +184,13 @@
     return permit
 
 
+def open_permit(world: World, kind: str, name: str) -> Permit | None:
+    """The permit by which a target is out, or for which it waits."""
+    found = [p for p in world.permits.values() if (p.kind, p.target) == (kind, name)]
+    granted = next((p for p in found if p.out), None)
+    return granted or next((p for p in found if p.state == "waiting"), None)
+
+
 def in_turn(world: World) -> list[Permit]:
     """Those that wait, in the order in which they are looked at.
 
--- a/cedarmill/fleet/release.py
+++ b/cedarmill/fleet/release.py
@@ -9,6 +9,7 @@
 from collections.abc import Iterator
 
 from cedarmill.fleet import permits
+from cedarmill.fleet.errors import RequestRejected
 from cedarmill.fleet.world import Plan, Release, Step, Unit, World
 
 # (state, event) -> state, of a release. `halt` and `back` are possible from each state that is not an end.
@@ -61,7 +62,7 @@
 PERMIT_WAIT = 3_600_000_000  # that a unit's request waits: a wave waits for room as long as it takes
 
 
-class NoRelease(ValueError):
+class NoRelease(RequestRejected):
     """A plan or an act that cannot be, with the reason for the operator."""
 
 
--- /dev/null
+++ b/cedarmill/fleet/state_machine/budgets.py
@@ -0,0 +1,54 @@
+"""Budgets of the cluster, leased to nodes: demand, acknowledgement of smaller leases, and settings."""
+
+from cedarmill.fleet import slices
+from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.slices import Budget
+from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
+from cedarmill.fleet.world import Done, World
+
+
+class SetBudgetDemand(Command, tag="wants", frozen=True):
+    """A member's demand of each budget, in thousandths a second, has changed."""
+
+    member_key: str
+    demand: dict[str, int]
+
+
+class AcknowledgeOrders(Command, tag="follows", frozen=True):
+    """A member follows orders of that epoch, and spends no longer by older ones."""
+
+    member_key: str
+    epoch: int
+
+
+class SetBudgets(OperatorRequest, tag="budgets", frozen=True):
+    """Replace the budgets."""
+
+    budgets: tuple[Budget, ...]
+
+
+def set_demand(state: World, command: SetBudgetDemand) -> None:
+    """Deal the budgets anew; the demand of a member without a session is passed over."""
+    member = state.members.get(command.member_key)
+    if member is not None and member.state == "live":
+        slices.wanted(state, command.member_key, command.demand)
+
+
+def acknowledge_orders(state: World, command: AcknowledgeOrders) -> None:
+    """What the member could spend by older orders is free."""
+    slices.follows(state, command.member_key, command.epoch)
+
+
+def set_budgets(state: World, request: SetBudgets) -> Done:
+    """Replace the budgets; raises RequestRejected naming what is wrong with them."""
+    if fault := slices.set_up(state, list(request.budgets)):
+        raise RequestRejected(fault)
+    state.note(f"budgets set by {request.requester}: {', '.join(state.budgets) or 'none'}")
+    return accepted(state, f"{len(request.budgets)} budgets hold")
+
+
+HANDLERS: Handlers = {
+    SetBudgetDemand: set_demand,
+    AcknowledgeOrders: acknowledge_orders,
+    SetBudgets: set_budgets,
+}
--- /dev/null
+++ b/cedarmill/fleet/state_machine/commands.py
@@ -0,0 +1,86 @@
+"""All commands in one place: `AnyRequest` is what operators send, `AnyCommand` what the log holds."""
+
+from cedarmill.fleet.state_machine.budgets import AcknowledgeOrders, SetBudgetDemand, SetBudgets
+from cedarmill.fleet.state_machine.command import Command, OperatorRequest
+from cedarmill.fleet.state_machine.operator_statements import OperatorStatement
+from cedarmill.fleet.state_machine.permits import (
+    AdoptUnknownGrants,
+    ConfirmDrained,
+    RequestPermits,
+    ReturnPermit,
+    SetLimits,
+)
+from cedarmill.fleet.state_machine.releases import ControlRelease, PlanRelease, RecordComparison
+from cedarmill.fleet.state_machine.sessions import (
+    EndMember,
+    ExpireSessions,
+    RegisterMember,
+    RestoreSession,
+)
+from cedarmill.fleet.state_machine.setup import AdvanceTime, InitializeCluster
+from cedarmill.fleet.state_machine.targets import HaltGrants, UpdateTargets, UpdateUnits
+from cedarmill.fleet.state_machine.traffic import OverrideAdmission, RecordZoneEvidence
+from cedarmill.fleet.state_machine.zones import ControlZone, SetZones
+
+__all__ = [
+    "AcknowledgeOrders",
+    "AdoptUnknownGrants",
+    "AdvanceTime",
+    "AnyCommand",
+    "AnyRequest",
+    "Command",
+    "ConfirmDrained",
+    "ControlRelease",
+    "ControlZone",
+    "EndMember",
+    "ExpireSessions",
+    "HaltGrants",
+    "InitializeCluster",
+    "OperatorRequest",
+    "OperatorStatement",
+    "OverrideAdmission",
+    "PlanRelease",
+    "RecordComparison",
+    "RecordZoneEvidence",
+    "RegisterMember",
+    "RequestPermits",
+    "RestoreSession",
+    "ReturnPermit",
+    "SetBudgetDemand",
+    "SetBudgets",
+    "SetLimits",
+    "SetZones",
+    "UpdateTargets",
+    "UpdateUnits",
+]
+
+AnyRequest = (
+    SetLimits
+    | RequestPermits
+    | ReturnPermit
+    | OperatorStatement
+    | PlanRelease
+    | ControlRelease
+    | SetZones
+    | ControlZone
+    | SetBudgets
+    | OverrideAdmission
+)
+AnyCommand = (
+    AdvanceTime
+    | RegisterMember
+    | ExpireSessions
+    | RestoreSession
+    | EndMember
+    | UpdateTargets
+    | ConfirmDrained
+    | UpdateUnits
+    | HaltGrants
+    | AdoptUnknownGrants
+    | RecordComparison
+    | RecordZoneEvidence
+    | SetBudgetDemand
+    | AcknowledgeOrders
+    | InitializeCluster
+    | AnyRequest
+)
--- /dev/null
+++ b/cedarmill/fleet/state_machine/dispatch.py
@@ -0,0 +1,125 @@
+"""Applies entries of the replicated log to the agreed state, by a table of command types.
+
+The agreed clock is the greatest time that any leader has written; it never goes back. A request with the
+idempotency key of an earlier one gets that one's outcome.
+"""
+
+import msgspec
+
+from cedarmill.fleet import permits, release, traffic
+from cedarmill.fleet.errors import RequestRejected, UnknownCommand
+from cedarmill.fleet.state_machine import (
+    budgets,
+    operator_statements,
+    releases,
+    sessions,
+    setup,
+    targets,
+    zones,
+)
+from cedarmill.fleet.state_machine import permits as permit_commands
+from cedarmill.fleet.state_machine import traffic as traffic_commands
+from cedarmill.fleet.state_machine.command import Command, Handler, OperatorRequest
+from cedarmill.fleet.state_machine.commands import AnyCommand
+from cedarmill.fleet.world import Done, World
+
+OUTCOMES_KEPT = 5000  # of requests, the oldest of which are forgotten first
+OUTCOME_KEPT_US = 3_600_000_000  # how long an outcome is remembered
+OUTCOMES_CHECKED = 4  # of the oldest, that are looked at after each request
+
+
+def _answering(handler: Handler) -> Handler:
+    """The same handler, with a rejection as its outcome."""
+
+    def answer(state: World, request: OperatorRequest) -> Done:
+        try:
+            outcome = handler(state, request)
+        except RequestRejected as error:
+            return Done(state.clock, False, str(error))
+        return outcome or Done(state.clock, True, "")
+
+    return answer
+
+
+_BY_CONCERN: dict[type[Command], Handler] = {
+    **setup.HANDLERS,
+    **sessions.HANDLERS,
+    **targets.HANDLERS,
+    **permit_commands.HANDLERS,
+    **operator_statements.HANDLERS,
+    **releases.HANDLERS,
+    **budgets.HANDLERS,
+    **traffic_commands.HANDLERS,
+    **zones.HANDLERS,
+}
+HANDLERS: dict[type[Command], Handler] = {
+    command_type: _answering(handler) if issubclass(command_type, OperatorRequest) else handler
+    for command_type, handler in _BY_CONCERN.items()
+}
+
+_DECODER = msgspec.msgpack.Decoder(AnyCommand)
+
+
+def encode(command: Command) -> bytes:
+    """A command as the log holds it."""
+    return msgspec.msgpack.encode(command)
+
+
+def apply(state: World, index: int, data: bytes) -> Done:
+    """Apply the entry at that index; the outcome.
+
+    Raises msgspec.MsgspecError where the data is no command, UnknownCommand where the type has no handler.
+    """
+    state.index = index
+    command = _DECODER.decode(data)
+    state.clock = max(state.clock, command.time_us)
+    if isinstance(command, OperatorRequest):
+        return _apply_request(state, command)
+    _handler_of(command)(state, command)
+    advance(state)
+    return Done(state.clock, True, "")
+
+
+def _handler_of(command: Command) -> Handler:
+    handler = HANDLERS.get(type(command))
+    if handler is None:
+        raise UnknownCommand(f"no handler for commands of the type {type(command).__name__}")
+    return handler
+
+
+def _apply_request(state: World, request: OperatorRequest) -> Done:
+    """Carry a request out once; a repeated one gets the first outcome."""
+    key = f"{request.requester}/{request.request_id}"
+    if (known := state.done.get(key)) is not None:
+        return known
+    outcome = _handler_of(request)(state, request) or Done(state.clock, True, "")
+    advance(state)
+    state.done[key] = outcome
+    _forget_outcomes(state)
+    return outcome
+
+
+def _forget_outcomes(state: World) -> None:
+    excess = max(0, len(state.done) - OUTCOMES_KEPT)
+    for key in list(state.done)[:excess]:
+        del state.done[key]
+    for key, outcome in list(state.done.items())[:OUTCOMES_CHECKED]:
+        if state.clock - outcome.at > OUTCOME_KEPT_US:
+            del state.done[key]
+
+
+def advance(state: World) -> None:
+    """What follows of any change: waiting permits may be granted, releases and the traffic plan move on."""
+    permits.expire(state)
+    permits.grant_all(state)
+    release.advance(state)
+    traffic.advance(state)
+    traffic.shed(state)
+
+
+def next_due(state: World) -> int | None:
+    """When something changes by itself, in the cluster's time (us); None: not before another command."""
+    times = [*release.due(state), *traffic.due(state)]
+    if (time_us := permits.next_due(state)) is not None:
+        times.append(time_us)
+    return min(times, default=None)
--- /dev/null
+++ b/cedarmill/fleet/state_machine/operator_statements.py
@@ -0,0 +1,100 @@
+"""Statements of operators about what no process can prove: they count as facts, with a stated reason."""
+
+from collections.abc import Callable
+
+from cedarmill.fleet import permits
+from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.state_machine.command import Handlers, OperatorRequest, accepted
+from cedarmill.fleet.state_machine.sessions import end_member
+from cedarmill.fleet.world import Done, World
+
+
+class OperatorStatement(OperatorRequest, tag="word", frozen=True):
+    """`drained` and `found` (a target), `ended` (a member), `forget` (a target), `go-on` (grants)."""
+
+    statement: str
+    name: str
+    reason: str
+
+
+def apply_statement(state: World, request: OperatorStatement) -> Done:
+    """Take a statement for true; raises RequestRejected for one without a reason or against what is known."""
+    if not request.reason.strip():
+        raise RequestRejected("a word takes a reason")
+    handler = STATEMENTS.get(request.statement)
+    if handler is None:
+        raise RequestRejected(f"no word {request.statement!r}: one of {', '.join(STATEMENTS)}")
+    outcome = handler(state, request)
+    about = request.name or "the fleet"
+    state.note(f"{request.requester} says {request.statement} of {about}: {request.reason}")
+    return outcome
+
+
+def _drained(state: World, request: OperatorStatement) -> Done:
+    """A target counts as drained, whoever has not confirmed it."""
+    permit = next((p for p in state.permits.values() if p.out and p.target == request.name), None)
+    if permit is None:
+        raise RequestRejected(f"{request.name} is not out by a permit")
+    missing = ", ".join(permit.need) or "anybody missing"
+    permit.notes.append(f"{request.requester} says drained, without {missing}: {request.reason}")
+    permit.need = []
+    permits.settle(state, permit)
+    return accepted(state, f"{request.name} counts as drained", [permit.id])
+
+
+def _ended(state: World, request: OperatorStatement) -> Done:
+    """All incarnations of a member, or the one named by its key, count as ended."""
+    keys = [
+        key
+        for key, member in state.members.items()
+        if request.name in (key, member.name) and member.state != "ended"
+    ]
+    live = [key for key in keys if state.members[key].state == "live"]
+    if live:
+        raise RequestRejected(f"{live[0]} renews its session: it has not ended")
+    if not keys:
+        raise RequestRejected(f"no member {request.name}")
+    for key in keys:
+        end_member(state, key, f"{request.requester}: {request.reason}")
+    return accepted(state, f"{len(keys)} lives count as ended")
+
+
+def _found(state: World, request: OperatorStatement) -> Done:
+    """The target of a lost permit is known to serve again."""
+    permit = next((p for p in state.permits.values() if p.state == "lost" and p.target == request.name), None)
+    if permit is None:
+        raise RequestRejected(f"no lost permit for {request.name}")
+    permits.give_back(state, permit, f"{request.requester} says it is back: {request.reason}")
+    return accepted(state, f"permit {permit.id} is returned", [permit.id])
+
+
+def _forget(state: World, request: OperatorStatement) -> Done:
+    """A target that is gone for good counts no longer."""
+    keys = [
+        key
+        for key, target in state.targets.items()
+        if target.name == request.name and target.health != "well"
+    ]
+    if not keys:
+        raise RequestRejected(f"{request.name} is unknown, or well")
+    for key in keys:
+        del state.targets[key]
+    return accepted(state, f"{request.name} is forgotten")
+
+
+def _go_on(state: World, request: OperatorStatement) -> Done:
+    """End a halt of grants."""
+    if not state.halted:
+        raise RequestRejected("nothing was halted")
+    state.halted = ""
+    return accepted(state, "grants go on")
+
+
+STATEMENTS: dict[str, Callable[[World, OperatorStatement], Done]] = {
+    "drained": _drained,
+    "ended": _ended,
+    "found": _found,
+    "forget": _forget,
+    "go-on": _go_on,
+}
+HANDLERS: Handlers = {OperatorStatement: apply_statement}
--- /dev/null
+++ b/cedarmill/fleet/state_machine/permits.py
@@ -0,0 +1,130 @@
+"""Permits to take targets out of service: requests, returns, confirmations of drains, and limits."""
+
+from cedarmill.fleet import permits
+from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.state_machine import zones
+from cedarmill.fleet.state_machine.command import (
+    DEFAULT_WAIT_US,
+    Command,
+    Handlers,
+    OperatorRequest,
+    accepted,
+)
+from cedarmill.fleet.world import Done, Limit, Permit, World
+
+
+class ConfirmDrained(Command, tag="cleared", frozen=True):
+    """A member has nothing left at these targets and sends them nothing, by the epochs of their grants."""
+
+    member_key: str
+    drained: dict[str, int]
+
+
+class AdoptUnknownGrants(Command, tag="held", frozen=True):
+    """A member follows grants that the state does not know: the replicas were restored from an older one."""
+
+    member_key: str
+    grants: dict[str, int]  # epoch of the grant by `kind:name`
+
+
+class SetLimits(OperatorRequest, tag="limits", frozen=True):
+    """Replace the limits of what may be out at once."""
+
+    limits: tuple[Limit, ...]
+
+
+class RequestPermits(OperatorRequest, tag="ask", frozen=True):
+    """Ask that targets may be out; each is decided by itself. `wait_us` bounds the wait for a grant."""
+
+    kind: str
+    names: tuple[str, ...]
+    reason: str = ""
+    priority: int = 0
+    wait_us: int = DEFAULT_WAIT_US
+
+
+class ReturnPermit(OperatorRequest, tag="give", frozen=True):
+    """Put a target back into service, or withdraw the request for it."""
+
+    kind: str
+    name: str
+
+
+def confirm_drained(state: World, command: ConfirmDrained) -> None:
+    """Note each target that the member is done with."""
+    for target, epoch in command.drained.items():
+        permits.told_done(state, command.member_key, target, epoch)
+
+
+def adopt_unknown_grants(state: World, command: AdoptUnknownGrants) -> None:
+    """Enter a lost permit for each target that is out by a grant which nobody here knows."""
+    for key, epoch in command.grants.items():
+        kind, _, name = key.partition(":")
+        if _is_out(state, kind, name):
+            continue
+        permit = Permit(
+            state.number(),
+            kind,
+            name,
+            "before the restore",
+            state="lost",
+            asked=state.clock,
+            granted=state.clock,
+            epoch=state.epoch,
+            notes=[f"told by {command.member_key}, granted at {epoch}"],
+        )
+        permit.need = permits.need_of(state, permit)
+        state.permits[permit.id] = permit
+        state.told = state.epoch
+        state.note(f"{kind} {name} is out by a grant that was lost with the keepers' state")
+
+
+def _is_out(state: World, kind: str, name: str) -> bool:
+    return any(
+        permit.out and (permit.kind, permit.target) == (kind, name) for permit in state.permits.values()
+    )
+
+
+def set_limits(state: World, request: SetLimits) -> Done:
+    """Replace all limits."""
+    state.limits = list(request.limits)
+    state.note(f"limits set by {request.requester}: {len(request.limits)}")
+    return accepted(state, f"{len(request.limits)} limits hold")
+
+
+def request_permits(state: World, request: RequestPermits) -> Done:
+    """Enter a permit for each target, once where it is named twice."""
+    made = [
+        permits.ask(
+            state, request.kind, name, request.requester, request.reason, request.priority, request.wait_us
+        )
+        for name in dict.fromkeys(request.names)
+    ]
+    any_open = not all(permit.state == "refused" for permit in made)
+    return Done(state.clock, any_open, "", [permit.id for permit in made])
+
+
+def return_permit(state: World, request: ReturnPermit) -> Done:
+    """Return the permit of a target; raises RequestRejected where there is none to return."""
+    permit = permits.open_permit(state, request.kind, request.name)
+    if permit is None:
+        raise RequestRejected(f"{request.name} is not out by a permit, and waits for none")
+    if permit.holder.startswith("release:"):
+        raise RequestRejected(f"{request.name} is out by {permit.holder}: halt it, or take it back")
+    reason = f"put back by {request.requester}"
+    if permit.kind == "zone" and permit.out:
+        return zones.cancel_evacuation(state, request.name, reason)
+    if permit.state == "waiting":
+        permits.move(state, permit, "withdraw")
+        return accepted(state, f"permit {permit.id} is withdrawn", [permit.id])
+    permits.give_back(state, permit, reason)
+    return accepted(state, f"permit {permit.id} is returned", [permit.id])
+
+
+HANDLERS: Handlers = {
+    ConfirmDrained: confirm_drained,
+    AdoptUnknownGrants: adopt_unknown_grants,
+    SetLimits: set_limits,
+    RequestPermits: request_permits,
+    ReturnPermit: return_permit,
+}
--- /dev/null
+++ b/cedarmill/fleet/state_machine/sessions.py
@@ -0,0 +1,181 @@
+"""Sessions of members (nodes and process supervisors): joining, lease expiry, return and end."""
+
+from cedarmill.fleet import permits, slices
+from cedarmill.fleet.state_machine.command import Command, Handlers
+from cedarmill.fleet.world import Member, Target, World
+
+ENDED_KEPT_US = 600_000_000  # how long an incarnation that has ended is still listed
+LAPSES_KEPT = 8  # lease expiries remembered of each member
+
+
+class RegisterMember(Command, tag="joined", frozen=True):
+    """A process has opened a session; `incarnation` tells it from earlier processes of the same name."""
+
+    kind: str
+    name: str
+    incarnation: str
+    zone: str
+    address: str
+    version: str
+    stops_at_lease_expiry: bool
+    unit_type: str = ""
+
+
+class ExpireSessions(Command, tag="lapsed", frozen=True):
+    """Leases have expired, by member key.
+
+    `unreachable` members are still reached by others. `certainly_stopped` members stop sending when their
+    lease has expired, and have done so by now.
+    """
+
+    silent: tuple[str, ...]
+    unreachable: tuple[str, ...] = ()
+    certainly_stopped: tuple[str, ...] = ()
+
+
+class RestoreSession(Command, tag="back", frozen=True):
+    """A session whose lease had expired is renewed."""
+
+    member_key: str
+
+
+class EndMember(Command, tag="ended", frozen=True):
+    """A process has ended, as it or its process supervisor reports."""
+
+    member_key: str
+    reason: str
+
+
+def register(state: World, command: RegisterMember) -> None:
+    """Enter a new incarnation of a member; one that has ended does not return."""
+    member = Member(
+        kind=command.kind,
+        name=command.name,
+        life=command.incarnation,
+        zone=command.zone,
+        address=command.address,
+        version=command.version,
+        stops=command.stops_at_lease_expiry,
+        since=state.clock,
+        joined=state.clock,
+    )
+    known = state.members.get(member.key)
+    if known is not None and known.state == "ended":
+        return
+    state.members[member.key] = member
+    permits.member_joined(state, member.key)
+    _note_membership_change(state, member)
+    if member.kind == "node":
+        _register_node_target(state, member, command.unit_type)
+    state.told = state.epoch
+    _forget_ended(state)
+
+
+def _register_node_target(state: World, member: Member, unit_type: str) -> None:
+    key = permits.key_of("node", member.name)
+    target = state.targets.setdefault(key, Target("node", member.name))
+    target.zone, target.type = member.zone, unit_type
+    _update_node_health(state, member.name)
+
+
+def _forget_ended(state: World) -> None:
+    for key, member in list(state.members.items()):
+        if member.state == "ended" and state.clock - member.since > ENDED_KEPT_US:
+            del state.members[key]
+
+
+def _update_node_health(state: World, name: str) -> None:
+    """A node is there while any of its incarnations is."""
+    target = state.targets.get(permits.key_of("node", name))
+    if target is None:
+        return
+    incarnations = [m for m in state.members.values() if m.kind == "node" and m.name == name]
+    present = any(member.state in ("live", "cut-off") for member in incarnations)
+    health = "well" if present else "silent"
+    if target.health != health:
+        target.health, target.since = health, state.clock
+
+
+def _change_state(state: World, key: str, new_state: str) -> Member | None:
+    """Set a member's state; None where it is unknown, has ended, or is in that state already."""
+    member = state.members.get(key)
+    if member is None or member.state in (new_state, "ended"):
+        return None
+    member.state, member.since = new_state, state.clock
+    if member.kind == "node":
+        _update_node_health(state, member.name)
+    _note_membership_change(state, member)
+    return member
+
+
+def _note_membership_change(state: World, member: Member) -> None:
+    """Nodes that gossip are to ask again who is there."""
+    if state.zoning.news and member.kind == "node":
+        state.peopled = state.told = state.epoch
+
+
+def expire(state: World, command: ExpireSessions) -> None:
+    """Mark members whose lease has expired; their budget leases end with it."""
+    for key in command.silent:
+        if (member := _change_state(state, key, "silent")) is not None:
+            member.lapses = [*member.lapses, state.clock][-LAPSES_KEPT:]
+            state.note(f"{member.kind} {member.name} is silent")
+            _lose_supervised_permits(state, member)
+    for key in command.unreachable:
+        if (member := _change_state(state, key, "cut-off")) is not None:
+            state.note(f"{member.kind} {member.name} reaches no keeper, others reach it: it serves on")
+    for key in command.certainly_stopped:
+        permits.member_ended(state, key)
+    for key in (*command.silent, *command.unreachable):
+        slices.ended(state, key)  # the lease has ended at its holder before it ended here
+
+
+def _supervises(state: World, member: Member, unit_name: str) -> bool:
+    unit = state.units.get(unit_name)
+    return unit is not None and unit.steward == member.name
+
+
+def _lose_supervised_permits(state: World, member: Member) -> None:
+    """A unit that a silent supervisor was replacing may be out, and nobody can tell: it counts as out."""
+    if member.kind != "steward":
+        return
+    for permit in state.permits.values():
+        by_release = permit.kind == "node" and permit.holder.startswith("release:")
+        if by_release and _supervises(state, member, permit.target):
+            permits.move(state, permit, "lose")
+
+
+def restore(state: World, command: RestoreSession) -> None:
+    """A silent member is back, and with a supervisor the permits of its units."""
+    member = _change_state(state, command.member_key, "live")
+    if member is None:
+        return
+    state.note(f"{member.kind} {member.name} is back")
+    if member.kind != "steward":
+        return
+    for permit in state.permits.values():
+        if permit.state == "lost" and _supervises(state, member, permit.target):
+            permits.move(state, permit, "find")
+
+
+def end(state: World, command: EndMember) -> None:
+    """The process is known to have ended: nothing waits for it any longer."""
+    end_member(state, command.member_key, command.reason)
+
+
+def end_member(state: World, key: str, reason: str) -> None:
+    """Mark a member as ended and free what it held."""
+    member = _change_state(state, key, "ended")
+    if member is None:
+        return
+    state.note(f"{member.kind} {member.name} has ended: {reason}")
+    permits.member_ended(state, key)
+    slices.ended(state, key)
+
+
+HANDLERS: Handlers = {
+    RegisterMember: register,
+    ExpireSessions: expire,
+    RestoreSession: restore,
+    EndMember: end,
+}
--- /dev/null
+++ b/cedarmill/fleet/state_machine/targets.py
@@ -0,0 +1,69 @@
+"""Targets as members observe them: health of executors, nodes and units, and the halt of all grants."""
+
+import msgspec
+
+from cedarmill.fleet import permits, release
+from cedarmill.fleet.state_machine.command import Command, Handlers
+from cedarmill.fleet.world import Target, World
+
+
+class UpdateTargets(Command, tag="seen", frozen=True):
+    """Targets whose observed state differs from the agreed one."""
+
+    targets: tuple[Target, ...]
+
+
+class UpdateUnits(Command, tag="units", frozen=True):
+    """A process supervisor reports its units: version, state, unexpected exits, epoch acted on."""
+
+    supervisor: str
+    units: dict[str, tuple[str, str, int, int]]
+
+
+class HaltGrants(Command, tag="mass", frozen=True):
+    """Too much has gone at once to be believed: nothing is granted. An empty reason ends the halt."""
+
+    reason: str
+
+
+def update_targets(state: World, command: UpdateTargets) -> None:
+    """Take over what is observed; a target that was restarted, or returns, begins its slow start."""
+    for observed in command.targets:
+        key = permits.key_of(observed.kind, observed.name)
+        known = state.targets.get(key)
+        state.targets[key] = msgspec.structs.replace(
+            observed,
+            since=_health_since(state, observed, known),
+            cold_from=_slow_start_from(state, observed, known),
+        )
+
+
+def _health_since(state: World, observed: Target, known: Target | None) -> int:
+    if known is None or known.health != observed.health:
+        return state.clock
+    return known.since
+
+
+def _slow_start_from(state: World, observed: Target, known: Target | None) -> int:
+    if known is None:
+        return -1
+    if observed.started_ms > known.started_ms > 0:
+        return state.clock  # it was restarted, whoever did it
+    returned = known.health == "silent" and observed.health == "well"
+    return state.clock if returned and known.cold_from < 0 else known.cold_from
+
+
+def update_units(state: World, command: UpdateUnits) -> None:
+    """Take over a supervisor's report."""
+    release.seen(state, command.supervisor, command.units)
+
+
+def halt_grants(state: World, command: HaltGrants) -> None:
+    """Begin or end a halt of all grants and releases."""
+    if command.reason == state.halted:
+        return
+    state.halted = command.reason
+    state.note(f"nothing is granted: {command.reason}" if command.reason else "grants go on")
+
+
+HANDLERS: Handlers = {UpdateTargets: update_targets, UpdateUnits: update_units, HaltGrants: halt_grants}
--- /dev/null
+++ b/cedarmill/fleet/state_machine/zones.py
@@ -0,0 +1,111 @@
+"""Operators' control of zones: their layout, evacuation and return, and the freeze of the traffic plan."""
+
+from collections.abc import Callable
+
+from cedarmill.fleet import permits, traffic
+from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.state_machine.command import DEFAULT_WAIT_US, Handlers, OperatorRequest, accepted
+from cedarmill.fleet.world import Done, World
+from cedarmill.fleet.zones import Zone, Zoning
+
+
+class SetZones(OperatorRequest, tag="zones", frozen=True):
+    """Replace the layout of zones and regions."""
+
+    zoning: Zoning
+
+
+class ControlZone(OperatorRequest, tag="zone", frozen=True):
+    """`leave`, `stay`, `pin`, `unpin`, `lost` (of a zone); `freeze`, `thaw` (of the whole plan)."""
+
+    action: str
+    zone: str = ""
+    evacuation_us: int = 0
+    reason: str = ""
+    wait_us: int = DEFAULT_WAIT_US
+
+
+def set_zones(state: World, request: SetZones) -> Done:
+    """Replace the layout; raises RequestRejected naming what is wrong with it."""
+    if fault := traffic.set_up(state, request.zoning):
+        raise RequestRejected(fault)
+    zones, regions = request.zoning.zones, request.zoning.regions
+    state.note(f"zones set by {request.requester}: {len(zones)} in {len(regions)} regions")
+    return accepted(state, f"{len(zones)} zones are planned")
+
+
+def control_zone(state: World, request: ControlZone) -> Done:
+    """Carry out an operator's action; raises RequestRejected where it is not possible now."""
+    if request.action in ("freeze", "thaw"):
+        return _freeze_or_thaw(state, request)
+    zone = state.zones.get(request.zone)
+    if zone is None:
+        raise RequestRejected(f"no zone {request.zone!r}: one of {', '.join(state.zones) or 'none'}")
+    handler = ACTIONS.get(request.action)
+    if handler is None:
+        raise RequestRejected(f"no act {request.action!r}: leave, stay, pin, unpin, lost, freeze or thaw")
+    return handler(state, zone, request)
+
+
+def _freeze_or_thaw(state: World, request: ControlZone) -> Done:
+    frozen = request.action == "freeze"
+    author = f"{request.requester}: {request.reason or 'no reason given'}"
+    state.traffic.frozen = author if frozen else ""
+    state.traffic.next = 0
+    state.note(f"the plan of traffic is {'frozen by ' + author if frozen else 'thawed'}")
+    return accepted(state, "nothing moves by itself" if frozen else "traffic moves again")
+
+
+def _evacuate(state: World, zone: Zone, request: ControlZone) -> Done:
+    """Evacuate a zone: under a permit, and only where the others can take its load."""
+    if state.traffic.frozen:
+        raise RequestRejected(f"the plan is frozen by {state.traffic.frozen}: thaw it first")
+    missing = traffic.short_without(state, zone.name)
+    if missing > 0:
+        raise RequestRejected(f"the others would not bear it: {missing / 1000:g} slots are missing")
+    zone.over = request.evacuation_us
+    permit = permits.ask(state, "zone", zone.name, request.requester, request.reason, 0, request.wait_us)
+    state.traffic.next = 0
+    return Done(state.clock, permit.state != "refused", "; ".join(permit.notes), [permit.id])
+
+
+def _stay(state: World, zone: Zone, request: ControlZone) -> Done:
+    return cancel_evacuation(state, zone.name, f"{request.requester}: {request.reason}")
+
+
+def cancel_evacuation(state: World, name: str, reason: str) -> Done:
+    """Return a zone's permit or withdraw its request; raises RequestRejected where there is none."""
+    permit = permits.open_permit(state, "zone", name)
+    if permit is None:
+        raise RequestRejected(f"zone {name} is not out by a permit, and waits for none")
+    if permit.state == "waiting":
+        permits.move(state, permit, "withdraw")
+    else:
+        permits.give_back(state, permit, reason)
+    state.traffic.next = 0
+    return accepted(state, f"permit {permit.id} is {permit.state}", [permit.id])
+
+
+def _pin(state: World, zone: Zone, request: ControlZone) -> Done:
+    """Keep a zone in its state, or let it change again."""
+    zone.pinned = request.action == "pin"
+    state.traffic.next = 0
+    state.note(f"{request.requester} says {request.action} of zone {zone.name}: {request.reason}")
+    return accepted(state, f"{zone.name} stays {zone.state}" if zone.pinned else "it moves again")
+
+
+def _declare_lost(state: World, zone: Zone, request: ControlZone) -> Done:
+    if not request.reason.strip():
+        raise RequestRejected("a word takes a reason")
+    moved = traffic.lose(state, zone, f"{request.requester}: {request.reason}")
+    return Done(state.clock, moved, f"zone {zone.name} is {zone.state}")
+
+
+ACTIONS: dict[str, Callable[[World, Zone, ControlZone], Done]] = {
+    "leave": _evacuate,
+    "stay": _stay,
+    "pin": _pin,
+    "unpin": _pin,
+    "lost": _declare_lost,
+}
+HANDLERS: Handlers = {SetZones: set_zones, ControlZone: control_zone}
