--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/fleet.py
@@ -212,7 +212,7 @@
 @click.pass_obj
 def limits(asker: Asker, path: str | None) -> None:
     """The limits, with what is out under each; or new ones."""
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
     from cedarmill.fleet.world import Limit
 
     if path is not None:
@@ -258,12 +258,14 @@
     watch: bool,
 ) -> None:
     """Ask leave to take targets out; each is decided by itself, in one order over the fleet."""
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
 
     if dry_run:
         sys.exit(_dry_run(asker, names, kind))
     us = _duration(wait)
-    did = asker.do(lambda who, number: commands.Ask(0, who, number, kind, names, reason, priority, us))
+    did = asker.do(
+        lambda who, number: commands.RequestPermits(0, who, number, kind, names, reason, priority, us)
+    )
     rows = [
         {"permit": p[0], "target": p[1], "state": p[2], "why": p[3], "epoch": p[4], "drained": bool(p[5])}
         for p in did.permits
@@ -325,9 +327,9 @@
 @click.pass_obj
 def undrain(asker: Asker, name: str, kind: str) -> None:
     """Put a target back, or no longer wait for it."""
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
 
-    _tell(asker, asker.do(lambda who, number: commands.Give(0, who, number, kind, name)))
+    _tell(asker, asker.do(lambda who, number: commands.ReturnPermit(0, who, number, kind, name)))
 
 
 @fleet.command(epilog=EXITS)
@@ -337,9 +339,9 @@
 @click.pass_obj
 def say(asker: Asker, what: str, name: str, reason: str) -> None:
     """Say what nobody can prove: that a target is drained, a member has ended, a lost target is found."""
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
 
-    _tell(asker, asker.do(lambda who, number: commands.Word(0, who, number, what, name, reason)))
+    _tell(asker, asker.do(lambda who, number: commands.OperatorStatement(0, who, number, what, name, reason)))
 
 
 def _tell(asker: Asker, did: Any) -> None:
@@ -418,7 +420,7 @@
     sample: int,
 ) -> None:
     """Enter a plan; nothing happens before it is started."""
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
     from cedarmill.fleet.world import Plan
 
     made = Plan(
@@ -430,7 +432,7 @@
         _duration(ready),
         sample,
     )
-    _tell(asker, asker.do(lambda who, number: commands.NewRelease(0, who, number, made)))
+    _tell(asker, asker.do(lambda who, number: commands.PlanRelease(0, who, number, made)))
 
 
 def _act(name: str, text: str) -> None:
@@ -439,9 +441,9 @@
     @click.option("--why", default="")
     @click.pass_obj
     def act(asker: Asker, number: int, why: str) -> None:
-        from cedarmill.fleet import commands
+        from cedarmill.fleet.state_machine import commands
 
-        _tell(asker, asker.do(lambda who, token: commands.ActRelease(0, who, token, number, name, why)))
+        _tell(asker, asker.do(lambda who, token: commands.ControlRelease(0, who, token, number, name, why)))
 
 
 _act("start", "Start a plan.")
--- a/cedarmill/cli/fleet_load.py
+++ b/cedarmill/cli/fleet_load.py
@@ -79,13 +79,18 @@
 def cut(asker: Asker, act: str, below: float | None, part: str, lasts: str, reason: str) -> None:
     """Refuse what is worth least, at every node at once, till an end; or end such a cut."""
     from cedarmill.conf.document import ConfError, share
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
 
     if act == "set" and below is None:
         raise ConfError("--below: needed with set")
     rank = -1 if act == "clear" else round(below * 1000)
     thousandths, us = round(share(part) * 1000), _duration(lasts)
-    _tell(asker, asker.do(lambda who, number: commands.ActCut(0, who, number, rank, thousandths, us, reason)))
+    _tell(
+        asker,
+        asker.do(
+            lambda who, number: commands.OverrideAdmission(0, who, number, rank, thousandths, us, reason)
+        ),
+    )
 
 
 @fleet.command(epilog=EXITS)
@@ -95,8 +100,8 @@
 def budgets(asker: Asker, path: Path) -> None:
     """Set what the fleet may spend; a smaller budget takes slices back as their holders follow."""
     from cedarmill.conf.fleet import keeper
-    from cedarmill.fleet import commands
     from cedarmill.fleet.slices import Budget
+    from cedarmill.fleet.state_machine import commands
 
     wanted = tuple(Budget(*one) for one in keeper(path).budgets)
     _tell(asker, asker.do(lambda who, number: commands.SetBudgets(0, who, number, wanted)))
--- a/cedarmill/cli/fleet_zones.py
+++ b/cedarmill/cli/fleet_zones.py
@@ -65,7 +65,7 @@
     if path is not None:
         from cedarmill.conf.document import ConfError
         from cedarmill.conf.fleet import keeper
-        from cedarmill.fleet import commands
+        from cedarmill.fleet.state_machine import commands
         from cedarmill.fleet.zones import Zoning
 
         read = keeper(path)
@@ -79,9 +79,9 @@
 
 
 def _act(asker: Asker, act: str, zone: str, over: int, why: str) -> Any:
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
 
-    return asker.do(lambda who, number: commands.ActZone(0, who, number, act, zone, over, why))
+    return asker.do(lambda who, number: commands.ControlZone(0, who, number, act, zone, over, why))
 
 
 @fleet.command(name="evacuate-zone", epilog=EXITS)
--- a/cedarmill/lab/fleet/operators.py
+++ b/cedarmill/lab/fleet/operators.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from cedarmill.conf.document import microseconds
-from cedarmill.fleet import commands
 from cedarmill.fleet import words as f
+from cedarmill.fleet.state_machine import commands
 from cedarmill.fleet.world import Plan
 from cedarmill.lab.fleet.scenario import Happening
 from cedarmill.net.operator import Operator, new_id
@@ -102,7 +102,9 @@
 
     async def _restart_by_keepers(self, who: str, target: str) -> None:
         name = f"{who}:{target}"
-        did = await self.ask(name, f.Do(commands.Ask(0, name, new_id(), "executor", (target,), "a restart")))
+        did = await self.ask(
+            name, f.Do(commands.RequestPermits(0, name, new_id(), "executor", (target,), "a restart"))
+        )
         permit, _, state, notes = did.permits[0][:4]
         self.run.history.tell(name, "answer", target, number=permit)
         if state == "refused":
@@ -110,7 +112,7 @@
             return
         if await self._drained(name, target, permit):
             await self._take_down(name, target)
-            await self.ask(name, f.Do(commands.Give(0, name, new_id(), "executor", target)))
+            await self.ask(name, f.Do(commands.ReturnPermit(0, name, new_id(), "executor", target)))
             self.run.history.tell(name, "given", target)
 
     async def _drained(self, name: str, target: str, permit: int) -> bool:
@@ -181,12 +183,12 @@
             return
         units, version = self.run.nodes, words["version"]
         plan = Plan(version, ((units[0],), tuple(units[1:])), **PLAN)
-        did = await self.ask(who, f.Do(commands.NewRelease(0, who, new_id(), plan)))
+        did = await self.ask(who, f.Do(commands.PlanRelease(0, who, new_id(), plan)))
         for _ in range(PATIENCE):  # units are known once their stewards have told of them
             if did.ok:
                 break
             await asyncio.sleep(LOOK_S)
-            did = await self.ask(who, f.Do(commands.NewRelease(0, who, new_id(), plan)))
+            did = await self.ask(who, f.Do(commands.PlanRelease(0, who, new_id(), plan)))
         if not did.ok:
             self.run.history.tell(who, "release-refused", note=did.text)
             return
@@ -195,7 +197,9 @@
         await self._watch(who, did.release)
 
     async def _act(self, who: str, act: str, number: int) -> f.Did:
-        did = await self.ask(who, f.Do(commands.ActRelease(0, who, new_id(), number, act, "the scenario")))
+        did = await self.ask(
+            who, f.Do(commands.ControlRelease(0, who, new_id(), number, act, "the scenario"))
+        )
         self.run.history.tell(who, f"release-{act}", note=did.text, number=number)
         return did
 
@@ -229,7 +233,7 @@
     async def _leave(self, who: str, target: str, words: dict[str, str]) -> None:
         """Evacuate a zone, and wait till every node has said that it has nothing there."""
         over = microseconds(words.get("over", "2s"))
-        act = commands.ActZone(0, who, new_id(), "leave", target, over, "the scenario")
+        act = commands.ControlZone(0, who, new_id(), "leave", target, over, "the scenario")
         did = await self.ask(who, f.Do(act))
         self.run.history.tell(who, "asked", target)
         if not did.ok or not did.permits:
@@ -240,7 +244,7 @@
     async def _stay(self, who: str, target: str, words: dict[str, str]) -> None:
         """Let a zone come back."""
         self.run.history.tell(who, "returning", target)
-        did = await self.ask(who, f.Do(commands.ActZone(0, who, new_id(), "stay", target, 0, "done")))
+        did = await self.ask(who, f.Do(commands.ControlZone(0, who, new_id(), "stay", target, 0, "done")))
         self.run.history.tell(who, "back", target, note=did.text)
 
     async def _freeze(self, who: str, target: str, words: dict[str, str]) -> None:
@@ -250,7 +254,7 @@
         await self._on_plan(who, "thaw")
 
     async def _on_plan(self, who: str, act: str) -> None:
-        did = await self.ask(who, f.Do(commands.ActZone(0, who, new_id(), act, "", 0, "the scenario")))
+        did = await self.ask(who, f.Do(commands.ControlZone(0, who, new_id(), act, "", 0, "the scenario")))
         self.run.history.tell(who, act, note=did.text)
 
     async def name_open(self) -> None:
--- a/cedarmill/lab/fleet/regions.py
+++ b/cedarmill/lab/fleet/regions.py
@@ -12,9 +12,10 @@
 
 import numpy
 
-from cedarmill.fleet import commands, traffic, zones
+from cedarmill.fleet import traffic, zones
 from cedarmill.fleet.evidence import BOUNDS, NEWS_US, WHOLE, Desk, Digest, Seen
 from cedarmill.fleet.follow import Follower
+from cedarmill.fleet.state_machine import commands, dispatch
 from cedarmill.fleet.words import Way
 from cedarmill.fleet.world import Member, World
 from cedarmill.fleet.zones import Zoning, same_news, solve
@@ -425,7 +426,7 @@
 
     def apply(self, command: commands.Command) -> None:
         self.index += 1
-        commands.apply(self.world, self.index, commands.encode(command))
+        dispatch.apply(self.world, self.index, dispatch.encode(command))
 
     def step(self) -> None:
         step = int(round(self.run.t / DT))
@@ -539,10 +540,10 @@
         if step % 5 == 0 and 2 * told > len(self.members):
             evidence = self.desk.look(self.now, run.names)
             if not same_news(self.world.traffic.told, evidence):
-                self.apply(commands.Observed(self.now, evidence))
-        at = commands.due(self.world)
+                self.apply(commands.RecordZoneEvidence(self.now, evidence))
+        at = dispatch.next_due(self.world)
         if at is not None and self.now >= at:
-            self.apply(commands.Tick(self.now))
+            self.apply(commands.AdvanceTime(self.now))
         if self.world.traffic.epoch != self.told_epoch:
             self.told_epoch = self.world.traffic.epoch
             ways = {name: traffic.way(self.world, name) for name in run.names}
@@ -640,7 +641,7 @@
 
 def _zone_dies_drained(run: Run, t: float) -> None:
     if _at(t, 4.0) and isinstance(run.steer, Agreed):
-        leave = commands.ActZone(run.steer.now, "op", "leave", "leave", run.names[-1], 4 * US, "work")
+        leave = commands.ControlZone(run.steer.now, "op", "leave", "leave", run.names[-1], 4 * US, "work")
         run.steer.apply(leave)
     if _at(t, 10.0):
         run.die(0, 1e9)
--- a/cedarmill/lab/fleet/storms.py
+++ b/cedarmill/lab/fleet/storms.py
@@ -14,11 +14,12 @@
 
 import numpy
 
-from cedarmill.fleet import commands, overload, slices
+from cedarmill.fleet import overload, slices
 from cedarmill.fleet.news import FULL_BY, Board, Draw, Fact
 from cedarmill.fleet.overload import Gate
 from cedarmill.fleet.purse import Purses, Tries
 from cedarmill.fleet.slices import Budget
+from cedarmill.fleet.state_machine import commands, dispatch
 from cedarmill.fleet.world import Member, World
 
 US = 1_000_000
@@ -533,8 +534,8 @@
     def _want(self, node: Node) -> None:
         key, us = f"node:n{node.number}:1", int(self.t * US)
         self.world.clock, self.world.index = us, self.world.index + 1
-        commands.apply(self.world, self.world.index, commands.encode(
-            commands.Wants(us, key, node.purses.wants(us))))  # fmt: skip
+        dispatch.apply(self.world, self.world.index, dispatch.encode(
+            commands.SetBudgetDemand(us, key, node.purses.wants(us))))  # fmt: skip
         node.purses.told(us, True, slices.word(self.world, key))
         slices.follows(self.world, key, self.world.epoch)
 
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from cedarmill.fleet import commands, slices, traffic
+from cedarmill.fleet import slices, traffic
 from cedarmill.fleet import words as f
 from cedarmill.fleet.agent import Agent, Dial, Facts, Follow, Glance, Say, Who
 from cedarmill.fleet.agree import words as w
@@ -28,6 +28,7 @@
 from cedarmill.fleet.purse import Purses
 from cedarmill.fleet.sightings import Place, Sightings
 from cedarmill.fleet.slices import Budget
+from cedarmill.fleet.state_machine import commands
 from cedarmill.fleet.stewarding import Acted, Keep, Start, Steward, Stop
 from cedarmill.fleet.world import EPOCH_BITS, Limit, Plan, World, freeze
 from cedarmill.fleet.zones import Zoning
@@ -570,9 +571,9 @@
             self.world.send(keeper, self.name, lambda: self._heard(answer, step))
 
         asks = {
-            "ask": lambda: f.Do(commands.Ask(0, self.name, "1", "executor", (self.target,))),
+            "ask": lambda: f.Do(commands.RequestPermits(0, self.name, "1", "executor", (self.target,))),
             "wait": lambda: f.Look("permits", names=[str(self.permit)]),
-            "give": lambda: f.Do(commands.Give(0, self.name, "2", "executor", self.target)),
+            "give": lambda: f.Do(commands.ReturnPermit(0, self.name, "2", "executor", self.target)),
         }  # fmt: skip
         self.world.ask(self.name, keeper, asks[self.step](), back)
         if self.step == "ask" and self.tries == 1 and self.dice.random() < 0.3:  # pressed twice
@@ -995,10 +996,10 @@
         units = [f"node-{n}" for n in range(self.world.shape.nodes)]
         plan = Plan(self.version, ((units[0],), tuple(units[1:])), 2, 0, 3 * S, 4 * S, 20)
         asks = {
-            "plan": lambda: f.Do(commands.NewRelease(0, "driver", "1", plan)),
-            "start": lambda: f.Do(commands.ActRelease(0, "driver", "2", self.number, "start")),
+            "plan": lambda: f.Do(commands.PlanRelease(0, "driver", "1", plan)),
+            "start": lambda: f.Do(commands.ControlRelease(0, "driver", "2", self.number, "start")),
             "watch": lambda: f.Look("releases"),
-            "back": lambda: f.Do(commands.ActRelease(0, "driver", "3", self.number, "back")),
+            "back": lambda: f.Do(commands.ControlRelease(0, "driver", "3", self.number, "back")),
         }  # fmt: skip
         step = self.step
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -9,13 +9,14 @@
 from helpers import Driver, sends
 
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import commands, overload, slices
+from cedarmill.fleet import overload, slices
 from cedarmill.fleet.evidence import Evidence, ZoneNews
 from cedarmill.fleet.news import GAP, Board, Draw, Fact
 from cedarmill.fleet.overload import FADE_US, Cut, Gate, level
 from cedarmill.fleet.purse import Purse, Purses, Tries
 from cedarmill.fleet.slices import Budget, Slice, divide
-from cedarmill.fleet.world import Member, World, freeze, thaw
+from cedarmill.fleet.state_machine import commands, dispatch
+from cedarmill.fleet.world import Done, Member, World, freeze, thaw
 from cedarmill.fleet.zones import same_news
 from cedarmill.lab.fleet import storm_bugs
 from cedarmill.lab.fleet.laws import verdict
@@ -44,23 +45,23 @@
             self.world.members[member.key] = member
         self.request(commands.SetBudgets, (PROBES,))
 
-    def apply(self, command: commands.Command) -> commands.Done:
+    def apply(self, command: commands.Command) -> Done:
         self.index += 1
-        done = commands.apply(self.world, self.index, commands.encode(command))
+        done = dispatch.apply(self.world, self.index, dispatch.encode(command))
         self.assertLessEqual(slices.held(self.world.slices["probes"]), PROBES.leased)
         return done
 
-    def request(self, kind, *fields) -> commands.Done:
+    def request(self, kind, *fields) -> Done:
         self.ids += 1
         self.index += 1
         command = kind(S, "op", str(self.ids), *fields)
-        return commands.apply(self.world, self.index, commands.encode(command))
+        return dispatch.apply(self.world, self.index, dispatch.encode(command))
 
     def wants(self, name: str, rate: int, life: str = "1") -> None:
-        self.apply(commands.Wants(S, f"node:{name}:{life}", {"probes": rate}))
+        self.apply(commands.SetBudgetDemand(S, f"node:{name}:{life}", {"probes": rate}))
 
     def follows(self, name: str) -> None:
-        self.apply(commands.Follows(S, f"node:{name}:1", self.world.told))
+        self.apply(commands.AcknowledgeOrders(S, f"node:{name}:1", self.world.told))
 
     def rates(self) -> dict[str, int]:
         return {key.split(":")[1]: one.rate for key, one in self.world.slices["probes"].items()}
@@ -77,14 +78,14 @@
         self.wants("a", 80_000)
         self.wants("b", 80_000)
         self.assertEqual(self.rates()["b"], 0)
-        self.apply(commands.Lapsed(S, ("node:a:1",)))
+        self.apply(commands.ExpireSessions(S, ("node:a:1",)))
         self.assertEqual(self.rates(), {"b": 80_000})
 
     def test_one_that_comes_back_is_told_that_it_has_nothing_before_its_lease_holds(self):
         self.wants("a", 80_000)
         told = self.world.told
-        self.apply(commands.Lapsed(S, ("node:a:1",)))
-        self.apply(commands.Back(S, "node:a:1"))
+        self.apply(commands.ExpireSessions(S, ("node:a:1",)))
+        self.apply(commands.RestoreSession(S, "node:a:1"))
         self.assertGreater(self.world.told, told)
         self.assertEqual(slices.word(self.world, "node:a:1")["probes"], (0, PROBES.floor))
 
@@ -94,7 +95,7 @@
         self.world.members[member.key] = member
         self.wants("a", 80_000, "2")
         self.assertEqual(self.world.slices["probes"]["node:a:2"].rate, 0)
-        self.apply(commands.Ended(S, "node:a:1", "its steward"))
+        self.apply(commands.EndMember(S, "node:a:1", "its steward"))
         self.assertEqual(self.world.slices["probes"]["node:a:2"].rate, 80_000)
 
     def test_a_smaller_budget_takes_back_as_holders_follow(self):
@@ -118,11 +119,13 @@
             if what < 2:
                 self.wants(name, dice.randrange(120_000))
             elif what == 2:
-                self.apply(commands.Follows(S, key, dice.choice((self.world.told, self.world.told - 3))))
+                self.apply(
+                    commands.AcknowledgeOrders(S, key, dice.choice((self.world.told, self.world.told - 3)))
+                )
             elif what == 3:
-                self.apply(commands.Lapsed(S, (key,)))
+                self.apply(commands.ExpireSessions(S, (key,)))
             else:
-                self.apply(commands.Back(S, key))
+                self.apply(commands.RestoreSession(S, key))
         self.assertEqual(freeze(thaw(freeze(self.world))), freeze(self.world))
         self.assertTrue(all(isinstance(one, Slice) for one in self.world.slices["probes"].values()))
 
@@ -197,10 +200,10 @@
         self.assertEqual(self.step({1000: 50_000, 5000: 50_000}, 0, steps=12), Cut())
 
     def test_a_cut_by_hand_holds_till_its_end_and_takes_a_reason(self):
-        bad = commands.ActCut(0, "op", "1", 3000, 0, 5 * S, "")
-        self.assertFalse(commands.apply(self.world, 1, commands.encode(bad)).ok)
-        good = commands.ActCut(0, "op", "2", 3000, 0, 5 * S, "a storm is coming")
-        self.assertTrue(commands.apply(self.world, 2, commands.encode(good)).ok)
+        bad = commands.OverrideAdmission(0, "op", "1", 3000, 0, 5 * S, "")
+        self.assertFalse(dispatch.apply(self.world, 1, dispatch.encode(bad)).ok)
+        good = commands.OverrideAdmission(0, "op", "2", 3000, 0, 5 * S, "a storm is coming")
+        self.assertTrue(dispatch.apply(self.world, 2, dispatch.encode(good)).ok)
         self.assertEqual(self.step({1000: 1000}, 0), Cut(3000, 0))
         self.assertEqual(self.step({1000: 1000}, 0, steps=10), Cut())
 
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -6,9 +6,9 @@
 
 from fleets import LONG, KeeperCase, Member, cli
 
-from cedarmill.fleet import commands
 from cedarmill.fleet import words as f
 from cedarmill.fleet.evidence import Digest, Seen
+from cedarmill.fleet.state_machine import commands
 from cedarmill.net.operator import NoKeeper, Operator, new_id
 
 
@@ -54,7 +54,7 @@
     def test_the_leader_is_killed_and_the_same_request_again_has_the_same_outcome(self):
         node = Member(self, "n0")
         node.join()
-        ask = f.Do(commands.Ask(0, "operator", new_id(), "executor", ("b0", "b1", "b2")))
+        ask = f.Do(commands.RequestPermits(0, "operator", new_id(), "executor", ("b0", "b1", "b2")))
         first = self.operator.ask(ask, LONG)
         leader = self.leader()
         self.kill(leader)
@@ -206,7 +206,7 @@
             with self.subTest(fault):
                 leader = self.leader()
                 self.fault(leader).write_text(fault)
-                ask = f.Do(commands.Ask(0, "operator", new_id(), "executor", (target,)))
+                ask = f.Do(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], target)
                 self.assertEqual(self.running[leader].wait(LONG), 3)
                 self.fault(leader).unlink()
@@ -219,7 +219,7 @@
             with self.subTest(fault):
                 leader = self.leader()
                 self.fault(leader).write_text(fault)
-                ask = f.Do(commands.Ask(0, "operator", new_id(), "executor", (target,)))
+                ask = f.Do(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], target)
                 self.assertEqual(self.running[leader].wait(LONG), -9)
                 self.start_keeper(leader)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -4,8 +4,9 @@
 
 import unittest
 
-from cedarmill.fleet import commands, compare, permits, release
-from cedarmill.fleet.world import Limit, Plan, Target, World, freeze, thaw
+from cedarmill.fleet import compare, permits, release
+from cedarmill.fleet.state_machine import commands, dispatch
+from cedarmill.fleet.world import Done, Limit, Plan, Target, World, freeze, thaw
 
 S = 1_000_000
 
@@ -22,35 +23,35 @@
         self.apply(commands.SetLimits, "op", "limits", self.limits)
         self.see(*(Target("executor", f"b{n}", f"z{n % 3}", slots=4) for n in range(9)))
         for n in range(3):
-            self.apply(commands.Joined, "node", f"n{n}", "1", f"z{n}", "", "v1", False)
-            self.apply(commands.Joined, "steward", f"s{n}", "1", "", "", "", False)
-            self.apply(commands.Units, f"s{n}", {f"n{n}": ("v1", "ready", 0, 0)})
+            self.apply(commands.RegisterMember, "node", f"n{n}", "1", f"z{n}", "", "v1", False)
+            self.apply(commands.RegisterMember, "steward", f"s{n}", "1", "", "", "", False)
+            self.apply(commands.UpdateUnits, f"s{n}", {f"n{n}": ("v1", "ready", 0, 0)})
 
     def apply(self, kind, *fields):
         self.index += 1
-        return commands.apply(self.world, self.index, commands.encode(kind(self.now, *fields)))
+        return dispatch.apply(self.world, self.index, dispatch.encode(kind(self.now, *fields)))
 
     def see(self, *targets: Target) -> None:
-        self.apply(commands.Seen, targets)
+        self.apply(commands.UpdateTargets, targets)
 
     def ask(self, *names: str, who: str = "op", kind: str = "executor", **more) -> list:
         self.ids += 1
-        done = self.apply(commands.Ask, who, str(self.ids), kind, names, "", more.get("priority", 0),
-                          more.get("wait", 60 * S))  # fmt: skip
+        priority, wait_us = more.get("priority", 0), more.get("wait", 60 * S)
+        done = self.apply(commands.RequestPermits, who, str(self.ids), kind, names, "", priority, wait_us)
         return [self.world.permits[number] for number in done.ids]
 
-    def give(self, name: str, kind: str = "executor") -> commands.Done:
+    def give(self, name: str, kind: str = "executor") -> Done:
         self.ids += 1
-        return self.apply(commands.Give, "op", str(self.ids), kind, name)
+        return self.apply(commands.ReturnPermit, "op", str(self.ids), kind, name)
 
     def clear(self, name: str, *nodes: int) -> None:
         permit = next(p for p in self.world.permits.values() if p.out and p.target == name)
         for n in nodes:
-            self.apply(commands.Cleared, f"node:n{n}:1", {name: permit.epoch})
+            self.apply(commands.ConfirmDrained, f"node:n{n}:1", {name: permit.epoch})
 
     def pass_time(self, us: int) -> None:
         self.now += us
-        self.apply(commands.Tick)
+        self.apply(commands.AdvanceTime)
 
     def states(self, asked: list) -> list[str]:
         return [permit.state for permit in asked]
@@ -74,8 +75,8 @@
         self.assertEqual(second.state, "granted")
 
     def test_the_same_request_again_has_the_same_outcome_and_does_nothing(self):
-        once = self.apply(commands.Ask, "op", "x", "executor", ("b0",), "", 0, S)
-        again = self.apply(commands.Ask, "op", "x", "executor", ("b0",), "", 0, S)
+        once = self.apply(commands.RequestPermits, "op", "x", "executor", ("b0",), "", 0, S)
+        again = self.apply(commands.RequestPermits, "op", "x", "executor", ("b0",), "", 0, S)
         self.assertEqual(once, again)
         self.assertEqual(len(self.world.permits), 1)
 
@@ -144,8 +145,8 @@
 
     def test_a_flapping_node_counts_as_out(self):
         for _ in range(3):
-            self.apply(commands.Lapsed, ("node:n1:1",))
-            self.apply(commands.Back, "node:n1:1")
+            self.apply(commands.ExpireSessions, ("node:n1:1",))
+            self.apply(commands.RestoreSession, "node:n1:1")
         self.assertEqual(self.states(self.ask("n0", kind="node", wait=600 * S)), ["waiting"])
         self.pass_time(61 * S)
         self.assertEqual(self.world.permits[1].state, "granted")
@@ -161,7 +162,7 @@
         (permit,) = self.ask("b0")
         self.clear("b0", 0, 1)
         self.assertFalse(permit.drained)
-        self.apply(commands.Cleared, "node:n2:1", {"b0": permit.epoch - 1})
+        self.apply(commands.ConfirmDrained, "node:n2:1", {"b0": permit.epoch - 1})
         self.assertFalse(permit.drained, "an ack of an older grant says nothing of this one")
         self.clear("b0", 2)
         self.assertTrue(permit.drained)
@@ -169,45 +170,45 @@
     def test_a_silent_member_is_waited_for_and_one_known_to_have_ended_is_not(self):
         (permit,) = self.ask("b0")
         self.clear("b0", 0, 1)
-        self.apply(commands.Lapsed, ("node:n2:1",))
+        self.apply(commands.ExpireSessions, ("node:n2:1",))
         self.assertFalse(permit.drained)
-        self.apply(commands.Ended, "node:n2:1", "steward s2")
+        self.apply(commands.EndMember, "node:n2:1", "steward s2")
         self.assertTrue(permit.drained)
 
     def test_one_that_stops_by_its_lease_is_done_when_that_is_sure(self):
-        self.apply(commands.Joined, "node", "n9", "1", "z0", "", "v1", True)
+        self.apply(commands.RegisterMember, "node", "n9", "1", "z0", "", "v1", True)
         (permit,) = self.ask("b0")
         self.clear("b0", 0, 1, 2)
-        self.apply(commands.Lapsed, ("node:n9:1",), (), ("node:n9:1",))
+        self.apply(commands.ExpireSessions, ("node:n9:1",), (), ("node:n9:1",))
         self.assertTrue(permit.drained)
 
     def test_an_operator_s_word_takes_a_reason_and_a_member_that_lives_is_not_ended_by_it(self):
         (permit,) = self.ask("b0")
-        self.assertFalse(self.apply(commands.Word, "op", "w1", "drained", "b0", " ").ok)
-        self.assertFalse(self.apply(commands.Word, "op", "w2", "ended", "n2", "power cut").ok)
-        self.assertTrue(self.apply(commands.Word, "op", "w3", "drained", "b0", "I looked").ok)
+        self.assertFalse(self.apply(commands.OperatorStatement, "op", "w1", "drained", "b0", " ").ok)
+        self.assertFalse(self.apply(commands.OperatorStatement, "op", "w2", "ended", "n2", "power cut").ok)
+        self.assertTrue(self.apply(commands.OperatorStatement, "op", "w3", "drained", "b0", "I looked").ok)
         self.assertTrue(permit.drained)
         self.assertIn("without node:n0:1", permit.notes[0])
 
     def test_a_life_that_joins_meanwhile_is_waited_for_too(self):
         (permit,) = self.ask("b0")
-        self.apply(commands.Joined, "node", "n7", "2", "z0", "", "v1", False)
+        self.apply(commands.RegisterMember, "node", "n7", "2", "z0", "", "v1", False)
         self.clear("b0", 0, 1, 2)
         self.assertFalse(permit.drained)
 
     def test_grants_unknown_after_a_restore_count_as_out(self):
         self.world.generation = 2
-        self.apply(commands.Held, "node:n0:1", {"executor:b4": 1 << 40 | 7})
+        self.apply(commands.AdoptUnknownGrants, "node:n0:1", {"executor:b4": 1 << 40 | 7})
         self.assertEqual(self.states(list(self.world.permits.values())), ["lost"])
         self.assertEqual(self.states(self.ask("b1")), ["waiting"], "its zone has one out")
-        self.assertTrue(self.apply(commands.Word, "op", "w", "found", "b4", "seen").ok)
+        self.assertTrue(self.apply(commands.OperatorStatement, "op", "w", "found", "b4", "seen").ok)
 
     def test_halted_by_mass_nothing_is_granted_till_it_is_over(self):
-        self.apply(commands.Mass, "9 of 9 members fell silent at once")
+        self.apply(commands.HaltGrants, "9 of 9 members fell silent at once")
         (permit,) = self.ask("b0")
         self.assertEqual(permit.state, "waiting")
         self.assertIn("fell silent", permit.notes[0])
-        self.assertTrue(self.apply(commands.Word, "op", "w", "go-on", "", "a broken switch").ok)
+        self.assertTrue(self.apply(commands.OperatorStatement, "op", "w", "go-on", "", "a broken switch").ok)
         self.assertEqual(permit.state, "granted")
 
 
@@ -215,23 +216,23 @@
     def setUp(self):
         super().setUp()
         plan = Plan("v2", (("n0",), ("n1", "n2")), 2, 0, 5 * S, 10 * S, 1)
-        self.number = self.apply(commands.NewRelease, "op", "p", plan).ids[0]
+        self.number = self.apply(commands.PlanRelease, "op", "p", plan).ids[0]
         self.release = self.world.releases[self.number]
 
-    def act(self, word: str) -> commands.Done:
+    def act(self, word: str) -> Done:
         self.ids += 1
-        return self.apply(commands.ActRelease, "op", str(self.ids), self.number, word)
+        return self.apply(commands.ControlRelease, "op", str(self.ids), self.number, word)
 
     def unit(self, n: int, state: str = "ready", exits: int = 0, version: str = "") -> None:
         unit = self.world.units[f"n{n}"]
         told = (version or unit.wanted, state, exits, unit.epoch)
-        self.apply(commands.Units, f"s{n}", {f"n{n}": told})
+        self.apply(commands.UpdateUnits, f"s{n}", {f"n{n}": told})
 
     def steps(self) -> list[str]:
         return [step.state for step in self.release.steps]
 
     def bake(self) -> None:
-        self.apply(commands.Judged, self.number, "", 100)
+        self.apply(commands.RecordComparison, self.number, "", 100)
         self.pass_time(6 * S)
 
     def to_the_second_group(self) -> None:
@@ -272,7 +273,7 @@
 
     def test_worse_halts_and_units_on_their_way_come_to_their_end(self):
         self.to_the_second_group()
-        self.apply(commands.Judged, self.number, "failed 9 of 40 against 0 of 200", 40)
+        self.apply(commands.RecordComparison, self.number, "failed 9 of 40 against 0 of 200", 40)
         self.assertEqual((self.release.state, self.steps()), ("halted", ["new", "changing", "old"]))
         self.unit(1)
         self.assertEqual(self.steps(), ["new", "new", "old"])
@@ -304,16 +305,16 @@
 
     def test_only_one_release_of_a_target_at_a_time(self):
         self.act("start")
-        done = self.apply(commands.NewRelease, "op", "q", Plan("v3", (("n0",),)))
+        done = self.apply(commands.PlanRelease, "op", "q", Plan("v3", (("n0",),)))
         self.assertFalse(done.ok)
         self.assertIn(f"release {self.number} is not at its end", done.text)
 
     def test_a_steward_that_falls_silent_in_a_change_loses_its_permit_and_finds_it_again(self):
         self.act("start")
-        self.apply(commands.Lapsed, ("steward:s0:1",))
+        self.apply(commands.ExpireSessions, ("steward:s0:1",))
         self.assertEqual([p.state for p in self.world.permits.values()], ["lost"])
         self.assertEqual(self.states(self.ask("n1", kind="node")), ["waiting"])
-        self.apply(commands.Back, "steward:s0:1")
+        self.apply(commands.RestoreSession, "steward:s0:1")
         self.assertEqual(self.world.permits[2].state, "granted")
 
     def test_what_cannot_be_planned_is_said(self):
@@ -322,7 +323,7 @@
             ((("n0",), ("n0",)), "one group"),
             ((), "no group"),
         ):
-            done = self.apply(commands.NewRelease, "op", f"r{groups}", Plan("v3", groups))
+            done = self.apply(commands.PlanRelease, "op", f"r{groups}", Plan("v3", groups))
             self.assertFalse(done.ok)
             self.assertIn(words, done.text)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -4,12 +4,13 @@
 
 from cedarmill import Brain
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import commands, traffic, zones
+from cedarmill.fleet import traffic, zones
 from cedarmill.fleet.evidence import MOST_PLACES, Desk, Digest, Evidence, Seen, ZoneNews, bounded
 from cedarmill.fleet.follow import HOLD_US, RAMP_US, Follower
 from cedarmill.fleet.sightings import Place, Sightings
+from cedarmill.fleet.state_machine import commands, dispatch
 from cedarmill.fleet.words import Way
-from cedarmill.fleet.world import Limit, Member, World, freeze, thaw
+from cedarmill.fleet.world import Done, Limit, Member, World, freeze, thaw
 from cedarmill.fleet.zones import Zoning
 from cedarmill.lab.fleet.small import Entries
 
@@ -169,7 +170,7 @@
         self.request(commands.SetZones, ZONING)
         self.news()
 
-    def request(self, kind, *fields) -> commands.Done:
+    def request(self, kind, *fields) -> Done:
         self.ids += 1
         return self.apply(kind(self.now, "op", str(self.ids), *fields))
 
@@ -179,7 +180,7 @@
             verdict = verdicts.get(zone, "well")
             fails = 333 if verdict == "ill" else 0
             found[zone] = ZoneNews(verdict, 36_000, 10_000, fails, 0, {"any": demand}, 3)
-        self.apply(commands.Observed(self.now, Evidence(found, links or {})))
+        self.apply(commands.RecordZoneEvidence(self.now, Evidence(found, links or {})))
 
     def state(self, zone: str = "a") -> str:
         return self.world.zones[zone].state
@@ -228,7 +229,7 @@
         self.pass_time(5 * S)
         self.assertEqual((self.state("a"), self.state("b")), ("open", "open"))
         self.assertIn("2 of 3 zones", self.world.traffic.doubted)
-        self.assertTrue(self.request(commands.ActZone, "lost", "a", 0, "its power is out").ok)
+        self.assertTrue(self.request(commands.ControlZone, "lost", "a", 0, "its power is out").ok)
         self.assertEqual(self.state("a"), "lost")
 
     def test_a_gray_zone_is_a_last_resort(self):
@@ -253,7 +254,7 @@
         self.news(demand=15_000)
         wants = {"a": 60_000, "b": 5000, "c": 5000}
         found = {z: ZoneNews("well", 36_000, 0, 0, 0, {"any": want}, 3) for z, want in wants.items()}
-        self.apply(commands.Observed(self.now, Evidence(found)))
+        self.apply(commands.RecordZoneEvidence(self.now, Evidence(found)))
         shares = []
         for _ in range(6):
             self.pass_time(zones.STEP_US)
@@ -263,7 +264,7 @@
     def test_slots_that_are_claimed_and_not_there_are_believed_less(self):
         late = {z: ZoneNews("well", 36_000, 0, 0, 900 if z == "b" else 0, {"any": 20_000}, 3) for z in "abc"}
         for _ in range(3):
-            self.apply(commands.Observed(self.now, Evidence(late)))
+            self.apply(commands.RecordZoneEvidence(self.now, Evidence(late)))
             self.pass_time(3 * S)
         self.assertLess(self.world.zones["b"].trust, 1000)
         self.assertEqual(self.world.zones["a"].trust, 1000)
@@ -281,35 +282,35 @@
         self.pass_time(2 * S)
         self.assertEqual(freeze(thaw(freeze(self.world))), freeze(self.world))
         other = thaw(freeze(self.world))
-        command = commands.encode(commands.Tick(self.now + 30 * S))
-        commands.apply(other, 99, command)
-        commands.apply(self.world, 99, command)
+        command = dispatch.encode(commands.AdvanceTime(self.now + 30 * S))
+        dispatch.apply(other, 99, command)
+        dispatch.apply(self.world, 99, command)
         self.assertEqual(freeze(other), freeze(self.world))
 
 
 class Hands(Planned):
     def test_an_evacuation_goes_under_a_permit_in_steps_and_back(self):
         self.news(demand=8_000)
-        self.assertTrue(self.request(commands.ActZone, "leave", "a", 10 * S, "works").ok)
+        self.assertTrue(self.request(commands.ControlZone, "leave", "a", 10 * S, "works").ok)
         self.pass_time(5 * S)
         self.assertEqual(self.state(), "leaving")
         self.assertTrue(300 < self.share("a", "a") <= 1000)
         self.pass_time(15 * S)
         self.assertEqual((self.state(), self.share("a", "a")), ("out", 0))
-        second = self.request(commands.ActZone, "leave", "b", S, "too")
+        second = self.request(commands.ControlZone, "leave", "b", S, "too")
         self.assertEqual(self.world.permits[second.ids[0]].state, "waiting", "one zone at once")
-        self.assertTrue(self.request(commands.ActZone, "stay", "a", 0, "done").ok)
+        self.assertTrue(self.request(commands.ControlZone, "stay", "a", 0, "done").ok)
         self.pass_time(30 * S)
         self.assertEqual((self.state("a"), self.state("b")), ("open", "out"))
 
     def test_one_that_the_others_would_not_bear_is_refused_with_how_much_is_missing(self):
         self.news(demand=30_000)
-        done = self.request(commands.ActZone, "leave", "a", S, "works")
+        done = self.request(commands.ControlZone, "leave", "a", S, "works")
         self.assertFalse(done.ok)
         self.assertRegex(done.text, r"would not bear it: [\d.]+ slots")
 
     def test_one_is_halted_when_the_others_bear_it_no_longer_and_goes_on_by_itself(self):
-        self.request(commands.ActZone, "leave", "a", 20 * S, "works")
+        self.request(commands.ControlZone, "leave", "a", 20 * S, "works")
         self.pass_time(5 * S)
         self.news(demand=31_000)
         self.pass_time(20 * S)
@@ -322,21 +323,21 @@
     def test_a_lost_zone_uses_up_the_limit(self):
         self.news(b="lost")
         self.pass_time(2 * S)
-        done = self.request(commands.ActZone, "leave", "a", S, "works")
+        done = self.request(commands.ControlZone, "leave", "a", S, "works")
         waiting = [p.state for p in self.world.permits.values()]
         self.assertTrue(not done.ok or waiting == ["waiting"], (done, waiting))
 
     def test_frozen_nothing_moves_by_itself_and_pinned_a_zone_does_not(self):
-        self.request(commands.ActZone, "freeze", "", 0, "looking")
+        self.request(commands.ControlZone, "freeze", "", 0, "looking")
         self.news(a="lost")
         self.pass_time(5 * S)
         self.assertEqual((self.state(), self.share("a", "a")), ("open", 1000))
-        self.assertFalse(self.request(commands.ActZone, "leave", "b", S, "works").ok)
-        self.request(commands.ActZone, "pin", "a", 0, "known")
-        self.request(commands.ActZone, "thaw")
+        self.assertFalse(self.request(commands.ControlZone, "leave", "b", S, "works").ok)
+        self.request(commands.ControlZone, "pin", "a", 0, "known")
+        self.request(commands.ControlZone, "thaw")
         self.pass_time(5 * S)
         self.assertEqual(self.state(), "open")
-        self.request(commands.ActZone, "unpin", "a")
+        self.request(commands.ControlZone, "unpin", "a")
         self.pass_time(2 * S)
         self.assertEqual(self.state(), "lost")
 
@@ -348,11 +349,11 @@
     def test_a_shut_zone_is_drained_when_every_node_has_said_so(self):
         member = Member("node", "n1", "1", "b")
         self.world.members[member.key] = member
-        permit = self.world.permits[self.request(commands.ActZone, "leave", "a", S, "works").ids[0]]
+        permit = self.world.permits[self.request(commands.ControlZone, "leave", "a", S, "works").ids[0]]
         self.pass_time(5 * S)
         way = traffic.way(self.world, "b")
         self.assertEqual((way.shut, permit.drained), ({"a": permit.epoch}, 0))
-        self.apply(commands.Cleared(self.now, member.key, {"a": permit.epoch}))
+        self.apply(commands.ConfirmDrained(self.now, member.key, {"a": permit.epoch}))
         self.assertGreater(permit.drained, 0)
 
 
