--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -115,13 +115,13 @@
 
 
 def _asker(keepers: list[str], until: float, done: list[int]) -> None:
-    from cedarmill.fleet import words as f
+    from cedarmill.fleet.messages import SubmitRequest
     from cedarmill.fleet.state_machine import commands
     from cedarmill.net.operator import Operator, new_id
 
     operator = Operator("bench", keepers, "bench")
     while time.monotonic() < until:
-        operator.ask(f.Do(commands.ReturnPermit(0, "bench", new_id(), "executor", "nobody")))
+        operator.ask(SubmitRequest(commands.ReturnPermit(0, "bench", new_id(), "executor", "nobody")))
         done.append(1)
 
 
--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/fleet.py
@@ -62,16 +62,16 @@
 
     def look(self, what: str, kind: str = "", names: tuple[str, ...] = ()) -> Any:
         """A part of what is agreed."""
-        from cedarmill.fleet import words as f
+        from cedarmill.fleet.messages import ReadRequest
 
-        return json.loads(self.ask(f.Look(what, kind, list(names))).text)
+        return json.loads(self.ask(ReadRequest(what, kind, list(names))).body)
 
     def do(self, make: Callable[[str, str], Any]) -> Any:
         """A request under an id of its own, the same at each keeper that is asked."""
-        from cedarmill.fleet import words as f
+        from cedarmill.fleet.messages import SubmitRequest
         from cedarmill.net.operator import new_id
 
-        return self.ask(f.Do(make(self.who, new_id())))
+        return self.ask(SubmitRequest(make(self.who, new_id())))
 
     def show(self, value: Any, lines: Callable[[], Iterator[str]]) -> None:
         """As JSON, or as lines for people."""
@@ -212,8 +212,8 @@
 @click.pass_obj
 def limits(asker: Asker, path: str | None) -> None:
     """The limits, with what is out under each; or new ones."""
+    from cedarmill.fleet.state import Limit
     from cedarmill.fleet.state_machine import commands
-    from cedarmill.fleet.world import Limit
 
     if path is not None:
         from cedarmill.conf.fleet import keeper
@@ -345,7 +345,7 @@
 
 
 def _tell(asker: Asker, did: Any) -> None:
-    asker.show({"ok": did.ok, "text": did.text, "release": did.release}, lambda: iter([did.text]))
+    asker.show({"ok": did.ok, "text": did.text, "release": did.release_id}, lambda: iter([did.text]))
     sys.exit(0 if did.ok else REFUSED)
 
 
@@ -360,9 +360,9 @@
 @click.pass_obj
 def keepers(asker: Asker, act: str, name: str, address: str, disk: str) -> None:
     """Change the keepers by one, or hand the lead over."""
-    from cedarmill.fleet import words as f
+    from cedarmill.fleet.messages import ChangeReplicas
 
-    answer = asker.ask(f.Keepers(act, name, address, disk))
+    answer = asker.ask(ChangeReplicas(act, name, address, disk))
     _tell(asker, answer)
 
 
@@ -373,11 +373,11 @@
     """Write what is agreed into a file, for `keeper --init --restore`."""
     import msgspec
 
-    from cedarmill.fleet import words as f
     from cedarmill.fleet.agree.words import Snapshot
+    from cedarmill.fleet.messages import ReadRequest
     from cedarmill.store import keep
 
-    text = asker.ask(f.Look("backup")).text
+    text = asker.ask(ReadRequest("backup")).body
     snapshot = msgspec.msgpack.decode(text, type=Snapshot)
     keep.write_file(str(path), keep.backup(snapshot))
     asker.show(
@@ -420,10 +420,10 @@
     sample: int,
 ) -> None:
     """Enter a plan; nothing happens before it is started."""
+    from cedarmill.fleet.state import ReleasePlan
     from cedarmill.fleet.state_machine import commands
-    from cedarmill.fleet.world import Plan
 
-    made = Plan(
+    made = ReleasePlan(
         version,
         tuple(tuple(group.split(",")) for group in groups),
         width,
--- a/cedarmill/fleet/agent.py
+++ b/cedarmill/fleet/agent.py
@@ -11,9 +11,17 @@
 
 import msgspec
 
-from cedarmill.fleet import words as f
 from cedarmill.fleet.evidence import Digest
 from cedarmill.fleet.members import holders_end
+from cedarmill.fleet.messages import (
+    ClientReply,
+    ClientRequest,
+    ExecutorObservation,
+    Heartbeat,
+    HeartbeatReply,
+    Orders,
+    Unavailable,
+)
 
 BEAT = 250_000  # us between two beats
 ANSWER = 1_000_000  # that an answer is waited for, before another keeper is tried
@@ -31,13 +39,13 @@
 class Say(msgspec.Struct, frozen=True):
     """Send this to the keeper dialled."""
 
-    ask: f.Ask
+    ask: ClientRequest
 
 
 class Follow(msgspec.Struct, frozen=True):
     """Do as ordered: it is newer than what was followed."""
 
-    orders: f.Orders
+    orders: Orders
 
 
 class Lapse(msgspec.Struct, frozen=True):
@@ -60,7 +68,7 @@
     """What this process tells of itself, as it stands at a beat."""
 
     done: dict[str, int] = field(default_factory=dict)
-    seen: dict[str, f.Sight] = field(default_factory=dict)
+    seen: dict[str, ExecutorObservation] = field(default_factory=dict)
     units: dict[str, tuple[str, str, int, int]] = field(default_factory=dict)
     ended: list[str] = field(default_factory=list)
     counts: tuple[int, int, int, int] = (0, 0, 0, 0)
@@ -97,14 +105,14 @@
         self.term = 0
         self.stamp = -1  # the leader's, as it came last,
         self.stamped = now  # and when
-        self.orders: f.Orders | None = None
+        self.orders: Orders | None = None
         self.leaving = False
         self.looked = now
         self.doubts_till = -1
         self.answered = now  # when a keeper last answered
         self.next_beat = now
-        self.told: dict[str, f.Sight] = {}  # what the keepers were last told to be seen
-        self.telling: dict[int, dict[str, f.Sight]] = {}  # by beat
+        self.told: dict[str, ExecutorObservation] = {}  # what the keepers were last told to be seen
+        self.telling: dict[int, dict[str, ExecutorObservation]] = {}  # by beat
         self.look: dict[str, bool] = {}  # answers to `Glance`, for the next beat
         self._held = False  # whether the last word was Resume
         self._dialled = False
@@ -148,7 +156,7 @@
         self.telling.clear()
         return [Dial(self.keepers[self.at])]
 
-    def _beat(self, now: int) -> f.Beat:
+    def _beat(self, now: int) -> Heartbeat:
         self.seq += 1
         self.sent[self.seq] = now
         facts, who = self.facts(), self.who
@@ -157,11 +165,11 @@
         self.telling[self.seq] = seen
         held = {}
         if self.orders is not None:
-            held = {f"executor:{name}": epoch for name, epoch in self.orders.out.items()}
-            if self.orders.away:
-                held[f"node:{who.name}"] = self.orders.away
+            held = {f"executor:{name}": epoch for name, epoch in self.orders.excluded_executors.items()}
+            if self.orders.drain_clients_epoch:
+                held[f"node:{who.name}"] = self.orders.drain_clients_epoch
         look, self.look = self.look, {}
-        return f.Beat(
+        return Heartbeat(
             who.kind,
             who.name,
             who.life,
@@ -195,39 +203,39 @@
         self.next_beat = max(now + BEAT // 2, self.next_beat)
         return self._look(now)
 
-    def heard(self, now: int, answer: f.Answer) -> list:
+    def heard(self, now: int, answer: ClientReply) -> list:
         """A keeper has answered."""
         actions = self._look(now)
-        if isinstance(answer, f.Beaten):
+        if isinstance(answer, HeartbeatReply):
             return actions + self._beaten(now, answer)
-        if isinstance(answer, f.NotHere) and now - self.answered > ANSWER:
+        if isinstance(answer, Unavailable) and now - self.answered > ANSWER:
             actions += self._dial(now)
         return actions
 
-    def _beaten(self, now: int, answer: f.Beaten) -> list:
-        sent = self.sent.pop(answer.seq, None)
+    def _beaten(self, now: int, answer: HeartbeatReply) -> list:
+        sent = self.sent.pop(answer.sequence, None)
         if sent is None:
             return []  # of a beat to another keeper, forgotten since
         self.answered = now
-        for old in [seq for seq in self.sent if seq < answer.seq]:
+        for old in [seq for seq in self.sent if seq < answer.sequence]:
             del self.sent[old]
-        if answer.stamp >= 0:
-            self.stamp, self.stamped = answer.stamp, now
+        if answer.leader_timestamp >= 0:
+            self.stamp, self.stamped = answer.leader_timestamp, now
         if answer.term != self.term:
             self.term, self.told = answer.term, {}  # a new leader is told all
         else:
-            self.told.update(self.telling.get(answer.seq, {}))
-        self.telling = {seq: told for seq, told in self.telling.items() if seq > answer.seq}
+            self.told.update(self.telling.get(answer.sequence, {}))
+        self.telling = {seq: told for seq, told in self.telling.items() if seq > answer.sequence}
         actions: list = []
-        if answer.lease:
-            self.lease_till = max(self.lease_till, holders_end(sent, answer.lease))
+        if answer.lease_us:
+            self.lease_till = max(self.lease_till, holders_end(sent, answer.lease_us))
         if answer.orders is not None and answer.orders.epoch > self.epoch:
             self.epoch, self.orders = answer.orders.epoch, answer.orders
             actions.append(Follow(answer.orders))
         if not self._held and self.holds(now) and self.orders is not None:
             self._held = True
             actions.append(Resume())
-        return actions + [Glance(key, address) for key, address in answer.look.items()]
+        return actions + [Glance(key, address) for key, address in answer.members_to_probe.items()]
 
     def reached(self, key: str, there: bool) -> None:
         """What came of a Glance."""
--- a/cedarmill/fleet/compare.py
+++ b/cedarmill/fleet/compare.py
@@ -8,7 +8,7 @@
 import math
 from typing import NamedTuple
 
-from cedarmill.fleet.world import Plan
+from cedarmill.fleet.state import ReleasePlan
 
 
 class Counts(NamedTuple):
@@ -70,16 +70,18 @@
     return min(1.0, math.fsum(map(math.exp, tail)))
 
 
-def worse(plan: Plan, new: Counts, rest: Counts) -> str:
+def worse(plan: ReleasePlan, new: Counts, rest: Counts) -> str:
     """Why the new version is worse, or an empty text: too little seen, or no difference that is sure and
     matters.
     """
-    if new.jobs < plan.sample or rest.jobs < plan.sample:
+    if new.jobs < plan.min_sample or rest.jobs < plan.min_sample:
         return ""
     for name in ("failed", "late", "refused"):
         bad, rest_bad = getattr(new, name), getattr(rest, name)
-        differs = bad * rest.jobs * 1000 - rest_bad * new.jobs * 1000 > plan.least * new.jobs * rest.jobs
-        if differs and (p := chance(bad, new.jobs, rest_bad, rest.jobs)) < plan.doubt / 10_000:
+        differs = (
+            bad * rest.jobs * 1000 - rest_bad * new.jobs * 1000 > plan.min_difference * new.jobs * rest.jobs
+        )
+        if differs and (p := chance(bad, new.jobs, rest_bad, rest.jobs)) < plan.max_chance / 10_000:
             return (f"{name} {bad} of {new.jobs} against {rest_bad} of {rest.jobs} with the rest "
                     f"(chance {p:.2g} were they alike)")  # fmt: skip
     return ""
--- a/cedarmill/fleet/follow.py
+++ b/cedarmill/fleet/follow.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from cedarmill.fleet.evidence import BOUNDS, FEW, GONE, WHOLE, Seen, share
-from cedarmill.fleet.words import Way
+from cedarmill.fleet.messages import RouteWeights
 from cedarmill.fleet.zones import TRIAL, Row, whole_row
 
 HOLD_US = 5_000_000  # that a zone which was not reached is left out; doubled each time in a row
@@ -43,11 +43,11 @@
     """One node's following of the plan."""
 
     def __init__(self) -> None:
-        self.way: Way | None = None
+        self.way: RouteWeights | None = None
         self.holds: dict[str, Hold] = {}
         self.empty: frozenset[str] = frozenset()
 
-    def told(self, way: Way | None) -> bool:
+    def told(self, way: RouteWeights | None) -> bool:
         """A plan has come; an older one than that which is followed is passed over."""
         if way is None or (self.way is not None and way.epoch < self.way.epoch):
             return False
@@ -62,9 +62,11 @@
             return Use()
         self._note(now, seen, streaks)
         self.empty = frozenset(empty)
-        given = {zone for row in self.way.shares.values() for zone in row}
+        given = {zone for row in self.way.weights.values() for zone in row}
         held = {zone for zone, hold in self.holds.items() if now < hold.until} | self.empty
-        return Use(self.way.epoch, self.rows(now), tuple(sorted(given & held)), tuple(sorted(self.way.shut)))
+        return Use(
+            self.way.epoch, self.rows(now), tuple(sorted(given & held)), tuple(sorted(self.way.closed_zones))
+        )
 
     def _note(self, now: int, seen: Mapping[str, Seen], streaks: Mapping[str, int]) -> None:
         for zone, one in seen.items():
@@ -81,7 +83,7 @@
     def rows(self, now: int) -> dict[str, Row]:
         """What holds here now, by how far reqs may go: zones that are out here come back in steps."""
         out = {zone for zone, hold in self.holds.items() if now < hold.until}
-        out |= self.way.shut.keys() | self.empty
+        out |= self.way.closed_zones.keys() | self.empty
         back = {zone: now - hold.until for zone, hold in self.holds.items()
                 if zone not in out and now - hold.until < RAMP_US}  # fmt: skip
         return {bound: self._ramped(bound, out, back) for bound in BOUNDS}
@@ -103,9 +105,9 @@
         would bring them over what was planned for them.
         """
         out = set(out)
-        row, own = self.way.shares.get(bound, {}), self.way.zone
+        row, own = self.way.weights.get(bound, {}), self.way.zone
         for zone in sorted(out & row.keys(), key=lambda zone: (zone != own, zone))[:1]:
-            row = self.way.standing.get(zone, {}).get(bound, row)
+            row = self.way.fallback_weights.get(zone, {}).get(bound, row)
         kept = {zone: part for zone, part in row.items() if zone not in out and zone != own}
         home = WHOLE - sum(kept.values())
         return kept | {own: home} if home else kept
--- a/cedarmill/fleet/former_names.py
+++ b/cedarmill/fleet/former_names.py
@@ -8,6 +8,7 @@
 import sys
 import types
 from collections.abc import Mapping
+from typing import Any
 
 
 class _FormerModule(types.ModuleType):
@@ -28,3 +29,8 @@
     module = sys.modules[module_name]
     vars(module)["_homes"] = homes
     module.__class__ = _FormerModule
+
+
+def former_field(new_name: str) -> Any:
+    """A property that reads and writes the field which has that name now."""
+    return property(lambda self: getattr(self, new_name), lambda self, value: setattr(self, new_name, value))
--- a/cedarmill/fleet/members.py
+++ b/cedarmill/fleet/members.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarmill.fleet.words import Beat, Sight
-from cedarmill.fleet.world import Member, Target, World
+from cedarmill.fleet.messages import ExecutorObservation, Heartbeat
+from cedarmill.fleet.state import ClusterState, Member, Target
 
 LEASE = 3_000_000  # us that a session holds without a beat
 RATE = 0.01  # bound on how much faster one process's clock may run than another's: 1 %, far over a quartz's
@@ -36,7 +36,7 @@
     heard: int
     doubts: bool = False
     counts: tuple[int, int, int, int] = (0, 0, 0, 0)
-    seen: dict[str, Sight] = field(default_factory=dict)
+    seen: dict[str, ExecutorObservation] = field(default_factory=dict)
     told: bool = False  # whether it has told all to this leader
     reached: dict[str, tuple[int, bool]] = field(default_factory=dict)  # by others: when, and whether
 
@@ -58,15 +58,15 @@
         self.began = now  # grace: leases given by the leader before may hold that long
         self.looked = now
 
-    def beat(self, now: int, key: str, beat: Beat) -> Session:
+    def beat(self, now: int, key: str, beat: Heartbeat) -> Session:
         """A beat has come."""
         session = self.by_key.get(key)
         if session is None:
             session = self.by_key[key] = Session(now)
-        session.heard, session.doubts, session.counts = now, beat.doubts, beat.counts
-        session.seen.update(beat.seen)
-        for other, reached in beat.reached.items():
-            if not beat.doubts or reached:  # one that stood still itself accuses nobody
+        session.heard, session.doubts, session.counts = now, beat.was_suspended, beat.request_counts
+        session.seen.update(beat.executors)
+        for other, reached in beat.probe_results.items():
+            if not beat.was_suspended or reached:  # one that stood still itself accuses nobody
                 self._reached(now, other, reached)
         return session
 
@@ -94,7 +94,7 @@
             for session in self.by_key.values():
                 session.heard += gap
 
-    def suspects(self, now: int, world: World) -> dict[str, str]:
+    def suspects(self, now: int, world: ClusterState) -> dict[str, str]:
         """Those to look at, and where."""
         return {
             key: m.address
@@ -102,7 +102,7 @@
             if m.state in ("live", "cut-off") and m.address and now - self.heard(key) > SUSPECT
         }
 
-    def lapse(self, now: int, world: World) -> Lapse:
+    def lapse(self, now: int, world: ClusterState) -> Lapse:
         """What to believe of those whose lease has run out."""
         live = [m for m in world.members.values() if m.state in ("live", "cut-off")]
         over = [m for m in live if now - self.heard(m.key) > LEASE]
@@ -116,14 +116,14 @@
                      tuple(m.key for m in over if m.key in reached and m.state == "live"),
                      tuple(m.key for m in self._sure(now, world)), "")  # fmt: skip
 
-    def _sure(self, now: int, world: World) -> Iterable[Member]:
+    def _sure(self, now: int, world: ClusterState) -> Iterable[Member]:
         """Of those that stop by themselves when their lease has run out: it has, wherever they are."""
         for member in world.members.values():
             past = now - self.heard(member.key) > LEASE
-            if member.stops and member.state in ("silent", "cut-off", "live") and past:
+            if member.stops_at_lease_expiry and member.state in ("silent", "cut-off", "live") and past:
                 yield member
 
-    def forget(self, world: World) -> None:
+    def forget(self, world: ClusterState) -> None:
         """Lives that have ended."""
         for key in [
             key for key in self.by_key if key in world.members and world.members[key].state == "ended"
@@ -142,7 +142,7 @@
     def __init__(self) -> None:
         self.dirty: set[str] = set()
 
-    def merged(self, now: int, sessions: Sessions, world: World, name: str) -> Target | None:
+    def merged(self, now: int, sessions: Sessions, world: ClusterState, name: str) -> Target | None:
         """One executor as most fresh nodes see it; None where none tells of it."""
         views = [
             s.seen[name]
@@ -151,12 +151,12 @@
         ]
         if not views:
             return None
-        listed = [view for view in views if view.state != "gone"]
+        listed = [view for view in views if view.listing != "gone"]
         newest = max(listed or views, key=lambda view: view.started_ms)
         health = "well"
         if len(listed) * 2 < len(views) or not listed:
             health = "gone"
-        elif sum(view.state == "draining" for view in views) * 2 > len(views):
+        elif sum(view.listing == "draining" for view in views) * 2 > len(views):
             health = "draining"
         elif self._ill(views):
             health = "ill"
@@ -164,13 +164,13 @@
                       started_ms=newest.started_ms)  # fmt: skip
 
     @staticmethod
-    def _ill(views: list[Sight]) -> bool:
+    def _ill(views: list[ExecutorObservation]) -> bool:
         """Most of those that have tried it lately say so, and more than one, where there are more."""
-        sure = [view for view in views if view.sure]
-        ill = sum(view.ill for view in sure)
+        sure = [view for view in views if view.recently_tried]
+        ill = sum(view.failing for view in sure)
         return ill > ILL_PART * len(sure) and ill >= min(2, len(views))
 
-    def changes(self, now: int, sessions: Sessions, world: World) -> tuple[tuple[Target, ...], str]:
+    def changes(self, now: int, sessions: Sessions, world: ClusterState) -> tuple[tuple[Target, ...], str]:
         """What differs from what is agreed; and why it is not believed, where too much fell ill at once."""
         found, worse = [], 0
         for name in sorted(self.dirty):
--- a/cedarmill/fleet/overload.py
+++ b/cedarmill/fleet/overload.py
@@ -17,7 +17,7 @@
 from cedarmill.fleet.evidence import WHOLE
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 LATE, PROMPT = 200, 50  # thousandths of jobs that are late: shed more; shed less
 UP, DOWN = 1500, 2000  # thousandths of what is wanted, or of the slots, by which a cut moves in a second
@@ -100,7 +100,7 @@
     return max(a, b, key=lambda cut: (cut.rank, cut.part))
 
 
-def advance(world: "World", wants: Mapping[int, int], room: int, late: int, busy: int = UNKNOWN,
+def advance(world: "ClusterState", wants: Mapping[int, int], room: int, late: int, busy: int = UNKNOWN,
             good: int = 0, queue: int = UNKNOWN, turned: int = 0, seen: int = UNKNOWN) -> None:  # fmt: skip
     """One step for the whole fleet, by the newest news: what is wanted by worth, the slots that there are,
     what is late, the slots in use, the slots' worth of jobs that are served, and how long is taken.
@@ -120,32 +120,32 @@
         _say(world, level(wants, world.admission.shed))
 
 
-def tighten(world: "World", scope: str, wants: Mapping[int, int], room: int, late: int) -> None:
+def tighten(world: "ClusterState", scope: str, wants: Mapping[int, int], room: int, late: int) -> None:
     """The same for the reqs of one zone that may not go further, where these find no room that others have.
 
     What the whole fleet's cut refuses of them already is not refused twice.
     """
-    one = world.tight.get(scope)
+    one = world.scoped_admission.get(scope)
     short = max(0, sum(wants.values()) - room)
     if one is None and (not short or late < LATE):
         return
-    one = world.tight.setdefault(scope, Admission())
+    one = world.scoped_admission.setdefault(scope, Admission())
     if not _steer(world, one, wants, room, late, UNKNOWN, scope):
         return
     found = level(wants, one.shed)
     if not one.shed and late < PROMPT:
-        del world.tight[scope]
+        del world.scoped_admission[scope]
     if found != one.cut:
-        one.cut, one.epoch, world.told = found, world.epoch, world.epoch
+        one.cut, one.epoch, world.orders_epoch = found, world.epoch, world.epoch
 
 
-def cut_of(world: "World", zone: str, bound: str) -> Cut:
+def cut_of(world: "ClusterState", zone: str, bound: str) -> Cut:
     """What a node of that zone refuses of reqs that may go so far."""
-    one = world.tight.get(f"{zone}/{bound}")
+    one = world.scoped_admission.get(f"{zone}/{bound}")
     return stricter(world.admission.cut, one.cut) if one is not None else world.admission.cut
 
 
-def _steer(world: "World", one: Admission, wants: Mapping[int, int], room: int, late: int, busy: int,
+def _steer(world: "ClusterState", one: Admission, wants: Mapping[int, int], room: int, late: int, busy: int,
            where: str, queue: int = UNKNOWN, turned: int = 0) -> bool:  # fmt: skip
     """Move what is shed by one step; whether a step was due.
 
@@ -209,7 +209,7 @@
     return 2 * FILL_UP if idle else FILL_UP * (one.fill < FULL)
 
 
-def _stuck(world: "World", one: Admission, late: int, where: str) -> None:
+def _stuck(world: "ClusterState", one: Admission, late: int, where: str) -> None:
     """Most jobs late for long though what is admitted fits: queues and what comes again sustain it."""
     now = world.clock
     admitted = (one.wanted - one.shed) * WHOLE
@@ -226,7 +226,7 @@
                    "admitted fits")  # fmt: skip
 
 
-def _say(world: "World", found: Cut) -> None:
+def _say(world: "ClusterState", found: Cut) -> None:
     one = world.admission
     if world.clock < one.hand_till:
         found = stricter(found, one.hand)
@@ -238,10 +238,10 @@
         return
     if found != one.cut:
         one.cut, one.epoch = found, world.epoch
-        world.told = world.epoch
+        world.orders_epoch = world.epoch
 
 
-def by_hand(world: "World", rank: int, part: int, lasts: int, who: str) -> None:
+def by_hand(world: "ClusterState", rank: int, part: int, lasts: int, who: str) -> None:
     """An operator's cut, till its end; a rank below 0 ends it."""
     one = world.admission
     one.hand, one.hand_till = (Cut(rank, part), world.clock + lasts) if rank >= 0 else (Cut(), 0)
--- a/cedarmill/fleet/release.py
+++ b/cedarmill/fleet/release.py
@@ -10,7 +10,7 @@
 
 from cedarmill.fleet import permits
 from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.world import Plan, Release, Step, Unit, World
+from cedarmill.fleet.state import ClusterState, Release, ReleasePlan, Unit, UnitStep
 
 # (state, event) -> state, of a release. `halt` and `back` are possible from each state that is not an end.
 STATES = {
@@ -66,30 +66,30 @@
     """A plan or an act that cannot be, with the reason for the operator."""
 
 
-def move(world: World, release: Release, event: str, why: str = "") -> bool:
+def move(world: ClusterState, release: Release, event: str, why: str = "") -> bool:
     """Take a release to its next state; whether there is one."""
     state = STATES.get((release.state, event))
     if state is None:
         return False
-    release.state, release.since = state, world.clock
+    release.state, release.state_since = state, world.clock
     if why:
-        release.why.append(f"{world.clock / 1e6:.1f} {event}: {why}")
+        release.reasons.append(f"{world.clock / 1e6:.1f} {event}: {why}")
     world.note(
         f"release {release.id} ({release.plan.version}): {event}, now {state}" + (f": {why}" if why else "")
     )
-    world.told = world.epoch
+    world.orders_epoch = world.epoch
     return True
 
 
-def _go(world: World, step: Step, event: str) -> bool:
+def _go(world: ClusterState, step: UnitStep, event: str) -> bool:
     state = STEPS.get((step.state, event))
     if state is None:
         return False
-    step.state, step.since = state, world.clock
+    step.state, step.state_since = state, world.clock
     return True
 
 
-def plan(world: World, who: str, wanted: Plan) -> Release:
+def plan(world: ClusterState, who: str, wanted: ReleasePlan) -> Release:
     """Enter a plan; raises NoRelease naming what is wrong with it."""
     names = [name for group in wanted.groups for name in group]
     for name in names:
@@ -97,19 +97,19 @@
             raise NoRelease(f"no steward runs a unit of the name {name}")
     if len(set(names)) < len(names) or not names or not all(wanted.groups):
         raise NoRelease("each unit stands in one group, and no group is empty")
-    if wanted.width < 1:
+    if wanted.max_concurrent < 1:
         raise NoRelease("width: at least one unit at once")
     for other in world.releases.values():
         busy = set(names) & {step.unit for step in other.steps}
         if other.state not in ENDS and busy:
             raise NoRelease(f"release {other.id} is not at its end and holds {', '.join(sorted(busy))}")
-    steps = [Step(name, world.units[name].wanted or world.units[name].version) for name in names]
-    release = Release(world.number(), wanted, who, steps=steps, since=world.clock)
+    steps = [UnitStep(name, world.units[name].ordered_version or world.units[name].version) for name in names]
+    release = Release(world.new_id(), wanted, who, steps=steps, state_since=world.clock)
     world.releases[release.id] = release
     return release
 
 
-def act(world: World, release: Release, event: str, who: str, why: str = "") -> str:
+def act(world: ClusterState, release: Release, event: str, who: str, why: str = "") -> str:
     """An operator's start, halt, resume or back; the new state. Raises NoRelease where it cannot be."""
     if event == "back":
         for other in world.releases.values():
@@ -121,7 +121,7 @@
     before = release.state
     if not move(world, release, event, f"by {who}" + (f", {why}" if why else "")):
         raise NoRelease(f"release {release.id} is {before}: {event} is not possible from there")
-    release.rest_till = 0
+    release.paused_until = 0
     if event == "resume":
         for step in release.steps:
             if not _holds(world, step):  # one that failed after it had been ready has given its permit back
@@ -132,7 +132,7 @@
     return release.state
 
 
-def advance(world: World) -> None:
+def advance(world: ClusterState) -> None:
     """Move each release on as far as it goes by what is known."""
     for release in world.releases.values():
         _see(world, release)
@@ -150,96 +150,105 @@
 # What is seen of units.
 
 
-def _see(world: World, release: Release) -> None:
+def _see(world: ClusterState, release: Release) -> None:
     """What the stewards told of the units that are being changed or have been."""
     for step in release.steps:
         unit = world.units.get(step.unit)
-        if unit is None or unit.acted != unit.epoch or step.state in ("old", "restored"):
+        if unit is None or unit.applied_epoch != unit.ordered_epoch or step.state in ("old", "restored"):
             _see_late(world, release, step)
             continue
-        if unit.exits >= MANY_EXITS and _go(world, step, "exits"):
-            _failed(world, release, step, f"{step.unit} ended {unit.exits} times by itself")
-        elif unit.state == "ready" and unit.version == unit.wanted and unit.exits < MANY_EXITS:
+        if unit.unexpected_exits >= MANY_EXITS and _go(world, step, "exits"):
+            _failed(world, release, step, f"{step.unit} ended {unit.unexpected_exits} times by itself")
+        elif (
+            unit.state == "ready"
+            and unit.version == unit.ordered_version
+            and unit.unexpected_exits < MANY_EXITS
+        ):
             if _go(world, step, "ready"):
                 _give_back(world, step)
         else:
             _see_late(world, release, step)
 
 
-def _see_late(world: World, release: Release, step: Step) -> None:
-    late = step.state in ("changing", "back-changing") and world.clock - step.since >= release.plan.ready
+def _see_late(world: ClusterState, release: Release, step: UnitStep) -> None:
+    late = (
+        step.state in ("changing", "back-changing")
+        and world.clock - step.state_since >= release.plan.ready_timeout_us
+    )
     if late and _go(world, step, "late"):
-        _failed(world, release, step, f"{step.unit} was not ready after {release.plan.ready / 1e6:g} s")
+        _failed(
+            world, release, step, f"{step.unit} was not ready after {release.plan.ready_timeout_us / 1e6:g} s"
+        )
 
 
-def _failed(world: World, release: Release, step: Step, why: str) -> None:
+def _failed(world: ClusterState, release: Release, step: UnitStep, why: str) -> None:
     move(world, release, "failed", why)
 
 
-def _give_back(world: World, step: Step) -> None:
-    permit = world.permits.get(step.permit)
+def _give_back(world: ClusterState, step: UnitStep) -> None:
+    permit = world.permits.get(step.permit_id)
     if permit is not None:
         permits.give_back(world, permit)
-    step.permit = 0
+    step.permit_id = 0
 
 
 # The way there.
 
 
-def _forward(world: World, release: Release) -> None:
+def _forward(world: ClusterState, release: Release) -> None:
     if release.group >= len(release.plan.groups):
         move(world, release, "complete")
         return
-    if world.clock < release.rest_till:
+    if world.clock < release.paused_until:
         return
     steps = [release.step(name) for name in release.plan.groups[release.group]]
     if all(step.state == "new" for step in steps):
         _bake(world, release)
         return
-    release.bake_from = 0
+    release.bake_started_at = 0
     _ask_more(world, release, steps, "old", "ask")
 
 
-def _bake(world: World, release: Release) -> None:
-    if not release.bake_from:
-        release.bake_from = world.clock
-    age = world.clock - release.bake_from
-    enough = release.compared >= release.plan.sample
-    if age >= release.plan.bake * (1 if enough else LONGEST_BAKE):
+def _bake(world: ClusterState, release: Release) -> None:
+    if not release.bake_started_at:
+        release.bake_started_at = world.clock
+    age = world.clock - release.bake_started_at
+    enough = release.compared_requests >= release.plan.min_sample
+    if age >= release.plan.bake_us * (1 if enough else LONGEST_BAKE):
         if not enough:
             world.note(f"release {release.id}: too few jobs to compare, it goes on by readiness alone")
         release.group += 1
-        release.bake_from, release.rest_till = 0, world.clock + release.plan.pause
+        release.bake_started_at, release.paused_until = 0, world.clock + release.plan.pause_us
         world.note(f"release {release.id}: group {release.group} of {len(release.plan.groups)} is through")
         _forward(world, release)
 
 
-def _ask_more(world: World, release: Release, steps: list[Step], state: str, event: str) -> None:
+def _ask_more(world: ClusterState, release: Release, steps: list[UnitStep], state: str, event: str) -> None:
     """Ask leave for as many units as may be on their way at once."""
     busy = sum(step.state not in ("old", "new", "restored", state) for step in steps)
     for step in steps:
         if (
             step.state == state
-            and busy < release.plan.width
-            and world.clock >= step.since + _again(world, step)
+            and busy < release.plan.max_concurrent
+            and world.clock >= step.state_since + _again(world, step)
         ):
             _go(world, step, event)
             busy += 1
             permit = permits.ask(world, "node", step.unit, f"release:{release.id}", release.plan.version, 0,
                                  PERMIT_WAIT)  # fmt: skip
-            step.permit = permit.id
+            step.permit_id = permit.id
 
 
-def _again(world: World, step: Step) -> int:
+def _again(world: ClusterState, step: UnitStep) -> int:
     """How long after a refusal a unit asks once more."""
-    permit = world.permits.get(step.permit)
+    permit = world.permits.get(step.permit_id)
     return 1_000_000 if permit is not None and permit.state == "refused" else 0
 
 
-def _take_grants(world: World, release: Release) -> None:
+def _take_grants(world: ClusterState, release: Release) -> None:
     """What was granted is used: the unit's steward is told what to run."""
     for step in release.steps:
-        permit = world.permits.get(step.permit)
+        permit = world.permits.get(step.permit_id)
         if permit is None or step.state not in ("asking", "back-asking"):
             continue
         if permit.state == "granted" and _go(world, step, "granted"):
@@ -248,19 +257,19 @@
             _go(world, step, "turned-down")
 
 
-def _want(world: World, release: Release, step: Step) -> None:
+def _want(world: ClusterState, release: Release, step: UnitStep) -> None:
     unit = world.units[step.unit]
     forward = step.state == "changing"
-    unit.wanted = release.plan.version if forward else step.old
-    unit.epoch, unit.told, unit.exits = world.epoch, world.clock, 0
-    release.touched += forward
-    world.told = world.epoch
+    unit.ordered_version = release.plan.version if forward else step.old_version
+    unit.ordered_epoch, unit.ordered_at, unit.unexpected_exits = world.epoch, world.clock, 0
+    release.started_units += forward
+    world.orders_epoch = world.epoch
 
 
-def _withdraw(world: World, release: Release) -> None:
+def _withdraw(world: ClusterState, release: Release) -> None:
     """Halted: what only waits for leave lets it be; what is on its way comes to its end."""
     for step in release.steps:
-        permit = world.permits.get(step.permit)
+        permit = world.permits.get(step.permit_id)
         waits = step.state in ("asking", "back-asking") and permit is not None
         if waits and permits.move(world, permit, "withdraw"):
             _go(world, step, "turned-down")
@@ -269,15 +278,15 @@
 # The way back.
 
 
-def _holds(world: World, step: Step) -> bool:
-    permit = world.permits.get(step.permit)
+def _holds(world: ClusterState, step: UnitStep) -> bool:
+    permit = world.permits.get(step.permit_id)
     return permit is not None and permit.out
 
 
-def _backward(world: World, release: Release) -> None:
+def _backward(world: ClusterState, release: Release) -> None:
     for step in release.steps:
         if step.state == "asking":
-            permit = world.permits.get(step.permit)
+            permit = world.permits.get(step.permit_id)
             if permit is not None and not permits.move(world, permit, "withdraw"):
                 permits.give_back(world, permit)
             _go(world, step, "back")
@@ -292,46 +301,50 @@
 # What a steward is to run, and when something is due by itself.
 
 
-def orders(world: World, steward: str) -> dict[str, tuple[str, int]]:
+def orders(world: ClusterState, steward: str) -> dict[str, tuple[str, int]]:
     """Of each unit of a steward that a release has ever changed: the version to run, and the epoch of that
     word.
     """
-    return {u.name: (u.wanted, u.epoch) for u in world.units.values() if u.steward == steward and u.wanted}
+    return {
+        u.name: (u.ordered_version, u.ordered_epoch)
+        for u in world.units.values()
+        if u.supervisor == steward and u.ordered_version
+    }
 
 
-def seen(world: World, steward: str, units: dict[str, tuple[str, str, int, int]]) -> None:
+def seen(world: ClusterState, steward: str, units: dict[str, tuple[str, str, int, int]]) -> None:
     """A steward tells of its units: version, state, exits, and the epoch that it has acted on."""
     for name, (version, state, exits, acted) in units.items():
         unit = world.units.setdefault(name, Unit(name, steward))
-        unit.steward = steward
-        unit.version, unit.state, unit.acted = version, state, acted
-        unit.exits = exits if acted == unit.epoch else unit.exits
+        unit.supervisor = steward
+        unit.version, unit.state, unit.applied_epoch = version, state, acted
+        unit.unexpected_exits = exits if acted == unit.ordered_epoch else unit.unexpected_exits
 
 
-def judged(world: World, release: Release, worse: str, jobs: int) -> None:
+def judged(world: ClusterState, release: Release, worse: str, jobs: int) -> None:
     """The comparison of the new version with the rest has been made, over so many jobs."""
-    release.compared = max(release.compared, jobs)
+    release.compared_requests = max(release.compared_requests, jobs)
     if worse and release.state == "running":
         move(world, release, "worse", worse)
 
 
-def due(world: World) -> Iterator[int]:
+def due(world: ClusterState) -> Iterator[int]:
     """Times at which a release goes on by itself."""
     for release in world.releases.values():
         if release.state == "running":
-            if release.rest_till > world.clock:
-                yield release.rest_till
-            if release.bake_from:
-                yield from (release.bake_from + release.plan.bake * n for n in (1, LONGEST_BAKE))
+            if release.paused_until > world.clock:
+                yield release.paused_until
+            if release.bake_started_at:
+                yield from (release.bake_started_at + release.plan.bake_us * n for n in (1, LONGEST_BAKE))
         if release.state in ("running", "backing"):
             for step in release.steps:
                 if step.state in ("changing", "back-changing"):
-                    yield step.since + release.plan.ready
+                    yield step.state_since + release.plan.ready_timeout_us
                 if step.state in ("old", "new") and _again(world, step):
-                    yield step.since + _again(world, step)
+                    yield step.state_since + _again(world, step)
 
 
-def comparing(world: World) -> list[Release]:
+def comparing(world: ClusterState) -> list[Release]:
     """Releases whose new units have something to be compared."""
     return [
         r for r in world.releases.values() if r.state == "running" and any(s.state == "new" for s in r.steps)
--- a/cedarmill/fleet/slices.py
+++ b/cedarmill/fleet/slices.py
@@ -14,7 +14,7 @@
 import msgspec
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 LEASED = 800  # thousandths of a budget that are leased; the rest are floors
 SAME = 100  # thousandths by which wants may differ and be the same
@@ -81,37 +81,37 @@
     return True
 
 
-def wanted(world: "World", key: str, wants: Mapping[str, int]) -> None:
+def wanted(world: "ClusterState", key: str, wants: Mapping[str, int]) -> None:
     """A member tells what it wants of each budget."""
     for name in world.budgets:
-        one = world.slices.setdefault(name, {}).setdefault(key, Slice())
+        one = world.budget_grants.setdefault(name, {}).setdefault(key, Slice())
         one.want = max(0, wants.get(name, 0))
     deal(world)
 
 
-def follows(world: "World", key: str, epoch: int) -> None:
+def follows(world: "ClusterState", key: str, epoch: int) -> None:
     """A member says that it follows orders of that epoch: what it had by older ones it spends no longer."""
-    for by in world.slices.values():
+    for by in world.budget_grants.values():
         one = by.get(key)
         if one is not None and one.epoch <= epoch:
             one.before = one.rate
     deal(world)
 
 
-def ended(world: "World", key: str) -> None:
+def ended(world: "ClusterState", key: str) -> None:
     """Its lease has passed for certain, or its life has ended: it spends its floor at the most."""
-    if any([by.pop(key, None) is not None for by in world.slices.values()]):
-        world.told = world.epoch  # should it come back, it is told so before its lease holds again
+    if any([by.pop(key, None) is not None for by in world.budget_grants.values()]):
+        world.orders_epoch = world.epoch  # should it come back, it is told so before its lease holds again
         deal(world)
 
 
-def deal(world: "World") -> None:
+def deal(world: "ClusterState") -> None:
     """Give what is free, take back what others want more: a larger word once the smaller one is followed."""
-    if world.clock < world.deal_from:
+    if world.clock < world.budgets_dealt_from:
         return
     changed = False
     for name, budget in world.budgets.items():
-        by = world.slices.setdefault(name, {})
+        by = world.budget_grants.setdefault(name, {})
         aim = divide(budget, {key: one.want for key, one in by.items()})
         for key, one in by.items():
             if aim[key] < one.rate:
@@ -126,19 +126,19 @@
                 one.rate, one.epoch, changed = one.rate + more, world.epoch, True
                 free -= one.counts - was
     if changed:
-        world.told = world.epoch
+        world.orders_epoch = world.epoch
 
 
-def word(world: "World", key: str) -> dict[str, tuple[int, int]]:
+def word(world: "ClusterState", key: str) -> dict[str, tuple[int, int]]:
     """What a member is told: of each budget its slice, and its floor."""
     found = {}
     for name, budget in world.budgets.items():
-        one = world.slices.get(name, {}).get(key)
+        one = world.budget_grants.get(name, {}).get(key)
         found[name] = (one.rate if one is not None else 0, budget.floor)
     return found
 
 
-def set_up(world: "World", budgets: list[Budget]) -> str:
+def set_up(world: "ClusterState", budgets: list[Budget]) -> str:
     """Budgets as an operator sets them; why not, where that cannot be.
 
     A smaller rate takes slices back as their holders follow: till then what was leased is what may be spent.
@@ -149,7 +149,7 @@
     if any(budget.rate < 0 or budget.nodes < 1 for budget in budgets):
         return "a rate is not below 0, and a floor is for one node at the least"
     world.budgets = {budget.name: budget for budget in budgets}
-    world.slices = {name: world.slices.get(name, {}) for name in names}
+    world.budget_grants = {name: world.budget_grants.get(name, {}) for name in names}
     deal(world)
-    world.told = world.epoch
+    world.orders_epoch = world.epoch
     return ""
--- /dev/null
+++ b/cedarmill/fleet/state.py
@@ -0,0 +1,318 @@
+"""The agreed state of the cluster as plain values: one tree, which a snapshot holds whole.
+
+Times are microseconds of the cluster's clock, which is part of the state: each command carries the leader's
+time, and the clock never goes back. Shares are whole thousandths, so that all replicas compute alike.
+
+Snapshots and the command line's JSON keep the field names with which they began: `rename` maps each field
+to its stored key.
+"""
+
+from typing import NamedTuple
+
+import msgspec
+
+from cedarmill.fleet.former_names import former_field
+from cedarmill.fleet.overload import Admission
+from cedarmill.fleet.slices import Budget, Slice
+from cedarmill.fleet.zones import Traffic, Zone, Zoning
+
+PER_MILLE = 1000  # the whole, in thousandths
+EPOCH_INDEX_BITS = 40  # low bits of an epoch: the index of its entry; above them the cluster's generation
+OPERATOR_LOG_LINES = 200  # newest lines for operators that are kept
+
+
+class Limit(msgspec.Struct, array_like=True, frozen=True):
+    """What may be out at once of a kind of target, by each scope of `per`; -1: not limited."""
+
+    kind: str
+    per: str = "fleet"  # fleet, zone, type or group
+    most: int = -1  # targets
+    share: int = -1  # thousandths of the targets
+    capacity_left: int = -1  # thousandths of the slots that have to stay
+
+    def text(self) -> str:
+        """As operators read it."""
+        parts = [f"at most {self.most}"] if self.most >= 0 else []
+        parts += [f"at most {self.share / 10:g}%"] if self.share >= 0 else []
+        parts += [f"{self.capacity_left / 10:g}% of the slots left"] if self.capacity_left >= 0 else []
+        return f"{self.kind} per {self.per}: {' and '.join(parts)}"
+
+
+class Target(msgspec.Struct, rename={"health_since": "since", "slow_start_from": "cold_from"}):
+    """What a permit may be for: an executor, a node, a replica or a zone."""
+
+    kind: str
+    name: str
+    zone: str = ""
+    type: str = ""
+    group: str = ""
+    slots: int = 1
+    health: str = "well"  # well, ill, silent, draining (as discovery lists it), gone
+    health_since: int = 0
+    slow_start_from: int = -1  # when it returned to service; -1: long ago
+    started_ms: int = 0  # Unix time, as discovery lists it
+
+    since = former_field("health_since")
+
+
+class Member(
+    msgspec.Struct,
+    rename={
+        "incarnation": "life",
+        "stops_at_lease_expiry": "stops",
+        "state_since": "since",
+        "joined_at": "joined",
+        "lease_expiries": "lapses",
+    },
+):
+    """One incarnation of a process that has a session."""
+
+    kind: str
+    name: str
+    incarnation: str
+    zone: str = ""
+    address: str = ""
+    version: str = ""
+    stops_at_lease_expiry: bool = False  # it stops sending by itself when its lease has expired
+    state: str = "live"  # live, silent, cut-off (others reach it), ended
+    state_since: int = 0
+    joined_at: int = 0
+    lease_expiries: list[int] = msgspec.field(default_factory=list)  # the latest
+
+    @property
+    def key(self) -> str:
+        """Its name in the state: kind, name and incarnation."""
+        return f"{self.kind}:{self.name}:{self.incarnation}"
+
+
+class Permit(
+    msgspec.Struct,
+    rename={
+        "requested_at": "asked",
+        "waits_until": "until",
+        "granted_at": "granted",
+        "ended_at": "ended",
+        "undrained_members": "need",
+        "drained_at": "drained",
+    },
+):
+    """Leave for one target to be out of service."""
+
+    id: int
+    kind: str
+    target: str
+    holder: str
+    reason: str = ""
+    priority: int = 0
+    state: str = "waiting"  # see `permits.STATES`
+    requested_at: int = 0
+    waits_until: int = 0
+    granted_at: int = 0
+    ended_at: int = 0
+    epoch: int = 0  # of the grant; whatever acts on the grant names it
+    undrained_members: list[str] = msgspec.field(default_factory=list)  # that have not confirmed the drain
+    drained_at: int = 0  # when all had confirmed, or an operator stated it; 0: not yet
+    notes: list[str] = msgspec.field(default_factory=list)  # why it waits, and what operators stated
+
+    @property
+    def out(self) -> bool:
+        """Whether its target counts as out of service."""
+        return self.state in ("granted", "lost")
+
+    need = former_field("undrained_members")
+    drained = former_field("drained_at")
+
+
+class UnitReport(NamedTuple):
+    """A unit as its process supervisor reports it."""
+
+    version: str
+    state: str
+    unexpected_exits: int
+    applied_epoch: int  # of the order acted on last
+
+
+class UnitOrder(NamedTuple):
+    """What a process supervisor is to run, and the epoch of that order."""
+
+    version: str
+    epoch: int
+
+
+class Unit(
+    msgspec.Struct,
+    rename={
+        "supervisor": "steward",
+        "unexpected_exits": "exits",
+        "applied_epoch": "acted",
+        "ordered_version": "wanted",
+        "ordered_epoch": "epoch",
+        "ordered_at": "told",
+    },
+):
+    """A process that a supervisor runs: as it was reported last, and what it is ordered to run."""
+
+    name: str
+    supervisor: str
+    version: str = ""
+    state: str = "stopped"  # stopped, starting, ready, failing
+    unexpected_exits: int = 0  # since the last order
+    applied_epoch: int = 0
+    ordered_version: str = ""  # empty: whatever it runs
+    ordered_epoch: int = 0
+    ordered_at: int = 0
+
+
+class UnitStep(msgspec.Struct, rename={"old_version": "old", "permit_id": "permit", "state_since": "since"}):
+    """A unit's way through a release."""
+
+    unit: str
+    old_version: str
+    state: str = "old"  # see `release.STEPS`
+    permit_id: int = 0
+    state_since: int = 0
+
+    since = former_field("state_since")
+
+
+class ReleasePlan(msgspec.Struct, array_like=True, frozen=True):
+    """How a release proceeds: groups one after the other, each at most `max_concurrent` units at once."""
+
+    version: str
+    groups: tuple[tuple[str, ...], ...]
+    max_concurrent: int = 1
+    pause_us: int = 0  # between two groups
+    bake_us: int = 10_000_000  # for which a finished group is watched
+    ready_timeout_us: int = 30_000_000  # for a unit to become ready
+    min_sample: int = 50  # requests of the new version before it is compared
+    max_chance: int = 1  # ten thousandths: below this chance that a difference is random, halt
+    min_difference: int = 20  # thousandths that matter
+
+
+class Release(
+    msgspec.Struct,
+    rename={
+        "requester": "who",
+        "state_since": "since",
+        "bake_started_at": "bake_from",
+        "paused_until": "rest_till",
+        "reasons": "why",
+        "compared_requests": "compared",
+        "started_units": "touched",
+    },
+):
+    """A release on its way, or at its end."""
+
+    id: int
+    plan: ReleasePlan
+    requester: str
+    state: str = "planned"  # see `release.STATES`
+    group: int = 0  # index of the group on its way
+    steps: list[UnitStep] = msgspec.field(default_factory=list)
+    state_since: int = 0
+    bake_started_at: int = 0  # 0: the group is not complete yet
+    paused_until: int = 0
+    reasons: list[str] = msgspec.field(default_factory=list)
+    compared_requests: int = 0  # on the smaller side, when they were enough to compare
+    started_units: int = 0  # with the new version
+
+    def step(self, unit: str) -> UnitStep | None:
+        """The step of a unit; None where it is no part of the release."""
+        return next((step for step in self.steps if step.unit == unit), None)
+
+
+class RequestOutcome(msgspec.Struct, array_like=True):
+    """What came of a request that changes something: the same again for the same idempotency key."""
+
+    time_us: int
+    ok: bool
+    text: str
+    created_ids: list[int] = msgspec.field(default_factory=list)  # of permits, or of a release
+
+
+class ClusterState(
+    msgspec.Struct,
+    rename={
+        "slow_start_us": "cold_us",
+        "slow_start_share": "cold_share",
+        "outcomes": "done",
+        "halt_reason": "halted",
+        "last_id": "numbers",
+        "orders_epoch": "told",
+        "budget_grants": "slices",
+        "scoped_admission": "tight",
+        "membership_epoch": "peopled",
+        "budgets_dealt_from": "deal_from",
+    },
+):
+    """The whole of it."""
+
+    cluster: str = ""
+    generation: int = 1  # grows with each restore from a backup
+    index: int = 0  # of the entry applied last
+    clock: int = 0
+    slow_start_us: int = 8_900_000  # for which a returned executor counts in part
+    slow_start_share: int = 300  # thousandths of its slots at first
+    limits: list[Limit] = msgspec.field(default_factory=list)
+    targets: dict[str, Target] = msgspec.field(default_factory=dict)  # by `kind:name`
+    members: dict[str, Member] = msgspec.field(default_factory=dict)  # by key
+    permits: dict[int, Permit] = msgspec.field(default_factory=dict)
+    units: dict[str, Unit] = msgspec.field(default_factory=dict)
+    releases: dict[int, Release] = msgspec.field(default_factory=dict)
+    outcomes: dict[str, RequestOutcome] = msgspec.field(default_factory=dict)  # by idempotency key
+    halt_reason: str = ""  # why nothing is granted and no release proceeds, if so
+    last_id: int = 0  # of permits and releases
+    orders_epoch: int = 0  # of the newest change of what members are ordered
+    log: list[str] = msgspec.field(default_factory=list)  # the newest lines for operators
+    zoning: Zoning = msgspec.field(default_factory=Zoning)
+    zones: dict[str, Zone] = msgspec.field(default_factory=dict)
+    traffic: Traffic = msgspec.field(default_factory=Traffic)
+    budgets: dict[str, Budget] = msgspec.field(default_factory=dict)
+    budget_grants: dict[str, dict[str, Slice]] = msgspec.field(default_factory=dict)  # by budget, then member
+    admission: Admission = msgspec.field(default_factory=Admission)
+    scoped_admission: dict[str, Admission] = msgspec.field(default_factory=dict)  # by `zone/bound`
+    membership_epoch: int = 0  # when a node came or went last, where nodes gossip
+    budgets_dealt_from: int = 0  # before that nothing is leased: leases of before a restore may still hold
+
+    told = former_field("orders_epoch")
+    slices = former_field("budget_grants")
+    deal_from = former_field("budgets_dealt_from")
+
+    @property
+    def epoch(self) -> int:
+        """Of the entry that is being applied."""
+        return self.generation << EPOCH_INDEX_BITS | self.index
+
+    def new_id(self) -> int:
+        """A number for a permit or a release."""
+        self.last_id += 1
+        return self.last_id
+
+    def note(self, text: str) -> None:
+        """Add a line for operators."""
+        self.log.append(f"{self.clock / 1e6:.1f} {text}")
+        del self.log[:-OPERATOR_LOG_LINES]
+
+    def members_of(self, kind: str) -> list[Member]:
+        """Members of a kind that may still act: all but those that have ended."""
+        return [member for member in self.members.values() if member.kind == kind and member.state != "ended"]
+
+    live = members_of
+
+
+_DECODER = msgspec.msgpack.Decoder(ClusterState)
+
+
+def generation_of(epoch: int) -> int:
+    """The cluster's generation in which an epoch was given."""
+    return epoch >> EPOCH_INDEX_BITS
+
+
+def encode_snapshot(state: ClusterState) -> bytes:
+    """All of the state, as MessagePack."""
+    return msgspec.msgpack.encode(state)
+
+
+def decode_snapshot(data: bytes) -> ClusterState:
+    """The state again; raises msgspec.MsgspecError for what is none."""
+    return _DECODER.decode(data)
--- a/cedarmill/fleet/state_machine/budgets.py
+++ b/cedarmill/fleet/state_machine/budgets.py
@@ -3,8 +3,8 @@
 from cedarmill.fleet import slices
 from cedarmill.fleet.errors import RequestRejected
 from cedarmill.fleet.slices import Budget
+from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
-from cedarmill.fleet.world import Done, World
 
 
 class SetBudgetDemand(Command, tag="wants", frozen=True):
@@ -27,19 +27,19 @@
     budgets: tuple[Budget, ...]
 
 
-def set_demand(state: World, command: SetBudgetDemand) -> None:
+def set_demand(state: ClusterState, command: SetBudgetDemand) -> None:
     """Deal the budgets anew; the demand of a member without a session is passed over."""
     member = state.members.get(command.member_key)
     if member is not None and member.state == "live":
         slices.wanted(state, command.member_key, command.demand)
 
 
-def acknowledge_orders(state: World, command: AcknowledgeOrders) -> None:
+def acknowledge_orders(state: ClusterState, command: AcknowledgeOrders) -> None:
     """What the member could spend by older orders is free."""
     slices.follows(state, command.member_key, command.epoch)
 
 
-def set_budgets(state: World, request: SetBudgets) -> Done:
+def set_budgets(state: ClusterState, request: SetBudgets) -> RequestOutcome:
     """Replace the budgets; raises RequestRejected naming what is wrong with them."""
     if fault := slices.set_up(state, list(request.budgets)):
         raise RequestRejected(fault)
--- a/cedarmill/fleet/state_machine/command.py
+++ b/cedarmill/fleet/state_machine/command.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cedarmill.fleet.world import Done, World
+from cedarmill.fleet.state import ClusterState, RequestOutcome
 
 DEFAULT_WAIT_US = 600_000_000  # how long a request for a permit waits to be granted
 
@@ -31,10 +31,10 @@
     request_id: str
 
 
-Handler = Callable[[World, Any], Done | None]
+Handler = Callable[[ClusterState, Any], RequestOutcome | None]
 Handlers = Mapping[type[Command], Handler]
 
 
-def accepted(state: World, text: str, created_ids: list[int] | None = None) -> Done:
+def accepted(state: ClusterState, text: str, created_ids: list[int] | None = None) -> RequestOutcome:
     """The outcome of a request that was carried out."""
-    return Done(state.clock, True, text, created_ids or [])
+    return RequestOutcome(state.clock, True, text, created_ids or [])
--- a/cedarmill/fleet/state_machine/dispatch.py
+++ b/cedarmill/fleet/state_machine/dispatch.py
@@ -8,6 +8,7 @@
 
 from cedarmill.fleet import permits, release, traffic
 from cedarmill.fleet.errors import RequestRejected, UnknownCommand
+from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine import (
     budgets,
     operator_statements,
@@ -21,7 +22,6 @@
 from cedarmill.fleet.state_machine import traffic as traffic_commands
 from cedarmill.fleet.state_machine.command import Command, Handler, OperatorRequest
 from cedarmill.fleet.state_machine.commands import AnyCommand
-from cedarmill.fleet.world import Done, World
 
 OUTCOMES_KEPT = 5000  # of requests, the oldest of which are forgotten first
 OUTCOME_KEPT_US = 3_600_000_000  # how long an outcome is remembered
@@ -31,12 +31,12 @@
 def _answering(handler: Handler) -> Handler:
     """The same handler, with a rejection as its outcome."""
 
-    def answer(state: World, request: OperatorRequest) -> Done:
+    def answer(state: ClusterState, request: OperatorRequest) -> RequestOutcome:
         try:
             outcome = handler(state, request)
         except RequestRejected as error:
-            return Done(state.clock, False, str(error))
-        return outcome or Done(state.clock, True, "")
+            return RequestOutcome(state.clock, False, str(error))
+        return outcome or RequestOutcome(state.clock, True, "")
 
     return answer
 
@@ -65,7 +65,7 @@
     return msgspec.msgpack.encode(command)
 
 
-def apply(state: World, index: int, data: bytes) -> Done:
+def apply(state: ClusterState, index: int, data: bytes) -> RequestOutcome:
     """Apply the entry at that index; the outcome.
 
     Raises msgspec.MsgspecError where the data is no command, UnknownCommand where the type has no handler.
@@ -77,7 +77,7 @@
         return _apply_request(state, command)
     _handler_of(command)(state, command)
     advance(state)
-    return Done(state.clock, True, "")
+    return RequestOutcome(state.clock, True, "")
 
 
 def _handler_of(command: Command) -> Handler:
@@ -87,28 +87,28 @@
     return handler
 
 
-def _apply_request(state: World, request: OperatorRequest) -> Done:
+def _apply_request(state: ClusterState, request: OperatorRequest) -> RequestOutcome:
     """Carry a request out once; a repeated one gets the first outcome."""
     key = f"{request.requester}/{request.request_id}"
-    if (known := state.done.get(key)) is not None:
+    if (known := state.outcomes.get(key)) is not None:
         return known
-    outcome = _handler_of(request)(state, request) or Done(state.clock, True, "")
+    outcome = _handler_of(request)(state, request) or RequestOutcome(state.clock, True, "")
     advance(state)
-    state.done[key] = outcome
+    state.outcomes[key] = outcome
     _forget_outcomes(state)
     return outcome
 
 
-def _forget_outcomes(state: World) -> None:
-    excess = max(0, len(state.done) - OUTCOMES_KEPT)
-    for key in list(state.done)[:excess]:
-        del state.done[key]
-    for key, outcome in list(state.done.items())[:OUTCOMES_CHECKED]:
-        if state.clock - outcome.at > OUTCOME_KEPT_US:
-            del state.done[key]
+def _forget_outcomes(state: ClusterState) -> None:
+    excess = max(0, len(state.outcomes) - OUTCOMES_KEPT)
+    for key in list(state.outcomes)[:excess]:
+        del state.outcomes[key]
+    for key, outcome in list(state.outcomes.items())[:OUTCOMES_CHECKED]:
+        if state.clock - outcome.time_us > OUTCOME_KEPT_US:
+            del state.outcomes[key]
 
 
-def advance(state: World) -> None:
+def advance(state: ClusterState) -> None:
     """What follows of any change: waiting permits may be granted, releases and the traffic plan move on."""
     permits.expire(state)
     permits.grant_all(state)
@@ -117,7 +117,7 @@
     traffic.shed(state)
 
 
-def next_due(state: World) -> int | None:
+def next_due(state: ClusterState) -> int | None:
     """When something changes by itself, in the cluster's time (us); None: not before another command."""
     times = [*release.due(state), *traffic.due(state)]
     if (time_us := permits.next_due(state)) is not None:
--- a/cedarmill/fleet/state_machine/operator_statements.py
+++ b/cedarmill/fleet/state_machine/operator_statements.py
@@ -4,9 +4,9 @@
 
 from cedarmill.fleet import permits
 from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine.command import Handlers, OperatorRequest, accepted
 from cedarmill.fleet.state_machine.sessions import end_member
-from cedarmill.fleet.world import Done, World
 
 
 class OperatorStatement(OperatorRequest, tag="word", frozen=True):
@@ -17,7 +17,7 @@
     reason: str
 
 
-def apply_statement(state: World, request: OperatorStatement) -> Done:
+def apply_statement(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
     """Take a statement for true; raises RequestRejected for one without a reason or against what is known."""
     if not request.reason.strip():
         raise RequestRejected("a word takes a reason")
@@ -30,19 +30,19 @@
     return outcome
 
 
-def _drained(state: World, request: OperatorStatement) -> Done:
+def _drained(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
     """A target counts as drained, whoever has not confirmed it."""
     permit = next((p for p in state.permits.values() if p.out and p.target == request.name), None)
     if permit is None:
         raise RequestRejected(f"{request.name} is not out by a permit")
-    missing = ", ".join(permit.need) or "anybody missing"
+    missing = ", ".join(permit.undrained_members) or "anybody missing"
     permit.notes.append(f"{request.requester} says drained, without {missing}: {request.reason}")
-    permit.need = []
+    permit.undrained_members = []
     permits.settle(state, permit)
     return accepted(state, f"{request.name} counts as drained", [permit.id])
 
 
-def _ended(state: World, request: OperatorStatement) -> Done:
+def _ended(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
     """All incarnations of a member, or the one named by its key, count as ended."""
     keys = [
         key
@@ -59,7 +59,7 @@
     return accepted(state, f"{len(keys)} lives count as ended")
 
 
-def _found(state: World, request: OperatorStatement) -> Done:
+def _found(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
     """The target of a lost permit is known to serve again."""
     permit = next((p for p in state.permits.values() if p.state == "lost" and p.target == request.name), None)
     if permit is None:
@@ -68,7 +68,7 @@
     return accepted(state, f"permit {permit.id} is returned", [permit.id])
 
 
-def _forget(state: World, request: OperatorStatement) -> Done:
+def _forget(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
     """A target that is gone for good counts no longer."""
     keys = [
         key
@@ -82,15 +82,15 @@
     return accepted(state, f"{request.name} is forgotten")
 
 
-def _go_on(state: World, request: OperatorStatement) -> Done:
+def _go_on(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
     """End a halt of grants."""
-    if not state.halted:
+    if not state.halt_reason:
         raise RequestRejected("nothing was halted")
-    state.halted = ""
+    state.halt_reason = ""
     return accepted(state, "grants go on")
 
 
-STATEMENTS: dict[str, Callable[[World, OperatorStatement], Done]] = {
+STATEMENTS: dict[str, Callable[[ClusterState, OperatorStatement], RequestOutcome]] = {
     "drained": _drained,
     "ended": _ended,
     "found": _found,
--- a/cedarmill/fleet/state_machine/permits.py
+++ b/cedarmill/fleet/state_machine/permits.py
@@ -2,6 +2,7 @@
 
 from cedarmill.fleet import permits
 from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.state import ClusterState, Limit, Permit, RequestOutcome
 from cedarmill.fleet.state_machine import zones
 from cedarmill.fleet.state_machine.command import (
     DEFAULT_WAIT_US,
@@ -10,7 +11,6 @@
     OperatorRequest,
     accepted,
 )
-from cedarmill.fleet.world import Done, Limit, Permit, World
 
 
 class ConfirmDrained(Command, tag="cleared", frozen=True):
@@ -50,49 +50,49 @@
     name: str
 
 
-def confirm_drained(state: World, command: ConfirmDrained) -> None:
+def confirm_drained(state: ClusterState, command: ConfirmDrained) -> None:
     """Note each target that the member is done with."""
     for target, epoch in command.drained.items():
         permits.told_done(state, command.member_key, target, epoch)
 
 
-def adopt_unknown_grants(state: World, command: AdoptUnknownGrants) -> None:
+def adopt_unknown_grants(state: ClusterState, command: AdoptUnknownGrants) -> None:
     """Enter a lost permit for each target that is out by a grant which nobody here knows."""
     for key, epoch in command.grants.items():
         kind, _, name = key.partition(":")
         if _is_out(state, kind, name):
             continue
         permit = Permit(
-            state.number(),
+            state.new_id(),
             kind,
             name,
             "before the restore",
             state="lost",
-            asked=state.clock,
-            granted=state.clock,
+            requested_at=state.clock,
+            granted_at=state.clock,
             epoch=state.epoch,
             notes=[f"told by {command.member_key}, granted at {epoch}"],
         )
-        permit.need = permits.need_of(state, permit)
+        permit.undrained_members = permits.need_of(state, permit)
         state.permits[permit.id] = permit
-        state.told = state.epoch
+        state.orders_epoch = state.epoch
         state.note(f"{kind} {name} is out by a grant that was lost with the keepers' state")
 
 
-def _is_out(state: World, kind: str, name: str) -> bool:
+def _is_out(state: ClusterState, kind: str, name: str) -> bool:
     return any(
         permit.out and (permit.kind, permit.target) == (kind, name) for permit in state.permits.values()
     )
 
 
-def set_limits(state: World, request: SetLimits) -> Done:
+def set_limits(state: ClusterState, request: SetLimits) -> RequestOutcome:
     """Replace all limits."""
     state.limits = list(request.limits)
     state.note(f"limits set by {request.requester}: {len(request.limits)}")
     return accepted(state, f"{len(request.limits)} limits hold")
 
 
-def request_permits(state: World, request: RequestPermits) -> Done:
+def request_permits(state: ClusterState, request: RequestPermits) -> RequestOutcome:
     """Enter a permit for each target, once where it is named twice."""
     made = [
         permits.ask(
@@ -101,10 +101,10 @@
         for name in dict.fromkeys(request.names)
     ]
     any_open = not all(permit.state == "refused" for permit in made)
-    return Done(state.clock, any_open, "", [permit.id for permit in made])
+    return RequestOutcome(state.clock, any_open, "", [permit.id for permit in made])
 
 
-def return_permit(state: World, request: ReturnPermit) -> Done:
+def return_permit(state: ClusterState, request: ReturnPermit) -> RequestOutcome:
     """Return the permit of a target; raises RequestRejected where there is none to return."""
     permit = permits.open_permit(state, request.kind, request.name)
     if permit is None:
--- a/cedarmill/fleet/state_machine/releases.py
+++ b/cedarmill/fleet/state_machine/releases.py
@@ -2,8 +2,8 @@
 
 from cedarmill.fleet import release
 from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.state import ClusterState, ReleasePlan, RequestOutcome
 from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
-from cedarmill.fleet.world import Done, Plan, World
 
 
 class RecordComparison(Command, tag="judged", frozen=True):
@@ -20,7 +20,7 @@
 class PlanRelease(OperatorRequest, tag="plan", frozen=True):
     """Enter the plan of a release; it starts by `ControlRelease`."""
 
-    plan: Plan
+    plan: ReleasePlan
 
 
 class ControlRelease(OperatorRequest, tag="act", frozen=True):
@@ -31,19 +31,19 @@
     reason: str = ""
 
 
-def record_comparison(state: World, command: RecordComparison) -> None:
+def record_comparison(state: ClusterState, command: RecordComparison) -> None:
     """Halt a release whose new version is worse; a release that is unknown is passed over."""
     if (found := state.releases.get(command.release_id)) is not None:
         release.judged(state, found, command.worse, command.requests)
 
 
-def plan_release(state: World, request: PlanRelease) -> Done:
+def plan_release(state: ClusterState, request: PlanRelease) -> RequestOutcome:
     """Enter the plan; raises RequestRejected naming what is wrong with it."""
     planned = release.plan(state, request.requester, request.plan)
     return accepted(state, f"release {planned.id} is planned", [planned.id])
 
 
-def control_release(state: World, request: ControlRelease) -> Done:
+def control_release(state: ClusterState, request: ControlRelease) -> RequestOutcome:
     """Carry out an operator's action; raises RequestRejected where it is not possible now."""
     found = state.releases.get(request.release_id)
     if found is None:
--- a/cedarmill/fleet/state_machine/sessions.py
+++ b/cedarmill/fleet/state_machine/sessions.py
@@ -1,8 +1,8 @@
 """Sessions of members (nodes and process supervisors): joining, lease expiry, return and end."""
 
 from cedarmill.fleet import permits, slices
+from cedarmill.fleet.state import ClusterState, Member, Target
 from cedarmill.fleet.state_machine.command import Command, Handlers
-from cedarmill.fleet.world import Member, Target, World
 
 ENDED_KEPT_US = 600_000_000  # how long an incarnation that has ended is still listed
 LAPSES_KEPT = 8  # lease expiries remembered of each member
@@ -46,18 +46,18 @@
     reason: str
 
 
-def register(state: World, command: RegisterMember) -> None:
+def register(state: ClusterState, command: RegisterMember) -> None:
     """Enter a new incarnation of a member; one that has ended does not return."""
     member = Member(
         kind=command.kind,
         name=command.name,
-        life=command.incarnation,
+        incarnation=command.incarnation,
         zone=command.zone,
         address=command.address,
         version=command.version,
-        stops=command.stops_at_lease_expiry,
-        since=state.clock,
-        joined=state.clock,
+        stops_at_lease_expiry=command.stops_at_lease_expiry,
+        state_since=state.clock,
+        joined_at=state.clock,
     )
     known = state.members.get(member.key)
     if known is not None and known.state == "ended":
@@ -67,24 +67,24 @@
     _note_membership_change(state, member)
     if member.kind == "node":
         _register_node_target(state, member, command.unit_type)
-    state.told = state.epoch
+    state.orders_epoch = state.epoch
     _forget_ended(state)
 
 
-def _register_node_target(state: World, member: Member, unit_type: str) -> None:
+def _register_node_target(state: ClusterState, member: Member, unit_type: str) -> None:
     key = permits.key_of("node", member.name)
     target = state.targets.setdefault(key, Target("node", member.name))
     target.zone, target.type = member.zone, unit_type
     _update_node_health(state, member.name)
 
 
-def _forget_ended(state: World) -> None:
+def _forget_ended(state: ClusterState) -> None:
     for key, member in list(state.members.items()):
-        if member.state == "ended" and state.clock - member.since > ENDED_KEPT_US:
+        if member.state == "ended" and state.clock - member.state_since > ENDED_KEPT_US:
             del state.members[key]
 
 
-def _update_node_health(state: World, name: str) -> None:
+def _update_node_health(state: ClusterState, name: str) -> None:
     """A node is there while any of its incarnations is."""
     target = state.targets.get(permits.key_of("node", name))
     if target is None:
@@ -93,32 +93,32 @@
     present = any(member.state in ("live", "cut-off") for member in incarnations)
     health = "well" if present else "silent"
     if target.health != health:
-        target.health, target.since = health, state.clock
+        target.health, target.health_since = health, state.clock
 
 
-def _change_state(state: World, key: str, new_state: str) -> Member | None:
+def _change_state(state: ClusterState, key: str, new_state: str) -> Member | None:
     """Set a member's state; None where it is unknown, has ended, or is in that state already."""
     member = state.members.get(key)
     if member is None or member.state in (new_state, "ended"):
         return None
-    member.state, member.since = new_state, state.clock
+    member.state, member.state_since = new_state, state.clock
     if member.kind == "node":
         _update_node_health(state, member.name)
     _note_membership_change(state, member)
     return member
 
 
-def _note_membership_change(state: World, member: Member) -> None:
+def _note_membership_change(state: ClusterState, member: Member) -> None:
     """Nodes that gossip are to ask again who is there."""
     if state.zoning.news and member.kind == "node":
-        state.peopled = state.told = state.epoch
+        state.membership_epoch = state.orders_epoch = state.epoch
 
 
-def expire(state: World, command: ExpireSessions) -> None:
+def expire(state: ClusterState, command: ExpireSessions) -> None:
     """Mark members whose lease has expired; their budget leases end with it."""
     for key in command.silent:
         if (member := _change_state(state, key, "silent")) is not None:
-            member.lapses = [*member.lapses, state.clock][-LAPSES_KEPT:]
+            member.lease_expiries = [*member.lease_expiries, state.clock][-LAPSES_KEPT:]
             state.note(f"{member.kind} {member.name} is silent")
             _lose_supervised_permits(state, member)
     for key in command.unreachable:
@@ -130,12 +130,12 @@
         slices.ended(state, key)  # the lease has ended at its holder before it ended here
 
 
-def _supervises(state: World, member: Member, unit_name: str) -> bool:
+def _supervises(state: ClusterState, member: Member, unit_name: str) -> bool:
     unit = state.units.get(unit_name)
-    return unit is not None and unit.steward == member.name
+    return unit is not None and unit.supervisor == member.name
 
 
-def _lose_supervised_permits(state: World, member: Member) -> None:
+def _lose_supervised_permits(state: ClusterState, member: Member) -> None:
     """A unit that a silent supervisor was replacing may be out, and nobody can tell: it counts as out."""
     if member.kind != "steward":
         return
@@ -145,7 +145,7 @@
             permits.move(state, permit, "lose")
 
 
-def restore(state: World, command: RestoreSession) -> None:
+def restore(state: ClusterState, command: RestoreSession) -> None:
     """A silent member is back, and with a supervisor the permits of its units."""
     member = _change_state(state, command.member_key, "live")
     if member is None:
@@ -158,12 +158,12 @@
             permits.move(state, permit, "find")
 
 
-def end(state: World, command: EndMember) -> None:
+def end(state: ClusterState, command: EndMember) -> None:
     """The process is known to have ended: nothing waits for it any longer."""
     end_member(state, command.member_key, command.reason)
 
 
-def end_member(state: World, key: str, reason: str) -> None:
+def end_member(state: ClusterState, key: str, reason: str) -> None:
     """Mark a member as ended and free what it held."""
     member = _change_state(state, key, "ended")
     if member is None:
--- a/cedarmill/fleet/state_machine/setup.py
+++ b/cedarmill/fleet/state_machine/setup.py
@@ -1,7 +1,7 @@
 """The first entry of a cluster, and the passing of time."""
 
+from cedarmill.fleet.state import ClusterState
 from cedarmill.fleet.state_machine.command import Command, Handlers
-from cedarmill.fleet.world import World
 
 
 class AdvanceTime(Command, tag="tick", frozen=True):
@@ -20,16 +20,16 @@
     slow_start_share: int
 
 
-def advance_time(state: World, command: AdvanceTime) -> None:
+def advance_time(state: ClusterState, command: AdvanceTime) -> None:
     """Nothing of its own."""
 
 
-def initialize(state: World, command: InitializeCluster) -> None:
+def initialize(state: ClusterState, command: InitializeCluster) -> None:
     """Take over the settings of the cluster; the generation never falls."""
     state.cluster = command.cluster
     state.generation = max(state.generation, command.generation)
-    state.cold_us, state.cold_share = command.slow_start_us, command.slow_start_share
-    state.told = state.epoch
+    state.slow_start_us, state.slow_start_share = command.slow_start_us, command.slow_start_share
+    state.orders_epoch = state.epoch
 
 
 HANDLERS: Handlers = {AdvanceTime: advance_time, InitializeCluster: initialize}
--- a/cedarmill/fleet/state_machine/targets.py
+++ b/cedarmill/fleet/state_machine/targets.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from cedarmill.fleet import permits, release
+from cedarmill.fleet.state import ClusterState, Target
 from cedarmill.fleet.state_machine.command import Command, Handlers
-from cedarmill.fleet.world import Target, World
 
 
 class UpdateTargets(Command, tag="seen", frozen=True):
@@ -26,43 +26,43 @@
     reason: str
 
 
-def update_targets(state: World, command: UpdateTargets) -> None:
+def update_targets(state: ClusterState, command: UpdateTargets) -> None:
     """Take over what is observed; a target that was restarted, or returns, begins its slow start."""
     for observed in command.targets:
         key = permits.key_of(observed.kind, observed.name)
         known = state.targets.get(key)
         state.targets[key] = msgspec.structs.replace(
             observed,
-            since=_health_since(state, observed, known),
-            cold_from=_slow_start_from(state, observed, known),
+            health_since=_health_since(state, observed, known),
+            slow_start_from=_slow_start_from(state, observed, known),
         )
 
 
-def _health_since(state: World, observed: Target, known: Target | None) -> int:
+def _health_since(state: ClusterState, observed: Target, known: Target | None) -> int:
     if known is None or known.health != observed.health:
         return state.clock
-    return known.since
+    return known.health_since
 
 
-def _slow_start_from(state: World, observed: Target, known: Target | None) -> int:
+def _slow_start_from(state: ClusterState, observed: Target, known: Target | None) -> int:
     if known is None:
         return -1
     if observed.started_ms > known.started_ms > 0:
         return state.clock  # it was restarted, whoever did it
     returned = known.health == "silent" and observed.health == "well"
-    return state.clock if returned and known.cold_from < 0 else known.cold_from
+    return state.clock if returned and known.slow_start_from < 0 else known.slow_start_from
 
 
-def update_units(state: World, command: UpdateUnits) -> None:
+def update_units(state: ClusterState, command: UpdateUnits) -> None:
     """Take over a supervisor's report."""
     release.seen(state, command.supervisor, command.units)
 
 
-def halt_grants(state: World, command: HaltGrants) -> None:
+def halt_grants(state: ClusterState, command: HaltGrants) -> None:
     """Begin or end a halt of all grants and releases."""
-    if command.reason == state.halted:
+    if command.reason == state.halt_reason:
         return
-    state.halted = command.reason
+    state.halt_reason = command.reason
     state.note(f"nothing is granted: {command.reason}" if command.reason else "grants go on")
 
 
--- a/cedarmill/fleet/state_machine/traffic.py
+++ b/cedarmill/fleet/state_machine/traffic.py
@@ -3,8 +3,8 @@
 from cedarmill.fleet import overload, traffic
 from cedarmill.fleet.errors import RequestRejected
 from cedarmill.fleet.evidence import WHOLE, Evidence
+from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
-from cedarmill.fleet.world import Done, World
 
 
 class RecordZoneEvidence(Command, tag="observed", frozen=True):
@@ -25,12 +25,12 @@
     reason: str = ""
 
 
-def record_evidence(state: World, command: RecordZoneEvidence) -> None:
+def record_evidence(state: ClusterState, command: RecordZoneEvidence) -> None:
     """Take over the newest evidence."""
     traffic.observe(state, command.evidence)
 
 
-def override_admission(state: World, request: OverrideAdmission) -> Done:
+def override_admission(state: ClusterState, request: OverrideAdmission) -> RequestOutcome:
     """Set or end the override; raises RequestRejected where it has no reason, no end or no valid part."""
     begins = request.weight >= 0
     complete = bool(request.reason.strip()) and request.duration_us > 0 and 0 <= request.part <= WHOLE
--- a/cedarmill/fleet/state_machine/zones.py
+++ b/cedarmill/fleet/state_machine/zones.py
@@ -4,8 +4,8 @@
 
 from cedarmill.fleet import permits, traffic
 from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine.command import DEFAULT_WAIT_US, Handlers, OperatorRequest, accepted
-from cedarmill.fleet.world import Done, World
 from cedarmill.fleet.zones import Zone, Zoning
 
 
@@ -25,7 +25,7 @@
     wait_us: int = DEFAULT_WAIT_US
 
 
-def set_zones(state: World, request: SetZones) -> Done:
+def set_zones(state: ClusterState, request: SetZones) -> RequestOutcome:
     """Replace the layout; raises RequestRejected naming what is wrong with it."""
     if fault := traffic.set_up(state, request.zoning):
         raise RequestRejected(fault)
@@ -34,7 +34,7 @@
     return accepted(state, f"{len(zones)} zones are planned")
 
 
-def control_zone(state: World, request: ControlZone) -> Done:
+def control_zone(state: ClusterState, request: ControlZone) -> RequestOutcome:
     """Carry out an operator's action; raises RequestRejected where it is not possible now."""
     if request.action in ("freeze", "thaw"):
         return _freeze_or_thaw(state, request)
@@ -47,7 +47,7 @@
     return handler(state, zone, request)
 
 
-def _freeze_or_thaw(state: World, request: ControlZone) -> Done:
+def _freeze_or_thaw(state: ClusterState, request: ControlZone) -> RequestOutcome:
     frozen = request.action == "freeze"
     author = f"{request.requester}: {request.reason or 'no reason given'}"
     state.traffic.frozen = author if frozen else ""
@@ -56,7 +56,7 @@
     return accepted(state, "nothing moves by itself" if frozen else "traffic moves again")
 
 
-def _evacuate(state: World, zone: Zone, request: ControlZone) -> Done:
+def _evacuate(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
     """Evacuate a zone: under a permit, and only where the others can take its load."""
     if state.traffic.frozen:
         raise RequestRejected(f"the plan is frozen by {state.traffic.frozen}: thaw it first")
@@ -66,14 +66,14 @@
     zone.over = request.evacuation_us
     permit = permits.ask(state, "zone", zone.name, request.requester, request.reason, 0, request.wait_us)
     state.traffic.next = 0
-    return Done(state.clock, permit.state != "refused", "; ".join(permit.notes), [permit.id])
+    return RequestOutcome(state.clock, permit.state != "refused", "; ".join(permit.notes), [permit.id])
 
 
-def _stay(state: World, zone: Zone, request: ControlZone) -> Done:
+def _stay(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
     return cancel_evacuation(state, zone.name, f"{request.requester}: {request.reason}")
 
 
-def cancel_evacuation(state: World, name: str, reason: str) -> Done:
+def cancel_evacuation(state: ClusterState, name: str, reason: str) -> RequestOutcome:
     """Return a zone's permit or withdraw its request; raises RequestRejected where there is none."""
     permit = permits.open_permit(state, "zone", name)
     if permit is None:
@@ -86,7 +86,7 @@
     return accepted(state, f"permit {permit.id} is {permit.state}", [permit.id])
 
 
-def _pin(state: World, zone: Zone, request: ControlZone) -> Done:
+def _pin(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
     """Keep a zone in its state, or let it change again."""
     zone.pinned = request.action == "pin"
     state.traffic.next = 0
@@ -94,14 +94,14 @@
     return accepted(state, f"{zone.name} stays {zone.state}" if zone.pinned else "it moves again")
 
 
-def _declare_lost(state: World, zone: Zone, request: ControlZone) -> Done:
+def _declare_lost(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
     if not request.reason.strip():
         raise RequestRejected("a word takes a reason")
     moved = traffic.lose(state, zone, f"{request.requester}: {request.reason}")
-    return Done(state.clock, moved, f"zone {zone.name} is {zone.state}")
+    return RequestOutcome(state.clock, moved, f"zone {zone.name} is {zone.state}")
 
 
-ACTIONS: dict[str, Callable[[World, Zone, ControlZone], Done]] = {
+ACTIONS: dict[str, Callable[[ClusterState, Zone, ControlZone], RequestOutcome]] = {
     "leave": _evacuate,
     "stay": _stay,
     "pin": _pin,
--- a/cedarmill/fleet/traffic.py
+++ b/cedarmill/fleet/traffic.py
@@ -10,12 +10,12 @@
 
 from cedarmill.fleet import overload, permits, zones
 from cedarmill.fleet.evidence import BOUNDS, FAILING, KEPT_US, LATE, WHOLE, Evidence, ZoneNews
-from cedarmill.fleet.world import Target
+from cedarmill.fleet.state import Target
 from cedarmill.fleet.zones import Zone, Zoning
 
 if TYPE_CHECKING:
-    from cedarmill.fleet import words as f
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.messages import RouteWeights
+    from cedarmill.fleet.state import ClusterState
 
 WELL = FAILING // 3  # thousandths of failures below which a zone that was ill counts as well
 PROMPT = LATE // 3  # thousandths of late jobs below which slots claimed are believed more
@@ -23,7 +23,7 @@
 MASS = 2  # zones lost at once, and more than half of all, that are not believed
 
 
-def set_up(world: "World", zoning: Zoning) -> str:
+def set_up(world: "ClusterState", zoning: Zoning) -> str:
     """Zones as an operator lays them; why not, where that cannot be."""
     names = zoning.zones
     if len(set(names)) < len(names):
@@ -43,11 +43,13 @@
         target = Target("zone", name, name, group=zoning.region(name))
         world.targets.setdefault(permits.key_of("zone", name), target)
     world.traffic.shares, world.traffic.aim, world.traffic.next = {}, {}, 0
-    world.peopled = world.epoch  # nodes that are there already are to hear of each other, where news are on
+    world.membership_epoch = (
+        world.epoch
+    )  # nodes that are there already are to hear of each other, where news are on
     return ""
 
 
-def observe(world: "World", evidence: Evidence) -> None:
+def observe(world: "ClusterState", evidence: Evidence) -> None:
     """News of the zones; what is not seen now keeps what was known of it, for a time."""
     traffic = world.traffic
     traffic.told = evidence
@@ -64,7 +66,7 @@
         _note_since(world, zone, found[name])
 
 
-def _held(world: "World", name: str, news: ZoneNews, old: ZoneNews | None, blind: bool) -> ZoneNews:
+def _held(world: "ClusterState", name: str, news: ZoneNews, old: ZoneNews | None, blind: bool) -> ZoneNews:
     """What is unknown counts as it was: slots as believed last, demand as long as it may still be there."""
     if old is None:
         return news
@@ -78,7 +80,7 @@
     return msgspec.structs.replace(news, **changes) if changes else news
 
 
-def _note_since(world: "World", zone: Zone, news: ZoneNews) -> None:
+def _note_since(world: "ClusterState", zone: Zone, news: ZoneNews) -> None:
     """Since when it is seen to be bad or well; where nothing is seen, nothing is known to have changed."""
     if news.verdict == "unknown":
         return
@@ -88,7 +90,7 @@
     zone.well_since = (zone.well_since if zone.well_since >= 0 else world.clock) if well else -1
 
 
-def move(world: "World", zone: Zone, event: str, why: str = "") -> bool:
+def move(world: "ClusterState", zone: Zone, event: str, why: str = "") -> bool:
     """Take a zone to its next state; whether there is one."""
     state = zones.STATES.get((zone.state, event))
     if state is None:
@@ -101,25 +103,25 @@
     target = world.targets.get(permits.key_of("zone", zone.name))
     if target is not None:
         health = "silent" if state == "lost" else "well"
-        target.since = target.since if target.health == health else world.clock
+        target.health_since = target.health_since if target.health == health else world.clock
         target.health = health
     world.note(f"zone {zone.name} is {state}" + (f": {why}" if why else ""))
     return True
 
 
-def lose(world: "World", zone: Zone, why: str) -> bool:
+def lose(world: "ClusterState", zone: Zone, why: str) -> bool:
     """An operator says that it is lost."""
     world.traffic.next = 0
     return move(world, zone, "lose", why)
 
 
-def dwell(world: "World", zone: Zone) -> int:
+def dwell(world: "ClusterState", zone: Zone) -> int:
     """How long it has to be well before it is believed: longer, the oftener it was lost lately (us)."""
     lately = sum(world.clock - at < zones.FLAP_US for at in zone.losses)
     return min(zones.DWELL_MOST, zones.DWELL_US << max(0, lately - 1))
 
 
-def advance(world: "World") -> None:
+def advance(world: "ClusterState") -> None:
     """Whatever is due by now."""
     traffic = world.traffic
     if not world.zoning.regions or traffic.news is None or world.clock < traffic.next:
@@ -135,11 +137,11 @@
         _aim(world, turned)
         _step(world)
     if turned:
-        world.told = world.epoch
+        world.orders_epoch = world.epoch
     traffic.next = _next(world)
 
 
-def shed(world: "World") -> None:
+def shed(world: "ClusterState") -> None:
     """One step of the level of admission, where the fleet agrees on one: over all, and for the reqs of single
     zones that may go only so far, where these alone find no room.
     """
@@ -158,7 +160,7 @@
     turned = sum(one.turned * sum(one.demand.values()) for one in news.zones.values()) // max(1, wanted)
     overload.advance(world, news.wants(), slots, late, busy, good, queue, turned, world.traffic.news_at)
     left = {} if wanted > slots else zones.plan(world.zoning, world.zones, news).flow.left
-    for scope in sorted({f"{zone}/{bound}" for zone, bound in left} | world.tight.keys()):
+    for scope in sorted({f"{zone}/{bound}" for zone, bound in left} | world.scoped_admission.keys()):
         zone, _, bound = scope.partition("/")
         if (one := news.zones.get(zone)) is not None:
             wants = one.worths.get(bound, {})
@@ -166,12 +168,12 @@
             overload.tighten(world, scope, wants, max(0, has), one.late)
 
 
-def _permit(world: "World", zone: Zone):
+def _permit(world: "ClusterState", zone: Zone):
     held = (p for p in world.permits.values() if p.out and p.kind == "zone" and p.target == zone.name)
     return next(held, None)
 
 
-def _by_hand(world: "World") -> None:
+def _by_hand(world: "ClusterState") -> None:
     """A zone leaves while an operator has leave for it, and comes back when that is returned."""
     for zone in world.zones.values():
         held = _permit(world, zone) is not None
@@ -182,7 +184,7 @@
             move(world, zone, "stay")
 
 
-def _by_news(world: "World") -> None:
+def _by_news(world: "ClusterState") -> None:
     news = world.traffic.news
     due = [zone for zone in world.zones.values() if not zone.pinned and _believed_bad(world, zone)]
     gone = [z for z in due if news.zones[z.name].verdict == "lost"]
@@ -205,7 +207,7 @@
             move(world, zone, "well")
 
 
-def _believed_bad(world: "World", zone: Zone) -> bool:
+def _believed_bad(world: "ClusterState", zone: Zone) -> bool:
     verdict = world.traffic.news.zones[zone.name].verdict
     if verdict not in ("lost", "ill"):
         return False
@@ -215,7 +217,7 @@
     return world.clock - zone.bad_since >= least
 
 
-def _ramps(world: "World") -> None:
+def _ramps(world: "ClusterState") -> None:
     for zone in world.zones.values():
         if zone.pinned:
             continue
@@ -228,7 +230,7 @@
             _leave_on(world, zone)
 
 
-def _leave_on(world: "World", zone: Zone) -> None:
+def _leave_on(world: "ClusterState", zone: Zone) -> None:
     """One step of an evacuation, if the others bear it; else it stays as far as it is, and says so."""
     if _permit(world, zone) is None:
         return
@@ -248,7 +250,7 @@
         move(world, zone, "empty")
 
 
-def _missing(world: "World", name: str, open_: int = -1) -> int:
+def _missing(world: "ClusterState", name: str, open_: int = -1) -> int:
     """Slots that find no room, but for those that may not leave this zone: nobody else could bear these."""
     states = world.zones
     if open_ >= 0:
@@ -257,14 +259,14 @@
     return found.missing - found.flow.left.get((name, "zone"), 0)
 
 
-def short_without(world: "World", name: str) -> int:
+def short_without(world: "ClusterState", name: str) -> int:
     """Slots of others' room that would be missing if this zone were emptied (thousandths)."""
     if world.traffic.news is None:
         return 0
     return _missing(world, name, 0) - _missing(world, name)
 
 
-def _trust(world: "World") -> None:
+def _trust(world: "ClusterState") -> None:
     """Late jobs where the plan left room show that slots are claimed and are not there."""
     traffic = world.traffic
     room, _ = zones.rooms(world.zoning, world.zones, traffic.news)
@@ -285,7 +287,7 @@
             zone.trust, zone.trusted = min(most, zone.trust + zones.TRUST_UP), world.clock
 
 
-def _aim(world: "World", turned: bool) -> None:
+def _aim(world: "ClusterState", turned: bool) -> None:
     """A new aim, where it differs by enough to matter or a zone's state has changed."""
     traffic = world.traffic
     found = zones.plan(world.zoning, world.zones, traffic.news)
@@ -298,10 +300,10 @@
     if moves or traffic.stood != traffic.news_at:
         moves |= _stand(world, found)
     if moves:
-        traffic.epoch = world.told = world.epoch
+        traffic.epoch = world.orders_epoch = world.epoch
 
 
-def _stand(world: "World", found: zones.Plan) -> bool:
+def _stand(world: "ClusterState", found: zones.Plan) -> bool:
     """What stands for the loss of each zone, by the newest news; whether it differs by enough to be told."""
     traffic = world.traffic
     then = zones.standing(world.zoning, world.zones, traffic.news, found)
@@ -313,7 +315,7 @@
     return True
 
 
-def _step(world: "World") -> None:
+def _step(world: "ClusterState") -> None:
     """One step towards the aim; at once away from what is lost."""
     traffic = world.traffic
     if traffic.shares == traffic.aim:
@@ -327,14 +329,14 @@
     room = {name: slots + spare[name] for name, slots in room.items()}
     traffic.shares = zones.within(traffic.shares, then, zones.demands(traffic.news), room, gone)
     traffic.at = world.clock
-    traffic.epoch = world.told = world.epoch
+    traffic.epoch = world.orders_epoch = world.epoch
 
 
 def _uses(rows: zones.Rows, gone: list[str]) -> bool:
     return any(row.get(name, 0) > zones.TRIAL for by in rows.values() for row in by.values() for name in gone)
 
 
-def _next(world: "World") -> int:
+def _next(world: "ClusterState") -> int:
     """When it has to be looked at again."""
     now, traffic = world.clock, world.traffic
     if traffic.frozen:
@@ -355,11 +357,11 @@
     return min(times)
 
 
-def due(world: "World") -> list[int]:
+def due(world: "ClusterState") -> list[int]:
     """When something changes by itself."""
     if not world.zoning.regions or world.traffic.news is None:
         return []
-    every = [world.admission, *world.tight.values()]
+    every = [world.admission, *world.scoped_admission.values()]
     moves = world.zoning.sheds and any(
         one.shed or one.late >= overload.LATE or one.hand_till > world.clock for one in every
     )
@@ -369,9 +371,9 @@
 # What members and operators are told.
 
 
-def way(world: "World", zone: str) -> "f.Way | None":
+def way(world: "ClusterState", zone: str) -> "RouteWeights | None":
     """Where the nodes of a zone send."""
-    from cedarmill.fleet import words as f
+    from cedarmill.fleet.messages import RouteWeights
 
     traffic, zoning = world.traffic, world.zoning
     if zone not in world.zones:
@@ -384,10 +386,10 @@
             shut[one.name] = permit.epoch
     standing = {lost: rows[zone] for lost, rows in traffic.standing.items() if zone in rows}
     shares = traffic.shares.get(zone) or {bound: {zone: WHOLE} for bound in BOUNDS}
-    return f.Way(traffic.epoch, zone, reach, shares, standing, shut)
+    return RouteWeights(traffic.epoch, zone, reach, shares, standing, shut)
 
 
-def what_if(world: "World", name: str) -> dict:
+def what_if(world: "ClusterState", name: str) -> dict:
     """Loads and what is missing, now and with a zone gone."""
     if world.traffic.news is None:
         return {"error": "nothing is known of zones yet"}
@@ -400,7 +402,7 @@
                       for z in world.zoning.zones}}  # fmt: skip
 
 
-def shown(world: "World") -> dict:
+def shown(world: "ClusterState") -> dict:
     """The table that operators read."""
     traffic, rows = world.traffic, []
     if traffic.news is None:
--- a/cedarmill/fleet/views.py
+++ b/cedarmill/fleet/views.py
@@ -5,19 +5,23 @@
 import msgspec
 
 from cedarmill.fleet import overload, permits, release, slices, traffic
-from cedarmill.fleet import words as f
 from cedarmill.fleet.agree.words import Snapshot
 from cedarmill.fleet.command_types import ActRelease, AnyRequest, NewRelease
 from cedarmill.fleet.evidence import BOUNDS
 from cedarmill.fleet.members import LEASE
+from cedarmill.fleet.messages import (
+    Orders,
+    ReadRequest,
+    SubmitReply,
+)
 from cedarmill.fleet.overload import Cut
-from cedarmill.fleet.world import Done, Member, Release, World, freeze
+from cedarmill.fleet.state import ClusterState, Member, Release, RequestOutcome, encode_snapshot
 
 if TYPE_CHECKING:
     from cedarmill.fleet.keeper import Keeper
 
 
-def orders(world: World, member: Member) -> f.Orders:
+def orders(world: ClusterState, member: Member) -> Orders:
     """What a member is to follow now, whole."""
     out, away, units = {}, 0, {}
     for permit in world.permits.values():
@@ -38,31 +42,34 @@
     cut, tight = Cut(), {}
     if member.kind == "node":
         cut = world.admission.cut
-        mine = [bound for bound in BOUNDS if f"{member.zone}/{bound}" in world.tight]
+        mine = [bound for bound in BOUNDS if f"{member.zone}/{bound}" in world.scoped_admission]
         tight = {bound: overload.cut_of(world, member.zone, bound) for bound in mine}
-    peers = world.peopled if world.zoning.news and member.kind == "node" else 0
+    peers = world.membership_epoch if world.zoning.news and member.kind == "node" else 0
     out = out if member.kind == "node" else {}
-    return f.Orders(world.told, out, away, units, way, cut, tight, purse, peers)
+    return Orders(world.orders_epoch, out, away, units, way, cut, tight, purse, peers)
 
 
-def _peers(world: World) -> dict[str, str]:
+def _peers(world: ClusterState) -> dict[str, str]:
     """Nodes that are there and may be reached: each knows its own address."""
-    return {one.name: one.address for one in world.members.values()
-            if one.kind == "node" and one.state == "live" and one.address}  # fmt: skip
+    return {
+        one.name: one.address
+        for one in world.members.values()
+        if one.kind == "node" and one.state == "live" and one.address
+    }
 
 
-def did(world: World, request: AnyRequest, done: Done) -> f.Did:
+def did(world: ClusterState, request: AnyRequest, done: RequestOutcome) -> SubmitReply:
     """What a request came to, with its permits as they stand now."""
     if isinstance(request, NewRelease | ActRelease):
-        return f.Did(done.ok, done.text, [], done.ids[0] if done.ids else 0)
-    made = [world.permits[number] for number in done.ids if number in world.permits]
-    rows = [[p.id, p.target, p.state, p.notes, p.epoch, p.drained] for p in made]
-    return f.Did(done.ok, done.text, rows)
+        return SubmitReply(done.ok, done.text, [], done.created_ids[0] if done.created_ids else 0)
+    made = [world.permits[number] for number in done.created_ids if number in world.permits]
+    rows = [[p.id, p.target, p.state, p.notes, p.epoch, p.drained_at] for p in made]
+    return SubmitReply(done.ok, done.text, rows)
 
 
-def _permit(world: World, permit) -> dict:
+def _permit(world: ClusterState, permit) -> dict:
     row = msgspec.to_builtins(permit)
-    row["age_s"] = round((world.clock - (permit.granted or permit.asked)) / 1e6, 1)
+    row["age_s"] = round((world.clock - (permit.granted_at or permit.requested_at)) / 1e6, 1)
     return row
 
 
@@ -70,8 +77,8 @@
     world = keeper.world
     row = msgspec.to_builtins(found)
     plan = found.plan
-    row["plan"] = {"version": plan.version, "groups": plan.groups, "width": plan.width}
-    row["age_s"] = round((world.clock - found.since) / 1e6, 1)
+    row["plan"] = {"version": plan.version, "groups": plan.groups, "width": plan.max_concurrent}
+    row["age_s"] = round((world.clock - found.state_since) / 1e6, 1)
     side = keeper.sides.get(found.id)
     row["new"], row["rest"] = (list(side.new), list(side.rest)) if side is not None else ([], [])
     return row
@@ -80,17 +87,30 @@
 def _status(keeper: "Keeper", now: int) -> dict:
     world, agree = keeper.world, keeper.agree
     waiting = sum(p.state == "waiting" for p in world.permits.values())
-    followers = {name: {"match": one.match, "silent_s": round((now - one.heard) / 1e6, 2)}
-                 for name, one in agree.followers.items()}  # fmt: skip
+    followers = {
+        name: {"match": one.match, "silent_s": round((now - one.heard) / 1e6, 2)}
+        for name, one in agree.followers.items()
+    }
     return {
-        "cluster": world.cluster, "generation": world.generation, "leader": keeper.name, "term": agree.term,
-        "agreed": agree.commit, "epoch": world.told, "halted": world.halted, "clock_s": world.clock / 1e6,
-        "keepers": {name: {"address": p.address, "votes": p.voter, "disk": p.disk, **followers.get(name, {})}
-                    for name, p in agree.config.items()},
-        "out": sorted(p.target for p in world.permits.values() if p.out), "waiting": waiting,
-        "members": {kind: sum(m.kind == kind and m.state == "live" for m in world.members.values())
-                    for kind in ("node", "steward")},
-    }  # fmt: skip
+        "cluster": world.cluster,
+        "generation": world.generation,
+        "leader": keeper.name,
+        "term": agree.term,
+        "agreed": agree.commit,
+        "epoch": world.orders_epoch,
+        "halted": world.halt_reason,
+        "clock_s": world.clock / 1e6,
+        "keepers": {
+            name: {"address": p.address, "votes": p.voter, "disk": p.disk, **followers.get(name, {})}
+            for name, p in agree.config.items()
+        },
+        "out": sorted(p.target for p in world.permits.values() if p.out),
+        "waiting": waiting,
+        "members": {
+            kind: sum(m.kind == kind and m.state == "live" for m in world.members.values())
+            for kind in ("node", "steward")
+        },
+    }
 
 
 def _members(keeper: "Keeper", now: int) -> list[dict]:
@@ -104,39 +124,60 @@
     return rows
 
 
-def _would(world: World, ask: f.Look) -> list[dict]:
-    return [{"target": name, "verdict": verdict.word, "reasons": list(verdict.reasons)}
-            for name, verdict in permits.would(world, ask.kind or "executor", ask.names)]  # fmt: skip
+def _would(world: ClusterState, ask: ReadRequest) -> list[dict]:
+    return [
+        {"target": name, "verdict": verdict.word, "reasons": list(verdict.reasons)}
+        for name, verdict in permits.would(world, ask.kind or "executor", ask.names)
+    ]
 
 
-def _limits(world: World) -> list[dict]:
+def _limits(world: ClusterState) -> list[dict]:
     rows = []
     for limit in world.limits:
         scopes = sorted({at for t in world.targets.values() if (at := permits.scope(limit, t)) is not None})
         out = permits.out_parts(world)
         for at in scopes or [""]:
             members = [key for key, t in world.targets.items() if permits.scope(limit, t) == at]
-            rows.append({"limit": limit.text(), "scope": at, "of": len(members),
-                         "allowed": permits.allowed(limit, len(members)),
-                         "out": sum(out.get(key, 0) for key in members) / 1000, "kind": limit.kind,
-                         "per": limit.per, "most": limit.most, "share": limit.share,
-                         "capacity_left": limit.capacity_left})  # fmt: skip
+            rows.append(
+                {
+                    "limit": limit.text(),
+                    "scope": at,
+                    "of": len(members),
+                    "allowed": permits.allowed(limit, len(members)),
+                    "out": sum(out.get(key, 0) for key in members) / 1000,
+                    "kind": limit.kind,
+                    "per": limit.per,
+                    "most": limit.most,
+                    "share": limit.share,
+                    "capacity_left": limit.capacity_left,
+                }
+            )
     return rows
 
 
-def _budgets(world: World) -> list[dict]:
+def _budgets(world: ClusterState) -> list[dict]:
     """Of each budget: what it is, what is leased, to whom, and who wants how much."""
     rows = []
     for name, budget in world.budgets.items():
-        by = world.slices.get(name, {})
-        rows.append({"name": name, "rate": budget.rate, "floor": budget.floor, "leased": slices.held(by),
-                     "most": budget.leased, "wanted": sum(one.want for one in by.values()),
-                     "slices": {key: {"rate": one.rate, "counts": one.counts, "want": one.want}
-                                for key, one in sorted(by.items())}})  # fmt: skip
+        by = world.budget_grants.get(name, {})
+        rows.append(
+            {
+                "name": name,
+                "rate": budget.rate,
+                "floor": budget.floor,
+                "leased": slices.held(by),
+                "most": budget.leased,
+                "wanted": sum(one.want for one in by.values()),
+                "slices": {
+                    key: {"rate": one.rate, "counts": one.counts, "want": one.want}
+                    for key, one in sorted(by.items())
+                },
+            }
+        )
     return rows
 
 
-def _offered(world: World) -> dict[str, dict[int, int]]:
+def _offered(world: ClusterState) -> dict[str, dict[int, int]]:
     """Slots that the clients of each zone want, by worth, both in thousandths."""
     found: dict[str, dict[int, int]] = {}
     for name, zone in world.traffic.news.zones.items() if world.traffic.news is not None else ():
@@ -157,7 +198,7 @@
     return found
 
 
-def show(keeper: "Keeper", now: int, ask: f.Look) -> bytes:
+def show(keeper: "Keeper", now: int, ask: ReadRequest) -> bytes:
     """A part of what is agreed, as JSON."""
     world = keeper.world
     parts = {
@@ -165,22 +206,29 @@
         "members": lambda: _members(keeper, now),
         "targets": lambda: list(world.targets.values()),
         "limits": lambda: _limits(world),
-        "permits": lambda: [_permit(world, p) for p in world.permits.values() if not ask.names or p.id in
-                            map(int, ask.names)],
+        "permits": lambda: [
+            _permit(world, p) for p in world.permits.values() if not ask.names or p.id in map(int, ask.names)
+        ],
         "releases": lambda: [_release(keeper, r) for r in world.releases.values()],
         "units": lambda: list(world.units.values()),
         "peers": lambda: _peers(world),
         "log": lambda: world.log,
         "budgets": lambda: _budgets(world),
-        "admission": lambda: {"fleet": world.admission, "tight": world.tight, "offered": _offered(world)},
+        "admission": lambda: {
+            "fleet": world.admission,
+            "tight": world.scoped_admission,
+            "offered": _offered(world),
+        },
         "would": lambda: _would(world, ask),
         "zones": lambda: _zones(keeper, now),
         "what-if": lambda: traffic.what_if(world, ask.names[0] if ask.names else ""),
         "world": lambda: world,
-    }  # fmt: skip
-    if ask.what == "backup":
+    }
+    if ask.view == "backup":
         agree = keeper.agree
-        snapshot = Snapshot(agree.applied, agree.log.term(agree.applied), agree.config, freeze(world))
+        snapshot = Snapshot(
+            agree.applied, agree.log.term(agree.applied), agree.config, encode_snapshot(world)
+        )
         return msgspec.msgpack.encode(snapshot)
-    part = parts.get(ask.what)
-    return msgspec.json.encode(part() if part is not None else {"error": f"no part {ask.what!r}"})
+    part = parts.get(ask.view)
+    return msgspec.json.encode(part() if part is not None else {"error": f"no part {ask.view!r}"})
--- a/cedarmill/lab/fleet/operators.py
+++ b/cedarmill/lab/fleet/operators.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from cedarmill.conf.document import microseconds
-from cedarmill.fleet import words as f
+from cedarmill.fleet.messages import ClientReply, ClientRequest, ReadRequest, SubmitReply, SubmitRequest
+from cedarmill.fleet.state import ReleasePlan
 from cedarmill.fleet.state_machine import commands
-from cedarmill.fleet.world import Plan
 from cedarmill.lab.fleet.scenario import Happening
 from cedarmill.net.operator import Operator, new_id
 
@@ -22,7 +22,7 @@
 LOOK_S = 0.1
 ASK_S = 3.0  # for any keeper to answer, before the operator presses the key again
 PATIENCE = 40  # times that it does
-PLAN = {"width": 2, "bake": 3_000_000, "ready": 8_000_000, "sample": 30}  # of releases in the laboratory
+PLAN = {"max_concurrent": 2, "bake_us": 3_000_000, "ready_timeout_us": 8_000_000, "min_sample": 30}
 
 
 async def door_call(port: int, method: str, path: str) -> tuple[int, str]:
@@ -74,7 +74,7 @@
 
     # By the fleet.
 
-    async def ask(self, who: str, ask: f.Ask) -> f.Answer:
+    async def ask(self, who: str, ask: ClientRequest) -> ClientReply:
         """Ask the keepers till one answers; the same request each time."""
         operator = Operator("lab", self.run.crew.addresses, who)
         for _ in range(PATIENCE):
@@ -86,8 +86,8 @@
 
     async def look(self, who: str, what: str, *names: object) -> list:
         """A part of what is agreed."""
-        answer = await self.ask(who, f.Look(what, names=[str(name) for name in names]))
-        return json.loads(answer.text)
+        answer = await self.ask(who, ReadRequest(what, names=[str(name) for name in names]))
+        return json.loads(answer.body)
 
     async def _restart(self, who: str, target: str, words: dict[str, str]) -> None:
         """Drain, wait, stop, start, put back."""
@@ -103,7 +103,8 @@
     async def _restart_by_keepers(self, who: str, target: str) -> None:
         name = f"{who}:{target}"
         did = await self.ask(
-            name, f.Do(commands.RequestPermits(0, name, new_id(), "executor", (target,), "a restart"))
+            name,
+            SubmitRequest(commands.RequestPermits(0, name, new_id(), "executor", (target,), "a restart")),
         )
         permit, _, state, notes = did.permits[0][:4]
         self.run.history.tell(name, "answer", target, number=permit)
@@ -112,7 +113,7 @@
             return
         if await self._drained(name, target, permit):
             await self._take_down(name, target)
-            await self.ask(name, f.Do(commands.ReturnPermit(0, name, new_id(), "executor", target)))
+            await self.ask(name, SubmitRequest(commands.ReturnPermit(0, name, new_id(), "executor", target)))
             self.run.history.tell(name, "given", target)
 
     async def _drained(self, name: str, target: str, permit: int) -> bool:
@@ -182,25 +183,25 @@
         if not self.run.scenario.fleet.keepers:
             return
         units, version = self.run.nodes, words["version"]
-        plan = Plan(version, ((units[0],), tuple(units[1:])), **PLAN)
-        did = await self.ask(who, f.Do(commands.PlanRelease(0, who, new_id(), plan)))
+        plan = ReleasePlan(version, ((units[0],), tuple(units[1:])), **PLAN)
+        did = await self.ask(who, SubmitRequest(commands.PlanRelease(0, who, new_id(), plan)))
         for _ in range(PATIENCE):  # units are known once their stewards have told of them
             if did.ok:
                 break
             await asyncio.sleep(LOOK_S)
-            did = await self.ask(who, f.Do(commands.PlanRelease(0, who, new_id(), plan)))
+            did = await self.ask(who, SubmitRequest(commands.PlanRelease(0, who, new_id(), plan)))
         if not did.ok:
-            self.run.history.tell(who, "release-refused", note=did.text)
+            self.run.history.tell(who, "release-refused", note=did.body)
             return
-        self.releases[version] = did.release
-        await self._act(who, "start", did.release)
-        await self._watch(who, did.release)
+        self.releases[version] = did.release_id
+        await self._act(who, "start", did.release_id)
+        await self._watch(who, did.release_id)
 
-    async def _act(self, who: str, act: str, number: int) -> f.Did:
+    async def _act(self, who: str, act: str, number: int) -> SubmitReply:
         did = await self.ask(
-            who, f.Do(commands.ControlRelease(0, who, new_id(), number, act, "the scenario"))
+            who, SubmitRequest(commands.ControlRelease(0, who, new_id(), number, act, "the scenario"))
         )
-        self.run.history.tell(who, f"release-{act}", note=did.text, number=number)
+        self.run.history.tell(who, f"release-{act}", note=did.body, number=number)
         return did
 
     async def _watch(self, who: str, number: int) -> None:
@@ -234,18 +235,20 @@
         """Evacuate a zone, and wait till every node has said that it has nothing there."""
         over = microseconds(words.get("over", "2s"))
         act = commands.ControlZone(0, who, new_id(), "leave", target, over, "the scenario")
-        did = await self.ask(who, f.Do(act))
+        did = await self.ask(who, SubmitRequest(act))
         self.run.history.tell(who, "asked", target)
         if not did.ok or not did.permits:
-            self.run.history.tell(who, "refused", target, note=did.text)
+            self.run.history.tell(who, "refused", target, note=did.body)
             return
         await self._drained(who, target, did.permits[0][0])
 
     async def _stay(self, who: str, target: str, words: dict[str, str]) -> None:
         """Let a zone come back."""
         self.run.history.tell(who, "returning", target)
-        did = await self.ask(who, f.Do(commands.ControlZone(0, who, new_id(), "stay", target, 0, "done")))
-        self.run.history.tell(who, "back", target, note=did.text)
+        did = await self.ask(
+            who, SubmitRequest(commands.ControlZone(0, who, new_id(), "stay", target, 0, "done"))
+        )
+        self.run.history.tell(who, "back", target, note=did.body)
 
     async def _freeze(self, who: str, target: str, words: dict[str, str]) -> None:
         await self._on_plan(who, "freeze")
@@ -254,8 +257,10 @@
         await self._on_plan(who, "thaw")
 
     async def _on_plan(self, who: str, act: str) -> None:
-        did = await self.ask(who, f.Do(commands.ControlZone(0, who, new_id(), act, "", 0, "the scenario")))
-        self.run.history.tell(who, act, note=did.text)
+        did = await self.ask(
+            who, SubmitRequest(commands.ControlZone(0, who, new_id(), act, "", 0, "the scenario"))
+        )
+        self.run.history.tell(who, act, note=did.body)
 
     async def name_open(self) -> None:
         """At the end: what the keepers still name as out."""
--- a/cedarmill/lab/fleet/regions.py
+++ b/cedarmill/lab/fleet/regions.py
@@ -15,9 +15,9 @@
 from cedarmill.fleet import traffic, zones
 from cedarmill.fleet.evidence import BOUNDS, NEWS_US, WHOLE, Desk, Digest, Seen
 from cedarmill.fleet.follow import Follower
+from cedarmill.fleet.messages import RouteWeights
+from cedarmill.fleet.state import ClusterState, Member
 from cedarmill.fleet.state_machine import commands, dispatch
-from cedarmill.fleet.words import Way
-from cedarmill.fleet.world import Member, World
 from cedarmill.fleet.zones import Zoning, same_news, solve
 
 DT = 0.1  # s, a step
@@ -398,7 +398,7 @@
 
     def __init__(self, run: Run) -> None:
         super().__init__(run)
-        self.world = World("lab")
+        self.world = ClusterState("lab")
         self.index = 0
         self.apply(commands.SetZones(0, "lab", "1", run.zoning))
         self.members = []
@@ -410,7 +410,7 @@
         self.desk = Desk()
         self.led = True
         self.told_epoch = -1
-        self.ways: list[tuple[float, int, Way]] = []
+        self.ways: list[tuple[float, int, RouteWeights]] = []
         self.matrix = {bound: self._own.copy() for bound in BOUNDS}
         self.phase = run.random.integers(0, 10, run.place.nodes)
         self.use_phase = run.random.integers(0, 3, run.place.nodes)
@@ -484,7 +484,7 @@
         """Once all nodes have heard that a zone is shut, nothing is sent there."""
         run = self.run
         for n, name in enumerate(run.names):
-            heard = all(f.way is not None and name in f.way.shut for f in self.followers)
+            heard = all(f.way is not None and name in f.way.closed_zones for f in self.followers)
             since = self.drained.setdefault(n, run.t) if heard else self.drained.pop(n, None)
             if heard and run.t - since > 0.5:
                 sent = sum(self.matrix[bound][:, n].sum() for bound in BOUNDS)
@@ -578,7 +578,7 @@
             for bound, found in follower.rows(self.now).items():
                 row = numpy.zeros(run.count)
                 for zone, part in found.items():
-                    if zone == follower.way.zone and zone in follower.way.shut:
+                    if zone == follower.way.zone and zone in follower.way.closed_zones:
                         continue  # refused at once: its executors are out of use
                     row[run.names.index(zone)] = part / WHOLE
                 self.matrix[bound][n] = row
--- a/cedarmill/lab/fleet/storms.py
+++ b/cedarmill/lab/fleet/storms.py
@@ -19,8 +19,8 @@
 from cedarmill.fleet.overload import Gate
 from cedarmill.fleet.purse import Purses, Tries
 from cedarmill.fleet.slices import Budget
+from cedarmill.fleet.state import ClusterState, Member
 from cedarmill.fleet.state_machine import commands, dispatch
-from cedarmill.fleet.world import Member, World
 
 US = 1_000_000
 DT = 0.05  # s, between two turns of clients, news and agreement
@@ -209,7 +209,7 @@
             node.subset = list(range(place.executors))
         if self.way == "fleet":
             self._deal()
-        self.world = World("storm")
+        self.world = ClusterState("storm")
         rate = self.slots / WORK
         budgets = [Budget("retries", int(rate * 100), place.nodes),
                    Budget("probes", int(2000 * place.executors), place.nodes),
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -17,7 +17,6 @@
 import msgspec
 
 from cedarmill.fleet import slices, traffic
-from cedarmill.fleet import words as f
 from cedarmill.fleet.agent import Agent, Dial, Facts, Follow, Glance, Say, Who
 from cedarmill.fleet.agree import words as w
 from cedarmill.fleet.agree.core import Saved, Timing
@@ -25,12 +24,22 @@
 from cedarmill.fleet.follow import Follower
 from cedarmill.fleet.hosting import Host
 from cedarmill.fleet.keeper import Keeper
+from cedarmill.fleet.messages import (
+    ClientRequest,
+    ExecutorObservation,
+    HeartbeatReply,
+    Orders,
+    ReadReply,
+    ReadRequest,
+    SubmitReply,
+    SubmitRequest,
+)
 from cedarmill.fleet.purse import Purses
 from cedarmill.fleet.sightings import Place, Sightings
 from cedarmill.fleet.slices import Budget
+from cedarmill.fleet.state import EPOCH_INDEX_BITS, ClusterState, Limit, ReleasePlan, encode_snapshot
 from cedarmill.fleet.state_machine import commands
 from cedarmill.fleet.stewarding import Acted, Keep, Start, Steward, Stop
-from cedarmill.fleet.world import EPOCH_BITS, Limit, Plan, World, freeze
 from cedarmill.fleet.zones import Zoning
 from cedarmill.lab.fleet.history import History
 from cedarmill.lab.fleet.laws import Record
@@ -126,9 +135,9 @@
 class VKeeper(Process):
     """A keeper with its disk."""
 
-    def __init__(self, world: "Virtual", name: str, config: w.Config, fresh: World) -> None:
+    def __init__(self, world: "Virtual", name: str, config: w.Config, fresh: ClusterState) -> None:
         super().__init__(world, name, name)
-        self.disk = Disk(Saved(1, "", w.Snapshot(1, 1, config, freeze(fresh))))
+        self.disk = Disk(Saved(1, "", w.Snapshot(1, 1, config, encode_snapshot(fresh))))
         self.copies: list[Saved] = []
         self.token = itertools.count(1)
         self.waits: dict[int, Callable] = {}
@@ -156,7 +165,7 @@
     def _agreed(self, entry: w.Entry) -> None:
         """No other keeper may have applied anything else at that index."""
         known = self.world.agreed.setdefault(entry.index, (entry.term, entry.data))
-        epoch = self.keeper.world.generation << EPOCH_BITS | entry.index
+        epoch = self.keeper.world.generation << EPOCH_INDEX_BITS | entry.index
         self.world.granted.setdefault(epoch, self.world.time)
         if known != (entry.term, entry.data):
             when = f"{self.world.time / S:.3f} s"
@@ -174,7 +183,7 @@
     def hear(self, source: str, message: object) -> None:
         self._do(self.keeper.heard(self.clock.now(), source, message))
 
-    def ask(self, ask: f.Ask, back: Callable[[object], None]) -> None:
+    def ask(self, ask: ClientRequest, back: Callable[[object], None]) -> None:
         token = next(self.token)
         self.waits[token] = back
         self._do(self.keeper.asked(self.clock.now(), token, ask))
@@ -261,7 +270,7 @@
     def facts(self) -> Facts:
         raise NotImplementedError
 
-    def follow(self, orders: f.Orders) -> None:
+    def follow(self, orders: Orders) -> None:
         """Do as ordered."""
 
     def _again(self) -> None:
@@ -283,11 +292,11 @@
             elif isinstance(action, Glance):
                 self._glance(action)
 
-    def _say(self, ask: f.Ask) -> None:
+    def _say(self, ask: ClientRequest) -> None:
         keeper, call = self.keeper, self.calls
 
         def back(answer: object) -> None:
-            orders = isinstance(answer, f.Beaten) and answer.orders is not None
+            orders = isinstance(answer, HeartbeatReply) and answer.orders is not None
             if orders and self.name in self.world.trapped:
                 self.world.trapped.discard(self.name)
                 self.pause(4 * S)  # it stands still with orders on their way to it
@@ -333,14 +342,14 @@
         done = {}
         if self.agent.orders is not None:
             done = {name: epoch for name, epoch in self.out.items() if not self.jobs.get(name)}
-            if self.agent.orders.away:
-                done[self.name] = self.agent.orders.away
-        seen = {name: f.Sight("ready", not box.up, zone=f"z{n % self.world.shape.zones}", slots=2)
+            if self.agent.orders.drain_clients_epoch:
+                done[self.name] = self.agent.orders.drain_clients_epoch
+        seen = {name: ExecutorObservation("ready", not box.up, zone=f"z{n % self.world.shape.zones}", slots=2)
                 for n, (name, box) in enumerate(self.world.executors.items())}  # fmt: skip
         way = self.follower.way
         if way is not None:
             held = {self.world.zone_of(name) for name, jobs in self.jobs.items() if jobs}
-            done |= {zone: epoch for zone, epoch in way.shut.items() if zone not in held}
+            done |= {zone: epoch for zone, epoch in way.closed_zones.items() if zone not in held}
         wants = self.purses.wants(self.clock.now())
         return Facts(done, seen, counts=tuple(self.tally), digest=self._digest(), wants=wants)
 
@@ -356,10 +365,10 @@
         zones = self.world.by_zone
         return {zone: Place(len(names), 2000 * len(names), 0) for zone, names in zones.items()}
 
-    def follow(self, orders: f.Orders) -> None:
-        self.out = dict(orders.out)
-        self.purses.told(self.clock.now(), self.agent.holds(self.clock.now()), orders.purse)
-        if self.follower.told(orders.way):
+    def follow(self, orders: Orders) -> None:
+        self.out = dict(orders.excluded_executors)
+        self.purses.told(self.clock.now(), self.agent.holds(self.clock.now()), orders.budget_leases)
+        if self.follower.told(orders.routes):
             who, epoch = f"{self.name}/{self.who.life}", self.follower.way.epoch
             self.world.history.tell(who, "follows", self.zone, epoch=epoch)
 
@@ -451,7 +460,7 @@
     def facts(self) -> Facts:
         return Facts(units=self.core.told(), ended=self.core.ended)
 
-    def follow(self, orders: f.Orders) -> None:
+    def follow(self, orders: Orders) -> None:
         self.orders = orders
         self._act(self.core.order(self.clock.now(), orders.units, self.agent.lease_till))
 
@@ -571,10 +580,12 @@
             self.world.send(keeper, self.name, lambda: self._heard(answer, step))
 
         asks = {
-            "ask": lambda: f.Do(commands.RequestPermits(0, self.name, "1", "executor", (self.target,))),
-            "wait": lambda: f.Look("permits", names=[str(self.permit)]),
-            "give": lambda: f.Do(commands.ReturnPermit(0, self.name, "2", "executor", self.target)),
-        }  # fmt: skip
+            "ask": lambda: SubmitRequest(
+                commands.RequestPermits(0, self.name, "1", "executor", (self.target,))
+            ),
+            "wait": lambda: ReadRequest("permits", names=[str(self.permit)]),
+            "give": lambda: SubmitRequest(commands.ReturnPermit(0, self.name, "2", "executor", self.target)),
+        }
         self.world.ask(self.name, keeper, asks[self.step](), back)
         if self.step == "ask" and self.tries == 1 and self.dice.random() < 0.3:  # pressed twice
             other = self.dice.choice(list(self.world.keepers))
@@ -582,16 +593,16 @@
         self.world.after(self.dice.randrange(200, 700) * MS, self._go)
 
     def _heard(self, answer: object, step: str) -> None:
-        if step == "ask" and isinstance(answer, f.Did):
+        if step == "ask" and isinstance(answer, SubmitReply):
             self.world.history.tell(self.name, "answer", self.target, number=answer.permits[0][0])
-        if self.step == "ask" and isinstance(answer, f.Did):
+        if self.step == "ask" and isinstance(answer, SubmitReply):
             self.permit = answer.permits[0][0]
             self._saw(answer.permits[0][2], answer.permits[0][4], answer.permits[0][5])
-        elif self.step == "wait" and isinstance(answer, f.Shown):
-            rows = msgspec.json.decode(answer.text)
+        elif self.step == "wait" and isinstance(answer, ReadReply):
+            rows = msgspec.json.decode(answer.body)
             if rows:
                 self._saw(rows[0]["state"], rows[0]["epoch"], rows[0]["drained"])
-        elif self.step == "give" and isinstance(answer, f.Did):
+        elif self.step == "give" and isinstance(answer, SubmitReply):
             self.step = "end"
             self.world.history.tell(self.name, "given", self.target)
 
@@ -666,7 +677,7 @@
             self.by_zone.setdefault(self.zone_of(name), []).append(name)
         names = [f"keeper-{n}" for n in range(shape.keepers)]
         config = {name: w.Peer("", True, "") for name in names}
-        fresh = World("lab", limits=list(shape.limits), cold_us=COLD)
+        fresh = ClusterState("lab", limits=list(shape.limits), slow_start_us=COLD)
         if shape.spends:
             slices.set_up(fresh, [BUDGET])
         if shape.plans:
@@ -718,7 +729,7 @@
 
         self.after(at - self.time, arrive)
 
-    def ask(self, source: str, keeper: str, ask: f.Ask, back: Callable[[object], None]) -> None:
+    def ask(self, source: str, keeper: str, ask: ClientRequest, back: Callable[[object], None]) -> None:
         """A member or an operator asks a keeper."""
         life = self.keepers[keeper].life
 
@@ -792,7 +803,7 @@
         held: dict[int, tuple[str, bytes]] = {}
         for keeper in self.keepers.values():
             world = keeper.keeper.world
-            text = freeze(world)
+            text = encode_snapshot(world)
             name, other = held.setdefault(world.index, (keeper.name, text))
             if other != text:
                 self.found.append(f"{self.time / S:.3f} s: {name} and {keeper.name} differ at {world.index}")
@@ -994,12 +1005,12 @@
     def _go(self) -> None:
         keeper = self.dice.choice(list(self.world.keepers))
         units = [f"node-{n}" for n in range(self.world.shape.nodes)]
-        plan = Plan(self.version, ((units[0],), tuple(units[1:])), 2, 0, 3 * S, 4 * S, 20)
+        plan = ReleasePlan(self.version, ((units[0],), tuple(units[1:])), 2, 0, 3 * S, 4 * S, 20)
         asks = {
-            "plan": lambda: f.Do(commands.PlanRelease(0, "driver", "1", plan)),
-            "start": lambda: f.Do(commands.ControlRelease(0, "driver", "2", self.number, "start")),
-            "watch": lambda: f.Look("releases"),
-            "back": lambda: f.Do(commands.ControlRelease(0, "driver", "3", self.number, "back")),
+            "plan": lambda: SubmitRequest(commands.PlanRelease(0, "driver", "1", plan)),
+            "start": lambda: SubmitRequest(commands.ControlRelease(0, "driver", "2", self.number, "start")),
+            "watch": lambda: ReadRequest("releases"),
+            "back": lambda: SubmitRequest(commands.ControlRelease(0, "driver", "3", self.number, "back")),
         }  # fmt: skip
         step = self.step
 
@@ -1012,13 +1023,13 @@
     def _heard(self, step: str, answer: object) -> None:
         if step != self.step:
             return
-        if step == "plan" and isinstance(answer, f.Did) and answer.ok:
-            self.number, self.step = answer.release, "start"
-        elif step == "start" and isinstance(answer, f.Did):
+        if step == "plan" and isinstance(answer, SubmitReply) and answer.ok:
+            self.number, self.step = answer.release_id, "start"
+        elif step == "start" and isinstance(answer, SubmitReply):
             self.step = "watch"
-        elif step == "watch" and isinstance(answer, f.Shown):
-            self._saw(msgspec.json.decode(answer.text))
-        elif step == "back" and isinstance(answer, f.Did):
+        elif step == "watch" and isinstance(answer, ReadReply):
+            self._saw(msgspec.json.decode(answer.body))
+        elif step == "back" and isinstance(answer, SubmitReply):
             self.step = "watch"
 
     def _saw(self, rows: list[dict]) -> None:
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -11,7 +11,7 @@
 
 from nodes import ROOT, WAIT
 
-from cedarmill.fleet import words as f
+from cedarmill.fleet.messages import ExecutorObservation, Heartbeat, HeartbeatReply, Orders, ReadRequest
 from cedarmill.lab.fleet.crew import free_port
 from cedarmill.net.operator import NoKeeper, Operator
 
@@ -82,7 +82,7 @@
 
     def look(self, what: str, *names: str):
         """A part of what is agreed."""
-        return json.loads(self.operator.ask(f.Look(what, names=list(names)), LONG).text)
+        return json.loads(self.operator.ask(ReadRequest(what, names=list(names)), LONG).body)
 
     def leader(self) -> str:
         return self.look("status")["leader"]
@@ -109,15 +109,17 @@
     """A node as the keepers see it, beat by beat, with executors that it sees."""
 
     def __init__(self, case: KeeperCase, name: str, boxes: int = 6) -> None:
-        self.case, self.name, self.seq, self.orders = case, name, 0, f.Orders(0)
+        self.case, self.name, self.seq, self.orders = case, name, 0, Orders(0)
         self.term = 0
-        self.seen = {f"b{n}": f.Sight("ready", zone=f"z{n % 3}") for n in range(boxes)}
+        self.seen = {f"b{n}": ExecutorObservation("ready", zone=f"z{n % 3}") for n in range(boxes)}
 
-    def beat(self, **facts) -> f.Beaten:
+    def beat(self, **facts) -> HeartbeatReply:
         """One beat; its orders are followed."""
         self.seq += 1
         answer = self.case.operator.ask(
-            f.Beat("node", self.name, "1", self.seq, self.orders.epoch, self.term, seen=self.seen, **facts),
+            Heartbeat(
+                "node", self.name, "1", self.seq, self.orders.epoch, self.term, executors=self.seen, **facts
+            ),
             LONG,
         )
         self.term = answer.term
@@ -127,12 +129,12 @@
 
     def join(self) -> None:
         """Beat till the session stands, the executors are known, and the leader has heard enough to grant."""
-        self.case.wait_for(lambda: self.beat().lease and len(self.case.look("targets")) >= len(self.seen)
+        self.case.wait_for(lambda: self.beat().lease_us and len(self.case.look("targets")) >= len(self.seen)
                            and not self.case.look("status")["halted"])  # fmt: skip
 
     def clear(self) -> None:
         """Say that it is done with all that it knows to be out."""
-        self.beat(done=dict(self.orders.out))
+        self.beat(drained=dict(self.orders.excluded_executors))
 
 
 def cli(*words: str) -> subprocess.CompletedProcess:
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -15,8 +15,8 @@
 from cedarmill.fleet.overload import FADE_US, Cut, Gate, level
 from cedarmill.fleet.purse import Purse, Purses, Tries
 from cedarmill.fleet.slices import Budget, Slice, divide
+from cedarmill.fleet.state import ClusterState, Member, RequestOutcome, decode_snapshot, encode_snapshot
 from cedarmill.fleet.state_machine import commands, dispatch
-from cedarmill.fleet.world import Done, Member, World, freeze, thaw
 from cedarmill.fleet.zones import same_news
 from cedarmill.lab.fleet import storm_bugs
 from cedarmill.lab.fleet.laws import verdict
@@ -39,19 +39,19 @@
 
 class Dealing(unittest.TestCase):
     def setUp(self):
-        self.world, self.index, self.ids = World("c"), 0, 0
+        self.world, self.index, self.ids = ClusterState("c"), 0, 0
         for name in "abc":
             member = Member("node", name, "1")
             self.world.members[member.key] = member
         self.request(commands.SetBudgets, (PROBES,))
 
-    def apply(self, command: commands.Command) -> Done:
+    def apply(self, command: commands.Command) -> RequestOutcome:
         self.index += 1
         done = dispatch.apply(self.world, self.index, dispatch.encode(command))
-        self.assertLessEqual(slices.held(self.world.slices["probes"]), PROBES.leased)
+        self.assertLessEqual(slices.held(self.world.budget_grants["probes"]), PROBES.leased)
         return done
 
-    def request(self, kind, *fields) -> Done:
+    def request(self, kind, *fields) -> RequestOutcome:
         self.ids += 1
         self.index += 1
         command = kind(S, "op", str(self.ids), *fields)
@@ -61,10 +61,10 @@
         self.apply(commands.SetBudgetDemand(S, f"node:{name}:{life}", {"probes": rate}))
 
     def follows(self, name: str) -> None:
-        self.apply(commands.AcknowledgeOrders(S, f"node:{name}:1", self.world.told))
+        self.apply(commands.AcknowledgeOrders(S, f"node:{name}:1", self.world.orders_epoch))
 
     def rates(self) -> dict[str, int]:
-        return {key.split(":")[1]: one.rate for key, one in self.world.slices["probes"].items()}
+        return {key.split(":")[1]: one.rate for key, one in self.world.budget_grants["probes"].items()}
 
     def test_a_slice_made_smaller_counts_till_its_holder_follows(self):
         self.wants("a", 80_000)
@@ -83,10 +83,10 @@
 
     def test_one_that_comes_back_is_told_that_it_has_nothing_before_its_lease_holds(self):
         self.wants("a", 80_000)
-        told = self.world.told
+        told = self.world.orders_epoch
         self.apply(commands.ExpireSessions(S, ("node:a:1",)))
         self.apply(commands.RestoreSession(S, "node:a:1"))
-        self.assertGreater(self.world.told, told)
+        self.assertGreater(self.world.orders_epoch, told)
         self.assertEqual(slices.word(self.world, "node:a:1")["probes"], (0, PROBES.floor))
 
     def test_a_new_life_gets_nothing_of_what_the_old_one_may_still_spend(self):
@@ -94,19 +94,19 @@
         member = Member("node", "a", "2")
         self.world.members[member.key] = member
         self.wants("a", 80_000, "2")
-        self.assertEqual(self.world.slices["probes"]["node:a:2"].rate, 0)
+        self.assertEqual(self.world.budget_grants["probes"]["node:a:2"].rate, 0)
         self.apply(commands.EndMember(S, "node:a:1", "its steward"))
-        self.assertEqual(self.world.slices["probes"]["node:a:2"].rate, 80_000)
+        self.assertEqual(self.world.budget_grants["probes"]["node:a:2"].rate, 80_000)
 
     def test_a_smaller_budget_takes_back_as_holders_follow(self):
         self.wants("a", 80_000)
         self.request(commands.SetBudgets, (Budget("probes", 50_000, 10),))
-        one = self.world.slices["probes"]["node:a:1"]
+        one = self.world.budget_grants["probes"]["node:a:1"]
         self.assertEqual((one.rate, one.counts), (40_000, 80_000))
         self.assertFalse(self.request(commands.SetBudgets, (PROBES, PROBES)).ok)
 
     def test_nothing_is_dealt_before_leases_of_an_older_state_have_passed(self):
-        self.world.deal_from = 5 * S
+        self.world.budgets_dealt_from = 5 * S
         self.wants("a", 80_000)
         self.assertEqual(self.rates(), {"a": 0})
 
@@ -120,14 +120,18 @@
                 self.wants(name, dice.randrange(120_000))
             elif what == 2:
                 self.apply(
-                    commands.AcknowledgeOrders(S, key, dice.choice((self.world.told, self.world.told - 3)))
+                    commands.AcknowledgeOrders(
+                        S, key, dice.choice((self.world.orders_epoch, self.world.orders_epoch - 3))
+                    )
                 )
             elif what == 3:
                 self.apply(commands.ExpireSessions(S, (key,)))
             else:
                 self.apply(commands.RestoreSession(S, key))
-        self.assertEqual(freeze(thaw(freeze(self.world))), freeze(self.world))
-        self.assertTrue(all(isinstance(one, Slice) for one in self.world.slices["probes"].values()))
+        self.assertEqual(
+            encode_snapshot(decode_snapshot(encode_snapshot(self.world))), encode_snapshot(self.world)
+        )
+        self.assertTrue(all(isinstance(one, Slice) for one in self.world.budget_grants["probes"].values()))
 
 
 class Spending(unittest.TestCase):
@@ -169,7 +173,7 @@
     """The level: what is worth least is refused first, in bounded steps, by evidence of lateness."""
 
     def setUp(self):
-        self.world = World("c")
+        self.world = ClusterState("c")
 
     def step(self, wants: dict[int, int], late: int, room: int = 100_000, steps: int = 1) -> Cut:
         for _ in range(steps):
@@ -227,7 +231,7 @@
         for _ in range(12):
             self.world.clock += overload.STEP_US
             overload.tighten(self.world, "a/zone", {1000: 10_000}, 10_000, 0)
-        self.assertEqual(self.world.tight, {})
+        self.assertEqual(self.world.scoped_admission, {})
 
     def test_one_that_tells_more_than_is_wanted_leaves_slots_idle_and_the_cut_gives_way(self):
         wants = {1000: 2_000_000, 5000: 40_000}
@@ -244,7 +248,7 @@
     WANTS = {1000: 150_000, 5000: 150_000}
 
     def setUp(self):
-        self.world = World("c")
+        self.world = ClusterState("c")
 
     def fills(self, queue: int, late: int = 600, busy: int = 60_000, turned: int = 0,
               steps: int = 1) -> list[int]:  # fmt: skip
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -6,8 +6,8 @@
 
 from fleets import LONG, KeeperCase, Member, cli
 
-from cedarmill.fleet import words as f
 from cedarmill.fleet.evidence import Digest, Seen
+from cedarmill.fleet.messages import ReadRequest, SubmitRequest
 from cedarmill.fleet.state_machine import commands
 from cedarmill.net.operator import NoKeeper, Operator, new_id
 
@@ -25,7 +25,7 @@
         self.assertEqual((waits.returncode, json.loads(waits.stdout)[0]["state"]), (4, "waiting"))
         self.assertEqual(self.fleet("drain", "b0").returncode, 1)
         node.beat()
-        self.assertEqual(set(node.orders.out), {"b0"})
+        self.assertEqual(set(node.orders.excluded_executors), {"b0"})
         node.clear()
         self.wait_for(lambda: self.look("permits")[0]["drained"])
         self.assertIn("drained", self.fleet("permits").stdout)
@@ -54,7 +54,7 @@
     def test_the_leader_is_killed_and_the_same_request_again_has_the_same_outcome(self):
         node = Member(self, "n0")
         node.join()
-        ask = f.Do(commands.RequestPermits(0, "operator", new_id(), "executor", ("b0", "b1", "b2")))
+        ask = SubmitRequest(commands.RequestPermits(0, "operator", new_id(), "executor", ("b0", "b1", "b2")))
         first = self.operator.ask(ask, LONG)
         leader = self.leader()
         self.kill(leader)
@@ -68,7 +68,7 @@
         self.assertEqual(self.fleet("drain", "b0").returncode, 0)
         self.kill(*self.ports)
         with self.assertRaises(NoKeeper):
-            self.operator.ask(f.Look("status"), 0.5)
+            self.operator.ask(ReadRequest("status"), 0.5)
         self.assertEqual(self.fleet("status").returncode, 3)
         for name in self.ports:
             self.start_keeper(name)
@@ -77,7 +77,7 @@
     def test_a_fleet_that_falls_silent_at_once_is_not_believed_dead(self):
         """A broken switch more often than dead nodes: nothing is granted, and the operator is told why."""
         nodes = [Member(self, f"n{n}") for n in range(5)]
-        leases = lambda: [node.beat().lease for node in nodes]  # noqa: E731
+        leases = lambda: [node.beat().lease_us for node in nodes]  # noqa: E731
         self.wait_for(lambda: all(leases()) and not self.look("status")["halted"])
         self.wait_for(lambda: "fell silent at once" in self.look("status")["halted"])
         waits = self.fleet("drain", "b0")
@@ -99,7 +99,7 @@
     def test_a_keeper_of_another_cluster_and_one_that_no_one_is_are_refused(self):
         stranger = Operator("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
         with self.assertRaisesRegex(NoKeeper, "this is cluster main, not other"):
-            stranger.ask(f.Look("status"), 1)
+            stranger.ask(ReadRequest("status"), 1)
 
     def test_bad_files_are_refused_in_one_line(self):
         path = self.folder / "bad.xml"
@@ -167,7 +167,7 @@
         self.assertEqual(self.fleet("backup", str(backup)).returncode, 0)
         self.assertEqual(self.fleet("drain", "b1").returncode, 0)  # granted after the backup
         node.beat()
-        self.assertEqual(set(node.orders.out), {"b0", "b1"})
+        self.assertEqual(set(node.orders.excluded_executors), {"b0", "b1"})
         epoch = node.orders.epoch
         self.kill(*self.ports)
         for name in self.ports:
@@ -176,8 +176,10 @@
             self.start_keeper(name)
         self.wait_for(
             lambda: (
-                node.beat(held={f"executor:{n}": e for n, e in node.orders.out.items()}).lease
-                and len(node.orders.out) == 2
+                node.beat(
+                    held_grants={f"executor:{n}": e for n, e in node.orders.excluded_executors.items()}
+                ).lease_us
+                and len(node.orders.excluded_executors) == 2
                 and node.orders.epoch > epoch
             )
         )
@@ -206,7 +208,7 @@
             with self.subTest(fault):
                 leader = self.leader()
                 self.fault(leader).write_text(fault)
-                ask = f.Do(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
+                ask = SubmitRequest(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], target)
                 self.assertEqual(self.running[leader].wait(LONG), 3)
                 self.fault(leader).unlink()
@@ -219,7 +221,7 @@
             with self.subTest(fault):
                 leader = self.leader()
                 self.fault(leader).write_text(fault)
-                ask = f.Do(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
+                ask = SubmitRequest(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], target)
                 self.assertEqual(self.running[leader].wait(LONG), -9)
                 self.start_keeper(leader)
@@ -248,10 +250,10 @@
 
         def offered() -> dict:
             """One more digest by the leader's own stamp, and what it comes to."""
-            stamp = node.beat(zone="z0").stamp
+            stamp = node.beat(zone="z0").leader_timestamp
             digest = Digest(node.seq, "z0", {"any": 42_000}, {"z0": Seen(6, 24_000, 0, 20)}, worths=worths,
                             out=20_000, good=20_000, aimed=40_000, came=50, turned=5)  # fmt: skip
-            node.beat(zone="z0", digest=digest, stamp=stamp)
+            node.beat(zone="z0", digest=digest, leader_timestamp=stamp)
             return self.look("admission")["offered"].get("z0")
 
         self.wait_for(offered)
@@ -262,19 +264,19 @@
         self.assertEqual(self.fleet("cut", "set").returncode, 2, "below what?")
         self.assertEqual(self.fleet("cut", "set", "--below", "3").returncode, 1, "a reason is owed")
         self.assertEqual(self.fleet("cut", "set", "--below", "3", "--reason", "storm").returncode, 0)
-        self.wait_for(lambda: node.beat() and node.orders.cut.rank == 3000)
+        self.wait_for(lambda: node.beat() and node.orders.admission_cut.rank == 3000)
         self.assertIn("CUT: what is worth less than 3", self.fleet("load").stdout)
         self.assertEqual(self.fleet("cut", "clear").returncode, 0)
-        self.wait_for(lambda: node.beat() and node.orders.cut.rank < 0)
+        self.wait_for(lambda: node.beat() and node.orders.admission_cut.rank < 0)
 
     def test_who_shares_news_is_told_by_epoch_and_asked_for_once(self):
         first = Member(self, "n0")
         first.join()
-        self.wait_for(lambda: first.beat() and first.orders.peers)
-        before = first.orders.peers
+        self.wait_for(lambda: first.beat() and first.orders.membership_epoch)
+        before = first.orders.membership_epoch
         second = Member(self, "n1")
         second.join()
-        self.wait_for(lambda: first.beat() and first.orders.peers > before)
+        self.wait_for(lambda: first.beat() and first.orders.membership_epoch > before)
         self.assertEqual(self.look("peers"), {}, "neither has told an address")
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,12 +5,12 @@
 
 from fleets import LONG, KeeperCase
 
-from cedarmill.fleet import words as f
 from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.messages import ForwardRequest, HeartbeatReply, Hello, Orders, ReadRequest
 from cedarmill.net.peers import HEAD, MAX_FRAME, Bad, Reader, frame
 
-WORDS = (f.Hello("c", "k0", "keeper", "d", 3), w.Append(2, 1, 1, (w.Entry(2, 2, w.COMMAND, b"x"),), 1, 9),
-         f.Relay(4, f.Look("status")), f.Beaten(1, 5, 2, f.Orders(7, {"b0": 7})))  # fmt: skip
+WORDS = (Hello("c", "k0", "keeper", "d", 3), w.Append(2, 1, 1, (w.Entry(2, 2, w.COMMAND, b"x"),), 1, 9),
+         ForwardRequest(4, ReadRequest("status")), HeartbeatReply(1, 5, 2, Orders(7, {"b0": 7})))  # fmt: skip
 
 
 class Frames(unittest.TestCase):
@@ -52,7 +52,7 @@
 
     def test_a_stranger_s_bytes_cost_it_its_connection_and_nobody_else(self):
         self.wait_for(lambda: self.look("status")["leader"])
-        for text in (b"\0" * 40, b"GET / HTTP/1.1\r\n\r\n", frame(1, f.Look("status"))):
+        for text in (b"\0" * 40, b"GET / HTTP/1.1\r\n\r\n", frame(1, ReadRequest("status"))):
             with socket.create_connection(("127.0.0.1", self.ports["k0"]), LONG) as sock:
                 sock.sendall(text)
                 self.assertEqual(sock.recv(1), b"")
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -5,8 +5,16 @@
 import unittest
 
 from cedarmill.fleet import compare, permits, release
+from cedarmill.fleet.state import (
+    ClusterState,
+    Limit,
+    ReleasePlan,
+    RequestOutcome,
+    Target,
+    decode_snapshot,
+    encode_snapshot,
+)
 from cedarmill.fleet.state_machine import commands, dispatch
-from cedarmill.fleet.world import Done, Limit, Plan, Target, World, freeze, thaw
 
 S = 1_000_000
 
@@ -18,7 +26,7 @@
                                  Limit("node", "fleet", most=1))  # fmt: skip
 
     def setUp(self):
-        self.world = World("c", cold_us=10 * S)
+        self.world = ClusterState("c", slow_start_us=10 * S)
         self.now, self.index, self.ids = S, 0, 0
         self.apply(commands.SetLimits, "op", "limits", self.limits)
         self.see(*(Target("executor", f"b{n}", f"z{n % 3}", slots=4) for n in range(9)))
@@ -38,9 +46,9 @@
         self.ids += 1
         priority, wait_us = more.get("priority", 0), more.get("wait", 60 * S)
         done = self.apply(commands.RequestPermits, who, str(self.ids), kind, names, "", priority, wait_us)
-        return [self.world.permits[number] for number in done.ids]
+        return [self.world.permits[number] for number in done.created_ids]
 
-    def give(self, name: str, kind: str = "executor") -> Done:
+    def give(self, name: str, kind: str = "executor") -> RequestOutcome:
         self.ids += 1
         return self.apply(commands.ReturnPermit, "op", str(self.ids), kind, name)
 
@@ -114,7 +122,7 @@
         (little,), (urgent,) = self.ask("b4", who="little"), self.ask("b5", who="urgent", priority=5)
         self.assertEqual(self.states(much), ["granted", "granted", "waiting", "waiting"])
         for name, wanted in (("b0", urgent), ("b5", little)):
-            self.world.cold_us = 0
+            self.world.slow_start_us = 0
             self.clear(name, 0, 1, 2)
             self.give(name)
             self.assertEqual(wanted.state, "granted")
@@ -123,7 +131,7 @@
         self.ask("b0", "b1")  # fleet: two of two
         (first,) = self.ask("b2", who="a")
         (later,) = self.ask("b5", who="b")
-        self.world.cold_us = 0
+        self.world.slow_start_us = 0
         self.clear("b0", 0, 1, 2)
         self.give("b0")
         self.assertEqual((first.state, later.state), ("granted", "waiting"))
@@ -135,13 +143,13 @@
         self.assertEqual(late.state, "expired")
 
     def test_a_dry_run_changes_nothing(self):
-        before = freeze(self.world)
+        before = encode_snapshot(self.world)
         words = [
             verdict.word
             for _, verdict in permits.would(self.world, "executor", ("b0", "b3", "b99", "b1", "b2"))
         ]
         self.assertEqual(words, ["now", "later", "never", "now", "later"])
-        self.assertEqual(freeze(self.world), before)
+        self.assertEqual(encode_snapshot(self.world), before)
 
     def test_a_flapping_node_counts_as_out(self):
         for _ in range(3):
@@ -153,48 +161,48 @@
 
     def test_what_is_frozen_thaws_to_the_same(self):
         self.ask("b0", "b1", "b2")
-        text = freeze(self.world)
-        self.assertEqual(freeze(thaw(text)), text)
+        text = encode_snapshot(self.world)
+        self.assertEqual(encode_snapshot(decode_snapshot(text)), text)
 
 
 class Draining(Fleet):
     def test_drained_is_said_after_the_last_ack_of_that_epoch(self):
         (permit,) = self.ask("b0")
         self.clear("b0", 0, 1)
-        self.assertFalse(permit.drained)
+        self.assertFalse(permit.drained_at)
         self.apply(commands.ConfirmDrained, "node:n2:1", {"b0": permit.epoch - 1})
-        self.assertFalse(permit.drained, "an ack of an older grant says nothing of this one")
+        self.assertFalse(permit.drained_at, "an ack of an older grant says nothing of this one")
         self.clear("b0", 2)
-        self.assertTrue(permit.drained)
+        self.assertTrue(permit.drained_at)
 
     def test_a_silent_member_is_waited_for_and_one_known_to_have_ended_is_not(self):
         (permit,) = self.ask("b0")
         self.clear("b0", 0, 1)
         self.apply(commands.ExpireSessions, ("node:n2:1",))
-        self.assertFalse(permit.drained)
+        self.assertFalse(permit.drained_at)
         self.apply(commands.EndMember, "node:n2:1", "steward s2")
-        self.assertTrue(permit.drained)
+        self.assertTrue(permit.drained_at)
 
     def test_one_that_stops_by_its_lease_is_done_when_that_is_sure(self):
         self.apply(commands.RegisterMember, "node", "n9", "1", "z0", "", "v1", True)
         (permit,) = self.ask("b0")
         self.clear("b0", 0, 1, 2)
         self.apply(commands.ExpireSessions, ("node:n9:1",), (), ("node:n9:1",))
-        self.assertTrue(permit.drained)
+        self.assertTrue(permit.drained_at)
 
     def test_an_operator_s_word_takes_a_reason_and_a_member_that_lives_is_not_ended_by_it(self):
         (permit,) = self.ask("b0")
         self.assertFalse(self.apply(commands.OperatorStatement, "op", "w1", "drained", "b0", " ").ok)
         self.assertFalse(self.apply(commands.OperatorStatement, "op", "w2", "ended", "n2", "power cut").ok)
         self.assertTrue(self.apply(commands.OperatorStatement, "op", "w3", "drained", "b0", "I looked").ok)
-        self.assertTrue(permit.drained)
+        self.assertTrue(permit.drained_at)
         self.assertIn("without node:n0:1", permit.notes[0])
 
     def test_a_life_that_joins_meanwhile_is_waited_for_too(self):
         (permit,) = self.ask("b0")
         self.apply(commands.RegisterMember, "node", "n7", "2", "z0", "", "v1", False)
         self.clear("b0", 0, 1, 2)
-        self.assertFalse(permit.drained)
+        self.assertFalse(permit.drained_at)
 
     def test_grants_unknown_after_a_restore_count_as_out(self):
         self.world.generation = 2
@@ -215,17 +223,17 @@
 class Releasing(Fleet):
     def setUp(self):
         super().setUp()
-        plan = Plan("v2", (("n0",), ("n1", "n2")), 2, 0, 5 * S, 10 * S, 1)
-        self.number = self.apply(commands.PlanRelease, "op", "p", plan).ids[0]
+        plan = ReleasePlan("v2", (("n0",), ("n1", "n2")), 2, 0, 5 * S, 10 * S, 1)
+        self.number = self.apply(commands.PlanRelease, "op", "p", plan).created_ids[0]
         self.release = self.world.releases[self.number]
 
-    def act(self, word: str) -> Done:
+    def act(self, word: str) -> RequestOutcome:
         self.ids += 1
         return self.apply(commands.ControlRelease, "op", str(self.ids), self.number, word)
 
     def unit(self, n: int, state: str = "ready", exits: int = 0, version: str = "") -> None:
         unit = self.world.units[f"n{n}"]
-        told = (version or unit.wanted, state, exits, unit.epoch)
+        told = (version or unit.ordered_version, state, exits, unit.ordered_epoch)
         self.apply(commands.UpdateUnits, f"s{n}", {f"n{n}": told})
 
     def steps(self) -> list[str]:
@@ -263,13 +271,13 @@
         self.act("back")
         self.assertEqual(self.steps(), ["back-changing", "old", "old"])
         self.unit(0)
-        self.assertEqual((self.release.state, self.world.units["n0"].wanted), ("backed", "v1"))
+        self.assertEqual((self.release.state, self.world.units["n0"].ordered_version), ("backed", "v1"))
 
     def test_one_that_ends_by_itself_halts(self):
         self.act("start")
         self.unit(0, "failing", exits=2)
         self.assertEqual(self.release.state, "halted")
-        self.assertIn("ended 2 times by itself", self.release.why[-1])
+        self.assertIn("ended 2 times by itself", self.release.reasons[-1])
 
     def test_worse_halts_and_units_on_their_way_come_to_their_end(self):
         self.to_the_second_group()
@@ -289,7 +297,7 @@
         self.unit(0, "starting")
         self.pass_time(11 * S)
         self.assertEqual(self.release.state, "back-halted")
-        self.assertIn("n0", self.release.why[-1])
+        self.assertIn("n0", self.release.reasons[-1])
         touched = [step.unit for step in self.release.steps if step.state not in ("old", "restored")]
         self.assertEqual(touched, ["n0"])
         self.act("resume")
@@ -305,7 +313,7 @@
 
     def test_only_one_release_of_a_target_at_a_time(self):
         self.act("start")
-        done = self.apply(commands.PlanRelease, "op", "q", Plan("v3", (("n0",),)))
+        done = self.apply(commands.PlanRelease, "op", "q", ReleasePlan("v3", (("n0",),)))
         self.assertFalse(done.ok)
         self.assertIn(f"release {self.number} is not at its end", done.text)
 
@@ -323,13 +331,13 @@
             ((("n0",), ("n0",)), "one group"),
             ((), "no group"),
         ):
-            done = self.apply(commands.PlanRelease, "op", f"r{groups}", Plan("v3", groups))
+            done = self.apply(commands.PlanRelease, "op", f"r{groups}", ReleasePlan("v3", groups))
             self.assertFalse(done.ok)
             self.assertIn(words, done.text)
 
 
 class Comparing(unittest.TestCase):
-    PLAN = Plan("v2", (("n0",),))
+    PLAN = ReleasePlan("v2", (("n0",),))
 
     def test_a_fifth_failing_is_seen_and_noise_is_not(self):
         counts = compare.Counts
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -7,10 +7,17 @@
 from cedarmill.fleet import traffic, zones
 from cedarmill.fleet.evidence import MOST_PLACES, Desk, Digest, Evidence, Seen, ZoneNews, bounded
 from cedarmill.fleet.follow import HOLD_US, RAMP_US, Follower
+from cedarmill.fleet.messages import RouteWeights
 from cedarmill.fleet.sightings import Place, Sightings
+from cedarmill.fleet.state import (
+    ClusterState,
+    Limit,
+    Member,
+    RequestOutcome,
+    decode_snapshot,
+    encode_snapshot,
+)
 from cedarmill.fleet.state_machine import commands, dispatch
-from cedarmill.fleet.words import Way
-from cedarmill.fleet.world import Done, Limit, Member, World, freeze, thaw
 from cedarmill.fleet.zones import Zoning
 from cedarmill.lab.fleet.small import Entries
 
@@ -165,12 +172,12 @@
     limits: tuple[Limit, ...] = (Limit("zone", "fleet", most=1),)
 
     def setUp(self):
-        Entries.__init__(self, World("c", limits=list(self.limits)))
+        Entries.__init__(self, ClusterState("c", limits=list(self.limits)))
         self.ids = 0
         self.request(commands.SetZones, ZONING)
         self.news()
 
-    def request(self, kind, *fields) -> Done:
+    def request(self, kind, *fields) -> RequestOutcome:
         self.ids += 1
         return self.apply(kind(self.now, "op", str(self.ids), *fields))
 
@@ -280,12 +287,14 @@
     def test_what_is_agreed_outlives_a_snapshot(self):
         self.news(a="lost")
         self.pass_time(2 * S)
-        self.assertEqual(freeze(thaw(freeze(self.world))), freeze(self.world))
-        other = thaw(freeze(self.world))
+        self.assertEqual(
+            encode_snapshot(decode_snapshot(encode_snapshot(self.world))), encode_snapshot(self.world)
+        )
+        other = decode_snapshot(encode_snapshot(self.world))
         command = dispatch.encode(commands.AdvanceTime(self.now + 30 * S))
         dispatch.apply(other, 99, command)
         dispatch.apply(self.world, 99, command)
-        self.assertEqual(freeze(other), freeze(self.world))
+        self.assertEqual(encode_snapshot(other), encode_snapshot(self.world))
 
 
 class Hands(Planned):
@@ -298,7 +307,7 @@
         self.pass_time(15 * S)
         self.assertEqual((self.state(), self.share("a", "a")), ("out", 0))
         second = self.request(commands.ControlZone, "leave", "b", S, "too")
-        self.assertEqual(self.world.permits[second.ids[0]].state, "waiting", "one zone at once")
+        self.assertEqual(self.world.permits[second.created_ids[0]].state, "waiting", "one zone at once")
         self.assertTrue(self.request(commands.ControlZone, "stay", "a", 0, "done").ok)
         self.pass_time(30 * S)
         self.assertEqual((self.state("a"), self.state("b")), ("open", "out"))
@@ -349,19 +358,21 @@
     def test_a_shut_zone_is_drained_when_every_node_has_said_so(self):
         member = Member("node", "n1", "1", "b")
         self.world.members[member.key] = member
-        permit = self.world.permits[self.request(commands.ControlZone, "leave", "a", S, "works").ids[0]]
+        permit = self.world.permits[
+            self.request(commands.ControlZone, "leave", "a", S, "works").created_ids[0]
+        ]
         self.pass_time(5 * S)
         way = traffic.way(self.world, "b")
-        self.assertEqual((way.shut, permit.drained), ({"a": permit.epoch}, 0))
+        self.assertEqual((way.closed_zones, permit.drained_at), ({"a": permit.epoch}, 0))
         self.apply(commands.ConfirmDrained(self.now, member.key, {"a": permit.epoch}))
-        self.assertGreater(permit.drained, 0)
+        self.assertGreater(permit.drained_at, 0)
 
 
-def way(epoch: int = 5, **more) -> Way:
+def way(epoch: int = 5, **more) -> RouteWeights:
     reach = {"any": ["a", "b", "c"], "region": ["a", "b"], "zone": ["a"]}
     shares = {"any": {"a": 700, "b": 300}, "region": {"a": 900, "b": 100}, "zone": {"a": 1000}}
     standing = {"a": {"any": {"b": 400, "c": 600}, "region": {"b": 1000}}, "b": {"any": {"a": 800, "c": 200}}}
-    return Way(epoch, "a", reach, shares, standing, **more)
+    return RouteWeights(epoch, "a", reach, shares, standing, **more)
 
 
 class Following(unittest.TestCase):
@@ -409,7 +420,7 @@
         self.assertEqual(use.rows["any"], {"a": 1000})
 
     def test_a_shut_zone_gets_nothing_whatever_is_lost(self):
-        self.follower.told(way(6, shut={"b": 9}))
+        self.follower.told(way(6, closed_zones={"b": 9}))
         use = self.follower.look(S, {"a": Seen(tried=9, lost=9)})
         self.assertEqual((use.shut, use.rows["any"]), (("b",), {"c": 600, "a": 400}))
 
