--- a/cedarmill/fleet/agent.py
+++ b/cedarmill/fleet/agent.py
@@ -12,7 +12,6 @@
 import msgspec
 
 from cedarmill.fleet.evidence import Digest
-from cedarmill.fleet.members import holders_end
 from cedarmill.fleet.messages import (
     ClientReply,
     ClientRequest,
@@ -22,6 +21,7 @@
     Orders,
     Unavailable,
 )
+from cedarmill.fleet.session_tracker import holder_lease_end
 
 BEAT = 250_000  # us between two beats
 ANSWER = 1_000_000  # that an answer is waited for, before another keeper is tried
@@ -228,7 +228,7 @@
         self.telling = {seq: told for seq, told in self.telling.items() if seq > answer.sequence}
         actions: list = []
         if answer.lease_us:
-            self.lease_till = max(self.lease_till, holders_end(sent, answer.lease_us))
+            self.lease_till = max(self.lease_till, holder_lease_end(sent, answer.lease_us))
         if answer.orders is not None and answer.orders.epoch > self.epoch:
             self.epoch, self.orders = answer.orders.epoch, answer.orders
             actions.append(Follow(answer.orders))
--- /dev/null
+++ b/cedarmill/fleet/leadership.py
@@ -0,0 +1,23 @@
+"""What a leader knows beside the agreed state; a new leader begins without any of it."""
+
+from cedarmill.fleet.compare import Sides
+from cedarmill.fleet.evidence import Desk
+from cedarmill.fleet.executor_health import ExecutorHealth
+from cedarmill.fleet.session_tracker import SessionTracker
+
+
+class Leadership:
+    """Of one term in office. Times: us of the replica's monotonic clock, unless said otherwise."""
+
+    def __init__(self, now: int, elected_at: int = 0, time_at_election: int = 0) -> None:
+        """`time_at_election` is the cluster's time at `elected_at`."""
+        self.elected_at = elected_at
+        self.time_at_election = time_at_election
+        self.sessions = SessionTracker(now)
+        self.executors = ExecutorHealth()
+        self.zones = Desk()
+        self.comparisons: dict[int, Sides] = {}  # of new and old versions, by release
+
+    def cluster_time(self, now: int) -> int:
+        """The cluster's time (us)."""
+        return self.time_at_election + now - self.elected_at
--- /dev/null
+++ b/cedarmill/fleet/member_orders.py
@@ -0,0 +1,52 @@
+"""What each member is ordered to follow, made from the agreed state."""
+
+from cedarmill.fleet import overload, release, slices, traffic
+from cedarmill.fleet.evidence import BOUNDS
+from cedarmill.fleet.messages import Orders
+from cedarmill.fleet.overload import Cut
+from cedarmill.fleet.state import ClusterState, Member
+
+
+def orders_for(state: ClusterState, member: Member) -> Orders:
+    """All that a member is to follow now."""
+    if member.kind == "node":
+        return _node_orders(state, member)
+    drain_epoch = _drain_clients_epoch(state, member)
+    units = release.orders(state, member.name) if member.kind == "steward" else {}
+    return Orders(state.orders_epoch, drain_clients_epoch=drain_epoch, units=units)
+
+
+def _node_orders(state: ClusterState, member: Member) -> Orders:
+    return Orders(
+        state.orders_epoch,
+        excluded_executors=_excluded_executors(state),
+        drain_clients_epoch=_drain_clients_epoch(state, member),
+        routes=traffic.way(state, member.zone),
+        admission_cut=state.admission.cut,
+        scoped_cuts=_scoped_cuts(state, member.zone),
+        budget_leases=slices.word(state, member.key),
+        membership_epoch=state.membership_epoch if state.zoning.news else 0,
+    )
+
+
+def _excluded_executors(state: ClusterState) -> dict[str, int]:
+    permits = state.permits.values()
+    return {permit.target: permit.epoch for permit in permits if permit.out and permit.kind == "executor"}
+
+
+def _drain_clients_epoch(state: ClusterState, member: Member) -> int:
+    """Of the permit by which this node is out; a release replaces nodes without draining their clients."""
+    epoch = 0
+    for permit in state.permits.values():
+        own = permit.out and permit.kind == "node" and permit.target == member.name
+        if own and not permit.holder.startswith("release:"):
+            epoch = permit.epoch
+    return epoch
+
+
+def _scoped_cuts(state: ClusterState, zone: str) -> dict[str, Cut]:
+    return {
+        bound: overload.cut_of(state, zone, bound)
+        for bound in BOUNDS
+        if f"{zone}/{bound}" in state.scoped_admission
+    }
--- /dev/null
+++ b/cedarmill/fleet/member_requests.py
@@ -0,0 +1,179 @@
+"""Heartbeats of members at the leader: what they report goes into the log where it changes the state."""
+
+from typing import TYPE_CHECKING
+
+from cedarmill.fleet import member_orders
+from cedarmill.fleet.messages import Heartbeat, HeartbeatReply
+from cedarmill.fleet.session_tracker import LEASE_US, PROBERS
+from cedarmill.fleet.slices import same_wants
+from cedarmill.fleet.state import ClusterState, Member, UnitReport, generation_of
+from cedarmill.fleet.state_machine.commands import (
+    AcknowledgeOrders,
+    AdoptUnknownGrants,
+    ConfirmDrained,
+    EndMember,
+    RegisterMember,
+    RestoreSession,
+    SetBudgetDemand,
+    UpdateUnits,
+)
+
+if TYPE_CHECKING:
+    from cedarmill.fleet.replica import Replica
+
+
+class MemberRequests:
+    """Handles them for one replica, while it leads."""
+
+    def __init__(self, replica: "Replica") -> None:
+        self._replica = replica
+
+    @property
+    def _state(self) -> ClusterState:
+        return self._replica.state
+
+    def on_heartbeat(self, now: int, token: int, heartbeat: Heartbeat) -> None:
+        """Note what a member reports; the reply follows once it is certain that this replica leads."""
+        key, replica = heartbeat.member_key, self._replica
+        leadership = replica.leadership
+        session = leadership.sessions.record(now, key, heartbeat)
+        knows_leader = heartbeat.term == replica.raft.term
+        session.reported_all |= knows_leader
+        if heartbeat.kind == "node":
+            leadership.executors.changed.update(heartbeat.executors)
+            if heartbeat.digest is not None and knows_leader and heartbeat.leader_timestamp >= 0:
+                made_at = min(now, heartbeat.leader_timestamp + heartbeat.timestamp_age_us)
+                leadership.zones.take(made_at, key, heartbeat.digest)
+        self._propose_changes(now, key, heartbeat)
+        replica.router.read(now, token, heartbeat)
+
+    def _propose_changes(self, now: int, key: str, heartbeat: Heartbeat) -> None:
+        member = self._state.members.get(key)
+        if member is None:
+            self._register(now, key, heartbeat)
+        elif member.state == "ended":
+            return
+        elif heartbeat.leaving:
+            command = EndMember(self._replica.cluster_time(now), key, "its own word")
+            self._replica.propose_once(now, f"end {key}", command)
+        else:
+            self._update(now, key, member, heartbeat)
+
+    def _register(self, now: int, key: str, heartbeat: Heartbeat) -> None:
+        command = RegisterMember(
+            self._replica.cluster_time(now),
+            heartbeat.kind,
+            heartbeat.name,
+            heartbeat.incarnation,
+            heartbeat.zone,
+            heartbeat.address,
+            heartbeat.version,
+            heartbeat.stops_at_lease_expiry,
+            heartbeat.unit_type,
+        )
+        self._replica.propose_once(now, f"join {key}", command)
+
+    def _update(self, now: int, key: str, member: Member, heartbeat: Heartbeat) -> None:
+        if member.state != "live":
+            command = RestoreSession(self._replica.cluster_time(now), key)
+            self._replica.propose_once(now, f"back {key}", command)
+        self._replica._tell_done(now, key, heartbeat)
+        self._update_budgets(now, key, heartbeat)
+        self._update_units(now, key, heartbeat)
+        self._end_reported(now, heartbeat)
+
+    def confirm_drained(self, now: int, key: str, heartbeat: Heartbeat) -> None:
+        """Propose what a member is done with, by the epoch of each grant, and grants that nobody knows."""
+        time_us = self._replica.cluster_time(now)
+        unknown = self._unknown_grants(heartbeat)
+        if unknown:
+            command = AdoptUnknownGrants(time_us, key, unknown)
+            self._replica.propose_once(now, f"held {key} {sorted(unknown)}", command)
+        drained = {
+            permit.target: permit.epoch
+            for permit in self._state.permits.values()
+            if permit.out
+            and key in permit.undrained_members
+            and heartbeat.drained.get(permit.target) == permit.epoch
+        }
+        if drained:
+            confirmation = ConfirmDrained(time_us, key, drained)
+            self._replica.propose_once(now, f"done {key} {sorted(drained.items())}", confirmation)
+
+    def _unknown_grants(self, heartbeat: Heartbeat) -> dict[str, int]:
+        """Grants of an earlier generation that the member follows and the state does not know."""
+        return {
+            name: epoch
+            for name, epoch in heartbeat.held_grants.items()
+            if generation_of(epoch) < self._state.generation and not self._is_out(name)
+        }
+
+    def _is_out(self, key: str) -> bool:
+        kind, _, target = key.partition(":")
+        permits = self._state.permits.values()
+        return any(permit.out and (permit.kind, permit.target) == (kind, target) for permit in permits)
+
+    def _update_budgets(self, now: int, key: str, heartbeat: Heartbeat) -> None:
+        """What a node wants to spend, where that has changed; and that it follows a smaller lease."""
+        state = self._state
+        if heartbeat.kind != "node" or not state.budgets:
+            return
+        time_us, epoch = self._replica.cluster_time(now), heartbeat.orders_epoch
+        grants = [by_member[key] for by_member in state.budget_grants.values() if key in by_member]
+        if any(grant.before > grant.rate and grant.epoch <= epoch for grant in grants):
+            follows = AcknowledgeOrders(time_us, key, epoch)
+            self._replica.propose_once(now, f"follows {key} {epoch}", follows)
+        changed = not same_wants(state.budget_grants, key, heartbeat.budget_demand)
+        if changed or len(grants) < len(state.budgets):
+            demand = SetBudgetDemand(time_us, key, heartbeat.budget_demand)
+            self._replica.propose_once(now, f"wants {key}", demand)
+
+    def _update_units(self, now: int, key: str, heartbeat: Heartbeat) -> None:
+        differs = any(self._unit_differs(name, UnitReport(*unit)) for name, unit in heartbeat.units.items())
+        if differs:
+            command = UpdateUnits(self._replica.cluster_time(now), heartbeat.name, heartbeat.units)
+            self._replica.propose_once(now, f"units {key} {heartbeat.sequence}", command)
+
+    def _unit_differs(self, name: str, report: UnitReport) -> bool:
+        unit = self._state.units.get(name)
+        if unit is None:
+            return True
+        acted = report.applied_epoch == unit.ordered_epoch  # exits of before the order count no more
+        exits = report.unexpected_exits if acted else unit.unexpected_exits
+        known = (unit.version, unit.state, unit.unexpected_exits, unit.applied_epoch)
+        return known != (report.version, report.state, exits, report.applied_epoch)
+
+    def _end_reported(self, now: int, heartbeat: Heartbeat) -> None:
+        """Members that a process supervisor has seen end."""
+        for key in heartbeat.ended_members:
+            member = self._state.members.get(key)
+            if member is not None and member.state != "ended":
+                command = EndMember(self._replica.cluster_time(now), key, f"steward {heartbeat.name}")
+                self._replica.propose_once(now, f"end {key}", command)
+
+    def reply_to(self, now: int, heartbeat: Heartbeat) -> HeartbeatReply:
+        """The reply: a lease, newer orders, and members to probe."""
+        state, term = self._state, self._replica.raft.term
+        member = state.members.get(heartbeat.member_key)
+        if member is None or member.state == "ended":
+            return HeartbeatReply(heartbeat.sequence, 0, term)
+        unknown_grants = bool(self._unknown_grants(heartbeat))
+        up_to_date = heartbeat.orders_epoch == state.orders_epoch
+        orders = None if unknown_grants or up_to_date else member_orders.orders_for(state, member)
+        lease_us = LEASE_US if member.state == "live" and not unknown_grants else 0
+        probes = self._members_to_probe(now, member.key)
+        return HeartbeatReply(heartbeat.sequence, lease_us, term, orders, probes, now)
+
+    def _members_to_probe(self, now: int, key: str) -> dict[str, str]:
+        """Addresses of suspects that this member is to probe: a few members probe each, not all."""
+        sessions = self._replica.leadership.sessions
+        suspects = sessions.suspects(now, self._state)
+        if not suspects:
+            return {}
+        probers = sorted(other for other in sessions.by_key if other not in suspects)
+        found = {}
+        for suspect, address in suspects.items():
+            first = sum(suspect.encode()) % max(1, len(probers))
+            if key in (probers[first:] + probers[:first])[:PROBERS]:
+                found[suspect] = address
+        return found
--- a/cedarmill/fleet/release.py
+++ b/cedarmill/fleet/release.py
@@ -10,7 +10,15 @@
 
 from cedarmill.fleet import permits
 from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.state import ClusterState, Release, ReleasePlan, Unit, UnitStep
+from cedarmill.fleet.state import (
+    ClusterState,
+    Release,
+    ReleasePlan,
+    Unit,
+    UnitOrder,
+    UnitReport,
+    UnitStep,
+)
 
 # (state, event) -> state, of a release. `halt` and `back` are possible from each state that is not an end.
 STATES = {
@@ -301,18 +309,18 @@
 # What a steward is to run, and when something is due by itself.
 
 
-def orders(world: ClusterState, steward: str) -> dict[str, tuple[str, int]]:
+def orders(world: ClusterState, steward: str) -> dict[str, UnitOrder]:
     """Of each unit of a steward that a release has ever changed: the version to run, and the epoch of that
     word.
     """
     return {
-        u.name: (u.ordered_version, u.ordered_epoch)
+        u.name: UnitOrder(u.ordered_version, u.ordered_epoch)
         for u in world.units.values()
         if u.supervisor == steward and u.ordered_version
     }
 
 
-def seen(world: ClusterState, steward: str, units: dict[str, tuple[str, str, int, int]]) -> None:
+def seen(world: ClusterState, steward: str, units: dict[str, UnitReport]) -> None:
     """A steward tells of its units: version, state, exits, and the epoch that it has acted on."""
     for name, (version, state, exits, acted) in units.items():
         unit = world.units.setdefault(name, Unit(name, steward))
--- a/cedarmill/fleet/state_machine/targets.py
+++ b/cedarmill/fleet/state_machine/targets.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from cedarmill.fleet import permits, release
-from cedarmill.fleet.state import ClusterState, Target
+from cedarmill.fleet.state import ClusterState, Target, UnitReport
 from cedarmill.fleet.state_machine.command import Command, Handlers
 
 
@@ -14,10 +14,10 @@
 
 
 class UpdateUnits(Command, tag="units", frozen=True):
-    """A process supervisor reports its units: version, state, unexpected exits, epoch acted on."""
+    """A process supervisor reports its units."""
 
     supervisor: str
-    units: dict[str, tuple[str, str, int, int]]
+    units: dict[str, UnitReport]
 
 
 class HaltGrants(Command, tag="mass", frozen=True):
--- /dev/null
+++ b/cedarmill/fleet/state_views.py
@@ -0,0 +1,218 @@
+"""Views of the agreed state for operators, as JSON; the keys are those of `cedarmill fleet --json`."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+
+from cedarmill.fleet import permits, slices, traffic
+from cedarmill.fleet.messages import ReadRequest
+from cedarmill.fleet.session_tracker import LEASE_US
+from cedarmill.fleet.state import PER_MILLE, ClusterState, Limit, Permit, Release
+
+if TYPE_CHECKING:
+    from cedarmill.fleet.replica import Replica
+
+Row = dict[str, Any]
+
+
+def render(replica: "Replica", now: int, request: ReadRequest) -> bytes:
+    """The view that is asked for, as JSON; a backup is a snapshot in MessagePack."""
+    if request.view == "backup":
+        return msgspec.msgpack.encode(replica.snapshot())
+    view = VIEWS.get(request.view)
+    content = {"error": f"no part {request.view!r}"} if view is None else view(replica, now, request)
+    return msgspec.json.encode(content)
+
+
+def _seconds(duration_us: int, digits: int) -> float:
+    return round(duration_us / 1e6, digits)
+
+
+def _status(replica: "Replica", now: int, request: ReadRequest) -> Row:
+    state, raft = replica.state, replica.raft
+    live = [member.kind for member in state.members.values() if member.state == "live"]
+    return {
+        "cluster": state.cluster,
+        "generation": state.generation,
+        "leader": replica.name,
+        "term": raft.term,
+        "agreed": raft.commit,
+        "epoch": state.orders_epoch,
+        "halted": state.halt_reason,
+        "clock_s": state.clock / 1e6,
+        "keepers": _replicas(replica, now),
+        "out": sorted(permit.target for permit in state.permits.values() if permit.out),
+        "waiting": sum(permit.state == "waiting" for permit in state.permits.values()),
+        "members": {kind: live.count(kind) for kind in ("node", "steward")},
+    }
+
+
+def _replicas(replica: "Replica", now: int) -> dict[str, Row]:
+    rows: dict[str, Row] = {}
+    for name, peer in replica.raft.config.items():
+        rows[name] = {"address": peer.address, "votes": peer.voter, "disk": peer.disk}
+        follower = replica.raft.followers.get(name)
+        if follower is not None:
+            rows[name]["match"] = follower.match
+            rows[name]["silent_s"] = _seconds(now - follower.heard, 2)
+    return rows
+
+
+def _members(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
+    sessions, rows = replica.leadership.sessions, []
+    for member in replica.state.members.values():
+        row = msgspec.to_builtins(member)
+        session = sessions.by_key.get(member.key)
+        row["counts"] = list(session.request_counts) if session is not None else []
+        row["heard_s"] = _seconds(now - sessions.heard_at(member.key), 2)
+        rows.append(row)
+    return rows
+
+
+def _limits(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
+    """Each limit in each of its scopes, with what it allows and what is out."""
+    state, rows = replica.state, []
+    out = permits.out_parts(state)
+    for limit in state.limits:
+        found = {permits.scope(limit, target) for target in state.targets.values()}
+        scopes = sorted(scope for scope in found if scope is not None)
+        rows += [_limit_row(state, limit, scope, out) for scope in scopes or [""]]
+    return rows
+
+
+def _limit_row(state: ClusterState, limit: Limit, scope: str, out: dict[str, int]) -> Row:
+    members = [key for key, target in state.targets.items() if permits.scope(limit, target) == scope]
+    return {
+        "limit": limit.text(),
+        "scope": scope,
+        "of": len(members),
+        "allowed": permits.allowed(limit, len(members)),
+        "out": sum(out.get(key, 0) for key in members) / PER_MILLE,
+        "kind": limit.kind,
+        "per": limit.per,
+        "most": limit.most,
+        "share": limit.share,
+        "capacity_left": limit.capacity_left,
+    }
+
+
+def _permits(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
+    """All permits, or those whose numbers are asked for."""
+    state = replica.state
+    wanted = request.names
+    found = [permit for permit in state.permits.values() if not wanted or str(permit.id) in wanted]
+    return [_permit_row(state, permit) for permit in found]
+
+
+def _permit_row(state: ClusterState, permit: Permit) -> Row:
+    row: Row = msgspec.to_builtins(permit)
+    row["age_s"] = _seconds(state.clock - (permit.granted_at or permit.requested_at), 1)
+    return row
+
+
+def _releases(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
+    return [_release_row(replica, release) for release in replica.state.releases.values()]
+
+
+def _release_row(replica: "Replica", release: Release) -> Row:
+    row: Row = msgspec.to_builtins(release)
+    plan = release.plan
+    row["plan"] = {"version": plan.version, "groups": plan.groups, "width": plan.max_concurrent}
+    row["age_s"] = _seconds(replica.state.clock - release.state_since, 1)
+    sides = replica.leadership.comparisons.get(release.id)
+    row["new"] = list(sides.new) if sides is not None else []
+    row["rest"] = list(sides.rest) if sides is not None else []
+    return row
+
+
+def _peers(replica: "Replica", now: int, request: ReadRequest) -> dict[str, str]:
+    """Addresses of nodes that may be reached."""
+    members = replica.state.members.values()
+    nodes = [member for member in members if member.kind == "node" and member.state == "live"]
+    return {node.name: node.address for node in nodes if node.address}
+
+
+def _budgets(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
+    """Of each budget: what it is, what is leased, to whom, and who wants how much."""
+    state, rows = replica.state, []
+    for name, budget in state.budgets.items():
+        grants = state.budget_grants.get(name, {})
+        leases = {
+            key: {"rate": grant.rate, "counts": grant.counts, "want": grant.want}
+            for key, grant in sorted(grants.items())
+        }
+        row = {
+            "name": name,
+            "rate": budget.rate,
+            "floor": budget.floor,
+            "leased": slices.held(grants),
+            "most": budget.leased,
+            "wanted": sum(grant.want for grant in grants.values()),
+            "slices": leases,
+        }
+        rows.append(row)
+    return rows
+
+
+def _admission(replica: "Replica", now: int, request: ReadRequest) -> Row:
+    state = replica.state
+    return {"fleet": state.admission, "tight": state.scoped_admission, "offered": _offered(state)}
+
+
+def _offered(state: ClusterState) -> dict[str, dict[int, int]]:
+    """Slots that the clients of each zone want, by priority weight, both in thousandths."""
+    found: dict[str, dict[int, int]] = {}
+    zones = state.traffic.news.zones if state.traffic.news is not None else {}
+    for name, zone in zones.items():
+        offered = found.setdefault(name, {})
+        for by_weight in zone.worths.values():
+            for weight, slots in by_weight.items():
+                offered[weight] = offered.get(weight, 0) + slots
+    return found
+
+
+def _dry_run(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
+    """What each target would be told now, one after the other."""
+    verdicts = permits.would(replica.state, request.kind or "executor", request.names)
+    return [
+        {"target": name, "verdict": verdict.word, "reasons": list(verdict.reasons)}
+        for name, verdict in verdicts
+    ]
+
+
+def _zones(replica: "Replica", now: int, request: ReadRequest) -> Row:
+    """The traffic plan, and which of the nodes follow it or cannot."""
+    state = replica.state
+    row: Row = traffic.shown(state)
+    digests = [digest for at, digest in replica.leadership.zones.held.values() if now - at < LEASE_US]
+    row["follow"] = sum(digest.follows == state.traffic.epoch for digest in digests)
+    row["told"] = len(digests)
+    row["cannot"] = sorted({f"{digest.zone}>{zone}" for digest in digests for zone in digest.cannot})
+    return row
+
+
+def _what_if(replica: "Replica", now: int, request: ReadRequest) -> Row:
+    """Loads with a zone gone."""
+    row: Row = traffic.what_if(replica.state, request.names[0] if request.names else "")
+    return row
+
+
+View = Callable[["Replica", int, ReadRequest], object]
+VIEWS: dict[str, View] = {
+    "status": _status,
+    "members": _members,
+    "targets": lambda replica, now, request: list(replica.state.targets.values()),
+    "limits": _limits,
+    "permits": _permits,
+    "releases": _releases,
+    "units": lambda replica, now, request: list(replica.state.units.values()),
+    "peers": _peers,
+    "log": lambda replica, now, request: replica.state.log,
+    "budgets": _budgets,
+    "admission": _admission,
+    "would": _dry_run,
+    "zones": _zones,
+    "what-if": _what_if,
+    "world": lambda replica, now, request: replica.state,
+}
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -23,7 +23,6 @@
 from cedarmill.fleet.evidence import Digest
 from cedarmill.fleet.follow import Follower
 from cedarmill.fleet.hosting import Host
-from cedarmill.fleet.keeper import Keeper
 from cedarmill.fleet.messages import (
     ClientRequest,
     ExecutorObservation,
@@ -35,6 +34,7 @@
     SubmitRequest,
 )
 from cedarmill.fleet.purse import Purses
+from cedarmill.fleet.replica import Replica
 from cedarmill.fleet.sightings import Place, Sightings
 from cedarmill.fleet.slices import Budget
 from cedarmill.fleet.state import EPOCH_INDEX_BITS, ClusterState, Limit, ReleasePlan, encode_snapshot
@@ -145,10 +145,10 @@
 
     def start(self) -> None:
         self.alive, self.life = True, self.life + 1
-        self.keeper = Keeper(self.name, self.disk.load(), self.clock.now(),
+        self.replica = Replica(self.name, self.disk.load(), self.clock.now(),
                              hash_of(self.world.seed, self.name, self.life), self.world.timing)  # fmt: skip
-        self.host = Host(self.keeper, self)
-        self.keeper.watch = self._agreed
+        self.host = Host(self.replica, self)
+        self.replica.on_applied = self._agreed
         self.waits.clear()
         self.crash = False
         self._again(self.life)
@@ -156,16 +156,16 @@
     def _again(self, life: int) -> None:
         if life == self.life and self.alive:
             self.run(self._passed)
-            wait = max(5 * MS, self.clock.true_wait(self.keeper.due)) if not self.paused else 20 * MS
+            wait = max(5 * MS, self.clock.true_wait(self.replica.due)) if not self.paused else 20 * MS
             self.world.after(min(wait, 100 * MS), self._again, life)
 
     def _passed(self) -> None:
-        self._do(self.keeper.passed(self.clock.now()))
+        self._do(self.replica.on_time(self.clock.now()))
 
     def _agreed(self, entry: w.Entry) -> None:
         """No other keeper may have applied anything else at that index."""
         known = self.world.agreed.setdefault(entry.index, (entry.term, entry.data))
-        epoch = self.keeper.world.generation << EPOCH_INDEX_BITS | entry.index
+        epoch = self.replica.state.generation << EPOCH_INDEX_BITS | entry.index
         self.world.granted.setdefault(epoch, self.world.time)
         if known != (entry.term, entry.data):
             when = f"{self.world.time / S:.3f} s"
@@ -181,12 +181,12 @@
             self.world.after(self.world.dice.randrange(S), self.start)
 
     def hear(self, source: str, message: object) -> None:
-        self._do(self.keeper.heard(self.clock.now(), source, message))
+        self._do(self.replica.on_message(self.clock.now(), source, message))
 
     def ask(self, ask: ClientRequest, back: Callable[[object], None]) -> None:
         token = next(self.token)
         self.waits[token] = back
-        self._do(self.keeper.asked(self.clock.now(), token, ask))
+        self._do(self.replica.on_request(self.clock.now(), token, ask))
 
     # The port.
 
@@ -778,7 +778,7 @@
         self._compare()
         self._till(self.shape.length)
         for _ in range(REST):  # where all keepers were down at the end, they get the time to come back
-            if any(keeper.keeper.leads for keeper in self.keepers.values()):
+            if any(keeper.replica.is_leader for keeper in self.keepers.values()):
                 break
             self._till(self.time + S)
         self._name_open()
@@ -802,7 +802,7 @@
         """Keepers that have applied as much hold the same, to the last byte."""
         held: dict[int, tuple[str, bytes]] = {}
         for keeper in self.keepers.values():
-            world = keeper.keeper.world
+            world = keeper.replica.state
             text = encode_snapshot(world)
             name, other = held.setdefault(world.index, (keeper.name, text))
             if other != text:
@@ -811,7 +811,7 @@
 
     def _name_open(self) -> None:
         """At the end the keepers name what is still out."""
-        worlds = [keeper.keeper.world for keeper in self.keepers.values()]
+        worlds = [keeper.replica.state for keeper in self.keepers.values()]
         newest = max(worlds, key=lambda world: (world.generation, world.index))
         for permit in newest.permits.values():
             if permit.out:
@@ -832,7 +832,7 @@
 
     def leader(self) -> VKeeper:
         """Who leads, or any."""
-        leading = [k for k in self.keepers.values() if k.alive and k.keeper.leads]
+        leading = [k for k in self.keepers.values() if k.alive and k.replica.is_leader]
         return leading[0] if leading else next(iter(self.keepers.values()))
 
     def _some_keeper(self) -> VKeeper:
@@ -972,9 +972,9 @@
     def _snap(self, lasts: int) -> None:
         """A keeper makes a snapshot, so that others may need it."""
         keeper = self._some_keeper()
-        if keeper.alive and not keeper.paused and keeper.keeper.agree.applied > 1:
-            keeper.keeper._snap()
-            keeper._do(keeper.keeper._done(keeper.clock.now()))
+        if keeper.alive and not keeper.paused and keeper.replica.raft.applied > 1:
+            keeper.replica.store_snapshot()
+            keeper._do(keeper.replica.take_actions(keeper.clock.now()))
 
     def jobs_of(self, version: str) -> int:
         """Jobs that nodes of a version got, in ten thousandths of all."""
