--- a/cedarmill/fleet/leader_duties.py
+++ b/cedarmill/fleet/leader_duties.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet import compare, permits, release
+from cedarmill.fleet import compare
 from cedarmill.fleet.session_tracker import AT_ONCE, LEASE_US, ExpiredLeases
 from cedarmill.fleet.state import Target
-from cedarmill.fleet.state_machine import dispatch
+from cedarmill.fleet.state_machine import dispatch, rollout
 from cedarmill.fleet.state_machine.commands import (
     AdvanceTime,
     ExpireSessions,
@@ -16,6 +16,7 @@
     RecordZoneEvidence,
     UpdateTargets,
 )
+from cedarmill.fleet.state_machine.permit_states import target_key
 from cedarmill.fleet.zones import same_news
 
 if TYPE_CHECKING:
@@ -98,7 +99,7 @@
             follower = replica.raft.followers.get(name)
             heard = follower is not None and now - follower.heard <= REPLICA_SILENT_US
             health = "well" if heard or name == replica.name else "silent"
-            known = replica.state.targets.get(permits.key_of("keeper", name))
+            known = replica.state.targets.get(target_key("keeper", name))
             if known is None or known.health != health:
                 found.append(Target("keeper", name, health=health))
         return tuple(found)
@@ -145,7 +146,7 @@
     def _compare_releases(self, now: int) -> None:
         """Compare the new version of each running release with the rest, by what nodes report."""
         state, comparisons = self._replica.state, self._replica.leadership.comparisons
-        running = {found.id for found in release.comparing(state)}
+        running = {found.id for found in rollout.to_compare(state)}
         for release_id in [release_id for release_id in comparisons if release_id not in running]:
             del comparisons[release_id]
         counts = self._request_counts()
--- a/cedarmill/fleet/member_orders.py
+++ b/cedarmill/fleet/member_orders.py
@@ -1,10 +1,11 @@
 """What each member is ordered to follow, made from the agreed state."""
 
-from cedarmill.fleet import overload, release, slices, traffic
+from cedarmill.fleet import overload, slices, traffic
 from cedarmill.fleet.evidence import BOUNDS
 from cedarmill.fleet.messages import Orders
 from cedarmill.fleet.overload import Cut
 from cedarmill.fleet.state import ClusterState, Member
+from cedarmill.fleet.state_machine import rollout
 
 
 def orders_for(state: ClusterState, member: Member) -> Orders:
@@ -12,7 +13,7 @@
     if member.kind == "node":
         return _node_orders(state, member)
     drain_epoch = _drain_clients_epoch(state, member)
-    units = release.orders(state, member.name) if member.kind == "steward" else {}
+    units = rollout.orders_for_supervisor(state, member.name) if member.kind == "steward" else {}
     return Orders(state.orders_epoch, drain_clients_epoch=drain_epoch, units=units)
 
 
--- a/cedarmill/fleet/release_state.py
+++ b/cedarmill/fleet/release_state.py
@@ -55,7 +55,7 @@
 
     unit: str
     old_version: str
-    state: str = "old"  # see `release.STEPS`
+    state: str = "old"  # see `release_states.STEPS`
     permit_id: int = 0
     state_since: int = 0
 
@@ -93,7 +93,7 @@
     id: int
     plan: ReleasePlan
     requester: str
-    state: str = "planned"  # see `release.STATES`
+    state: str = "planned"  # see `release_states.STATES`
     group: int = 0  # index of the group on its way
     steps: list[UnitStep] = msgspec.field(default_factory=list)
     state_since: int = 0
--- a/cedarmill/fleet/state.py
+++ b/cedarmill/fleet/state.py
@@ -123,7 +123,7 @@
     holder: str
     reason: str = ""
     priority: int = 0
-    state: str = "waiting"  # see `permits.STATES`
+    state: str = "waiting"  # see `permit_states.STATES`
     requested_at: int = 0
     waits_until: int = 0
     granted_at: int = 0
--- a/cedarmill/fleet/state_machine/dispatch.py
+++ b/cedarmill/fleet/state_machine/dispatch.py
@@ -6,13 +6,15 @@
 
 import msgspec
 
-from cedarmill.fleet import permits, release, traffic
+from cedarmill.fleet import traffic
 from cedarmill.fleet.errors import RequestRejected, UnknownCommand
 from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine import (
     budgets,
     operator_statements,
+    permit_queue,
     releases,
+    rollout,
     sessions,
     setup,
     targets,
@@ -110,16 +112,16 @@
 
 def advance(state: ClusterState) -> None:
     """What follows of any change: waiting permits may be granted, releases and the traffic plan move on."""
-    permits.expire(state)
-    permits.grant_all(state)
-    release.advance(state)
+    permit_queue.expire_waiting(state)
+    permit_queue.grant_waiting(state)
+    rollout.advance(state)
     traffic.advance(state)
     traffic.shed(state)
 
 
 def next_due(state: ClusterState) -> int | None:
     """When something changes by itself, in the cluster's time (us); None: not before another command."""
-    times = [*release.due(state), *traffic.due(state)]
-    if (time_us := permits.next_due(state)) is not None:
+    times = [*rollout.due_times(state), *traffic.due(state)]
+    if (time_us := permit_queue.next_due(state)) is not None:
         times.append(time_us)
     return min(times, default=None)
--- a/cedarmill/fleet/state_machine/operator_statements.py
+++ b/cedarmill/fleet/state_machine/operator_statements.py
@@ -2,10 +2,11 @@
 
 from collections.abc import Callable
 
-from cedarmill.fleet import permits
 from cedarmill.fleet.errors import RequestRejected
 from cedarmill.fleet.state import ClusterState, RequestOutcome
+from cedarmill.fleet.state_machine import drains
 from cedarmill.fleet.state_machine.command import Handlers, OperatorRequest, accepted
+from cedarmill.fleet.state_machine.permit_states import give_back
 from cedarmill.fleet.state_machine.sessions import end_member
 
 
@@ -38,7 +39,7 @@
     missing = ", ".join(permit.undrained_members) or "anybody missing"
     permit.notes.append(f"{request.requester} says drained, without {missing}: {request.reason}")
     permit.undrained_members = []
-    permits.settle(state, permit)
+    drains.check_drained(state, permit)
     return accepted(state, f"{request.name} counts as drained", [permit.id])
 
 
@@ -64,7 +65,7 @@
     permit = next((p for p in state.permits.values() if p.state == "lost" and p.target == request.name), None)
     if permit is None:
         raise RequestRejected(f"no lost permit for {request.name}")
-    permits.give_back(state, permit, f"{request.requester} says it is back: {request.reason}")
+    give_back(state, permit, f"{request.requester} says it is back: {request.reason}")
     return accepted(state, f"permit {permit.id} is returned", [permit.id])
 
 
--- /dev/null
+++ b/cedarmill/fleet/state_machine/permit_states.py
@@ -0,0 +1,54 @@
+"""The states of a permit: whatever changes one stands in this table."""
+
+from cedarmill.fleet.state import ClusterState, Permit
+
+# (state, event) -> state
+STATES = {
+    ("waiting", "grant"): "granted",
+    ("waiting", "expire"): "expired",
+    ("waiting", "refuse"): "refused",
+    ("waiting", "withdraw"): "withdrawn",
+    ("granted", "give"): "returned",
+    ("granted", "lose"): "lost",
+    ("lost", "find"): "granted",
+    ("lost", "give"): "returned",
+}
+OPEN_STATES = frozenset({"waiting", "granted", "lost"})
+
+
+def target_key(kind: str, name: str) -> str:
+    """The key of a target in the state."""
+    return f"{kind}:{name}"
+
+
+def move(state: ClusterState, permit: Permit, event: str) -> bool:
+    """Take a permit to its next state; whether there is one."""
+    new_state = STATES.get((permit.state, event))
+    if new_state is None:
+        return False
+    permit.state = new_state
+    if event == "grant":
+        permit.granted_at, permit.epoch = state.clock, state.epoch
+    if new_state not in OPEN_STATES:
+        permit.ended_at = state.clock
+    state.orders_epoch = state.epoch
+    return True
+
+
+def open_permit(state: ClusterState, kind: str, name: str) -> Permit | None:
+    """The permit by which a target is out, or for which it waits."""
+    found = [permit for permit in state.permits.values() if (permit.kind, permit.target) == (kind, name)]
+    granted = next((permit for permit in found if permit.out), None)
+    return granted or next((permit for permit in found if permit.state == "waiting"), None)
+
+
+def give_back(state: ClusterState, permit: Permit, reason: str = "") -> bool:
+    """The target may serve again; an executor begins its slow start. Whether the permit was out."""
+    if not move(state, permit, "give"):
+        return False
+    if reason:
+        permit.notes.append(reason)
+    target = state.targets.get(target_key(permit.kind, permit.target))
+    if target is not None and target.kind == "executor":
+        target.slow_start_from = state.clock
+    return True
--- a/cedarmill/fleet/state_machine/permits.py
+++ b/cedarmill/fleet/state_machine/permits.py
@@ -1,9 +1,8 @@
 """Permits to take targets out of service: requests, returns, confirmations of drains, and limits."""
 
-from cedarmill.fleet import permits
 from cedarmill.fleet.errors import RequestRejected
 from cedarmill.fleet.state import ClusterState, Limit, Permit, RequestOutcome
-from cedarmill.fleet.state_machine import zones
+from cedarmill.fleet.state_machine import drains, permit_queue, zones
 from cedarmill.fleet.state_machine.command import (
     DEFAULT_WAIT_US,
     Command,
@@ -11,6 +10,8 @@
     OperatorRequest,
     accepted,
 )
+from cedarmill.fleet.state_machine.permit_queue import PermitRequest
+from cedarmill.fleet.state_machine.permit_states import give_back, move, open_permit
 
 
 class ConfirmDrained(Command, tag="cleared", frozen=True):
@@ -53,7 +54,7 @@
 def confirm_drained(state: ClusterState, command: ConfirmDrained) -> None:
     """Note each target that the member is done with."""
     for target, epoch in command.drained.items():
-        permits.told_done(state, command.member_key, target, epoch)
+        drains.confirm(state, command.member_key, target, epoch)
 
 
 def adopt_unknown_grants(state: ClusterState, command: AdoptUnknownGrants) -> None:
@@ -73,7 +74,7 @@
             epoch=state.epoch,
             notes=[f"told by {command.member_key}, granted at {epoch}"],
         )
-        permit.undrained_members = permits.need_of(state, permit)
+        permit.undrained_members = drains.members_to_drain(state, permit)
         state.permits[permit.id] = permit
         state.orders_epoch = state.epoch
         state.note(f"{kind} {name} is out by a grant that was lost with the keepers' state")
@@ -95,8 +96,11 @@
 def request_permits(state: ClusterState, request: RequestPermits) -> RequestOutcome:
     """Enter a permit for each target, once where it is named twice."""
     made = [
-        permits.ask(
-            state, request.kind, name, request.requester, request.reason, request.priority, request.wait_us
+        permit_queue.enter(
+            state,
+            PermitRequest(
+                request.kind, name, request.requester, request.reason, request.priority, request.wait_us
+            ),
         )
         for name in dict.fromkeys(request.names)
     ]
@@ -106,7 +110,7 @@
 
 def return_permit(state: ClusterState, request: ReturnPermit) -> RequestOutcome:
     """Return the permit of a target; raises RequestRejected where there is none to return."""
-    permit = permits.open_permit(state, request.kind, request.name)
+    permit = open_permit(state, request.kind, request.name)
     if permit is None:
         raise RequestRejected(f"{request.name} is not out by a permit, and waits for none")
     if permit.holder.startswith("release:"):
@@ -115,9 +119,9 @@
     if permit.kind == "zone" and permit.out:
         return zones.cancel_evacuation(state, request.name, reason)
     if permit.state == "waiting":
-        permits.move(state, permit, "withdraw")
+        move(state, permit, "withdraw")
         return accepted(state, f"permit {permit.id} is withdrawn", [permit.id])
-    permits.give_back(state, permit, reason)
+    give_back(state, permit, reason)
     return accepted(state, f"permit {permit.id} is returned", [permit.id])
 
 
--- a/cedarmill/fleet/state_machine/releases.py
+++ b/cedarmill/fleet/state_machine/releases.py
@@ -1,9 +1,10 @@
 """Releases of new versions: plans, operators' control, and the comparison of versions."""
 
-from cedarmill.fleet import release
 from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.state import ClusterState, ReleasePlan, RequestOutcome
+from cedarmill.fleet.state import ClusterState, Release, ReleasePlan, RequestOutcome, UnitStep
+from cedarmill.fleet.state_machine import rollout
 from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
+from cedarmill.fleet.state_machine.release_states import END_STATES, move, move_step
 
 
 class RecordComparison(Command, tag="judged", frozen=True):
@@ -33,23 +34,83 @@
 
 def record_comparison(state: ClusterState, command: RecordComparison) -> None:
     """Halt a release whose new version is worse; a release that is unknown is passed over."""
-    if (found := state.releases.get(command.release_id)) is not None:
-        release.judged(state, found, command.worse, command.requests)
+    release = state.releases.get(command.release_id)
+    if release is None:
+        return
+    release.compared_requests = max(release.compared_requests, command.requests)
+    if command.worse and release.state == "running":
+        move(state, release, "worse", command.worse)
 
 
 def plan_release(state: ClusterState, request: PlanRelease) -> RequestOutcome:
     """Enter the plan; raises RequestRejected naming what is wrong with it."""
-    planned = release.plan(state, request.requester, request.plan)
-    return accepted(state, f"release {planned.id} is planned", [planned.id])
+    plan = request.plan
+    names = [name for group in plan.groups for name in group]
+    _check_plan(state, plan, names)
+    steps = [UnitStep(name, _current_version(state, name)) for name in names]
+    release = Release(state.new_id(), plan, request.requester, steps=steps, state_since=state.clock)
+    state.releases[release.id] = release
+    return accepted(state, f"release {release.id} is planned", [release.id])
+
+
+def _current_version(state: ClusterState, unit_name: str) -> str:
+    unit = state.units[unit_name]
+    return unit.ordered_version or unit.version
+
+
+def _check_plan(state: ClusterState, plan: ReleasePlan, names: list[str]) -> None:
+    for name in names:
+        if name not in state.units:
+            raise RequestRejected(f"no steward runs a unit of the name {name}")
+    if len(set(names)) < len(names) or not names or not all(plan.groups):
+        raise RequestRejected("each unit stands in one group, and no group is empty")
+    if plan.max_concurrent < 1:
+        raise RequestRejected("width: at least one unit at once")
+    for other in state.releases.values():
+        busy = set(names) & {step.unit for step in other.steps}
+        if other.state not in END_STATES and busy:
+            held = ", ".join(sorted(busy))
+            raise RequestRejected(f"release {other.id} is not at its end and holds {held}")
 
 
 def control_release(state: ClusterState, request: ControlRelease) -> RequestOutcome:
     """Carry out an operator's action; raises RequestRejected where it is not possible now."""
-    found = state.releases.get(request.release_id)
-    if found is None:
+    release = state.releases.get(request.release_id)
+    if release is None:
         raise RequestRejected(f"no release {request.release_id}")
-    new_state = release.act(state, found, request.action, request.requester, request.reason)
-    return accepted(state, f"release {found.id} is {new_state}", [found.id])
+    if request.action == "back":
+        _check_no_newer(state, release)
+    before = release.state
+    reason = f"by {request.requester}" + (f", {request.reason}" if request.reason else "")
+    if not move(state, release, request.action, reason):
+        raise RequestRejected(
+            f"release {release.id} is {before}: {request.action} is not possible from there"
+        )
+    release.paused_until = 0
+    if request.action == "resume":
+        _retry_failed(state, release)
+    rollout.advance(state)
+    return accepted(state, f"release {release.id} is {release.state}", [release.id])
+
+
+def _check_no_newer(state: ClusterState, release: Release) -> None:
+    """A newer release of the same units has to be taken back first."""
+    units = {step.unit for step in release.steps}
+    for other in state.releases.values():
+        shared = units & {step.unit for step in other.steps}
+        if other.id > release.id and shared and other.state != "backed":
+            raise RequestRejected(
+                f"release {other.id} came after it on the same units: take that one back first"
+            )
+
+
+def _retry_failed(state: ClusterState, release: Release) -> None:
+    """Failed units go on; one that failed after it had been ready has returned its permit and asks again."""
+    for step in release.steps:
+        if not rollout.holds_permit(state, step):
+            move_step(state, step, "again")
+        elif move_step(state, step, "retry"):
+            rollout.order_unit(state, release, step)
 
 
 HANDLERS: Handlers = {
--- a/cedarmill/fleet/state_machine/sessions.py
+++ b/cedarmill/fleet/state_machine/sessions.py
@@ -1,8 +1,10 @@
 """Sessions of members (nodes and process supervisors): joining, lease expiry, return and end."""
 
-from cedarmill.fleet import permits, slices
+from cedarmill.fleet import slices
 from cedarmill.fleet.state import ClusterState, Member, Target
+from cedarmill.fleet.state_machine import drains
 from cedarmill.fleet.state_machine.command import Command, Handlers
+from cedarmill.fleet.state_machine.permit_states import move, target_key
 
 ENDED_KEPT_US = 600_000_000  # how long an incarnation that has ended is still listed
 LAPSES_KEPT = 8  # lease expiries remembered of each member
@@ -63,7 +65,7 @@
     if known is not None and known.state == "ended":
         return
     state.members[member.key] = member
-    permits.member_joined(state, member.key)
+    drains.member_joined(state, member.key)
     _note_membership_change(state, member)
     if member.kind == "node":
         _register_node_target(state, member, command.unit_type)
@@ -72,7 +74,7 @@
 
 
 def _register_node_target(state: ClusterState, member: Member, unit_type: str) -> None:
-    key = permits.key_of("node", member.name)
+    key = target_key("node", member.name)
     target = state.targets.setdefault(key, Target("node", member.name))
     target.zone, target.type = member.zone, unit_type
     _update_node_health(state, member.name)
@@ -86,7 +88,7 @@
 
 def _update_node_health(state: ClusterState, name: str) -> None:
     """A node is there while any of its incarnations is."""
-    target = state.targets.get(permits.key_of("node", name))
+    target = state.targets.get(target_key("node", name))
     if target is None:
         return
     incarnations = [m for m in state.members.values() if m.kind == "node" and m.name == name]
@@ -125,7 +127,7 @@
         if (member := _change_state(state, key, "cut-off")) is not None:
             state.note(f"{member.kind} {member.name} reaches no keeper, others reach it: it serves on")
     for key in command.certainly_stopped:
-        permits.member_ended(state, key)
+        drains.member_ended(state, key)
     for key in (*command.silent, *command.unreachable):
         slices.ended(state, key)  # the lease has ended at its holder before it ended here
 
@@ -142,7 +144,7 @@
     for permit in state.permits.values():
         by_release = permit.kind == "node" and permit.holder.startswith("release:")
         if by_release and _supervises(state, member, permit.target):
-            permits.move(state, permit, "lose")
+            move(state, permit, "lose")
 
 
 def restore(state: ClusterState, command: RestoreSession) -> None:
@@ -155,7 +157,7 @@
         return
     for permit in state.permits.values():
         if permit.state == "lost" and _supervises(state, member, permit.target):
-            permits.move(state, permit, "find")
+            move(state, permit, "find")
 
 
 def end(state: ClusterState, command: EndMember) -> None:
@@ -169,7 +171,7 @@
     if member is None:
         return
     state.note(f"{member.kind} {member.name} has ended: {reason}")
-    permits.member_ended(state, key)
+    drains.member_ended(state, key)
     slices.ended(state, key)
 
 
--- a/cedarmill/fleet/state_machine/targets.py
+++ b/cedarmill/fleet/state_machine/targets.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from cedarmill.fleet import permits, release
-from cedarmill.fleet.state import ClusterState, Target, UnitReport
+from cedarmill.fleet.state import ClusterState, Target, Unit, UnitReport
 from cedarmill.fleet.state_machine.command import Command, Handlers
+from cedarmill.fleet.state_machine.permit_states import target_key
 
 
 class UpdateTargets(Command, tag="seen", frozen=True):
@@ -29,7 +29,7 @@
 def update_targets(state: ClusterState, command: UpdateTargets) -> None:
     """Take over what is observed; a target that was restarted, or returns, begins its slow start."""
     for observed in command.targets:
-        key = permits.key_of(observed.kind, observed.name)
+        key = target_key(observed.kind, observed.name)
         known = state.targets.get(key)
         state.targets[key] = msgspec.structs.replace(
             observed,
@@ -55,7 +55,12 @@
 
 def update_units(state: ClusterState, command: UpdateUnits) -> None:
     """Take over a supervisor's report."""
-    release.seen(state, command.supervisor, command.units)
+    for name, report in command.units.items():
+        unit = state.units.setdefault(name, Unit(name, command.supervisor))
+        unit.supervisor, unit.version, unit.state = command.supervisor, report.version, report.state
+        unit.applied_epoch = report.applied_epoch
+        if report.applied_epoch == unit.ordered_epoch:  # exits of before the order count no more
+            unit.unexpected_exits = report.unexpected_exits
 
 
 def halt_grants(state: ClusterState, command: HaltGrants) -> None:
--- a/cedarmill/fleet/state_machine/zones.py
+++ b/cedarmill/fleet/state_machine/zones.py
@@ -2,10 +2,13 @@
 
 from collections.abc import Callable
 
-from cedarmill.fleet import permits, traffic
+from cedarmill.fleet import traffic
 from cedarmill.fleet.errors import RequestRejected
 from cedarmill.fleet.state import ClusterState, RequestOutcome
+from cedarmill.fleet.state_machine import permit_queue
 from cedarmill.fleet.state_machine.command import DEFAULT_WAIT_US, Handlers, OperatorRequest, accepted
+from cedarmill.fleet.state_machine.permit_queue import PermitRequest
+from cedarmill.fleet.state_machine.permit_states import give_back, move, open_permit
 from cedarmill.fleet.zones import Zone, Zoning
 
 
@@ -64,7 +67,8 @@
     if missing > 0:
         raise RequestRejected(f"the others would not bear it: {missing / 1000:g} slots are missing")
     zone.over = request.evacuation_us
-    permit = permits.ask(state, "zone", zone.name, request.requester, request.reason, 0, request.wait_us)
+    wanted = PermitRequest("zone", zone.name, request.requester, request.reason, 0, request.wait_us)
+    permit = permit_queue.enter(state, wanted)
     state.traffic.next = 0
     return RequestOutcome(state.clock, permit.state != "refused", "; ".join(permit.notes), [permit.id])
 
@@ -75,13 +79,13 @@
 
 def cancel_evacuation(state: ClusterState, name: str, reason: str) -> RequestOutcome:
     """Return a zone's permit or withdraw its request; raises RequestRejected where there is none."""
-    permit = permits.open_permit(state, "zone", name)
+    permit = open_permit(state, "zone", name)
     if permit is None:
         raise RequestRejected(f"zone {name} is not out by a permit, and waits for none")
     if permit.state == "waiting":
-        permits.move(state, permit, "withdraw")
+        move(state, permit, "withdraw")
     else:
-        permits.give_back(state, permit, reason)
+        give_back(state, permit, reason)
     state.traffic.next = 0
     return accepted(state, f"permit {permit.id} is {permit.state}", [permit.id])
 
--- a/cedarmill/fleet/state_views.py
+++ b/cedarmill/fleet/state_views.py
@@ -5,10 +5,11 @@
 
 import msgspec
 
-from cedarmill.fleet import permits, slices, traffic
+from cedarmill.fleet import slices, traffic
 from cedarmill.fleet.messages import ReadRequest
 from cedarmill.fleet.session_tracker import LEASE_US
 from cedarmill.fleet.state import PER_MILLE, ClusterState, Limit, Permit, Release
+from cedarmill.fleet.state_machine import limits
 
 if TYPE_CHECKING:
     from cedarmill.fleet.replica import Replica
@@ -73,21 +74,21 @@
 def _limits(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
     """Each limit in each of its scopes, with what it allows and what is out."""
     state, rows = replica.state, []
-    out = permits.out_parts(state)
+    out = limits.out_shares(state)
     for limit in state.limits:
-        found = {permits.scope(limit, target) for target in state.targets.values()}
+        found = {limits.scope_of(limit, target) for target in state.targets.values()}
         scopes = sorted(scope for scope in found if scope is not None)
         rows += [_limit_row(state, limit, scope, out) for scope in scopes or [""]]
     return rows
 
 
 def _limit_row(state: ClusterState, limit: Limit, scope: str, out: dict[str, int]) -> Row:
-    members = [key for key, target in state.targets.items() if permits.scope(limit, target) == scope]
+    members = [key for key, target in state.targets.items() if limits.scope_of(limit, target) == scope]
     return {
         "limit": limit.text(),
         "scope": scope,
         "of": len(members),
-        "allowed": permits.allowed(limit, len(members)),
+        "allowed": limits.allowed(limit, len(members)),
         "out": sum(out.get(key, 0) for key in members) / PER_MILLE,
         "kind": limit.kind,
         "per": limit.per,
@@ -174,7 +175,7 @@
 
 def _dry_run(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
     """What each target would be told now, one after the other."""
-    verdicts = permits.would(replica.state, request.kind or "executor", request.names)
+    verdicts = limits.dry_run(replica.state, request.kind or "executor", request.names)
     return [
         {"target": name, "verdict": verdict.word, "reasons": list(verdict.reasons)}
         for name, verdict in verdicts
--- a/cedarmill/fleet/traffic.py
+++ b/cedarmill/fleet/traffic.py
@@ -8,9 +8,10 @@
 
 import msgspec
 
-from cedarmill.fleet import overload, permits, zones
+from cedarmill.fleet import overload, zones
 from cedarmill.fleet.evidence import BOUNDS, FAILING, KEPT_US, LATE, WHOLE, Evidence, ZoneNews
 from cedarmill.fleet.state import Target
+from cedarmill.fleet.state_machine.permit_states import target_key
 from cedarmill.fleet.zones import Zone, Zoning
 
 if TYPE_CHECKING:
@@ -38,10 +39,10 @@
     known = [t.name for t in world.targets.values() if t.kind == "zone"]
     for name in known:
         if name not in names:
-            del world.targets[permits.key_of("zone", name)]
+            del world.targets[target_key("zone", name)]
     for name in names:
         target = Target("zone", name, name, group=zoning.region(name))
-        world.targets.setdefault(permits.key_of("zone", name), target)
+        world.targets.setdefault(target_key("zone", name), target)
     world.traffic.shares, world.traffic.aim, world.traffic.next = {}, {}, 0
     world.membership_epoch = (
         world.epoch
@@ -100,7 +101,7 @@
     zone.state, zone.since, zone.changes = state, world.clock, zone.changes + 1
     zone.open = {"open": WHOLE, "lost": 0, "ill": 0, "out": 0}.get(state, zone.open)
     zone.well_since = -1 if state in ("lost", "ill") else zone.well_since
-    target = world.targets.get(permits.key_of("zone", zone.name))
+    target = world.targets.get(target_key("zone", zone.name))
     if target is not None:
         health = "silent" if state == "lost" else "well"
         target.health_since = target.health_since if target.health == health else world.clock
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from cedarmill.fleet import compare, permits, release
+from cedarmill.fleet import compare
 from cedarmill.fleet.state import (
     ClusterState,
     Limit,
@@ -14,7 +14,7 @@
     decode_snapshot,
     encode_snapshot,
 )
-from cedarmill.fleet.state_machine import commands, dispatch
+from cedarmill.fleet.state_machine import commands, dispatch, limits, release_states
 
 S = 1_000_000
 
@@ -146,7 +146,7 @@
         before = encode_snapshot(self.world)
         words = [
             verdict.word
-            for _, verdict in permits.would(self.world, "executor", ("b0", "b3", "b99", "b1", "b2"))
+            for _, verdict in limits.dry_run(self.world, "executor", ("b0", "b3", "b99", "b1", "b2"))
         ]
         self.assertEqual(words, ["now", "later", "never", "now", "later"])
         self.assertEqual(encode_snapshot(self.world), before)
@@ -287,8 +287,8 @@
         self.assertEqual(self.steps(), ["new", "new", "old"])
 
     def test_back_is_possible_from_every_state_that_is_no_end_of_it(self):
-        for state in {state for state, _ in release.STATES}:
-            self.assertTrue((state, "back") in release.STATES or state == "backing", state)
+        for state in {state for state, _ in release_states.STATES}:
+            self.assertTrue((state, "back") in release_states.STATES or state == "backing", state)
 
     def test_the_way_back_failing_on_one_machine_halts_and_names_it(self):
         self.to_the_second_group()
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -6,7 +6,7 @@
 
 from fleets import KeeperCase, cli
 
-from cedarmill.fleet import permits
+from cedarmill.fleet.state_machine import drains, limits
 from cedarmill.fleet.zones import Zoning
 from cedarmill.lab.fleet.bugs import planted_patches
 from cedarmill.lab.fleet.explore import explore
@@ -60,7 +60,7 @@
         self.assertGreater(found.states, 200)
 
     def test_a_drain_that_is_said_too_early_is_found(self):
-        with planted_patches([(permits, "need_of", lambda world, permit: [])]):
+        with planted_patches([(drains, "members_to_drain", lambda world, permit: [])]):
             found = explore(Drains(), Drains.NAMES)
         self.assertEqual(found.breach[0], ("ask a",))
         self.assertIn("drained", found.breach[1])
@@ -71,7 +71,7 @@
             DEMAND = {"any": 4_000, "zone": 1_000}
 
         self.assertIsNone(explore(Two(), Two.NAMES).breach)
-        with planted_patches([(permits, "allowed", lambda limit, count: count)]):
+        with planted_patches([(limits, "allowed", lambda limit, count: count)]):
             found = explore(Two(), Two.NAMES)
         self.assertIn("evacuated at once", found.breach[1])
 
