--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -17,7 +17,6 @@
 import msgspec
 
 from cedarmill.fleet import slices, traffic
-from cedarmill.fleet.agent import Agent, Dial, Facts, Follow, Glance, Say, Who
 from cedarmill.fleet.agree import words as w
 from cedarmill.fleet.agree.core import Saved, Timing
 from cedarmill.fleet.evidence import Digest
@@ -35,11 +34,26 @@
 )
 from cedarmill.fleet.purse import Purses
 from cedarmill.fleet.replica import Replica
+from cedarmill.fleet.session import (
+    Connect,
+    FollowOrders,
+    MemberIdentity,
+    MemberReport,
+    MemberSession,
+    ProbeMember,
+    SendRequest,
+)
 from cedarmill.fleet.sightings import Place, Sightings
 from cedarmill.fleet.slices import Budget
 from cedarmill.fleet.state import EPOCH_INDEX_BITS, ClusterState, Limit, ReleasePlan, encode_snapshot
 from cedarmill.fleet.state_machine import commands
-from cedarmill.fleet.stewarding import Acted, Keep, Start, Steward, Stop
+from cedarmill.fleet.supervision import (
+    OrderApplied,
+    ProcessSupervisor,
+    StartProcess,
+    StopProcess,
+    StoreUnits,
+)
 from cedarmill.fleet.zones import Zoning
 from cedarmill.lab.fleet.history import History
 from cedarmill.lab.fleet.laws import Record
@@ -258,16 +272,18 @@
 class VMember(Process):
     """A process with a session."""
 
-    def __init__(self, world: "Virtual", name: str, who: Who) -> None:
-        super().__init__(world, name, f"{name}/{who.life}")
-        self.dice = random.Random(f"{world.seed}/{name}/{who.life}")
-        self.who = who
-        self.agent = Agent(who, list(world.keepers), self.facts, self.clock.now(), self.dice.randrange(99))
+    def __init__(self, world: "Virtual", name: str, identity: MemberIdentity) -> None:
+        super().__init__(world, name, f"{name}/{identity.incarnation}")
+        self.dice = random.Random(f"{world.seed}/{name}/{identity.incarnation}")
+        self.identity = identity
+        self.agent = MemberSession(
+            identity, list(world.keepers), self.facts, self.clock.now(), self.dice.randrange(99)
+        )
         self.keeper = ""
         self.calls = 0
         self._again()
 
-    def facts(self) -> Facts:
+    def facts(self) -> MemberReport:
         raise NotImplementedError
 
     def follow(self, orders: Orders) -> None:
@@ -279,17 +295,17 @@
             self.world.after(50 * MS, self._again)
 
     def _passed(self) -> None:
-        self._do(self.agent.passed(self.clock.now()))
+        self._do(self.agent.on_time(self.clock.now()))
 
     def _do(self, actions: list) -> None:
         for action in actions:
-            if isinstance(action, Dial):
-                self.keeper, self.calls = action.keeper, self.calls + 1
-            elif isinstance(action, Say):
-                self._say(action.ask)
-            elif isinstance(action, Follow):
+            if isinstance(action, Connect):
+                self.keeper, self.calls = action.replica, self.calls + 1
+            elif isinstance(action, SendRequest):
+                self._say(action.request)
+            elif isinstance(action, FollowOrders):
                 self.follow(action.orders)
-            elif isinstance(action, Glance):
+            elif isinstance(action, ProbeMember):
                 self._glance(action)
 
     def _say(self, ask: ClientRequest) -> None:
@@ -306,13 +322,13 @@
 
     def _heard(self, call: int, answer: object) -> None:
         if call == self.calls:
-            self._do(self.agent.heard(self.clock.now(), answer))
+            self._do(self.agent.on_reply(self.clock.now(), answer))
 
-    def _glance(self, glance: Glance) -> None:
+    def _glance(self, glance: ProbeMember) -> None:
         def found() -> None:
             there = glance.key in self.world.members and self.world.members[glance.key].alive
             there = there and not self.world.members[glance.key].paused
-            self.run(self.agent.reached, glance.key, there)
+            self.run(self.agent.on_probed, glance.key, there)
 
         self.world.after(5 * MS, found)
 
@@ -332,13 +348,17 @@
         self.digest_at = 0
         self.purses = Purses()
         address, stops = f"v:{name}:{life}", world.shape.stops
-        super().__init__(world, name, Who("node", name, life, zone, address, version, stops=stops))
+        super().__init__(
+            world,
+            name,
+            MemberIdentity("node", name, life, zone, address, version, stops_at_lease_expiry=stops),
+        )
         if world.shape.works:
             self._work()
         if world.shape.spends:
             self._ask_often()
 
-    def facts(self) -> Facts:
+    def facts(self) -> MemberReport:
         done = {}
         if self.agent.orders is not None:
             done = {name: epoch for name, epoch in self.out.items() if not self.jobs.get(name)}
@@ -351,7 +371,9 @@
             held = {self.world.zone_of(name) for name, jobs in self.jobs.items() if jobs}
             done |= {zone: epoch for zone, epoch in way.closed_zones.items() if zone not in held}
         wants = self.purses.wants(self.clock.now())
-        return Facts(done, seen, counts=tuple(self.tally), digest=self._digest(), wants=wants)
+        return MemberReport(
+            done, seen, request_counts=tuple(self.tally), digest=self._digest(), budget_demand=wants
+        )
 
     def _digest(self) -> Digest | None:
         now = self.clock.now()
@@ -369,7 +391,7 @@
         self.out = dict(orders.excluded_executors)
         self.purses.told(self.clock.now(), self.agent.holds(self.clock.now()), orders.budget_leases)
         if self.follower.told(orders.routes):
-            who, epoch = f"{self.name}/{self.who.life}", self.follower.way.epoch
+            who, epoch = f"{self.name}/{self.identity.incarnation}", self.follower.way.epoch
             self.world.history.tell(who, "follows", self.zone, epoch=epoch)
 
     def _ask_often(self) -> None:
@@ -425,7 +447,9 @@
 
     def may_send(self) -> bool:
         """Not before it has heard what is out; one that stops by its lease asks it at this moment."""
-        return self.agent.orders is not None and (not self.who.stops or self.agent.holds(self.clock.now()))
+        return self.agent.orders is not None and (
+            not self.identity.stops_at_lease_expiry or self.agent.holds(self.clock.now())
+        )
 
     def ended(self, name: str, lost: bool = False) -> None:
         """A job has come back, or never arrived."""
@@ -444,8 +468,10 @@
         self.number = number
         self.machine = world.machines[number]
         self.taking = 0  # the epoch of the order that is being acted on
-        self.core = Steward({self.unit: "v1"}, self._new_life, self.machine.kept)
-        super().__init__(world, f"steward-{number}", Who("steward", f"steward-{number}", str(life)))
+        self.core = ProcessSupervisor({self.unit: "v1"}, self._new_life, self.machine.kept)
+        super().__init__(
+            world, f"steward-{number}", MemberIdentity("steward", f"steward-{number}", str(life))
+        )
         self._act(self.core.begin(self.clock.now(), self._is_alive))
         self._tick()
 
@@ -454,15 +480,15 @@
         return f"{self.number}.{self.machine.lives}"
 
     def _is_alive(self, process) -> bool:
-        node = self.machine.nodes.get(process.life)
+        node = self.machine.nodes.get(process.incarnation)
         return node is not None and node.alive
 
-    def facts(self) -> Facts:
-        return Facts(units=self.core.told(), ended=self.core.ended)
+    def facts(self) -> MemberReport:
+        return MemberReport(units=self.core.reports(), ended_members=self.core.ended_members)
 
     def follow(self, orders: Orders) -> None:
         self.orders = orders
-        self._act(self.core.order(self.clock.now(), orders.units, self.agent.lease_till))
+        self._act(self.core.order(self.clock.now(), orders.units, self.agent.lease_until))
 
     def _tick(self) -> None:
         if not self.alive:
@@ -472,22 +498,24 @@
 
     def _look(self) -> None:
         now = self.clock.now()
-        self._act(self.core.passed(now))
+        self._act(self.core.on_time(now))
         if self.agent.orders is not None:
-            self._act(self.core.order(now, self.agent.orders.units, self.agent.lease_till))
+            self._act(self.core.order(now, self.agent.orders.units, self.agent.lease_until))
         for life, node in list(self.machine.nodes.items()):
             if not node.alive:
                 del self.machine.nodes[life]
-                self._act(self.core.exited(now, self.unit, life))
+                self._act(self.core.on_exited(now, self.unit, life))
         for process in self.core.to_kill(now):
-            node = self.machine.nodes.get(process.life)
+            node = self.machine.nodes.get(process.incarnation)
             if node is not None:
                 node.kill()
 
     def _act(self, actions: list) -> None:
         """Carry out what the core says; a fault may come right after a start."""
         self._carry_out(actions)
-        if self.number in self.world.mid_change and any(isinstance(action, Start) for action in actions):
+        if self.number in self.world.mid_change and any(
+            isinstance(action, StartProcess) for action in actions
+        ):
             self.world.mid_change.discard(self.number)
             if self.world.dice.random() < 0.5:
                 self.world.kill_steward(self.number, self.world.dice.randrange(4 * S))
@@ -497,32 +525,32 @@
     def _carry_out(self, actions: list) -> None:
         self.taking = 0
         for action in actions:
-            if isinstance(action, Keep):
-                self.machine.kept = action.text
-            elif isinstance(action, Start):
+            if isinstance(action, StoreUnits):
+                self.machine.kept = action.document
+            elif isinstance(action, StartProcess):
                 self._start(action)
-            elif isinstance(action, Stop):
-                node = self.machine.nodes.get(action.life)
+            elif isinstance(action, StopProcess):
+                node = self.machine.nodes.get(action.incarnation)
                 if node is not None:
                     self.world.after(300 * MS, self.world.end_node, node)
-            elif isinstance(action, Acted):
-                left = (self.agent.lease_till - self.clock.now()) / S
+            elif isinstance(action, OrderApplied):
+                left = (self.agent.lease_until - self.clock.now()) / S
                 self.world.history.tell(self.name, "acts", action.unit, epoch=action.epoch, number=left)
                 self.taking = action.epoch
 
-    def _start(self, action: Start) -> None:
+    def _start(self, action: StartProcess) -> None:
         if self.taking:
             self.world.history.tell(self.name, "taken", action.unit, epoch=self.taking)
             self.taking = 0
-        node = VNode(self.world, action.unit, action.life, action.version)
-        self.machine.nodes[action.life] = node
-        self.world.members[f"node:{action.unit}:{action.life}"] = node
+        node = VNode(self.world, action.unit, action.incarnation, action.version)
+        self.machine.nodes[action.incarnation] = node
+        self.world.members[f"node:{action.unit}:{action.incarnation}"] = node
         self.world.history.tell(self.name, "starts", action.unit, note=action.version)
-        self.core.started(action.unit, action.life, 1)
+        self.core.on_started(action.unit, action.incarnation, 1)
         if action.version == "exiting":
             self.world.after(500 * MS, node.kill)
         elif action.version != "late":
-            self.world.after(300 * MS, self._ready, action.unit, action.life, node)
+            self.world.after(300 * MS, self._ready, action.unit, action.incarnation, node)
 
     def _ready(self, unit: str, life: str, node: VNode) -> None:
         if node.alive and self.alive:
@@ -534,7 +562,7 @@
         found = self.core.units[unit]
         if found.current == life and not found.ready:
             self.world.history.tell(self.name, "back", unit)
-        self._act(self.core.ready(self.clock.now(), unit, life))
+        self._act(self.core.on_ready(self.clock.now(), unit, life))
 
 
 @dataclass(slots=True)
@@ -748,7 +776,7 @@
 
     def _arrive(self, node: VNode, name: str) -> None:
         box = self.executors[name]
-        self.visits.append(Visit(name, self.zone_of(name), f"{node.who.life}", "job", self.time))
+        self.visits.append(Visit(name, self.zone_of(name), f"{node.identity.incarnation}", "job", self.time))
         if not box.up:
             node.run(node.ended, name, True)
             return
