--- a/cedarmill/fleet/executor_health.py
+++ b/cedarmill/fleet/executor_health.py
@@ -4,6 +4,7 @@
 from cedarmill.fleet.messages import ExecutorObservation
 from cedarmill.fleet.session_tracker import AT_ONCE, SessionTracker
 from cedarmill.fleet.state import ClusterState, Target
+from cedarmill.fleet.states import TargetHealth
 
 FAILING_SHARE = 0.5  # of the nodes that have tried an executor lately: more have to find it failing
 MASS_SHARE = 0.34  # of all executors that may become worse between two rounds and be believed
@@ -45,14 +46,18 @@
             known = state.targets.get(f"executor:{name}")
             if target is None or (known is not None and _same(target, known)):
                 continue
-            worse += known is not None and known.health == "well" and target.health in ("ill", "gone")
+            worse += (
+                known is not None
+                and known.health == TargetHealth.WELL
+                and target.health in (TargetHealth.ILL, TargetHealth.GONE)
+            )
             found.append(target)
         self.changed.clear()
         count = sum(target.kind == "executor" for target in state.targets.values())
         if worse <= MASS_FEW or worse <= MASS_SHARE * count:
             return tuple(found), ""
         self.changed.update(target.name for target in found)  # to be looked at again
-        well = tuple(target for target in found if target.health == "well")
+        well = tuple(target for target in found if target.health == TargetHealth.WELL)
         return well, f"{worse} of {count} executors seem ill or gone {AT_ONCE}"
 
 
@@ -68,12 +73,12 @@
     ]
 
 
-def _health(reports: list[ExecutorObservation], listed: list[ExecutorObservation]) -> str:
+def _health(reports: list[ExecutorObservation], listed: list[ExecutorObservation]) -> TargetHealth:
     if not listed or len(listed) * 2 < len(reports):
-        return "gone"
+        return TargetHealth.GONE
     if sum(report.listing == "draining" for report in reports) * 2 > len(reports):
-        return "draining"
-    return "ill" if _failing(reports) else "well"
+        return TargetHealth.DRAINING
+    return TargetHealth.ILL if _failing(reports) else TargetHealth.WELL
 
 
 def _failing(reports: list[ExecutorObservation]) -> bool:
--- a/cedarmill/fleet/leader_duties.py
+++ b/cedarmill/fleet/leader_duties.py
@@ -17,6 +17,7 @@
     UpdateTargets,
 )
 from cedarmill.fleet.state_machine.permit_states import target_key
+from cedarmill.fleet.states import MemberState, StepState, TargetHealth
 from cedarmill.fleet.zones import same_news
 
 if TYPE_CHECKING:
@@ -80,7 +81,7 @@
 
     def _expire(self, now: int, expired: ExpiredLeases) -> None:
         state = self._replica.state
-        silent = tuple(key for key in expired.silent if state.members[key].state != "silent")
+        silent = tuple(key for key in expired.silent if state.members[key].state != MemberState.SILENT)
         awaited = {key for permit in state.permits.values() if permit.out for key in permit.undrained_members}
         stopped = tuple(key for key in expired.certainly_stopped if key in awaited)
         if silent or expired.unreachable or stopped:
@@ -98,7 +99,7 @@
         for name in replica.raft.config:
             follower = replica.raft.followers.get(name)
             heard = follower is not None and now - follower.heard <= REPLICA_SILENT_US
-            health = "well" if heard or name == replica.name else "silent"
+            health = TargetHealth.WELL if heard or name == replica.name else TargetHealth.SILENT
             known = replica.state.targets.get(target_key("keeper", name))
             if known is None or known.health != health:
                 found.append(Target("keeper", name, health=health))
@@ -115,7 +116,7 @@
         leadership = replica.leadership
         if replica.state.halt_reason != NEW_LEADER_HALT or now - leadership.elected_at > LEASE_US:
             return ""
-        nodes = [node for node in replica.state.members_of("node") if node.state != "silent"]
+        nodes = [node for node in replica.state.members_of("node") if node.state != MemberState.SILENT]
         sessions = leadership.sessions.by_key
         reported = sum(node.key in sessions and sessions[node.key].reported_all for node in nodes)
         return "" if 2 * reported > len(nodes) or not nodes else NEW_LEADER_HALT
@@ -130,7 +131,9 @@
         if halt or state.halt_reason == NEW_LEADER_HALT:
             return
         members = state.members
-        zones.forget([key for key in zones.held if key in members and members[key].state == "ended"])
+        zones.forget(
+            [key for key in zones.held if key in members and members[key].state == MemberState.ENDED]
+        )
         evidence = zones.look(now, state.zoning.zones)
         time_us = replica.cluster_time(now)
         moves = state.admission.active and time_us - state.traffic.news_at >= ADMISSION_INTERVAL_US
@@ -156,7 +159,7 @@
     def _compare(self, now: int, release_id: int, counts: dict[str, compare.Counts]) -> None:
         found = self._replica.state.releases[release_id]
         sides = self._replica.leadership.comparisons.setdefault(release_id, compare.Sides(counts))
-        sides.look(counts, {step.unit for step in found.steps if step.state == "new"})
+        sides.look(counts, {step.unit for step in found.steps if step.state == StepState.NEW})
         worse = compare.worse(found.plan, sides.new, sides.rest)
         sample = min(sides.new.jobs, sides.rest.jobs)
         if worse or found.compared_requests < found.plan.min_sample <= sample:
@@ -168,7 +171,7 @@
         newest: dict[str, tuple[int, compare.Counts]] = {}
         for key, session in self._replica.leadership.sessions.by_key.items():
             member = self._replica.state.members.get(key)
-            if member is None or member.kind != "node" or member.state != "live":
+            if member is None or member.kind != "node" or member.state != MemberState.LIVE:
                 continue
             known = newest.get(member.name)
             if known is None or member.joined_at >= known[0]:
--- a/cedarmill/fleet/member_requests.py
+++ b/cedarmill/fleet/member_requests.py
@@ -17,6 +17,7 @@
     SetBudgetDemand,
     UpdateUnits,
 )
+from cedarmill.fleet.states import MemberState
 
 if TYPE_CHECKING:
     from cedarmill.fleet.replica import Replica
@@ -51,7 +52,7 @@
         member = self._state.members.get(key)
         if member is None:
             self._register(now, key, heartbeat)
-        elif member.state == "ended":
+        elif member.state == MemberState.ENDED:
             return
         elif heartbeat.leaving:
             command = EndMember(self._replica.cluster_time(now), key, "its own word")
@@ -74,7 +75,7 @@
         self._replica.propose_once(now, f"join {key}", command)
 
     def _update(self, now: int, key: str, member: Member, heartbeat: Heartbeat) -> None:
-        if member.state != "live":
+        if member.state != MemberState.LIVE:
             command = RestoreSession(self._replica.cluster_time(now), key)
             self._replica.propose_once(now, f"back {key}", command)
         self._replica._tell_done(now, key, heartbeat)
@@ -147,7 +148,7 @@
         """Members that a process supervisor has seen end."""
         for key in heartbeat.ended_members:
             member = self._state.members.get(key)
-            if member is not None and member.state != "ended":
+            if member is not None and member.state != MemberState.ENDED:
                 command = EndMember(self._replica.cluster_time(now), key, f"steward {heartbeat.name}")
                 self._replica.propose_once(now, f"end {key}", command)
 
@@ -155,12 +156,12 @@
         """The reply: a lease, newer orders, and members to probe."""
         state, term = self._state, self._replica.raft.term
         member = state.members.get(heartbeat.member_key)
-        if member is None or member.state == "ended":
+        if member is None or member.state == MemberState.ENDED:
             return HeartbeatReply(heartbeat.sequence, 0, term)
         unknown_grants = bool(self._unknown_grants(heartbeat))
         up_to_date = heartbeat.orders_epoch == state.orders_epoch
         orders = None if unknown_grants or up_to_date else member_orders.orders_for(state, member)
-        lease_us = LEASE_US if member.state == "live" and not unknown_grants else 0
+        lease_us = LEASE_US if member.state == MemberState.LIVE and not unknown_grants else 0
         probes = self._members_to_probe(now, member.key)
         return HeartbeatReply(heartbeat.sequence, lease_us, term, orders, probes, now)
 
--- a/cedarmill/fleet/release_state.py
+++ b/cedarmill/fleet/release_state.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from cedarmill.fleet.former_names import former_field
+from cedarmill.fleet.states import ReleaseState, StepState
 
 
 class UnitReport(NamedTuple):
@@ -55,7 +56,7 @@
 
     unit: str
     old_version: str
-    state: str = "old"  # see `release_states.STEPS`
+    state: StepState = StepState.OLD
     permit_id: int = 0
     state_since: int = 0
 
@@ -93,7 +94,7 @@
     id: int
     plan: ReleasePlan
     requester: str
-    state: str = "planned"  # see `release_states.STATES`
+    state: ReleaseState = ReleaseState.PLANNED
     group: int = 0  # index of the group on its way
     steps: list[UnitStep] = msgspec.field(default_factory=list)
     state_since: int = 0
--- a/cedarmill/fleet/session_tracker.py
+++ b/cedarmill/fleet/session_tracker.py
@@ -14,6 +14,7 @@
 from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.messages import ExecutorObservation, Heartbeat
 from cedarmill.fleet.state import ClusterState, Member
+from cedarmill.fleet.states import MemberState
 
 LEASE_US = 3_000_000  # that a session holds without a heartbeat
 CLOCK_RATE_BOUND = 0.01  # by which one process's clock may run faster than another's: far over a quartz's
@@ -122,7 +123,7 @@
             return ExpiredLeases(disbelieved=reason)
         return ExpiredLeases(
             silent=tuple(member.key for member in gone),
-            unreachable=tuple(m.key for m in over if m.key in reachable and m.state == "live"),
+            unreachable=tuple(m.key for m in over if m.key in reachable and m.state == MemberState.LIVE),
             certainly_stopped=tuple(self._certainly_stopped(now, state)),
         )
 
@@ -132,7 +133,7 @@
 
     def _mass_loss(self, now: int, members: list[Member], reachable: set[str]) -> str:
         """Why the loss is not believed, if too many live members are missing or about to be."""
-        live = [member for member in members if member.state == "live"]
+        live = [member for member in members if member.state == MemberState.LIVE]
         missing = sum(
             member.key not in reachable and now - self.heard_at(member.key) > LEASE_US - SPREAD_US
             for member in live
@@ -145,17 +146,19 @@
         """Those that stop by themselves when their lease has expired: it has, wherever they are."""
         for member in state.members.values():
             expired = now - self.heard_at(member.key) > LEASE_US
-            if member.stops_at_lease_expiry and member.state != "ended" and expired:
+            if member.stops_at_lease_expiry and member.state != MemberState.ENDED and expired:
                 yield member.key
 
     def forget_ended(self, state: ClusterState) -> None:
         """Drop members that have ended."""
         ended = [
-            key for key in self.by_key if key in state.members and state.members[key].state == "ended"
+            key
+            for key in self.by_key
+            if key in state.members and state.members[key].state == MemberState.ENDED
         ]
         for key in ended:
             del self.by_key[key]
 
 
 def _has_session(member: Member) -> bool:
-    return member.state in ("live", "cut-off")
+    return member.state in (MemberState.LIVE, MemberState.UNREACHABLE)
--- a/cedarmill/fleet/state.py
+++ b/cedarmill/fleet/state.py
@@ -13,6 +13,7 @@
 from cedarmill.fleet.overload import Admission
 from cedarmill.fleet.release_state import Release, ReleasePlan, Unit, UnitOrder, UnitReport, UnitStep
 from cedarmill.fleet.slices import Budget, Slice
+from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
 from cedarmill.fleet.zones import Traffic, Zone, Zoning
 
 __all__ = [
@@ -66,7 +67,7 @@
     type: str = ""
     group: str = ""
     slots: int = 1
-    health: str = "well"  # well, ill, silent, draining (as discovery lists it), gone
+    health: TargetHealth = TargetHealth.WELL
     health_since: int = 0
     slow_start_from: int = -1  # when it returned to service; -1: long ago
     started_ms: int = 0  # Unix time, as discovery lists it
@@ -93,7 +94,7 @@
     address: str = ""
     version: str = ""
     stops_at_lease_expiry: bool = False  # it stops sending by itself when its lease has expired
-    state: str = "live"  # live, silent, cut-off (others reach it), ended
+    state: MemberState = MemberState.LIVE
     state_since: int = 0
     joined_at: int = 0
     lease_expiries: list[int] = msgspec.field(default_factory=list)  # the latest
@@ -123,7 +124,7 @@
     holder: str
     reason: str = ""
     priority: int = 0
-    state: str = "waiting"  # see `permit_states.STATES`
+    state: PermitState = PermitState.WAITING
     requested_at: int = 0
     waits_until: int = 0
     granted_at: int = 0
@@ -136,7 +137,7 @@
     @property
     def out(self) -> bool:
         """Whether its target counts as out of service."""
-        return self.state in ("granted", "lost")
+        return self.state in (PermitState.GRANTED, PermitState.LOST)
 
     need = former_field("undrained_members")
     drained = former_field("drained_at")
@@ -216,7 +217,11 @@
 
     def members_of(self, kind: str) -> list[Member]:
         """Members of a kind that may still act: all but those that have ended."""
-        return [member for member in self.members.values() if member.kind == kind and member.state != "ended"]
+        return [
+            member
+            for member in self.members.values()
+            if member.kind == kind and member.state != MemberState.ENDED
+        ]
 
     live = members_of
 
--- a/cedarmill/fleet/state_machine/budgets.py
+++ b/cedarmill/fleet/state_machine/budgets.py
@@ -5,6 +5,7 @@
 from cedarmill.fleet.slices import Budget
 from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
+from cedarmill.fleet.states import MemberState
 
 
 class SetBudgetDemand(Command, tag="wants", frozen=True):
@@ -30,7 +31,7 @@
 def set_demand(state: ClusterState, command: SetBudgetDemand) -> None:
     """Deal the budgets anew; the demand of a member without a session is passed over."""
     member = state.members.get(command.member_key)
-    if member is not None and member.state == "live":
+    if member is not None and member.state == MemberState.LIVE:
         slices.wanted(state, command.member_key, command.demand)
 
 
--- a/cedarmill/fleet/state_machine/limits.py
+++ b/cedarmill/fleet/state_machine/limits.py
@@ -11,6 +11,7 @@
 
 from cedarmill.fleet.state import PER_MILLE, ClusterState, Limit, Target
 from cedarmill.fleet.state_machine.permit_states import target_key
+from cedarmill.fleet.states import TargetHealth
 
 FLAP_WINDOW_US = 60_000_000  # in which lease expiries are counted
 FLAP_EXPIRIES = 3  # of a node in that window: it counts as out until they are fewer
@@ -74,7 +75,7 @@
     """Of each target of which any part is out."""
     found: OutShares = {}
     for key, target in state.targets.items():
-        if target.health != "well" or (target.kind == "node" and is_flapping(state, target.name)):
+        if target.health != TargetHealth.WELL or (target.kind == "node" and is_flapping(state, target.name)):
             found[key] = PER_MILLE
         elif part := slow_start_part(state, target):
             found[key] = part
--- a/cedarmill/fleet/state_machine/operator_statements.py
+++ b/cedarmill/fleet/state_machine/operator_statements.py
@@ -8,6 +8,7 @@
 from cedarmill.fleet.state_machine.command import Handlers, OperatorRequest, accepted
 from cedarmill.fleet.state_machine.permit_states import give_back
 from cedarmill.fleet.state_machine.sessions import end_member
+from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
 
 
 class OperatorStatement(OperatorRequest, tag="word", frozen=True):
@@ -48,9 +49,9 @@
     keys = [
         key
         for key, member in state.members.items()
-        if request.name in (key, member.name) and member.state != "ended"
+        if request.name in (key, member.name) and member.state != MemberState.ENDED
     ]
-    live = [key for key in keys if state.members[key].state == "live"]
+    live = [key for key in keys if state.members[key].state == MemberState.LIVE]
     if live:
         raise RequestRejected(f"{live[0]} renews its session: it has not ended")
     if not keys:
@@ -62,7 +63,9 @@
 
 def _found(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
     """The target of a lost permit is known to serve again."""
-    permit = next((p for p in state.permits.values() if p.state == "lost" and p.target == request.name), None)
+    permit = next(
+        (p for p in state.permits.values() if p.state == PermitState.LOST and p.target == request.name), None
+    )
     if permit is None:
         raise RequestRejected(f"no lost permit for {request.name}")
     give_back(state, permit, f"{request.requester} says it is back: {request.reason}")
@@ -74,7 +77,7 @@
     keys = [
         key
         for key, target in state.targets.items()
-        if target.name == request.name and target.health != "well"
+        if target.name == request.name and target.health != TargetHealth.WELL
     ]
     if not keys:
         raise RequestRejected(f"{request.name} is unknown, or well")
--- a/cedarmill/fleet/state_machine/permit_queue.py
+++ b/cedarmill/fleet/state_machine/permit_queue.py
@@ -10,6 +10,7 @@
 from cedarmill.fleet.state_machine import drains, limits
 from cedarmill.fleet.state_machine.limits import FLAP_WINDOW_US, Answer
 from cedarmill.fleet.state_machine.permit_states import OPEN_STATES, move, target_key
+from cedarmill.fleet.states import PermitState
 
 ENDED_KEPT = 500  # permits that have ended and are still listed
 WARM_UP_CHECK_US = 500_000  # between two looks at targets in slow start while a request waits
@@ -51,7 +52,7 @@
 
 def _waiting_for(state: ClusterState, kind: str, target: str) -> Permit | None:
     for permit in state.permits.values():
-        if permit.state == "waiting" and (permit.kind, permit.target) == (kind, target):
+        if permit.state == PermitState.WAITING and (permit.kind, permit.target) == (kind, target):
             return permit
     return None
 
@@ -66,7 +67,7 @@
     for permit in state.permits.values():
         if permit.out:
             held[permit.holder] = held.get(permit.holder, 0) + 1
-    waiting = [permit for permit in state.permits.values() if permit.state == "waiting"]
+    waiting = [permit for permit in state.permits.values() if permit.state == PermitState.WAITING]
     return sorted(waiting, key=lambda permit: (-permit.priority, held.get(permit.holder, 0), permit.id))
 
 
@@ -110,7 +111,7 @@
 def expire_waiting(state: ClusterState) -> None:
     """End what has waited long enough, and forget the oldest permits that have ended."""
     for permit in state.permits.values():
-        if permit.state == "waiting" and state.clock >= permit.waits_until:
+        if permit.state == PermitState.WAITING and state.clock >= permit.waits_until:
             permit.notes = [*permit.notes, "waited as long as was asked"]
             move(state, permit, "expire")
     ended = [permit.id for permit in state.permits.values() if permit.state not in OPEN_STATES]
@@ -120,7 +121,7 @@
 
 def next_due(state: ClusterState) -> int | None:
     """When something changes by itself (us of the cluster): a wait ends, or what is out becomes less."""
-    times = [permit.waits_until for permit in state.permits.values() if permit.state == "waiting"]
+    times = [permit.waits_until for permit in state.permits.values() if permit.state == PermitState.WAITING]
     if not times:
         return None
     warm_ups = [
--- a/cedarmill/fleet/state_machine/permit_states.py
+++ b/cedarmill/fleet/state_machine/permit_states.py
@@ -1,19 +1,20 @@
 """The states of a permit: whatever changes one stands in this table."""
 
 from cedarmill.fleet.state import ClusterState, Permit
+from cedarmill.fleet.states import PermitState
 
 # (state, event) -> state
 STATES = {
-    ("waiting", "grant"): "granted",
-    ("waiting", "expire"): "expired",
-    ("waiting", "refuse"): "refused",
-    ("waiting", "withdraw"): "withdrawn",
-    ("granted", "give"): "returned",
-    ("granted", "lose"): "lost",
-    ("lost", "find"): "granted",
-    ("lost", "give"): "returned",
+    (PermitState.WAITING, "grant"): PermitState.GRANTED,
+    (PermitState.WAITING, "expire"): PermitState.EXPIRED,
+    (PermitState.WAITING, "refuse"): PermitState.REFUSED,
+    (PermitState.WAITING, "withdraw"): PermitState.WITHDRAWN,
+    (PermitState.GRANTED, "give"): PermitState.RETURNED,
+    (PermitState.GRANTED, "lose"): PermitState.LOST,
+    (PermitState.LOST, "find"): PermitState.GRANTED,
+    (PermitState.LOST, "give"): PermitState.RETURNED,
 }
-OPEN_STATES = frozenset({"waiting", "granted", "lost"})
+OPEN_STATES = frozenset({PermitState.WAITING, PermitState.GRANTED, PermitState.LOST})
 
 
 def target_key(kind: str, name: str) -> str:
@@ -39,7 +40,7 @@
     """The permit by which a target is out, or for which it waits."""
     found = [permit for permit in state.permits.values() if (permit.kind, permit.target) == (kind, name)]
     granted = next((permit for permit in found if permit.out), None)
-    return granted or next((permit for permit in found if permit.state == "waiting"), None)
+    return granted or next((permit for permit in found if permit.state == PermitState.WAITING), None)
 
 
 def give_back(state: ClusterState, permit: Permit, reason: str = "") -> bool:
--- a/cedarmill/fleet/state_machine/permits.py
+++ b/cedarmill/fleet/state_machine/permits.py
@@ -12,6 +12,7 @@
 )
 from cedarmill.fleet.state_machine.permit_queue import PermitRequest
 from cedarmill.fleet.state_machine.permit_states import give_back, move, open_permit
+from cedarmill.fleet.states import PermitState
 
 
 class ConfirmDrained(Command, tag="cleared", frozen=True):
@@ -68,7 +69,7 @@
             kind,
             name,
             "before the restore",
-            state="lost",
+            state=PermitState.LOST,
             requested_at=state.clock,
             granted_at=state.clock,
             epoch=state.epoch,
@@ -104,7 +105,7 @@
         )
         for name in dict.fromkeys(request.names)
     ]
-    any_open = not all(permit.state == "refused" for permit in made)
+    any_open = not all(permit.state == PermitState.REFUSED for permit in made)
     return RequestOutcome(state.clock, any_open, "", [permit.id for permit in made])
 
 
@@ -118,7 +119,7 @@
     reason = f"put back by {request.requester}"
     if permit.kind == "zone" and permit.out:
         return zones.cancel_evacuation(state, request.name, reason)
-    if permit.state == "waiting":
+    if permit.state == PermitState.WAITING:
         move(state, permit, "withdraw")
         return accepted(state, f"permit {permit.id} is withdrawn", [permit.id])
     give_back(state, permit, reason)
--- a/cedarmill/fleet/state_machine/release_states.py
+++ b/cedarmill/fleet/state_machine/release_states.py
@@ -1,52 +1,56 @@
 """The states of a release and of each unit within it: whatever changes one stands in these tables."""
 
 from cedarmill.fleet.state import ClusterState, Release, UnitStep
+from cedarmill.fleet.states import ReleaseState, StepState
 
 # (state, event) -> state, of a release
 STATES = {
-    ("planned", "start"): "running",
-    ("planned", "halt"): "halted",
-    ("planned", "back"): "backed",
-    ("running", "halt"): "halted",
-    ("running", "failed"): "halted",
-    ("running", "worse"): "halted",
-    ("running", "complete"): "done",
-    ("running", "back"): "backing",
-    ("halted", "resume"): "running",
-    ("halted", "back"): "backing",
-    ("done", "back"): "backing",
-    ("backing", "halt"): "back-halted",
-    ("backing", "failed"): "back-halted",
-    ("backing", "complete"): "backed",
-    ("back-halted", "resume"): "backing",
-    ("back-halted", "back"): "backing",
+    (ReleaseState.PLANNED, "start"): ReleaseState.RUNNING,
+    (ReleaseState.PLANNED, "halt"): ReleaseState.HALTED,
+    (ReleaseState.PLANNED, "back"): ReleaseState.ROLLED_BACK,
+    (ReleaseState.RUNNING, "halt"): ReleaseState.HALTED,
+    (ReleaseState.RUNNING, "failed"): ReleaseState.HALTED,
+    (ReleaseState.RUNNING, "worse"): ReleaseState.HALTED,
+    (ReleaseState.RUNNING, "complete"): ReleaseState.DONE,
+    (ReleaseState.RUNNING, "back"): ReleaseState.ROLLING_BACK,
+    (ReleaseState.HALTED, "resume"): ReleaseState.RUNNING,
+    (ReleaseState.HALTED, "back"): ReleaseState.ROLLING_BACK,
+    (ReleaseState.DONE, "back"): ReleaseState.ROLLING_BACK,
+    (ReleaseState.ROLLING_BACK, "halt"): ReleaseState.ROLL_BACK_HALTED,
+    (ReleaseState.ROLLING_BACK, "failed"): ReleaseState.ROLL_BACK_HALTED,
+    (ReleaseState.ROLLING_BACK, "complete"): ReleaseState.ROLLED_BACK,
+    (ReleaseState.ROLL_BACK_HALTED, "resume"): ReleaseState.ROLLING_BACK,
+    (ReleaseState.ROLL_BACK_HALTED, "back"): ReleaseState.ROLLING_BACK,
 }
-END_STATES = ("done", "backed")
+END_STATES = (ReleaseState.DONE, ReleaseState.ROLLED_BACK)
 
 # (state, event) -> state, of a unit within it
 STEPS = {
-    ("old", "ask"): "asking",
-    ("asking", "granted"): "changing",
-    ("asking", "turned-down"): "old",
-    ("changing", "ready"): "new",
-    ("changing", "late"): "failed",
-    ("changing", "exits"): "failed",
-    ("new", "exits"): "failed",
-    ("failed", "ready"): "new",
-    ("failed", "retry"): "changing",
-    ("failed", "again"): "old",
-    ("failed", "ask-back"): "back-asking",
-    ("asking", "back"): "old",
-    ("changing", "back"): "back-changing",
-    ("failed", "back"): "back-changing",
-    ("new", "ask-back"): "back-asking",
-    ("back-asking", "granted"): "back-changing",
-    ("back-asking", "turned-down"): "failed",  # seen as new again at once, if it serves
-    ("back-changing", "ready"): "restored",
-    ("back-changing", "late"): "stuck",
-    ("back-changing", "exits"): "stuck",
-    ("stuck", "ready"): "restored",
-    ("stuck", "retry"): "back-changing",
+    (StepState.OLD, "ask"): StepState.REQUESTING,
+    (StepState.REQUESTING, "granted"): StepState.CHANGING,
+    (StepState.REQUESTING, "turned-down"): StepState.OLD,
+    (StepState.CHANGING, "ready"): StepState.NEW,
+    (StepState.CHANGING, "late"): StepState.FAILED,
+    (StepState.CHANGING, "exits"): StepState.FAILED,
+    (StepState.NEW, "exits"): StepState.FAILED,
+    (StepState.FAILED, "ready"): StepState.NEW,
+    (StepState.FAILED, "retry"): StepState.CHANGING,
+    (StepState.FAILED, "again"): StepState.OLD,
+    (StepState.FAILED, "ask-back"): StepState.ROLL_BACK_REQUESTING,
+    (StepState.REQUESTING, "back"): StepState.OLD,
+    (StepState.CHANGING, "back"): StepState.ROLLING_BACK,
+    (StepState.FAILED, "back"): StepState.ROLLING_BACK,
+    (StepState.NEW, "ask-back"): StepState.ROLL_BACK_REQUESTING,
+    (StepState.ROLL_BACK_REQUESTING, "granted"): StepState.ROLLING_BACK,
+    (
+        StepState.ROLL_BACK_REQUESTING,
+        "turned-down",
+    ): StepState.FAILED,  # seen as new again at once, if it serves
+    (StepState.ROLLING_BACK, "ready"): StepState.RESTORED,
+    (StepState.ROLLING_BACK, "late"): StepState.STUCK,
+    (StepState.ROLLING_BACK, "exits"): StepState.STUCK,
+    (StepState.STUCK, "ready"): StepState.RESTORED,
+    (StepState.STUCK, "retry"): StepState.ROLLING_BACK,
 }
 
 
--- a/cedarmill/fleet/state_machine/releases.py
+++ b/cedarmill/fleet/state_machine/releases.py
@@ -5,6 +5,7 @@
 from cedarmill.fleet.state_machine import rollout
 from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
 from cedarmill.fleet.state_machine.release_states import END_STATES, move, move_step
+from cedarmill.fleet.states import ReleaseState
 
 
 class RecordComparison(Command, tag="judged", frozen=True):
@@ -38,7 +39,7 @@
     if release is None:
         return
     release.compared_requests = max(release.compared_requests, command.requests)
-    if command.worse and release.state == "running":
+    if command.worse and release.state == ReleaseState.RUNNING:
         move(state, release, "worse", command.worse)
 
 
@@ -98,7 +99,7 @@
     units = {step.unit for step in release.steps}
     for other in state.releases.values():
         shared = units & {step.unit for step in other.steps}
-        if other.id > release.id and shared and other.state != "backed":
+        if other.id > release.id and shared and other.state != ReleaseState.ROLLED_BACK:
             raise RequestRejected(
                 f"release {other.id} came after it on the same units: take that one back first"
             )
--- a/cedarmill/fleet/state_machine/rollout.py
+++ b/cedarmill/fleet/state_machine/rollout.py
@@ -13,6 +13,7 @@
 from cedarmill.fleet.state_machine.permit_states import give_back
 from cedarmill.fleet.state_machine.permit_states import move as move_permit
 from cedarmill.fleet.state_machine.release_states import move, move_step
+from cedarmill.fleet.states import PermitState, ReleaseState, StepState
 
 MAX_EXITS = 2  # unexpected ends of a unit that was just changed, at which it has failed: one may be chance
 MAX_BAKE_FACTOR = 4  # times the bake of the plan, while too few requests have come to compare
@@ -24,11 +25,11 @@
     """Move each release on as far as it goes by what is known."""
     for release in state.releases.values():
         _observe_units(state, release)
-        if release.state == "running":
+        if release.state == ReleaseState.RUNNING:
             _roll_forward(state, release)
-        elif release.state == "backing":
+        elif release.state == ReleaseState.ROLLING_BACK:
             _roll_back(state, release)
-        elif release.state in ("halted", "back-halted"):
+        elif release.state in (ReleaseState.HALTED, ReleaseState.ROLL_BACK_HALTED):
             _withdraw_requests(state, release)
     permit_queue.grant_waiting(state)
     for release in state.releases.values():
@@ -43,7 +44,7 @@
     for step in release.steps:
         unit = state.units.get(step.unit)
         acted = unit is not None and unit.applied_epoch == unit.ordered_epoch
-        if unit is None or not acted or step.state in ("old", "restored"):
+        if unit is None or not acted or step.state in (StepState.OLD, StepState.RESTORED):
             _check_late(state, release, step)
         elif unit.unexpected_exits >= MAX_EXITS and move_step(state, step, "exits"):
             reason = f"{step.unit} ended {unit.unexpected_exits} times by itself"
@@ -61,7 +62,7 @@
 
 def _check_late(state: ClusterState, release: Release, step: UnitStep) -> None:
     timeout_us = release.plan.ready_timeout_us
-    changing = step.state in ("changing", "back-changing")
+    changing = step.state in (StepState.CHANGING, StepState.ROLLING_BACK)
     late = changing and state.clock - step.state_since >= timeout_us
     if late and move_step(state, step, "late"):
         move(state, release, "failed", f"{step.unit} was not ready after {timeout_us / 1e6:g} s")
@@ -86,11 +87,11 @@
     group = release.plan.groups[release.group]
     by_unit = {step.unit: step for step in release.steps}
     steps = [by_unit[name] for name in group]
-    if all(step.state == "new" for step in steps):
+    if all(step.state == StepState.NEW for step in steps):
         _bake(state, release)
         return
     release.bake_started_at = 0
-    _request_permits(state, release, steps, "old", "ask")
+    _request_permits(state, release, steps, StepState.OLD, "ask")
 
 
 def _bake(state: ClusterState, release: Release) -> None:
@@ -110,10 +111,10 @@
 
 
 def _request_permits(
-    state: ClusterState, release: Release, steps: list[UnitStep], from_state: str, event: str
+    state: ClusterState, release: Release, steps: list[UnitStep], from_state: StepState, event: str
 ) -> None:
     """Ask for permits for as many units as may be on their way at once."""
-    idle = ("old", "new", "restored", from_state)
+    idle = (StepState.OLD, StepState.NEW, StepState.RESTORED, from_state)
     on_their_way = sum(step.state not in idle for step in steps)
     for step in steps:
         due = state.clock >= step.state_since + _retry_delay_us(state, step)
@@ -129,25 +130,25 @@
 def _retry_delay_us(state: ClusterState, step: UnitStep) -> int:
     """How long after a refusal a unit asks again."""
     permit = state.permits.get(step.permit_id)
-    return REFUSED_AGAIN_US if permit is not None and permit.state == "refused" else 0
+    return REFUSED_AGAIN_US if permit is not None and permit.state == PermitState.REFUSED else 0
 
 
 def _use_grants(state: ClusterState, release: Release) -> None:
     """What was granted is used: the unit's supervisor is ordered what to run."""
     for step in release.steps:
         permit = state.permits.get(step.permit_id)
-        if permit is None or step.state not in ("asking", "back-asking"):
+        if permit is None or step.state not in (StepState.REQUESTING, StepState.ROLL_BACK_REQUESTING):
             continue
-        if permit.state == "granted" and move_step(state, step, "granted"):
+        if permit.state == PermitState.GRANTED and move_step(state, step, "granted"):
             order_unit(state, release, step)
-        elif permit.state in ("refused", "expired", "withdrawn"):
+        elif permit.state in (PermitState.REFUSED, PermitState.EXPIRED, PermitState.WITHDRAWN):
             move_step(state, step, "turned-down")
 
 
 def order_unit(state: ClusterState, release: Release, step: UnitStep) -> None:
     """Order a unit's supervisor to run what the step is on its way to."""
     unit = state.units[step.unit]
-    forward = step.state == "changing"
+    forward = step.state == StepState.CHANGING
     unit.ordered_version = release.plan.version if forward else step.old_version
     unit.ordered_epoch, unit.ordered_at, unit.unexpected_exits = state.epoch, state.clock, 0
     release.started_units += forward
@@ -158,7 +159,7 @@
     """Halted: what only waits for a permit stops waiting; what is on its way comes to its end."""
     for step in release.steps:
         permit = state.permits.get(step.permit_id)
-        if step.state not in ("asking", "back-asking") or permit is None:
+        if step.state not in (StepState.REQUESTING, StepState.ROLL_BACK_REQUESTING) or permit is None:
             continue
         if move_permit(state, permit, "withdraw"):
             move_step(state, step, "turned-down")
@@ -175,13 +176,13 @@
 
 def _roll_back(state: ClusterState, release: Release) -> None:
     for step in release.steps:
-        if step.state == "asking":
+        if step.state == StepState.REQUESTING:
             _cancel_request(state, step)
         elif holds_permit(state, step) and move_step(state, step, "back"):
             order_unit(state, release, step)  # under the permit that it still holds
-    for from_state in ("failed", "new"):
+    for from_state in (StepState.FAILED, StepState.NEW):
         _request_permits(state, release, release.steps, from_state, "ask-back")
-    if all(step.state in ("old", "restored") for step in release.steps):
+    if all(step.state in (StepState.OLD, StepState.RESTORED) for step in release.steps):
         move(state, release, "complete")
 
 
@@ -206,27 +207,27 @@
 
 def to_compare(state: ClusterState) -> list[Release]:
     """Running releases with units of the new version."""
-    running = [release for release in state.releases.values() if release.state == "running"]
-    return [release for release in running if any(step.state == "new" for step in release.steps)]
+    running = [release for release in state.releases.values() if release.state == ReleaseState.RUNNING]
+    return [release for release in running if any(step.state == StepState.NEW for step in release.steps)]
 
 
 def due_times(state: ClusterState) -> Iterator[int]:
     """Times (us of the cluster) at which a release goes on by itself."""
     for release in state.releases.values():
-        if release.state == "running":
+        if release.state == ReleaseState.RUNNING:
             if release.paused_until > state.clock:
                 yield release.paused_until
             if release.bake_started_at:
                 bake_us = release.plan.bake_us
                 yield from (release.bake_started_at + bake_us * factor for factor in (1, MAX_BAKE_FACTOR))
-        if release.state in ("running", "backing"):
+        if release.state in (ReleaseState.RUNNING, ReleaseState.ROLLING_BACK):
             yield from _due_steps(state, release)
 
 
 def _due_steps(state: ClusterState, release: Release) -> Iterator[int]:
     for step in release.steps:
-        if step.state in ("changing", "back-changing"):
+        if step.state in (StepState.CHANGING, StepState.ROLLING_BACK):
             yield step.state_since + release.plan.ready_timeout_us
         delay_us = _retry_delay_us(state, step)
-        if step.state in ("old", "new") and delay_us:
+        if step.state in (StepState.OLD, StepState.NEW) and delay_us:
             yield step.state_since + delay_us
--- a/cedarmill/fleet/state_machine/sessions.py
+++ b/cedarmill/fleet/state_machine/sessions.py
@@ -5,6 +5,7 @@
 from cedarmill.fleet.state_machine import drains
 from cedarmill.fleet.state_machine.command import Command, Handlers
 from cedarmill.fleet.state_machine.permit_states import move, target_key
+from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
 
 ENDED_KEPT_US = 600_000_000  # how long an incarnation that has ended is still listed
 LAPSES_KEPT = 8  # lease expiries remembered of each member
@@ -62,7 +63,7 @@
         joined_at=state.clock,
     )
     known = state.members.get(member.key)
-    if known is not None and known.state == "ended":
+    if known is not None and known.state == MemberState.ENDED:
         return
     state.members[member.key] = member
     drains.member_joined(state, member.key)
@@ -82,7 +83,7 @@
 
 def _forget_ended(state: ClusterState) -> None:
     for key, member in list(state.members.items()):
-        if member.state == "ended" and state.clock - member.state_since > ENDED_KEPT_US:
+        if member.state == MemberState.ENDED and state.clock - member.state_since > ENDED_KEPT_US:
             del state.members[key]
 
 
@@ -92,16 +93,16 @@
     if target is None:
         return
     incarnations = [m for m in state.members.values() if m.kind == "node" and m.name == name]
-    present = any(member.state in ("live", "cut-off") for member in incarnations)
-    health = "well" if present else "silent"
+    present = any(member.state in (MemberState.LIVE, MemberState.UNREACHABLE) for member in incarnations)
+    health = TargetHealth.WELL if present else TargetHealth.SILENT
     if target.health != health:
         target.health, target.health_since = health, state.clock
 
 
-def _change_state(state: ClusterState, key: str, new_state: str) -> Member | None:
+def _change_state(state: ClusterState, key: str, new_state: MemberState) -> Member | None:
     """Set a member's state; None where it is unknown, has ended, or is in that state already."""
     member = state.members.get(key)
-    if member is None or member.state in (new_state, "ended"):
+    if member is None or member.state in (new_state, MemberState.ENDED):
         return None
     member.state, member.state_since = new_state, state.clock
     if member.kind == "node":
@@ -119,12 +120,12 @@
 def expire(state: ClusterState, command: ExpireSessions) -> None:
     """Mark members whose lease has expired; their budget leases end with it."""
     for key in command.silent:
-        if (member := _change_state(state, key, "silent")) is not None:
+        if (member := _change_state(state, key, MemberState.SILENT)) is not None:
             member.lease_expiries = [*member.lease_expiries, state.clock][-LAPSES_KEPT:]
             state.note(f"{member.kind} {member.name} is silent")
             _lose_supervised_permits(state, member)
     for key in command.unreachable:
-        if (member := _change_state(state, key, "cut-off")) is not None:
+        if (member := _change_state(state, key, MemberState.UNREACHABLE)) is not None:
             state.note(f"{member.kind} {member.name} reaches no keeper, others reach it: it serves on")
     for key in command.certainly_stopped:
         drains.member_ended(state, key)
@@ -149,14 +150,14 @@
 
 def restore(state: ClusterState, command: RestoreSession) -> None:
     """A silent member is back, and with a supervisor the permits of its units."""
-    member = _change_state(state, command.member_key, "live")
+    member = _change_state(state, command.member_key, MemberState.LIVE)
     if member is None:
         return
     state.note(f"{member.kind} {member.name} is back")
     if member.kind != "steward":
         return
     for permit in state.permits.values():
-        if permit.state == "lost" and _supervises(state, member, permit.target):
+        if permit.state == PermitState.LOST and _supervises(state, member, permit.target):
             move(state, permit, "find")
 
 
@@ -167,7 +168,7 @@
 
 def end_member(state: ClusterState, key: str, reason: str) -> None:
     """Mark a member as ended and free what it held."""
-    member = _change_state(state, key, "ended")
+    member = _change_state(state, key, MemberState.ENDED)
     if member is None:
         return
     state.note(f"{member.kind} {member.name} has ended: {reason}")
--- a/cedarmill/fleet/state_machine/targets.py
+++ b/cedarmill/fleet/state_machine/targets.py
@@ -5,6 +5,7 @@
 from cedarmill.fleet.state import ClusterState, Target, Unit, UnitReport
 from cedarmill.fleet.state_machine.command import Command, Handlers
 from cedarmill.fleet.state_machine.permit_states import target_key
+from cedarmill.fleet.states import TargetHealth
 
 
 class UpdateTargets(Command, tag="seen", frozen=True):
@@ -49,7 +50,7 @@
         return -1
     if observed.started_ms > known.started_ms > 0:
         return state.clock  # it was restarted, whoever did it
-    returned = known.health == "silent" and observed.health == "well"
+    returned = known.health == TargetHealth.SILENT and observed.health == TargetHealth.WELL
     return state.clock if returned and known.slow_start_from < 0 else known.slow_start_from
 
 
--- a/cedarmill/fleet/state_machine/zones.py
+++ b/cedarmill/fleet/state_machine/zones.py
@@ -9,6 +9,7 @@
 from cedarmill.fleet.state_machine.command import DEFAULT_WAIT_US, Handlers, OperatorRequest, accepted
 from cedarmill.fleet.state_machine.permit_queue import PermitRequest
 from cedarmill.fleet.state_machine.permit_states import give_back, move, open_permit
+from cedarmill.fleet.states import PermitState
 from cedarmill.fleet.zones import Zone, Zoning
 
 
@@ -70,7 +71,9 @@
     wanted = PermitRequest("zone", zone.name, request.requester, request.reason, 0, request.wait_us)
     permit = permit_queue.enter(state, wanted)
     state.traffic.next = 0
-    return RequestOutcome(state.clock, permit.state != "refused", "; ".join(permit.notes), [permit.id])
+    return RequestOutcome(
+        state.clock, permit.state != PermitState.REFUSED, "; ".join(permit.notes), [permit.id]
+    )
 
 
 def _stay(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
@@ -82,7 +85,7 @@
     permit = open_permit(state, "zone", name)
     if permit is None:
         raise RequestRejected(f"zone {name} is not out by a permit, and waits for none")
-    if permit.state == "waiting":
+    if permit.state == PermitState.WAITING:
         move(state, permit, "withdraw")
     else:
         give_back(state, permit, reason)
--- a/cedarmill/fleet/state_views.py
+++ b/cedarmill/fleet/state_views.py
@@ -10,6 +10,7 @@
 from cedarmill.fleet.session_tracker import LEASE_US
 from cedarmill.fleet.state import PER_MILLE, ClusterState, Limit, Permit, Release
 from cedarmill.fleet.state_machine import limits
+from cedarmill.fleet.states import MemberState, PermitState
 
 if TYPE_CHECKING:
     from cedarmill.fleet.replica import Replica
@@ -32,7 +33,7 @@
 
 def _status(replica: "Replica", now: int, request: ReadRequest) -> Row:
     state, raft = replica.state, replica.raft
-    live = [member.kind for member in state.members.values() if member.state == "live"]
+    live = [member.kind for member in state.members.values() if member.state == MemberState.LIVE]
     return {
         "cluster": state.cluster,
         "generation": state.generation,
@@ -44,7 +45,7 @@
         "clock_s": state.clock / 1e6,
         "keepers": _replicas(replica, now),
         "out": sorted(permit.target for permit in state.permits.values() if permit.out),
-        "waiting": sum(permit.state == "waiting" for permit in state.permits.values()),
+        "waiting": sum(permit.state == PermitState.WAITING for permit in state.permits.values()),
         "members": {kind: live.count(kind) for kind in ("node", "steward")},
     }
 
@@ -130,7 +131,7 @@
 def _peers(replica: "Replica", now: int, request: ReadRequest) -> dict[str, str]:
     """Addresses of nodes that may be reached."""
     members = replica.state.members.values()
-    nodes = [member for member in members if member.kind == "node" and member.state == "live"]
+    nodes = [member for member in members if member.kind == "node" and member.state == MemberState.LIVE]
     return {node.name: node.address for node in nodes if node.address}
 
 
--- a/cedarmill/fleet/traffic.py
+++ b/cedarmill/fleet/traffic.py
@@ -12,6 +12,7 @@
 from cedarmill.fleet.evidence import BOUNDS, FAILING, KEPT_US, LATE, WHOLE, Evidence, ZoneNews
 from cedarmill.fleet.state import Target
 from cedarmill.fleet.state_machine.permit_states import target_key
+from cedarmill.fleet.states import TargetHealth
 from cedarmill.fleet.zones import Zone, Zoning
 
 if TYPE_CHECKING:
@@ -103,7 +104,7 @@
     zone.well_since = -1 if state in ("lost", "ill") else zone.well_since
     target = world.targets.get(target_key("zone", zone.name))
     if target is not None:
-        health = "silent" if state == "lost" else "well"
+        health = TargetHealth.SILENT if state == "lost" else TargetHealth.WELL
         target.health_since = target.health_since if target.health == health else world.clock
         target.health = health
     world.note(f"zone {zone.name} is {state}" + (f": {why}" if why else ""))
