--- a/cedarmill/lab/fleet/operators.py
+++ b/cedarmill/lab/fleet/operators.py
@@ -191,7 +191,7 @@
             await asyncio.sleep(LOOK_S)
             did = await self.ask(who, SubmitRequest(commands.PlanRelease(0, who, new_id(), plan)))
         if not did.ok:
-            self.run.history.tell(who, "release-refused", note=did.body)
+            self.run.history.tell(who, "release-refused", note=did.text)
             return
         self.releases[version] = did.release_id
         await self._act(who, "start", did.release_id)
@@ -201,7 +201,7 @@
         did = await self.ask(
             who, SubmitRequest(commands.ControlRelease(0, who, new_id(), number, act, "the scenario"))
         )
-        self.run.history.tell(who, f"release-{act}", note=did.body, number=number)
+        self.run.history.tell(who, f"release-{act}", note=did.text, number=number)
         return did
 
     async def _watch(self, who: str, number: int) -> None:
@@ -238,7 +238,7 @@
         did = await self.ask(who, SubmitRequest(act))
         self.run.history.tell(who, "asked", target)
         if not did.ok or not did.permits:
-            self.run.history.tell(who, "refused", target, note=did.body)
+            self.run.history.tell(who, "refused", target, note=did.text)
             return
         await self._drained(who, target, did.permits[0][0])
 
@@ -248,7 +248,7 @@
         did = await self.ask(
             who, SubmitRequest(commands.ControlZone(0, who, new_id(), "stay", target, 0, "done"))
         )
-        self.run.history.tell(who, "back", target, note=did.body)
+        self.run.history.tell(who, "back", target, note=did.text)
 
     async def _freeze(self, who: str, target: str, words: dict[str, str]) -> None:
         await self._on_plan(who, "freeze")
@@ -260,7 +260,7 @@
         did = await self.ask(
             who, SubmitRequest(commands.ControlZone(0, who, new_id(), act, "", 0, "the scenario"))
         )
-        self.run.history.tell(who, act, note=did.body)
+        self.run.history.tell(who, act, note=did.text)
 
     async def name_open(self) -> None:
         """At the end: what the keepers still name as out."""
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -51,6 +51,12 @@
             self.fleet("release", "plan", "--version", "v2", "--group", "n0", "--bake", "5").returncode, 2
         )
 
+    def test_a_permit_that_is_asked_for_by_no_number_is_not_found(self):
+        Member(self, "n0").join()
+        self.assertEqual(self.fleet("drain", "b0").returncode, 0)
+        self.assertEqual(self.look("permits", "b0"), [])
+        self.assertEqual(self.look("permits", "1")[0]["target"], "b0")
+
     def test_the_leader_is_killed_and_the_same_request_again_has_the_same_outcome(self):
         node = Member(self, "n0")
         node.join()
