--- a/cedarmill/fleet/state.py
+++ b/cedarmill/fleet/state.py
@@ -72,8 +72,6 @@
     slow_start_from: int = -1  # when it returned to service; -1: long ago
     started_ms: int = 0  # Unix time, as discovery lists it
 
-    since = former_field("health_since")
-
 
 class Member(
     msgspec.Struct,
