--- a/cedarmill/fleet/member_messages.py
+++ b/cedarmill/fleet/member_messages.py
@@ -9,7 +9,7 @@
 from cedarmill.fleet.evidence import Digest
 from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.overload import Cut
-from cedarmill.fleet.release_state import UnitOrder, UnitReport
+from cedarmill.fleet.release_state import UnitOrderFields, UnitReportFields
 from cedarmill.fleet.zones import Row
 
 
@@ -65,7 +65,7 @@
     drained: dict[str, int] = {}  # targets with which it is done: epochs of their grants
     held_grants: dict[str, int] = {}  # `kind:name` of targets that it holds to be out: epochs of the grants
     executors: dict[str, ExecutorObservation] = {}
-    units: dict[str, UnitReport] = {}
+    units: dict[str, UnitReportFields] = {}
     ended_members: list[str] = []  # keys of members that a process supervisor has seen end
     request_counts: tuple[int, int, int, int] = (0, 0, 0, 0)  # all, failed, late, rejected since its start
     probe_results: dict[str, bool] = {}  # whether members that it was asked to probe answered
@@ -114,7 +114,7 @@
     epoch: int
     excluded_executors: dict[str, int] = {}  # that get no new requests: epochs of their grants
     drain_clients_epoch: int = 0  # of the grant by which this node is to drain its clients; 0: it serves
-    units: dict[str, UnitOrder] = {}  # what a process supervisor is to run
+    units: dict[str, UnitOrderFields] = {}  # what a process supervisor is to run
     routes: RouteWeights | None = None  # of a node, where zones are planned
     admission_cut: Cut = Cut()  # of a node: requests that it rejects at once
     scoped_cuts: dict[str, Cut] = {}  # by bound, where that is stricter
--- a/cedarmill/fleet/messages.py
+++ b/cedarmill/fleet/messages.py
@@ -4,7 +4,7 @@
 ages are microseconds.
 """
 
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -73,9 +73,13 @@
 
     ok: bool
     text: str
-    permits: list[PermitSummary] = []
+    permits: list[Any] = []  # PermitSummary, which comes as a list
     release_id: int = 0
 
+    def summaries(self) -> list[PermitSummary]:
+        """The permits that the request has made."""
+        return [PermitSummary(*permit) for permit in self.permits]
+
 
 class ReadRequest(msgspec.Struct, tag="look", frozen=True, rename={"view": "what"}):
     """Asks for a view of the state by its name; see `views.VIEWS`."""
--- a/cedarmill/fleet/release_state.py
+++ b/cedarmill/fleet/release_state.py
@@ -10,6 +10,9 @@
 from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.states import ReleaseState, StepState
 
+UnitReportFields = tuple[str, str, int, int]  # those of a UnitReport, which comes as a plain array
+UnitOrderFields = tuple[str, int]  # those of a UnitOrder
+
 
 class UnitReport(NamedTuple):
     """A unit as its process supervisor reports it."""
@@ -56,7 +59,7 @@
 
     unit: str
     old_version: str
-    state: StepState = StepState.OLD
+    state: str = StepState.OLD
     permit_id: int = 0
     state_since: int = 0
 
@@ -94,7 +97,7 @@
     id: int
     plan: ReleasePlan
     requester: str
-    state: ReleaseState = ReleaseState.PLANNED
+    state: str = ReleaseState.PLANNED
     group: int = 0  # index of the group on its way
     steps: list[UnitStep] = msgspec.field(default_factory=list)
     state_since: int = 0
--- a/cedarmill/fleet/session.py
+++ b/cedarmill/fleet/session.py
@@ -23,7 +23,7 @@
     Unavailable,
 )
 from cedarmill.fleet.session_tracker import holder_lease_end
-from cedarmill.fleet.state import UnitReport
+from cedarmill.fleet.state import UnitReportFields
 
 HEARTBEAT_US = 250_000  # between two heartbeats
 REPLY_TIMEOUT_US = 1_000_000  # for a reply, before another replica is tried
@@ -77,7 +77,7 @@
 
     drained: dict[str, int] = field(default_factory=dict)
     executors: dict[str, ExecutorObservation] = field(default_factory=dict)
-    units: dict[str, UnitReport] = field(default_factory=dict)
+    units: dict[str, UnitReportFields] = field(default_factory=dict)
     ended_members: list[str] = field(default_factory=list)
     request_counts: tuple[int, int, int, int] = (0, 0, 0, 0)
     digest: Digest | None = None
--- a/cedarmill/fleet/state.py
+++ b/cedarmill/fleet/state.py
@@ -11,7 +11,16 @@
 
 from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.overload import Admission
-from cedarmill.fleet.release_state import Release, ReleasePlan, Unit, UnitOrder, UnitReport, UnitStep
+from cedarmill.fleet.release_state import (
+    Release,
+    ReleasePlan,
+    Unit,
+    UnitOrder,
+    UnitOrderFields,
+    UnitReport,
+    UnitReportFields,
+    UnitStep,
+)
 from cedarmill.fleet.slices import Budget, Slice
 from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
 from cedarmill.fleet.zones import Traffic, Zone, Zoning
@@ -29,7 +38,9 @@
     "Target",
     "Unit",
     "UnitOrder",
+    "UnitOrderFields",
     "UnitReport",
+    "UnitReportFields",
     "UnitStep",
     "decode_snapshot",
     "encode_snapshot",
@@ -38,6 +49,7 @@
 
 PER_MILLE = 1000  # the whole, in thousandths
 EPOCH_INDEX_BITS = 40  # low bits of an epoch: the index of its entry; above them the cluster's generation
+OUT_STATES = frozenset({PermitState.GRANTED, PermitState.LOST})  # of permits whose targets are out
 OPERATOR_LOG_LINES = 200  # newest lines for operators that are kept
 
 
@@ -67,7 +79,7 @@
     type: str = ""
     group: str = ""
     slots: int = 1
-    health: TargetHealth = TargetHealth.WELL
+    health: str = TargetHealth.WELL
     health_since: int = 0
     slow_start_from: int = -1  # when it returned to service; -1: long ago
     started_ms: int = 0  # Unix time, as discovery lists it
@@ -92,7 +104,7 @@
     address: str = ""
     version: str = ""
     stops_at_lease_expiry: bool = False  # it stops sending by itself when its lease has expired
-    state: MemberState = MemberState.LIVE
+    state: str = MemberState.LIVE
     state_since: int = 0
     joined_at: int = 0
     lease_expiries: list[int] = msgspec.field(default_factory=list)  # the latest
@@ -122,7 +134,7 @@
     holder: str
     reason: str = ""
     priority: int = 0
-    state: PermitState = PermitState.WAITING
+    state: str = PermitState.WAITING
     requested_at: int = 0
     waits_until: int = 0
     granted_at: int = 0
@@ -135,7 +147,7 @@
     @property
     def out(self) -> bool:
         """Whether its target counts as out of service."""
-        return self.state in (PermitState.GRANTED, PermitState.LOST)
+        return self.state in OUT_STATES
 
     need = former_field("undrained_members")
     drained = former_field("drained_at")
--- a/cedarmill/fleet/state_machine/limits.py
+++ b/cedarmill/fleet/state_machine/limits.py
@@ -6,7 +6,7 @@
 
 import enum
 from collections.abc import Iterable, Iterator
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import NamedTuple
 
 from cedarmill.fleet.state import PER_MILLE, ClusterState, Limit, Target
@@ -102,15 +102,12 @@
     limit: Limit
     name: str
     key: str  # of the target asked for
-    targets: dict[str, Target]  # all in the scope, by key
+    targets: list[tuple[str, Target]]  # all in the scope, with their keys
     out: OutShares
-    where: str = field(init=False)
 
-    def __post_init__(self) -> None:
-        self.where = f" of {self.limit.per} {self.name}" if self.name else ""
-
-    def others(self) -> Iterator[tuple[str, Target]]:
-        return ((key, target) for key, target in self.targets.items() if key != self.key)
+    @property
+    def where(self) -> str:
+        return f" of {self.limit.per} {self.name}" if self.name else ""
 
     def against_count(self) -> Objection | None:
         """By the number or the share of targets."""
@@ -120,10 +117,11 @@
         most = allowed(limit, count)
         if most < 1:
             return Objection(Answer.NEVER, f"{limit.text()}: none of {count}{self.where} may be out")
-        taken = sum(self.out.get(key, 0) for key, _ in self.others())
+        taken = sum(self.out.get(key, 0) for key, _ in self.targets if key != self.key)
         if taken + PER_MILLE <= most * PER_MILLE:
             return None
-        names = ", ".join(sorted(key.partition(":")[2] for key, _ in self.others() if self.out.get(key)))
+        taken_by = [key for key, _ in self.targets if key != self.key and self.out.get(key)]
+        names = ", ".join(sorted(key.partition(":")[2] for key in taken_by))
         out = f"{taken / PER_MILLE:g} of {most}{self.where} are out ({names})"
         return Objection(Answer.LATER, f"{limit.text()}: {out}")
 
@@ -131,10 +129,11 @@
         """By the slots that would be left, in thousandths."""
         if self.limit.capacity_left < 0:
             return None
-        whole = sum(target.slots for target in self.targets.values()) * PER_MILLE
+        whole = sum(target.slots for _, target in self.targets) * PER_MILLE
         needed = -(-whole * self.limit.capacity_left // PER_MILLE)
-        if_alone = sum(target.slots * PER_MILLE for _, target in self.others())
-        left = sum(target.slots * (PER_MILLE - self.out.get(key, 0)) for key, target in self.others())
+        others = [(key, target) for key, target in self.targets if key != self.key]
+        if_alone = sum(target.slots for _, target in others) * PER_MILLE
+        left = sum(target.slots * (PER_MILLE - self.out.get(key, 0)) for key, target in others)
         if if_alone < needed:
             return Objection(Answer.NEVER, self._slots_text(if_alone, needed))
         return Objection(Answer.LATER, self._slots_text(left, needed)) if left < needed else None
@@ -150,7 +149,7 @@
     scope = scope_of(limit, target)
     if scope is None:
         return
-    targets = {other: one for other, one in state.targets.items() if scope_of(limit, one) == scope}
+    targets = [(other, one) for other, one in state.targets.items() if scope_of(limit, one) == scope]
     counted = _Scope(limit, scope, key, targets, out)
     for objection in (counted.against_count(), counted.against_capacity()):
         if objection is not None:
@@ -177,16 +176,17 @@
     key = target_key(kind, name)
     target = state.targets[key]
     out = out_shares(state) if out is None else out
-    found: dict[Answer, list[str]] = {Answer.NEVER: [], Answer.LATER: []}
+    never: list[str] = []
+    later: list[str] = []
     full: set[tuple[Limit, str]] = set()
     for limit in state.limits:
         for objection in _objections(state, limit, target, key, out):
-            found[objection.answer].append(objection.reason)
+            (never if objection.answer == Answer.NEVER else later).append(objection.reason)
             full.add((limit, scope_of(limit, target) or ""))
-    if found[Answer.NEVER]:
-        return Verdict(Answer.NEVER, tuple(found[Answer.NEVER]))
-    if found[Answer.LATER]:
-        return Verdict(Answer.LATER, tuple(found[Answer.LATER]), frozenset(full))
+    if never:
+        return Verdict(Answer.NEVER, tuple(never))
+    if later:
+        return Verdict(Answer.LATER, tuple(later), frozenset(full))
     return Verdict(Answer.NOW)
 
 
--- a/cedarmill/fleet/state_machine/permit_states.py
+++ b/cedarmill/fleet/state_machine/permit_states.py
@@ -4,7 +4,7 @@
 from cedarmill.fleet.states import PermitState
 
 # (state, event) -> state
-STATES = {
+STATES: dict[tuple[str, str], PermitState] = {
     (PermitState.WAITING, "grant"): PermitState.GRANTED,
     (PermitState.WAITING, "expire"): PermitState.EXPIRED,
     (PermitState.WAITING, "refuse"): PermitState.REFUSED,
--- a/cedarmill/fleet/state_machine/release_states.py
+++ b/cedarmill/fleet/state_machine/release_states.py
@@ -4,7 +4,7 @@
 from cedarmill.fleet.states import ReleaseState, StepState
 
 # (state, event) -> state, of a release
-STATES = {
+STATES: dict[tuple[str, str], ReleaseState] = {
     (ReleaseState.PLANNED, "start"): ReleaseState.RUNNING,
     (ReleaseState.PLANNED, "halt"): ReleaseState.HALTED,
     (ReleaseState.PLANNED, "back"): ReleaseState.ROLLED_BACK,
@@ -25,7 +25,7 @@
 END_STATES = (ReleaseState.DONE, ReleaseState.ROLLED_BACK)
 
 # (state, event) -> state, of a unit within it
-STEPS = {
+STEPS: dict[tuple[str, str], StepState] = {
     (StepState.OLD, "ask"): StepState.REQUESTING,
     (StepState.REQUESTING, "granted"): StepState.CHANGING,
     (StepState.REQUESTING, "turned-down"): StepState.OLD,
--- a/cedarmill/fleet/state_machine/rollout.py
+++ b/cedarmill/fleet/state_machine/rollout.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterator
 
-from cedarmill.fleet.state import ClusterState, Release, UnitOrder, UnitStep
+from cedarmill.fleet.state import ClusterState, Release, UnitOrder, UnitOrderFields, UnitStep
 from cedarmill.fleet.state_machine import permit_queue
 from cedarmill.fleet.state_machine.permit_queue import PermitRequest
 from cedarmill.fleet.state_machine.permit_states import give_back
@@ -196,7 +196,7 @@
 # What supervisors are ordered, what is compared, and when something is due.
 
 
-def orders_for_supervisor(state: ClusterState, supervisor: str) -> dict[str, UnitOrder]:
+def orders_for_supervisor(state: ClusterState, supervisor: str) -> dict[str, UnitOrderFields]:
     """Orders for each of its units that a release has ever changed."""
     return {
         unit.name: UnitOrder(unit.ordered_version, unit.ordered_epoch)
--- a/cedarmill/fleet/state_machine/targets.py
+++ b/cedarmill/fleet/state_machine/targets.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from cedarmill.fleet.state import ClusterState, Target, Unit, UnitReport
+from cedarmill.fleet.state import ClusterState, Target, Unit, UnitReport, UnitReportFields
 from cedarmill.fleet.state_machine.command import Command, Handlers
 from cedarmill.fleet.state_machine.permit_states import target_key
 from cedarmill.fleet.states import TargetHealth
@@ -18,7 +18,7 @@
     """A process supervisor reports its units."""
 
     supervisor: str
-    units: dict[str, UnitReport]
+    units: dict[str, UnitReportFields]
 
 
 class HaltGrants(Command, tag="mass", frozen=True):
@@ -56,7 +56,8 @@
 
 def update_units(state: ClusterState, command: UpdateUnits) -> None:
     """Take over a supervisor's report."""
-    for name, report in command.units.items():
+    for name, fields in command.units.items():
+        report = UnitReport(*fields)
         unit = state.units.setdefault(name, Unit(name, command.supervisor))
         unit.supervisor, unit.version, unit.state = command.supervisor, report.version, report.state
         unit.applied_epoch = report.applied_epoch
--- a/cedarmill/fleet/states.py
+++ b/cedarmill/fleet/states.py
@@ -1,4 +1,8 @@
-"""The states of members, targets, permits and releases; the values are those of snapshots and of JSON."""
+"""The states of members, targets, permits and releases; the values are those of snapshots and of JSON.
+
+The state holds them as plain strings, as it always has: a snapshot with a value that is not known here is
+still read.
+"""
 
 import enum
 
--- a/cedarmill/fleet/supervision.py
+++ b/cedarmill/fleet/supervision.py
@@ -15,7 +15,7 @@
 
 from cedarmill.fleet.errors import ClusterError
 from cedarmill.fleet.former_names import former_field
-from cedarmill.fleet.state import UnitOrder, UnitReport
+from cedarmill.fleet.state import UnitOrderFields, UnitReport, UnitReportFields
 
 RESTART_DELAY_US = 500_000  # before a unit that ended by itself is started again: at first,
 MAX_RESTART_DELAY_US = 8_000_000  # and at most; it doubles each time
@@ -161,7 +161,7 @@
                     self._stop(now, unit, process)
         return self._take_actions()
 
-    def order(self, now: int, orders: Mapping[str, UnitOrder], lease_until: int) -> Actions:
+    def order(self, now: int, orders: Mapping[str, UnitOrderFields], lease_until: int) -> Actions:
         """Orders have come; they are acted on only while the lease holds, and only newer ones."""
         for name, (version, epoch) in orders.items():
             unit = self.units.get(name)
@@ -224,7 +224,7 @@
         for unit in self.units.values():
             yield from unit.processes.values()
 
-    def reports(self) -> dict[str, UnitReport]:
+    def reports(self) -> dict[str, UnitReportFields]:
         """What a heartbeat reports of the units."""
         return {unit.name: unit.report() for unit in self.units.values()}
 
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -21,6 +21,7 @@
 from cedarmill.fleet.agree.core import Saved, Timing
 from cedarmill.fleet.evidence import Digest
 from cedarmill.fleet.follow import Follower
+from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.hosting import Host
 from cedarmill.fleet.messages import (
     ClientRequest,
@@ -149,6 +150,8 @@
 class VKeeper(Process):
     """A keeper with its disk."""
 
+    keeper = former_field("replica")
+
     def __init__(self, world: "Virtual", name: str, config: w.Config, fresh: ClusterState) -> None:
         super().__init__(world, name, name)
         self.disk = Disk(Saved(1, "", w.Snapshot(1, 1, config, encode_snapshot(fresh))))
