--- a/cedarmill/fleet/session_tracker.py
+++ b/cedarmill/fleet/session_tracker.py
@@ -25,6 +25,7 @@
 SPREAD_US = 1_000_000  # before its lease expires a member counts as missing already: heartbeats come spread
 FEW = 2  # members that may fall silent at once and be believed
 MAX_MISSING_SHARE = 0.5  # of all live members: more at once is not believed
+SESSION_STATES = frozenset({MemberState.LIVE, MemberState.UNREACHABLE})  # of members whose lease counts
 AT_ONCE = "at once"  # part of each halt reason that tells of mass loss
 
 
@@ -161,4 +162,4 @@
 
 
 def _has_session(member: Member) -> bool:
-    return member.state in (MemberState.LIVE, MemberState.UNREACHABLE)
+    return member.state in SESSION_STATES
--- a/cedarmill/fleet/state.py
+++ b/cedarmill/fleet/state.py
@@ -227,11 +227,8 @@
 
     def members_of(self, kind: str) -> list[Member]:
         """Members of a kind that may still act: all but those that have ended."""
-        return [
-            member
-            for member in self.members.values()
-            if member.kind == kind and member.state != MemberState.ENDED
-        ]
+        ended = MemberState.ENDED
+        return [member for member in self.members.values() if member.kind == kind and member.state != ended]
 
     live = members_of
 
--- a/cedarmill/fleet/state_machine/limits.py
+++ b/cedarmill/fleet/state_machine/limits.py
@@ -74,8 +74,9 @@
 def out_shares(state: ClusterState) -> OutShares:
     """Of each target of which any part is out."""
     found: OutShares = {}
+    well = TargetHealth.WELL
     for key, target in state.targets.items():
-        if target.health != TargetHealth.WELL or (target.kind == "node" and is_flapping(state, target.name)):
+        if target.health != well or (target.kind == "node" and is_flapping(state, target.name)):
             found[key] = PER_MILLE
         elif part := slow_start_part(state, target):
             found[key] = part
--- a/cedarmill/fleet/state_machine/permit_queue.py
+++ b/cedarmill/fleet/state_machine/permit_queue.py
@@ -51,12 +51,17 @@
 
 
 def _waiting_for(state: ClusterState, kind: str, target: str) -> Permit | None:
-    for permit in state.permits.values():
-        if permit.state == PermitState.WAITING and (permit.kind, permit.target) == (kind, target):
+    for permit in _waiting(state):
+        if (permit.kind, permit.target) == (kind, target):
             return permit
     return None
 
 
+def _waiting(state: ClusterState) -> list[Permit]:
+    waiting = PermitState.WAITING
+    return [permit for permit in state.permits.values() if permit.state == waiting]
+
+
 def in_order(state: ClusterState) -> list[Permit]:
     """Waiting permits in the order in which they are looked at.
 
@@ -67,8 +72,9 @@
     for permit in state.permits.values():
         if permit.out:
             held[permit.holder] = held.get(permit.holder, 0) + 1
-    waiting = [permit for permit in state.permits.values() if permit.state == PermitState.WAITING]
-    return sorted(waiting, key=lambda permit: (-permit.priority, held.get(permit.holder, 0), permit.id))
+    return sorted(
+        _waiting(state), key=lambda permit: (-permit.priority, held.get(permit.holder, 0), permit.id)
+    )
 
 
 def grant_waiting(state: ClusterState) -> list[Permit]:
@@ -110,8 +116,8 @@
 
 def expire_waiting(state: ClusterState) -> None:
     """End what has waited long enough, and forget the oldest permits that have ended."""
-    for permit in state.permits.values():
-        if permit.state == PermitState.WAITING and state.clock >= permit.waits_until:
+    for permit in _waiting(state):
+        if state.clock >= permit.waits_until:
             permit.notes = [*permit.notes, "waited as long as was asked"]
             move(state, permit, "expire")
     ended = [permit.id for permit in state.permits.values() if permit.state not in OPEN_STATES]
@@ -121,7 +127,7 @@
 
 def next_due(state: ClusterState) -> int | None:
     """When something changes by itself (us of the cluster): a wait ends, or what is out becomes less."""
-    times = [permit.waits_until for permit in state.permits.values() if permit.state == PermitState.WAITING]
+    times = [permit.waits_until for permit in _waiting(state)]
     if not times:
         return None
     warm_ups = [
