--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/fleet.py
@@ -62,16 +62,16 @@
 
     def look(self, what: str, kind: str = "", names: tuple[str, ...] = ()) -> Any:
         """A part of what is agreed."""
-        from cedarmill.fleet import words as f
+        from cedarmill.fleet.messages import ReadRequest
 
-        return json.loads(self.ask(f.Look(what, kind, list(names))).text)
+        return json.loads(self.ask(ReadRequest(what, kind, list(names))).body)
 
     def do(self, make: Callable[[str, str], Any]) -> Any:
         """A request under an id of its own, the same at each keeper that is asked."""
-        from cedarmill.fleet import words as f
+        from cedarmill.fleet.messages import SubmitRequest
         from cedarmill.net.operator import new_id
 
-        return self.ask(f.Do(make(self.who, new_id())))
+        return self.ask(SubmitRequest(make(self.who, new_id())))
 
     def show(self, value: Any, lines: Callable[[], Iterator[str]]) -> None:
         """As JSON, or as lines for people."""
@@ -212,8 +212,8 @@
 @click.pass_obj
 def limits(asker: Asker, path: str | None) -> None:
     """The limits, with what is out under each; or new ones."""
-    from cedarmill.fleet import commands
-    from cedarmill.fleet.world import Limit
+    from cedarmill.fleet.state import Limit
+    from cedarmill.fleet.state_machine import commands
 
     if path is not None:
         from cedarmill.conf.fleet import keeper
@@ -258,12 +258,14 @@
     watch: bool,
 ) -> None:
     """Ask leave to take targets out; each is decided by itself, in one order over the fleet."""
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
 
     if dry_run:
         sys.exit(_dry_run(asker, names, kind))
     us = _duration(wait)
-    did = asker.do(lambda who, number: commands.Ask(0, who, number, kind, names, reason, priority, us))
+    did = asker.do(
+        lambda who, number: commands.RequestPermits(0, who, number, kind, names, reason, priority, us)
+    )
     rows = [
         {"permit": p[0], "target": p[1], "state": p[2], "why": p[3], "epoch": p[4], "drained": bool(p[5])}
         for p in did.permits
@@ -325,9 +327,9 @@
 @click.pass_obj
 def undrain(asker: Asker, name: str, kind: str) -> None:
     """Put a target back, or no longer wait for it."""
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
 
-    _tell(asker, asker.do(lambda who, number: commands.Give(0, who, number, kind, name)))
+    _tell(asker, asker.do(lambda who, number: commands.ReturnPermit(0, who, number, kind, name)))
 
 
 @fleet.command(epilog=EXITS)
@@ -337,13 +339,13 @@
 @click.pass_obj
 def say(asker: Asker, what: str, name: str, reason: str) -> None:
     """Say what nobody can prove: that a target is drained, a member has ended, a lost target is found."""
-    from cedarmill.fleet import commands
+    from cedarmill.fleet.state_machine import commands
 
-    _tell(asker, asker.do(lambda who, number: commands.Word(0, who, number, what, name, reason)))
+    _tell(asker, asker.do(lambda who, number: commands.OperatorStatement(0, who, number, what, name, reason)))
 
 
 def _tell(asker: Asker, did: Any) -> None:
-    asker.show({"ok": did.ok, "text": did.text, "release": did.release}, lambda: iter([did.text]))
+    asker.show({"ok": did.ok, "text": did.text, "release": did.release_id}, lambda: iter([did.text]))
     sys.exit(0 if did.ok else REFUSED)
 
 
@@ -358,9 +360,9 @@
 @click.pass_obj
 def keepers(asker: Asker, act: str, name: str, address: str, disk: str) -> None:
     """Change the keepers by one, or hand the lead over."""
-    from cedarmill.fleet import words as f
+    from cedarmill.fleet.messages import ChangeReplicas
 
-    answer = asker.ask(f.Keepers(act, name, address, disk))
+    answer = asker.ask(ChangeReplicas(act, name, address, disk))
     _tell(asker, answer)
 
 
@@ -371,11 +373,11 @@
     """Write what is agreed into a file, for `keeper --init --restore`."""
     import msgspec
 
-    from cedarmill.fleet import words as f
     from cedarmill.fleet.agree.words import Snapshot
+    from cedarmill.fleet.messages import ReadRequest
     from cedarmill.store import keep
 
-    text = asker.ask(f.Look("backup")).text
+    text = asker.ask(ReadRequest("backup")).body
     snapshot = msgspec.msgpack.decode(text, type=Snapshot)
     keep.write_file(str(path), keep.backup(snapshot))
     asker.show(
@@ -418,10 +420,10 @@
     sample: int,
 ) -> None:
     """Enter a plan; nothing happens before it is started."""
-    from cedarmill.fleet import commands
-    from cedarmill.fleet.world import Plan
+    from cedarmill.fleet.state import ReleasePlan
+    from cedarmill.fleet.state_machine import commands
 
-    made = Plan(
+    made = ReleasePlan(
         version,
         tuple(tuple(group.split(",")) for group in groups),
         width,
@@ -430,7 +432,7 @@
         _duration(ready),
         sample,
     )
-    _tell(asker, asker.do(lambda who, number: commands.NewRelease(0, who, number, made)))
+    _tell(asker, asker.do(lambda who, number: commands.PlanRelease(0, who, number, made)))
 
 
 def _act(name: str, text: str) -> None:
@@ -439,9 +441,9 @@
     @click.option("--why", default="")
     @click.pass_obj
     def act(asker: Asker, number: int, why: str) -> None:
-        from cedarmill.fleet import commands
+        from cedarmill.fleet.state_machine import commands
 
-        _tell(asker, asker.do(lambda who, token: commands.ActRelease(0, who, token, number, name, why)))
+        _tell(asker, asker.do(lambda who, token: commands.ControlRelease(0, who, token, number, name, why)))
 
 
 _act("start", "Start a plan.")
--- a/cedarmill/fleet/admission_level/controller.py
+++ b/cedarmill/fleet/admission_level/controller.py
@@ -22,7 +22,7 @@
 from cedarmill.fleet.observations.digest import WHOLE
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 CLUSTER = "the fleet"  # as operators read it
 PROMPT_SHARE = 50  # thousandths of requests that are late, up to which less is shed
@@ -81,7 +81,7 @@
 
 
 def advance(
-    state: "World", demand: Mapping[int, int], report: LoadReport, assessed_at: int = UNKNOWN
+    state: "ClusterState", demand: Mapping[int, int], report: LoadReport, assessed_at: int = UNKNOWN
 ) -> None:
     """One step of the cluster's level, by the slots wanted at each priority weight and the load.
 
@@ -100,34 +100,34 @@
         _publish(state, threshold_for(demand, level.shed_slots))
 
 
-def advance_scope(state: "World", key: str, demand: Mapping[int, int], slots: int, late: int) -> None:
+def advance_scope(state: "ClusterState", key: str, demand: Mapping[int, int], slots: int, late: int) -> None:
     """The same for one zone's requests of one scope; `key` is `zone/scope`, `slots` the room they find.
 
     The level begins where they find no room that requests of other scopes have. What the cluster's level
     sheds of them already is not shed twice.
     """
-    level = state.tight.get(key)
+    level = state.scoped_admission.get(key)
     wanted = sum(demand.values())
     if level is None and (wanted <= slots or late < LATE_SHARE):
         return
-    level = state.tight.setdefault(key, AdmissionLevel())
+    level = state.scoped_admission.setdefault(key, AdmissionLevel())
     if not _step(state, level, wanted, LoadReport(slots, late), key):
         return
     threshold = threshold_for(demand, level.shed_slots)
     if not level.shed_slots and late < PROMPT_SHARE:
-        del state.tight[key]
+        del state.scoped_admission[key]
     if threshold != level.threshold:
-        level.threshold, level.epoch, state.told = threshold, state.epoch, state.epoch
+        level.threshold, level.epoch, state.orders_epoch = threshold, state.epoch, state.epoch
 
 
-def threshold_of(state: "World", zone: str, scope: str) -> SheddingThreshold:
+def threshold_of(state: "ClusterState", zone: str, scope: str) -> SheddingThreshold:
     """What a node of that zone rejects of requests of that scope."""
-    level = state.tight.get(f"{zone}/{scope}")
+    level = state.scoped_admission.get(f"{zone}/{scope}")
     cluster = state.admission.threshold
     return stricter(cluster, level.threshold) if level is not None else cluster
 
 
-def override(state: "World", threshold: SheddingThreshold, lasts_us: int, author: str) -> None:
+def override(state: "ClusterState", threshold: SheddingThreshold, lasts_us: int, author: str) -> None:
     """An operator's threshold, until its end; one with a weight below 0 ends it."""
     level = state.admission
     if threshold.weight < 0:
@@ -140,7 +140,7 @@
     _publish(state, stricter(level.threshold, level.override))
 
 
-def _step(state: "World", level: AdmissionLevel, wanted: int, report: LoadReport, where: str) -> bool:
+def _step(state: "ClusterState", level: AdmissionLevel, wanted: int, report: LoadReport, where: str) -> bool:
     """Move the slots shed by one step; whether a step was due.
 
     The fill share moves slowly, since an assessment is a second old; what is wanted beyond it is shed at
@@ -235,7 +235,7 @@
     return FILL_STEP_UP if level.fill_share < FULL_FILL else 0
 
 
-def _watch_sustained_overload(state: "World", level: AdmissionLevel, where: str) -> None:
+def _watch_sustained_overload(state: "ClusterState", level: AdmissionLevel, where: str) -> None:
     """Begin a deep cut once most requests were late for long though what is admitted fits.
 
     Queues and repeated requests sustain such an overload.
@@ -259,7 +259,7 @@
     )
 
 
-def _publish(state: "World", threshold: SheddingThreshold) -> None:
+def _publish(state: "ClusterState", threshold: SheddingThreshold) -> None:
     """Let the cluster's threshold hold, or an operator's where it is stricter; tiny changes are left out."""
     level = state.admission
     nothing = SheddingThreshold()
@@ -273,4 +273,4 @@
         return
     if threshold != level.threshold:
         level.threshold, level.epoch = threshold, state.epoch
-        state.told = state.epoch
+        state.orders_epoch = state.epoch
--- a/cedarmill/fleet/budget_grants.py
+++ b/cedarmill/fleet/budget_grants.py
@@ -16,7 +16,7 @@
 from cedarmill.fleet.former_names import former_field
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 GRANTED_SHARE = 800  # thousandths of a budget that are granted; the rest are floors
 DEMAND_TOLERANCE = 100  # thousandths by which demand may differ and count as the same
@@ -94,46 +94,46 @@
     return True
 
 
-def set_demand(state: "World", member: str, demands: Mapping[str, int]) -> None:
+def set_demand(state: "ClusterState", member: str, demands: Mapping[str, int]) -> None:
     """A member reports what it wants of each budget."""
     for name in state.budgets:
-        grant = state.slices.setdefault(name, {}).setdefault(member, BudgetGrant())
+        grant = state.budget_grants.setdefault(name, {}).setdefault(member, BudgetGrant())
         grant.demand = max(0, demands.get(name, 0))
     deal(state)
 
 
-def acknowledge(state: "World", member: str, epoch: int) -> None:
+def acknowledge(state: "ClusterState", member: str, epoch: int) -> None:
     """A member follows orders of that epoch: what older ones granted it spends no longer."""
-    for by_member in state.slices.values():
+    for by_member in state.budget_grants.values():
         grant = by_member.get(member)
         if grant is not None and grant.epoch <= epoch:
             grant.previous_rate = grant.rate
     deal(state)
 
 
-def release(state: "World", member: str) -> None:
+def release(state: "ClusterState", member: str) -> None:
     """Its lease has run out for certain, or its incarnation has ended: it spends its floor at most."""
-    removed = [by_member.pop(member, None) for by_member in state.slices.values()]
+    removed = [by_member.pop(member, None) for by_member in state.budget_grants.values()]
     if any(grant is not None for grant in removed):
-        state.told = state.epoch  # should it come back, it is told so before its lease holds again
+        state.orders_epoch = state.epoch  # should it come back, it is told so before its lease holds again
         deal(state)
 
 
-def deal(state: "World") -> None:
+def deal(state: "ClusterState") -> None:
     """Grant what is free, and lower grants where others want more.
 
     A grant is raised only once the lowered ones are acknowledged.
     """
-    if state.clock < state.deal_from:
+    if state.clock < state.budgets_dealt_from:
         return
     changed = False
     for name, budget in state.budgets.items():
-        grants = state.slices.setdefault(name, {})
+        grants = state.budget_grants.setdefault(name, {})
         parts = divide(budget, {member: grant.demand for member, grant in grants.items()})
         changed |= _lower(grants, parts, state.epoch)
         changed |= _raise(grants, parts, state.epoch, budget.grantable)
     if changed:
-        state.told = state.epoch
+        state.orders_epoch = state.epoch
 
 
 def _lower(grants: Mapping[str, BudgetGrant], parts: Mapping[str, int], epoch: int) -> bool:
@@ -158,16 +158,16 @@
     return changed
 
 
-def rates_for(state: "World", member: str) -> dict[str, tuple[int, int]]:
+def rates_for(state: "ClusterState", member: str) -> dict[str, tuple[int, int]]:
     """What a member is told: the rates of its grant and of its floor, by budget."""
     rates = {}
     for name, budget in state.budgets.items():
-        grant = state.slices.get(name, {}).get(member)
+        grant = state.budget_grants.get(name, {}).get(member)
         rates[name] = (grant.rate if grant is not None else 0, budget.floor)
     return rates
 
 
-def set_budgets(state: "World", budgets: list[Budget]) -> None:
+def set_budgets(state: "ClusterState", budgets: list[Budget]) -> None:
     """Replace the budgets; raises InvalidBudgetError.
 
     A smaller rate lowers grants as their holders acknowledge it: until then what was granted may be spent.
@@ -178,6 +178,6 @@
     if any(budget.rate < 0 or budget.nodes < 1 for budget in budgets):
         raise InvalidBudgetError("a rate is not below 0, and a floor is for one node at the least")
     state.budgets = {budget.name: budget for budget in budgets}
-    state.slices = {name: state.slices.get(name, {}) for name in names}
+    state.budget_grants = {name: state.budget_grants.get(name, {}) for name in names}
     deal(state)
-    state.told = state.epoch
+    state.orders_epoch = state.epoch
--- a/cedarmill/fleet/canary_comparison.py
+++ b/cedarmill/fleet/canary_comparison.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from cedarmill.fleet.former_names import former_field
-from cedarmill.fleet.world import Plan
+from cedarmill.fleet.state import ReleasePlan
 
 
 class RequestCounts(NamedTuple):
@@ -85,9 +85,9 @@
     return math.lgamma(total + 1) - math.lgamma(chosen + 1) - math.lgamma(total - chosen + 1)
 
 
-def reason_to_halt(plan: Plan, new: RequestCounts, rest: RequestCounts) -> str:
+def reason_to_halt(plan: ReleasePlan, new: RequestCounts, rest: RequestCounts) -> str:
     """Why the new version is worse; empty: too few requests, or no difference that is certain and matters."""
-    if new.requests < plan.sample or rest.requests < plan.sample:
+    if new.requests < plan.min_sample or rest.requests < plan.min_sample:
         return ""
     kinds = (
         ("failed", new.failed, rest.failed),
@@ -96,10 +96,10 @@
     )
     for kind, bad, rest_bad in kinds:
         difference = (bad * rest.requests - rest_bad * new.requests) * 1000
-        if difference <= plan.least * new.requests * rest.requests:
+        if difference <= plan.min_difference * new.requests * rest.requests:
             continue
         chance = chance_if_alike(bad, new.requests, rest_bad, rest.requests)
-        if chance < plan.doubt / 10_000:
+        if chance < plan.max_chance / 10_000:
             return (
                 f"{kind} {bad} of {new.requests} against {rest_bad} of {rest.requests} with the rest "
                 f"(chance {chance:.2g} were they alike)"
--- a/cedarmill/fleet/overload.py
+++ b/cedarmill/fleet/overload.py
@@ -11,11 +11,11 @@
 from cedarmill.fleet.admission_level.state import SheddingThreshold as Cut
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 __all__ = ["ADVICE", "OVER", "Admission", "Cut", "Gate", "by_hand", "cut_of"]
 
 
-def by_hand(world: "World", rank: int, part: int, lasts: int, who: str) -> None:
+def by_hand(world: "ClusterState", rank: int, part: int, lasts: int, who: str) -> None:
     """`override` with the threshold's parts."""
     override(world, Cut(rank, part), lasts, who)
--- a/cedarmill/fleet/plan_follower.py
+++ b/cedarmill/fleet/plan_follower.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 
 from cedarmill.fleet.former_names import former_field
+from cedarmill.fleet.messages import RouteWeights
 from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation, share_of
 from cedarmill.fleet.observations.verdicts import MIN_ATTEMPTS, UNREACHED_SHARE
 from cedarmill.fleet.traffic_plan.planner import PROBE_WEIGHT
 from cedarmill.fleet.traffic_plan.state import WeightRow
 from cedarmill.fleet.traffic_plan.weights import normalized
-from cedarmill.fleet.words import Way
 
 EXCLUSION_US = 5_000_000  # for which a zone that was not reached is left out; doubled each time in a row
 MAX_EXCLUSION_US = 80_000_000
@@ -53,11 +53,11 @@
     """One node's following of the plan."""
 
     def __init__(self) -> None:
-        self.plan: Way | None = None
+        self.plan: RouteWeights | None = None
         self.exclusions: dict[str, ZoneExclusion] = {}
         self.empty_zones: frozenset[str] = frozenset()  # in which no executor is listed
 
-    def accept_plan(self, plan: Way | None) -> bool:
+    def accept_plan(self, plan: RouteWeights | None) -> bool:
         """Follow a plan that has come, unless it is older than the one followed."""
         if plan is None or (self.plan is not None and plan.epoch < self.plan.epoch):
             return False
@@ -76,20 +76,20 @@
             return RoutingDecision()
         self._exclude_unreached(now, observations, unreached_streaks or {})
         self.empty_zones = frozenset(empty_zones)
-        named = {zone for row in self.plan.shares.values() for zone in row}
+        named = {zone for row in self.plan.weights.values() for zone in row}
         left_out = self._excluded(now) | self.empty_zones
         return RoutingDecision(
             self.plan.epoch,
             self.weights(now),
             tuple(sorted(named & left_out)),
-            tuple(sorted(self.plan.shut)),
+            tuple(sorted(self.plan.closed_zones)),
         )
 
     def weights(self, now: int) -> dict[str, WeightRow]:
         """The rows that hold here now, by scope: zones that were left out come back in steps."""
         if self.plan is None:
             return {}
-        left_out = self._excluded(now) | self.plan.shut.keys() | self.empty_zones
+        left_out = self._excluded(now) | self.plan.closed_zones.keys() | self.empty_zones
         returning = {
             zone: now - exclusion.until
             for zone, exclusion in self.exclusions.items()
@@ -106,10 +106,10 @@
         if self.plan is None:
             return {}
         left_out = set(left_out)
-        row, own = self.plan.shares.get(scope, {}), self.plan.zone
+        row, own = self.plan.weights.get(scope, {}), self.plan.zone
         missing = sorted(left_out & row.keys(), key=lambda zone: (zone != own, zone))
         if missing:
-            row = self.plan.standing.get(missing[0], {}).get(scope, row)
+            row = self.plan.fallback_weights.get(missing[0], {}).get(scope, row)
         kept = {zone: weight for zone, weight in row.items() if zone not in left_out and zone != own}
         local = WHOLE - sum(kept.values())
         return kept | {own: local} if local else kept
--- a/cedarmill/fleet/slices.py
+++ b/cedarmill/fleet/slices.py
@@ -14,7 +14,7 @@
 from cedarmill.fleet.budget_grants import set_demand as wanted
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 __all__ = [
     "LEASED",
@@ -31,7 +31,7 @@
 ]
 
 
-def set_up(world: "World", budgets: list[Budget]) -> str:
+def set_up(world: "ClusterState", budgets: list[Budget]) -> str:
     """`set_budgets`; why not, where that cannot be."""
     try:
         budget_grants.set_budgets(world, budgets)
--- a/cedarmill/fleet/traffic.py
+++ b/cedarmill/fleet/traffic.py
@@ -16,12 +16,12 @@
 from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 __all__ = ["advance", "due", "lose", "observe", "set_up", "shed", "short_without", "shown", "way", "what_if"]
 
 
-def set_up(world: "World", zoning: ZoneLayout) -> str:
+def set_up(world: "ClusterState", zoning: ZoneLayout) -> str:
     """`set_layout`; why not, where that cannot be."""
     try:
         intake.set_layout(world, zoning)
@@ -30,7 +30,7 @@
     return ""
 
 
-def what_if(world: "World", name: str) -> dict[str, Any]:
+def what_if(world: "ClusterState", name: str) -> dict[str, Any]:
     """`forecast_loss` as plain values."""
     try:
         found: dict[str, Any] = msgspec.to_builtins(reports.forecast_loss(world, name))
@@ -39,7 +39,7 @@
     return found
 
 
-def shown(world: "World") -> dict[str, Any]:
+def shown(world: "ClusterState") -> dict[str, Any]:
     """`traffic_report` as plain values."""
     found: dict[str, Any] = msgspec.to_builtins(reports.traffic_report(world))
     if world.traffic.assessment is None:
--- a/cedarmill/fleet/traffic_control/intake.py
+++ b/cedarmill/fleet/traffic_control/intake.py
@@ -4,22 +4,22 @@
 
 import msgspec
 
-from cedarmill.fleet import permits
 from cedarmill.fleet.observations.assessment import DEMAND_LIFETIME_US, ClusterAssessment, ZoneAssessment
 from cedarmill.fleet.observations.digest import WHOLE
 from cedarmill.fleet.observations.verdicts import FAILING_SHARE, Verdict
+from cedarmill.fleet.state import Target
+from cedarmill.fleet.state_machine.permit_states import target_key
 from cedarmill.fleet.traffic_control.errors import InvalidLayoutError
 from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.fleet.traffic_plan.state import ZoneState
-from cedarmill.fleet.world import Target
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 RECOVERED_SHARE = FAILING_SHARE // 3  # thousandths of failures below which a failing zone counts as well
 
 
-def set_layout(state: "World", layout: ZoneLayout) -> None:
+def set_layout(state: "ClusterState", layout: ZoneLayout) -> None:
     """Replace the layout; zones that stay keep their status. Raises InvalidLayoutError."""
     _check(layout)
     names = layout.zones
@@ -27,13 +27,13 @@
     state.zones = {name: state.zones.get(name) or ZoneState(name, status_since=state.clock) for name in names}
     for known in [target.name for target in state.targets.values() if target.kind == "zone"]:
         if known not in names:
-            del state.targets[permits.key_of("zone", known)]
+            del state.targets[target_key("zone", known)]
     for name in names:
         target = Target("zone", name, name, group=layout.region(name))
-        state.targets.setdefault(permits.key_of("zone", name), target)
+        state.targets.setdefault(target_key("zone", name), target)
     traffic = state.traffic
     traffic.weights, traffic.target_weights, traffic.next_review_at = {}, {}, 0
-    state.peopled = state.epoch  # nodes that are there are to learn of each other, where they gossip
+    state.membership_epoch = state.epoch  # nodes that are there are to learn of each other, where they gossip
 
 
 def _check(layout: ZoneLayout) -> None:
@@ -47,7 +47,7 @@
         raise InvalidLayoutError("safe: between 0 and 100%")
 
 
-def record_assessment(state: "World", assessment: ClusterAssessment) -> None:
+def record_assessment(state: "ClusterState", assessment: ClusterAssessment) -> None:
     """Take over an assessment; a zone that is not seen now keeps what was known of it, for a time."""
     traffic = state.traffic
     traffic.latest_assessment = assessment
@@ -68,7 +68,7 @@
 
 
 def _completed(
-    state: "World", name: str, assessed: ZoneAssessment, known: ZoneAssessment | None, blind: bool
+    state: "ClusterState", name: str, assessed: ZoneAssessment, known: ZoneAssessment | None, blind: bool
 ) -> ZoneAssessment:
     """What is unknown counts as it was: slots as estimated last, demand as long as it may still be there."""
     if known is None:
@@ -83,7 +83,7 @@
     return msgspec.structs.replace(assessed, demand=demand, demand_by_weight=by_weight)
 
 
-def _note_verdict(state: "World", zone: ZoneState, assessed: ZoneAssessment) -> None:
+def _note_verdict(state: "ClusterState", zone: ZoneState, assessed: ZoneAssessment) -> None:
     """Since when it is seen to be bad or well; an unknown verdict changes neither."""
     if assessed.verdict == Verdict.UNKNOWN:
         return
@@ -93,5 +93,5 @@
     zone.well_since = _since(state, zone.well_since) if well else -1
 
 
-def _since(state: "World", known: int) -> int:
+def _since(state: "ClusterState", known: int) -> int:
     return known if known >= 0 else state.clock
--- a/cedarmill/fleet/traffic_control/ramps.py
+++ b/cedarmill/fleet/traffic_control/ramps.py
@@ -11,12 +11,12 @@
 from cedarmill.fleet.traffic_plan.state import ZoneEvent, ZoneState, ZoneStatus
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 RETURN_RATE = 100  # thousandths of a zone's capacity that come back in a second
 
 
-def advance_ramps(state: "World", assessment: ClusterAssessment) -> None:
+def advance_ramps(state: "ClusterState", assessment: ClusterAssessment) -> None:
     """Open and empty zones as far as they should be by now."""
     for zone in state.zones.values():
         if zone.pinned:
@@ -30,7 +30,7 @@
             _continue_evacuation(state, zone, assessment)
 
 
-def slots_missing_without(state: "World", name: str) -> int:
+def slots_missing_without(state: "ClusterState", name: str) -> int:
     """Slots (thousandths) that would be missing if this zone were emptied, but for its own that must stay."""
     assessment = state.traffic.assessment
     if assessment is None:
@@ -38,7 +38,7 @@
     return _missing(state, assessment, name, 0) - _missing(state, assessment, name)
 
 
-def _continue_evacuation(state: "World", zone: ZoneState, assessment: ClusterAssessment) -> None:
+def _continue_evacuation(state: "ClusterState", zone: ZoneState, assessment: ClusterAssessment) -> None:
     """One step of an evacuation, if the other zones can take it; else it is halted, and says so."""
     if zone_status.permit_of(state, zone) is None:
         return
@@ -59,7 +59,9 @@
         zone_status.apply_event(state, zone, ZoneEvent.EMPTIED)
 
 
-def _missing(state: "World", assessment: ClusterAssessment, name: str, open_share: int | None = None) -> int:
+def _missing(
+    state: "ClusterState", assessment: ClusterAssessment, name: str, open_share: int | None = None
+) -> int:
     """Slots that find no room, but for those that may not leave this zone: no other could take these.
 
     `open_share`: as if the zone were open so far.
--- a/cedarmill/fleet/traffic_control/reports.py
+++ b/cedarmill/fleet/traffic_control/reports.py
@@ -13,8 +13,8 @@
 from cedarmill.fleet.traffic_plan.weights import expected_load
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.words import Way
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.messages import RouteWeights
+    from cedarmill.fleet.state import ClusterState
 
 
 class ZoneForecast(msgspec.Struct, frozen=True):
@@ -96,9 +96,9 @@
     target_changes: int
 
 
-def route_weights(state: "World", zone: str) -> "Way | None":
+def route_weights(state: "ClusterState", zone: str) -> "RouteWeights | None":
     """Where the nodes of a zone send requests; None: there is no such zone."""
-    from cedarmill.fleet import words  # which holds types of `traffic_plan/`
+    from cedarmill.fleet.messages import RouteWeights  # which holds types of `traffic_plan/`
 
     traffic, layout = state.traffic, state.zoning
     if zone not in state.zones:
@@ -111,10 +111,10 @@
             closed[one.name] = permit.epoch
     fallbacks = {lost: table[zone] for lost, table in traffic.fallback_weights.items() if zone in table}
     weights = traffic.weights.get(zone) or {scope: {zone: WHOLE} for scope in SCOPES}
-    return words.Way(traffic.epoch, zone, reachable, weights, fallbacks, closed)
+    return RouteWeights(traffic.epoch, zone, reachable, weights, fallbacks, closed)
 
 
-def forecast_loss(state: "World", zone: str) -> LossForecast:
+def forecast_loss(state: "ClusterState", zone: str) -> LossForecast:
     """Loads and what is missing, now and with a zone gone.
 
     Raises NoAssessmentError, and UnknownZoneError for a zone that is neither empty nor known.
@@ -133,7 +133,7 @@
     return LossForecast(zone, then.missing_slots, now.missing_slots, zones)
 
 
-def traffic_report(state: "World") -> TrafficReport:
+def traffic_report(state: "ClusterState") -> TrafficReport:
     """The plan and what it rests on; of zones nothing before the first assessment."""
     traffic, assessment = state.traffic, state.traffic.assessment
     if assessment is None:
@@ -165,7 +165,7 @@
 
 
 def _zone_report(
-    state: "World",
+    state: "ClusterState",
     zone: ZoneState,
     assessment: ClusterAssessment,
     room: int,
--- a/cedarmill/fleet/traffic_control/rollout.py
+++ b/cedarmill/fleet/traffic_control/rollout.py
@@ -8,14 +8,14 @@
 from cedarmill.fleet.traffic_plan.state import WeightTable, ZoneStatus
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 MOVE_RATE = 200  # thousandths of a row that move in a second, where nothing is lost
 MOVE_INTERVAL_US = 500_000  # between two moves
 MIN_DIFFERENCE = 50  # thousandths of a row below which another plan is not worth a change
 
 
-def retarget(state: "World", assessment: ClusterAssessment, statuses_changed: bool) -> None:
+def retarget(state: "ClusterState", assessment: ClusterAssessment, statuses_changed: bool) -> None:
     """Take over a new plan, where it differs by enough or a zone's status has changed."""
     traffic = state.traffic
     plan = planner.make_plan(state.zoning, state.zones, assessment)
@@ -30,10 +30,10 @@
     if changed or traffic.fallback_assessed_at != traffic.assessed_at:
         changed |= _replan_fallbacks(state, plan, assessment)
     if changed:
-        traffic.epoch = state.told = state.epoch
+        traffic.epoch = state.orders_epoch = state.epoch
 
 
-def _replan_fallbacks(state: "World", plan: TrafficPlan, assessment: ClusterAssessment) -> bool:
+def _replan_fallbacks(state: "ClusterState", plan: TrafficPlan, assessment: ClusterAssessment) -> bool:
     """Fallback weights by the newest assessment; whether they differ by enough to be sent to nodes."""
     traffic = state.traffic
     fallbacks = _fallbacks(state, plan, assessment)
@@ -49,11 +49,13 @@
     return True
 
 
-def _fallbacks(state: "World", plan: TrafficPlan, assessment: ClusterAssessment) -> dict[str, WeightTable]:
+def _fallbacks(
+    state: "ClusterState", plan: TrafficPlan, assessment: ClusterAssessment
+) -> dict[str, WeightTable]:
     return planner.fallback_plans(state.zoning, plan, assessment.links)
 
 
-def move_weights(state: "World", assessment: ClusterAssessment) -> None:
+def move_weights(state: "ClusterState", assessment: ClusterAssessment) -> None:
     """One move towards the target; at once away from what is lost."""
     traffic = state.traffic
     if traffic.weights == traffic.target_weights:
@@ -70,7 +72,7 @@
     demand = planner.demand_by_source(assessment)
     traffic.weights = weights.held_back(traffic.weights, moved, demand, room, gone)
     traffic.moved_at = state.clock
-    traffic.epoch = state.told = state.epoch
+    traffic.epoch = state.orders_epoch = state.epoch
 
 
 def _uses(table: WeightTable, zones: list[str]) -> bool:
--- a/cedarmill/fleet/traffic_control/schedule.py
+++ b/cedarmill/fleet/traffic_control/schedule.py
@@ -9,13 +9,13 @@
 from cedarmill.fleet.traffic_plan.state import ZoneState, ZoneStatus
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 FROZEN_REVIEW_US = 60_000_000  # between two reviews of a frozen plan
 CALM_REVIEW_US = 30_000_000  # the same where nothing moves
 
 
-def review(state: "World") -> None:
+def review(state: "ClusterState") -> None:
     """Carry out whatever is due by now."""
     traffic = state.traffic
     assessment = traffic.assessment
@@ -32,15 +32,15 @@
         rollout.retarget(state, assessment, changed)
         rollout.move_weights(state, assessment)
     if changed:
-        state.told = state.epoch
+        state.orders_epoch = state.epoch
     traffic.next_review_at = _next_review(state)
 
 
-def due_times(state: "World") -> list[int]:
+def due_times(state: "ClusterState") -> list[int]:
     """When something changes by itself (us of the cluster's clock)."""
     if not state.zoning.regions or state.traffic.assessment is None:
         return []
-    levels = [state.admission, *state.tight.values()]
+    levels = [state.admission, *state.scoped_admission.values()]
     moving = state.zoning.sheds_load and any(
         level.shed or level.late >= ADMISSION_LATE_SHARE or level.override_until > state.clock
         for level in levels
@@ -51,11 +51,11 @@
     return times
 
 
-def _statuses(state: "World") -> dict[str, str]:
+def _statuses(state: "ClusterState") -> dict[str, str]:
     return {name: zone.status for name, zone in state.zones.items()}
 
 
-def _next_review(state: "World") -> int:
+def _next_review(state: "ClusterState") -> int:
     now, traffic = state.clock, state.traffic
     if traffic.frozen_by:
         return now + FROZEN_REVIEW_US
@@ -68,7 +68,7 @@
     return min(times)
 
 
-def _zone_times(state: "World", zone: ZoneState) -> list[int]:
+def _zone_times(state: "ClusterState", zone: ZoneState) -> list[int]:
     """When this zone may change by itself."""
     now = state.clock
     soonest = now + rollout.MOVE_INTERVAL_US
--- a/cedarmill/fleet/traffic_control/shedding.py
+++ b/cedarmill/fleet/traffic_control/shedding.py
@@ -9,10 +9,10 @@
 from cedarmill.fleet.traffic_plan import planner
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 
-def update_admission(state: "World") -> None:
+def update_admission(state: "ClusterState") -> None:
     """One step of the admission level, where the cluster agrees on one.
 
     Beside it those of single zones' requests that may go only so far, where these alone find no room.
@@ -50,13 +50,13 @@
     return weighted // max(1, sum(wanted))
 
 
-def _update_scopes(state: "World", assessment: ClusterAssessment, slots: int) -> None:
+def _update_scopes(state: "ClusterState", assessment: ClusterAssessment, slots: int) -> None:
     wanted = sum(sum(zone.demand.values()) for zone in assessment.zones.values())
     unserved: dict[tuple[str, str], int] = {}
     if wanted <= slots:
         plan = planner.make_plan(state.zoning, state.zones, assessment)
         unserved = plan.allocation.unserved
-    for key in sorted({f"{zone}/{scope}" for zone, scope in unserved} | state.tight.keys()):
+    for key in sorted({f"{zone}/{scope}" for zone, scope in unserved} | state.scoped_admission.keys()):
         zone, _, scope = key.partition("/")
         assessed = assessment.zones.get(zone)
         if assessed is not None:
--- a/cedarmill/fleet/traffic_control/trust.py
+++ b/cedarmill/fleet/traffic_control/trust.py
@@ -13,7 +13,7 @@
 from cedarmill.fleet.traffic_plan.weights import expected_load
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import World
+    from cedarmill.fleet.state import ClusterState
 
 TRUST_INTERVAL_US = 2_000_000  # between two changes of a zone's trust
 PROMPT_SHARE = LATE_SHARE // 3  # thousandths of late requests below which trust is raised
@@ -25,7 +25,7 @@
 FILLED_ROOM = 1100  # thousandths of its room up to which a zone was left room: reported demand is noisy
 
 
-def adjust_trust(state: "World", assessment: ClusterAssessment) -> None:
+def adjust_trust(state: "ClusterState", assessment: ClusterAssessment) -> None:
     """Lower or raise the trust of each open zone by one step, where that is due."""
     room = planner.available_room(state.zoning, state.zones, assessment).planned
     load = expected_load(state.traffic.weights, planner.demand_by_source(assessment))
@@ -40,14 +40,14 @@
             _raise(state, zone)
 
 
-def _lower(state: "World", zone: ZoneState) -> None:
+def _lower(state: "ClusterState", zone: ZoneState) -> None:
     near = abs(zone.trust - zone.distrusted_level) <= NEAR_LEVEL
     left = zone.trust * (REPEATED_CUT if near else FIRST_CUT) // WHOLE
     zone.distrusted_level, zone.distrusted_at = zone.trust, state.clock
     zone.trust, zone.trust_changed_at = max(MIN_TRUST, left), state.clock
 
 
-def _raise(state: "World", zone: ZoneState) -> None:
+def _raise(state: "ClusterState", zone: ZoneState) -> None:
     if state.clock - zone.distrusted_at >= LOSS_MEMORY_US:
         zone.distrusted_level = 0
     most = max(zone.trust, zone.distrusted_level - NEAR_LEVEL) if zone.distrusted_level else WHOLE
--- a/cedarmill/fleet/traffic_control/zone_status.py
+++ b/cedarmill/fleet/traffic_control/zone_status.py
@@ -5,14 +5,15 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet import permits
 from cedarmill.fleet.observations.assessment import ClusterAssessment
 from cedarmill.fleet.observations.digest import WHOLE
 from cedarmill.fleet.observations.verdicts import Verdict
+from cedarmill.fleet.state_machine.permit_states import target_key
+from cedarmill.fleet.states import TargetHealth
 from cedarmill.fleet.traffic_plan.state import TRANSITIONS, ZoneEvent, ZoneState, ZoneStatus
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.world import Permit, World
+    from cedarmill.fleet.state import ClusterState, Permit
 
 DWELL_US = 10_000_000  # for which a zone has to be well before it is used again; doubled by each loss lately
 MAX_DWELL_US = 160_000_000
@@ -30,7 +31,7 @@
 }
 
 
-def apply_event(state: "World", zone: ZoneState, event: ZoneEvent, reason: str = "") -> bool:
+def apply_event(state: "ClusterState", zone: ZoneState, event: ZoneEvent, reason: str = "") -> bool:
     """Take a zone to its next status; whether there is one."""
     status = TRANSITIONS.get((zone.status, event))
     if status is None:
@@ -43,28 +44,28 @@
     zone.open_share = OPEN_SHARES.get(status, zone.open_share)
     if status in (ZoneStatus.LOST, ZoneStatus.FAILING):
         zone.well_since = -1
-    target = state.targets.get(permits.key_of("zone", zone.name))
+    target = state.targets.get(target_key("zone", zone.name))
     if target is not None:
-        health = "silent" if status == ZoneStatus.LOST else "well"
-        target.since = target.since if target.health == health else state.clock
+        health = TargetHealth.SILENT if status == ZoneStatus.LOST else TargetHealth.WELL
+        target.health_since = target.health_since if target.health == health else state.clock
         target.health = health
     state.note(f"zone {zone.name} is {status}" + (f": {reason}" if reason else ""))
     return True
 
 
-def declare_lost(state: "World", zone: ZoneState, reason: str) -> bool:
+def declare_lost(state: "ClusterState", zone: ZoneState, reason: str) -> bool:
     """By an operator's word; whether its status could change."""
     state.traffic.next_review_at = 0
     return apply_event(state, zone, ZoneEvent.LOSE, reason)
 
 
-def dwell_us(state: "World", zone: ZoneState) -> int:
+def dwell_us(state: "ClusterState", zone: ZoneState) -> int:
     """For how long it has to be well before it is used again: longer, the oftener it was lost lately."""
     recent = sum(state.clock - at < LOSS_MEMORY_US for at in zone.losses)
     return min(MAX_DWELL_US, DWELL_US << max(0, recent - 1))
 
 
-def permit_of(state: "World", zone: ZoneState) -> "Permit | None":
+def permit_of(state: "ClusterState", zone: ZoneState) -> "Permit | None":
     """The permit under which the zone is to be out."""
     for permit in state.permits.values():
         if permit.out and permit.kind == "zone" and permit.target == zone.name:
@@ -72,7 +73,7 @@
     return None
 
 
-def follow_permits(state: "World") -> None:
+def follow_permits(state: "ClusterState") -> None:
     """A zone leaves while an operator has a permit for it, and comes back when that is returned."""
     for zone in state.zones.values():
         permitted = permit_of(state, zone) is not None
@@ -84,7 +85,7 @@
             apply_event(state, zone, ZoneEvent.STAY)
 
 
-def follow_assessment(state: "World", assessment: ClusterAssessment) -> None:
+def follow_assessment(state: "ClusterState", assessment: ClusterAssessment) -> None:
     """Act on verdicts that have lasted, unless too many zones seem lost at once."""
     due = [zone for zone in state.zones.values() if not zone.pinned and _is_due(state, zone, assessment)]
     _note_distrust(state, _distrust_reason(state, due, assessment))
@@ -101,7 +102,7 @@
             apply_event(state, zone, ZoneEvent.RECOVER)
 
 
-def _is_due(state: "World", zone: ZoneState, assessment: ClusterAssessment) -> bool:
+def _is_due(state: "ClusterState", zone: ZoneState, assessment: ClusterAssessment) -> bool:
     """Whether its verdict is bad, has lasted, and changes its status."""
     verdict = assessment.zones[zone.name].verdict
     if verdict == Verdict.LOST:
@@ -115,7 +116,7 @@
     return state.clock - zone.bad_since >= lasting
 
 
-def _distrust_reason(state: "World", due: list[ZoneState], assessment: ClusterAssessment) -> str:
+def _distrust_reason(state: "ClusterState", due: list[ZoneState], assessment: ClusterAssessment) -> str:
     """Why the verdicts that are due are not acted on; empty: they are."""
     newly_lost = [
         zone
@@ -130,7 +131,7 @@
     return ""
 
 
-def _note_distrust(state: "World", reason: str) -> None:
+def _note_distrust(state: "ClusterState", reason: str) -> None:
     if reason == state.traffic.distrust_reason:
         return
     state.traffic.distrust_reason = reason
--- a/cedarmill/lab/fleet/regions.py
+++ b/cedarmill/lab/fleet/regions.py
@@ -12,17 +12,17 @@
 
 import numpy
 
-from cedarmill.fleet import commands
+from cedarmill.fleet.messages import RouteWeights
 from cedarmill.fleet.observations.assessment import DIGEST_LIFETIME_US, ObservationCollector
 from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation, ObservationDigest
 from cedarmill.fleet.plan_follower import PlanFollower
+from cedarmill.fleet.state import ClusterState, Member
+from cedarmill.fleet.state_machine import commands, dispatch
 from cedarmill.fleet.traffic_control import reports, rollout, zone_status
 from cedarmill.fleet.traffic_plan.allocation import allocate
 from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.fleet.traffic_plan.similarity import are_similar
 from cedarmill.fleet.traffic_plan.state import WeightTable
-from cedarmill.fleet.words import Way
-from cedarmill.fleet.world import Member, World
 
 DT = 0.1  # s, a step
 US = 1_000_000
@@ -402,7 +402,7 @@
 
     def __init__(self, run: Run) -> None:
         super().__init__(run)
-        self.world = World("lab")
+        self.world = ClusterState("lab")
         self.index = 0
         self.apply(commands.SetZones(0, "lab", "1", run.zoning))
         self.members = []
@@ -415,7 +415,7 @@
         self.desk = ObservationCollector()
         self.led = True
         self.told_epoch = -1
-        self.plans: list[tuple[float, int, Way]] = []
+        self.plans: list[tuple[float, int, RouteWeights]] = []
         self.matrix = {bound: self._own.copy() for bound in SCOPES}
         self.phase = run.random.integers(0, 10, run.place.nodes)
         self.use_phase = run.random.integers(0, 3, run.place.nodes)
@@ -431,7 +431,7 @@
 
     def apply(self, command: commands.Command) -> None:
         self.index += 1
-        commands.apply(self.world, self.index, commands.encode(command))
+        dispatch.apply(self.world, self.index, dispatch.encode(command))
 
     def step(self) -> None:
         step = int(round(self.run.t / DT))
@@ -489,7 +489,7 @@
         """Once all nodes have heard that a zone is shut, nothing is sent there."""
         run = self.run
         for n, name in enumerate(run.names):
-            heard = all(f.plan is not None and name in f.plan.shut for f in self.followers)
+            heard = all(f.plan is not None and name in f.plan.closed_zones for f in self.followers)
             since = self.drained.setdefault(n, run.t) if heard else self.drained.pop(n, None)
             if heard and run.t - since > 0.5:
                 sent = sum(self.matrix[bound][:, n].sum() for bound in SCOPES)
@@ -551,10 +551,10 @@
         if step % 5 == 0 and 2 * told > len(self.members):
             evidence = self.desk.assess(self.now, run.names)
             if not are_similar(self.world.traffic.latest_assessment, evidence):
-                self.apply(commands.Observed(self.now, evidence))
-        at = commands.due(self.world)
+                self.apply(commands.RecordZoneEvidence(self.now, evidence))
+        at = dispatch.next_due(self.world)
         if at is not None and self.now >= at:
-            self.apply(commands.Tick(self.now))
+            self.apply(commands.AdvanceTime(self.now))
         if self.world.traffic.epoch != self.told_epoch:
             self.told_epoch = self.world.traffic.epoch
             ways = {name: reports.route_weights(self.world, name) for name in run.names}
@@ -589,7 +589,7 @@
             for bound, found in follower.rows(self.now).items():
                 row = numpy.zeros(run.count)
                 for zone, part in found.items():
-                    if zone == follower.plan.zone and zone in follower.plan.shut:
+                    if zone == follower.plan.zone and zone in follower.plan.closed_zones:
                         continue  # refused at once: its executors are out of use
                     row[run.names.index(zone)] = part / WHOLE
                 self.matrix[bound][n] = row
@@ -656,7 +656,7 @@
 
 def _zone_dies_drained(run: Run, t: float) -> None:
     if _at(t, 4.0) and isinstance(run.steer, Agreed):
-        leave = commands.ActZone(run.steer.now, "op", "leave", "leave", run.names[-1], 4 * US, "work")
+        leave = commands.ControlZone(run.steer.now, "op", "leave", "leave", run.names[-1], 4 * US, "work")
         run.steer.apply(leave)
     if _at(t, 10.0):
         run.die(0, 1e9)
--- a/cedarmill/lab/fleet/storms.py
+++ b/cedarmill/lab/fleet/storms.py
@@ -14,14 +14,15 @@
 
 import numpy
 
-from cedarmill.fleet import budget_grants, commands
+from cedarmill.fleet import budget_grants
 from cedarmill.fleet.admission_level import controller
 from cedarmill.fleet.admission_level.gate import OVER_QUOTA_SHARE, AdmissionGate
 from cedarmill.fleet.admission_level.state import UNKNOWN, LoadReport, SheddingThreshold
 from cedarmill.fleet.budget_grants import Budget
 from cedarmill.fleet.budget_lease import BudgetLeases, RetryBudget
 from cedarmill.fleet.gossip_plan import MAX_SENT_FACTOR, ExecutorReport, GossipPlan, ReportBoard
-from cedarmill.fleet.world import Member, World
+from cedarmill.fleet.state import ClusterState, Member
+from cedarmill.fleet.state_machine import commands, dispatch
 
 US = 1_000_000
 DT = 0.05  # s, between two turns of clients, news and agreement
@@ -210,7 +211,7 @@
             node.subset = list(range(place.executors))
         if self.way == "fleet":
             self._deal()
-        self.world = World("storm")
+        self.world = ClusterState("storm")
         rate = self.slots / WORK
         budgets = [Budget("retries", int(rate * 100), place.nodes),
                    Budget("probes", int(2000 * place.executors), place.nodes),
@@ -536,8 +537,8 @@
     def _want(self, node: Node) -> None:
         key, us = f"node:n{node.number}:1", int(self.t * US)
         self.world.clock, self.world.index = us, self.world.index + 1
-        commands.apply(self.world, self.world.index, commands.encode(
-            commands.Wants(us, key, node.purses.demands(us))))  # fmt: skip
+        dispatch.apply(self.world, self.world.index, dispatch.encode(
+            commands.SetBudgetDemand(us, key, node.purses.demands(us))))  # fmt: skip
         node.purses.set_rates(us, True, budget_grants.rates_for(self.world, key))
         budget_grants.acknowledge(self.world, key, self.world.epoch)
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -9,7 +9,6 @@
 from helpers import Driver, sends
 
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import commands
 from cedarmill.fleet.admission_level import controller
 from cedarmill.fleet.admission_level.controller import threshold_for, threshold_of
 from cedarmill.fleet.admission_level.gate import FADE_US, AdmissionGate
@@ -18,8 +17,9 @@
 from cedarmill.fleet.budget_lease import BudgetLease, BudgetLeases, RetryBudget
 from cedarmill.fleet.gossip_plan import MAX_AGE_S, ExecutorReport, GossipPlan, ReportBoard
 from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.fleet.state import ClusterState, Member, RequestOutcome, decode_snapshot, encode_snapshot
+from cedarmill.fleet.state_machine import commands, dispatch
 from cedarmill.fleet.traffic_plan.similarity import are_similar
-from cedarmill.fleet.world import Member, World, freeze, thaw
 from cedarmill.lab.fleet import storm_bugs
 from cedarmill.lab.fleet.laws import verdict
 from cedarmill.lab.fleet.run import play as run_fleet
@@ -41,32 +41,32 @@
 
 class Dealing(unittest.TestCase):
     def setUp(self):
-        self.world, self.index, self.ids = World("c"), 0, 0
+        self.world, self.index, self.ids = ClusterState("c"), 0, 0
         for name in "abc":
             member = Member("node", name, "1")
             self.world.members[member.key] = member
         self.request(commands.SetBudgets, (PROBES,))
 
-    def apply(self, command: commands.Command) -> commands.Done:
+    def apply(self, command: commands.Command) -> RequestOutcome:
         self.index += 1
-        done = commands.apply(self.world, self.index, commands.encode(command))
-        self.assertLessEqual(granted_rate(self.world.slices["probes"]), PROBES.leased)
+        done = dispatch.apply(self.world, self.index, dispatch.encode(command))
+        self.assertLessEqual(granted_rate(self.world.budget_grants["probes"]), PROBES.leased)
         return done
 
-    def request(self, kind, *fields) -> commands.Done:
+    def request(self, kind, *fields) -> RequestOutcome:
         self.ids += 1
         self.index += 1
         command = kind(S, "op", str(self.ids), *fields)
-        return commands.apply(self.world, self.index, commands.encode(command))
+        return dispatch.apply(self.world, self.index, dispatch.encode(command))
 
     def wants(self, name: str, rate: int, life: str = "1") -> None:
-        self.apply(commands.Wants(S, f"node:{name}:{life}", {"probes": rate}))
+        self.apply(commands.SetBudgetDemand(S, f"node:{name}:{life}", {"probes": rate}))
 
     def follows(self, name: str) -> None:
-        self.apply(commands.Follows(S, f"node:{name}:1", self.world.told))
+        self.apply(commands.AcknowledgeOrders(S, f"node:{name}:1", self.world.orders_epoch))
 
     def rates(self) -> dict[str, int]:
-        return {key.split(":")[1]: one.rate for key, one in self.world.slices["probes"].items()}
+        return {key.split(":")[1]: one.rate for key, one in self.world.budget_grants["probes"].items()}
 
     def test_a_slice_made_smaller_counts_till_its_holder_follows(self):
         self.wants("a", 80_000)
@@ -80,15 +80,15 @@
         self.wants("a", 80_000)
         self.wants("b", 80_000)
         self.assertEqual(self.rates()["b"], 0)
-        self.apply(commands.Lapsed(S, ("node:a:1",)))
+        self.apply(commands.ExpireSessions(S, ("node:a:1",)))
         self.assertEqual(self.rates(), {"b": 80_000})
 
     def test_one_that_comes_back_is_told_that_it_has_nothing_before_its_lease_holds(self):
         self.wants("a", 80_000)
-        told = self.world.told
-        self.apply(commands.Lapsed(S, ("node:a:1",)))
-        self.apply(commands.Back(S, "node:a:1"))
-        self.assertGreater(self.world.told, told)
+        told = self.world.orders_epoch
+        self.apply(commands.ExpireSessions(S, ("node:a:1",)))
+        self.apply(commands.RestoreSession(S, "node:a:1"))
+        self.assertGreater(self.world.orders_epoch, told)
         self.assertEqual(rates_for(self.world, "node:a:1")["probes"], (0, PROBES.floor))
 
     def test_a_new_life_gets_nothing_of_what_the_old_one_may_still_spend(self):
@@ -96,19 +96,19 @@
         member = Member("node", "a", "2")
         self.world.members[member.key] = member
         self.wants("a", 80_000, "2")
-        self.assertEqual(self.world.slices["probes"]["node:a:2"].rate, 0)
-        self.apply(commands.Ended(S, "node:a:1", "its steward"))
-        self.assertEqual(self.world.slices["probes"]["node:a:2"].rate, 80_000)
+        self.assertEqual(self.world.budget_grants["probes"]["node:a:2"].rate, 0)
+        self.apply(commands.EndMember(S, "node:a:1", "its steward"))
+        self.assertEqual(self.world.budget_grants["probes"]["node:a:2"].rate, 80_000)
 
     def test_a_smaller_budget_takes_back_as_holders_follow(self):
         self.wants("a", 80_000)
         self.request(commands.SetBudgets, (Budget("probes", 50_000, 10),))
-        one = self.world.slices["probes"]["node:a:1"]
+        one = self.world.budget_grants["probes"]["node:a:1"]
         self.assertEqual((one.rate, one.counts), (40_000, 80_000))
         self.assertFalse(self.request(commands.SetBudgets, (PROBES, PROBES)).ok)
 
     def test_nothing_is_dealt_before_leases_of_an_older_state_have_passed(self):
-        self.world.deal_from = 5 * S
+        self.world.budgets_dealt_from = 5 * S
         self.wants("a", 80_000)
         self.assertEqual(self.rates(), {"a": 0})
 
@@ -121,13 +121,21 @@
             if what < 2:
                 self.wants(name, dice.randrange(120_000))
             elif what == 2:
-                self.apply(commands.Follows(S, key, dice.choice((self.world.told, self.world.told - 3))))
+                self.apply(
+                    commands.AcknowledgeOrders(
+                        S, key, dice.choice((self.world.orders_epoch, self.world.orders_epoch - 3))
+                    )
+                )
             elif what == 3:
-                self.apply(commands.Lapsed(S, (key,)))
+                self.apply(commands.ExpireSessions(S, (key,)))
             else:
-                self.apply(commands.Back(S, key))
-        self.assertEqual(freeze(thaw(freeze(self.world))), freeze(self.world))
-        self.assertTrue(all(isinstance(one, BudgetGrant) for one in self.world.slices["probes"].values()))
+                self.apply(commands.RestoreSession(S, key))
+        self.assertEqual(
+            encode_snapshot(decode_snapshot(encode_snapshot(self.world))), encode_snapshot(self.world)
+        )
+        self.assertTrue(
+            all(isinstance(one, BudgetGrant) for one in self.world.budget_grants["probes"].values())
+        )
 
 
 class Spending(unittest.TestCase):
@@ -169,7 +177,7 @@
     """The level: what is worth least is refused first, in bounded steps, by evidence of lateness."""
 
     def setUp(self):
-        self.world = World("c")
+        self.world = ClusterState("c")
 
     def step(
         self, wants: dict[int, int], late: int, room: int = 100_000, steps: int = 1
@@ -204,10 +212,10 @@
         self.assertEqual(self.step({1000: 50_000, 5000: 50_000}, 0, steps=12), SheddingThreshold())
 
     def test_a_cut_by_hand_holds_till_its_end_and_takes_a_reason(self):
-        bad = commands.ActCut(0, "op", "1", 3000, 0, 5 * S, "")
-        self.assertFalse(commands.apply(self.world, 1, commands.encode(bad)).ok)
-        good = commands.ActCut(0, "op", "2", 3000, 0, 5 * S, "a storm is coming")
-        self.assertTrue(commands.apply(self.world, 2, commands.encode(good)).ok)
+        bad = commands.OverrideAdmission(0, "op", "1", 3000, 0, 5 * S, "")
+        self.assertFalse(dispatch.apply(self.world, 1, dispatch.encode(bad)).ok)
+        good = commands.OverrideAdmission(0, "op", "2", 3000, 0, 5 * S, "a storm is coming")
+        self.assertTrue(dispatch.apply(self.world, 2, dispatch.encode(good)).ok)
         self.assertEqual(self.step({1000: 1000}, 0), SheddingThreshold(3000, 0))
         self.assertEqual(self.step({1000: 1000}, 0, steps=10), SheddingThreshold())
 
@@ -231,7 +239,7 @@
         for _ in range(12):
             self.world.clock += STEP_US
             controller.advance_scope(self.world, "a/zone", {1000: 10_000}, 10_000, 0)
-        self.assertEqual(self.world.tight, {})
+        self.assertEqual(self.world.scoped_admission, {})
 
     def test_one_that_tells_more_than_is_wanted_leaves_slots_idle_and_the_cut_gives_way(self):
         wants = {1000: 2_000_000, 5000: 40_000}
@@ -248,7 +256,7 @@
     WANTS = {1000: 150_000, 5000: 150_000}
 
     def setUp(self):
-        self.world = World("c")
+        self.world = ClusterState("c")
 
     def fills(self, queue: int, late: int = 600, busy: int = 60_000, turned: int = 0,
               steps: int = 1) -> list[int]:  # fmt: skip
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -4,7 +4,7 @@
 
 from cedarmill import Brain
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import commands
+from cedarmill.fleet.messages import RouteWeights
 from cedarmill.fleet.observations.assessment import ClusterAssessment, ObservationCollector, ZoneAssessment
 from cedarmill.fleet.observations.digest import (
     MAX_LOCATIONS,
@@ -14,14 +14,21 @@
 )
 from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog
 from cedarmill.fleet.plan_follower import EXCLUSION_US, RAMP_US, PlanFollower
+from cedarmill.fleet.state import (
+    ClusterState,
+    Limit,
+    Member,
+    RequestOutcome,
+    decode_snapshot,
+    encode_snapshot,
+)
+from cedarmill.fleet.state_machine import commands, dispatch
 from cedarmill.fleet.traffic_control import reports, rollout, zone_status
 from cedarmill.fleet.traffic_control.errors import UnknownZoneError
 from cedarmill.fleet.traffic_plan.allocation import Allocation, allocate
 from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.fleet.traffic_plan.planner import PROBE_WEIGHT
 from cedarmill.fleet.traffic_plan.weights import expected_load
-from cedarmill.fleet.words import Way
-from cedarmill.fleet.world import Limit, Member, World, freeze, thaw
 from cedarmill.lab.fleet.small import Entries
 
 S = 1_000_000
@@ -178,12 +185,12 @@
     limits: tuple[Limit, ...] = (Limit("zone", "fleet", most=1),)
 
     def setUp(self):
-        Entries.__init__(self, World("c", limits=list(self.limits)))
+        Entries.__init__(self, ClusterState("c", limits=list(self.limits)))
         self.ids = 0
         self.request(commands.SetZones, ZONING)
         self.news()
 
-    def request(self, kind, *fields) -> commands.Done:
+    def request(self, kind, *fields) -> RequestOutcome:
         self.ids += 1
         return self.apply(kind(self.now, "op", str(self.ids), *fields))
 
@@ -193,7 +200,7 @@
             verdict = verdicts.get(zone, "well")
             fails = 333 if verdict == "ill" else 0
             found[zone] = ZoneAssessment(verdict, 36_000, 10_000, fails, 0, {"any": demand}, 3)
-        self.apply(commands.Observed(self.now, ClusterAssessment(found, links or {})))
+        self.apply(commands.RecordZoneEvidence(self.now, ClusterAssessment(found, links or {})))
 
     def state(self, zone: str = "a") -> str:
         return self.world.zones[zone].status
@@ -242,7 +249,7 @@
         self.pass_time(5 * S)
         self.assertEqual((self.state("a"), self.state("b")), ("open", "open"))
         self.assertIn("2 of 3 zones", self.world.traffic.distrust_reason)
-        self.assertTrue(self.request(commands.ActZone, "lost", "a", 0, "its power is out").ok)
+        self.assertTrue(self.request(commands.ControlZone, "lost", "a", 0, "its power is out").ok)
         self.assertEqual(self.state("a"), "lost")
 
     def test_a_gray_zone_is_a_last_resort(self):
@@ -267,7 +274,7 @@
         self.news(demand=15_000)
         wants = {"a": 60_000, "b": 5000, "c": 5000}
         found = {z: ZoneAssessment("well", 36_000, 0, 0, 0, {"any": want}, 3) for z, want in wants.items()}
-        self.apply(commands.Observed(self.now, ClusterAssessment(found)))
+        self.apply(commands.RecordZoneEvidence(self.now, ClusterAssessment(found)))
         shares = []
         for _ in range(6):
             self.pass_time(rollout.MOVE_INTERVAL_US)
@@ -278,7 +285,7 @@
         demand = {"any": 20_000}
         late = {z: ZoneAssessment("well", 36_000, 0, 0, 900 * (z == "b"), demand, 3) for z in "abc"}
         for _ in range(3):
-            self.apply(commands.Observed(self.now, ClusterAssessment(late)))
+            self.apply(commands.RecordZoneEvidence(self.now, ClusterAssessment(late)))
             self.pass_time(3 * S)
         self.assertLess(self.world.zones["b"].trust, 1000)
         self.assertEqual(self.world.zones["a"].trust, 1000)
@@ -294,37 +301,39 @@
     def test_what_is_agreed_outlives_a_snapshot(self):
         self.news(a="lost")
         self.pass_time(2 * S)
-        self.assertEqual(freeze(thaw(freeze(self.world))), freeze(self.world))
-        other = thaw(freeze(self.world))
-        command = commands.encode(commands.Tick(self.now + 30 * S))
-        commands.apply(other, 99, command)
-        commands.apply(self.world, 99, command)
-        self.assertEqual(freeze(other), freeze(self.world))
+        self.assertEqual(
+            encode_snapshot(decode_snapshot(encode_snapshot(self.world))), encode_snapshot(self.world)
+        )
+        other = decode_snapshot(encode_snapshot(self.world))
+        command = dispatch.encode(commands.AdvanceTime(self.now + 30 * S))
+        dispatch.apply(other, 99, command)
+        dispatch.apply(self.world, 99, command)
+        self.assertEqual(encode_snapshot(other), encode_snapshot(self.world))
 
 
 class Hands(Planned):
     def test_an_evacuation_goes_under_a_permit_in_steps_and_back(self):
         self.news(demand=8_000)
-        self.assertTrue(self.request(commands.ActZone, "leave", "a", 10 * S, "works").ok)
+        self.assertTrue(self.request(commands.ControlZone, "leave", "a", 10 * S, "works").ok)
         self.pass_time(5 * S)
         self.assertEqual(self.state(), "leaving")
         self.assertTrue(300 < self.share("a", "a") <= 1000)
         self.pass_time(15 * S)
         self.assertEqual((self.state(), self.share("a", "a")), ("out", 0))
-        second = self.request(commands.ActZone, "leave", "b", S, "too")
-        self.assertEqual(self.world.permits[second.ids[0]].state, "waiting", "one zone at once")
-        self.assertTrue(self.request(commands.ActZone, "stay", "a", 0, "done").ok)
+        second = self.request(commands.ControlZone, "leave", "b", S, "too")
+        self.assertEqual(self.world.permits[second.created_ids[0]].state, "waiting", "one zone at once")
+        self.assertTrue(self.request(commands.ControlZone, "stay", "a", 0, "done").ok)
         self.pass_time(30 * S)
         self.assertEqual((self.state("a"), self.state("b")), ("open", "out"))
 
     def test_one_that_the_others_would_not_bear_is_refused_with_how_much_is_missing(self):
         self.news(demand=30_000)
-        done = self.request(commands.ActZone, "leave", "a", S, "works")
+        done = self.request(commands.ControlZone, "leave", "a", S, "works")
         self.assertFalse(done.ok)
         self.assertRegex(done.text, r"would not bear it: [\d.]+ slots")
 
     def test_one_is_halted_when_the_others_bear_it_no_longer_and_goes_on_by_itself(self):
-        self.request(commands.ActZone, "leave", "a", 20 * S, "works")
+        self.request(commands.ControlZone, "leave", "a", 20 * S, "works")
         self.pass_time(5 * S)
         self.news(demand=31_000)
         self.pass_time(20 * S)
@@ -337,21 +346,21 @@
     def test_a_lost_zone_uses_up_the_limit(self):
         self.news(b="lost")
         self.pass_time(2 * S)
-        done = self.request(commands.ActZone, "leave", "a", S, "works")
+        done = self.request(commands.ControlZone, "leave", "a", S, "works")
         waiting = [p.state for p in self.world.permits.values()]
         self.assertTrue(not done.ok or waiting == ["waiting"], (done, waiting))
 
     def test_frozen_nothing_moves_by_itself_and_pinned_a_zone_does_not(self):
-        self.request(commands.ActZone, "freeze", "", 0, "looking")
+        self.request(commands.ControlZone, "freeze", "", 0, "looking")
         self.news(a="lost")
         self.pass_time(5 * S)
         self.assertEqual((self.state(), self.share("a", "a")), ("open", 1000))
-        self.assertFalse(self.request(commands.ActZone, "leave", "b", S, "works").ok)
-        self.request(commands.ActZone, "pin", "a", 0, "known")
-        self.request(commands.ActZone, "thaw")
+        self.assertFalse(self.request(commands.ControlZone, "leave", "b", S, "works").ok)
+        self.request(commands.ControlZone, "pin", "a", 0, "known")
+        self.request(commands.ControlZone, "thaw")
         self.pass_time(5 * S)
         self.assertEqual(self.state(), "open")
-        self.request(commands.ActZone, "unpin", "a")
+        self.request(commands.ControlZone, "unpin", "a")
         self.pass_time(2 * S)
         self.assertEqual(self.state(), "lost")
 
@@ -364,19 +373,21 @@
     def test_a_shut_zone_is_drained_when_every_node_has_said_so(self):
         member = Member("node", "n1", "1", "b")
         self.world.members[member.key] = member
-        permit = self.world.permits[self.request(commands.ActZone, "leave", "a", S, "works").ids[0]]
+        permit = self.world.permits[
+            self.request(commands.ControlZone, "leave", "a", S, "works").created_ids[0]
+        ]
         self.pass_time(5 * S)
         way = reports.route_weights(self.world, "b")
-        self.assertEqual((way.shut, permit.drained), ({"a": permit.epoch}, 0))
-        self.apply(commands.Cleared(self.now, member.key, {"a": permit.epoch}))
-        self.assertGreater(permit.drained, 0)
+        self.assertEqual((way.closed_zones, permit.drained_at), ({"a": permit.epoch}, 0))
+        self.apply(commands.ConfirmDrained(self.now, member.key, {"a": permit.epoch}))
+        self.assertGreater(permit.drained_at, 0)
 
 
-def way(epoch: int = 5, **more) -> Way:
+def way(epoch: int = 5, **more) -> RouteWeights:
     reach = {"any": ["a", "b", "c"], "region": ["a", "b"], "zone": ["a"]}
     shares = {"any": {"a": 700, "b": 300}, "region": {"a": 900, "b": 100}, "zone": {"a": 1000}}
     standing = {"a": {"any": {"b": 400, "c": 600}, "region": {"b": 1000}}, "b": {"any": {"a": 800, "c": 200}}}
-    return Way(epoch, "a", reach, shares, standing, **more)
+    return RouteWeights(epoch, "a", reach, shares, standing, **more)
 
 
 class Following(unittest.TestCase):
@@ -426,7 +437,7 @@
         self.assertEqual(use.weights["any"], {"a": 1000})
 
     def test_a_shut_zone_gets_nothing_whatever_is_lost(self):
-        self.follower.accept_plan(way(6, shut={"b": 9}))
+        self.follower.accept_plan(way(6, closed_zones={"b": 9}))
         use = self.follower.decide(S, {"a": LocationObservation(attempts=9, unreached=9)})
         self.assertEqual((use.closed_zones, use.weights["any"]), (("b",), {"c": 600, "a": 400}))
 
