--- /dev/null
+++ b/cedarmill/fleet/state_machine/operator_statements.py
@@ -0,0 +1,104 @@
+"""Statements of operators about what no process can prove: they count as facts, with a stated reason."""
+
+from collections.abc import Callable
+
+from cedarmill.fleet.errors import RequestRejected
+from cedarmill.fleet.state import ClusterState, RequestOutcome
+from cedarmill.fleet.state_machine import drains
+from cedarmill.fleet.state_machine.command import Handlers, OperatorRequest, accepted
+from cedarmill.fleet.state_machine.permit_states import give_back
+from cedarmill.fleet.state_machine.sessions import end_member
+from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
+
+
+class OperatorStatement(OperatorRequest, tag="word", frozen=True):
+    """`drained` and `found` (a target), `ended` (a member), `forget` (a target), `go-on` (grants)."""
+
+    statement: str
+    name: str
+    reason: str
+
+
+def apply_statement(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """Take a statement for true; raises RequestRejected for one without a reason or against what is known."""
+    if not request.reason.strip():
+        raise RequestRejected("a word takes a reason")
+    handler = STATEMENTS.get(request.statement)
+    if handler is None:
+        raise RequestRejected(f"no word {request.statement!r}: one of {', '.join(STATEMENTS)}")
+    outcome = handler(state, request)
+    about = request.name or "the fleet"
+    state.note(f"{request.requester} says {request.statement} of {about}: {request.reason}")
+    return outcome
+
+
+def _drained(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """A target counts as drained, whoever has not confirmed it."""
+    permit = next((p for p in state.permits.values() if p.out and p.target == request.name), None)
+    if permit is None:
+        raise RequestRejected(f"{request.name} is not out by a permit")
+    missing = ", ".join(permit.undrained_members) or "anybody missing"
+    permit.notes.append(f"{request.requester} says drained, without {missing}: {request.reason}")
+    permit.undrained_members = []
+    drains.check_drained(state, permit)
+    return accepted(state, f"{request.name} counts as drained", [permit.id])
+
+
+def _ended(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """All incarnations of a member, or the one named by its key, count as ended."""
+    keys = [
+        key
+        for key, member in state.members.items()
+        if request.name in (key, member.name) and member.state != MemberState.ENDED
+    ]
+    live = [key for key in keys if state.members[key].state == MemberState.LIVE]
+    if live:
+        raise RequestRejected(f"{live[0]} renews its session: it has not ended")
+    if not keys:
+        raise RequestRejected(f"no member {request.name}")
+    for key in keys:
+        end_member(state, key, f"{request.requester}: {request.reason}")
+    return accepted(state, f"{len(keys)} lives count as ended")
+
+
+def _found(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """The target of a lost permit is known to serve again."""
+    permit = next(
+        (p for p in state.permits.values() if p.state == PermitState.LOST and p.target == request.name), None
+    )
+    if permit is None:
+        raise RequestRejected(f"no lost permit for {request.name}")
+    give_back(state, permit, f"{request.requester} says it is back: {request.reason}")
+    return accepted(state, f"permit {permit.id} is returned", [permit.id])
+
+
+def _forget(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """A target that is gone for good counts no longer."""
+    keys = [
+        key
+        for key, target in state.targets.items()
+        if target.name == request.name and target.health != TargetHealth.WELL
+    ]
+    if not keys:
+        raise RequestRejected(f"{request.name} is unknown, or well")
+    for key in keys:
+        del state.targets[key]
+    return accepted(state, f"{request.name} is forgotten")
+
+
+def _go_on(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """End a halt of grants."""
+    if not state.halt_reason:
+        raise RequestRejected("nothing was halted")
+    state.halt_reason = ""
+    return accepted(state, "grants go on")
+
+
+STATEMENTS: dict[str, Callable[[ClusterState, OperatorStatement], RequestOutcome]] = {
+    "drained": _drained,
+    "ended": _ended,
+    "found": _found,
+    "forget": _forget,
+    "go-on": _go_on,
+}
+HANDLERS: Handlers = {OperatorStatement: apply_statement}
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -16,20 +16,45 @@
 
 import msgspec
 
-from cedarmill.fleet import commands, slices, traffic
-from cedarmill.fleet import words as f
-from cedarmill.fleet.agent import Agent, Dial, Facts, Follow, Glance, Say, Who
+from cedarmill.fleet import slices, traffic
 from cedarmill.fleet.agree import words as w
 from cedarmill.fleet.agree.core import Saved, Timing
 from cedarmill.fleet.evidence import Digest
 from cedarmill.fleet.follow import Follower
+from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.hosting import Host
-from cedarmill.fleet.keeper import Keeper
+from cedarmill.fleet.messages import (
+    ClientRequest,
+    ExecutorObservation,
+    HeartbeatReply,
+    Orders,
+    ReadReply,
+    ReadRequest,
+    SubmitReply,
+    SubmitRequest,
+)
 from cedarmill.fleet.purse import Purses
+from cedarmill.fleet.replica import Replica
+from cedarmill.fleet.session import (
+    Connect,
+    FollowOrders,
+    MemberIdentity,
+    MemberReport,
+    MemberSession,
+    ProbeMember,
+    SendRequest,
+)
 from cedarmill.fleet.sightings import Place, Sightings
 from cedarmill.fleet.slices import Budget
-from cedarmill.fleet.stewarding import Acted, Keep, Start, Steward, Stop
-from cedarmill.fleet.world import EPOCH_BITS, Limit, Plan, World, freeze
+from cedarmill.fleet.state import EPOCH_INDEX_BITS, ClusterState, Limit, ReleasePlan, encode_snapshot
+from cedarmill.fleet.state_machine import commands
+from cedarmill.fleet.supervision import (
+    OrderApplied,
+    ProcessSupervisor,
+    StartProcess,
+    StopProcess,
+    StoreUnits,
+)
 from cedarmill.fleet.zones import Zoning
 from cedarmill.lab.fleet.history import History
 from cedarmill.lab.fleet.laws import Record
@@ -125,9 +150,11 @@
 class VKeeper(Process):
     """A keeper with its disk."""
 
-    def __init__(self, world: "Virtual", name: str, config: w.Config, fresh: World) -> None:
+    keeper = former_field("replica")
+
+    def __init__(self, world: "Virtual", name: str, config: w.Config, fresh: ClusterState) -> None:
         super().__init__(world, name, name)
-        self.disk = Disk(Saved(1, "", w.Snapshot(1, 1, config, freeze(fresh))))
+        self.disk = Disk(Saved(1, "", w.Snapshot(1, 1, config, encode_snapshot(fresh))))
         self.copies: list[Saved] = []
         self.token = itertools.count(1)
         self.waits: dict[int, Callable] = {}
@@ -135,10 +162,10 @@
 
     def start(self) -> None:
         self.alive, self.life = True, self.life + 1
-        self.keeper = Keeper(self.name, self.disk.load(), self.clock.now(),
+        self.replica = Replica(self.name, self.disk.load(), self.clock.now(),
                              hash_of(self.world.seed, self.name, self.life), self.world.timing)  # fmt: skip
-        self.host = Host(self.keeper, self)
-        self.keeper.watch = self._agreed
+        self.host = Host(self.replica, self)
+        self.replica.on_applied = self._agreed
         self.waits.clear()
         self.crash = False
         self._again(self.life)
@@ -146,16 +173,16 @@
     def _again(self, life: int) -> None:
         if life == self.life and self.alive:
             self.run(self._passed)
-            wait = max(5 * MS, self.clock.true_wait(self.keeper.due)) if not self.paused else 20 * MS
+            wait = max(5 * MS, self.clock.true_wait(self.replica.due)) if not self.paused else 20 * MS
             self.world.after(min(wait, 100 * MS), self._again, life)
 
     def _passed(self) -> None:
-        self._do(self.keeper.passed(self.clock.now()))
+        self._do(self.replica.on_time(self.clock.now()))
 
     def _agreed(self, entry: w.Entry) -> None:
         """No other keeper may have applied anything else at that index."""
         known = self.world.agreed.setdefault(entry.index, (entry.term, entry.data))
-        epoch = self.keeper.world.generation << EPOCH_BITS | entry.index
+        epoch = self.replica.state.generation << EPOCH_INDEX_BITS | entry.index
         self.world.granted.setdefault(epoch, self.world.time)
         if known != (entry.term, entry.data):
             when = f"{self.world.time / S:.3f} s"
@@ -171,12 +198,12 @@
             self.world.after(self.world.dice.randrange(S), self.start)
 
     def hear(self, source: str, message: object) -> None:
-        self._do(self.keeper.heard(self.clock.now(), source, message))
+        self._do(self.replica.on_message(self.clock.now(), source, message))
 
-    def ask(self, ask: f.Ask, back: Callable[[object], None]) -> None:
+    def ask(self, ask: ClientRequest, back: Callable[[object], None]) -> None:
         token = next(self.token)
         self.waits[token] = back
-        self._do(self.keeper.asked(self.clock.now(), token, ask))
+        self._do(self.replica.on_request(self.clock.now(), token, ask))
 
     # The port.
 
@@ -248,19 +275,21 @@
 class VMember(Process):
     """A process with a session."""
 
-    def __init__(self, world: "Virtual", name: str, who: Who) -> None:
-        super().__init__(world, name, f"{name}/{who.life}")
-        self.dice = random.Random(f"{world.seed}/{name}/{who.life}")
-        self.who = who
-        self.agent = Agent(who, list(world.keepers), self.facts, self.clock.now(), self.dice.randrange(99))
+    def __init__(self, world: "Virtual", name: str, identity: MemberIdentity) -> None:
+        super().__init__(world, name, f"{name}/{identity.incarnation}")
+        self.dice = random.Random(f"{world.seed}/{name}/{identity.incarnation}")
+        self.identity = identity
+        self.agent = MemberSession(
+            identity, list(world.keepers), self.facts, self.clock.now(), self.dice.randrange(99)
+        )
         self.keeper = ""
         self.calls = 0
         self._again()
 
-    def facts(self) -> Facts:
+    def facts(self) -> MemberReport:
         raise NotImplementedError
 
-    def follow(self, orders: f.Orders) -> None:
+    def follow(self, orders: Orders) -> None:
         """Do as ordered."""
 
     def _again(self) -> None:
@@ -269,24 +298,24 @@
             self.world.after(50 * MS, self._again)
 
     def _passed(self) -> None:
-        self._do(self.agent.passed(self.clock.now()))
+        self._do(self.agent.on_time(self.clock.now()))
 
     def _do(self, actions: list) -> None:
         for action in actions:
-            if isinstance(action, Dial):
-                self.keeper, self.calls = action.keeper, self.calls + 1
-            elif isinstance(action, Say):
-                self._say(action.ask)
-            elif isinstance(action, Follow):
+            if isinstance(action, Connect):
+                self.keeper, self.calls = action.replica, self.calls + 1
+            elif isinstance(action, SendRequest):
+                self._say(action.request)
+            elif isinstance(action, FollowOrders):
                 self.follow(action.orders)
-            elif isinstance(action, Glance):
+            elif isinstance(action, ProbeMember):
                 self._glance(action)
 
-    def _say(self, ask: f.Ask) -> None:
+    def _say(self, ask: ClientRequest) -> None:
         keeper, call = self.keeper, self.calls
 
         def back(answer: object) -> None:
-            orders = isinstance(answer, f.Beaten) and answer.orders is not None
+            orders = isinstance(answer, HeartbeatReply) and answer.orders is not None
             if orders and self.name in self.world.trapped:
                 self.world.trapped.discard(self.name)
                 self.pause(4 * S)  # it stands still with orders on their way to it
@@ -296,13 +325,13 @@
 
     def _heard(self, call: int, answer: object) -> None:
         if call == self.calls:
-            self._do(self.agent.heard(self.clock.now(), answer))
+            self._do(self.agent.on_reply(self.clock.now(), answer))
 
-    def _glance(self, glance: Glance) -> None:
+    def _glance(self, glance: ProbeMember) -> None:
         def found() -> None:
             there = glance.key in self.world.members and self.world.members[glance.key].alive
             there = there and not self.world.members[glance.key].paused
-            self.run(self.agent.reached, glance.key, there)
+            self.run(self.agent.on_probed, glance.key, there)
 
         self.world.after(5 * MS, found)
 
@@ -322,26 +351,32 @@
         self.digest_at = 0
         self.purses = Purses()
         address, stops = f"v:{name}:{life}", world.shape.stops
-        super().__init__(world, name, Who("node", name, life, zone, address, version, stops=stops))
+        super().__init__(
+            world,
+            name,
+            MemberIdentity("node", name, life, zone, address, version, stops_at_lease_expiry=stops),
+        )
         if world.shape.works:
             self._work()
         if world.shape.spends:
             self._ask_often()
 
-    def facts(self) -> Facts:
+    def facts(self) -> MemberReport:
         done = {}
         if self.agent.orders is not None:
             done = {name: epoch for name, epoch in self.out.items() if not self.jobs.get(name)}
-            if self.agent.orders.away:
-                done[self.name] = self.agent.orders.away
-        seen = {name: f.Sight("ready", not box.up, zone=f"z{n % self.world.shape.zones}", slots=2)
+            if self.agent.orders.drain_clients_epoch:
+                done[self.name] = self.agent.orders.drain_clients_epoch
+        seen = {name: ExecutorObservation("ready", not box.up, zone=f"z{n % self.world.shape.zones}", slots=2)
                 for n, (name, box) in enumerate(self.world.executors.items())}  # fmt: skip
         way = self.follower.way
         if way is not None:
             held = {self.world.zone_of(name) for name, jobs in self.jobs.items() if jobs}
-            done |= {zone: epoch for zone, epoch in way.shut.items() if zone not in held}
+            done |= {zone: epoch for zone, epoch in way.closed_zones.items() if zone not in held}
         wants = self.purses.wants(self.clock.now())
-        return Facts(done, seen, counts=tuple(self.tally), digest=self._digest(), wants=wants)
+        return MemberReport(
+            done, seen, request_counts=tuple(self.tally), digest=self._digest(), budget_demand=wants
+        )
 
     def _digest(self) -> Digest | None:
         now = self.clock.now()
@@ -355,11 +390,11 @@
         zones = self.world.by_zone
         return {zone: Place(len(names), 2000 * len(names), 0) for zone, names in zones.items()}
 
-    def follow(self, orders: f.Orders) -> None:
-        self.out = dict(orders.out)
-        self.purses.told(self.clock.now(), self.agent.holds(self.clock.now()), orders.purse)
-        if self.follower.told(orders.way):
-            who, epoch = f"{self.name}/{self.who.life}", self.follower.way.epoch
+    def follow(self, orders: Orders) -> None:
+        self.out = dict(orders.excluded_executors)
+        self.purses.told(self.clock.now(), self.agent.holds(self.clock.now()), orders.budget_leases)
+        if self.follower.told(orders.routes):
+            who, epoch = f"{self.name}/{self.identity.incarnation}", self.follower.way.epoch
             self.world.history.tell(who, "follows", self.zone, epoch=epoch)
 
     def _ask_often(self) -> None:
@@ -415,7 +450,9 @@
 
     def may_send(self) -> bool:
         """Not before it has heard what is out; one that stops by its lease asks it at this moment."""
-        return self.agent.orders is not None and (not self.who.stops or self.agent.holds(self.clock.now()))
+        return self.agent.orders is not None and (
+            not self.identity.stops_at_lease_expiry or self.agent.holds(self.clock.now())
+        )
 
     def ended(self, name: str, lost: bool = False) -> None:
         """A job has come back, or never arrived."""
@@ -434,8 +471,10 @@
         self.number = number
         self.machine = world.machines[number]
         self.taking = 0  # the epoch of the order that is being acted on
-        self.core = Steward({self.unit: "v1"}, self._new_life, self.machine.kept)
-        super().__init__(world, f"steward-{number}", Who("steward", f"steward-{number}", str(life)))
+        self.core = ProcessSupervisor({self.unit: "v1"}, self._new_life, self.machine.kept)
+        super().__init__(
+            world, f"steward-{number}", MemberIdentity("steward", f"steward-{number}", str(life))
+        )
         self._act(self.core.begin(self.clock.now(), self._is_alive))
         self._tick()
 
@@ -444,15 +483,15 @@
         return f"{self.number}.{self.machine.lives}"
 
     def _is_alive(self, process) -> bool:
-        node = self.machine.nodes.get(process.life)
+        node = self.machine.nodes.get(process.incarnation)
         return node is not None and node.alive
 
-    def facts(self) -> Facts:
-        return Facts(units=self.core.told(), ended=self.core.ended)
+    def facts(self) -> MemberReport:
+        return MemberReport(units=self.core.reports(), ended_members=self.core.ended_members)
 
-    def follow(self, orders: f.Orders) -> None:
+    def follow(self, orders: Orders) -> None:
         self.orders = orders
-        self._act(self.core.order(self.clock.now(), orders.units, self.agent.lease_till))
+        self._act(self.core.order(self.clock.now(), orders.units, self.agent.lease_until))
 
     def _tick(self) -> None:
         if not self.alive:
@@ -462,22 +501,24 @@
 
     def _look(self) -> None:
         now = self.clock.now()
-        self._act(self.core.passed(now))
+        self._act(self.core.on_time(now))
         if self.agent.orders is not None:
-            self._act(self.core.order(now, self.agent.orders.units, self.agent.lease_till))
+            self._act(self.core.order(now, self.agent.orders.units, self.agent.lease_until))
         for life, node in list(self.machine.nodes.items()):
             if not node.alive:
                 del self.machine.nodes[life]
-                self._act(self.core.exited(now, self.unit, life))
+                self._act(self.core.on_exited(now, self.unit, life))
         for process in self.core.to_kill(now):
-            node = self.machine.nodes.get(process.life)
+            node = self.machine.nodes.get(process.incarnation)
             if node is not None:
                 node.kill()
 
     def _act(self, actions: list) -> None:
         """Carry out what the core says; a fault may come right after a start."""
         self._carry_out(actions)
-        if self.number in self.world.mid_change and any(isinstance(action, Start) for action in actions):
+        if self.number in self.world.mid_change and any(
+            isinstance(action, StartProcess) for action in actions
+        ):
             self.world.mid_change.discard(self.number)
             if self.world.dice.random() < 0.5:
                 self.world.kill_steward(self.number, self.world.dice.randrange(4 * S))
@@ -487,32 +528,32 @@
     def _carry_out(self, actions: list) -> None:
         self.taking = 0
         for action in actions:
-            if isinstance(action, Keep):
-                self.machine.kept = action.text
-            elif isinstance(action, Start):
+            if isinstance(action, StoreUnits):
+                self.machine.kept = action.document
+            elif isinstance(action, StartProcess):
                 self._start(action)
-            elif isinstance(action, Stop):
-                node = self.machine.nodes.get(action.life)
+            elif isinstance(action, StopProcess):
+                node = self.machine.nodes.get(action.incarnation)
                 if node is not None:
                     self.world.after(300 * MS, self.world.end_node, node)
-            elif isinstance(action, Acted):
-                left = (self.agent.lease_till - self.clock.now()) / S
+            elif isinstance(action, OrderApplied):
+                left = (self.agent.lease_until - self.clock.now()) / S
                 self.world.history.tell(self.name, "acts", action.unit, epoch=action.epoch, number=left)
                 self.taking = action.epoch
 
-    def _start(self, action: Start) -> None:
+    def _start(self, action: StartProcess) -> None:
         if self.taking:
             self.world.history.tell(self.name, "taken", action.unit, epoch=self.taking)
             self.taking = 0
-        node = VNode(self.world, action.unit, action.life, action.version)
-        self.machine.nodes[action.life] = node
-        self.world.members[f"node:{action.unit}:{action.life}"] = node
+        node = VNode(self.world, action.unit, action.incarnation, action.version)
+        self.machine.nodes[action.incarnation] = node
+        self.world.members[f"node:{action.unit}:{action.incarnation}"] = node
         self.world.history.tell(self.name, "starts", action.unit, note=action.version)
-        self.core.started(action.unit, action.life, 1)
+        self.core.on_started(action.unit, action.incarnation, 1)
         if action.version == "exiting":
             self.world.after(500 * MS, node.kill)
         elif action.version != "late":
-            self.world.after(300 * MS, self._ready, action.unit, action.life, node)
+            self.world.after(300 * MS, self._ready, action.unit, action.incarnation, node)
 
     def _ready(self, unit: str, life: str, node: VNode) -> None:
         if node.alive and self.alive:
@@ -524,7 +565,7 @@
         found = self.core.units[unit]
         if found.current == life and not found.ready:
             self.world.history.tell(self.name, "back", unit)
-        self._act(self.core.ready(self.clock.now(), unit, life))
+        self._act(self.core.on_ready(self.clock.now(), unit, life))
 
 
 @dataclass(slots=True)
@@ -570,10 +611,12 @@
             self.world.send(keeper, self.name, lambda: self._heard(answer, step))
 
         asks = {
-            "ask": lambda: f.Do(commands.Ask(0, self.name, "1", "executor", (self.target,))),
-            "wait": lambda: f.Look("permits", names=[str(self.permit)]),
-            "give": lambda: f.Do(commands.Give(0, self.name, "2", "executor", self.target)),
-        }  # fmt: skip
+            "ask": lambda: SubmitRequest(
+                commands.RequestPermits(0, self.name, "1", "executor", (self.target,))
+            ),
+            "wait": lambda: ReadRequest("permits", names=[str(self.permit)]),
+            "give": lambda: SubmitRequest(commands.ReturnPermit(0, self.name, "2", "executor", self.target)),
+        }
         self.world.ask(self.name, keeper, asks[self.step](), back)
         if self.step == "ask" and self.tries == 1 and self.dice.random() < 0.3:  # pressed twice
             other = self.dice.choice(list(self.world.keepers))
@@ -581,16 +624,16 @@
         self.world.after(self.dice.randrange(200, 700) * MS, self._go)
 
     def _heard(self, answer: object, step: str) -> None:
-        if step == "ask" and isinstance(answer, f.Did):
+        if step == "ask" and isinstance(answer, SubmitReply):
             self.world.history.tell(self.name, "answer", self.target, number=answer.permits[0][0])
-        if self.step == "ask" and isinstance(answer, f.Did):
+        if self.step == "ask" and isinstance(answer, SubmitReply):
             self.permit = answer.permits[0][0]
             self._saw(answer.permits[0][2], answer.permits[0][4], answer.permits[0][5])
-        elif self.step == "wait" and isinstance(answer, f.Shown):
-            rows = msgspec.json.decode(answer.text)
+        elif self.step == "wait" and isinstance(answer, ReadReply):
+            rows = msgspec.json.decode(answer.body)
             if rows:
                 self._saw(rows[0]["state"], rows[0]["epoch"], rows[0]["drained"])
-        elif self.step == "give" and isinstance(answer, f.Did):
+        elif self.step == "give" and isinstance(answer, SubmitReply):
             self.step = "end"
             self.world.history.tell(self.name, "given", self.target)
 
@@ -665,7 +708,7 @@
             self.by_zone.setdefault(self.zone_of(name), []).append(name)
         names = [f"keeper-{n}" for n in range(shape.keepers)]
         config = {name: w.Peer("", True, "") for name in names}
-        fresh = World("lab", limits=list(shape.limits), cold_us=COLD)
+        fresh = ClusterState("lab", limits=list(shape.limits), slow_start_us=COLD)
         if shape.spends:
             slices.set_up(fresh, [BUDGET])
         if shape.plans:
@@ -717,7 +760,7 @@
 
         self.after(at - self.time, arrive)
 
-    def ask(self, source: str, keeper: str, ask: f.Ask, back: Callable[[object], None]) -> None:
+    def ask(self, source: str, keeper: str, ask: ClientRequest, back: Callable[[object], None]) -> None:
         """A member or an operator asks a keeper."""
         life = self.keepers[keeper].life
 
@@ -736,7 +779,7 @@
 
     def _arrive(self, node: VNode, name: str) -> None:
         box = self.executors[name]
-        self.visits.append(Visit(name, self.zone_of(name), f"{node.who.life}", "job", self.time))
+        self.visits.append(Visit(name, self.zone_of(name), f"{node.identity.incarnation}", "job", self.time))
         if not box.up:
             node.run(node.ended, name, True)
             return
@@ -766,7 +809,7 @@
         self._compare()
         self._till(self.shape.length)
         for _ in range(REST):  # where all keepers were down at the end, they get the time to come back
-            if any(keeper.keeper.leads for keeper in self.keepers.values()):
+            if any(keeper.replica.is_leader for keeper in self.keepers.values()):
                 break
             self._till(self.time + S)
         self._name_open()
@@ -790,8 +833,8 @@
         """Keepers that have applied as much hold the same, to the last byte."""
         held: dict[int, tuple[str, bytes]] = {}
         for keeper in self.keepers.values():
-            world = keeper.keeper.world
-            text = freeze(world)
+            world = keeper.replica.state
+            text = encode_snapshot(world)
             name, other = held.setdefault(world.index, (keeper.name, text))
             if other != text:
                 self.found.append(f"{self.time / S:.3f} s: {name} and {keeper.name} differ at {world.index}")
@@ -799,7 +842,7 @@
 
     def _name_open(self) -> None:
         """At the end the keepers name what is still out."""
-        worlds = [keeper.keeper.world for keeper in self.keepers.values()]
+        worlds = [keeper.replica.state for keeper in self.keepers.values()]
         newest = max(worlds, key=lambda world: (world.generation, world.index))
         for permit in newest.permits.values():
             if permit.out:
@@ -820,7 +863,7 @@
 
     def leader(self) -> VKeeper:
         """Who leads, or any."""
-        leading = [k for k in self.keepers.values() if k.alive and k.keeper.leads]
+        leading = [k for k in self.keepers.values() if k.alive and k.replica.is_leader]
         return leading[0] if leading else next(iter(self.keepers.values()))
 
     def _some_keeper(self) -> VKeeper:
@@ -960,9 +1003,9 @@
     def _snap(self, lasts: int) -> None:
         """A keeper makes a snapshot, so that others may need it."""
         keeper = self._some_keeper()
-        if keeper.alive and not keeper.paused and keeper.keeper.agree.applied > 1:
-            keeper.keeper._snap()
-            keeper._do(keeper.keeper._done(keeper.clock.now()))
+        if keeper.alive and not keeper.paused and keeper.replica.raft.applied > 1:
+            keeper.replica.store_snapshot()
+            keeper._do(keeper.replica.take_actions(keeper.clock.now()))
 
     def jobs_of(self, version: str) -> int:
         """Jobs that nodes of a version got, in ten thousandths of all."""
@@ -993,12 +1036,12 @@
     def _go(self) -> None:
         keeper = self.dice.choice(list(self.world.keepers))
         units = [f"node-{n}" for n in range(self.world.shape.nodes)]
-        plan = Plan(self.version, ((units[0],), tuple(units[1:])), 2, 0, 3 * S, 4 * S, 20)
+        plan = ReleasePlan(self.version, ((units[0],), tuple(units[1:])), 2, 0, 3 * S, 4 * S, 20)
         asks = {
-            "plan": lambda: f.Do(commands.NewRelease(0, "driver", "1", plan)),
-            "start": lambda: f.Do(commands.ActRelease(0, "driver", "2", self.number, "start")),
-            "watch": lambda: f.Look("releases"),
-            "back": lambda: f.Do(commands.ActRelease(0, "driver", "3", self.number, "back")),
+            "plan": lambda: SubmitRequest(commands.PlanRelease(0, "driver", "1", plan)),
+            "start": lambda: SubmitRequest(commands.ControlRelease(0, "driver", "2", self.number, "start")),
+            "watch": lambda: ReadRequest("releases"),
+            "back": lambda: SubmitRequest(commands.ControlRelease(0, "driver", "3", self.number, "back")),
         }  # fmt: skip
         step = self.step
 
@@ -1011,13 +1054,13 @@
     def _heard(self, step: str, answer: object) -> None:
         if step != self.step:
             return
-        if step == "plan" and isinstance(answer, f.Did) and answer.ok:
-            self.number, self.step = answer.release, "start"
-        elif step == "start" and isinstance(answer, f.Did):
+        if step == "plan" and isinstance(answer, SubmitReply) and answer.ok:
+            self.number, self.step = answer.release_id, "start"
+        elif step == "start" and isinstance(answer, SubmitReply):
             self.step = "watch"
-        elif step == "watch" and isinstance(answer, f.Shown):
-            self._saw(msgspec.json.decode(answer.text))
-        elif step == "back" and isinstance(answer, f.Did):
+        elif step == "watch" and isinstance(answer, ReadReply):
+            self._saw(msgspec.json.decode(answer.body))
+        elif step == "back" and isinstance(answer, SubmitReply):
             self.step = "watch"
 
     def _saw(self, rows: list[dict]) -> None:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -6,8 +6,8 @@
 
 from fleets import KeeperCase, cli
 
-from cedarmill.fleet import permits
-from cedarmill.fleet.zones import Zoning
+from cedarmill.fleet.state_machine import drains, limits
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.lab.fleet.bugs import planted_patches
 from cedarmill.lab.fleet.explore import explore
 from cedarmill.lab.fleet.regions import INCIDENTS, breaches, run
@@ -60,7 +60,7 @@
         self.assertGreater(found.states, 200)
 
     def test_a_drain_that_is_said_too_early_is_found(self):
-        with planted_patches([(permits, "need_of", lambda world, permit: [])]):
+        with planted_patches([(drains, "members_to_drain", lambda world, permit: [])]):
             found = explore(Drains(), Drains.NAMES)
         self.assertEqual(found.breach[0], ("ask a",))
         self.assertIn("drained", found.breach[1])
@@ -71,12 +71,12 @@
             DEMAND = {"any": 4_000, "zone": 1_000}
 
         self.assertIsNone(explore(Two(), Two.NAMES).breach)
-        with planted_patches([(permits, "allowed", lambda limit, count: count)]):
+        with planted_patches([(limits, "allowed", lambda limit, count: count)]):
             found = explore(Two(), Two.NAMES)
         self.assertIn("evacuated at once", found.breach[1])
 
     def test_plans_that_forget_regions_are_found(self):
-        with planted_patches([(Zoning, "reach", lambda self, zone, bound: ["a", "b", "c"])]):
+        with planted_patches([(ZoneLayout, "reachable_zones", lambda self, zone, scope: ["a", "b", "c"])]):
             found = explore(Forgetful(), Forgetful.NAMES)
         self.assertIn("residents stay", found.breach[1])
 
