--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -171,7 +171,7 @@
                   for name in zoning.zones for bound in SCOPES}  # fmt: skip
 
         def linear(want, zoning=zoning, room=room):
-            keys = [(s, b, t) for s, b in want for t in zoning.reach(s, b)]
+            keys = [(s, b, t) for s, b in want for t in zoning.reachable_zones(s, b)]
             c = numpy.array([zoning.cost(s, t) - 1000.0 for s, _, t in keys])
             rows = [[float(k[:2] == key) for k in keys] for key in want]
             rows += [[float(k[2] == name) for k in keys] for name in zoning.zones]
--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/fleet.py
@@ -373,7 +373,7 @@
     """Write what is agreed into a file, for `keeper --init --restore`."""
     import msgspec
 
-    from cedarmill.fleet.agree.words import Snapshot
+    from cedarmill.fleet.agree.messages import Snapshot
     from cedarmill.fleet.messages import ReadRequest
     from cedarmill.store import keep
 
--- a/cedarmill/fleet/admission_level/gate.py
+++ b/cedarmill/fleet/admission_level/gate.py
@@ -6,7 +6,6 @@
 from collections.abc import Mapping
 
 from cedarmill.fleet.admission_level.state import SheddingThreshold
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.observations.digest import WHOLE
 
 FADE_US = 10_000_000  # after a lease has lapsed, until a threshold is not obeyed any longer
@@ -43,8 +42,3 @@
             return False
         share = 1.0 if weight < threshold.weight else threshold.share / WHOLE
         return sample < share * self.strength(now, lease_holds)
-
-    cut = former_field("threshold")
-    tight = former_field("scoped_thresholds")
-    told = former_field("set_thresholds")
-    cuts = former_field("rejects")
--- a/cedarmill/fleet/admission_level/state.py
+++ b/cedarmill/fleet/admission_level/state.py
@@ -4,7 +4,6 @@
 
 import msgspec
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.observations.digest import WHOLE
 
 STEP_US = 500_000  # between two steps of a level
@@ -19,9 +18,6 @@
     weight: int = NO_WEIGHT
     share: int = 0
 
-    rank = former_field("weight")
-    part = former_field("share")
-
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
@@ -86,7 +82,3 @@
     rejected_locally: int = 0
     assessed_at: int = UNKNOWN  # when the assessment came by which it was moved last
     stale: bool = False  # no newer assessment has come since
-
-    cut = former_field("threshold")
-    fill = former_field("fill_share")
-    shed = former_field("shed_slots")
--- a/cedarmill/fleet/agree/log.py
+++ b/cedarmill/fleet/agree/log.py
@@ -24,11 +24,6 @@
         """The index of the last entry, or of the snapshot where no entry follows it."""
         return self.snapshot.index + len(self.entries)
 
-    @property
-    def last(self) -> int:
-        """The old name of `last_index`, for modules that still use it."""
-        return self.last_index
-
     @property
     def last_term(self) -> int:
         """The term of the entry at `last_index`."""
--- a/cedarmill/fleet/budget_grants.py
+++ b/cedarmill/fleet/budget_grants.py
@@ -13,8 +13,6 @@
 
 import msgspec
 
-from cedarmill.fleet.former_names import former_field
-
 if TYPE_CHECKING:
     from cedarmill.fleet.state import ClusterState
 
@@ -44,8 +42,6 @@
         """What may be granted in all."""
         return self.rate * GRANTED_SHARE // 1000
 
-    leased = former_field("grantable")
-
 
 class BudgetGrant(msgspec.Struct, array_like=True):
     """What one incarnation of a node may spend of a budget."""
@@ -60,10 +56,6 @@
         """What counts as granted: while it is unknown which grant the node follows, the larger."""
         return max(self.rate, self.previous_rate)
 
-    before = former_field("previous_rate")
-    want = former_field("demand")
-    counts = former_field("counted_rate")
-
 
 Grants = dict[str, dict[str, BudgetGrant]]  # by budget, then by member
 
--- a/cedarmill/fleet/budget_lease.py
+++ b/cedarmill/fleet/budget_lease.py
@@ -7,7 +7,6 @@
 
 from collections.abc import Mapping
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.observations.digest import WHOLE
 
 BURST_US = 200_000  # of its rate that may be spent at once
@@ -76,10 +75,6 @@
             self.saved += gained
             self.filled_at += gained * 1_000_000 // rate
 
-    leased = former_field("lease_held")
-    told = former_field("set_rates")
-    want = former_field("demand")
-
 
 class RetryBudget:
     """Retries as a share of first attempts.
@@ -102,8 +97,6 @@
         self.saved -= WHOLE
         return True
 
-    may = former_field("spend")
-
 
 class BudgetLeases:
     """All budgets of a node.
@@ -133,6 +126,3 @@
     def demands(self, now: int) -> dict[str, int]:
         """What was asked for a second lately, by budget."""
         return {name: lease.demand(now) for name, lease in self.by_name.items()}
-
-    told = former_field("set_rates")
-    wants = former_field("demands")
--- a/cedarmill/fleet/canary_comparison.py
+++ b/cedarmill/fleet/canary_comparison.py
@@ -8,7 +8,6 @@
 import math
 from typing import NamedTuple
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.state import ReleasePlan
 
 
@@ -30,11 +29,6 @@
             return self
         return RequestCounts(*(max(0, now - before) for now, before in zip(self, earlier, strict=True)))
 
-    @property
-    def jobs(self) -> int:
-        """The former name of `requests`."""
-        return self.requests
-
 
 class CanaryComparison:
     """What the new version and the rest have done since a release is compared, node by node."""
@@ -63,8 +57,6 @@
                 rest = rest.plus(since)
         self.new, self.rest = new, rest
 
-    look = former_field("update")
-
 
 def chance_if_alike(bad: int, requests: int, rest_bad: int, rest_requests: int) -> float:
     """The chance of `bad` or more of all bad ones among `requests`, were there no difference.
--- a/cedarmill/fleet/gossip_plan.py
+++ b/cedarmill/fleet/gossip_plan.py
@@ -13,8 +13,6 @@
 from math import exp
 from typing import NamedTuple
 
-from cedarmill.fleet.former_names import former_field
-
 USERS_PER_EXECUTOR = 4  # with twelve 48 nodes serve 0.77 of the value at twice the slots
 MIN_EXECUTORS = 6  # that a node uses
 UNEVEN_FACTOR = 1.5  # times an even part of the traffic, from which a node uses more; and its steps
@@ -91,9 +89,6 @@
         weights = [(-_weight(self.nodes[node], name), node) for node in nodes]
         return [node for _, node in nsmallest(USERS_PER_EXECUTOR, weights)]
 
-    set = former_field("update")
-    subset = former_field("executors_of")
-
 
 class ExecutorReport(NamedTuple):
     """What one node heard of an executor itself."""
--- a/cedarmill/fleet/hosting.py
+++ b/cedarmill/fleet/hosting.py
@@ -6,7 +6,8 @@
 from typing import Protocol
 
 from cedarmill.fleet.agree import words as w
-from cedarmill.fleet.keeper import Keeper, Reply, Snap
+from cedarmill.fleet.replica import Actions, Replica, StoreSnapshot
+from cedarmill.fleet.request_router import Reply
 
 
 class Port(Protocol):
@@ -23,11 +24,11 @@
 class Host:
     """Runs one keeper on a port."""
 
-    def __init__(self, keeper: Keeper, port: Port) -> None:
+    def __init__(self, keeper: Replica, port: Port) -> None:
         self.keeper, self.port = keeper, port
-        self.pending: list = []
+        self.pending: Actions = []
 
-    def take(self, actions: list) -> None:
+    def take(self, actions: Actions) -> None:
         """Actions of this turn; `flush` carries them out."""
         self.pending += actions
 
@@ -37,7 +38,7 @@
         Raises OSError where the disk fails: nothing of this turn was sent or answered then, and nothing more
         may be taken; a new host and core start from what the disk holds.
         """
-        outward: list = []
+        outward: Actions = []
         while self.pending:
             actions, self.pending = self.pending, []
             last = -1
@@ -46,25 +47,25 @@
                     self.port.save(action)
                     last = action.entries[-1].index if isinstance(action, w.Put) else last
                 elif isinstance(action, w.Install):
-                    self.port.put_snapshot(action.snapshot, list(self.keeper.agree.log.entries))
-                elif isinstance(action, Snap):
+                    self.port.put_snapshot(action.snapshot, list(self.keeper.raft.log.entries))
+                elif isinstance(action, StoreSnapshot):
                     self._snap(now, action.snapshot)
                 else:
                     outward.append(action)
             if self.port.sync() and last >= 0:
-                self.pending += self.keeper.synced(now, last)
+                self.pending += self.keeper.on_synced(now, last)
         self._out(outward)
 
     def _snap(self, now: int, snapshot: w.Snapshot) -> None:
-        rest = [entry for entry in self.keeper.agree.log.entries if entry.index > snapshot.index]
+        rest = [entry for entry in self.keeper.raft.log.entries if entry.index > snapshot.index]
         self.port.put_snapshot(snapshot, rest)
-        self.pending += self.keeper.kept(now, snapshot)
+        self.pending += self.keeper.on_snapshot_stored(now, snapshot)
 
-    def _out(self, actions: list) -> None:
+    def _out(self, actions: Actions) -> None:
         for action in actions:
             if isinstance(action, w.Send):
                 self.port.send(action.target, action.message)
             elif isinstance(action, Reply):
-                self.port.reply(action.token, action.answer)
+                self.port.reply(action.token, action.reply)
             else:
                 self.port.tell(action)
--- a/cedarmill/fleet/leader_duties.py
+++ b/cedarmill/fleet/leader_duties.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet import compare
+from cedarmill.fleet import canary_comparison
 from cedarmill.fleet.session_tracker import AT_ONCE, LEASE_US, ExpiredLeases
 from cedarmill.fleet.state import Target
 from cedarmill.fleet.state_machine import dispatch, rollout
@@ -18,7 +18,7 @@
 )
 from cedarmill.fleet.state_machine.permit_states import target_key
 from cedarmill.fleet.states import MemberState, StepState, TargetHealth
-from cedarmill.fleet.zones import same_news
+from cedarmill.fleet.traffic_plan.similarity import are_similar
 
 if TYPE_CHECKING:
     from cedarmill.fleet.replica import Replica
@@ -65,7 +65,7 @@
         sessions.excuse_stall(now)
         self._last_round = now
         sessions.forget_ended(state)
-        if replica.raft.log.term(replica.raft.commit) != replica.raft.term:
+        if replica.raft.log.term(replica.raft.commit_index) != replica.raft.term:
             return  # entries of earlier terms are not known to be agreed yet
         expired = sessions.expired(now, state)
         targets, mass = replica.leadership.executors.changes(now, sessions, state)
@@ -97,8 +97,8 @@
         """Replicas whose health has changed: taking them down is limited like anything else."""
         replica, found = self._replica, []
         for name in replica.raft.config:
-            follower = replica.raft.followers.get(name)
-            heard = follower is not None and now - follower.heard <= REPLICA_SILENT_US
+            follower = replica.raft.progress.get(name)
+            heard = follower is not None and now - follower.last_contact <= REPLICA_SILENT_US
             health = TargetHealth.WELL if heard or name == replica.name else TargetHealth.SILENT
             known = replica.state.targets.get(target_key("keeper", name))
             if known is None or known.health != health:
@@ -132,12 +132,12 @@
             return
         members = state.members
         zones.forget(
-            [key for key in zones.held if key in members and members[key].state == MemberState.ENDED]
+            [key for key in zones.digests if key in members and members[key].state == MemberState.ENDED]
         )
-        evidence = zones.look(now, state.zoning.zones)
+        evidence = zones.assess(now, state.zoning.zones)
         time_us = replica.cluster_time(now)
-        moves = state.admission.active and time_us - state.traffic.news_at >= ADMISSION_INTERVAL_US
-        if moves or not same_news(state.traffic.told, evidence):
+        moves = state.admission.active and time_us - state.traffic.assessed_at >= ADMISSION_INTERVAL_US
+        if moves or not are_similar(state.traffic.latest_assessment, evidence):
             replica.propose(now, RecordZoneEvidence(time_us, evidence))
 
     def _advance_time(self, now: int) -> None:
@@ -156,24 +156,29 @@
         for release_id in sorted(running):
             self._compare(now, release_id, counts)
 
-    def _compare(self, now: int, release_id: int, counts: dict[str, compare.Counts]) -> None:
+    def _compare(self, now: int, release_id: int, counts: dict[str, canary_comparison.RequestCounts]) -> None:
         found = self._replica.state.releases[release_id]
-        sides = self._replica.leadership.comparisons.setdefault(release_id, compare.Sides(counts))
-        sides.look(counts, {step.unit for step in found.steps if step.state == StepState.NEW})
-        worse = compare.worse(found.plan, sides.new, sides.rest)
-        sample = min(sides.new.jobs, sides.rest.jobs)
+        sides = self._replica.leadership.comparisons.setdefault(
+            release_id, canary_comparison.CanaryComparison(counts)
+        )
+        sides.update(counts, {step.unit for step in found.steps if step.state == StepState.NEW})
+        worse = canary_comparison.reason_to_halt(found.plan, sides.new, sides.rest)
+        sample = min(sides.new.requests, sides.rest.requests)
         if worse or found.compared_requests < found.plan.min_sample <= sample:
             command = RecordComparison(self._replica.cluster_time(now), release_id, worse, sample)
             self._replica.propose_once(now, f"judged {release_id}", command)
 
-    def _request_counts(self) -> dict[str, compare.Counts]:
+    def _request_counts(self) -> dict[str, canary_comparison.RequestCounts]:
         """Requests of each node's newest live incarnation, by the node's name."""
-        newest: dict[str, tuple[int, compare.Counts]] = {}
+        newest: dict[str, tuple[int, canary_comparison.RequestCounts]] = {}
         for key, session in self._replica.leadership.sessions.by_key.items():
             member = self._replica.state.members.get(key)
             if member is None or member.kind != "node" or member.state != MemberState.LIVE:
                 continue
             known = newest.get(member.name)
             if known is None or member.joined_at >= known[0]:
-                newest[member.name] = member.joined_at, compare.Counts(*session.request_counts)
+                newest[member.name] = (
+                    member.joined_at,
+                    canary_comparison.RequestCounts(*session.request_counts),
+                )
         return {name: counts for name, (_, counts) in newest.items()}
--- a/cedarmill/fleet/leadership.py
+++ b/cedarmill/fleet/leadership.py
@@ -1,8 +1,8 @@
 """What a leader knows beside the agreed state; a new leader begins without any of it."""
 
-from cedarmill.fleet.compare import Sides
-from cedarmill.fleet.evidence import Desk
+from cedarmill.fleet.canary_comparison import CanaryComparison
 from cedarmill.fleet.executor_health import ExecutorHealth
+from cedarmill.fleet.observations.assessment import ObservationCollector
 from cedarmill.fleet.session_tracker import SessionTracker
 
 
@@ -15,8 +15,8 @@
         self.time_at_election = time_at_election
         self.sessions = SessionTracker(now)
         self.executors = ExecutorHealth()
-        self.zones = Desk()
-        self.comparisons: dict[int, Sides] = {}  # of new and old versions, by release
+        self.zones = ObservationCollector()
+        self.comparisons: dict[int, CanaryComparison] = {}  # of new and old versions, by release
 
     def cluster_time(self, now: int) -> int:
         """The cluster's time (us)."""
--- a/cedarmill/fleet/member_messages.py
+++ b/cedarmill/fleet/member_messages.py
@@ -6,11 +6,10 @@
 
 import msgspec
 
-from cedarmill.fleet.evidence import Digest
-from cedarmill.fleet.former_names import former_field
-from cedarmill.fleet.overload import Cut
+from cedarmill.fleet.admission_level.state import SheddingThreshold
+from cedarmill.fleet.observations.digest import ObservationDigest
 from cedarmill.fleet.release_state import UnitOrderFields, UnitReportFields
-from cedarmill.fleet.zones import Row
+from cedarmill.fleet.traffic_plan.state import WeightRow
 
 
 class ExecutorObservation(msgspec.Struct, array_like=True, frozen=True):
@@ -69,13 +68,11 @@
     ended_members: list[str] = []  # keys of members that a process supervisor has seen end
     request_counts: tuple[int, int, int, int] = (0, 0, 0, 0)  # all, failed, late, rejected since its start
     probe_results: dict[str, bool] = {}  # whether members that it was asked to probe answered
-    digest: Digest | None = None  # what a node observes of zones, now and then
+    digest: ObservationDigest | None = None  # what a node observes of zones, now and then
     leader_timestamp: int = -1  # the newest of that term; with its age it tells the leader how old at most
     timestamp_age_us: int = 0  # this heartbeat is, whatever the clocks show
     budget_demand: dict[str, int] = {}  # thousandths a second, by budget
 
-    epoch = former_field("orders_epoch")
-
     @property
     def member_key(self) -> str:
         """The key of the member in the state."""
@@ -88,13 +85,10 @@
     epoch: int
     zone: str
     reachable_zones: dict[str, list[str]]  # by bound, the zones in which a request may run
-    weights: dict[str, Row]  # by bound
-    fallback_weights: dict[str, dict[str, Row]] = {}  # by zone that is not reached: the weights instead
+    weights: dict[str, WeightRow]  # by bound
+    fallback_weights: dict[str, dict[str, WeightRow]] = {}  # by zone that is not reached: the weights instead
     closed_zones: dict[str, int] = {}  # that get nothing, whatever is lost: epochs of their permits
 
-    reach = former_field("reachable_zones")
-    shut = former_field("closed_zones")
-
 
 class Orders(
     msgspec.Struct,
@@ -116,19 +110,11 @@
     drain_clients_epoch: int = 0  # of the grant by which this node is to drain its clients; 0: it serves
     units: dict[str, UnitOrderFields] = {}  # what a process supervisor is to run
     routes: RouteWeights | None = None  # of a node, where zones are planned
-    admission_cut: Cut = Cut()  # of a node: requests that it rejects at once
-    scoped_cuts: dict[str, Cut] = {}  # by bound, where that is stricter
+    admission_cut: SheddingThreshold = SheddingThreshold()  # of a node: requests that it rejects at once
+    scoped_cuts: dict[str, SheddingThreshold] = {}  # by bound, where that is stricter
     budget_leases: dict[str, tuple[int, int]] = {}  # by budget: lease and floor, thousandths a second
     membership_epoch: int = 0  # of a node that gossips: asks who is there if this is new
 
-    out = former_field("excluded_executors")
-    away = former_field("drain_clients_epoch")
-    way = former_field("routes")
-    cut = former_field("admission_cut")
-    tight = former_field("scoped_cuts")
-    purse = former_field("budget_leases")
-    peers = former_field("membership_epoch")
-
 
 class HeartbeatReply(
     msgspec.Struct,
@@ -162,5 +148,3 @@
 
     name: str
     incarnation: str
-
-    life = former_field("incarnation")
--- a/cedarmill/fleet/member_orders.py
+++ b/cedarmill/fleet/member_orders.py
@@ -1,11 +1,13 @@
 """What each member is ordered to follow, made from the agreed state."""
 
-from cedarmill.fleet import overload, slices, traffic
-from cedarmill.fleet.evidence import BOUNDS
+from cedarmill.fleet import budget_grants
+from cedarmill.fleet.admission_level import controller
+from cedarmill.fleet.admission_level.state import SheddingThreshold
 from cedarmill.fleet.messages import Orders
-from cedarmill.fleet.overload import Cut
+from cedarmill.fleet.observations.digest import SCOPES
 from cedarmill.fleet.state import ClusterState, Member
 from cedarmill.fleet.state_machine import rollout
+from cedarmill.fleet.traffic_control import reports
 
 
 def orders_for(state: ClusterState, member: Member) -> Orders:
@@ -22,11 +24,11 @@
         state.orders_epoch,
         excluded_executors=_excluded_executors(state),
         drain_clients_epoch=_drain_clients_epoch(state, member),
-        routes=traffic.way(state, member.zone),
-        admission_cut=state.admission.cut,
+        routes=reports.route_weights(state, member.zone),
+        admission_cut=state.admission.threshold,
         scoped_cuts=_scoped_cuts(state, member.zone),
-        budget_leases=slices.word(state, member.key),
-        membership_epoch=state.membership_epoch if state.zoning.news else 0,
+        budget_leases=budget_grants.rates_for(state, member.key),
+        membership_epoch=state.membership_epoch if state.zoning.gossip else 0,
     )
 
 
@@ -45,9 +47,9 @@
     return epoch
 
 
-def _scoped_cuts(state: ClusterState, zone: str) -> dict[str, Cut]:
+def _scoped_cuts(state: ClusterState, zone: str) -> dict[str, SheddingThreshold]:
     return {
-        bound: overload.cut_of(state, zone, bound)
-        for bound in BOUNDS
+        bound: controller.threshold_of(state, zone, bound)
+        for bound in SCOPES
         if f"{zone}/{bound}" in state.scoped_admission
     }
--- a/cedarmill/fleet/member_requests.py
+++ b/cedarmill/fleet/member_requests.py
@@ -3,9 +3,9 @@
 from typing import TYPE_CHECKING
 
 from cedarmill.fleet import member_orders
+from cedarmill.fleet.budget_grants import is_demand_similar
 from cedarmill.fleet.messages import Heartbeat, HeartbeatReply
 from cedarmill.fleet.session_tracker import LEASE_US, PROBERS
-from cedarmill.fleet.slices import same_wants
 from cedarmill.fleet.state import ClusterState, Member, UnitReport, generation_of
 from cedarmill.fleet.state_machine.commands import (
     AcknowledgeOrders,
@@ -44,7 +44,7 @@
             leadership.executors.changed.update(heartbeat.executors)
             if heartbeat.digest is not None and knows_leader and heartbeat.leader_timestamp >= 0:
                 made_at = min(now, heartbeat.leader_timestamp + heartbeat.timestamp_age_us)
-                leadership.zones.take(made_at, key, heartbeat.digest)
+                leadership.zones.accept(made_at, key, heartbeat.digest)
         self._propose_changes(now, key, heartbeat)
         replica.router.read(now, token, heartbeat)
 
@@ -78,7 +78,7 @@
         if member.state != MemberState.LIVE:
             command = RestoreSession(self._replica.cluster_time(now), key)
             self._replica.propose_once(now, f"back {key}", command)
-        self._replica._tell_done(now, key, heartbeat)
+        self.confirm_drained(now, key, heartbeat)
         self._update_budgets(now, key, heartbeat)
         self._update_units(now, key, heartbeat)
         self._end_reported(now, heartbeat)
@@ -121,10 +121,10 @@
             return
         time_us, epoch = self._replica.cluster_time(now), heartbeat.orders_epoch
         grants = [by_member[key] for by_member in state.budget_grants.values() if key in by_member]
-        if any(grant.before > grant.rate and grant.epoch <= epoch for grant in grants):
+        if any(grant.previous_rate > grant.rate and grant.epoch <= epoch for grant in grants):
             follows = AcknowledgeOrders(time_us, key, epoch)
             self._replica.propose_once(now, f"follows {key} {epoch}", follows)
-        changed = not same_wants(state.budget_grants, key, heartbeat.budget_demand)
+        changed = not is_demand_similar(state.budget_grants, key, heartbeat.budget_demand)
         if changed or len(grants) < len(state.budgets):
             demand = SetBudgetDemand(time_us, key, heartbeat.budget_demand)
             self._replica.propose_once(now, f"wants {key}", demand)
--- a/cedarmill/fleet/messages.py
+++ b/cedarmill/fleet/messages.py
@@ -8,8 +8,7 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.words import Message
-from cedarmill.fleet.former_names import former_field
+from cedarmill.fleet.agree.messages import Message
 from cedarmill.fleet.member_messages import (
     ExecutorObservation,
     Heartbeat,
@@ -94,8 +93,6 @@
 
     body: bytes
 
-    text = former_field("body")
-
 
 class ChangeReplicas(msgspec.Struct, tag="keepers", frozen=True, rename={"action": "act"}):
     """Change the replicas by one (`add`, `remove`), or transfer the leadership (`lead`)."""
@@ -146,11 +143,6 @@
     echoed_timestamp: int = -1
     echo_age_us: int = 0
 
-    facts = former_field("reports")
-    stamp = former_field("timestamp")
-    echo = former_field("echoed_timestamp")
-    since = former_field("echo_age_us")
-
 
 ClientRequest = Heartbeat | SubmitRequest | ReadRequest | ChangeReplicas | Probe
 ClientReply = HeartbeatReply | SubmitReply | ReadReply | Unavailable | ProbeReply
--- a/cedarmill/fleet/observations/assessment.py
+++ b/cedarmill/fleet/observations/assessment.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.observations import verdicts
 from cedarmill.fleet.observations.digest import ObservationDigest, median, share_of
 from cedarmill.fleet.observations.verdicts import UNREACHED_SHARE, Digests, GroupFindings, ZoneVerdict
@@ -34,8 +33,6 @@
     slots_allotted: int = 0  # the same, had each of these requests taken all the time that it may
     rejected_locally: int = 0  # share of admitted requests that nodes rejected by their own estimates
 
-    worths = former_field("demand_by_weight")
-
 
 class ClusterAssessment(msgspec.Struct, array_like=True, frozen=True):
     """All that is known of the zones at one time."""
@@ -94,10 +91,6 @@
                 fresh[digest.zone].append(digest)
         return assess_zones(names, fresh, kept)
 
-    held = former_field("digests")
-    take = former_field("accept")
-    look = former_field("assess")
-
 
 def assess_zones(names: list[str], fresh: Digests, kept: Digests) -> ClusterAssessment:
     """Assess all zones: verdicts by fresh digests, demand and slots by all that are kept."""
--- a/cedarmill/fleet/observations/digest.py
+++ b/cedarmill/fleet/observations/digest.py
@@ -8,8 +8,6 @@
 
 import msgspec
 
-from cedarmill.fleet.former_names import former_field
-
 WHOLE = 1000  # thousandths that make up one
 SCOPES = ("zone", "region", "any")  # how far a request may go from the zone it came to, strictest first
 MAX_LOCATIONS = 32  # zones and executor groups in a digest
@@ -45,9 +43,6 @@
     admitted: int = 0  # requests lately that the admission level did not reject
     rejected_locally: int = 0  # of the admitted: rejected by the node's own estimates
 
-    follows = former_field("plan_epoch")
-    cannot = former_field("unreachable_zones")
-
 
 def limit_locations(
     observations: Mapping[str, LocationObservation],
--- a/cedarmill/fleet/observations/log.py
+++ b/cedarmill/fleet/observations/log.py
@@ -4,7 +4,6 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.observations.digest import (
     WHOLE,
     LocationObservation,
@@ -181,12 +180,3 @@
         return {
             key: sum(bucket.demand.get(key, 0) for bucket in self._buckets) * WHOLE // span for key in keys
         }
-
-    streaks = former_field("unreached_streaks")
-    ended = former_field("record_attempt")
-    wanted = former_field("record_demand")
-    came = former_field("record_admitted")
-    turned = former_field("record_local_rejection")
-    served = former_field("record_served")
-    seen = former_field("observations")
-    digest = former_field("make_digest")
--- a/cedarmill/fleet/operator_requests.py
+++ b/cedarmill/fleet/operator_requests.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.words import Change, HandOver, Peer
+from cedarmill.fleet.agree.events import ChangeMembership, TransferLeadership
+from cedarmill.fleet.agree.messages import Peer
 from cedarmill.fleet.messages import ChangeReplicas, PermitSummary, SubmitReply, SubmitRequest
 from cedarmill.fleet.pending_requests import Waiting
 from cedarmill.fleet.state import ClusterState, RequestOutcome
@@ -28,7 +29,7 @@
     def change_replicas(self, now: int, token: int, request: ChangeReplicas) -> None:
         """Add or remove a replica, or transfer the leadership."""
         if request.action == "lead":
-            self._replica.run_raft(now, HandOver(request.name))
+            self._replica.run_raft(now, TransferLeadership(request.name))
             self._replica.router.reply(token, SubmitReply(True, "the lead is being handed over"))
         elif request.action == "remove":
             self._change(now, token, request, None)
@@ -41,7 +42,7 @@
     def _change(self, now: int, token: int, request: ChangeReplicas, peer: Peer | None) -> None:
         own_token = self._replica.pending.new_token()
         self._replica.pending.proposed[own_token] = Waiting(token, request)
-        self._replica.run_raft(now, Change(request.name, peer, own_token))
+        self._replica.run_raft(now, ChangeMembership(request.name, peer, own_token))
 
     def outcome(self, request: SubmitRequest | ChangeReplicas, outcome: RequestOutcome | None) -> SubmitReply:
         """The reply to a request whose entry is agreed."""
--- a/cedarmill/fleet/plan_follower.py
+++ b/cedarmill/fleet/plan_follower.py
@@ -10,7 +10,6 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.messages import RouteWeights
 from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation, share_of
 from cedarmill.fleet.observations.verdicts import MIN_ATTEMPTS, UNREACHED_SHARE
@@ -44,10 +43,6 @@
     unreachable_zones: tuple[str, ...] = ()  # that the plan names and that are left out here
     closed_zones: tuple[str, ...] = ()  # by the plan, whatever is lost
 
-    rows = former_field("weights")
-    cannot = former_field("unreachable_zones")
-    shut = former_field("closed_zones")
-
 
 class PlanFollower:
     """One node's following of the plan."""
@@ -143,9 +138,3 @@
         return normalized(
             {zone: row.get(zone, 0) * part + without.get(zone, 0) * (RAMP_US - part) for zone in zones}
         )
-
-    way = former_field("plan")
-    holds = former_field("exclusions")
-    told = former_field("accept_plan")
-    look = former_field("decide")
-    rows = former_field("weights")
--- a/cedarmill/fleet/release_state.py
+++ b/cedarmill/fleet/release_state.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.states import ReleaseState, StepState
 
 UnitReportFields = tuple[str, str, int, int]  # those of a UnitReport, which comes as a plain array
@@ -63,8 +62,6 @@
     permit_id: int = 0
     state_since: int = 0
 
-    since = former_field("state_since")
-
 
 class ReleasePlan(msgspec.Struct, array_like=True, frozen=True):
     """How a release proceeds: groups one after the other, each at most `max_concurrent` units at once."""
--- a/cedarmill/fleet/replica.py
+++ b/cedarmill/fleet/replica.py
@@ -11,26 +11,26 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.core import Agree, Saved, Timing
-from cedarmill.fleet.agree.words import (
-    COMMAND,
-    Accepted,
-    Commit,
-    Confirmed,
-    Entry,
+from cedarmill.fleet.agree.actions import (
+    ApplyEntries,
+    LeadershipConfirmed,
+    ProposalAccepted,
+    RequestRejected,
+    RestoreSnapshot,
+    RoleChanged,
+)
+from cedarmill.fleet.agree.events import (
     Event,
-    HandOver,
-    Heard,
-    Install,
-    Kept,
-    Passed,
-    Propose,
-    Rejected,
-    Role,
-    Snapshot,
-    Synced,
+    MessageReceived,
+    PersistenceCompleted,
+    ProposeCommand,
+    SnapshotPersisted,
+    TimeAdvanced,
+    TransferLeadership,
 )
-from cedarmill.fleet.former_names import former_field
+from cedarmill.fleet.agree.messages import Entry, EntryKind, Snapshot
+from cedarmill.fleet.agree.node import RaftNode
+from cedarmill.fleet.agree.state import PersistentState, Timing
 from cedarmill.fleet.leader_duties import NEW_LEADER_HALT, LeaderDuties
 from cedarmill.fleet.leadership import Leadership
 from cedarmill.fleet.messages import (
@@ -38,7 +38,6 @@
     ClientRequest,
     ForwardReply,
     ForwardRequest,
-    Heartbeat,
     ReplicaMessage,
     SubmitRequest,
     Unavailable,
@@ -70,7 +69,7 @@
     def __init__(
         self,
         name: str,
-        saved: Saved,
+        saved: PersistentState,
         now: int,
         seed: int,
         timing: Timing | None = None,
@@ -78,7 +77,7 @@
     ) -> None:
         """`state` is what to begin with where the saved snapshot is empty."""
         self.name = name
-        self.raft = Agree(name, saved, now, seed, timing)
+        self.raft = RaftNode(name, saved, now, seed, timing)
         data = saved.snapshot.data
         self.state: ClusterState = decode_snapshot(data) if data else state or ClusterState()
         self.leadership = Leadership(now)
@@ -103,7 +102,7 @@
             if (forwarded := self.pending.forwarded.pop(message.id, None)) is not None:
                 self.emit(Reply(forwarded.token, message.reply))
         else:
-            self.run_raft(now, Heard(source, message))
+            self.run_raft(now, MessageReceived(source, message))
         return self.take_actions(now)
 
     def on_request(self, now: int, token: int, request: ClientRequest) -> Actions:
@@ -113,35 +112,35 @@
 
     def on_time(self, now: int) -> Actions:
         """Time has passed; to be called at `due` at the latest."""
-        self.run_raft(now, Passed())
+        self.run_raft(now, TimeAdvanced())
         for token in self.pending.expire_forwarded(now - FORWARD_TIMEOUT_US):
             self.router.reply(token, Unavailable("the leader did not answer"))
         return self.take_actions(now)
 
     def transfer_leadership(self, now: int) -> Actions:
         """This replica is about to end: let another one lead."""
-        self.run_raft(now, HandOver())
+        self.run_raft(now, TransferLeadership())
         return self.take_actions(now)
 
     def on_synced(self, now: int, index: int) -> Actions:
         """Everything to be saved up to that index is on the disk."""
-        self.run_raft(now, Synced(index))
+        self.run_raft(now, PersistenceCompleted(index))
         return self.take_actions(now)
 
     def on_snapshot_stored(self, now: int, snapshot: Snapshot) -> Actions:
         """The snapshot is on the disk."""
-        self.run_raft(now, Kept(snapshot))
+        self.run_raft(now, SnapshotPersisted(snapshot))
         return self.take_actions(now)
 
     @property
     def due(self) -> int:
         """When to call `on_time` at the latest."""
-        return min(self.raft.due, self.duties.due) if self.is_leader else self.raft.due
+        return min(self.raft.deadline, self.duties.due) if self.is_leader else self.raft.deadline
 
     @property
     def is_leader(self) -> bool:
         """Whether it holds itself for the leader; `raft.leads(now)` asks whether that is certain."""
-        return self.raft.part.value == "leader"
+        return self.raft.role.value == "leader"
 
     def cluster_time(self, now: int) -> int:
         """The cluster's time, at a leader."""
@@ -149,12 +148,12 @@
 
     def snapshot(self) -> Snapshot:
         """The state with all that was applied, as a backup."""
-        index = self.raft.applied
+        index = self.raft.commit_index
         return Snapshot(index, self.raft.log.term(index), self.raft.config, encode_snapshot(self.state))
 
     def store_snapshot(self) -> None:
         """Ask for a snapshot to be stored; not while a change of the replicas is not agreed yet."""
-        if self.raft.config_index <= self.raft.applied:
+        if self.raft.config_index <= self.raft.commit_index:
             self.emit(StoreSnapshot(self.snapshot()))
 
     def emit(self, action: object) -> None:
@@ -167,7 +166,7 @@
             self._open_proposals.clear()
             self.duties.carry_out(now)
         log = self.raft.log
-        if len(log.entries) > SNAPSHOT_ENTRIES and self.raft.applied > log.snapshot.index:
+        if len(log.entries) > SNAPSHOT_ENTRIES and self.raft.commit_index > log.snapshot.index:
             self.store_snapshot()
         actions, self._actions = self._actions, []
         return actions
@@ -191,7 +190,7 @@
         own_token = self.pending.new_token()
         if waiting is not None:
             self.pending.proposed[own_token] = waiting
-        self.run_raft(now, Propose(dispatch.encode(command), own_token))
+        self.run_raft(now, ProposeCommand(dispatch.encode(command), own_token))
 
     def propose_once(self, now: int, key: str, command: Command) -> None:
         """Propose a command, unless one of that key was proposed since the leader's last duties."""
@@ -199,12 +198,12 @@
             self._open_proposals.add(key)
             self.propose(now, command)
 
-    def _commit(self, now: int, action: Commit) -> None:
+    def _commit(self, now: int, action: ApplyEntries) -> None:
         for entry in action.entries:
             if self.on_applied is not None:
                 self.on_applied(entry)
             outcome = None
-            if entry.kind == COMMAND:
+            if entry.kind == EntryKind.COMMAND:
                 outcome = dispatch.apply(self.state, entry.index, entry.data)
             placed = self.pending.placed.pop(entry.index, None)
             if placed is not None:
@@ -217,24 +216,24 @@
         elif isinstance(request, SubmitRequest | ChangeReplicas):
             self.router.reply(token, self.router.operator_requests.outcome(request, outcome))
 
-    def _install(self, now: int, action: Install) -> None:
+    def _install(self, now: int, action: RestoreSnapshot) -> None:
         data = action.snapshot.data
         self.state = decode_snapshot(data) if data else ClusterState()
         self.pending.placed.clear()
         self.emit(action)
 
-    def _accepted(self, now: int, action: Accepted) -> None:
+    def _accepted(self, now: int, action: ProposalAccepted) -> None:
         self.pending.place(action.token, action.index, action.term)
 
-    def _rejected(self, now: int, action: Rejected) -> None:
+    def _rejected(self, now: int, action: RequestRejected) -> None:
         if (waiting := self.pending.reject(action.token)) is not None:
             self.router.reply(waiting.token, Unavailable(action.reason, action.leader))
 
-    def _confirmed(self, now: int, action: Confirmed) -> None:
+    def _confirmed(self, now: int, action: LeadershipConfirmed) -> None:
         if (waiting := self.pending.reads.pop(action.token, None)) is not None:
             self.router.answer_read(now, waiting)
 
-    def _role_changed(self, now: int, action: Role) -> None:
+    def _role_changed(self, now: int, action: RoleChanged) -> None:
         self.emit(action)
         if action.leads:
             self.leadership = Leadership(now, elected_at=now, time_at_election=self.state.clock)
@@ -254,21 +253,10 @@
         self.pending.placed.clear()
 
     _RAFT_ACTIONS: ClassVar[dict[type, Callable[["Replica", int, Any], None]]] = {
-        Commit: _commit,
-        Install: _install,
-        Accepted: _accepted,
-        Rejected: _rejected,
-        Confirmed: _confirmed,
-        Role: _role_changed,
+        ApplyEntries: _commit,
+        RestoreSnapshot: _install,
+        ProposalAccepted: _accepted,
+        RequestRejected: _rejected,
+        LeadershipConfirmed: _confirmed,
+        RoleChanged: _role_changed,
     }
-
-    # Former names, for users that are not changed yet.
-
-    heard, asked, passed, hand_over = on_message, on_request, on_time, transfer_leadership
-    synced, kept, clock, _once = on_synced, on_snapshot_stored, cluster_time, propose_once
-    leads = is_leader
-    agree, world = former_field("raft"), former_field("state")
-
-    def _tell_done(self, now: int, key: str, heartbeat: Heartbeat) -> None:
-        """What `lab/fleet/bugs.py` replaces to leave this out."""
-        self.router.member_requests.confirm_drained(now, key, heartbeat)
--- a/cedarmill/fleet/request_router.py
+++ b/cedarmill/fleet/request_router.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.words import Read, Send
-from cedarmill.fleet.former_names import former_field
+from cedarmill.fleet.agree.actions import SendMessage
+from cedarmill.fleet.agree.events import ConfirmLeadership
 from cedarmill.fleet.member_requests import MemberRequests
 from cedarmill.fleet.messages import (
     ClientReply,
@@ -34,8 +34,6 @@
     token: int
     reply: ClientReply
 
-    answer = former_field("reply")
-
 
 class RequestRouter:
     """Routes the requests of one replica."""
@@ -68,7 +66,7 @@
             return
         # Send is declared for messages of the log; the adapter passes on whatever stands in it.
         message: Any = ForwardRequest(replica.pending.forward(token, now), request)
-        replica.emit(Send(leader, message))
+        replica.emit(SendMessage(leader, message))
 
     def reply(self, token: int, reply: ClientReply) -> None:
         """Answer a request, by way of the replica that forwarded it if one did."""
@@ -77,7 +75,7 @@
             self._replica.emit(Reply(token, reply))
             return
         message: Any = ForwardReply(origin.number, reply)
-        self._replica.emit(Send(origin.replica, message))
+        self._replica.emit(SendMessage(origin.replica, message))
 
     def read(self, now: int, token: int, request: Heartbeat | ReadRequest) -> None:
         """Answer from the state once it is certain that this replica still leads.
@@ -86,7 +84,7 @@
         """
         own_token = self._replica.pending.new_token()
         self._replica.pending.reads[own_token] = Waiting(token, request)
-        self._replica.run_raft(now, Read(own_token, not isinstance(request, Heartbeat)))
+        self._replica.run_raft(now, ConfirmLeadership(own_token, not isinstance(request, Heartbeat)))
 
     def answer_read(self, now: int, waiting: Waiting) -> None:
         """It is certain by now."""
--- a/cedarmill/fleet/session.py
+++ b/cedarmill/fleet/session.py
@@ -11,8 +11,6 @@
 
 import msgspec
 
-from cedarmill.fleet.evidence import Digest
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.messages import (
     ClientReply,
     ClientRequest,
@@ -22,6 +20,7 @@
     Orders,
     Unavailable,
 )
+from cedarmill.fleet.observations.digest import ObservationDigest
 from cedarmill.fleet.session_tracker import holder_lease_end
 from cedarmill.fleet.state import UnitReportFields
 
@@ -39,16 +38,12 @@
 
     replica: str
 
-    keeper = former_field("replica")
-
 
 class SendRequest(msgspec.Struct, frozen=True):
     """An action: send this to the replica in use."""
 
     request: ClientRequest
 
-    ask = former_field("request")
-
 
 class FollowOrders(msgspec.Struct, frozen=True):
     """An action: follow these orders, which are newer than those followed."""
@@ -80,7 +75,7 @@
     units: dict[str, UnitReportFields] = field(default_factory=dict)
     ended_members: list[str] = field(default_factory=list)
     request_counts: tuple[int, int, int, int] = (0, 0, 0, 0)
-    digest: Digest | None = None
+    digest: ObservationDigest | None = None
     budget_demand: dict[str, int] = field(default_factory=dict)
 
 
@@ -97,11 +92,6 @@
     unit_type: str = ""
     stops_at_lease_expiry: bool = False
 
-    @property
-    def life(self) -> str:
-        """Former name of `incarnation`."""
-        return self.incarnation
-
 
 @dataclass(frozen=True, slots=True)
 class _Sent:
@@ -289,10 +279,3 @@
         """This process ends, and has nothing in flight: a last heartbeat says so."""
         self._leaving, self._next_heartbeat = True, now
         return self.on_time(now)
-
-    # Former names, for users that are not changed yet.
-
-    passed, heard, broken, reached = on_time, on_reply, on_disconnected, on_probed
-    who = former_field("identity")
-    lease_till, doubts_till = former_field("lease_until"), former_field("doubts_until")
-    _held = former_field("_announced")
--- a/cedarmill/fleet/session_tracker.py
+++ b/cedarmill/fleet/session_tracker.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.messages import ExecutorObservation, Heartbeat
 from cedarmill.fleet.state import ClusterState, Member
 from cedarmill.fleet.states import MemberState
@@ -71,8 +70,6 @@
         self.counted_from = now  # leases that the leader before has given may hold as long from here
         self._checked_at = now
 
-    began = former_field("counted_from")
-
     def record(self, now: int, key: str, heartbeat: Heartbeat) -> Session:
         """A heartbeat has come."""
         session = self.by_key.setdefault(key, Session(now))
--- a/cedarmill/fleet/state.py
+++ b/cedarmill/fleet/state.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from cedarmill.fleet.former_names import former_field
-from cedarmill.fleet.overload import Admission
+from cedarmill.fleet.admission_level.state import AdmissionLevel
+from cedarmill.fleet.budget_grants import Budget, BudgetGrant
 from cedarmill.fleet.release_state import (
     Release,
     ReleasePlan,
@@ -21,9 +21,9 @@
     UnitReportFields,
     UnitStep,
 )
-from cedarmill.fleet.slices import Budget, Slice
 from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
-from cedarmill.fleet.zones import Traffic, Zone, Zoning
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.fleet.traffic_plan.state import TrafficState, ZoneState
 
 __all__ = [
     "EPOCH_INDEX_BITS",
@@ -149,9 +149,6 @@
         """Whether its target counts as out of service."""
         return self.state in OUT_STATES
 
-    need = former_field("undrained_members")
-    drained = former_field("drained_at")
-
 
 class RequestOutcome(msgspec.Struct, array_like=True):
     """What came of a request that changes something: the same again for the same idempotency key."""
@@ -196,20 +193,17 @@
     last_id: int = 0  # of permits and releases
     orders_epoch: int = 0  # of the newest change of what members are ordered
     log: list[str] = msgspec.field(default_factory=list)  # the newest lines for operators
-    zoning: Zoning = msgspec.field(default_factory=Zoning)
-    zones: dict[str, Zone] = msgspec.field(default_factory=dict)
-    traffic: Traffic = msgspec.field(default_factory=Traffic)
+    zoning: ZoneLayout = msgspec.field(default_factory=ZoneLayout)
+    zones: dict[str, ZoneState] = msgspec.field(default_factory=dict)
+    traffic: TrafficState = msgspec.field(default_factory=TrafficState)
     budgets: dict[str, Budget] = msgspec.field(default_factory=dict)
-    budget_grants: dict[str, dict[str, Slice]] = msgspec.field(default_factory=dict)  # by budget, then member
-    admission: Admission = msgspec.field(default_factory=Admission)
-    scoped_admission: dict[str, Admission] = msgspec.field(default_factory=dict)  # by `zone/bound`
+    # By budget, then member.
+    budget_grants: dict[str, dict[str, BudgetGrant]] = msgspec.field(default_factory=dict)
+    admission: AdmissionLevel = msgspec.field(default_factory=AdmissionLevel)
+    scoped_admission: dict[str, AdmissionLevel] = msgspec.field(default_factory=dict)  # by `zone/bound`
     membership_epoch: int = 0  # when a node came or went last, where nodes gossip
     budgets_dealt_from: int = 0  # before that nothing is leased: leases of before a restore may still hold
 
-    told = former_field("orders_epoch")
-    slices = former_field("budget_grants")
-    deal_from = former_field("budgets_dealt_from")
-
     @property
     def epoch(self) -> int:
         """Of the entry that is being applied."""
@@ -230,8 +224,6 @@
         ended = MemberState.ENDED
         return [member for member in self.members.values() if member.kind == kind and member.state != ended]
 
-    live = members_of
-
 
 _DECODER = msgspec.msgpack.Decoder(ClusterState)
 
--- a/cedarmill/fleet/state_machine/budgets.py
+++ b/cedarmill/fleet/state_machine/budgets.py
@@ -1,8 +1,8 @@
 """Budgets of the cluster, leased to nodes: demand, acknowledgement of smaller leases, and settings."""
 
-from cedarmill.fleet import slices
+from cedarmill.fleet import budget_grants
+from cedarmill.fleet.budget_grants import Budget, InvalidBudgetError
 from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.slices import Budget
 from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
 from cedarmill.fleet.states import MemberState
@@ -32,18 +32,20 @@
     """Deal the budgets anew; the demand of a member without a session is passed over."""
     member = state.members.get(command.member_key)
     if member is not None and member.state == MemberState.LIVE:
-        slices.wanted(state, command.member_key, command.demand)
+        budget_grants.set_demand(state, command.member_key, command.demand)
 
 
 def acknowledge_orders(state: ClusterState, command: AcknowledgeOrders) -> None:
     """What the member could spend by older orders is free."""
-    slices.follows(state, command.member_key, command.epoch)
+    budget_grants.acknowledge(state, command.member_key, command.epoch)
 
 
 def set_budgets(state: ClusterState, request: SetBudgets) -> RequestOutcome:
     """Replace the budgets; raises RequestRejected naming what is wrong with them."""
-    if fault := slices.set_up(state, list(request.budgets)):
-        raise RequestRejected(fault)
+    try:
+        budget_grants.set_budgets(state, list(request.budgets))
+    except InvalidBudgetError as error:
+        raise RequestRejected(str(error)) from None
     state.note(f"budgets set by {request.requester}: {', '.join(state.budgets) or 'none'}")
     return accepted(state, f"{len(request.budgets)} budgets hold")
 
--- a/cedarmill/fleet/state_machine/dispatch.py
+++ b/cedarmill/fleet/state_machine/dispatch.py
@@ -6,7 +6,6 @@
 
 import msgspec
 
-from cedarmill.fleet import traffic
 from cedarmill.fleet.errors import RequestRejected, UnknownCommand
 from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine import (
@@ -24,6 +23,7 @@
 from cedarmill.fleet.state_machine import traffic as traffic_commands
 from cedarmill.fleet.state_machine.command import Command, Handler, OperatorRequest
 from cedarmill.fleet.state_machine.commands import AnyCommand
+from cedarmill.fleet.traffic_control import schedule, shedding
 
 OUTCOMES_KEPT = 5000  # of requests, the oldest of which are forgotten first
 OUTCOME_KEPT_US = 3_600_000_000  # how long an outcome is remembered
@@ -115,13 +115,13 @@
     permit_queue.expire_waiting(state)
     permit_queue.grant_waiting(state)
     rollout.advance(state)
-    traffic.advance(state)
-    traffic.shed(state)
+    schedule.review(state)
+    shedding.update_admission(state)
 
 
 def next_due(state: ClusterState) -> int | None:
     """When something changes by itself, in the cluster's time (us); None: not before another command."""
-    times = [*rollout.due_times(state), *traffic.due(state)]
+    times = [*rollout.due_times(state), *schedule.due_times(state)]
     if (time_us := permit_queue.next_due(state)) is not None:
         times.append(time_us)
     return min(times, default=None)
--- a/cedarmill/fleet/state_machine/sessions.py
+++ b/cedarmill/fleet/state_machine/sessions.py
@@ -1,6 +1,6 @@
 """Sessions of members (nodes and process supervisors): joining, lease expiry, return and end."""
 
-from cedarmill.fleet import slices
+from cedarmill.fleet import budget_grants
 from cedarmill.fleet.state import ClusterState, Member, Target
 from cedarmill.fleet.state_machine import drains
 from cedarmill.fleet.state_machine.command import Command, Handlers
@@ -113,7 +113,7 @@
 
 def _note_membership_change(state: ClusterState, member: Member) -> None:
     """Nodes that gossip are to ask again who is there."""
-    if state.zoning.news and member.kind == "node":
+    if state.zoning.gossip and member.kind == "node":
         state.membership_epoch = state.orders_epoch = state.epoch
 
 
@@ -130,7 +130,7 @@
     for key in command.certainly_stopped:
         drains.member_ended(state, key)
     for key in (*command.silent, *command.unreachable):
-        slices.ended(state, key)  # the lease has ended at its holder before it ended here
+        budget_grants.release(state, key)  # the lease has ended at its holder before it ended here
 
 
 def _supervises(state: ClusterState, member: Member, unit_name: str) -> bool:
@@ -173,7 +173,7 @@
         return
     state.note(f"{member.kind} {member.name} has ended: {reason}")
     drains.member_ended(state, key)
-    slices.ended(state, key)
+    budget_grants.release(state, key)
 
 
 HANDLERS: Handlers = {
--- a/cedarmill/fleet/state_machine/traffic.py
+++ b/cedarmill/fleet/state_machine/traffic.py
@@ -1,16 +1,19 @@
 """Traffic over all zones: evidence of the nodes, and an operator's override of the admission level."""
 
-from cedarmill.fleet import overload, traffic
+from cedarmill.fleet.admission_level import controller
+from cedarmill.fleet.admission_level.state import SheddingThreshold
 from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.evidence import WHOLE, Evidence
+from cedarmill.fleet.observations.assessment import ClusterAssessment
+from cedarmill.fleet.observations.digest import WHOLE
 from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
+from cedarmill.fleet.traffic_control import intake
 
 
 class RecordZoneEvidence(Command, tag="observed", frozen=True):
     """What all nodes together observe of the zones, where it differs from what was agreed."""
 
-    evidence: Evidence
+    evidence: ClusterAssessment
 
 
 class OverrideAdmission(OperatorRequest, tag="cut", frozen=True):
@@ -27,7 +30,7 @@
 
 def record_evidence(state: ClusterState, command: RecordZoneEvidence) -> None:
     """Take over the newest evidence."""
-    traffic.observe(state, command.evidence)
+    intake.record_assessment(state, command.evidence)
 
 
 def override_admission(state: ClusterState, request: OverrideAdmission) -> RequestOutcome:
@@ -37,7 +40,8 @@
     if begins and not complete:
         raise RequestRejected("a cut takes a reason, an end, and a part of at most the whole")
     author = f"{request.requester} ({request.reason})" if request.reason else request.requester
-    overload.by_hand(state, request.weight, request.part, request.duration_us, author)
+    threshold = SheddingThreshold(request.weight, request.part)
+    controller.override(state, threshold, request.duration_us, author)
     return accepted(state, "the cut holds" if begins else "the cut by hand has ended")
 
 
--- a/cedarmill/fleet/state_machine/zones.py
+++ b/cedarmill/fleet/state_machine/zones.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Callable
 
-from cedarmill.fleet import traffic
 from cedarmill.fleet.errors import RequestRejected
 from cedarmill.fleet.state import ClusterState, RequestOutcome
 from cedarmill.fleet.state_machine import permit_queue
@@ -10,13 +9,16 @@
 from cedarmill.fleet.state_machine.permit_queue import PermitRequest
 from cedarmill.fleet.state_machine.permit_states import give_back, move, open_permit
 from cedarmill.fleet.states import PermitState
-from cedarmill.fleet.zones import Zone, Zoning
+from cedarmill.fleet.traffic_control import intake, ramps, zone_status
+from cedarmill.fleet.traffic_control.errors import InvalidLayoutError
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.fleet.traffic_plan.state import ZoneState
 
 
 class SetZones(OperatorRequest, tag="zones", frozen=True):
     """Replace the layout of zones and regions."""
 
-    zoning: Zoning
+    zoning: ZoneLayout
 
 
 class ControlZone(OperatorRequest, tag="zone", frozen=True):
@@ -31,8 +33,10 @@
 
 def set_zones(state: ClusterState, request: SetZones) -> RequestOutcome:
     """Replace the layout; raises RequestRejected naming what is wrong with it."""
-    if fault := traffic.set_up(state, request.zoning):
-        raise RequestRejected(fault)
+    try:
+        intake.set_layout(state, request.zoning)
+    except InvalidLayoutError as error:
+        raise RequestRejected(str(error)) from None
     zones, regions = request.zoning.zones, request.zoning.regions
     state.note(f"zones set by {request.requester}: {len(zones)} in {len(regions)} regions")
     return accepted(state, f"{len(zones)} zones are planned")
@@ -54,29 +58,29 @@
 def _freeze_or_thaw(state: ClusterState, request: ControlZone) -> RequestOutcome:
     frozen = request.action == "freeze"
     author = f"{request.requester}: {request.reason or 'no reason given'}"
-    state.traffic.frozen = author if frozen else ""
-    state.traffic.next = 0
+    state.traffic.frozen_by = author if frozen else ""
+    state.traffic.next_review_at = 0
     state.note(f"the plan of traffic is {'frozen by ' + author if frozen else 'thawed'}")
     return accepted(state, "nothing moves by itself" if frozen else "traffic moves again")
 
 
-def _evacuate(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
+def _evacuate(state: ClusterState, zone: ZoneState, request: ControlZone) -> RequestOutcome:
     """Evacuate a zone: under a permit, and only where the others can take its load."""
-    if state.traffic.frozen:
-        raise RequestRejected(f"the plan is frozen by {state.traffic.frozen}: thaw it first")
-    missing = traffic.short_without(state, zone.name)
+    if state.traffic.frozen_by:
+        raise RequestRejected(f"the plan is frozen by {state.traffic.frozen_by}: thaw it first")
+    missing = ramps.slots_missing_without(state, zone.name)
     if missing > 0:
         raise RequestRejected(f"the others would not bear it: {missing / 1000:g} slots are missing")
-    zone.over = request.evacuation_us
+    zone.evacuation_us = request.evacuation_us
     wanted = PermitRequest("zone", zone.name, request.requester, request.reason, 0, request.wait_us)
     permit = permit_queue.enter(state, wanted)
-    state.traffic.next = 0
+    state.traffic.next_review_at = 0
     return RequestOutcome(
         state.clock, permit.state != PermitState.REFUSED, "; ".join(permit.notes), [permit.id]
     )
 
 
-def _stay(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
+def _stay(state: ClusterState, zone: ZoneState, request: ControlZone) -> RequestOutcome:
     return cancel_evacuation(state, zone.name, f"{request.requester}: {request.reason}")
 
 
@@ -89,26 +93,26 @@
         move(state, permit, "withdraw")
     else:
         give_back(state, permit, reason)
-    state.traffic.next = 0
+    state.traffic.next_review_at = 0
     return accepted(state, f"permit {permit.id} is {permit.state}", [permit.id])
 
 
-def _pin(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
+def _pin(state: ClusterState, zone: ZoneState, request: ControlZone) -> RequestOutcome:
     """Keep a zone in its state, or let it change again."""
     zone.pinned = request.action == "pin"
-    state.traffic.next = 0
+    state.traffic.next_review_at = 0
     state.note(f"{request.requester} says {request.action} of zone {zone.name}: {request.reason}")
-    return accepted(state, f"{zone.name} stays {zone.state}" if zone.pinned else "it moves again")
+    return accepted(state, f"{zone.name} stays {zone.status}" if zone.pinned else "it moves again")
 
 
-def _declare_lost(state: ClusterState, zone: Zone, request: ControlZone) -> RequestOutcome:
+def _declare_lost(state: ClusterState, zone: ZoneState, request: ControlZone) -> RequestOutcome:
     if not request.reason.strip():
         raise RequestRejected("a word takes a reason")
-    moved = traffic.lose(state, zone, f"{request.requester}: {request.reason}")
-    return RequestOutcome(state.clock, moved, f"zone {zone.name} is {zone.state}")
+    moved = zone_status.declare_lost(state, zone, f"{request.requester}: {request.reason}")
+    return RequestOutcome(state.clock, moved, f"zone {zone.name} is {zone.status}")
 
 
-ACTIONS: dict[str, Callable[[ClusterState, Zone, ControlZone], RequestOutcome]] = {
+ACTIONS: dict[str, Callable[[ClusterState, ZoneState, ControlZone], RequestOutcome]] = {
     "leave": _evacuate,
     "stay": _stay,
     "pin": _pin,
--- a/cedarmill/fleet/state_views.py
+++ b/cedarmill/fleet/state_views.py
@@ -5,12 +5,14 @@
 
 import msgspec
 
-from cedarmill.fleet import slices, traffic
+from cedarmill.fleet import budget_grants
 from cedarmill.fleet.messages import ReadRequest
 from cedarmill.fleet.session_tracker import LEASE_US
 from cedarmill.fleet.state import PER_MILLE, ClusterState, Limit, Permit, Release
 from cedarmill.fleet.state_machine import limits
 from cedarmill.fleet.states import MemberState, PermitState
+from cedarmill.fleet.traffic_control import reports
+from cedarmill.fleet.traffic_control.errors import TrafficError
 
 if TYPE_CHECKING:
     from cedarmill.fleet.replica import Replica
@@ -39,7 +41,7 @@
         "generation": state.generation,
         "leader": replica.name,
         "term": raft.term,
-        "agreed": raft.commit,
+        "agreed": raft.commit_index,
         "epoch": state.orders_epoch,
         "halted": state.halt_reason,
         "clock_s": state.clock / 1e6,
@@ -54,10 +56,10 @@
     rows: dict[str, Row] = {}
     for name, peer in replica.raft.config.items():
         rows[name] = {"address": peer.address, "votes": peer.voter, "disk": peer.disk}
-        follower = replica.raft.followers.get(name)
+        follower = replica.raft.progress.get(name)
         if follower is not None:
-            rows[name]["match"] = follower.match
-            rows[name]["silent_s"] = _seconds(now - follower.heard, 2)
+            rows[name]["match"] = follower.match_index
+            rows[name]["silent_s"] = _seconds(now - follower.last_contact, 2)
     return rows
 
 
@@ -141,16 +143,16 @@
     for name, budget in state.budgets.items():
         grants = state.budget_grants.get(name, {})
         leases = {
-            key: {"rate": grant.rate, "counts": grant.counts, "want": grant.want}
+            key: {"rate": grant.rate, "counts": grant.counted_rate, "want": grant.demand}
             for key, grant in sorted(grants.items())
         }
         row = {
             "name": name,
             "rate": budget.rate,
             "floor": budget.floor,
-            "leased": slices.held(grants),
-            "most": budget.leased,
-            "wanted": sum(grant.want for grant in grants.values()),
+            "leased": budget_grants.granted_rate(grants),
+            "most": budget.grantable,
+            "wanted": sum(grant.demand for grant in grants.values()),
             "slices": leases,
         }
         rows.append(row)
@@ -165,10 +167,10 @@
 def _offered(state: ClusterState) -> dict[str, dict[int, int]]:
     """Slots that the clients of each zone want, by priority weight, both in thousandths."""
     found: dict[str, dict[int, int]] = {}
-    zones = state.traffic.news.zones if state.traffic.news is not None else {}
+    zones = state.traffic.assessment.zones if state.traffic.assessment is not None else {}
     for name, zone in zones.items():
         offered = found.setdefault(name, {})
-        for by_weight in zone.worths.values():
+        for by_weight in zone.demand_by_weight.values():
             for weight, slots in by_weight.items():
                 offered[weight] = offered.get(weight, 0) + slots
     return found
@@ -186,17 +188,25 @@
 def _zones(replica: "Replica", now: int, request: ReadRequest) -> Row:
     """The traffic plan, and which of the nodes follow it or cannot."""
     state = replica.state
-    row: Row = traffic.shown(state)
-    digests = [digest for at, digest in replica.leadership.zones.held.values() if now - at < LEASE_US]
-    row["follow"] = sum(digest.follows == state.traffic.epoch for digest in digests)
+    row: Row = msgspec.to_builtins(reports.traffic_report(state))
+    if state.traffic.assessment is None:
+        row["groups"] = row.pop("groups")  # the order of keys in the answer to operators
+    digests = [digest for at, digest in replica.leadership.zones.digests.values() if now - at < LEASE_US]
+    row["follow"] = sum(digest.plan_epoch == state.traffic.epoch for digest in digests)
     row["told"] = len(digests)
-    row["cannot"] = sorted({f"{digest.zone}>{zone}" for digest in digests for zone in digest.cannot})
+    row["cannot"] = sorted(
+        {f"{digest.zone}>{zone}" for digest in digests for zone in digest.unreachable_zones}
+    )
     return row
 
 
 def _what_if(replica: "Replica", now: int, request: ReadRequest) -> Row:
     """Loads with a zone gone."""
-    row: Row = traffic.what_if(replica.state, request.names[0] if request.names else "")
+    zone = request.names[0] if request.names else ""
+    try:
+        row: Row = msgspec.to_builtins(reports.forecast_loss(replica.state, zone))
+    except TrafficError as error:
+        return {"error": str(error)}
     return row
 
 
--- a/cedarmill/fleet/supervision.py
+++ b/cedarmill/fleet/supervision.py
@@ -14,7 +14,6 @@
 import msgspec
 
 from cedarmill.fleet.errors import ClusterError
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.state import UnitOrderFields, UnitReport, UnitReportFields
 
 RESTART_DELAY_US = 500_000  # before a unit that ended by itself is started again: at first,
@@ -46,8 +45,6 @@
     version: str
     incarnation: str
 
-    life = former_field("incarnation")
-
 
 class StopProcess(msgspec.Struct, frozen=True):
     """An action: send SIGTERM; `to_kill` tells when it has not ended in time."""
@@ -55,16 +52,12 @@
     unit: str
     incarnation: str
 
-    life = former_field("incarnation")
-
 
 class StoreUnits(msgspec.Struct, frozen=True):
     """An action: store this before anything that follows; it says what each unit is to be."""
 
     document: bytes
 
-    text = former_field("document")
-
 
 class OrderApplied(msgspec.Struct, frozen=True):
     """An action, for the history: the order acted on, and how long the lease still held (s)."""
@@ -73,8 +66,6 @@
     epoch: int
     lease_left_s: float
 
-    left = former_field("lease_left_s")
-
 
 class Process(msgspec.Struct, rename={"incarnation": "life"}):
     """One incarnation of a unit's process."""
@@ -85,8 +76,6 @@
     stopping: bool = False
     kill_at: int = 0
 
-    life = former_field("incarnation")
-
 
 class Unit(
     msgspec.Struct,
@@ -110,9 +99,6 @@
     restart_at: int = 0
     restart_delay_us: int = RESTART_DELAY_US
 
-    lives = former_field("processes")
-    epoch = former_field("applied_epoch")
-
     @property
     def state(self) -> UnitState:
         """What it is doing."""
@@ -264,8 +250,3 @@
     def _take_actions(self) -> Actions:
         actions, self._actions = self._actions, []
         return actions
-
-    # Former names, for users that are not changed yet.
-
-    started, ready, exited, passed, told = on_started, on_ready, on_exited, on_time, reports
-    ended = former_field("ended_members")
--- a/cedarmill/fleet/traffic_control/schedule.py
+++ b/cedarmill/fleet/traffic_control/schedule.py
@@ -42,7 +42,7 @@
         return []
     levels = [state.admission, *state.scoped_admission.values()]
     moving = state.zoning.sheds_load and any(
-        level.shed or level.late >= ADMISSION_LATE_SHARE or level.override_until > state.clock
+        level.shed_slots or level.late >= ADMISSION_LATE_SHARE or level.override_until > state.clock
         for level in levels
     )
     times = [state.traffic.next_review_at]
--- a/cedarmill/fleet/traffic_plan/layout.py
+++ b/cedarmill/fleet/traffic_plan/layout.py
@@ -2,8 +2,6 @@
 
 import msgspec
 
-from cedarmill.fleet.former_names import former_field
-
 SAME_REGION_COST = 1  # of a link, where the settings name none
 OTHER_REGION_COST = 10
 
@@ -38,7 +36,3 @@
             return 0
         same_region = self.region(source) == self.region(target)
         return self.costs.get(f"{source}>{target}", SAME_REGION_COST if same_region else OTHER_REGION_COST)
-
-    sheds = former_field("sheds_load")
-    news = former_field("gossip")
-    reach = former_field("reachable_zones")
--- a/cedarmill/fleet/traffic_plan/state.py
+++ b/cedarmill/fleet/traffic_plan/state.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from cedarmill.fleet.former_names import former_field
 from cedarmill.fleet.observations.assessment import ClusterAssessment
 from cedarmill.fleet.observations.digest import WHOLE
 
@@ -91,11 +90,6 @@
     halt_reason: str = ""  # why an evacuation does not proceed
     status_changes: int = 0
 
-    state = former_field("status")
-    over = former_field("evacuation_us")
-    halted = former_field("halt_reason")
-    changes = former_field("status_changes")
-
 
 class TrafficState(
     msgspec.Struct,
@@ -133,13 +127,3 @@
     frozen_by: str = ""  # who and why; nothing changes by itself then
     distrust_reason: str = ""  # why the assessment is not acted on
     next_review_at: int = 0  # at the latest
-
-    shares = former_field("weights")
-    aim = former_field("target_weights")
-    standing = former_field("fallback_weights")
-    news = former_field("assessment")
-    told = former_field("latest_assessment")
-    news_at = former_field("assessed_at")
-    frozen = former_field("frozen_by")
-    doubted = former_field("distrust_reason")
-    next = former_field("next_review_at")
--- a/cedarmill/lab/fleet/bugs.py
+++ b/cedarmill/lab/fleet/bugs.py
@@ -9,8 +9,7 @@
 
 import msgspec
 
-from cedarmill.fleet import commands, members, permits, purse, release, slices, views
-from cedarmill.fleet.agent import Agent
+from cedarmill.fleet import budget_grants, budget_lease, member_orders, replica, session_tracker
 from cedarmill.fleet.agree import replication
 from cedarmill.fleet.agree.actions import (
     LeadershipConfirmed,
@@ -26,9 +25,20 @@
 from cedarmill.fleet.agree.replication import Replicator
 from cedarmill.fleet.agree.state import NodeState
 from cedarmill.fleet.hosting import Host
-from cedarmill.fleet.keeper import Keeper
-from cedarmill.fleet.stewarding import Steward
-from cedarmill.fleet.world import WHOLE
+from cedarmill.fleet.member_requests import MemberRequests
+from cedarmill.fleet.session import MemberSession
+from cedarmill.fleet.state import PER_MILLE
+from cedarmill.fleet.state_machine import (
+    dispatch,
+    drains,
+    limits,
+    permit_queue,
+    permit_states,
+    release_states,
+    rollout,
+)
+from cedarmill.fleet.state_machine.commands import ConfirmDrained, ExpireSessions
+from cedarmill.fleet.supervision import ProcessSupervisor
 from cedarmill.lab.fleet.virtual import Disk, VNode
 from cedarmill.lab.fleet.virtual_log import Node
 
@@ -39,44 +49,46 @@
     """All that wait are granted by one count, made before the first of them."""
 
     def grant_all(world):
-        out = permits.out_parts(world)
-        granted = [p for p in permits.in_turn(world)
-                   if permits.decide(world, p.kind, p.target, dict(out)).word == "now"]  # fmt: skip
+        out = limits.out_shares(world)
+        granted = [p for p in permit_queue.in_order(world)
+                   if limits.decide(world, p.kind, p.target, dict(out)).word == "now"]  # fmt: skip
         for permit in granted:
-            permits.move(world, permit, "grant")
-            permit.need = permits.need_of(world, permit)
-            permits.settle(world, permit)
+            permit_states.move(world, permit, "grant")
+            permit.undrained_members = drains.members_to_drain(world, permit)
+            drains.check_drained(world, permit)
         return granted
 
-    return [(permits, "grant_all", grant_all)]
+    return [(permit_queue, "grant_waiting", grant_all)]
 
 
 def lost_permit_forgotten() -> list[Patch]:
     """A permit whose holder fell silent no longer counts as out."""
-    plain = permits.out_parts
+    plain = limits.out_shares
 
     def out_parts(world):
         found = plain(world)
         for permit in world.permits.values():
             if permit.state == "lost":
-                found.pop(permits.key_of(permit.kind, permit.target), None)
+                found.pop(permit_states.target_key(permit.kind, permit.target), None)
         return found
 
-    return [(permits, "out_parts", out_parts)]
+    return [(limits, "out_shares", out_parts)]
 
 
 def losses_not_counted() -> list[Patch]:
     """Only what is out by plan counts, not what is ill or silent."""
 
     def out_parts(world):
-        return {permits.key_of(p.kind, p.target): WHOLE for p in world.permits.values() if p.out}
+        return {
+            permit_states.target_key(p.kind, p.target): PER_MILLE for p in world.permits.values() if p.out
+        }
 
-    return [(permits, "out_parts", out_parts)]
+    return [(limits, "out_shares", out_parts)]
 
 
 def cold_not_counted() -> list[Patch]:
     """One that has just come back counts as whole."""
-    return [(permits, "cold_part", lambda world, target: 0)]
+    return [(limits, "slow_start_part", lambda world, target: 0)]
 
 
 def shares_rounded_up() -> list[Patch]:
@@ -84,9 +96,9 @@
 
     def allowed(limit, count):
         cap = min(count, limit.most) if limit.most >= 0 else count
-        return min(cap, -(-count * limit.share // WHOLE)) if limit.share >= 0 else cap
+        return min(cap, -(-count * limit.share // PER_MILLE)) if limit.share >= 0 else cap
 
-    return [(permits, "allowed", allowed)]
+    return [(limits, "allowed", allowed)]
 
 
 def stale_leader_grants() -> list[Patch]:
@@ -176,14 +188,14 @@
 
 def drained_before_the_last_ack() -> list[Patch]:
     """Drained is said with one member still missing."""
-    plain = permits.settle
+    plain = drains.check_drained
 
     def settle(world, permit):
-        if len(permit.need) == 1 and permit.kind == "executor":
-            permit.need = []
+        if len(permit.undrained_members) == 1 and permit.kind == "executor":
+            permit.undrained_members = []
         plain(world, permit)
 
-    return [(permits, "settle", settle)]
+    return [(drains, "check_drained", settle)]
 
 
 def silent_ones_not_waited_for() -> list[Patch]:
@@ -192,52 +204,52 @@
     def need_of(world, permit):
         if permit.holder.startswith("release:") or permit.kind != "executor":
             return []
-        return sorted(m.key for m in world.live("node") if m.state == "live")
+        return sorted(m.key for m in world.members_of("node") if m.state == "live")
 
-    return [(permits, "need_of", need_of)]
+    return [(drains, "members_to_drain", need_of)]
 
 
 def silence_taken_for_an_end() -> list[Patch]:
     """A member whose session has run out counts as ended."""
-    plain = commands._APPLY[commands.Lapsed]
+    plain = dispatch.HANDLERS[ExpireSessions]
 
     def lapsed(world, command):
         plain(world, command)
         for key in command.silent:
-            permits.member_ended(world, key)
+            drains.member_ended(world, key)
 
-    return [(commands._APPLY, commands.Lapsed, lapsed)]
+    return [(dispatch.HANDLERS, ExpireSessions, lapsed)]
 
 
 def lease_ends_at_the_giver_first() -> list[Patch]:
     """The keepers take a lease for over in half of its time."""
-    return [(members, "LEASE", members.LEASE // 2)]
+    return [(session_tracker, "LEASE_US", session_tracker.LEASE_US // 2)]
 
 
 def lease_by_a_timer() -> list[Patch]:
     """A process that stood still goes by what its timer said before."""
-    return [(Agent, "holds", lambda self, now: self._held or now < self.lease_till)]
+    return [(MemberSession, "holds", lambda self, now: self._announced or now < self.lease_until)]
 
 
 def lease_not_asked_when_acting() -> list[Patch]:
     """A steward acts on orders whatever has become of its lease."""
-    plain = Steward.order
+    plain = ProcessSupervisor.order
 
     def order(self, now, units, lease_till):
         return plain(self, now, units, now + 1)
 
-    return [(Steward, "order", order)]
+    return [(ProcessSupervisor, "order", order)]
 
 
 def new_leader_without_grace() -> list[Patch]:
     """A new leader takes those it has not heard for silent at once, and believes it of any number."""
-    plain = members.Sessions.__init__
+    plain = session_tracker.SessionTracker.__init__
 
     def begin(self, now):
         plain(self, now)
-        self.began = now - 2 * members.LEASE
+        self.counted_from = now - 2 * session_tracker.LEASE_US
 
-    return [(members.Sessions, "__init__", begin), (members, "MOST_PART", 2.0)]
+    return [(session_tracker.SessionTracker, "__init__", begin), (session_tracker, "MAX_MISSING_SHARE", 2.0)]
 
 
 def reads_without_a_majority() -> list[Patch]:
@@ -254,11 +266,11 @@
     """A request that is repeated is carried out again."""
 
     def once(world, request):
-        done = commands._APPLY[type(request)](world, request)
-        commands._settle(world)
+        done = dispatch.HANDLERS[type(request)](world, request)
+        dispatch.advance(world)
         return done
 
-    return [(commands, "_once", once)]
+    return [(dispatch, "_apply_request", once)]
 
 
 def way_back_without_permits() -> list[Patch]:
@@ -267,12 +279,12 @@
     def backward(world, found):
         for step in found.steps:
             if step.state in ("changing", "failed", "new"):
-                step.state, step.since = "back-changing", world.clock
-                release._want(world, found, step)
+                step.state, step.state_since = "back-changing", world.clock
+                rollout.order_unit(world, found, step)
         if all(step.state in ("old", "restored") for step in found.steps):
-            release.move(world, found, "complete")
+            release_states.move(world, found, "complete")
 
-    return [(release, "_backward", backward)]
+    return [(rollout, "_roll_back", backward)]
 
 
 def sends_before_it_was_told() -> list[Patch]:
@@ -282,104 +294,109 @@
 
 def older_orders_followed() -> list[Patch]:
     """A steward follows orders by their arrival, not by their epoch."""
-    plain = Steward.order
+    plain = ProcessSupervisor.order
 
     def order(self, now, units, lease_till):
-        kept = {name: self.units[name].epoch for name in units if name in self.units}
+        kept = {name: self.units[name].applied_epoch for name in units if name in self.units}
         self.first = getattr(self, "first", {})
         for name, told in units.items():
             self.first.setdefault(name, told)
         if now % 7 == 0:  # an old word comes again, as a late message may
             for name in kept:
-                self.units[name].epoch = -1
+                self.units[name].applied_epoch = -1
             return plain(self, now, self.first, lease_till)
         return plain(self, now, units, lease_till)
 
-    return [(Steward, "order", order)]
+    return [(ProcessSupervisor, "order", order)]
 
 
 def snapshot_without_permits() -> list[Patch]:
     """What waits for a drain is not in the snapshot."""
-    from cedarmill.fleet import keeper
-
-    plain = keeper.thaw
+    plain = replica.decode_snapshot
 
     def thaw(text):
         world = plain(text)
         for permit in world.permits.values():
-            permit.need = []
+            permit.undrained_members = []
         return world
 
-    return [(keeper, "thaw", thaw)]
+    return [(replica, "decode_snapshot", thaw)]
 
 
 def epoch_of_an_ack_not_asked() -> list[Patch]:
     """A member's word that it is done counts whatever grant it spoke of."""
 
-    def tell_done(self, now, key, beat):
-        done = {p.target: p.epoch for p in self.world.permits.values() if p.out and key in p.need}
+    def confirm_drained(self, now, key, heartbeat):
+        replica = self._replica
+        done = {p.target: p.epoch for p in replica.state.permits.values()
+                if p.out and key in p.undrained_members}  # fmt: skip
         if done:
-            self._once(
-                now, f"done {key} {sorted(done.items())}", commands.Cleared(self.clock(now), key, done)
-            )
+            command = ConfirmDrained(replica.cluster_time(now), key, done)
+            replica.propose_once(now, f"done {key} {sorted(done.items())}", command)
 
-    return [(Keeper, "_tell_done", tell_done)]
+    return [(MemberRequests, "confirm_drained", confirm_drained)]
 
 
 def out_not_told() -> list[Patch]:
     """Members are not told of what was granted last."""
-    plain = views.orders
+    plain = member_orders.orders_for
 
-    def orders(world, member):
-        told = plain(world, member)
-        if told.out:
-            told.out.pop(max(told.out, key=told.out.get))
-        return told
+    def orders_for(world, member):
+        orders = plain(world, member)
+        out = orders.excluded_executors
+        if out:
+            out.pop(max(out, key=out.get))
+        return orders
 
-    def done(self, now, key, beat):
-        epochs = {p.target: p.epoch for p in self.world.permits.values() if p.out and key in p.need}
-        if epochs and beat.epoch >= max(epochs.values()):
-            self._once(now, f"done {key}", commands.Cleared(self.clock(now), key, epochs))
+    def confirm_drained(self, now, key, heartbeat):
+        replica = self._replica
+        epochs = {p.target: p.epoch for p in replica.state.permits.values()
+                  if p.out and key in p.undrained_members}  # fmt: skip
+        if epochs and heartbeat.orders_epoch >= max(epochs.values()):
+            command = ConfirmDrained(replica.cluster_time(now), key, epochs)
+            replica.propose_once(now, f"done {key}", command)
 
-    return [(views, "orders", orders), (Keeper, "_tell_done", done)]
+    return [(member_orders, "orders_for", orders_for), (MemberRequests, "confirm_drained", confirm_drained)]
 
 
 def slice_spent_after_a_pause() -> list[Patch]:
     """Whether the lease holds is not asked when something is spent."""
-    plain = purse.Purse.spend
-    return [(purse.Purse, "spend", lambda self, now, holds, keep=0: plain(self, now, True, keep))]
+    plain = budget_lease.BudgetLease.spend
+    return [
+        (budget_lease.BudgetLease, "spend", lambda self, now, holds, keep=0: plain(self, now, True, keep))
+    ]
 
 
 def smaller_slice_counts_at_once() -> list[Patch]:
     """What a holder may still spend by an older word is given to others."""
-    return [(slices.Slice, "counted_rate", property(lambda self: self.rate))]
+    return [(budget_grants.BudgetGrant, "counted_rate", property(lambda self: self.rate))]
 
 
 def floors_add_up() -> list[Patch]:
     """Each node's floor is the whole of what all floors may be."""
-    return [(slices.Budget, "floor", property(lambda self: self.rate // 5))]
+    return [(budget_grants.Budget, "floor", property(lambda self: self.rate // 5))]
 
 
 def spends_before_it_was_told() -> list[Patch]:
     """A life that has heard of no budget is bound by none."""
-    plain = purse.Purses.__init__
-    return [(purse.Purses, "__init__", lambda self, known=True: plain(self, True))]
+    plain = budget_lease.BudgetLeases.__init__
+    return [(budget_lease.BudgetLeases, "__init__", lambda self, known=True: plain(self, True))]
 
 
 def returned_twice() -> list[Patch]:
     """A slice that is made smaller is free at once, and once more when its holder follows."""
 
     def follows(world, key, epoch):
-        for name, by in world.slices.items():
+        for name, by in world.budget_grants.items():
             one = by.get(key)
-            if one is not None and one.epoch <= epoch and one.before > one.rate:
+            if one is not None and one.epoch <= epoch and one.previous_rate > one.rate:
                 budget = world.budgets[name]
-                more = (one.before - one.rate) * 1000 // slices.LEASED
-                world.budgets[name] = slices.Budget(name, budget.rate + more, budget.nodes)
-                one.before = one.rate
-        slices.deal(world)
+                more = (one.previous_rate - one.rate) * 1000 // budget_grants.GRANTED_SHARE
+                world.budgets[name] = budget_grants.Budget(name, budget.rate + more, budget.nodes)
+                one.previous_rate = one.rate
+        budget_grants.deal(world)
 
-    return [(slices, "follows", follows)]
+    return [(budget_grants, "acknowledge", follows)]
 
 
 BUGS: dict[str, Callable[[], list[Patch]]] = {
--- a/cedarmill/lab/fleet/regions.py
+++ b/cedarmill/lab/fleet/regions.py
@@ -586,7 +586,7 @@
             if follower.plan is None:
                 continue
             follower.decide(self.now, self._light(int(n), sums))
-            for bound, found in follower.rows(self.now).items():
+            for bound, found in follower.weights(self.now).items():
                 row = numpy.zeros(run.count)
                 for zone, part in found.items():
                     if zone == follower.plan.zone and zone in follower.plan.closed_zones:
--- a/cedarmill/lab/fleet/small.py
+++ b/cedarmill/lab/fleet/small.py
@@ -4,12 +4,26 @@
 
 import msgspec
 
-from cedarmill.fleet import commands, traffic, views, zones
-from cedarmill.fleet.evidence import BOUNDS, WHOLE, Evidence, Seen, ZoneNews
-from cedarmill.fleet.follow import Follower
-from cedarmill.fleet.words import Orders
-from cedarmill.fleet.world import Limit, Member, Target, World
-from cedarmill.fleet.zones import Zoning
+from cedarmill.fleet.member_orders import orders_for
+from cedarmill.fleet.messages import Orders
+from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation
+from cedarmill.fleet.plan_follower import PlanFollower
+from cedarmill.fleet.state import ClusterState, Limit, Member, RequestOutcome, Target
+from cedarmill.fleet.state_machine.command import Command
+from cedarmill.fleet.state_machine.dispatch import apply, encode, next_due
+from cedarmill.fleet.state_machine.permit_states import open_permit
+from cedarmill.fleet.state_machine.permits import ConfirmDrained, RequestPermits, ReturnPermit
+from cedarmill.fleet.state_machine.sessions import ExpireSessions, RestoreSession
+from cedarmill.fleet.state_machine.setup import AdvanceTime
+from cedarmill.fleet.state_machine.targets import UpdateTargets
+from cedarmill.fleet.state_machine.traffic import RecordZoneEvidence
+from cedarmill.fleet.state_machine.zones import ControlZone, SetZones
+from cedarmill.fleet.traffic_control.reports import route_weights
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.fleet.traffic_plan.planner import available_room, demand_by_source
+from cedarmill.fleet.traffic_plan.state import WeightRow
+from cedarmill.fleet.traffic_plan.weights import expected_load
 from cedarmill.lab.fleet.explore import hashed
 
 S = 1_000_000
@@ -18,21 +32,21 @@
 class Entries:
     """A world to which entries are applied one after the other."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: ClusterState) -> None:
         self.world, self.now, self.index = world, S, 0
 
-    def apply(self, command: commands.Command) -> commands.Done:
+    def apply(self, command: Command) -> RequestOutcome:
         self.index += 1
-        return commands.apply(self.world, self.index, commands.encode(command))
+        return apply(self.world, self.index, encode(command))
 
     def pass_time(self, us: int) -> None:
         """Let it pass, with what is due meanwhile."""
         end = self.now + us
-        while (at := commands.due(self.world)) is not None and at <= end:
+        while (at := next_due(self.world)) is not None and at <= end:
             self.now = max(at, self.now)
-            self.apply(commands.Tick(self.now))
+            self.apply(AdvanceTime(self.now))
         self.now = end
-        self.apply(commands.Tick(self.now))
+        self.apply(AdvanceTime(self.now))
 
     def copy(self):
         return copy.deepcopy(self)
@@ -53,7 +67,7 @@
              "acks n1", "silent n1", "back n1", "lost b", "give a")  # fmt: skip
 
     def __init__(self) -> None:
-        super().__init__(World("c", cold_us=0, limits=[Limit("executor", "fleet", most=1)]))
+        super().__init__(ClusterState("c", slow_start_us=0, limits=[Limit("executor", "fleet", most=1)]))
         for name in "ab":
             target = Target("executor", name, "z")
             self.world.targets[f"executor:{name}"] = target
@@ -68,7 +82,7 @@
     def may(self, name: str) -> bool:
         what, _, who = name.partition(" ")
         if what == "acks":
-            return "a" in self.orders[who].out and not self.jobs[who]
+            return "a" in self.orders[who].excluded_executors and not self.jobs[who]
         if what == "back":
             return self.world.members["node:n1:1"].state == "silent"
         if what == "give":
@@ -82,25 +96,25 @@
         what, _, who = name.partition(" ")
         key = f"node:{who}:1"
         if what == "ask":
-            self.apply(commands.Ask(self.now, f"op-{who}", "1", "executor", (who,)))
+            self.apply(RequestPermits(self.now, f"op-{who}", "1", "executor", (who,)))
         elif what == "orders":
-            self.orders[who] = views.orders(self.world, self.world.members[key])
+            self.orders[who] = orders_for(self.world, self.world.members[key])
         elif what == "ends":
             self.jobs[who] = False
         elif what == "acks":
-            self.apply(commands.Cleared(self.now, key, {"a": self.orders[who].out["a"]}))
+            self.apply(ConfirmDrained(self.now, key, {"a": self.orders[who].excluded_executors["a"]}))
         elif what == "silent":
-            self.apply(commands.Lapsed(self.now, (key,)))
+            self.apply(ExpireSessions(self.now, (key,)))
         elif what == "back":
-            self.apply(commands.Back(self.now, key))
+            self.apply(RestoreSession(self.now, key))
         elif what == "lost":
             self.lost_b = True
-            self.apply(commands.Seen(self.now, (Target("executor", "b", "z", health="ill"),)))
+            self.apply(UpdateTargets(self.now, (Target("executor", "b", "z", health="ill"),)))
         else:
-            self.apply(commands.Give(self.now, "op-a", "2", "executor", "a"))
+            self.apply(ReturnPermit(self.now, "op-a", "2", "executor", "a"))
 
     def key(self) -> bytes:
-        orders = [(name, sorted(one.out.items())) for name, one in sorted(self.orders.items())]
+        orders = [(name, sorted(one.excluded_executors.items())) for name, one in sorted(self.orders.items())]
         return hashed(self._state() + repr((orders, self.jobs)).encode())
 
     def broken(self) -> list[str]:
@@ -110,14 +124,14 @@
             found.append("never too many out: a and b are out at once")
         permit = self._out("a")
         if permit is not None and permit.drained:
-            may_send = [n for n, one in self.orders.items() if "a" not in one.out]
+            may_send = [n for n, one in self.orders.items() if "a" not in one.excluded_executors]
             busy = [n for n, job in self.jobs.items() if job]
             found += [f"no work after drained: {n} may still send" for n in may_send]
             found += [f"no job lost by plan: {n} still has a job there" for n in busy]
         return found
 
 
-ZONING = Zoning({"east": ["a", "b"], "west": ["c"]})
+ZONING = ZoneLayout({"east": ["a", "b"], "west": ["c"]})
 SLOTS = 36_000
 
 
@@ -131,11 +145,11 @@
     DEMAND = {"any": 8_000, "region": 2_000, "zone": 1_000}  # of each zone, thousandths of slots
 
     def __init__(self) -> None:
-        super().__init__(World("c", limits=[Limit("zone", "fleet", most=1)]))
-        self.apply(commands.SetZones(self.now, "op", "1", ZONING))
+        super().__init__(ClusterState("c", limits=[Limit("zone", "fleet", most=1)]))
+        self.apply(SetZones(self.now, "op", "1", ZONING))
         self.verdicts = dict.fromkeys("abc", "well")
         self._news()
-        self.followers = {zone: Follower() for zone in "ab"}
+        self.followers = {zone: PlanFollower() for zone in "ab"}
         self.epochs = dict.fromkeys("ab", 0)
         self.went_back = ""
         for zone in "ab":
@@ -145,13 +159,13 @@
         found = {}
         for zone, verdict in self.verdicts.items():
             fails = 333 if verdict == "ill" else 0
-            found[zone] = ZoneNews(verdict, SLOTS, 10_000, fails, 0, self.DEMAND, 3)
-        self.apply(commands.Observed(self.now, Evidence(found)))
+            found[zone] = ZoneAssessment(verdict, SLOTS, 10_000, fails, 0, self.DEMAND, 3)
+        self.apply(RecordZoneEvidence(self.now, ClusterAssessment(found)))
 
     def _told(self, zone: str) -> None:
-        way = traffic.way(self.world, zone)
+        way = route_weights(self.world, zone)
         before = self.epochs[zone]
-        if self.followers[zone].told(way):
+        if self.followers[zone].accept_plan(way):
             self.epochs[zone] = way.epoch
             if way.epoch < before:
                 self.went_back = f"older plans never replace newer ones: {zone} follows {way.epoch}"
@@ -161,7 +175,7 @@
         if name == "a well":
             return self.verdicts["a"] == "lost"
         if what == "stay":
-            return commands.open_for(self.world, "zone", rest) is not None
+            return open_permit(self.world, "zone", rest) is not None
         return True
 
     def do(self, name: str) -> None:
@@ -170,57 +184,57 @@
             self.verdicts[what] = {"fails": "ill"}.get(rest, rest)
             self._news()
         elif what in ("leave", "stay"):
-            self.apply(commands.ActZone(self.now, "op", name, what, rest, 2 * S, "works"))
+            self.apply(ControlZone(self.now, "op", name, what, rest, 2 * S, "works"))
         elif what == "plan":
             self._told(rest)
         elif name == "a not reached":
-            self.followers["b"].look(self.now, {"a": Seen(attempts=9, unreached=9)})
+            self.followers["b"].decide(self.now, {"a": LocationObservation(attempts=9, unreached=9)})
         else:
             self.pass_time({"time": 3 * S, "long": 25 * S}[what])
 
     def key(self) -> bytes:
-        follow = [(zone, f.way.epoch, sorted((z, h.until) for z, h in f.holds.items()))
+        follow = [(zone, f.plan.epoch, sorted((z, h.until) for z, h in f.exclusions.items()))
                   for zone, f in self.followers.items()]  # fmt: skip
         return hashed(self._state() + repr((self.now, self.verdicts, follow)).encode())
 
     def broken(self) -> list[str]:
         found = [self.went_back] if self.went_back else []
         plan, world = self.world.traffic, self.world
-        for source, by in plan.shares.items():
+        for source, by in plan.weights.items():
             for bound, row in by.items():
                 found += self._row(source, bound, row, "the plan")
         for zone, follower in self.followers.items():
-            shut = set(follower.way.shut)
-            for bound, row in follower.rows(self.now).items():
+            shut = set(follower.plan.closed_zones)
+            for bound, row in follower.weights(self.now).items():
                 found += [f"a shut zone gets nothing: {z}, {zone}" for z in row if z in shut - {zone}]
                 if row:
                     found += self._row(zone, bound, row, f"a node of {zone}")
-        out = [name for name, one in world.zones.items() if one.state in ("leaving", "out")]
+        out = [name for name, one in world.zones.items() if one.status in ("leaving", "out")]
         if len(out) > 1:
             found.append(f"never too many out: {' and '.join(out)} are evacuated at once")
         return found + self._room()
 
     @staticmethod
-    def _row(source: str, bound: str, row: zones.Row, whose: str) -> list[str]:
+    def _row(source: str, bound: str, row: WeightRow, whose: str) -> list[str]:
         found = []
         if sum(row.values()) != WHOLE:
             found.append(f"rows are whole: {whose}, {source} {bound}: {row}")
-        if set(row) - set(ZONING.reach(source, bound)):
+        if set(row) - set(ZONING.reachable_zones(source, bound)):
             found.append(f"residents stay: {whose}, {source} {bound}: {row}")
         return found
 
     def _room(self) -> list[str]:
         """What others send to a zone by the aim never brings it over its safe load."""
         plan = self.world.traffic
-        room, spare = zones.rooms(ZONING, self.world.zones, plan.news)
-        demand = zones.demands(plan.news)
-        load = zones.load_of(plan.aim, demand)
+        room, spare = available_room(ZONING, self.world.zones, plan.assessment)
+        demand = demand_by_source(plan.assessment)
+        load = expected_load(plan.target_weights, demand)
         found = []
         for zone in "abc":
-            mine = sum(slots * plan.aim[zone][b].get(zone, 0) // WHOLE
-                       for b in BOUNDS if (slots := demand.get((zone, b), 0)))  # fmt: skip
+            mine = sum(slots * plan.target_weights[zone][b].get(zone, 0) // WHOLE
+                       for b in SCOPES if (slots := demand.get((zone, b), 0)))  # fmt: skip
             most = max(room[zone] + spare[zone], mine) + 50  # thousandths of a slot: rounding of shares
-            if load.get(zone, 0) > most and zone in plan.aim:
+            if load.get(zone, 0) > most and zone in plan.target_weights:
                 found.append(f"no receiver over its safe load: {zone} gets {load[zone]} of {most}")
         return found
 
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -16,12 +16,11 @@
 
 import msgspec
 
-from cedarmill.fleet import slices, traffic
+from cedarmill.fleet import budget_grants
 from cedarmill.fleet.agree import words as w
 from cedarmill.fleet.agree.core import Saved, Timing
-from cedarmill.fleet.evidence import Digest
-from cedarmill.fleet.follow import Follower
-from cedarmill.fleet.former_names import former_field
+from cedarmill.fleet.budget_grants import Budget
+from cedarmill.fleet.budget_lease import BudgetLeases
 from cedarmill.fleet.hosting import Host
 from cedarmill.fleet.messages import (
     ClientRequest,
@@ -33,7 +32,9 @@
     SubmitReply,
     SubmitRequest,
 )
-from cedarmill.fleet.purse import Purses
+from cedarmill.fleet.observations.digest import ObservationDigest
+from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog
+from cedarmill.fleet.plan_follower import PlanFollower
 from cedarmill.fleet.replica import Replica
 from cedarmill.fleet.session import (
     Connect,
@@ -44,8 +45,6 @@
     ProbeMember,
     SendRequest,
 )
-from cedarmill.fleet.sightings import Place, Sightings
-from cedarmill.fleet.slices import Budget
 from cedarmill.fleet.state import EPOCH_INDEX_BITS, ClusterState, Limit, ReleasePlan, encode_snapshot
 from cedarmill.fleet.state_machine import commands
 from cedarmill.fleet.supervision import (
@@ -55,7 +54,8 @@
     StopProcess,
     StoreUnits,
 )
-from cedarmill.fleet.zones import Zoning
+from cedarmill.fleet.traffic_control import intake
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.lab.fleet.history import History
 from cedarmill.lab.fleet.laws import Record
 from cedarmill.lab.story import Visit
@@ -150,8 +150,6 @@
 class VKeeper(Process):
     """A keeper with its disk."""
 
-    keeper = former_field("replica")
-
     def __init__(self, world: "Virtual", name: str, config: w.Config, fresh: ClusterState) -> None:
         super().__init__(world, name, name)
         self.disk = Disk(Saved(1, "", w.Snapshot(1, 1, config, encode_snapshot(fresh))))
@@ -346,10 +344,10 @@
         self.tally = [0, 0, 0, 0]
         self.version = version
         self.zone = zone
-        self.follower = Follower()
-        self.sights = Sightings(0)
+        self.follower = PlanFollower()
+        self.sights = ObservationLog(0)
         self.digest_at = 0
-        self.purses = Purses()
+        self.purses = BudgetLeases()
         address, stops = f"v:{name}:{life}", world.shape.stops
         super().__init__(
             world,
@@ -369,32 +367,34 @@
                 done[self.name] = self.agent.orders.drain_clients_epoch
         seen = {name: ExecutorObservation("ready", not box.up, zone=f"z{n % self.world.shape.zones}", slots=2)
                 for n, (name, box) in enumerate(self.world.executors.items())}  # fmt: skip
-        way = self.follower.way
+        way = self.follower.plan
         if way is not None:
             held = {self.world.zone_of(name) for name, jobs in self.jobs.items() if jobs}
             done |= {zone: epoch for zone, epoch in way.closed_zones.items() if zone not in held}
-        wants = self.purses.wants(self.clock.now())
+        wants = self.purses.demands(self.clock.now())
         return MemberReport(
             done, seen, request_counts=tuple(self.tally), digest=self._digest(), budget_demand=wants
         )
 
-    def _digest(self) -> Digest | None:
+    def _digest(self) -> ObservationDigest | None:
         now = self.clock.now()
         if not self.world.shape.plans or now < self.digest_at:
             return None
         self.digest_at = now + S
-        epoch = self.follower.way.epoch if self.follower.way is not None else 0
-        return self.sights.digest(now, self.zone, self.sights.seen(now, self._places()), epoch, (), False)
+        epoch = self.follower.plan.epoch if self.follower.plan is not None else 0
+        return self.sights.make_digest(
+            now, self.zone, self.sights.observations(now, self._places()), epoch, (), False
+        )
 
-    def _places(self) -> dict[str, Place]:
+    def _places(self) -> dict[str, LocationEstimate]:
         zones = self.world.by_zone
-        return {zone: Place(len(names), 2000 * len(names), 0) for zone, names in zones.items()}
+        return {zone: LocationEstimate(len(names), 2000 * len(names), 0) for zone, names in zones.items()}
 
     def follow(self, orders: Orders) -> None:
         self.out = dict(orders.excluded_executors)
-        self.purses.told(self.clock.now(), self.agent.holds(self.clock.now()), orders.budget_leases)
-        if self.follower.told(orders.routes):
-            who, epoch = f"{self.name}/{self.identity.incarnation}", self.follower.way.epoch
+        self.purses.set_rates(self.clock.now(), self.agent.holds(self.clock.now()), orders.budget_leases)
+        if self.follower.accept_plan(orders.routes):
+            who, epoch = f"{self.name}/{self.identity.incarnation}", self.follower.plan.epoch
             self.world.history.tell(who, "follows", self.zone, epoch=epoch)
 
     def _ask_often(self) -> None:
@@ -410,7 +410,7 @@
     def _spend(self) -> None:
         if self.purses.spend(self.clock.now(), self.agent.holds(self.clock.now()), BUDGET.name):
             purse = self.purses.by_name.get(BUDGET.name)
-            self.world.spent.append((self.world.time, purse is None or purse.leased))
+            self.world.spent.append((self.world.time, purse is None or purse.lease_held))
 
     def _work(self) -> None:
         if not self.alive:
@@ -439,13 +439,13 @@
         """
         if not self.world.shape.plans:
             return list(self.world.executors)
-        way, now = self.follower.way, self.clock.now()
+        way, now = self.follower.plan, self.clock.now()
         if way is None:
             return self.world.by_zone[self.zone] if stays else list(self.world.executors)
-        self.follower.look(now, self.sights.seen(now, self._places()))
-        row = self.follower.rows(now)["region" if stays else "any"]
+        self.follower.decide(now, self.sights.observations(now, self._places()))
+        row = self.follower.weights(now)["region" if stays else "any"]
         zone = self.dice.choices([*row], [*row.values()])[0] if row else ""
-        self.sights.wanted(now, "region" if stays else "any", 200 * MS)
+        self.sights.record_demand(now, "region" if stays else "any", 200 * MS)
         return self.world.by_zone.get(zone, [])
 
     def may_send(self) -> bool:
@@ -457,7 +457,7 @@
     def ended(self, name: str, lost: bool = False) -> None:
         """A job has come back, or never arrived."""
         self.jobs[name] -= 1
-        self.sights.ended(self.clock.now(), (self.world.zone_of(name),), False, False, lost)
+        self.sights.record_attempt(self.clock.now(), (self.world.zone_of(name),), False, False, lost)
         self.tally[0] += 1
         bad = 0.2 if self.version == "failing" else 0.01
         self.tally[1] += self.dice.random() < bad
@@ -710,11 +710,11 @@
         config = {name: w.Peer("", True, "") for name in names}
         fresh = ClusterState("lab", limits=list(shape.limits), slow_start_us=COLD)
         if shape.spends:
-            slices.set_up(fresh, [BUDGET])
+            budget_grants.set_budgets(fresh, [BUDGET])
         if shape.plans:
             laid = {f"r{n}": [f"z{z}" for z in range(shape.zones) if self.region_of(f"z{z}") == f"r{n}"]
                     for n in range(2)}  # fmt: skip
-            traffic.set_up(fresh, Zoning({region: zones for region, zones in laid.items() if zones}))
+            intake.set_layout(fresh, ZoneLayout({region: zones for region, zones in laid.items() if zones}))
         self.keepers: dict[str, VKeeper] = dict.fromkeys(names)
         for name in names:
             self.keepers[name] = VKeeper(self, name, config, fresh)
@@ -822,7 +822,8 @@
         slots = dict.fromkeys(places, 2)
         return Record(self.history.events, self.visits, limits, places, slots, None, COLD, found=self.found,
                       granted=self.granted, spent=self.spent,
-                      budget=(BUDGET.leased, BUDGET.rate - BUDGET.leased, self.shape.nodes))  # fmt: skip
+                      budget=(BUDGET.grantable, BUDGET.rate - BUDGET.grantable,
+                              self.shape.nodes))  # fmt: skip
 
     def _till(self, end: int) -> None:
         while self._queue and self._queue[0][0] <= end:
@@ -1003,7 +1004,7 @@
     def _snap(self, lasts: int) -> None:
         """A keeper makes a snapshot, so that others may need it."""
         keeper = self._some_keeper()
-        if keeper.alive and not keeper.paused and keeper.replica.raft.applied > 1:
+        if keeper.alive and not keeper.paused and keeper.replica.raft.commit_index > 1:
             keeper.replica.store_snapshot()
             keeper._do(keeper.replica.take_actions(keeper.clock.now()))
 
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -14,10 +14,18 @@
 import msgspec
 
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import commands
-from cedarmill.fleet import words as f
-from cedarmill.fleet.agent import Facts, Who
-from cedarmill.fleet.purse import Purses, Tries
+from cedarmill.fleet.budget_lease import BudgetLeases, RetryBudget
+from cedarmill.fleet.messages import (
+    ExecutorObservation,
+    Orders,
+    ReadReply,
+    ReadRequest,
+    SubmitReply,
+    SubmitRequest,
+    Unavailable,
+)
+from cedarmill.fleet.session import MemberIdentity, MemberReport
+from cedarmill.fleet.state_machine.commands import RequestPermits, ReturnPermit
 from cedarmill.log import say
 from cedarmill.net.clients import Clients
 from cedarmill.net.config import Address, Config
@@ -53,21 +61,21 @@
         self.clients, self.discovery, self.hands = clients, discovery, hands
         self.dispatch = discovery.dispatch
         self.tally = [0, 0, 0, 0]  # jobs, failed, late, refused
-        self.orders: f.Orders | None = None
+        self.orders: Orders | None = None
         self.pending: dict[tuple[str, str], str] = {}  # of calls at the door without an answer: their ids
         self._calls = 0
         zones = config.settings.zones
         zone = zones[config.settings.zone] if config.settings.zone < len(zones) else ""
         self.life = os.environ.get("CEDARMILL_LIFE") or secrets.token_hex(6)
         listen = Address.parse(options.listen) if options.listen else None
-        who = Who(
+        who = MemberIdentity(
             "node",
             config.name,
             self.life,
             zone,
             options.listen,
             os.environ.get("CEDARMILL_VERSION", ""),
-            stops=options.cut_off == "stop",
+            stops_at_lease_expiry=options.cut_off == "stop",
         )
         keepers = {name: Address.parse(address) for name, address in options.keepers.items()}
         self.membership = Membership(
@@ -76,7 +84,7 @@
         self.listen = listen
         self.dispatch.fence = self.may_send
         self.dispatch.told = self._answered
-        self.purses, self.tries = Purses(known=options.start == "alone"), Tries()
+        self.purses, self.tries = BudgetLeases(known=options.start == "alone"), RetryBudget()
         self.dispatch.may_spend = self._may_spend
         self.dispatch.may_retry = self._may_retry
         hands.agreed = self.obey
@@ -96,7 +104,7 @@
             self.membership.listen(self.listen)
             if not self.listen.port:
                 address = f"{self.listen.host}:{self.membership.port}"
-                self.membership.agent.who = self.membership.who = _at(self.membership.who, address)
+                self.membership.agent.identity = self.membership.who = _at(self.membership.who, address)
         self.membership.start()
 
     # Orders.
@@ -115,53 +123,57 @@
         """A try beyond the first: a share of first tries here, within what the fleet may spend in all."""
         if "retries" not in self.purses.by_name:
             return self.purses.known
-        return self.tries.may(self.tally[0] + self.dispatch.owed) and self._may_spend(now, "retries")
+        return self.tries.spend(self.tally[0] + self.dispatch.owed) and self._may_spend(now, "retries")
 
-    def follow(self, orders: f.Orders) -> None:
+    def follow(self, orders: Orders) -> None:
         """Newer orders: the module hears of what is out as draining."""
         before, self.orders = self.orders, orders
         say(
             "fleet-orders",
             epoch=orders.epoch,
-            out=", ".join(sorted(orders.out)) or "nothing",
-            away="yes" if orders.away else "no",
+            out=", ".join(sorted(orders.excluded_executors)) or "nothing",
+            away="yes" if orders.drain_clients_epoch else "no",
         )
-        if before is None or before.out.keys() != orders.out.keys():
-            self.hands.out_by_fleet(dict.fromkeys(orders.out, self.turn.now()))
+        if before is None or before.excluded_executors.keys() != orders.excluded_executors.keys():
+            self.hands.out_by_fleet(dict.fromkeys(orders.excluded_executors, self.turn.now()))
         if self.may_send(self.turn.now()) or self.options.cut_off == "serve":
             self.discovery.hold(False)
-        self.purses.told(self.turn.now(), self.membership.agent.holds(self.turn.now()), orders.purse)
+        self.purses.set_rates(
+            self.turn.now(), self.membership.agent.holds(self.turn.now()), orders.budget_leases
+        )
         self._learn_peers()
         if self.lanes is not None:
             self._cut(orders)
-            self.lanes.follow(orders.way)
-        if bool(orders.away) != bool(before is not None and before.away):
-            self.hands.send_away(bool(orders.away))
+            self.lanes.follow(orders.routes)
+        if bool(orders.drain_clients_epoch) != bool(before is not None and before.drain_clients_epoch):
+            self.hands.send_away(bool(orders.drain_clients_epoch))
 
-    def _cut(self, orders: f.Orders) -> None:
+    def _cut(self, orders: Orders) -> None:
         gate = self.lanes.gate
-        if (gate.cut, gate.tight) != (orders.cut, orders.tight):
-            rank, part = orders.cut.rank, orders.cut.part
-            tight = ", ".join(f"{bound} {cut.rank / 1000:g}" for bound, cut in sorted(orders.tight.items()))
+        if (gate.threshold, gate.scoped_thresholds) != (orders.admission_cut, orders.scoped_cuts):
+            rank, part = orders.admission_cut.weight, orders.admission_cut.share
+            tight = ", ".join(
+                f"{bound} {cut.weight / 1000:g}" for bound, cut in sorted(orders.scoped_cuts.items())
+            )
             say("cut-followed", part=f"{part / 10:g}%", rank=f"{rank / 1000:g}" if rank >= 0 else "nothing",
                 tight=tight or "nothing")  # fmt: skip
-        gate.told(orders.cut, orders.tight)
+        gate.set_thresholds(orders.admission_cut, orders.scoped_cuts)
 
     def _learn_peers(self, now: int = 0) -> None:
         """Ask who is there, once for each change; again after a while where nobody answers."""
-        epoch = self.orders.peers
+        epoch = self.orders.membership_epoch
         if not epoch:
             self.gossip.follow({})
         elif epoch != self.peopled and not self._asks_peers:
             self._asks_peers = True
-            self.membership.ask(f.Look("peers"), DOOR_US, lambda word: self._peers(word, epoch))
+            self.membership.ask(ReadRequest("peers"), DOOR_US, lambda word: self._peers(word, epoch))
         self.peopled = self.peopled if epoch else 0
 
     def _peers(self, word: object, epoch: int) -> None:
         self._asks_peers = False
-        if isinstance(word, f.Shown):
+        if isinstance(word, ReadReply):
             self.peopled = epoch
-            self.gossip.follow(msgspec.json.decode(word.text, type=dict[str, str]))
+            self.gossip.follow(msgspec.json.decode(word.body, type=dict[str, str]))
         self.turn.deadlines.add(self.turn.now() + PEERS_US, self._learn_peers)
 
     def _lapsed(self) -> None:
@@ -173,13 +185,18 @@
 
     # What is told.
 
-    def facts(self) -> Facts:
+    def facts(self) -> MemberReport:
         """As it stands at a beat."""
         agent = self.membership.agent
-        doubts = self.turn.now() < agent.doubts_till
+        doubts = self.turn.now() < agent.doubts_until
         digest = self.lanes.digest(doubts) if self.lanes is not None else None
-        return Facts(self._done(), self._seen(), counts=tuple(self.tally), digest=digest,
-                     wants=self.purses.wants(self.turn.now()))  # fmt: skip
+        return MemberReport(
+            self._done(),
+            self._seen(),
+            request_counts=tuple(self.tally),
+            digest=digest,
+            budget_demand=self.purses.demands(self.turn.now()),
+        )
 
     def _done(self) -> dict[str, int]:
         """Executors that get nothing from here and have nothing of ours; this node, if its clients are
@@ -188,18 +205,22 @@
         if self.orders is None:
             return {}
         done = {}
-        shut = self.orders.way is not None and self.orders.way.shut
-        busy = self.dispatch.busy() if self.orders.out or shut else set()
+        shut = self.orders.routes is not None and self.orders.routes.closed_zones
+        busy = self.dispatch.busy() if self.orders.excluded_executors or shut else set()
         if shut and self.lanes is not None:
             done |= self.lanes.done(busy)
-        if self.orders.out:
+        if self.orders.excluded_executors:
             numbers = self.discovery.reader.numbers
-            done |= {name: epoch for name, epoch in self.orders.out.items() if numbers.get(name) not in busy}
-        if self.orders.away and not self.clients.sessions and not self.dispatch.owed:
-            done[self.name] = self.orders.away
+            done |= {
+                name: epoch
+                for name, epoch in self.orders.excluded_executors.items()
+                if numbers.get(name) not in busy
+            }
+        if self.orders.drain_clients_epoch and not self.clients.sessions and not self.dispatch.owed:
+            done[self.name] = self.orders.drain_clients_epoch
         return done
 
-    def _seen(self) -> dict[str, f.Sight]:
+    def _seen(self) -> dict[str, ExecutorObservation]:
         now = self.turn.now()
         reader, workers, found = self.discovery.reader, self.dispatch.brain.workers, {}
         zones = {number: name for name, number in reader.zones.items()}
@@ -209,7 +230,7 @@
             ill = worker is not None and worker.strikes >= STRIKES
             sure = ill or (worker is not None and now - worker.heard_at < FRESH_US)
             started = self.discovery.listed_start.get(number, 0)
-            found[reader.names[number]] = f.Sight(
+            found[reader.names[number]] = ExecutorObservation(
                 STATES[entry.state],
                 ill,
                 sure,
@@ -247,19 +268,21 @@
             key, self._new_id()
         )  # asked again without an answer: the same request
         request = (
-            commands.Ask(0, who, number, kind, (name,), "at the door")
+            RequestPermits(0, who, number, kind, (name,), "at the door")
             if takes
-            else commands.Give(0, who, number, kind, name)
+            else ReturnPermit(0, who, number, kind, name)
+        )
+        self.membership.ask(
+            SubmitRequest(request), DOOR_US, lambda word: self._told(word, key, takes, answer)
         )
-        self.membership.ask(f.Do(request), DOOR_US, lambda word: self._told(word, key, takes, answer))
 
     def _new_id(self) -> str:
         self._calls += 1
         return f"{self.life}-{self._calls}"
 
     def _told(self, word: object, key: tuple[str, str], takes: bool, answer: Answer) -> None:
-        if not isinstance(word, f.Did):
-            reason = word.reason if isinstance(word, f.NotHere) else "not understood"
+        if not isinstance(word, SubmitReply):
+            reason = word.reason if isinstance(word, Unavailable) else "not understood"
             answer(503, f"not known: {reason}; call again\n".encode())
             return
         self.pending.pop(key, None)
@@ -282,5 +305,5 @@
         self.turn.deadlines.add(self.turn.now() + LEAVE_US, lambda now: then())
 
 
-def _at(who: Who, address: str) -> Who:
+def _at(who: MemberIdentity, address: str) -> MemberIdentity:
     return dataclasses.replace(who, address=address)
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/gossip.py
@@ -1,6 +1,6 @@
 """News of executors between nodes, on sockets: one connection a pair, where the fleet shares news.
 
-A node tells what it heard itself to those that use the same executor (`fleet/news.py`), at most five times a
+A node tells what it heard itself to those that use the same executor (`fleet/gossip_plan.py`), at most five times a
 second a link, and never what it was told: so a fact makes one message to each user and no more. How old a
 fact can be is bounded by stamps that come back, not by clocks: on a link that is late, or lost one way, the
 bound grows, and what is too old is not followed. Each link carries two small frames a second at the least.
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import news
-from cedarmill.fleet import words as f
+from cedarmill.fleet import gossip_plan
+from cedarmill.fleet.messages import GossipSubscription, GossipUpdate
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.discovery import DiscoveryClient
@@ -43,9 +43,13 @@
         self.stamp, self.stamped = -1, 0  # the newest of the other side, and when it came
         self.dial_at = 0
 
-    def age(self, now: int, word: f.Heard) -> int:
+    def age(self, now: int, word: GossipUpdate) -> int:
         """At most so long ago was it written: since the stamp that it answers (us)."""
-        return OLD_US + 1 if word.echo < 0 else max(0, now - word.echo - word.since)
+        return (
+            OLD_US + 1
+            if word.echoed_timestamp < 0
+            else max(0, now - word.echoed_timestamp - word.echo_age_us)
+        )
 
 
 class Gossip:
@@ -59,7 +63,7 @@
         self.links: dict[str, Link] = {}
         self.mine: frozenset[str] = frozenset()  # executors that this node uses
         self.near: frozenset[str] = frozenset()  # peers that use one of these as well
-        self.draw = news.Draw()
+        self.draw = gossip_plan.GossipPlan()
         self.facts: dict[str, Report] = {}
         self.followed = self.passed_over = 0
         self._due = None
@@ -94,10 +98,12 @@
         """Executors that this node uses, over all zones: drawn by zone, nearly all nodes would share one."""
         names, entries = self.discovery.reader.names, self.discovery.entries.items()
         listed = [names[number] for number, entry in entries if entry.state == api.WorkerState.READY]
-        if not self.draw.set([self.name, *self.peers], listed):
+        if not self.draw.update([self.name, *self.peers], listed):
             return
-        mine = frozenset(self.draw.subset(self.name))
-        self.near = frozenset(name for name in self.peers if not mine.isdisjoint(self.draw.subset(name)))
+        mine = frozenset(self.draw.executors_of(self.name))
+        self.near = frozenset(
+            name for name in self.peers if not mine.isdisjoint(self.draw.executors_of(name))
+        )
         for name in self.links.keys() - self.near:
             self._drop(self.links.pop(name), "uses nothing in common any longer")
         if mine != self.mine:
@@ -107,7 +113,7 @@
 
     def _say_uses(self, link: Link) -> None:
         if link.wire is not None:
-            link.wire.say(0, f.Use(self.cluster, self.name, sorted(self.mine)))
+            link.wire.say(0, GossipSubscription(self.cluster, self.name, sorted(self.mine)))
 
     # Links: of a pair the one whose name comes first dials.
 
@@ -129,7 +135,7 @@
         link.stamp, link.stamped, link.told = -1, self.turn.now(), {}
         self._say_uses(link)
 
-    def take(self, wire: Wire, word: f.Use) -> bool:
+    def take(self, wire: Wire, word: GossipSubscription) -> bool:
         """A peer has dialled, and tells what it uses; False: it is nobody to share with."""
         if word.cluster != self.cluster or word.name not in self.peers:
             return False
@@ -171,19 +177,19 @@
         if facts or now - link.said >= STILL_US:
             link.said = now
             since = now - link.stamped if link.stamp >= 0 else 0
-            link.wire.say(0, f.Heard(facts, now, link.stamp, since))
+            link.wire.say(0, GossipUpdate(facts, now, link.stamp, since))
 
     def _heard(self, wire: Wire, number: int, word: object) -> None:
         link = self.links.get(wire.name)
         if link is None or link.wire is not wire:
             return
         now = self.turn.now()
-        if isinstance(word, f.Use):
+        if isinstance(word, GossipSubscription):
             link.uses = frozenset(word.executors)
-        elif isinstance(word, f.Heard):
+        elif isinstance(word, GossipUpdate):
             age = link.age(now, word)
-            link.stamp, link.stamped = word.stamp, now
-            for name, old, report in word.facts:
+            link.stamp, link.stamped = word.timestamp, now
+            for name, old, report in word.reports:
                 self._take(now, name, old + age, report)
 
     def _take(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -5,6 +5,7 @@
 till that succeeds, and the replica starts from what was read, as after a restart.
 """
 
+import contextlib
 import dataclasses
 import signal
 import sys
@@ -13,15 +14,17 @@
 
 from cedarmill import log
 from cedarmill.core.deadlines import Deadlines
-from cedarmill.fleet import slices, traffic
-from cedarmill.fleet import words as f
+from cedarmill.fleet import budget_grants
 from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.budget_grants import Budget
 from cedarmill.fleet.hosting import Host
-from cedarmill.fleet.keeper import Keeper
-from cedarmill.fleet.members import LEASE
-from cedarmill.fleet.slices import Budget
-from cedarmill.fleet.world import Limit, World, freeze, thaw
-from cedarmill.fleet.zones import Zoning
+from cedarmill.fleet.messages import ClientRequest, ConnectionRejected, Hello, Probe, ProbeReply, Unavailable
+from cedarmill.fleet.replica import Replica
+from cedarmill.fleet.session_tracker import LEASE_US
+from cedarmill.fleet.state import ClusterState, Limit, decode_snapshot, encode_snapshot
+from cedarmill.fleet.traffic_control import intake
+from cedarmill.fleet.traffic_control.errors import InvalidLayoutError
+from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.listening import Acceptor, listening_socket
@@ -58,28 +61,32 @@
               for name, address in sorted(options.peers.items())}  # fmt: skip
     if not text:
         limits = [Limit(*dataclasses.astuple(limit)) for limit in options.limits]
-        world = World(options.cluster, limits=limits, cold_us=options.cold_us,
-                      cold_share=options.cold_share)  # fmt: skip
-        slices.set_up(world, [Budget(*one) for one in options.budgets])
+        world = ClusterState(
+            options.cluster,
+            limits=limits,
+            slow_start_us=options.cold_us,
+            slow_start_share=options.cold_share,
+        )
+        budget_grants.set_budgets(world, [Budget(*one) for one in options.budgets])
         if options.regions:
             regions = {name: list(zones) for name, zones in sorted(options.regions.items())}
-            traffic.set_up(
-                world,
-                Zoning(
-                    regions, dict(sorted(options.costs.items())), options.safe, options.sheds, options.news
-                ),
+            layout = ZoneLayout(
+                regions, dict(sorted(options.costs.items())), options.safe, options.sheds, options.news
             )
-        return w.Snapshot(FIRST, FIRST, config, freeze(world))
+            with contextlib.suppress(InvalidLayoutError):  # no zones are planned then
+                intake.set_layout(world, layout)
+        return w.Snapshot(FIRST, FIRST, config, encode_snapshot(world))
     before = restore(text)
-    world = thaw(before.data)
+    world = decode_snapshot(before.data)
     world.generation, world.cluster = world.generation + 1, options.cluster
     for permit in world.permits.values():
         if permit.state == "granted":
             permit.state = "lost"
-    world.index, world.told = before.index, world.generation << 40 | before.index
-    world.slices, world.deal_from = {}, world.clock + LEASE  # what was leased after the backup may still hold
+    world.index, world.orders_epoch = before.index, world.generation << 40 | before.index
+    world.budget_grants = {}
+    world.budgets_dealt_from = world.clock + LEASE_US  # what was leased after the backup may still hold
     world.note("restored from a backup: what was granted counts as out till it is back")
-    return w.Snapshot(before.index, max(before.term, FIRST), config, freeze(world))
+    return w.Snapshot(before.index, max(before.term, FIRST), config, encode_snapshot(world))
 
 
 class KeeperProcess:
@@ -107,13 +114,13 @@
         self._count = 0
         self._soon = False
         self._timer = None
-        self._words = {f.Hello: self._hello, f.Refused: self._refused}
+        self._words = {Hello: self._hello, ConnectionRejected: self._refused}
 
     def _start_replica(self) -> None:
         """The core as the store tells it."""
         identity = self.store.identity
         seed = int.from_bytes(identity.disk.encode()[-6:], "big") + identity.boot
-        self.keeper = Keeper(self.options.name, self.store.saved, self.turn.now(), seed)
+        self.keeper = Replica(self.options.name, self.store.saved, self.turn.now(), seed)
         self.host = Host(self.keeper, self)
 
     # The port of the host.
@@ -189,7 +196,7 @@
         self._let_another_lead()
         waiting, self.tokens = self.tokens, {}
         for wire, number in waiting.values():
-            self._say(wire, number, f.NotHere(DISK_REFUSAL))
+            self._say(wire, number, Unavailable(DISK_REFUSAL))
         self.deadlines.add(self.failed_at + self.retry_us, self._recover)
 
     def _let_another_lead(self) -> None:
@@ -197,10 +204,10 @@
 
         What this leader could not sync was sent to nobody, so `hand_over` would wait for it in vain.
         """
-        agree = self.keeper.agree
-        followers = [name for name in agree.voters if name in self.wires and name in agree.followers]
-        if self.keeper.leads and followers:
-            target = max(followers, key=lambda name: agree.followers[name].match)
+        agree = self.keeper.raft
+        followers = [name for name in agree.voters if name in self.wires and name in agree.progress]
+        if self.keeper.is_leader and followers:
+            target = max(followers, key=lambda name: agree.progress[name].match_index)
             self.send(target, w.Lead(agree.term))
 
     def _recover(self, now: int) -> None:
@@ -214,7 +221,7 @@
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
             self.deadlines.add(now + self.retry_us, self._recover)
             return
-        store.saved.doubtful |= self.keeper.agree.doubtful or store.lacks(promised)
+        store.saved.doubtful |= self.keeper.raft.needs_catch_up or store.lacks(promised)
         self.store, self.recovering = store, False
         self._start_replica()
         for wire in list(self.wires.values()):
@@ -230,7 +237,7 @@
     def _passed(self, now: int) -> None:
         if self.recovering:
             return
-        self._take(self.keeper.passed(now))
+        self._take(self.keeper.on_time(now))
         for wire in list(self.wires.values()):
             if now - wire.last > SILENT_US:
                 wire.end("silent")
@@ -255,20 +262,20 @@
     def _addresses(self) -> dict[str, Address]:
         """As this keeper's own file names them, else as the cluster does."""
         found = {name: Address.parse(text) for name, text in self.options.peers.items()}
-        for name, peer in self.keeper.agree.config.items():
+        for name, peer in self.keeper.raft.config.items():
             if name not in found and peer.address:
                 found[name] = Address.parse(peer.address)
         found.pop(self.options.name, None)
         return found
 
-    def _own_hello(self) -> f.Hello:
+    def _own_hello(self) -> Hello:
         identity = self.store.identity
-        return f.Hello(self.options.cluster, self.options.name, "keeper", identity.disk, identity.boot)
+        return Hello(self.options.cluster, self.options.name, "keeper", identity.disk, identity.boot)
 
     def _greet(self, wire: Wire) -> None:
         wire.say(0, self._own_hello())
 
-    def _admit(self, hello: f.Hello) -> str:
+    def _admit(self, hello: Hello) -> str:
         """Why a connection is not taken; empty: it is."""
         if hello.cluster != self.options.cluster:
             return f"this is cluster {self.options.cluster}, not {hello.cluster}"
@@ -276,7 +283,7 @@
             return "" if len(self.askers) < SESSIONS else f"{SESSIONS} connections are open already"
         if hello.name == self.options.name:
             return f"{hello.name} is this keeper's own name"
-        peer = self.keeper.agree.config.get(hello.name)
+        peer = self.keeper.raft.config.get(hello.name)
         if peer is not None and peer.disk and peer.disk != hello.disk:
             return (
                 f"{hello.name} has the disk {hello.disk}, the cluster knows {peer.disk}: replace the keeper"
@@ -285,7 +292,7 @@
             return f"{hello.name} has an old copy of its disk: replace the keeper"
         return ""
 
-    def _hello(self, wire: Wire, number: int, hello: f.Hello) -> None:
+    def _hello(self, wire: Wire, number: int, hello: Hello) -> None:
         if self.recovering and hello.role == "keeper":
             wire.end("the disk has failed")
             return
@@ -312,7 +319,7 @@
         if not dialled:
             self._greet(wire)
 
-    def _refused(self, wire: Wire, number: int, word: f.Refused) -> None:
+    def _refused(self, wire: Wire, number: int, word: ConnectionRejected) -> None:
         self._alarm(f"refused by {wire.name}: {word.reason}")
         wire.end(word.reason)
 
@@ -324,22 +331,22 @@
             self._asked(wire, number, word)
         elif self.wires.get(wire.name) is wire:
             if not self.recovering:
-                self._take(self.keeper.heard(self.turn.now(), wire.name, word))
+                self._take(self.keeper.on_message(self.turn.now(), wire.name, word))
         else:
             wire.end("no hello came first")
 
     def _asked(self, wire: Wire, number: int, word: object) -> None:
-        if not isinstance(word, f.Ask):
+        if not isinstance(word, ClientRequest):
             wire.end("not a request")
             return
         if self.recovering:
             name = self.options.name
-            answer = f.Pong(name, "") if isinstance(word, f.Ping) else f.NotHere(DISK_REFUSAL)
+            answer = ProbeReply(name, "") if isinstance(word, Probe) else Unavailable(DISK_REFUSAL)
             self._say(wire, number, answer)
             return
         self._count += 1
         self.tokens[self._count] = wire, number
-        self._take(self.keeper.asked(self.turn.now(), self._count, word))
+        self._take(self.keeper.on_request(self.turn.now(), self._count, word))
 
     def _ended(self, wire: Wire, reason: str) -> None:
         if self.wires.get(wire.name) is wire:
@@ -397,8 +404,8 @@
 
     def _terminate(self) -> None:
         """Hand the lead over first, so that nobody has to miss a leader."""
-        if not self.recovering and self.keeper.leads and len(self.keeper.agree.voters) > 1:
-            self._take(self.keeper.hand_over(self.turn.now()))
+        if not self.recovering and self.keeper.is_leader and len(self.keeper.raft.voters) > 1:
+            self._take(self.keeper.transfer_leadership(self.turn.now()))
             self.deadlines.add(self.turn.now() + 300_000, lambda now: self.loop.stop())
             self.turn.end()
         else:
--- a/cedarmill/net/lanes.py
+++ b/cedarmill/net/lanes.py
@@ -9,12 +9,12 @@
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
-from cedarmill.fleet.evidence import BOUNDS, WHOLE, Digest
-from cedarmill.fleet.follow import STREAK, Follower, Use
-from cedarmill.fleet.overload import ADVICE, OVER, Gate
-from cedarmill.fleet.purse import QUOTA
-from cedarmill.fleet.sightings import Place, Sightings
-from cedarmill.fleet.words import Way
+from cedarmill.fleet.admission_level.gate import OVER_QUOTA_SHARE, RETRY_AFTER_FACTORS, AdmissionGate
+from cedarmill.fleet.budget_lease import QUOTA_PREFIX
+from cedarmill.fleet.messages import RouteWeights
+from cedarmill.fleet.observations.digest import SCOPES, WHOLE, ObservationDigest
+from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog
+from cedarmill.fleet.plan_follower import UNREACHED_STREAK, PlanFollower, RoutingDecision
 from cedarmill.log import say
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.turn import Turn
@@ -36,9 +36,9 @@
         self.turn, self.zone, self.discovery, self.spend = turn, zone, discovery, spend
         self.dispatch = discovery.dispatch
         settings = self.dispatch.brain.settings
-        self.follower = Follower()
-        self.sights = Sightings(turn.now())
-        self.use = Use()
+        self.follower = PlanFollower()
+        self.sights = ObservationLog(turn.now())
+        self.use = RoutingDecision()
         self.dice = Random(name)
         self.digest_at = turn.now()
         self.zone_names: dict[int, str] = {}
@@ -46,10 +46,11 @@
         self._learn_names()
         stays = options.stays
         self.class_bounds = [stays.get(f"class:{spec.name}", "any") for spec in settings.classes]
-        self.quotas = [f"{QUOTA}{tenant.name}" for tenant in settings.tenants]  # budgets, where one is set
+        # Budgets, where one is set.
+        self.quotas = [f"{QUOTA_PREFIX}{tenant.name}" for tenant in settings.tenants]
         self.tenant_bounds = [stays.get(f"tenant:{tenant.name}", "any") for tenant in settings.tenants]
-        self.homes = {bound: self._homes(bound, None) for bound in BOUNDS}
-        self.gate = Gate()
+        self.homes = {bound: self._homes(bound, None) for bound in SCOPES}
+        self.gate = AdmissionGate()
         self.cut = 0  # reqs that a cut refuses, and whose answer has not been told yet
         # us that a job of a class runs where it does not wait: else demand would grow with the queue
         self.runs = [mean[0] for mean in self.dispatch.brain.means]
@@ -59,11 +60,11 @@
         self.dispatch.seen = self._ended
         turn.deadlines.add(turn.now() + LOOK_US, self._again)
 
-    def _homes(self, bound: str, way: Way | None) -> tuple[int, ...]:
+    def _homes(self, bound: str, way: RouteWeights | None) -> tuple[int, ...]:
         """Zones in which such a req may run; before a plan has come, one that may not go far stays here."""
         if bound == "any":
             return ()
-        names = way.reach.get(bound, [self.zone]) if way is not None else [self.zone]
+        names = way.reachable_zones.get(bound, [self.zone]) if way is not None else [self.zone]
         numbers = self.discovery.reader.zones
         return tuple(sorted(numbers[name] for name in names if name in numbers))
 
@@ -77,25 +78,25 @@
         """A req has come: where it may run, by its class or its tenant, the stricter; whether it is cut."""
         bound = self.class_bounds[job.job_class]
         if job.tenant < len(self.tenant_bounds):
-            bound = min(bound, self.tenant_bounds[job.tenant], key=BOUNDS.index)
+            bound = min(bound, self.tenant_bounds[job.tenant], key=SCOPES.index)
         brain, now = self.dispatch.brain, self.turn.now()
         rank = int(brain.settings.classes[job.job_class].worth * 1000)
         if job.tenant < len(self.quotas) and not self.spend(now, self.quotas[job.tenant]):
-            rank = rank * OVER // WHOLE  # beyond its tenant's quota over the fleet
-        self.sights.wanted(now, bound, int(job.slots * self.runs[job.job_class]), rank)
+            rank = rank * OVER_QUOTA_SHARE // WHOLE  # beyond its tenant's quota over the fleet
+        self.sights.record_demand(now, bound, int(job.slots * self.runs[job.job_class]), rank)
         job.homes = self.homes[bound]
-        if self.gate.cuts(now, self.holds(now), rank, self.dice.random(), bound):
-            job.cut = self.dice.uniform(*ADVICE)
+        if self.gate.rejects(now, self.holds(now), rank, self.dice.random(), bound):
+            job.cut = self.dice.uniform(*RETRY_AFTER_FACTORS)
             self.cut += 1
         else:
-            self.sights.came(now)
+            self.sights.record_admitted(now)
 
     def refused(self) -> None:
         """A req was refused: by a cut, which was counted as it came, or by this node's own sight."""
         if self.cut:
             self.cut -= 1
         else:
-            self.sights.turned(self.turn.now())
+            self.sights.record_local_rejection(self.turn.now())
 
     def _ended(self, now: int, attempt) -> None:
         entry = self.discovery.entries.get(attempt.worker)
@@ -106,14 +107,18 @@
         places = (zone, f"{zone}/{kind}") if kind else (zone,)
         spec = attempt.req.spec
         late = attempt.outcome == Outcome.OK and now > attempt.req.due - spec.deadline_us + spec.aim_us
-        self.sights.ended(now, places, attempt.outcome in FAILED, late, attempt.outcome in LOST)
+        self.sights.record_attempt(now, places, attempt.outcome in FAILED, late, attempt.outcome in LOST)
         if attempt.outcome == Outcome.OK:
             self._ran(now, attempt)
             claim = attempt.req.claim
             slot_time = int(claim.slots * self.runs[claim.job_class])
-            self.sights.served(now, slot_time, int(claim.slots * spec.aim_us))
-        way = self.follower.way
-        if way is not None and self.sights.streaks.get(zone, 0) == STREAK and zone not in self.use.cannot:
+            self.sights.record_served(now, slot_time, int(claim.slots * spec.aim_us))
+        way = self.follower.plan
+        if (
+            way is not None
+            and self.sights.unreached_streaks.get(zone, 0) == UNREACHED_STREAK
+            and zone not in self.use.unreachable_zones
+        ):
             self.look()  # at once, not at the next look
 
     def _ran(self, now: int, attempt) -> None:
@@ -128,7 +133,7 @@
 
     # What is told.
 
-    def places(self) -> dict[str, Place]:
+    def places(self) -> dict[str, LocationEstimate]:
         """Beliefs of each zone and group: executors that may be sent to, their slots, and those in use."""
         brain, now = self.dispatch.brain, self.turn.now()
         self._learn_names()
@@ -153,7 +158,7 @@
                 one[0] += 1
                 one[1] += int(1000 * slots * cold)
                 one[2] += int(1000 * max(0.0, slots - free))
-        return {place: Place(*one) for place, one in sums.items()}
+        return {place: LocationEstimate(*one) for place, one in sums.items()}
 
     def _cold(self, entry: api.WorkerEntry, now: int) -> float:
         settings = self.dispatch.brain.settings
@@ -162,30 +167,32 @@
             return 1.0
         return settings.cold_share + (1 - settings.cold_share) * age / settings.cold_us
 
-    def digest(self, doubts: bool) -> Digest | None:
+    def digest(self, doubts: bool) -> ObservationDigest | None:
         """Once in a while; None in between."""
         now = self.turn.now()
         if now < self.digest_at or not self.zone:
             return None
         self.digest_at = now + DIGEST_US
-        seen = self.sights.seen(now, self.places())
+        seen = self.sights.observations(now, self.places())
         brain = self.dispatch.brain
         out = int(1000 * sum(a.request.slots for w in brain.workers.values() for a in w.own.values()))
-        return self.sights.digest(now, self.zone, seen, self.use.epoch, self.use.cannot, doubts, out)
+        return self.sights.make_digest(
+            now, self.zone, seen, self.use.epoch, self.use.unreachable_zones, doubts, out
+        )
 
     # What is followed.
 
-    def follow(self, way: Way | None) -> None:
+    def follow(self, way: RouteWeights | None) -> None:
         """A plan has come."""
-        if not self.follower.told(way):
+        if not self.follower.accept_plan(way):
             return
-        for bound in BOUNDS:
+        for bound in SCOPES:
             self.homes[bound] = self._homes(bound, way)
         self.look()
 
     def _again(self, now: int) -> None:
         self.turn.deadlines.add(now + LOOK_US, self._again)
-        if self.follower.way is not None:
+        if self.follower.plan is not None:
             self.look()
 
     def look(self) -> None:
@@ -193,21 +200,25 @@
         now = self.turn.now()
         places = self.places()
         empty = set(self.discovery.reader.zones) - places.keys()
-        seen = self.sights.seen(now, places)
-        before, self.use = self.use, self.follower.look(now, seen, empty, self.sights.streaks)
-        for zone in self.use.cannot:  # counted anew once it is tried again
-            self.sights.streaks.pop(zone, None)
+        seen = self.sights.observations(now, places)
+        before, self.use = self.use, self.follower.decide(now, seen, empty, self.sights.unreached_streaks)
+        for zone in self.use.unreachable_zones:  # counted anew once it is tried again
+            self.sights.unreached_streaks.pop(zone, None)
         use, numbers = self.use, self.discovery.reader.zones
-        if use.shut != before.shut or use.shut:
-            self._shut(use.shut)
-        if use.rows != before.rows:
-            rows = {self.homes[bound]: {numbers[z]: part / 1000 for z, part in use.rows[bound].items()}
-                    for bound in reversed(BOUNDS)}  # fmt: skip
+        if use.closed_zones != before.closed_zones or use.closed_zones:
+            self._shut(use.closed_zones)
+        if use.weights != before.weights:
+            rows = {self.homes[bound]: {numbers[z]: part / 1000 for z, part in use.weights[bound].items()}
+                    for bound in reversed(SCOPES)}  # fmt: skip
             self.dispatch.shares(now, rows)
-        if use.cannot != before.cannot or use.shut != before.shut or use.epoch != before.epoch:
-            shares = ", ".join(f"{zone} {part / 10:g}%" for zone, part in sorted(use.rows["any"].items()))
+        if (
+            use.unreachable_zones != before.unreachable_zones
+            or use.closed_zones != before.closed_zones
+            or use.epoch != before.epoch
+        ):
+            shares = ", ".join(f"{zone} {part / 10:g}%" for zone, part in sorted(use.weights["any"].items()))
             say("zones-followed", epoch=use.epoch, shares=shares or "nothing",
-                cannot=", ".join(use.cannot) or "nothing")  # fmt: skip
+                cannot=", ".join(use.unreachable_zones) or "nothing")  # fmt: skip
 
     def _shut(self, zones: tuple[str, ...]) -> None:
         """Executors of these zones get nothing, whatever the plan and this node's sight come to."""
@@ -219,8 +230,8 @@
 
     def done(self, busy: set[int]) -> dict[str, int]:
         """Zones that are shut and have nothing of ours, and the epochs of their permits."""
-        if self.follower.way is None:
+        if self.follower.plan is None:
             return {}
         held = {self.zone_names.get(e.zone, "") for n, e in self.discovery.entries.items() if n in busy}
-        return {zone: epoch for zone, epoch in self.follower.way.shut.items()
-                if zone in self.use.shut and zone not in held}  # fmt: skip
+        return {zone: epoch for zone, epoch in self.follower.plan.closed_zones.items()
+                if zone in self.use.closed_zones and zone not in held}  # fmt: skip
--- a/cedarmill/net/member.py
+++ b/cedarmill/net/member.py
@@ -2,8 +2,27 @@
 
 from collections.abc import Callable
 
-from cedarmill.fleet import words as f
-from cedarmill.fleet.agent import Agent, Dial, Facts, Follow, Glance, Lapse, Resume, Say, Who
+from cedarmill.fleet.messages import (
+    ClientRequest,
+    ConnectionRejected,
+    GossipSubscription,
+    Hello,
+    Orders,
+    Probe,
+    ProbeReply,
+    Unavailable,
+)
+from cedarmill.fleet.session import (
+    Connect,
+    FollowOrders,
+    LeaseExpired,
+    LeaseHolds,
+    MemberIdentity,
+    MemberReport,
+    MemberSession,
+    ProbeMember,
+    SendRequest,
+)
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.listening import Acceptor, listening_socket
@@ -22,16 +41,16 @@
         self,
         turn: Turn,
         cluster: str,
-        who: Who,
+        who: MemberIdentity,
         keepers: dict[str, Address],
-        facts: Callable[[], Facts],
-        follow: Callable[[f.Orders], None],
+        facts: Callable[[], MemberReport],
+        follow: Callable[[Orders], None],
         lapsed: Callable[[], None] = lambda: None,
         resumed: Callable[[], None] = lambda: None,
     ) -> None:
         self.turn, self.cluster, self.who, self.keepers = turn, cluster, who, keepers
         first = sum(who.name.encode())
-        self.agent = Agent(who, sorted(keepers), facts, turn.now(), first)
+        self.agent = MemberSession(who, sorted(keepers), facts, turn.now(), first)
         self.follow, self.lapsed, self.resumed = follow, lapsed, resumed
         self.wire: Wire | None = None
         self.port = 0
@@ -41,14 +60,15 @@
         self._count = 0
         self._timer = None
         self._pings: set[Wire] = set()
-        self.taken: Callable[[Wire, f.Use], bool] = lambda wire, word: False  # a node that would share news
+        # A node that would share news.
+        self.taken: Callable[[Wire, GossipSubscription], bool] = lambda wire, word: False
         self._carry_out = {
-            Dial: self._dial,
-            Say: self._say,
-            Follow: self._follow,
-            Glance: self._glance,
-            Lapse: lambda action: self._lapsed(),
-            Resume: lambda action: self._resumed(),
+            Connect: self._dial,
+            SendRequest: self._say,
+            FollowOrders: self._follow,
+            ProbeMember: self._glance,
+            LeaseExpired: lambda action: self._lapsed(),
+            LeaseHolds: lambda action: self._resumed(),
         }
 
     def listen(self, address: Address) -> None:
@@ -69,7 +89,7 @@
         return self.agent.holds(self.turn.now())
 
     def _passed(self, now: int) -> None:
-        self._do(self.agent.passed(now))
+        self._do(self.agent.on_time(now))
 
     def _do(self, actions: list) -> None:
         for action in actions:
@@ -86,30 +106,31 @@
         say("lease-holds", epoch=self.agent.epoch)
         self.resumed()
 
-    def _follow(self, action: Follow) -> None:
+    def _follow(self, action: FollowOrders) -> None:
         self.follow(action.orders)
 
     # The keeper.
 
-    def _dial(self, action: Dial) -> None:
+    def _dial(self, action: Connect) -> None:
         if self.wire is not None:
             before, self.wire = self.wire, None
             before.end("another keeper is tried")
         self.wire = Wire(self.turn, self._heard, self._ended, self._greet)
-        self.wire.name = action.keeper
-        self.wire.dial(self.keepers[action.keeper])
+        self.wire.name = action.replica
+        self.wire.dial(self.keepers[action.replica])
 
     def _greet(self, wire: Wire) -> None:
-        wire.say(0, f.Hello(self.cluster, self.who.name, "client"))
+        wire.say(0, Hello(self.cluster, self.who.name, "client"))
 
-    def _say(self, action: Say) -> None:
+    def _say(self, action: SendRequest) -> None:
         if self.wire is not None:
-            self.wire.say(0, action.ask)  # lost where the connection is not up yet: the next beat tells it
+            # Lost where the connection is not up yet: the next beat tells it.
+            self.wire.say(0, action.request)
 
     def _heard(self, wire: Wire, number: int, word: object) -> None:
         if wire is not self.wire:
             return
-        if isinstance(word, f.Refused):
+        if isinstance(word, ConnectionRejected):
             say("keeper-refuses", keeper=wire.name, reason=word.reason)
             wire.end(word.reason)
             return
@@ -118,14 +139,14 @@
             self.turn.deadlines.cancel(taker[1])
             taker[0](word)
         elif not number:
-            self._do(self.agent.heard(self.turn.now(), word))
+            self._do(self.agent.on_reply(self.turn.now(), word))
 
     def _ended(self, wire: Wire, reason: str) -> None:
         if wire is self.wire:
             self.wire = None
-            self._do(self.agent.broken(self.turn.now()))
+            self._do(self.agent.on_disconnected(self.turn.now()))
 
-    def ask(self, ask: f.Ask, wait_us: int, taker: Callable[[object], None]) -> None:
+    def ask(self, ask: ClientRequest, wait_us: int, taker: Callable[[object], None]) -> None:
         """Ask the keeper dialled; the taker gets its answer, or NotHere after `wait_us`."""
         self._count += 1
         number = self._count
@@ -138,7 +159,7 @@
         taker = self._asked.pop(number, None)
         if taker is not None:
             self.turn.deadlines.cancel(taker[1])
-            taker[0](f.NotHere("no keeper answered in time"))
+            taker[0](Unavailable("no keeper answered in time"))
 
     def leave(self) -> None:
         """This life ends and has nothing out: say so once more."""
@@ -146,23 +167,23 @@
 
     # Looking at others, and being looked at.
 
-    def _glance(self, action: Glance) -> None:
+    def _glance(self, action: ProbeMember) -> None:
         _, _, life = action.key.rpartition(":")
 
         def heard(wire: Wire, number: int, word: object) -> None:
-            done(wire, isinstance(word, f.Pong) and word.life == life)
+            done(wire, isinstance(word, ProbeReply) and word.incarnation == life)
 
         def done(wire: Wire, there: bool) -> None:
             if wire in self._pings:
                 self._pings.discard(wire)
-                self.agent.reached(action.key, there)
+                self.agent.on_probed(action.key, there)
                 wire.end("looked")
 
         wire = Wire(
             self.turn,
             heard,
             lambda wire, reason: done(wire, False),
-            lambda wire: wire.say(1, f.Ping(self.who.name)),
+            lambda wire: wire.say(1, Probe(self.who.name)),
         )
         self._pings.add(wire)
         try:
@@ -191,10 +212,10 @@
             wire.end("late")
 
     def _pinged(self, wire: Wire, number: int, word: object) -> None:
-        if isinstance(word, f.Use):
+        if isinstance(word, GossipSubscription):
             self._pings.discard(wire)
             if not self.taken(wire, word):
                 wire.end("nobody to share news with")
             return
-        if isinstance(word, f.Ping):
-            wire.say(number, f.Pong(self.who.name, self.who.life))
+        if isinstance(word, Probe):
+            wire.say(number, ProbeReply(self.who.name, self.who.incarnation))
--- a/cedarmill/net/operator.py
+++ b/cedarmill/net/operator.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Sequence
 
-from cedarmill.fleet import words as f
+from cedarmill.fleet.messages import ClientReply, ClientRequest, ConnectionRejected, Hello, Unavailable
 from cedarmill.net.config import Address
 from cedarmill.net.peers import Bad, Reader, frame
 
@@ -31,13 +31,13 @@
         self.cluster, self.name = cluster, name
         self.keepers = [Address.parse(text) for text in keepers]
 
-    def ask(self, ask: f.Ask, wait_s: float = ALL_S) -> f.Answer:
+    def ask(self, ask: ClientRequest, wait_s: float = ALL_S) -> ClientReply:
         """Its answer, from whichever keeper; raises NoKeeper."""
         until, reasons = time.monotonic() + wait_s, {}
         while time.monotonic() < until:
             for address in list(self.keepers):
                 answer = self._one(address, ask)
-                if not isinstance(answer, f.NotHere):
+                if not isinstance(answer, Unavailable):
                     self.keepers.remove(address)
                     self.keepers.insert(0, address)
                     return answer
@@ -45,25 +45,25 @@
             time.sleep(0.1)  # not at once again: who is to lead is being settled
         raise NoKeeper("; ".join(f"{where}: {why}" for where, why in reasons.items()) or "no keeper is named")
 
-    def _one(self, address: Address, ask: f.Ask) -> f.Answer:
+    def _one(self, address: Address, ask: ClientRequest) -> ClientReply:
         try:
             with socket.create_connection((address.host, address.port), TRY_S) as sock:
-                sock.sendall(frame(0, f.Hello(self.cluster, self.name, "client")) + frame(1, ask))
+                sock.sendall(frame(0, Hello(self.cluster, self.name, "client")) + frame(1, ask))
                 return self._answer(sock)
         except (OSError, Bad) as error:
-            return f.NotHere(str(error) or type(error).__name__)
+            return Unavailable(str(error) or type(error).__name__)
 
     @staticmethod
-    def _answer(sock: socket.socket) -> f.Answer:
+    def _answer(sock: socket.socket) -> ClientReply:
         reader, until = Reader(), time.monotonic() + TRY_S
         while (left := until - time.monotonic()) > 0:
             sock.settimeout(left)
             data = sock.recv(65536)
             if not data:
-                return f.NotHere("closed without an answer")
+                return Unavailable("closed without an answer")
             for number, word in reader.feed(data):
-                if isinstance(word, f.Refused):
-                    return f.NotHere(word.reason)
+                if isinstance(word, ConnectionRejected):
+                    return Unavailable(word.reason)
                 if number == 1:
                     return word
-        return f.NotHere("no answer in time")
+        return Unavailable("no answer in time")
--- a/cedarmill/net/peers.py
+++ b/cedarmill/net/peers.py
@@ -11,7 +11,14 @@
 
 import msgspec
 
-from cedarmill.fleet import words as f
+from cedarmill.fleet.messages import (
+    ClientReply,
+    ClientRequest,
+    ConnectionRejected,
+    GossipMessage,
+    Hello,
+    ReplicaMessage,
+)
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.turn import Turn, callback
@@ -26,7 +33,7 @@
 HELLO_US = 2_000_000  # for the first frame of a connection
 SILENT_US = 4_000_000  # without a byte between keepers, whose heartbeats come ten times a second
 
-Word = f.Hello | f.Refused | f.Between | f.Ask | f.Answer | f.Shared
+Word = Hello | ConnectionRejected | ReplicaMessage | ClientRequest | ClientReply | GossipMessage
 _DECODE = msgspec.msgpack.Decoder(tuple[int, Word])
 _ENCODE = msgspec.msgpack.Encoder()
 
@@ -160,7 +167,7 @@
 
     def refuse(self, reason: str) -> None:
         """Say why, and close."""
-        self.say(0, f.Refused(reason))
+        self.say(0, ConnectionRejected(reason))
         self.over = True
         if self.transport is not None:
             self.transport.close()
--- a/cedarmill/net/steward.py
+++ b/cedarmill/net/steward.py
@@ -19,9 +19,16 @@
 
 from cedarmill import log
 from cedarmill.core.deadlines import Deadlines
-from cedarmill.fleet import words as f
-from cedarmill.fleet.agent import Facts, Who
-from cedarmill.fleet.stewarding import Acted, Keep, Process, Start, Steward, Stop
+from cedarmill.fleet.messages import Orders
+from cedarmill.fleet.session import MemberIdentity, MemberReport
+from cedarmill.fleet.supervision import (
+    OrderApplied,
+    Process,
+    ProcessSupervisor,
+    StartProcess,
+    StopProcess,
+    StoreUnits,
+)
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.listening import listening_socket
@@ -80,16 +87,21 @@
         self.files = Files(options.data)
         self.units = {one.name: Unit(one) for one in options.units}
         kept = Path(self.files.path(KEPT)).read_bytes() if self.files.exists(KEPT) else b""
-        self.core = Steward(
+        self.core = ProcessSupervisor(
             {one.name: one.version for one in options.units}, lambda: secrets.token_hex(6), kept
         )
-        self.waiting: dict[str, Start] = {}  # starts that wait for their socket, by unit
-        self.orders: f.Orders | None = None
+        self.waiting: dict[str, StartProcess] = {}  # starts that wait for their socket, by unit
+        self.orders: Orders | None = None
         part = options.fleet
-        who = Who("steward", options.name, secrets.token_hex(6), address=part.listen)
+        who = MemberIdentity("steward", options.name, secrets.token_hex(6), address=part.listen)
         keepers = {name: Address.parse(address) for name, address in part.keepers.items()}
         self.membership = Membership(self.turn, part.cluster, who, keepers, self._facts, self._follow)
-        self._carry_out = {Start: self._start, Stop: self._stop, Keep: self._keep, Acted: self._acted}
+        self._carry_out = {
+            StartProcess: self._start,
+            StopProcess: self._stop,
+            StoreUnits: self._keep,
+            OrderApplied: self._acted,
+        }
         self.code = 0
 
     def run(self) -> int:
@@ -117,10 +129,10 @@
 
     # The fleet.
 
-    def _facts(self) -> Facts:
-        return Facts(units=self.core.told(), ended=list(self.core.ended))
+    def _facts(self) -> MemberReport:
+        return MemberReport(units=self.core.reports(), ended_members=list(self.core.ended_members))
 
-    def _follow(self, orders: f.Orders) -> None:
+    def _follow(self, orders: Orders) -> None:
         self.orders = orders
         self._obey()
 
@@ -134,7 +146,7 @@
         for name in self.orders.units.keys() - known.keys():
             if name in self.units:
                 say("steward-waits", unit=name, reason=f"no command for version {self.orders.units[name][0]}")
-        self._do(self.core.order(now, known, self.membership.agent.lease_till))
+        self._do(self.core.order(now, known, self.membership.agent.lease_until))
 
     # Processes.
 
@@ -142,20 +154,20 @@
         for action in actions:
             self._carry_out[type(action)](action)
 
-    def _acted(self, action: Acted) -> None:
-        say("steward-acts", unit=action.unit, epoch=action.epoch, left=action.left)
+    def _acted(self, action: OrderApplied) -> None:
+        say("steward-acts", unit=action.unit, epoch=action.epoch, left=action.lease_left_s)
 
-    def _keep(self, action: Keep) -> None:
+    def _keep(self, action: StoreUnits) -> None:
         """Before what follows of it; a steward that cannot keep it must not go on."""
         try:
-            self.files.replace(KEPT, action.text)
+            self.files.replace(KEPT, action.document)
         except OSError as error:
             say("keeper-disk", reason=error.strerror or error)
             self.code = 3
             self.loop.stop()
             raise
 
-    def _start(self, action: Start) -> None:
+    def _start(self, action: StartProcess) -> None:
         unit = self.units[action.unit]
         reason = unit.hold()
         if reason:  # the process before still has it, and its steward has died
@@ -169,23 +181,25 @@
             **unit.options.env,
             "LB_SOCKET_FD": str(unit.socket.fileno()),
             "LB_MGMT": "127.0.0.1:0",
-            "CEDARMILL_LIFE": action.life,
+            "CEDARMILL_LIFE": action.incarnation,
             "CEDARMILL_VERSION": action.version,
         }
         try:
             child = self._spawn(unit, action, env)
         except OSError as error:  # no such command, say: as a process that ended at once
             say("steward-waits", unit=action.unit, reason=f"version {action.version}: {error.strerror}")
-            self._do(self.core.exited(self.turn.now(), action.unit, action.life))
+            self._do(self.core.on_exited(self.turn.now(), action.unit, action.incarnation))
             return
-        unit.children[action.life] = child
-        unit.ticks[action.life] = start_ticks(child.pid)
-        say("steward-starts", unit=action.unit, version=action.version, life=action.life, pid=child.pid)
-        self._do(self.core.started(action.unit, action.life, child.pid))
+        unit.children[action.incarnation] = child
+        unit.ticks[action.incarnation] = start_ticks(child.pid)
+        say(
+            "steward-starts", unit=action.unit, version=action.version, life=action.incarnation, pid=child.pid
+        )
+        self._do(self.core.on_started(action.unit, action.incarnation, child.pid))
 
-    def _spawn(self, unit: Unit, action: Start, env: dict[str, str]) -> subprocess.Popen:
+    def _spawn(self, unit: Unit, action: StartProcess, env: dict[str, str]) -> subprocess.Popen:
         """The unit's process with its log; raises OSError."""
-        with open(self._log_path(action.unit, action.life), "ab") as out:
+        with open(self._log_path(action.unit, action.incarnation), "ab") as out:
             return subprocess.Popen(
                 unit.options.commands[action.version],
                 env=env,
@@ -196,15 +210,15 @@
                 start_new_session=True,
             )
 
-    def _stop_others(self, action: Start) -> None:
-        for life, process in self.core.units[action.unit].lives.items():
-            if life != action.life and process.pid and not process.stopping:
+    def _stop_others(self, action: StartProcess) -> None:
+        for life, process in self.core.units[action.unit].processes.items():
+            if life != action.incarnation and process.pid and not process.stopping:
                 process.stopping = True
                 self._signal(action.unit, process, signal.SIGTERM)
 
-    def _stop(self, action: Stop) -> None:
-        say("steward-stops", unit=action.unit, life=action.life)
-        process = self.core.units[action.unit].lives[action.life]
+    def _stop(self, action: StopProcess) -> None:
+        say("steward-stops", unit=action.unit, life=action.incarnation)
+        process = self.core.units[action.unit].processes[action.incarnation]
         self._signal(action.unit, process, signal.SIGTERM)
 
     def _signal(self, unit: str, process: Process, number: int) -> None:
@@ -214,11 +228,11 @@
                 os.kill(process.pid, number)
 
     def _alive(self, unit: str, process: Process) -> bool:
-        child = self.units[unit].children.get(process.life)
+        child = self.units[unit].children.get(process.incarnation)
         if child is not None:
             return child.poll() is None
         ticks = start_ticks(process.pid) if process.pid else ""
-        return ticks != "" and ticks == self.units[unit].ticks.get(process.life, ticks)
+        return ticks != "" and ticks == self.units[unit].ticks.get(process.incarnation, ticks)
 
     def _adopt(self, process: Process) -> bool:
         """Whether a process that the steward before started lives: by its id, and its life in its
@@ -230,41 +244,41 @@
             env = Path(f"/proc/{process.pid}/environ").read_bytes().split(b"\0")
         except OSError:
             return False
-        if f"CEDARMILL_LIFE={process.life}".encode() not in env:
+        if f"CEDARMILL_LIFE={process.incarnation}".encode() not in env:
             return False
         for name, unit in self.core.units.items():
-            if process.life in unit.lives:
-                self.units[name].ticks[process.life] = start_ticks(process.pid)
-                say("steward-adopts", unit=name, life=process.life, pid=process.pid)
+            if process.incarnation in unit.processes:
+                self.units[name].ticks[process.incarnation] = start_ticks(process.pid)
+                say("steward-adopts", unit=name, life=process.incarnation, pid=process.pid)
         return True
 
     def _look(self, now: int) -> None:
         """Ten times a second: who has ended, who is ready, what is to be started anew."""
         self.deadlines.add(now + LOOK_US, self._look)
         for name, unit in self.core.units.items():
-            for life, process in list(unit.lives.items()):
+            for life, process in list(unit.processes.items()):
                 if process.pid and not self._alive(name, process):
                     self._ended(name, life)
             if unit.current and not unit.ready and self._ready(name, unit.current):
                 say("steward-ready", unit=name, life=unit.current, version=unit.version)
-                self._do(self.core.ready(now, name, unit.current))
+                self._do(self.core.on_ready(now, name, unit.current))
         for process in self.core.to_kill(now):
             for name, unit in self.core.units.items():
-                if process.life in unit.lives:
+                if process.incarnation in unit.processes:
                     self._signal(name, process, signal.SIGKILL)
         for action in list(self.waiting.values()):
-            if self.core.units[action.unit].current == action.life:
+            if self.core.units[action.unit].current == action.incarnation:
                 self._start(action)
             else:
                 del self.waiting[action.unit]
-        self._do(self.core.passed(now))
+        self._do(self.core.on_time(now))
         self._obey()
 
     def _ended(self, name: str, life: str) -> None:
         child = self.units[name].children.pop(life, None)
         self.units[name].ticks.pop(life, None)
         say("steward-ended", unit=name, life=life, code="?" if child is None else child.returncode)
-        self._do(self.core.exited(self.turn.now(), name, life))
+        self._do(self.core.on_exited(self.turn.now(), name, life))
 
     def _log_path(self, unit: str, life: str) -> str:
         return self.files.path(f"{unit}-{life}.log")
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -328,22 +328,22 @@
 
 def write_replica(folder: str, snapshot: bytes, before: list[bytes], after: list[bytes]) -> None:
     """A folder with a disk's identity, a term and a vote, entries, a snapshot, and entries after it."""
-    from cedarmill.fleet.agree import words
+    from cedarmill.fleet.agree import actions, messages
     from cedarmill.store.files import Files
     from cedarmill.store.keep import Store
 
     store = Store(Files(folder), "main", "k1", "d15c0fed")
-    held = msgspec.msgpack.decode(snapshot, type=words.Snapshot)
+    held = msgspec.msgpack.decode(snapshot, type=messages.Snapshot)
     first, rest = (
-        [msgspec.msgpack.decode(one, type=words.Entry) for one in part] for part in (before, after)
+        [msgspec.msgpack.decode(one, type=messages.Entry) for one in part] for part in (before, after)
     )
-    store.save(words.Save(3, "k1"))
-    store.save(words.Put(tuple(first)))
+    store.save(actions.PersistTermAndVote(3, "k1"))
+    store.save(actions.PersistEntries(tuple(first)))
     store.meet("d15c0bad", 4)
     store.sync()
     store.put_snapshot(held, rest[:2])
-    store.save(words.Save(4, "k2"))
-    store.save(words.Put(tuple(rest[2:])))
+    store.save(actions.PersistTermAndVote(4, "k2"))
+    store.save(actions.PersistEntries(tuple(rest[2:])))
     store.sync()
     store.close()
 
@@ -372,37 +372,37 @@
 
 def play_fleet(seed: int) -> Played:
     """Play one seed of the fleet's virtual time to its end."""
-    from cedarmill.fleet.world import freeze
+    from cedarmill.fleet.state import encode_snapshot
     from cedarmill.lab.fleet.search import shape_of
     from cedarmill.lab.fleet.virtual import Virtual
 
     run = Virtual(shape_of(seed), seed)
-    before = freeze(next(iter(run.keepers.values())).keeper.world)
+    before = encode_snapshot(next(iter(run.keepers.values())).replica.state)
     run.run()
-    keeper = max(run.keepers.values(), key=lambda one: one.keeper.agree.applied)
-    last = keeper.keeper.agree.applied
+    keeper = max(run.keepers.values(), key=lambda one: one.replica.raft.commit_index)
+    last = keeper.replica.raft.commit_index
     entries = [(index, term, data) for index, (term, data) in sorted(run.agreed.items()) if index <= last]
-    return Played(before, freeze(keeper.keeper.world), entries, keeper.keeper, keeper.clock.now())
+    return Played(before, encode_snapshot(keeper.replica.state), entries, keeper.replica, keeper.clock.now())
 
 
 def replay(before: bytes, entries: list[tuple[int, int, bytes]]) -> bytes:
     """Apply commands to what was agreed before; what is agreed then."""
-    from cedarmill.fleet.commands import apply
-    from cedarmill.fleet.world import freeze, thaw
+    from cedarmill.fleet.state import decode_snapshot, encode_snapshot
+    from cedarmill.fleet.state_machine.dispatch import apply
 
-    world = thaw(before)
+    world = decode_snapshot(before)
     for index, _, data in entries:
         if data:
             apply(world, index, data)
-    return freeze(world)
+    return encode_snapshot(world)
 
 
 def answer(played: Played, what: str, kind: str = "", names: tuple[str, ...] = ()) -> bytes:
     """What a replica answers to a look."""
-    from cedarmill.fleet.views import show
-    from cedarmill.fleet.words import Look
+    from cedarmill.fleet.messages import ReadRequest
+    from cedarmill.fleet.state_views import render
 
-    return show(played.replica, played.now, Look(what, kind, list(names)))
+    return render(played.replica, played.now, ReadRequest(what, kind, list(names)))
 
 
 def fleet_command(played: Played, words: list[str]) -> tuple[int, str]:
@@ -412,11 +412,13 @@
     from click.testing import CliRunner
 
     from cedarmill.cli import main
-    from cedarmill.fleet.views import show
-    from cedarmill.fleet.words import Shown
+    from cedarmill.fleet.messages import ReadReply
+    from cedarmill.fleet.state_views import render
     from cedarmill.net.operator import Operator
 
-    with mock.patch.object(Operator, "ask", lambda self, ask: Shown(show(played.replica, played.now, ask))):
+    with mock.patch.object(
+        Operator, "ask", lambda self, ask: ReadReply(render(played.replica, played.now, ask))
+    ):
         found = CliRunner().invoke(main, ["fleet", "--keepers", "127.0.0.1:1", "--cluster", "lab", *words])
     if found.exception is not None and not isinstance(found.exception, SystemExit):
         raise found.exception
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -36,7 +36,7 @@
                          {"a": 10_000, "b": 35_000, "c": 35_000})  # fmt: skip
 
     def test_floors_stay_within_their_part(self):
-        self.assertLessEqual(PROBES.floor * PROBES.nodes + PROBES.leased, PROBES.rate)
+        self.assertLessEqual(PROBES.floor * PROBES.nodes + PROBES.grantable, PROBES.rate)
 
 
 class Dealing(unittest.TestCase):
@@ -50,7 +50,7 @@
     def apply(self, command: commands.Command) -> RequestOutcome:
         self.index += 1
         done = dispatch.apply(self.world, self.index, dispatch.encode(command))
-        self.assertLessEqual(granted_rate(self.world.budget_grants["probes"]), PROBES.leased)
+        self.assertLessEqual(granted_rate(self.world.budget_grants["probes"]), PROBES.grantable)
         return done
 
     def request(self, kind, *fields) -> RequestOutcome:
@@ -104,7 +104,7 @@
         self.wants("a", 80_000)
         self.request(commands.SetBudgets, (Budget("probes", 50_000, 10),))
         one = self.world.budget_grants["probes"]["node:a:1"]
-        self.assertEqual((one.rate, one.counts), (40_000, 80_000))
+        self.assertEqual((one.rate, one.counted_rate), (40_000, 80_000))
         self.assertFalse(self.request(commands.SetBudgets, (PROBES, PROBES)).ok)
 
     def test_nothing_is_dealt_before_leases_of_an_older_state_have_passed(self):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -132,7 +132,7 @@
         gossip.discovery.entries = {n: api.WorkerEntry(n, api.WorkerState.READY) for n in names}
         gossip.follow({f"n{n}": "nowhere" for n in range(120)})
         self.clock.pass_on(STILL_US)
-        shares = {name for name in gossip.peers if gossip.mine & set(gossip.draw.subset(name))}
+        shares = {name for name in gossip.peers if gossip.mine & set(gossip.draw.executors_of(name))}
         self.assertEqual(gossip.links.keys(), shares)
         self.assertLess(len(shares), 100, "of 120")
 
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -282,10 +282,10 @@
         self.assertEqual(self.fleet("cut", "set").returncode, 2, "below what?")
         self.assertEqual(self.fleet("cut", "set", "--below", "3").returncode, 1, "a reason is owed")
         self.assertEqual(self.fleet("cut", "set", "--below", "3", "--reason", "storm").returncode, 0)
-        self.wait_for(lambda: node.beat() and node.orders.admission_cut.rank == 3000)
+        self.wait_for(lambda: node.beat() and node.orders.admission_cut.weight == 3000)
         self.assertIn("CUT: what is worth less than 3", self.fleet("load").stdout)
         self.assertEqual(self.fleet("cut", "clear").returncode, 0)
-        self.wait_for(lambda: node.beat() and node.orders.admission_cut.rank < 0)
+        self.wait_for(lambda: node.beat() and node.orders.admission_cut.weight < 0)
 
     def test_who_shares_news_is_told_by_epoch_and_asked_for_once(self):
         first = Member(self, "n0")
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -10,11 +10,19 @@
 from nodes import ROOT
 from test_store import FaultyFiles
 
-from cedarmill.fleet import commands
-from cedarmill.fleet import words as f
 from cedarmill.fleet.agree import words as w
 from cedarmill.fleet.agree.core import Saved
-from cedarmill.fleet.keeper import Keeper
+from cedarmill.fleet.messages import (
+    ChangeReplicas,
+    ClientReply,
+    ClientRequest,
+    Hello,
+    Probe,
+    ReadRequest,
+    SubmitRequest,
+)
+from cedarmill.fleet.replica import Replica
+from cedarmill.fleet.state_machine.commands import RequestPermits
 from cedarmill.net.keeper import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
 from cedarmill.net.operator import NoKeeper, Operator, new_id
 from cedarmill.store.keep import Store
@@ -53,10 +61,10 @@
         with open(self.folder / f"{name}.log", "a") as log:
             self.running[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
 
-    def ask_for(self, target: str) -> f.Do:
-        return f.Do(commands.Ask(0, "operator", new_id(), "executor", (target,)))
+    def ask_for(self, target: str) -> SubmitRequest:
+        return SubmitRequest(RequestPermits(0, "operator", new_id(), "executor", (target,)))
 
-    def asked_alone(self, name: str, ask: f.Ask, wait_s: float = 1) -> f.Answer:
+    def asked_alone(self, name: str, ask: ClientRequest, wait_s: float = 1) -> ClientReply:
         """The answer of this replica and no other."""
         return Operator("main", [f"127.0.0.1:{self.ports[name]}"], "test").ask(ask, wait_s)
 
@@ -79,12 +87,12 @@
                 self.wait_for(lambda name=leader: FAILED in self.keeper_log(name))
                 self.assertNotEqual(self.leader(), leader)
                 with self.assertRaisesRegex(NoKeeper, DISK_REFUSAL):
-                    self.asked_alone(leader, f.Look("status"))
-                self.assertEqual(self.asked_alone(leader, f.Ping("test")).name, leader)
+                    self.asked_alone(leader, ReadRequest("status"))
+                self.assertEqual(self.asked_alone(leader, Probe("test")).name, leader)
                 self.plans[leader].arm()
                 self.wait_for(lambda name=leader: RECOVERED in self.keeper_log(name))
                 self.wait_for(lambda name=leader: self.look("status")["keepers"][name].get("silent_s", 0) < 1)
-                self.operator.ask(f.Keepers("lead", leader), LONG)
+                self.operator.ask(ChangeReplicas("lead", leader), LONG)
                 self.wait_for(lambda name=leader: self.leader() == name)
                 self.assertEqual(self.permits(), before | {f"b{number}": 1})
                 self.assertIsNone(self.running[leader].poll())
@@ -107,8 +115,8 @@
                 with self.assertRaises(NoKeeper):
                     self.operator.ask(ask, 1.5)
                 with self.assertRaisesRegex(NoKeeper, DISK_REFUSAL):
-                    self.operator.ask(f.Look("permits"), 0.5)
-                self.assertEqual(self.operator.ask(f.Ping("test"), LONG).name, "k0")
+                    self.operator.ask(ReadRequest("permits"), 0.5)
+                self.assertEqual(self.operator.ask(Probe("test"), LONG).name, "k0")
                 self.plans["k0"].arm()
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number + 1}")
                 self.assertEqual(self.permits(), before | {f"b{number + 1}": 1})
@@ -188,26 +196,28 @@
     def test_a_leader_asks_the_follower_that_is_furthest_to_lead(self):
         process, keeper = self.process, self.process.keeper
         process.wires = {name: WireStub(name) for name in ("k1", "k2")}
-        self.carry_out(keeper.passed(keeper.due))
+        self.carry_out(keeper.on_time(keeper.due))
         for pre in (True, False):
-            term = keeper.agree.term + pre
-            self.carry_out(keeper.heard(process.turn.now(), "k2", w.Voted(term, True, pre)))
-        self.assertTrue(keeper.leads)
-        answer = w.Appended(keeper.agree.term, True, keeper.agree.log.last, 1)
-        self.carry_out(keeper.heard(process.turn.now(), "k2", answer))
+            term = keeper.raft.term + pre
+            self.carry_out(keeper.on_message(process.turn.now(), "k2", w.Voted(term, True, pre)))
+        self.assertTrue(keeper.is_leader)
+        answer = w.Appended(keeper.raft.term, True, keeper.raft.log.last_index, 1)
+        self.carry_out(keeper.on_message(process.turn.now(), "k2", answer))
         self.break_disk()
         sent = len(process.wires["k2"].said)
         self.carry_out(
-            keeper.asked(process.turn.now(), 1, f.Do(commands.Ask(0, "o", "1", "executor", ("b",))))
+            keeper.on_request(
+                process.turn.now(), 1, SubmitRequest(RequestPermits(0, "o", "1", "executor", ("b",)))
+            )
         )
         self.assertTrue(process.recovering)
-        self.assertEqual(process.wires["k2"].said[sent:], [w.Lead(keeper.agree.term)])
-        self.assertNotIn(w.Lead(keeper.agree.term), process.wires["k1"].said)
+        self.assertEqual(process.wires["k2"].said[sent:], [w.Lead(keeper.raft.term)])
+        self.assertNotIn(w.Lead(keeper.raft.term), process.wires["k1"].said)
 
     def test_a_start_of_another_disk_that_cannot_be_kept_is_a_failure_of_the_disk(self):
         wire = WireStub()
         self.break_disk()
-        self.process._hello(wire, 0, f.Hello("main", "k1", "keeper", disk_name("main", "k1"), 7))
+        self.process._hello(wire, 0, Hello("main", "k1", "keeper", disk_name("main", "k1"), 7))
         self.assertTrue(self.process.recovering)
         self.assertTrue(wire.reason)
         self.assertEqual(self.process.wires, {})
@@ -216,7 +226,7 @@
         process, wire = self.process, WireStub("k1")
         process.wires = {"k1": wire}
         ask = w.Vote(5, 9, 5, False)
-        self.carry_out(process.keeper.heard(process.turn.now() + 10_000_000, "k1", ask))
+        self.carry_out(process.keeper.on_message(process.turn.now() + 10_000_000, "k1", ask))
         self.assertEqual(wire.said, [w.Voted(5, True, False)])
         with open(self.files.path("log"), "rb+") as log:
             log.truncate(len(log.read()) - 1)  # the record of its vote
@@ -225,13 +235,13 @@
         self.files.failing = {}
         process._recover(process.turn.now())
         self.assertFalse(process.recovering)
-        self.assertTrue(process.keeper.agree.doubtful)
+        self.assertTrue(process.keeper.raft.needs_catch_up)
         process.wires = {"k2": WireStub("k2")}
-        self.carry_out(process.keeper.heard(process.turn.now() + 10_000_000, "k2", ask))
+        self.carry_out(process.keeper.on_message(process.turn.now() + 10_000_000, "k2", ask))
         self.assertEqual([reply.granted for reply in process.wires["k2"].said], [False])
         process._disk_failed(OSError("again"))
         process._recover(process.turn.now())
-        self.assertTrue(process.keeper.agree.doubtful, "no second failure ends the doubt")
+        self.assertTrue(process.keeper.raft.needs_catch_up, "no second failure ends the doubt")
 
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
         self.process._disk_failed(OSError("told"))
@@ -246,10 +256,10 @@
         """A leader that answers late knows the id only: ids of two starts on one disk have to differ."""
         ids = []
         for boot in (1, 2):
-            keeper = Keeper("k0", Saved(1, "", w.Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
-            keeper.heard(0, "k1", w.Append(1, 1, 1, (), 1, 1))
+            keeper = Replica("k0", Saved(1, "", w.Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
+            keeper.on_message(0, "k1", w.Append(1, 1, 1, (), 1, 1))
             for token in range(3):
-                [sent] = keeper.asked(1, token + 1, f.Look("status"))
+                [sent] = keeper.on_request(1, token + 1, ReadRequest("status"))
                 ids.append(sent.message.id)
         self.assertEqual(len(set(ids)), 6)
 
