--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/fleet.py
@@ -372,7 +372,7 @@
     import msgspec
 
     from cedarmill.fleet import words as f
-    from cedarmill.fleet.agree.words import Snapshot
+    from cedarmill.fleet.agree.messages import Snapshot
     from cedarmill.store import keep
 
     text = asker.ask(f.Look("backup")).text
--- a/cedarmill/fleet/hosting.py
+++ b/cedarmill/fleet/hosting.py
@@ -5,19 +5,27 @@
 
 from typing import Protocol
 
-from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.agree.actions import (
+    PersistEntries,
+    PersistTermAndVote,
+    RaiseAlarm,
+    RestoreSnapshot,
+    RoleChanged,
+    SendMessage,
+)
+from cedarmill.fleet.agree.messages import Entry, Snapshot
 from cedarmill.fleet.keeper import Keeper, Reply, Snap
 
 
 class Port(Protocol):
     """A disk, a network, and a log for operators."""
 
-    def save(self, action: w.Save | w.Put) -> None: ...
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None: ...
     def sync(self) -> bool: ...
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None: ...
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None: ...
     def send(self, target: str, message: object) -> None: ...
     def reply(self, token: int, answer: object) -> None: ...
-    def tell(self, action: w.Role | w.Alarm) -> None: ...
+    def tell(self, action: RoleChanged | RaiseAlarm) -> None: ...
 
 
 class Host:
@@ -42,10 +50,10 @@
             actions, self.pending = self.pending, []
             last = -1
             for action in actions:
-                if isinstance(action, w.Save | w.Put):
+                if isinstance(action, PersistTermAndVote | PersistEntries):
                     self.port.save(action)
-                    last = action.entries[-1].index if isinstance(action, w.Put) else last
-                elif isinstance(action, w.Install):
+                    last = action.entries[-1].index if isinstance(action, PersistEntries) else last
+                elif isinstance(action, RestoreSnapshot):
                     self.port.put_snapshot(action.snapshot, list(self.keeper.agree.log.entries))
                 elif isinstance(action, Snap):
                     self._snap(now, action.snapshot)
@@ -55,14 +63,14 @@
                 self.pending += self.keeper.synced(now, last)
         self._out(outward)
 
-    def _snap(self, now: int, snapshot: w.Snapshot) -> None:
+    def _snap(self, now: int, snapshot: Snapshot) -> None:
         rest = [entry for entry in self.keeper.agree.log.entries if entry.index > snapshot.index]
         self.port.put_snapshot(snapshot, rest)
         self.pending += self.keeper.kept(now, snapshot)
 
     def _out(self, actions: list) -> None:
         for action in actions:
-            if isinstance(action, w.Send):
+            if isinstance(action, SendMessage):
                 self.port.send(action.target, action.message)
             elif isinstance(action, Reply):
                 self.port.reply(action.token, action.answer)
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -19,8 +19,9 @@
 from cedarmill.fleet import commands, slices, traffic
 from cedarmill.fleet import words as f
 from cedarmill.fleet.agent import Agent, Dial, Facts, Follow, Glance, Say, Who
-from cedarmill.fleet.agree import words as w
-from cedarmill.fleet.agree.core import Saved, Timing
+from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
+from cedarmill.fleet.agree.messages import Config, Entry, Peer, Snapshot
+from cedarmill.fleet.agree.state import PersistentState, Timing
 from cedarmill.fleet.evidence import Digest
 from cedarmill.fleet.follow import Follower
 from cedarmill.fleet.hosting import Host
@@ -125,10 +126,10 @@
 class VKeeper(Process):
     """A keeper with its disk."""
 
-    def __init__(self, world: "Virtual", name: str, config: w.Config, fresh: World) -> None:
+    def __init__(self, world: "Virtual", name: str, config: Config, fresh: World) -> None:
         super().__init__(world, name, name)
-        self.disk = Disk(Saved(1, "", w.Snapshot(1, 1, config, freeze(fresh))))
-        self.copies: list[Saved] = []
+        self.disk = Disk(PersistentState(1, "", Snapshot(1, 1, config, freeze(fresh))))
+        self.copies: list[PersistentState] = []
         self.token = itertools.count(1)
         self.waits: dict[int, Callable] = {}
         self.start()
@@ -152,7 +153,7 @@
     def _passed(self) -> None:
         self._do(self.keeper.passed(self.clock.now()))
 
-    def _agreed(self, entry: w.Entry) -> None:
+    def _agreed(self, entry: Entry) -> None:
         """No other keeper may have applied anything else at that index."""
         known = self.world.agreed.setdefault(entry.index, (entry.term, entry.data))
         epoch = self.keeper.world.generation << EPOCH_BITS | entry.index
@@ -180,7 +181,7 @@
 
     # The port.
 
-    def save(self, action: w.Save | w.Put) -> None:
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
         self.disk.save(action)
 
     def sync(self) -> bool:
@@ -188,7 +189,7 @@
             raise OSError("killed before the sync")
         return self.disk.sync()
 
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None:
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.disk.put_snapshot(snapshot, entries)
 
     def send(self, target: str, message: object) -> None:
@@ -200,20 +201,20 @@
         if back is not None:
             back(answer)
 
-    def tell(self, action: w.Role | w.Alarm) -> None:
-        if isinstance(action, w.Role) and action.leads:
+    def tell(self, action: RoleChanged | RaiseAlarm) -> None:
+        if isinstance(action, RoleChanged) and action.leads:
             self.world.history.tell(self.name, "leads", epoch=action.term)
 
 
 class Disk:
     """What is synced outlives a kill; what is not, may be lost whole or in part."""
 
-    def __init__(self, saved: Saved) -> None:
+    def __init__(self, saved: PersistentState) -> None:
         self.saved = saved
-        self.waiting: list[w.Save | w.Put] = []
+        self.waiting: list[PersistTermAndVote | PersistEntries] = []
         self.syncs = 0
 
-    def save(self, action: w.Save | w.Put) -> None:
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
         self.waiting.append(action)
 
     def sync(self) -> bool:
@@ -225,24 +226,24 @@
         self.waiting = []
         return True
 
-    def _lay(self, action: w.Save | w.Put) -> None:
+    def _lay(self, action: PersistTermAndVote | PersistEntries) -> None:
         s = self.saved
-        if isinstance(action, w.Save):
-            self.saved = Saved(action.term, action.vote, s.snapshot, s.entries)
+        if isinstance(action, PersistTermAndVote):
+            self.saved = PersistentState(action.term, action.vote, s.snapshot, s.entries)
         else:
             first = action.entries[0].index
             kept = tuple(entry for entry in s.entries if entry.index < first)
-            self.saved = Saved(s.term, s.vote, s.snapshot, kept + action.entries)
+            self.saved = PersistentState(s.term, s.vote, s.snapshot, kept + action.entries)
 
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None:
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.sync()
-        self.saved = Saved(self.saved.term, self.saved.vote, snapshot, tuple(entries))
+        self.saved = PersistentState(self.saved.term, self.saved.vote, snapshot, tuple(entries))
 
-    def load(self) -> Saved:
+    def load(self) -> PersistentState:
         self.waiting = []
         s = self.saved
         rest = tuple(entry for entry in s.entries if entry.index > s.snapshot.index)
-        return Saved(s.term, s.vote, s.snapshot, rest, s.doubtful)
+        return PersistentState(s.term, s.vote, s.snapshot, rest, s.needs_catch_up)
 
 
 class VMember(Process):
@@ -664,7 +665,7 @@
         for name in self.executors:
             self.by_zone.setdefault(self.zone_of(name), []).append(name)
         names = [f"keeper-{n}" for n in range(shape.keepers)]
-        config = {name: w.Peer("", True, "") for name in names}
+        config = {name: Peer("", True, "") for name in names}
         fresh = World("lab", limits=list(shape.limits), cold_us=COLD)
         if shape.spends:
             slices.set_up(fresh, [BUDGET])
@@ -960,7 +961,7 @@
     def _snap(self, lasts: int) -> None:
         """A keeper makes a snapshot, so that others may need it."""
         keeper = self._some_keeper()
-        if keeper.alive and not keeper.paused and keeper.keeper.agree.applied > 1:
+        if keeper.alive and not keeper.paused and keeper.keeper.agree.commit_index > 1:
             keeper.keeper._snap()
             keeper._do(keeper.keeper._done(keeper.clock.now()))
 
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -15,7 +15,8 @@
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.fleet import slices, traffic
 from cedarmill.fleet import words as f
-from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
+from cedarmill.fleet.agree.messages import Entry, Peer, Snapshot, TimeoutNow
 from cedarmill.fleet.hosting import Host
 from cedarmill.fleet.keeper import Keeper
 from cedarmill.fleet.members import LEASE
@@ -48,13 +49,13 @@
     return f"{cluster}/{name}/1"
 
 
-def first_snapshot(options: KeeperOptions, text: bytes = b"") -> w.Snapshot:
+def first_snapshot(options: KeeperOptions, text: bytes = b"") -> Snapshot:
     """What all keepers of a new cluster begin with, to the last byte; or of one restored from a backup.
 
     A restored one has a generation more, and counts what was granted as out till it is proved back. Raises
     StoreError.
     """
-    config = {name: w.Peer(address, True, disk_name(options.cluster, name))
+    config = {name: Peer(address, True, disk_name(options.cluster, name))
               for name, address in sorted(options.peers.items())}  # fmt: skip
     if not text:
         limits = [Limit(*dataclasses.astuple(limit)) for limit in options.limits]
@@ -69,7 +70,7 @@
                     regions, dict(sorted(options.costs.items())), options.safe, options.sheds, options.news
                 ),
             )
-        return w.Snapshot(FIRST, FIRST, config, freeze(world))
+        return Snapshot(FIRST, FIRST, config, freeze(world))
     before = restore(text)
     world = thaw(before.data)
     world.generation, world.cluster = world.generation + 1, options.cluster
@@ -79,7 +80,7 @@
     world.index, world.told = before.index, world.generation << 40 | before.index
     world.slices, world.deal_from = {}, world.clock + LEASE  # what was leased after the backup may still hold
     world.note("restored from a backup: what was granted counts as out till it is back")
-    return w.Snapshot(before.index, max(before.term, FIRST), config, freeze(world))
+    return Snapshot(before.index, max(before.term, FIRST), config, freeze(world))
 
 
 class KeeperProcess:
@@ -118,13 +119,13 @@
 
     # The port of the host.
 
-    def save(self, action: w.Save | w.Put) -> None:
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
         self.store.save(action)
 
     def sync(self) -> bool:
         return self.store.sync()
 
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None:
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.store.put_snapshot(snapshot, entries)
 
     def send(self, target: str, message: object) -> None:
@@ -145,8 +146,8 @@
         except OSError as error:
             wire.end(f"write failed: {error.strerror or error}")
 
-    def tell(self, action: w.Role | w.Alarm) -> None:
-        if isinstance(action, w.Role):
+    def tell(self, action: RoleChanged | RaiseAlarm) -> None:
+        if isinstance(action, RoleChanged):
             part = "leader" if action.leads else "follower"
             say("keeper-role", part=part, leader=action.leader or "nobody", term=action.term)
         else:
@@ -198,10 +199,10 @@
         What this leader could not sync was sent to nobody, so `hand_over` would wait for it in vain.
         """
         agree = self.keeper.agree
-        followers = [name for name in agree.voters if name in self.wires and name in agree.followers]
+        followers = [name for name in agree.voters if name in self.wires and name in agree.progress]
         if self.keeper.leads and followers:
-            target = max(followers, key=lambda name: agree.followers[name].match)
-            self.send(target, w.Lead(agree.term))
+            target = max(followers, key=lambda name: agree.progress[name].match_index)
+            self.send(target, TimeoutNow(agree.term))
 
     def _recover(self, now: int) -> None:
         """Open the store anew and start from what it holds, as after a restart; else try again later."""
@@ -214,7 +215,7 @@
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
             self.deadlines.add(now + self.retry_us, self._recover)
             return
-        store.saved.doubtful |= self.keeper.agree.doubtful or store.lacks(promised)
+        store.saved.needs_catch_up |= self.keeper.agree.needs_catch_up or store.lacks(promised)
         self.store, self.recovering = store, False
         self._start_replica()
         for wire in list(self.wires.values()):
@@ -391,7 +392,7 @@
             index=saved.entries[-1].index if saved.entries else saved.snapshot.index)  # fmt: skip
         if told.torn:
             say("keeper-torn", bytes=told.torn)
-        if saved.doubtful:
+        if saved.needs_catch_up:
             lost = "its disk is empty" if self.store.fresh else "its disk has lost what was synced"
             say("keeper-doubtful", reason="its last record is damaged" if told.damaged else lost)
 
--- a/cedarmill/store/keep.py
+++ b/cedarmill/store/keep.py
@@ -19,8 +19,9 @@
 import msgspec
 import xxhash
 
-from cedarmill.fleet.agree import words as w
-from cedarmill.fleet.agree.core import Saved
+from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote
+from cedarmill.fleet.agree.messages import Entry, Snapshot
+from cedarmill.fleet.agree.state import PersistentState
 from cedarmill.store.files import Files
 from cedarmill.store.log import DiskLog, StoreError
 
@@ -47,7 +48,7 @@
 class Entries(msgspec.Struct, tag="entries", array_like=True):
     """What stood in the log from the first one's index on is replaced."""
 
-    entries: tuple[w.Entry, ...]
+    entries: tuple[Entry, ...]
 
 
 class Met(msgspec.Struct, tag="met", array_like=True):
@@ -59,8 +60,8 @@
 
 Record = Identity | Term | Entries | Met
 _DECODE = msgspec.msgpack.Decoder(Record)
-_SNAPSHOT = msgspec.msgpack.Decoder(w.Snapshot)
-_EMPTY = w.Snapshot(0, 0, {}, b"")
+_SNAPSHOT = msgspec.msgpack.Decoder(Snapshot)
+_EMPTY = Snapshot(0, 0, {}, b"")
 
 
 class Told(NamedTuple):
@@ -87,7 +88,7 @@
         with self._lmdb_errors():
             self._env = lmdb.open(files.path("snapshots"), map_size=map_bytes, subdir=True, max_dbs=0)
 
-    def put(self, snapshot: w.Snapshot) -> None:
+    def put(self, snapshot: Snapshot) -> None:
         """Keep it, and drop all but the newest; raises OSError."""
         text = msgspec.msgpack.encode(snapshot)
         whole = xxhash.xxh3_64_digest(text) + text
@@ -97,7 +98,7 @@
             for key in keys[:-SNAPSHOTS]:
                 change.delete(key)
 
-    def newest(self) -> w.Snapshot:
+    def newest(self) -> Snapshot:
         """The newest that is whole; an empty one where there is none. Raises OSError, or StoreError where all
         are damaged or the newest is of another format.
         """
@@ -112,7 +113,7 @@
             raise StoreError(f"{self.files.path('snapshots')}: {found} snapshots, all damaged")
         return _EMPTY
 
-    def _decode(self, text: bytes) -> w.Snapshot:
+    def _decode(self, text: bytes) -> Snapshot:
         try:
             return _SNAPSHOT.decode(text)
         except msgspec.MsgspecError as error:
@@ -178,7 +179,7 @@
         doubtful = self.told.damaged or self.fresh
         if snapshot.term > term:
             term, vote = snapshot.term, ""
-        self.saved = Saved(term, vote, snapshot, tuple(rest), doubtful)
+        self.saved = PersistentState(term, vote, snapshot, tuple(rest), doubtful)
         self._term = term, vote
         last = rest[-1] if rest else snapshot
         self._last = last.term, last.index
@@ -190,7 +191,7 @@
             raise StoreError(f"{self.files.path('log')}: a record of another format: {error}") from None
 
     @staticmethod
-    def _lay(entries: list[w.Entry], new: tuple[w.Entry, ...]) -> None:
+    def _lay(entries: list[Entry], new: tuple[Entry, ...]) -> None:
         while entries and entries[-1].index >= new[0].index:
             entries.pop()
         entries.extend(new)
@@ -228,7 +229,7 @@
         self.identity = Identity(FORMAT, cluster, name, disk, before.boot + 1 if before is not None else 1)
         self._rewrite(self.saved.entries)
 
-    def _rewrite(self, entries: tuple[w.Entry, ...]) -> None:
+    def _rewrite(self, entries: tuple[Entry, ...]) -> None:
         """The log anew: the identity, the term and vote, the disks met, and these entries; raises OSError."""
         records: list[Record] = [self.identity, Term(*self._term)]
         records += [Met(disk, boot) for disk, boot in self.met.items()]
@@ -240,9 +241,9 @@
     def _add(self, record: Record) -> None:
         self.log.add(msgspec.msgpack.encode(record))
 
-    def save(self, action: w.Save | w.Put) -> None:
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
         """Take what is to be kept; it is after `sync`. Raises OSError."""
-        if isinstance(action, w.Save):
+        if isinstance(action, PersistTermAndVote):
             self._add(Term(action.term, action.vote))
             self._term = action.term, action.vote
         else:
@@ -275,7 +276,7 @@
         forgot_entries = (last_term, last_index) < (promised.last_term, promised.last_index)
         return term < promised.term or forgot_vote or forgot_entries
 
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None:
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         """Keep a snapshot, then the log without what it holds; raises OSError."""
         self.snapshots.put(snapshot)
         last = entries[-1] if entries else snapshot
@@ -292,14 +293,14 @@
             os.close(number)
 
 
-def restore(text: bytes) -> w.Snapshot:
+def restore(text: bytes) -> Snapshot:
     """A snapshot from a file written by `backup`; raises StoreError."""
     if len(text) < 8 or xxhash.xxh3_64_digest(text[8:]) != text[:8]:
         raise StoreError("torn or damaged: the checksum does not fit")
     return _SNAPSHOT.decode(text[8:])
 
 
-def backup(snapshot: w.Snapshot) -> bytes:
+def backup(snapshot: Snapshot) -> bytes:
     """A snapshot as a file."""
     text = msgspec.msgpack.encode(snapshot)
     return xxhash.xxh3_64_digest(text) + text
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -306,22 +306,22 @@
 
 def write_replica(folder: str, snapshot: bytes, before: list[bytes], after: list[bytes]) -> None:
     """A folder with a disk's identity, a term and a vote, entries, a snapshot, and entries after it."""
-    from cedarmill.fleet.agree import words
+    from cedarmill.fleet.agree import actions, messages
     from cedarmill.store.files import Files
     from cedarmill.store.keep import Store
 
     store = Store(Files(folder), "main", "k1", "d15c0fed")
-    held = msgspec.msgpack.decode(snapshot, type=words.Snapshot)
+    held = msgspec.msgpack.decode(snapshot, type=messages.Snapshot)
     first, rest = (
-        [msgspec.msgpack.decode(one, type=words.Entry) for one in part] for part in (before, after)
+        [msgspec.msgpack.decode(one, type=messages.Entry) for one in part] for part in (before, after)
     )
-    store.save(words.Save(3, "k1"))
-    store.save(words.Put(tuple(first)))
+    store.save(actions.PersistTermAndVote(3, "k1"))
+    store.save(actions.PersistEntries(tuple(first)))
     store.meet("d15c0bad", 4)
     store.sync()
     store.put_snapshot(held, rest[:2])
-    store.save(words.Save(4, "k2"))
-    store.save(words.Put(tuple(rest[2:])))
+    store.save(actions.PersistTermAndVote(4, "k2"))
+    store.save(actions.PersistEntries(tuple(rest[2:])))
     store.sync()
     store.close()
 
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -12,8 +12,15 @@
 
 from cedarmill.fleet import commands
 from cedarmill.fleet import words as f
-from cedarmill.fleet.agree import words as w
-from cedarmill.fleet.agree.core import Saved
+from cedarmill.fleet.agree.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    RequestVote,
+    RequestVoteReply,
+    Snapshot,
+    TimeoutNow,
+)
+from cedarmill.fleet.agree.state import PersistentState
 from cedarmill.fleet.keeper import Keeper
 from cedarmill.net.keeper import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
 from cedarmill.net.operator import NoKeeper, Operator, new_id
@@ -190,9 +197,9 @@
         self.carry_out(keeper.passed(keeper.due))
         for pre in (True, False):
             term = keeper.agree.term + pre
-            self.carry_out(keeper.heard(process.turn.now(), "k2", w.Voted(term, True, pre)))
+            self.carry_out(keeper.heard(process.turn.now(), "k2", RequestVoteReply(term, True, pre)))
         self.assertTrue(keeper.leads)
-        answer = w.Appended(keeper.agree.term, True, keeper.agree.log.last, 1)
+        answer = AppendEntriesReply(keeper.agree.term, True, keeper.agree.log.last_index, 1)
         self.carry_out(keeper.heard(process.turn.now(), "k2", answer))
         self.break_disk()
         sent = len(process.wires["k2"].said)
@@ -200,8 +207,8 @@
             keeper.asked(process.turn.now(), 1, f.Do(commands.Ask(0, "o", "1", "executor", ("b",))))
         )
         self.assertTrue(process.recovering)
-        self.assertEqual(process.wires["k2"].said[sent:], [w.Lead(keeper.agree.term)])
-        self.assertNotIn(w.Lead(keeper.agree.term), process.wires["k1"].said)
+        self.assertEqual(process.wires["k2"].said[sent:], [TimeoutNow(keeper.agree.term)])
+        self.assertNotIn(TimeoutNow(keeper.agree.term), process.wires["k1"].said)
 
     def test_a_start_of_another_disk_that_cannot_be_kept_is_a_failure_of_the_disk(self):
         wire = WireStub()
@@ -214,9 +221,9 @@
     def test_a_replica_whose_disk_has_lost_what_was_synced_does_not_vote(self):
         process, wire = self.process, WireStub("k1")
         process.wires = {"k1": wire}
-        ask = w.Vote(5, 9, 5, False)
+        ask = RequestVote(5, 9, 5, False)
         self.carry_out(process.keeper.heard(process.turn.now() + 10_000_000, "k1", ask))
-        self.assertEqual(wire.said, [w.Voted(5, True, False)])
+        self.assertEqual(wire.said, [RequestVoteReply(5, True, False)])
         with open(self.files.path("log"), "rb+") as log:
             log.truncate(len(log.read()) - 1)  # the record of its vote
         self.break_disk()
@@ -224,13 +231,13 @@
         self.files.failing = {}
         process._recover(process.turn.now())
         self.assertFalse(process.recovering)
-        self.assertTrue(process.keeper.agree.doubtful)
+        self.assertTrue(process.keeper.agree.needs_catch_up)
         process.wires = {"k2": WireStub("k2")}
         self.carry_out(process.keeper.heard(process.turn.now() + 10_000_000, "k2", ask))
-        self.assertEqual([reply.granted for reply in process.wires["k2"].said], [False])
+        self.assertEqual([reply.vote_granted for reply in process.wires["k2"].said], [False])
         process._disk_failed(OSError("again"))
         process._recover(process.turn.now())
-        self.assertTrue(process.keeper.agree.doubtful, "no second failure ends the doubt")
+        self.assertTrue(process.keeper.agree.needs_catch_up, "no second failure ends the doubt")
 
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
         self.process._disk_failed(OSError("told"))
@@ -245,8 +252,8 @@
         """A leader that answers late knows the id only: ids of two starts on one disk have to differ."""
         ids = []
         for boot in (1, 2):
-            keeper = Keeper("k0", Saved(1, "", w.Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
-            keeper.heard(0, "k1", w.Append(1, 1, 1, (), 1, 1))
+            keeper = Keeper("k0", PersistentState(1, "", Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
+            keeper.heard(0, "k1", AppendEntries(1, 1, 1, (), 1, 1))
             for token in range(3):
                 [sent] = keeper.asked(1, token + 1, f.Look("status"))
                 ids.append(sent.message.id)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,8 @@
 from hypothesis import strategies as st
 from nodes import ROOT
 
-from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote
+from cedarmill.fleet.agree.messages import Entry, EntryKind, Peer, Snapshot
 from cedarmill.store import keep
 from cedarmill.store.files import File, Files
 from cedarmill.store.log import MAGIC, DiskLog, StoreError, record, scan
@@ -77,36 +78,36 @@
         self.addCleanup(store.close)
         return store
 
-    def entries(self, first: int, count: int, term: int = 1) -> tuple[w.Entry, ...]:
-        return tuple(w.Entry(n, term, w.COMMAND, b"%d" % n) for n in range(first, first + count))
+    def entries(self, first: int, count: int, term: int = 1) -> tuple[Entry, ...]:
+        return tuple(Entry(n, term, EntryKind.COMMAND, b"%d" % n) for n in range(first, first + count))
 
     def formatted(self) -> keep.Store:
         store = self.store()
-        store.put_snapshot(w.Snapshot(1, 1, {"k0": w.Peer("")}, b""), [])
+        store.put_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
         return store
 
 
 class Keeping(Folder):
     def test_what_was_synced_is_there_after_a_start_and_starts_are_counted(self):
         store = self.formatted()
-        store.save(w.Save(4, "k2"))
-        store.save(w.Put(self.entries(2, 3)))
-        store.save(w.Put(self.entries(3, 1, term=4)))  # replaces two
+        store.save(PersistTermAndVote(4, "k2"))
+        store.save(PersistEntries(self.entries(2, 3)))
+        store.save(PersistEntries(self.entries(3, 1, term=4)))  # replaces two
         store.sync()
         store.close()
         again = self.store()
-        self.assertEqual((again.saved.term, again.saved.vote, again.saved.doubtful), (4, "k2", False))
+        self.assertEqual((again.saved.term, again.saved.vote, again.saved.needs_catch_up), (4, "k2", False))
         self.assertEqual([(e.index, e.term) for e in again.saved.entries], [(2, 1), (3, 4)])
         self.assertEqual(again.identity.boot, 2)
 
     def test_a_snapshot_takes_the_place_of_what_it_holds(self):
         store = self.formatted()
-        store.save(w.Save(2, "k0"))
-        store.save(w.Put(self.entries(2, 5)))
+        store.save(PersistTermAndVote(2, "k0"))
+        store.save(PersistEntries(self.entries(2, 5)))
         store.meet("other", 7)
         store.sync()
         before = store.log.size
-        store.put_snapshot(w.Snapshot(5, 1, {"k0": w.Peer("")}, b"state"), list(self.entries(6, 1)))
+        store.put_snapshot(Snapshot(5, 1, {"k0": Peer("")}, b"state"), list(self.entries(6, 1)))
         self.assertLess(store.log.size, before)
         store.close()
         again = self.store()
@@ -116,9 +117,9 @@
 
     def test_a_crash_between_snapshot_and_log_leaves_both_and_the_newer_wins(self):
         store = self.formatted()
-        store.save(w.Put(self.entries(2, 4)))
+        store.save(PersistEntries(self.entries(2, 4)))
         store.sync()
-        store.snapshots.put(w.Snapshot(4, 1, {"k0": w.Peer("")}, b"state"))
+        store.snapshots.put(Snapshot(4, 1, {"k0": Peer("")}, b"state"))
         store.close()
         again = self.store()
         self.assertEqual(again.saved.snapshot.index, 4)
@@ -126,10 +127,10 @@
 
     def test_an_empty_disk_and_a_damaged_last_record_doubt_themselves(self):
         empty = self.store()
-        self.assertTrue(empty.saved.doubtful)
+        self.assertTrue(empty.saved.needs_catch_up)
         empty.close()
         store = self.formatted()
-        store.save(w.Put(self.entries(2, 1)))
+        store.save(PersistEntries(self.entries(2, 1)))
         store.sync()
         store.close()
         path = Path(self.folder) / "log"
@@ -137,7 +138,7 @@
         text[-1] ^= 1
         path.write_bytes(bytes(text))
         again = self.store()
-        self.assertTrue(again.told.damaged and again.saved.doubtful)
+        self.assertTrue(again.told.damaged and again.saved.needs_catch_up)
         self.assertEqual(again.saved.entries, ())
 
     def test_another_keeper_s_disk_and_a_newer_format_are_refused(self):
@@ -154,7 +155,7 @@
 
     def test_a_damaged_snapshot_gives_way_to_the_one_before(self):
         store = self.formatted()
-        store.snapshots.put(w.Snapshot(9, 1, {}, b"newer"))
+        store.snapshots.put(Snapshot(9, 1, {}, b"newer"))
         with store.snapshots._env.begin(write=True) as change:
             change.put(b"%020d" % 9, b"damaged!")
         self.assertEqual(store.snapshots.newest().index, 1)
@@ -171,7 +172,7 @@
         self.assertTrue(store.meet("d1", 6))
 
     def test_a_backup_is_read_whole_or_not_at_all(self):
-        snapshot = w.Snapshot(7, 2, {"k0": w.Peer("127.0.0.1:1")}, b"state")
+        snapshot = Snapshot(7, 2, {"k0": Peer("127.0.0.1:1")}, b"state")
         text = keep.backup(snapshot)
         self.assertEqual(keep.restore(text), snapshot)
         for broken in (text[:-1], text[:4], b"", bytes([text[0] ^ 1]) + text[1:]):
@@ -282,7 +283,7 @@
             with self.subTest(call):
                 self.files.failing = {call: errno.EIO}
                 with self.assertRaises(OSError):
-                    store.save(w.Save(9, "k1"))
+                    store.save(PersistTermAndVote(9, "k1"))
                     store.sync()
                 self.files.failing = {}
                 store.close()
@@ -333,24 +334,24 @@
     def test_what_is_recovered_after_a_failed_sync_is_on_the_disk_when_power_is_cut(self):
         """A reader sees what was written, the disk never had it, and a later sync does not bring it there."""
         store = self.store(self.files)
-        store.put_snapshot(w.Snapshot(1, 1, {"k0": w.Peer("")}, b""), [])
-        store.save(w.Save(4, "k2"))
+        store.put_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
+        store.save(PersistTermAndVote(4, "k2"))
         store.sync()
         self.files.failing = {"sync": errno.EIO}
-        store.save(w.Put(self.entries(2, 2)))
+        store.save(PersistEntries(self.entries(2, 2)))
         with self.assertRaises(OSError):
             store.sync()
         self.files.failing = {}
         store.close()
         again = self.store(self.files)
         self.assertEqual([entry.index for entry in again.saved.entries], [2, 3])
-        again.save(w.Put(self.entries(4, 1)))
+        again.save(PersistEntries(self.entries(4, 1)))
         again.sync()
         again.close()
         self.files.cut_power()
         last = self.store(self.files)
         self.assertEqual([entry.index for entry in last.saved.entries], [2, 3, 4])
-        self.assertEqual((last.saved.term, last.saved.vote, last.saved.doubtful), (4, "k2", False))
+        self.assertEqual((last.saved.term, last.saved.vote, last.saved.needs_catch_up), (4, "k2", False))
 
     def test_a_store_that_fails_while_it_opens_leaves_the_log_and_nothing_open(self):
         self.formatted().close()
@@ -383,12 +384,12 @@
 
     def test_a_failed_rewrite_leaves_the_log_as_it_was(self):
         store = self.store(self.files)
-        store.put_snapshot(w.Snapshot(1, 1, {"k0": w.Peer("")}, b""), [])
-        store.save(w.Put(self.entries(2, 2)))
+        store.put_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
+        store.save(PersistEntries(self.entries(2, 2)))
         store.sync()
         self.files.failing = {"write": errno.ENOSPC}
         with self.assertRaises(OSError):
-            store.put_snapshot(w.Snapshot(3, 1, {}, b"x"), [])
+            store.put_snapshot(Snapshot(3, 1, {}, b"x"), [])
         self.files.failing = {}
         store.close()
         self.assertEqual(self.store().saved.snapshot.index, 3)  # it was whole before the log was touched
@@ -405,7 +406,7 @@
         self.formatted().close()
         snapshots = keep.Snapshots(self.files, map_bytes=1 << 16)
         self.addCleanup(snapshots.close)
-        large = w.Snapshot(5, 1, {}, bytes(1 << 17))
+        large = Snapshot(5, 1, {}, bytes(1 << 17))
         with self.assertRaisesRegex(OSError, "MDB_MAP_FULL"):
             snapshots.put(large)
         self.assertEqual(snapshots.newest().index, 1)
@@ -423,15 +424,15 @@
 
     def test_a_disk_that_lacks_what_was_synced_is_known(self):
         store = self.formatted()
-        store.save(w.Save(4, "k2"))
-        store.save(w.Put(self.entries(2, 2, term=4)))
+        store.save(PersistTermAndVote(4, "k2"))
+        store.save(PersistEntries(self.entries(2, 2, term=4)))
         store.sync()
         kept = store.persisted
         self.assertFalse(store.lacks(kept))
         for change in ({"term": 5}, {"vote": "k1"}, {"last_index": 4}, {"last_term": 5}):
             self.assertTrue(store.lacks(kept._replace(**change)), change)
         self.assertFalse(store.lacks(kept._replace(last_index=1, vote="")))
-        store.save(w.Put(self.entries(4, 1, term=4)))
+        store.save(PersistEntries(self.entries(4, 1, term=4)))
         self.assertEqual(store.persisted, kept, "not before it was synced")
 
     def test_a_folder_in_use_by_another_process_is_refused_before_anything_is_written(self):
@@ -469,7 +470,7 @@
         store = keep.Store(self.files, "c", "k0", "c/k0/1")
         store.close()  # killed before the first snapshot
         again = keep.Store(self.files, "c", "k0", "c/k0/1")
-        again.put_snapshot(w.Snapshot(1, 1, {"k0": w.Peer("")}, b""), [])
+        again.put_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
         again.close()
         with self.assertRaisesRegex(StoreError, "holds the disk c/k0/1 already"):
             keep.Store(self.files, "c", "k0", "c/k0/1")
@@ -479,10 +480,10 @@
         begins = store.log.size
         ends = []
         for action in (
-            w.Save(4, "k2"),
-            w.Put(self.entries(2, 2)),
-            w.Save(5, ""),
-            w.Put(self.entries(3, 2, 5)),
+            PersistTermAndVote(4, "k2"),
+            PersistEntries(self.entries(2, 2)),
+            PersistTermAndVote(5, ""),
+            PersistEntries(self.entries(3, 2, 5)),
         ):
             store.save(action)
             ends.append(store.log.size)
@@ -498,12 +499,12 @@
             saved = store.saved
             found = saved.term, saved.vote, [entry.index for entry in saved.entries]
             self.assertEqual(found, states[sum(end <= size for end in ends)], size)
-            self.assertFalse(saved.doubtful)
+            self.assertFalse(saved.needs_catch_up)
 
     def test_a_log_that_is_gone_beside_its_snapshots_is_doubted(self):
         self.formatted().close()
         os.remove(Path(self.folder) / "log")
-        self.assertTrue(self.store().saved.doubtful)
+        self.assertTrue(self.store().saved.needs_catch_up)
 
 
 if __name__ == "__main__":
