--- a/cedarmill/ops/exclusions.py
+++ b/cedarmill/admin/exclusions.py
@@ -1,15 +1,15 @@
 """Executors taken out by hand: a set of discovery's names that outlives the process; no I/O.
 
 Two calls out take one call back: an exclusion is a mark, not a count. The marks are kept as one sealed
-document (`ops/document.py`), so that a daemon's store can later keep it as it is; `version` grows with each
-change, so that of two processes on one node the newer word is known. Marks do not age: they hold till they
-are taken back.
+document (`admin/sealed_document.py`), so that a daemon's store can later keep it as it is; `version` grows
+with each change, so that of two processes on one node the newer word is known. Marks do not age: they hold
+till they are taken back.
 """
 
 import msgspec
 
-from cedarmill.ops import document
-from cedarmill.ops.document import Moment
+from cedarmill.admin import sealed_document
+from cedarmill.admin.sealed_document import Moment
 
 KIND = "exclusions"
 
@@ -61,7 +61,7 @@
     def encode(self, now: Moment) -> bytes:
         """The document to keep, written at that moment."""
         body = msgspec.json.encode(_Kept(self.version, self.since, self.marked_us if now.boot else {}))
-        return document.seal(KIND, self.node, now, body)
+        return sealed_document.seal(KIND, self.node, now, body)
 
     def adopt(self, text: bytes, now: Moment) -> set[str]:
         """Take a kept document that is newer than what is held; the names whose mark changed.
@@ -91,7 +91,7 @@
     try:
         if text.startswith(b'{"version"'):
             return Moment(0), _DECODE.decode(text)
-        written, body = document.unseal(text, KIND, node)
+        written, body = sealed_document.unseal(text, KIND, node)
         return written, _DECODE.decode(body)
     except ValueError as error:  # msgspec's errors are ValueErrors too
         raise ValueError(f"kept exclusions: {error}") from None
--- a/cedarmill/net/beside.py
+++ b/cedarmill/net/beside.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
+from cedarmill.admin import sealed_document
+from cedarmill.admin.resource_split import Room
+from cedarmill.admin.sealed_document import Moment
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.decisions.memory import out
 from cedarmill.log import say
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.kept import KeptInPlace, kept_path
 from cedarmill.net.turn import Turn, moment
-from cedarmill.ops import document
-from cedarmill.ops.document import Moment
-from cedarmill.ops.share import Room
 
 KIND = "out"
 ALONE_US = 100_000  # between two looks while no other process is seen
@@ -58,7 +58,7 @@
         if (texts := self.kept.texts()) == self.texts:
             return
         self.texts = texts
-        written, body = document.newest(texts, KIND, node, now)
+        written, body = sealed_document.newest(texts, KIND, node, now)
         self.told = _DECODE.decode(body)
         if self.alive_at is None and written.comparable(now):
             self.alive_at = written.clock_us
@@ -147,7 +147,7 @@
         at, before = self.written
         told = Told(out(self.dispatch.brain, self.discovery.reader.names), self.held())
         if told != before or here.clock_us - at >= BEAT_US:
-            self.own.write(document.seal(KIND, self.node, here, msgspec.json.encode(told)))
+            self.own.write(sealed_document.seal(KIND, self.node, here, msgspec.json.encode(told)))
             self.written = here.clock_us, told
 
     def _tell(self, now: int) -> None:
--- a/cedarmill/net/door.py
+++ b/cedarmill/net/door.py
@@ -10,11 +10,11 @@
 
 import httptools
 
+from cedarmill.admin import routes
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.listening import Acceptor, listening_socket
 from cedarmill.net.turn import Turn, callback
-from cedarmill.ops import door as calls
 
 SESSIONS = 16  # open at once: an operator's tools make a few calls, not hundreds
 DESCRIPTORS = SESSIONS + 1  # with the listening socket
@@ -76,17 +76,17 @@
         self.size += len(data)
         try:
             if self.size > MAX_CALL:
-                raise calls.Refused(431, "the call is over 8 KiB")
+                raise routes.Refused(431, "the call is over 8 KiB")
             self.parser.feed_data(data)
-        except calls.Refused as refused:
+        except routes.Refused as refused:
             self.answer(refused.status, str(refused).encode() + b"\n")
         except httptools.HttpParserUpgrade:
             self.answer(400, b"no upgrade here\n")
         except httptools.HttpParserCallbackError as error:
             fault = error.__context__
-            if not isinstance(fault, calls.Refused):
+            if not isinstance(fault, routes.Refused):
                 say("defect", fault, what="a call at the door")
-                fault = calls.Refused(500, "internal error")
+                fault = routes.Refused(500, "internal error")
             self.answer(fault.status, str(fault).encode() + b"\n")
         except httptools.HttpParserError:
             self.answer(400, b"malformed HTTP\n")
@@ -97,9 +97,9 @@
     def on_message_complete(self) -> None:
         method = self.parser.get_method()
         try:
-            call = calls.understand(method, self.target)
-        except calls.Refused as refused:
-            more = b"Allow: %s\r\n" % calls.allowed(self.target) if refused.status == 405 else b""
+            call = routes.understand(method, self.target)
+        except routes.Refused as refused:
+            more = b"Allow: %s\r\n" % routes.allowed(self.target) if refused.status == 405 else b""
             self.answer(refused.status, str(refused).encode() + b"\n", more, method)
             return
         self.door.obey(call, lambda status, text: self.answer(status, text, b"", method))
@@ -130,7 +130,7 @@
 class Door:
     """The listening socket of the door and its sessions, the oldest first."""
 
-    def __init__(self, turn: Turn, obey: Callable[[calls.Call, Answer], None]) -> None:
+    def __init__(self, turn: Turn, obey: Callable[[routes.Call, Answer], None]) -> None:
         self.turn, self.obey = turn, obey
         self.sessions: dict[DoorSession, None] = {}
         self.port = 0
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from cedarmill.admin.routes import Act, Call
 from cedarmill.decisions import interface as api
 from cedarmill.fleet import commands
 from cedarmill.fleet import words as f
@@ -27,7 +28,6 @@
 from cedarmill.net.lanes import Lanes
 from cedarmill.net.member import LEAVE_US, Membership
 from cedarmill.net.turn import Turn
-from cedarmill.ops.door import Act, Call
 from cedarmill.values import FleetOptions
 
 STRIKES = 1  # signs that an executor is dead or unreachable, and none since that it serves
--- a/cedarmill/net/hands.py
+++ b/cedarmill/net/hands.py
@@ -7,14 +7,14 @@
 
 from collections.abc import Callable
 
+from cedarmill.admin.exclusions import KIND, Exclusions
+from cedarmill.admin.routes import Act, Call
 from cedarmill.log import say
 from cedarmill.net.clients import Clients
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.door import Answer
 from cedarmill.net.kept import KeptFile, kept_path
 from cedarmill.net.turn import Turn, moment
-from cedarmill.ops.door import Act, Call
-from cedarmill.ops.exclusions import KIND, Exclusions
 
 LOOK_US = 500_000  # between two looks at the kept file: the node's other process may have changed it
 LOCK_WAIT_US = 500_000  # for the node's other process to leave that file: a call is answered within 1 s
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -29,8 +29,8 @@
 from cedarmill.net.peers import HELLO_US, SILENT_US, Wire
 from cedarmill.net.turn import Turn, callback
 from cedarmill.store.files import Files
-from cedarmill.store.keep import Store, restore
 from cedarmill.store.log import StoreError
+from cedarmill.store.replica_store import Store, restore
 from cedarmill.values import KeeperOptions
 
 DIAL_US = 200_000  # between two tries to reach another keeper
--- a/cedarmill/net/memory.py
+++ b/cedarmill/net/memory.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from cedarmill.admin import sealed_document
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.memory import Memory, recall, recall_worker, remember
 from cedarmill.log import say
@@ -14,7 +15,6 @@
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.kept import KeptInPlace, kept_path
 from cedarmill.net.turn import Turn, moment
-from cedarmill.ops import document
 
 KIND = "memory"
 KEEP_US = 500_000  # between two writings: a replaced process hands over news that are at most that old
@@ -58,8 +58,8 @@
 
     def _take_up(self, texts: list[bytes], now: int) -> None:
         here = moment(now)
-        written_at, body = document.newest(texts, KIND, self.node, here)
-        age = document.age_us(written_at, here, MOST_US)
+        written_at, body = sealed_document.newest(texts, KIND, self.node, here)
+        age = sealed_document.age_us(written_at, here, MOST_US)
         try:
             memory = _DECODE.decode(body)
         except msgspec.MsgspecError as error:
@@ -89,7 +89,7 @@
             return
         self.turn.deadlines.add(now + KEEP_US, self._keep)
         try:
-            self.kept.write(document.seal(KIND, self.node, moment(now), self._body(now)))
+            self.kept.write(sealed_document.seal(KIND, self.node, moment(now), self._body(now)))
         except OSError as error:
             say("memory-unkept", reason=error)
 
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -10,6 +10,7 @@
 import uvloop
 
 from cedarmill import log
+from cedarmill.admin.resource_split import Limits, Room, share
 from cedarmill.budget.machine import Budget
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.core.dispatch import Dispatch
@@ -24,7 +25,6 @@
 from cedarmill.net.hands import Hands
 from cedarmill.net.memory import Keeper
 from cedarmill.net.turn import Turn
-from cedarmill.ops.share import Limits, Room, share
 from cedarmill.values import Options
 
 OWN_DESCRIPTORS = 24  # the loop's, the log, the listening socket, discovery: 14 were counted
--- a/cedarmill/net/turn.py
+++ b/cedarmill/net/turn.py
@@ -5,9 +5,9 @@
 import os
 import time
 
+from cedarmill.admin.sealed_document import Moment
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.log import say
-from cedarmill.ops.document import Moment
 
 BOOT_ID = "/proc/sys/kernel/random/boot_id"  # random(4): a new one with each start of the kernel
 BOOT_ID_BYTES = 64
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -280,15 +280,15 @@
 
 def documents() -> tuple[Callable, Callable, Callable[[str, str], str], type]:
     """Seals a document, unseals one, tells its path in `$TMPDIR`; a file of two halves."""
+    from cedarmill.admin import sealed_document
     from cedarmill.net.kept import KeptInPlace, kept_path
-    from cedarmill.ops import document
 
-    return document.seal, document.unseal, kept_path, KeptInPlace
+    return sealed_document.seal, sealed_document.unseal, kept_path, KeptInPlace
 
 
 def exclusions(node: str):
     """The marks of executors that are out by hand: `adopt(text, unix_us)`, `encode(unix_us)`, `since`."""
-    from cedarmill.ops.exclusions import Exclusions
+    from cedarmill.admin.exclusions import Exclusions
 
     return Exclusions(node)
 
@@ -308,7 +308,7 @@
     """A folder with a disk's identity, a term and a vote, entries, a snapshot, and entries after it."""
     from cedarmill.fleet.agree import actions, messages
     from cedarmill.store.files import Files
-    from cedarmill.store.keep import Store
+    from cedarmill.store.replica_store import Store
 
     store = Store(Files(folder), "main", "k1", "d15c0fed")
     held = msgspec.msgpack.decode(snapshot, type=messages.Snapshot)
@@ -329,7 +329,7 @@
 def read_replica(folder: str) -> Replica:
     """Open a folder as a replica does, which counts one more start."""
     from cedarmill.store.files import Files
-    from cedarmill.store.keep import Store
+    from cedarmill.store.replica_store import Store
 
     store = Store(Files(folder), "main", "k1")
     saved, encode = store.saved, msgspec.msgpack.encode
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -12,11 +12,11 @@
 from faulty_nodes import FaultyNodeCase
 from nodes import WAIT, call
 
+from cedarmill.admin import sealed_document
+from cedarmill.admin.sealed_document import Moment
 from cedarmill.net.beside import SILENT_US
 from cedarmill.net.kept import KeptInPlace
 from cedarmill.net.turn import Turn, boot_id
-from cedarmill.ops import document
-from cedarmill.ops.document import Moment
 
 STEPS_S = {"an_hour_back": -3600, "5_s_back": -5, "5_s_ahead": 5, "an_hour_ahead": 3600}
 TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
@@ -64,7 +64,7 @@
             if not (texts := kept.texts()):
                 return False
             now = Moment(0, Turn.now(), boot_id())
-            sealed = document.newest(texts, "memory", "n0", now)
+            sealed = sealed_document.newest(texts, "memory", "n0", now)
             found.update(json.loads(sealed.body)["workers"])
             return name in found and sealed.written.clock_us >= since * 1e6
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -16,15 +16,15 @@
 from helpers import settings
 from nodes import WAIT, NodeCase, call, read_answer
 
+from cedarmill.admin import routes, sealed_document
+from cedarmill.admin.exclusions import Exclusions
+from cedarmill.admin.sealed_document import Moment
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.net.clients import Clients
 from cedarmill.net.door import SESSIONS
 from cedarmill.net.hands import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, Hands
 from cedarmill.net.kept import KeptFile
 from cedarmill.net.sessions import ClientSession
-from cedarmill.ops import document, door
-from cedarmill.ops.document import Moment
-from cedarmill.ops.exclusions import Exclusions
 from cedarmill.values import DeadlineOptions
 
 
@@ -46,11 +46,15 @@
     """The table of calls, without a node."""
 
     def test_each_call_of_the_page_is_understood(self):
-        self.assertEqual(door.understand(b"GET", b"/api/ready"), door.Call(door.Act.READY))
-        self.assertEqual(door.understand(b"PUT", b"/api/exclude/s-1"), door.Call(door.Act.EXCLUDE, "s-1"))
-        self.assertEqual(door.understand(b"PUT", b"/api/include/s-1?x"), door.Call(door.Act.INCLUDE, "s-1"))
-        self.assertEqual(door.understand(b"PUT", b"/api/evacuate").act, door.Act.EVACUATE)
-        self.assertEqual(door.understand(b"PUT", b"/api/rejoin").act, door.Act.REJOIN)
+        self.assertEqual(routes.understand(b"GET", b"/api/ready"), routes.Call(routes.Act.READY))
+        self.assertEqual(
+            routes.understand(b"PUT", b"/api/exclude/s-1"), routes.Call(routes.Act.EXCLUDE, "s-1")
+        )
+        self.assertEqual(
+            routes.understand(b"PUT", b"/api/include/s-1?x"), routes.Call(routes.Act.INCLUDE, "s-1")
+        )
+        self.assertEqual(routes.understand(b"PUT", b"/api/evacuate").act, routes.Act.EVACUATE)
+        self.assertEqual(routes.understand(b"PUT", b"/api/rejoin").act, routes.Act.REJOIN)
 
     def test_wrong_paths_methods_and_ids_are_refused(self):
         for method, target, status in (
@@ -61,8 +65,8 @@
             (b"PUT", b"/api/exclude/", 404),
             (b"PUT", b"/api/exclude/a/b", 404),
         ):
-            with self.subTest(target=target), self.assertRaises(door.Refused) as raised:
-                door.understand(method, target)
+            with self.subTest(target=target), self.assertRaises(routes.Refused) as raised:
+                routes.understand(method, target)
             self.assertEqual(raised.exception.status, status)
 
     def test_two_outs_take_one_in_and_the_newer_document_wins(self):
@@ -110,7 +114,7 @@
         marks = Exclusions("n0")
         marks.exclude("s-1", Moment(5, 100, "boot-1"))
         body = b'{"version":2,"excluded":{"s-1":5,"s-2":9}}'
-        marks.adopt(document.seal("exclusions", "n0", Moment(9), body), Moment(9, 400, "boot-1"))
+        marks.adopt(sealed_document.seal("exclusions", "n0", Moment(9), body), Moment(9, 400, "boot-1"))
         self.assertEqual(marks.marked_us, {"s-1": 100, "s-2": 400})
 
 
@@ -172,7 +176,9 @@
             hands.kept = kept
             hands.start()
             for number in range(10):
-                hands.obey(door.Call(door.Act.EXCLUDE if number % 2 else door.Act.INCLUDE, "s-1"), Told())
+                hands.obey(
+                    routes.Call(routes.Act.EXCLUDE if number % 2 else routes.Act.INCLUDE, "s-1"), Told()
+                )
             before = kept.looks
             turn.run_till(20 * LOOK_US)
             self.assertEqual(kept.looks - before, 20)
@@ -209,7 +215,7 @@
     def mark(hands: Hands, names: list[str]) -> None:
         for name in names:
             told = Told()
-            hands.obey(door.Call(door.Act.EXCLUDE, name), told)
+            hands.obey(routes.Call(routes.Act.EXCLUDE, name), told)
             hands.turn.run_until(lambda told=told: told.status)
             assert told.status == 200, told.status
 
@@ -217,28 +223,28 @@
         """Waited for on the loop's thread, a stopped process took this one with it, requests and all."""
         told, marked = Told(), Told()
         with KeptFile(self.path).alone():
-            self.old.obey(door.Call(door.Act.EXCLUDE, "s-1"), told)
+            self.old.obey(routes.Call(routes.Act.EXCLUDE, "s-1"), told)
             self.assertEqual(told.status, 0)  # and the call has returned
             began = self.old.turn.now()
             self.old.turn.run_until(lambda: told.status)
             self.assertLessEqual(LOCK_WAIT_US, self.old.turn.now() - began + LOCK_AGAIN_US)
             self.assertEqual((told.status, self.old.exclusions.since), (503, {}))
-            self.old.obey(door.Call(door.Act.EXCLUDE, "s-1"), marked)
+            self.old.obey(routes.Call(routes.Act.EXCLUDE, "s-1"), marked)
         self.old.turn.run_until(lambda: marked.status)
         self.assertEqual((marked.status, set(self.old.exclusions.since)), (200, {"s-1"}))
 
     def test_a_write_that_fails_takes_back_its_own_mark_only(self):
         """The other process's mark was read just before, and would not have been read again."""
-        self.new.obey(door.Call(door.Act.EXCLUDE, "s-2"), Told())
+        self.new.obey(routes.Call(routes.Act.EXCLUDE, "s-2"), Told())
         told = Told()
         with mock.patch.object(self.old.kept, "write", side_effect=OSError(errno.ENOSPC, "full")):
-            self.old.obey(door.Call(door.Act.EXCLUDE, "s-1"), told)
+            self.old.obey(routes.Call(routes.Act.EXCLUDE, "s-1"), told)
         self.assertEqual((told.status, set(self.old.exclusions.since)), (503, {"s-2"}))
 
     def test_a_mark_that_cannot_be_kept_is_not_made(self):
         self.old.kept = KeptFile("/proc/none/kept.json")
         told = Told()
-        self.old.obey(door.Call(door.Act.EXCLUDE, "s-1"), told)
+        self.old.obey(routes.Call(routes.Act.EXCLUDE, "s-1"), told)
         self.assertEqual(told.status, 503)
         self.assertEqual(self.old.exclusions.since, {})
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -6,12 +6,12 @@
 
 from helpers import Driver, entry, sends, settings
 
+from cedarmill.admin import sealed_document
+from cedarmill.admin.resource_split import LEAST, Limits, Room, share
+from cedarmill.admin.sealed_document import Moment
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.memory import out, recall, recall_worker, remember
-from cedarmill.ops import document
-from cedarmill.ops.document import Moment
-from cedarmill.ops.share import LEAST, Limits, Room, share
 
 HOUR_US = 3_600_000_000
 NAMES = {1: "s-1", 2: "s-2"}
@@ -23,15 +23,15 @@
     """Half of what another process knew is worse than nothing."""
 
     def setUp(self) -> None:
-        self.text = document.seal("memory", "n0", WRITTEN, b'{"a":1}')
+        self.text = sealed_document.seal("memory", "n0", WRITTEN, b'{"a":1}')
 
     def refused(self, text: bytes, kind: str = "memory", node: str = "n0") -> str:
         with self.assertRaises(ValueError) as raised:
-            document.unseal(text, kind, node)
+            sealed_document.unseal(text, kind, node)
         return str(raised.exception)
 
     def test_what_was_sealed_comes_back_with_its_time(self):
-        self.assertEqual(document.unseal(self.text, "memory", "n0"), (WRITTEN, b'{"a":1}'))
+        self.assertEqual(sealed_document.unseal(self.text, "memory", "n0"), (WRITTEN, b'{"a":1}'))
 
     def test_torn_at_every_byte(self):
         for cut in range(len(self.text)):
@@ -52,25 +52,27 @@
             Moment(5_000_000),
             Moment(5_000_000, 9_000_000_000, "boot-1"),
         ):  # whose clock is ahead
-            self.assertEqual(document.age_us(written, Moment(6_000_000, 9, "boot-1"), MOST_US), 1_000_000)
+            self.assertEqual(
+                sealed_document.age_us(written, Moment(6_000_000, 9, "boot-1"), MOST_US), 1_000_000
+            )
             for now in (5_000_000 + HOUR_US, 5_000_000 - HOUR_US):
                 with self.assertRaises(ValueError):
-                    document.age_us(written, Moment(now, 9, "boot-1"), MOST_US)
+                    sealed_document.age_us(written, Moment(now, 9, "boot-1"), MOST_US)
 
     def test_a_step_of_the_wall_clock_is_no_age(self):
         for step in (-HOUR_US, -5_000_000, 5_000_000, HOUR_US):
             now = Moment(5_000_000 + step, 1_700, "boot-1")
-            self.assertEqual(document.age_us(WRITTEN, now, MOST_US), 1_000)
+            self.assertEqual(sealed_document.age_us(WRITTEN, now, MOST_US), 1_000)
         with self.assertRaisesRegex(ValueError, "31 s old"):
-            document.age_us(WRITTEN, Moment(5_000_000, 31_000_700, "boot-1"), MOST_US)
+            sealed_document.age_us(WRITTEN, Moment(5_000_000, 31_000_700, "boot-1"), MOST_US)
 
     def test_from_before_the_last_start_of_the_machine(self):
         with self.assertRaisesRegex(ValueError, "last start"):
-            document.age_us(WRITTEN, Moment(5_000_000, 700, "boot-2"), MOST_US)
+            sealed_document.age_us(WRITTEN, Moment(5_000_000, 700, "boot-2"), MOST_US)
 
     def test_the_newest_of_two_halves_by_the_clock_that_no_step_moves(self):
         def sealed(body: bytes, *written) -> bytes:
-            return document.seal("memory", "n0", Moment(*written), body)
+            return sealed_document.seal("memory", "n0", Moment(*written), body)
 
         now = Moment(0, 10_000, "boot-1")
         early = sealed(b"early", HOUR_US, 700, "boot-1")
@@ -80,7 +82,7 @@
                             ((older_form, late), b"older form"), ((older_form, early), b"early"),
                             ((late[:-1], early), b"early")):  # fmt: skip
             for order in (texts, texts[::-1]):
-                self.assertEqual(document.newest(list(order), "memory", "n0", now).body, body)
+                self.assertEqual(sealed_document.newest(list(order), "memory", "n0", now).body, body)
 
     def test_a_clock_that_was_changed(self):
         self.assertIn("torn", self.refused(self.text.replace(b'"clock_us":700', b'"clock_us":701')))
@@ -92,7 +94,7 @@
         written = json.loads(self.text.partition(b"\n")[0])
         self.assertEqual(header, {name: written[name] for name in header})
         older = json.dumps(header).encode() + b'\n{"a":1}'
-        self.assertEqual(document.unseal(older, "memory", "n0"), (Moment(5_000_000), b'{"a":1}'))
+        self.assertEqual(sealed_document.unseal(older, "memory", "n0"), (Moment(5_000_000), b'{"a":1}'))
 
 
 class Shares(unittest.TestCase):
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -24,7 +24,7 @@
 from cedarmill.fleet.keeper import Keeper
 from cedarmill.net.keeper import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
 from cedarmill.net.operator import NoKeeper, Operator, new_id
-from cedarmill.store.keep import Store
+from cedarmill.store.replica_store import Store
 from cedarmill.values import KeeperOptions
 
 FULL = (Fault("write", "ENOSPC", times=0),)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,7 +17,7 @@
 
 from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote
 from cedarmill.fleet.agree.messages import Entry, EntryKind, Peer, Snapshot
-from cedarmill.store import keep
+from cedarmill.store import replica_store
 from cedarmill.store.files import File, Files
 from cedarmill.store.log import MAGIC, DiskLog, StoreError, record, scan
 
@@ -73,15 +73,15 @@
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
 
-    def store(self, files: Files | None = None, name: str = "k0", cluster: str = "c") -> keep.Store:
-        store = keep.Store(files or Files(self.folder), cluster, name)
+    def store(self, files: Files | None = None, name: str = "k0", cluster: str = "c") -> replica_store.Store:
+        store = replica_store.Store(files or Files(self.folder), cluster, name)
         self.addCleanup(store.close)
         return store
 
     def entries(self, first: int, count: int, term: int = 1) -> tuple[Entry, ...]:
         return tuple(Entry(n, term, EntryKind.COMMAND, b"%d" % n) for n in range(first, first + count))
 
-    def formatted(self) -> keep.Store:
+    def formatted(self) -> replica_store.Store:
         store = self.store()
         store.put_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
         return store
@@ -145,9 +145,9 @@
         self.formatted().close()
         with self.assertRaisesRegex(StoreError, "of keeper k0 of cluster c"):
             self.store(name="k1")
-        identity = keep.Identity(keep.FORMAT + 1, "c", "k0", "d", 1)
+        identity = replica_store.Identity(replica_store.FORMAT + 1, "c", "k0", "d", 1)
         log = DiskLog(Files(self.folder))
-        log.add(keep.msgspec.msgpack.encode(identity))
+        log.add(replica_store.msgspec.msgpack.encode(identity))
         log.sync()
         log.close()
         with self.assertRaisesRegex(StoreError, "format 2, this program reads up to 1"):
@@ -173,11 +173,11 @@
 
     def test_a_backup_is_read_whole_or_not_at_all(self):
         snapshot = Snapshot(7, 2, {"k0": Peer("127.0.0.1:1")}, b"state")
-        text = keep.backup(snapshot)
-        self.assertEqual(keep.restore(text), snapshot)
+        text = replica_store.backup(snapshot)
+        self.assertEqual(replica_store.restore(text), snapshot)
         for broken in (text[:-1], text[:4], b"", bytes([text[0] ^ 1]) + text[1:]):
             with self.assertRaises(StoreError):
-                keep.restore(broken)
+                replica_store.restore(broken)
 
 
 class FaultyFile(File):
@@ -361,7 +361,7 @@
                 with self.subTest(call=call, number=number):
                     self.files.failing, self.files.short = {call: number}, 3
                     with self.assertRaises(OSError):
-                        keep.Store(self.files, "c", "k0")
+                        replica_store.Store(self.files, "c", "k0")
                     self.assertEqual(len(os.listdir("/proc/self/fd")), before)
                     self.assertNotIn("log.new", os.listdir(self.folder))
         self.files.failing = {}
@@ -404,7 +404,7 @@
 
     def test_a_full_map_and_a_failing_call_of_lmdb_are_told_and_the_older_snapshot_stays(self):
         self.formatted().close()
-        snapshots = keep.Snapshots(self.files, map_bytes=1 << 16)
+        snapshots = replica_store.Snapshots(self.files, map_bytes=1 << 16)
         self.addCleanup(snapshots.close)
         large = Snapshot(5, 1, {}, bytes(1 << 17))
         with self.assertRaisesRegex(OSError, "MDB_MAP_FULL"):
@@ -420,7 +420,7 @@
             mock.patch("lmdb.open", side_effect=lmdb.Error("No space left on device")),
             self.assertRaisesRegex(OSError, "No space left"),
         ):
-            keep.Store(FaultyFiles(self.folder), "c", "k0")
+            replica_store.Store(FaultyFiles(self.folder), "c", "k0")
 
     def test_a_disk_that_lacks_what_was_synced_is_known(self):
         store = self.formatted()
@@ -438,7 +438,7 @@
     def test_a_folder_in_use_by_another_process_is_refused_before_anything_is_written(self):
         store = self.formatted()
         before = (Path(self.folder) / "log").read_bytes()
-        code = "from cedarmill.store import files, keep; keep.Store(files.Files('.'), 'c', 'k0')"
+        code = "from cedarmill.store import files, replica_store as r; r.Store(files.Files('.'), 'c', 'k0')"
         done = subprocess.run(
             [sys.executable, "-c", code],
             cwd=self.folder,
@@ -460,20 +460,20 @@
 
     def test_a_snapshot_of_another_format_is_refused_in_one_line(self):
         store = self.formatted()
-        text = keep.msgspec.msgpack.encode(["of", "another", "format"])
+        text = replica_store.msgspec.msgpack.encode(["of", "another", "format"])
         with store.snapshots._env.begin(write=True) as change:
-            change.put(b"%020d" % 9, keep.xxhash.xxh3_64_digest(text) + text)
+            change.put(b"%020d" % 9, replica_store.xxhash.xxh3_64_digest(text) + text)
         with self.assertRaisesRegex(StoreError, "snapshots: of another format"):
             store.snapshots.newest()
 
     def test_formatting_that_failed_half_way_may_be_tried_again(self):
-        store = keep.Store(self.files, "c", "k0", "c/k0/1")
+        store = replica_store.Store(self.files, "c", "k0", "c/k0/1")
         store.close()  # killed before the first snapshot
-        again = keep.Store(self.files, "c", "k0", "c/k0/1")
+        again = replica_store.Store(self.files, "c", "k0", "c/k0/1")
         again.put_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
         again.close()
         with self.assertRaisesRegex(StoreError, "holds the disk c/k0/1 already"):
-            keep.Store(self.files, "c", "k0", "c/k0/1")
+            replica_store.Store(self.files, "c", "k0", "c/k0/1")
 
     def test_after_a_kill_at_any_byte_of_what_was_added_the_store_opens_with_what_was_whole(self):
         store = self.formatted()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -7,11 +7,11 @@
 
 from nodes import WAIT, Client, NodeCase, call
 
+from cedarmill.admin import sealed_document
+from cedarmill.admin.exclusions import Exclusions
+from cedarmill.admin.sealed_document import Moment
 from cedarmill.net.kept import KeptInPlace
 from cedarmill.net.turn import Turn, boot_id
-from cedarmill.ops import document
-from cedarmill.ops.document import Moment
-from cedarmill.ops.exclusions import Exclusions
 
 
 class HeldSocket(NodeCase):
@@ -200,7 +200,7 @@
         """Of the one backend, as kept last."""
         texts = self.kept().texts()
         body = (
-            document.newest(texts, "memory", "n0", Moment(0, Turn.now(), boot_id()))[1]
+            sealed_document.newest(texts, "memory", "n0", Moment(0, Turn.now(), boot_id()))[1]
             if texts
             else b'{"workers":{}}'
         )
