--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/fleet.py
@@ -373,11 +373,11 @@
 
     from cedarmill.fleet import words as f
     from cedarmill.fleet.agree.messages import Snapshot
-    from cedarmill.store import replica_store
+    from cedarmill.store import files, snapshots
 
     text = asker.ask(f.Look("backup")).text
     snapshot = msgspec.msgpack.decode(text, type=Snapshot)
-    replica_store.write_file(str(path), replica_store.backup(snapshot))
+    files.replace_file(str(path), snapshots.encode_checksummed(snapshot))
     asker.show(
         {"index": snapshot.index, "bytes": len(text)},
         lambda: iter([f"{path}: agreed up to entry {snapshot.index}, {len(text)} bytes"]),
--- a/cedarmill/lab/fleet/disks.py
+++ b/cedarmill/lab/fleet/disks.py
@@ -11,12 +11,12 @@
 import sys
 from pathlib import Path
 
-from cedarmill.store.files import File, Files
+from cedarmill.store.files import AppendFile, Directory
 
 KINDS = ("full", "fsync", "torn", "lost", "flip")
 
 
-class FaultyFile(File):
+class FaultyFile(AppendFile):
     """A file on a disk that may fail."""
 
     control: Path
@@ -36,11 +36,11 @@
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC), self.path)
         self.waiting += text
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         """Drop what is behind, in the process first: the file itself may end before `size`."""
-        written = os.fstat(self._file).st_size
+        written = os.fstat(self.fileno()).st_size
         self.waiting = self.waiting[: max(0, size - written)]
-        super().cut(min(size, written))
+        super().truncate(min(size, written))
 
     def sync(self) -> None:
         word = self._word()
@@ -56,10 +56,11 @@
         super().sync()
 
 
-class FaultyFiles(Files):
-    """A folder on such a disk."""
+class FaultyDirectory(Directory):
+    """A directory on such a disk."""
 
-    file = FaultyFile
+    def open_path(self, path: str) -> FaultyFile:
+        return FaultyFile(path)
 
 
 def flip(path: Path, back: int) -> None:
@@ -76,7 +77,7 @@
 
     options = keeper(conf)
     FaultyFile.control = Path(control)
-    return run(options, "json", FaultyFiles(options.data))
+    return run(options, "json", FaultyDirectory(options.data))
 
 
 if __name__ == "__main__":
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -13,8 +13,7 @@
 
 from cedarmill import log
 from cedarmill.core.deadlines import Deadlines
-from cedarmill.fleet import slices, traffic
-from cedarmill.fleet import words as f
+from cedarmill.fleet import slices, traffic, words
 from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
 from cedarmill.fleet.agree.messages import Entry, Peer, Snapshot, TimeoutNow
 from cedarmill.fleet.hosting import Host
@@ -28,9 +27,10 @@
 from cedarmill.net.listening import Acceptor, listening_socket
 from cedarmill.net.peers import HELLO_US, SILENT_US, Wire
 from cedarmill.net.turn import Turn, callback
-from cedarmill.store.files import Files
-from cedarmill.store.log import StoreError
-from cedarmill.store.replica_store import Store, restore
+from cedarmill.store.errors import StoreError
+from cedarmill.store.files import Directory
+from cedarmill.store.replica_store import ReplicaStore
+from cedarmill.store.snapshots import decode_backup
 from cedarmill.values import KeeperOptions
 
 DIAL_US = 200_000  # between two tries to reach another keeper
@@ -71,7 +71,7 @@
                 ),
             )
         return Snapshot(FIRST, FIRST, config, freeze(world))
-    before = restore(text)
+    before = decode_backup(text)
     world = thaw(before.data)
     world.generation, world.cluster = world.generation + 1, options.cluster
     for permit in world.permits.values():
@@ -86,15 +86,15 @@
 class KeeperProcess:
     """One keeper on one loop."""
 
-    def __init__(self, options: KeeperOptions, files: Files | None = None) -> None:
+    def __init__(self, options: KeeperOptions, files: Directory | None = None) -> None:
         """Open the store; raises StoreError or OSError."""
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
         self.deadlines = Deadlines()
         self.turn = Turn(self.loop, self.deadlines)
-        self.files = files or Files(options.data)
-        self.store = Store(self.files, options.cluster, options.name)
+        self.files = files or Directory(options.data)
+        self.store = ReplicaStore(self.files, options.cluster, options.name)
         self._start_replica()
         self.recovering = False  # the disk has failed, and was not opened anew yet
         self.failed_at = 0
@@ -108,25 +108,25 @@
         self._count = 0
         self._soon = False
         self._timer = None
-        self._words = {f.Hello: self._hello, f.Refused: self._refused}
+        self._words = {words.Hello: self._hello, words.Refused: self._refused}
 
     def _start_replica(self) -> None:
         """The core as the store tells it."""
         identity = self.store.identity
-        seed = int.from_bytes(identity.disk.encode()[-6:], "big") + identity.boot
-        self.keeper = Keeper(self.options.name, self.store.saved, self.turn.now(), seed)
+        seed = int.from_bytes(identity.disk.encode()[-6:], "big") + identity.start_count
+        self.keeper = Keeper(self.options.name, self.store.persistent_state, self.turn.now(), seed)
         self.host = Host(self.keeper, self)
 
     # The port of the host.
 
     def save(self, action: PersistTermAndVote | PersistEntries) -> None:
-        self.store.save(action)
+        self.store.append(action)
 
     def sync(self) -> bool:
         return self.store.sync()
 
     def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
-        self.store.put_snapshot(snapshot, entries)
+        self.store.write_snapshot(snapshot, entries)
 
     def send(self, target: str, message: object) -> None:
         wire = self.wires.get(target)
@@ -190,7 +190,7 @@
         self._let_another_lead()
         waiting, self.tokens = self.tokens, {}
         for wire, number in waiting.values():
-            self._say(wire, number, f.NotHere(DISK_REFUSAL))
+            self._say(wire, number, words.NotHere(DISK_REFUSAL))
         self.deadlines.add(self.failed_at + self.retry_us, self._recover)
 
     def _let_another_lead(self) -> None:
@@ -206,16 +206,17 @@
 
     def _recover(self, now: int) -> None:
         """Open the store anew and start from what it holds, as after a restart; else try again later."""
-        promised = self.store.persisted
+        acknowledged = self.store.acknowledged
         self.store.close()
         try:
-            store = Store(self.files, self.options.cluster, self.options.name)
+            store = ReplicaStore(self.files, self.options.cluster, self.options.name)
         except (StoreError, OSError) as error:
             say("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
             self.deadlines.add(now + self.retry_us, self._recover)
             return
-        store.saved.needs_catch_up |= self.keeper.agree.needs_catch_up or store.lacks(promised)
+        if self.keeper.agree.needs_catch_up or store.may_lack(acknowledged):
+            store.persistent_state.needs_catch_up = True
         self.store, self.recovering = store, False
         self._start_replica()
         for wire in list(self.wires.values()):
@@ -262,14 +263,16 @@
         found.pop(self.options.name, None)
         return found
 
-    def _own_hello(self) -> f.Hello:
+    def _own_hello(self) -> words.Hello:
         identity = self.store.identity
-        return f.Hello(self.options.cluster, self.options.name, "keeper", identity.disk, identity.boot)
+        return words.Hello(
+            self.options.cluster, self.options.name, "keeper", identity.disk, identity.start_count
+        )
 
     def _greet(self, wire: Wire) -> None:
         wire.say(0, self._own_hello())
 
-    def _admit(self, hello: f.Hello) -> str:
+    def _admit(self, hello: words.Hello) -> str:
         """Why a connection is not taken; empty: it is."""
         if hello.cluster != self.options.cluster:
             return f"this is cluster {self.options.cluster}, not {hello.cluster}"
@@ -282,11 +285,11 @@
             return (
                 f"{hello.name} has the disk {hello.disk}, the cluster knows {peer.disk}: replace the keeper"
             )
-        if not self.store.meet(hello.disk, hello.boot):
+        if not self.store.record_peer_start(hello.disk, hello.boot):
             return f"{hello.name} has an old copy of its disk: replace the keeper"
         return ""
 
-    def _hello(self, wire: Wire, number: int, hello: f.Hello) -> None:
+    def _hello(self, wire: Wire, number: int, hello: words.Hello) -> None:
         if self.recovering and hello.role == "keeper":
             wire.end("the disk has failed")
             return
@@ -313,7 +316,7 @@
         if not dialled:
             self._greet(wire)
 
-    def _refused(self, wire: Wire, number: int, word: f.Refused) -> None:
+    def _refused(self, wire: Wire, number: int, word: words.Refused) -> None:
         self._alarm(f"refused by {wire.name}: {word.reason}")
         wire.end(word.reason)
 
@@ -330,12 +333,12 @@
             wire.end("no hello came first")
 
     def _asked(self, wire: Wire, number: int, word: object) -> None:
-        if not isinstance(word, f.Ask):
+        if not isinstance(word, words.Ask):
             wire.end("not a request")
             return
         if self.recovering:
             name = self.options.name
-            answer = f.Pong(name, "") if isinstance(word, f.Ping) else f.NotHere(DISK_REFUSAL)
+            answer = words.Pong(name, "") if isinstance(word, words.Ping) else words.NotHere(DISK_REFUSAL)
             self._say(wire, number, answer)
             return
         self._count += 1
@@ -387,14 +390,16 @@
         return 0
 
     def _tell_store(self) -> None:
-        told, saved = self.store.told, self.store.saved
-        say("keeper-store", disk=self.store.identity.disk, boot=self.store.identity.boot,
+        recovery, saved = self.store.recovery, self.store.persistent_state
+        say("keeper-store", disk=self.store.identity.disk, boot=self.store.identity.start_count,
             index=saved.entries[-1].index if saved.entries else saved.snapshot.index)  # fmt: skip
-        if told.torn:
-            say("keeper-torn", bytes=told.torn)
+        if recovery.torn_bytes:
+            say("keeper-torn", bytes=recovery.torn_bytes)
         if saved.needs_catch_up:
-            lost = "its disk is empty" if self.store.fresh else "its disk has lost what was synced"
-            say("keeper-doubtful", reason="its last record is damaged" if told.damaged else lost)
+            reason = "its disk is empty" if self.store.was_empty else "its disk has lost what was synced"
+            if recovery.last_record_damaged:
+                reason = "its last record is damaged"
+            say("keeper-doubtful", reason=reason)
 
     def _terminate(self) -> None:
         """Hand the lead over first, so that nobody has to miss a leader."""
@@ -410,20 +415,23 @@
         say("loop", context.get("exception"), what=context.get("message"))
 
 
-def initialise(options: KeeperOptions, backup: bytes = b"", files: Files | None = None) -> None:
+def initialise(options: KeeperOptions, backup: bytes = b"", files: Directory | None = None) -> None:
     """Format this keeper's disk for a new cluster, or one restored; raises StoreError (not empty) or
     OSError.
     """
-    store = Store(
-        files or Files(options.data), options.cluster, options.name, disk_name(options.cluster, options.name)
+    store = ReplicaStore(
+        files or Directory(options.data),
+        options.cluster,
+        options.name,
+        disk_name(options.cluster, options.name),
     )
     try:
-        store.put_snapshot(first_snapshot(options, backup), [])
+        store.write_snapshot(first_snapshot(options, backup), [])
     finally:
         store.close()
 
 
-def main(options: KeeperOptions, log_format: str = "text", files: Files | None = None) -> int:
+def main(options: KeeperOptions, log_format: str = "text", files: Directory | None = None) -> int:
     """Run a keeper; the exit code: 0 ended by a signal, 2 it could not start.
 
     A disk that fails while it runs does not end it.
--- a/cedarmill/net/steward.py
+++ b/cedarmill/net/steward.py
@@ -27,7 +27,7 @@
 from cedarmill.net.listening import listening_socket
 from cedarmill.net.member import Membership
 from cedarmill.net.turn import Turn
-from cedarmill.store.files import Files
+from cedarmill.store.files import Directory
 from cedarmill.values import StewardOptions, UnitOptions
 
 LOOK_US = 100_000  # between two looks at processes
@@ -77,7 +77,7 @@
         self.loop = uvloop.new_event_loop()
         self.deadlines = Deadlines()
         self.turn = Turn(self.loop, self.deadlines)
-        self.files = Files(options.data)
+        self.files = Directory(options.data)
         self.units = {one.name: Unit(one) for one in options.units}
         kept = Path(self.files.path(KEPT)).read_bytes() if self.files.exists(KEPT) else b""
         self.core = Steward(
--- a/cedarmill/store/files.py
+++ b/cedarmill/store/files.py
@@ -1,114 +1,149 @@
-"""Files as the store uses them: the one layer under which faults are put in. Raises OSError throughout."""
+"""Files and directories as the store uses them: the one layer that makes system calls.
+
+Tests and the lab inject disk faults by overriding these classes. Everything raises OSError.
+"""
 
 import contextlib
 import fcntl
 import os
+from types import TracebackType
+from typing import Self
+
+LOCK_NAME = "lock"  # the file in a directory that its process holds locked
+READ_BYTES = 1 << 20  # per system call
+FILE_MODE = 0o600
+DIRECTORY_MODE = 0o700
+CLOSED = -1  # in place of a file descriptor
+
+
+class _Descriptor:
+    """An open file descriptor that is closed once, also at the end of a `with` block."""
+
+    def __init__(self, descriptor: int) -> None:
+        self._descriptor = descriptor
+
+    def fileno(self) -> int:
+        """The descriptor's number."""
+        return self._descriptor
+
+    def close(self) -> None:
+        """Close the descriptor; where that fails, Linux has freed it all the same."""
+        if self._descriptor != CLOSED:
+            descriptor, self._descriptor = self._descriptor, CLOSED
+            os.close(descriptor)
+
+    def __enter__(self) -> Self:
+        return self
 
-LOCK = "lock"  # the file whose lock a process holds while it uses a folder
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.close()
 
 
-class File:
-    """One file that grows at its end."""
+class AppendFile(_Descriptor):
+    """A file that grows at its end; created if it does not exist."""
 
     def __init__(self, path: str) -> None:
+        super().__init__(os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, FILE_MODE))
         self.path = path
-        self._file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     def read(self) -> bytes:
-        """All of it."""
-        found, at = bytearray(), 0
-        while piece := os.pread(self._file, 1 << 20, at):
-            found += piece
-            at += len(piece)
-        return bytes(found)
-
-    def write(self, text: bytes) -> None:
-        """Append; it is on the disk after `sync`."""
-        view = memoryview(text)
-        while view:
-            view = view[os.write(self._file, view) :]
+        """Read the whole file."""
+        content = bytearray()
+        while piece := os.pread(self._descriptor, READ_BYTES, len(content)):
+            content += piece
+        return bytes(content)
+
+    def write(self, data: bytes) -> None:
+        """Append; the data is durable after `sync`. After an OSError a part of it may have been written."""
+        remaining = memoryview(data)
+        while remaining:
+            written = os.write(self._descriptor, remaining)
+            remaining = remaining[written:]
 
     def sync(self) -> None:
-        os.fdatasync(self._file)
+        """Make durable what was written."""
+        os.fdatasync(self._descriptor)
 
-    def cut(self, size: int) -> None:
-        """Drop what is behind."""
-        os.ftruncate(self._file, size)
-        os.fsync(self._file)
+    def truncate(self, size: int) -> None:
+        """Drop what is behind the first `size` bytes, durably."""
+        os.ftruncate(self._descriptor, size)
+        os.fsync(self._descriptor)
 
-    def close(self) -> None:
-        """Give the descriptor back, also where closing fails: Linux frees it then, too."""
-        if self._file >= 0:
-            number, self._file = self._file, -1
-            os.close(number)
 
+class DirectoryLock(_Descriptor):
+    """Keeps other processes out of a directory until it is closed."""
 
-class Files:
-    """A folder."""
 
-    file = File
+class Directory:
+    """A directory, created with its parents if it does not exist."""
 
-    def __init__(self, folder: str) -> None:
-        self.folder = folder
-        os.makedirs(folder, mode=0o700, exist_ok=True)
+    def __init__(self, root: str) -> None:
+        self.root = root
+        os.makedirs(root, mode=DIRECTORY_MODE, exist_ok=True)
 
     def path(self, name: str) -> str:
-        return os.path.join(self.folder, name)
+        """The path of a file in the directory."""
+        return os.path.join(self.root, name)
+
+    def open_path(self, path: str) -> AppendFile:
+        """Open a file by its path; a directory with injected faults overrides this."""
+        return AppendFile(path)
 
-    def open(self, name: str) -> File:
-        """A file to append to; made if it is not there."""
-        return self.file(self.path(name))
+    def open(self, name: str) -> AppendFile:
+        """Open a file of the directory to append to; it is created if it does not exist."""
+        return self.open_path(self.path(name))
 
     def exists(self, name: str) -> bool:
-        """Whether a file is there; a folder that cannot be looked at is an error, not an empty one."""
+        """Whether there is a file of that name; where that cannot be found out, an OSError and not False."""
         try:
             os.stat(self.path(name))
         except FileNotFoundError:
             return False
         return True
 
-    def replace(self, name: str, text: bytes) -> None:
-        """Write a file whole, or leave the old one.
+    def replace(self, name: str, content: bytes) -> None:
+        """Replace a file atomically.
 
-        After an OSError either may stand there, each of them whole: the last step is the folder's sync.
+        After an OSError there is either the old file or the new one, each complete: the last step is the sync
+        of the directory.
         """
-        new = self.path(f"{name}.new")
+        temporary = self.path(f"{name}.new")
         with contextlib.suppress(FileNotFoundError):  # what a kill has left must not be appended to
-            os.remove(new)
+            os.remove(temporary)
         try:
-            self._write_new(new, text)
-            os.replace(new, self.path(name))
+            self._write_new(temporary, content)
+            os.replace(temporary, self.path(name))
         except OSError:
             with contextlib.suppress(OSError):
-                os.remove(new)  # half a file would only take room on a full disk
+                os.remove(temporary)  # half a file would only take up space on a full disk
             raise
-        self.sync_folder()
+        self.sync()
 
-    def _write_new(self, path: str, text: bytes) -> None:
-        file = self.file(path)
-        try:
-            file.write(text)
+    def _write_new(self, path: str, content: bytes) -> None:
+        with self.open_path(path) as file:
+            file.write(content)
             file.sync()
-        finally:
-            file.close()
 
-    def lock(self) -> int:
-        """Keep other processes out of the folder until the descriptor returned is closed.
-
-        Raises BlockingIOError where another process has it.
-        """
-        number = os.open(self.path(LOCK), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    def lock(self) -> DirectoryLock:
+        """Lock the directory for this process; raises BlockingIOError where another one holds the lock."""
+        descriptor = os.open(self.path(LOCK_NAME), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
+        lock = DirectoryLock(descriptor)
         try:
-            fcntl.flock(number, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(number)
+            lock.close()
             raise
-        return number
+        return lock
 
-    def sync_folder(self) -> None:
-        """What was made or renamed is on the disk too."""
-        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+    def sync(self) -> None:
+        """Make durable which files the directory has."""
+        with _Descriptor(os.open(self.root, os.O_RDONLY | os.O_DIRECTORY)) as opened:
+            os.fsync(opened.fileno())
+
+
+def replace_file(path: str, content: bytes) -> None:
+    """Write a file atomically: it is there complete or not at all."""
+    directory, name = os.path.split(os.path.abspath(path))
+    Directory(directory).replace(name, content)
--- a/cedarmill/store/log.py
+++ b/cedarmill/store/log.py
@@ -1,10 +1,10 @@
 """The log on disk: records one after the other, each with its length and checksum; group commit by the
 caller.
 
-A record that is not whole at the end is a torn tail: it was never synced, so nobody was promised anything,
-and it is cut off. A whole record whose checksum does not fit was damaged after it was written: if others
-follow, the file is refused; at the very end it is cut off and the keeper doubts itself, since it may have
-promised it.
+An incomplete record at the end is a torn write: it was never synced, so nothing depends on it, and it is cut
+off. A complete record whose checksum does not fit was damaged after it was written. If others follow, the
+file is refused; at the very end the record is cut off and the replica needs to catch up, since it may have
+acknowledged what is lost.
 """
 
 import contextlib
@@ -15,156 +15,167 @@
 
 import xxhash
 
-from cedarmill.store.files import Files
+from cedarmill.store.errors import DamagedError, LogUnusableError, UnknownFormatError
+from cedarmill.store.files import Directory
 
+LOG_NAME = "log"
 MAGIC = b"cedarmill log 1\n"
-HEAD = struct.Struct(">IQ")  # length, checksum
-MAX_RECORD = 64 * 1024 * 1024
+RECORD_HEADER = struct.Struct(">IQ")  # the body's length in bytes, its XXH3 checksum
+MAX_RECORD_BYTES = 64 * 1024 * 1024
+MIN_RECORD_BYTES = 4  # of a body, where a record is looked for in damaged data
 
 
-class StoreError(ValueError):
-    """What cannot be used of a store, in one line with file and place."""
-
-
-class Recovered(NamedTuple):
-    """The records that are good, whether a damaged one stood at the end, and a torn tail's bytes."""
+class RecoveredLog(NamedTuple):
+    """What reading a log has found."""
 
     records: list[bytes]
-    damaged: bool
-    torn: int
-
-
-def record(text: bytes) -> bytes:
-    """One record as it is written."""
-    return HEAD.pack(len(text), xxhash.xxh3_64_intdigest(text)) + text
-
-
-def scan(text: bytes, path: str) -> tuple[Recovered, int]:
-    """Read records; and how many bytes of the file are good. Raises StoreError."""
-    if not text.startswith(MAGIC):
-        if MAGIC.startswith(text):
-            return Recovered([], False, len(text)), 0  # torn in its first line
-        raise StoreError(f"{path}: no log of this program, or of a newer format: {text[:16]!r}")
-    at, found = len(MAGIC), []
-    while at < len(text):
-        if at + HEAD.size > len(text):
-            return Recovered(found, False, len(text) - at), at
-        length, checksum = HEAD.unpack_from(text, at)
-        end = at + HEAD.size + length
-        if length > MAX_RECORD or end > len(text):
-            if _more_follow(text, at + 1):
-                raise StoreError(
-                    f"{path}: damaged at byte {at}: a length that cannot be, and good records after"
+    last_record_damaged: bool
+    torn_bytes: int  # behind the last good record
+    valid_bytes: int  # up to the end of the last good record
+
+
+def encode_record(body: bytes) -> bytes:
+    """A record as it is written."""
+    return RECORD_HEADER.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body
+
+
+def read_records(data: bytes, path: str) -> RecoveredLog:
+    """Read the content of the log at `path`; raises UnknownFormatError or DamagedError."""
+    if not data.startswith(MAGIC):
+        if MAGIC.startswith(data):
+            return RecoveredLog([], False, len(data), 0)  # torn in its first line
+        raise UnknownFormatError(f"{path}: no log of this program, or of a newer format: {data[:16]!r}")
+    position = len(MAGIC)
+    records: list[bytes] = []
+    while position < len(data):
+        if position + RECORD_HEADER.size > len(data):
+            return RecoveredLog(records, False, len(data) - position, position)
+        length, checksum = RECORD_HEADER.unpack_from(data, position)
+        start = position + RECORD_HEADER.size
+        end = start + length
+        if length > MAX_RECORD_BYTES or end > len(data):
+            if _has_record_behind(data, position + 1):
+                raise DamagedError(
+                    f"{path}: damaged at byte {position}: a length that cannot be, and good records after"
                 )
-            return Recovered(found, False, len(text) - at), at
-        body = text[at + HEAD.size : end]
+            return RecoveredLog(records, False, len(data) - position, position)
+        body = data[start:end]
         if xxhash.xxh3_64_intdigest(body) != checksum:
-            if end < len(text):
-                raise StoreError(f"{path}: damaged at byte {at}: the checksum does not fit, and more follows")
-            return Recovered(found, True, len(text) - at), at
-        found.append(body)
-        at = end
-    return Recovered(found, False, 0), at
-
-
-def _more_follow(text: bytes, at: int) -> bool:
-    """Whether a good record of some size starts anywhere behind: then this is damage, not a torn tail."""
-    for place in range(at, max(at, len(text) - HEAD.size)):
-        length, checksum = HEAD.unpack_from(text, place)
-        end = place + HEAD.size + length
-        if (
-            length >= 4
-            and end <= len(text)
-            and xxhash.xxh3_64_intdigest(text[place + HEAD.size : end]) == checksum
-        ):
+            if end < len(data):
+                raise DamagedError(
+                    f"{path}: damaged at byte {position}: the checksum does not fit, and more follows"
+                )
+            return RecoveredLog(records, True, len(data) - position, position)
+        records.append(body)
+        position = end
+    return RecoveredLog(records, False, 0, position)
+
+
+def _has_record_behind(data: bytes, first: int) -> bool:
+    """Whether a good record starts anywhere from `first` on: then this is damage, not a torn write."""
+    for position in range(first, max(first, len(data) - RECORD_HEADER.size)):
+        length, checksum = RECORD_HEADER.unpack_from(data, position)
+        start = position + RECORD_HEADER.size
+        end = start + length
+        complete = length >= MIN_RECORD_BYTES and end <= len(data)
+        if complete and xxhash.xxh3_64_intdigest(data[start:end]) == checksum:
             return True
     return False
 
 
-class DiskLog:
-    """An open log: `add` any number of records, then `sync` once.
+class LogFile:
+    """An open log: `append` any number of records, then `sync` once.
 
-    A record that was written in part is cut off before another may follow it. After a failed sync, cut or
-    rewrite the log is unusable until it was opened and read anew: Linux reports a failed sync once, marks
+    A partly written record is cut off before another may follow it. After a failed sync, truncation or
+    rewrite the log is unusable until it is opened and read anew: Linux reports a failed sync once, marks
     what was not written as clean, and lets the next sync succeed without it.
     """
 
-    def __init__(self, files: Files, name: str = "log") -> None:
-        """Open and read; nothing is changed before the first `add` or `rewrite`.
+    def __init__(self, directory: Directory, name: str = LOG_NAME) -> None:
+        """Open and read; nothing is changed before the first `append` or `rewrite`.
 
         Raises StoreError or OSError.
         """
-        self.files, self.name = files, name
-        self.file = files.open(name)
+        self.directory = directory
+        self.name = name
+        self.file = directory.open(name)
         try:
-            text = self.file.read()
-            self.recovered, self.size = scan(text, files.path(name))
+            data = self.file.read()
+            self.recovered = read_records(data, directory.path(name))
         except BaseException:
             self.file.close()
             raise
-        self._torn = self.size < len(text)
-        self._dirty = False
-        self._failed = False
-
-    def add(self, text: bytes) -> None:
-        """Append a record; raises OSError, and nothing more may be promised then."""
-        self._check()
-        if self._torn:
-            self._cut()
-        whole = record(text) if self.size else MAGIC + record(text)
-        self._dirty = True
-        self._torn = True  # until all of it is written
+        self.size = self.recovered.valid_bytes
+        self._partly_written = self.size < len(data)
+        self._unsynced = False
+        self._unusable = False
+
+    def append(self, body: bytes) -> None:
+        """Append a record; after an OSError nothing more may be acknowledged."""
+        self._check_usable()
+        if self._partly_written:
+            self._truncate()
+        record = encode_record(body)
+        if not self.size:
+            record = MAGIC + record
+        self._unsynced = True
+        self._partly_written = True  # until all of it is written
         try:
-            self.file.write(whole)
+            self.file.write(record)
         except OSError:
-            self._cut()
+            self._truncate()
             raise
-        self._torn = False
-        self.size += len(whole)
+        self._partly_written = False
+        self.size += len(record)
 
     def sync(self) -> bool:
-        """Everything added is on the disk; whether there was anything. Raises OSError."""
-        self._check()
-        if not self._dirty:
+        """Make all that was appended durable; whether there was anything. Raises OSError."""
+        self._check_usable()
+        if not self._unsynced:
             return False
-        with self._failing():
+        with self._unusable_on_error():
             self.file.sync()
-        self._dirty = False
+        self._unsynced = False
         return True
 
-    def rewrite(self, records: list[bytes]) -> None:
-        """Replace the log whole by these.
+    def rewrite(self, bodies: list[bytes]) -> None:
+        """Replace the whole log by these records.
 
-        Raises OSError; the folder holds the old log or the new one then, and which is known by opening anew.
+        After an OSError the directory holds the old log or the new one; opening it anew tells which.
         """
-        self._check()
-        text = MAGIC + b"".join(map(record, records))
-        with self._failing():
-            self.files.replace(self.name, text)
-            file = self.files.open(self.name)
-            self.file, before = file, self.file
-            before.close()
-        self.size, self._dirty, self._torn = len(text), False, False
+        self._check_usable()
+        content = MAGIC + b"".join(map(encode_record, bodies))
+        with self._unusable_on_error():
+            self.directory.replace(self.name, content)
+            file = self.directory.open(self.name)
+            self.file, replaced = file, self.file
+            replaced.close()
+        self.size = len(content)
+        self._unsynced = False
+        self._partly_written = False
 
     def close(self) -> None:
-        self._failed = True
+        """Close the file; the log is unusable from then on. Raises OSError."""
+        self._unusable = True
         self.file.close()
 
-    def _cut(self) -> None:
-        """Drop what was written in part; raises OSError."""
-        with self._failing():
-            self.file.cut(self.size)
-        self._torn = False
+    def _truncate(self) -> None:
+        """Cut off what was partly written; raises OSError."""
+        with self._unusable_on_error():
+            self.file.truncate(self.size)
+        self._partly_written = False
 
-    def _check(self) -> None:
-        if self._failed:
-            raise OSError(errno.EIO, "an earlier write or sync failed, the log was not read since", self.name)
+    def _check_usable(self) -> None:
+        if self._unusable:
+            raise LogUnusableError(
+                errno.EIO, "an earlier write or sync failed, the log was not read since", self.name
+            )
 
     @contextlib.contextmanager
-    def _failing(self) -> Iterator[None]:
-        """The log is unusable once what is done here has failed."""
+    def _unusable_on_error(self) -> Iterator[None]:
+        """Mark the log as unusable where what is done here fails."""
         try:
             yield
         except OSError:
-            self._failed = True
+            self._unusable = True
             raise
--- a/cedarmill/store/replica_store.py
+++ b/cedarmill/store/replica_store.py
@@ -1,78 +1,45 @@
-"""A keeper's store: the log file for what is promised, LMDB for snapshots; one sync for all of a turn.
+"""A replica's store: a log file for what it acknowledges, LMDB for snapshots; one sync for many records.
 
-Records: the disk's identity and how often it was started on, the term and vote, entries, a cut by a
-snapshot. A snapshot goes into LMDB first, whole and with its checksum; then the log is rewritten without
-what it holds. A crash in between leaves both, and the newer snapshot wins.
+A snapshot is first written to LMDB, complete and with its checksum; then the log is rewritten without what
+the snapshot covers. A crash in between leaves both, and the newer snapshot wins.
 
-Each opening writes the log anew, whole, from what was read: after a failed sync the system's memory may hold
-what the disk does not, also for the next process, and only what is written and synced again is sure.
+Each opening rewrites the whole log from what was read: after a failed sync the page cache may hold what the
+disk does not, also for the next process, and only what is written and synced again is certain.
 """
 
 import contextlib
-import errno
-import os
 import secrets
-from collections.abc import Iterator
 from typing import NamedTuple
 
-import lmdb
-import msgspec
-import xxhash
-
 from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote
 from cedarmill.fleet.agree.messages import Entry, Snapshot
 from cedarmill.fleet.agree.state import PersistentState
-from cedarmill.store.files import Files
-from cedarmill.store.log import DiskLog, StoreError
-
-FORMAT = 1
-MAP_BYTES = 1 << 28  # of address space for LMDB; the file grows as needed
-SNAPSHOTS = 2  # that are held
-
-
-class Identity(msgspec.Struct, tag="identity", array_like=True):
-    """Of the disk: made when it was formatted; `boot` grows with each start."""
-
-    format: int
-    cluster: str
-    name: str
-    disk: str
-    boot: int
-
-
-class Term(msgspec.Struct, tag="term", array_like=True):
-    term: int
-    vote: str
-
-
-class Entries(msgspec.Struct, tag="entries", array_like=True):
-    """What stood in the log from the first one's index on is replaced."""
-
-    entries: tuple[Entry, ...]
-
+from cedarmill.store import records
+from cedarmill.store.errors import DamagedError, DiskInUseError, ForeignDiskError, UnknownFormatError
+from cedarmill.store.files import Directory, DirectoryLock
+from cedarmill.store.log import LOG_NAME, LogFile
+from cedarmill.store.records import (
+    FORMAT_VERSION,
+    DiskIdentity,
+    EntriesRecord,
+    PeerDiskRecord,
+    Record,
+    TermRecord,
+)
+from cedarmill.store.snapshots import SnapshotDatabase
 
-class Met(msgspec.Struct, tag="met", array_like=True):
-    """Another keeper's disk, and the highest boot seen of it."""
+RANDOM_NAME_BYTES = 6  # of a disk that is not named by its caller
 
-    disk: str
-    boot: int
 
+class RecoveryReport(NamedTuple):
+    """What an operator should know of the recovery."""
 
-Record = Identity | Term | Entries | Met
-_DECODE = msgspec.msgpack.Decoder(Record)
-_SNAPSHOT = msgspec.msgpack.Decoder(Snapshot)
-_EMPTY = Snapshot(0, 0, {}, b"")
+    torn_bytes: int
+    last_record_damaged: bool
 
 
-class Told(NamedTuple):
-    """For the operator: what recovery found."""
-
-    torn: int
-    damaged: bool
-
-
-class Persisted(NamedTuple):
-    """What a replica may have promised: the term, the vote, and the last entry, all of them synced."""
+class AcknowledgedState(NamedTuple):
+    """What a replica may have acknowledged: term, vote and last entry, all of them synced."""
 
     term: int
     vote: str
@@ -80,233 +47,200 @@
     last_index: int
 
 
-class Snapshots:
-    """Snapshots in LMDB, by index, each with its checksum. Raises OSError where LMDB fails."""
+class _LogContent:
+    """What the log's records amount to, read one after the other."""
 
-    def __init__(self, files: Files, map_bytes: int = MAP_BYTES) -> None:
-        self.files = files
-        with self._lmdb_errors():
-            self._env = lmdb.open(files.path("snapshots"), map_size=map_bytes, subdir=True, max_dbs=0)
+    def __init__(self) -> None:
+        self.identity: DiskIdentity | None = None
+        self.term = 0
+        self.vote = ""
+        self.entries: list[Entry] = []
+        self.peer_start_counts: dict[str, int] = {}
 
-    def put(self, snapshot: Snapshot) -> None:
-        """Keep it, and drop all but the newest; raises OSError."""
-        text = msgspec.msgpack.encode(snapshot)
-        whole = xxhash.xxh3_64_digest(text) + text
-        with self._lmdb_errors(), self._env.begin(write=True) as change:
-            change.put(b"%020d" % snapshot.index, whole)
-            keys = [bytes(key) for key, _ in change.cursor()]
-            for key in keys[:-SNAPSHOTS]:
-                change.delete(key)
+    def apply(self, record: Record) -> None:
+        """Read the next record."""
+        match record:
+            case DiskIdentity():
+                self.identity = record
+            case TermRecord():
+                self.term, self.vote = record.term, record.vote
+            case PeerDiskRecord():
+                known = self.peer_start_counts.get(record.disk, 0)
+                self.peer_start_counts[record.disk] = max(record.start_count, known)
+            case EntriesRecord():
+                self._replace_from(record.entries)
 
-    def newest(self) -> Snapshot:
-        """The newest that is whole; an empty one where there is none. Raises OSError, or StoreError where all
-        are damaged or the newest is of another format.
-        """
-        found = 0
-        with self._lmdb_errors(), self._env.begin() as look:
-            cursor = look.cursor()
-            for _, text in reversed(list(cursor)):
-                found += 1
-                if xxhash.xxh3_64_digest(text[8:]) == text[:8]:
-                    return self._decode(text[8:])
-        if found:
-            raise StoreError(f"{self.files.path('snapshots')}: {found} snapshots, all damaged")
-        return _EMPTY
-
-    def _decode(self, text: bytes) -> Snapshot:
-        try:
-            return _SNAPSHOT.decode(text)
-        except msgspec.MsgspecError as error:
-            raise StoreError(f"{self.files.path('snapshots')}: of another format: {error}") from None
+    def _replace_from(self, entries: tuple[Entry, ...]) -> None:
+        while self.entries and self.entries[-1].index >= entries[0].index:
+            self.entries.pop()
+        self.entries.extend(entries)
 
-    @contextlib.contextmanager
-    def _lmdb_errors(self) -> Iterator[None]:
-        """LMDB's errors (a full map, or a system call that failed) as OSError."""
-        try:
-            yield
-        except lmdb.Error as error:
-            raise OSError(errno.EIO, str(error), self.files.path("snapshots")) from None
-
-    def close(self) -> None:
-        self._env.close()
 
+class ReplicaStore:
+    """The disk of one replica, locked for this process.
 
-class Store:
-    """All that a keeper keeps."""
+    `persistent_state` is what the replica starts from, `identity` the disk's, with this start counted.
+    """
 
-    def __init__(self, files: Files, cluster: str, name: str, disk: str = "") -> None:
-        """Open, recover, and count this start.
+    def __init__(self, directory: Directory, cluster: str, replica: str, new_disk: str = "") -> None:
+        """Open the store, recover its content, and count this start.
 
-        `disk` names a disk to be formatted, and one that holds anything is refused; else a disk that holds
-        nothing gets a name by chance. Raises StoreError or OSError, and nothing is left open then.
+        `new_disk` names a disk to be formatted, and a directory that holds another one is refused; without
+        it an empty directory gets a disk with a random name. Raises StoreError or OSError, and nothing is
+        left open then.
         """
-        self.files = files
-        self.met: dict[str, int] = {}
-        self.identity: Identity | None = None
+        self.directory = directory
         with contextlib.ExitStack() as opened:
-            self.snapshots = Snapshots(files)
+            self.snapshots = SnapshotDatabase(directory)
             opened.callback(self.snapshots.close)
-            self.log = DiskLog(files)
+            self.log = LogFile(directory)
             opened.callback(self.log.close)
-            self._lock = self._locked()
-            opened.callback(os.close, self._lock)
+            self._lock = opened.enter_context(self._locked())
             self._recover()
-            self._check_owner(cluster, name, disk)
-            self._begin(cluster, name, disk)
+            self._check_owner(cluster, replica, new_disk)
+            self._start(cluster, replica, new_disk)
             opened.pop_all()
 
+    def _locked(self) -> DirectoryLock:
+        """The directory's lock; raises DiskInUseError where another process holds it, or OSError."""
+        try:
+            return self.directory.lock()
+        except BlockingIOError:
+            identity = self._read_log().identity
+            disk = identity.disk if identity is not None else "of another process"
+            raise DiskInUseError(
+                f"{self.directory.root}: holds the disk {disk} already, and it is in use"
+            ) from None
+
+    # Recovery.
+
+    def _read_log(self) -> _LogContent:
+        """Decode the log's records; raises UnknownFormatError."""
+        content = _LogContent()
+        path = self.directory.path(LOG_NAME)
+        for body in self.log.recovered.records:
+            content.apply(records.decode(body, path))
+        return content
+
     def _recover(self) -> None:
-        """Take up what the disk holds; raises StoreError or OSError."""
-        snapshot = self.snapshots.newest()
-        term, vote, entries = 0, "", []
-        for text in self.log.recovered.records:
-            record = self._decode(text)
-            if isinstance(record, Identity):
-                self.identity = record
-            elif isinstance(record, Term):
-                term, vote = record.term, record.vote
-            elif isinstance(record, Met):
-                self.met[record.disk] = max(record.boot, self.met.get(record.disk, 0))
-            else:
-                self._lay(entries, record.entries)
-        self.told = Told(self.log.recovered.torn, self.log.recovered.damaged)
-        self.fresh = self.identity is None
-        rest = [entry for entry in entries if entry.index > snapshot.index]
-        if rest and rest[0].index != snapshot.index + 1:
-            raise StoreError(
-                f"{self.files.path('log')}: begins at {rest[0].index}, the snapshot ends at {snapshot.index}"
-            )
-        doubtful = self.told.damaged or self.fresh
+        """Combine the newest snapshot with the log; raises StoreError or OSError."""
+        snapshot = self.snapshots.read_newest()
+        content = self._read_log()
+        entries = self._entries_after(snapshot, content.entries)
+        found = self.log.recovered
+        self.recovery = RecoveryReport(found.torn_bytes, found.last_record_damaged)
+        self._found_identity = content.identity
+        self.was_empty = content.identity is None
+        self.peer_start_counts = content.peer_start_counts
+        term, vote = content.term, content.vote
         if snapshot.term > term:
             term, vote = snapshot.term, ""
-        self.saved = PersistentState(term, vote, snapshot, tuple(rest), doubtful)
-        self._term = term, vote
-        last = rest[-1] if rest else snapshot
-        self._last = last.term, last.index
+        needs_catch_up = found.last_record_damaged or self.was_empty
+        self.persistent_state = PersistentState(term, vote, snapshot, entries, needs_catch_up)
+        self._term_and_vote = term, vote
+        last = entries[-1] if entries else snapshot
+        self._last_entry = last.term, last.index
 
-    def _decode(self, text: bytes) -> Record:
-        try:
-            return _DECODE.decode(text)
-        except msgspec.MsgspecError as error:
-            raise StoreError(f"{self.files.path('log')}: a record of another format: {error}") from None
-
-    @staticmethod
-    def _lay(entries: list[Entry], new: tuple[Entry, ...]) -> None:
-        while entries and entries[-1].index >= new[0].index:
-            entries.pop()
-        entries.extend(new)
-
-    def _check_owner(self, cluster: str, name: str, disk: str) -> None:
-        """Raise StoreError for another replica's disk, a newer format, and for formatting a disk in use."""
-        before = self.identity
-        if before is None:
+    def _entries_after(self, snapshot: Snapshot, entries: list[Entry]) -> tuple[Entry, ...]:
+        """The entries that the snapshot does not cover; raises DamagedError where some are missing."""
+        rest = tuple(entry for entry in entries if entry.index > snapshot.index)
+        if rest and rest[0].index != snapshot.index + 1:
+            raise DamagedError(
+                f"{self.directory.path(LOG_NAME)}: begins at {rest[0].index},"
+                f" the snapshot ends at {snapshot.index}"
+            )
+        return rest
+
+    def _check_owner(self, cluster: str, replica: str, new_disk: str) -> None:
+        """Refuse another replica's disk, a newer format, and formatting a disk in use."""
+        found = self._found_identity
+        if found is None:
             return
-        if (before.cluster, before.name) != (cluster, name):
-            raise StoreError(f"{self.files.folder}: of keeper {before.name} of cluster {before.cluster}")
-        if before.format > FORMAT:
-            raise StoreError(
-                f"{self.files.folder}: format {before.format}, this program reads up to {FORMAT}"
+        root = self.directory.root
+        if (found.cluster, found.replica) != (cluster, replica):
+            raise ForeignDiskError(f"{root}: of keeper {found.replica} of cluster {found.cluster}")
+        if found.format_version > FORMAT_VERSION:
+            raise UnknownFormatError(
+                f"{root}: format {found.format_version}, this program reads up to {FORMAT_VERSION}"
             )
-        half_formatted = before.disk == disk and not self._term[0] and not self._last[1]
-        if disk and not half_formatted:
-            raise StoreError(f"{self.files.folder}: holds the disk {before.disk} already")
+        has_state = self._term_and_vote[0] or self._last_entry[1]
+        formatting_interrupted = found.disk == new_disk and not has_state
+        if new_disk and not formatting_interrupted:
+            raise DiskInUseError(f"{root}: holds the disk {found.disk} already")
+
+    def _start(self, cluster: str, replica: str, new_disk: str) -> None:
+        """Write all that was recovered anew, with this start counted; raises OSError."""
+        found = self._found_identity
+        if found is None:
+            disk = new_disk or secrets.token_hex(RANDOM_NAME_BYTES)
+            self.identity = DiskIdentity(FORMAT_VERSION, cluster, replica, disk, start_count=1)
+        else:
+            self.identity = DiskIdentity(FORMAT_VERSION, cluster, replica, found.disk, found.start_count + 1)
+        self._rewrite_log(self.persistent_state.entries)
 
-    def _locked(self) -> int:
-        """The folder's lock; raises StoreError where another process has it, or OSError."""
-        try:
-            return self.files.lock()
-        except BlockingIOError:
-            self._recover()
-            held = self.identity.disk if self.identity is not None else "of another process"
-            raise StoreError(
-                f"{self.files.folder}: holds the disk {held} already, and it is in use"
-            ) from None
+    # Writing.
 
-    def _begin(self, cluster: str, name: str, disk: str) -> None:
-        """Write anew all that was recovered, with this start's identity; raises OSError."""
-        before = self.identity
-        disk = before.disk if before is not None else disk or secrets.token_hex(6)
-        self.identity = Identity(FORMAT, cluster, name, disk, before.boot + 1 if before is not None else 1)
-        self._rewrite(self.saved.entries)
-
-    def _rewrite(self, entries: tuple[Entry, ...]) -> None:
-        """The log anew: the identity, the term and vote, the disks met, and these entries; raises OSError."""
-        records: list[Record] = [self.identity, Term(*self._term)]
-        records += [Met(disk, boot) for disk, boot in self.met.items()]
+    def _rewrite_log(self, entries: tuple[Entry, ...]) -> None:
+        """Replace the log by the present identity, term, vote, peers and these entries; raises OSError."""
+        content: list[Record] = [self.identity, TermRecord(*self._term_and_vote)]
+        content += [PeerDiskRecord(disk, count) for disk, count in self.peer_start_counts.items()]
         if entries:
-            records.append(Entries(entries))
-        self.log.rewrite([msgspec.msgpack.encode(record) for record in records])
-        self.persisted = Persisted(*self._term, *self._last)
+            content.append(EntriesRecord(entries))
+        self.log.rewrite([records.encode(record) for record in content])
+        self._acknowledge()
 
-    def _add(self, record: Record) -> None:
-        self.log.add(msgspec.msgpack.encode(record))
+    def _acknowledge(self) -> None:
+        self.acknowledged = AcknowledgedState(*self._term_and_vote, *self._last_entry)
 
-    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
-        """Take what is to be kept; it is after `sync`. Raises OSError."""
+    def append(self, action: PersistTermAndVote | PersistEntries) -> None:
+        """Append to the log; durable after `sync`. Raises OSError."""
         if isinstance(action, PersistTermAndVote):
-            self._add(Term(action.term, action.vote))
-            self._term = action.term, action.vote
+            self.log.append(records.encode(TermRecord(action.term, action.vote)))
+            self._term_and_vote = action.term, action.vote
         else:
-            self._add(Entries(action.entries))
-            self._last = action.entries[-1].term, action.entries[-1].index
+            self.log.append(records.encode(EntriesRecord(action.entries)))
+            self._last_entry = action.entries[-1].term, action.entries[-1].index
 
-    def meet(self, disk: str, boot: int) -> bool:
-        """Another keeper's disk says hello; False: it was seen with a later start, so this is an old copy.
+    def record_peer_start(self, disk: str, start_count: int) -> bool:
+        """Note the start count that another replica's disk shows; raises OSError.
 
-        Raises OSError.
+        False: the disk has shown a higher one before, so this is an old copy of it.
         """
-        known = self.met.get(disk, 0)
-        if boot < known:
+        known = self.peer_start_counts.get(disk, 0)
+        if start_count < known:
             return False
-        if boot > known:
-            self._add(Met(disk, boot))
-            self.met[disk] = boot
+        if start_count > known:
+            self.log.append(records.encode(PeerDiskRecord(disk, start_count)))
+            self.peer_start_counts[disk] = start_count
         return True
 
     def sync(self) -> bool:
-        """All that was taken is on the disk; raises OSError, and nothing more may be promised then."""
+        """Make durable what was appended; whether there was anything.
+
+        After an OSError nothing more may be acknowledged until the store is opened anew.
+        """
         synced = self.log.sync()
-        self.persisted = Persisted(*self._term, *self._last)
+        self._acknowledge()
         return synced
 
-    def lacks(self, promised: Persisted) -> bool:
-        """Whether this disk, as it was read, may have lost something that was synced before."""
-        term, vote, last_term, last_index = self.persisted
-        forgot_vote = term == promised.term and promised.vote not in ("", vote)
-        forgot_entries = (last_term, last_index) < (promised.last_term, promised.last_index)
-        return term < promised.term or forgot_vote or forgot_entries
-
-    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
-        """Keep a snapshot, then the log without what it holds; raises OSError."""
-        self.snapshots.put(snapshot)
+    def write_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
+        """Write a snapshot, then the log with only the entries after it; raises OSError."""
+        self.snapshots.write(snapshot)
         last = entries[-1] if entries else snapshot
-        self._last = last.term, last.index
-        self._rewrite(tuple(entries))
+        self._last_entry = last.term, last.index
+        self._rewrite_log(tuple(entries))
+
+    def may_lack(self, acknowledged: AcknowledgedState) -> bool:
+        """Whether the disk as it was read may have lost something that was synced before."""
+        here = self.acknowledged
+        vote_lost = here.term == acknowledged.term and acknowledged.vote not in ("", here.vote)
+        last_here = here.last_term, here.last_index
+        entries_lost = last_here < (acknowledged.last_term, acknowledged.last_index)
+        return here.term < acknowledged.term or vote_lost or entries_lost
 
     def close(self) -> None:
-        """Give all back; what was not synced may be lost."""
+        """Close all files and release the lock; what was not synced may be lost. Raises OSError."""
         with contextlib.suppress(OSError):
             self.log.close()
         self.snapshots.close()
-        if self._lock >= 0:
-            number, self._lock = self._lock, -1
-            os.close(number)
-
-
-def restore(text: bytes) -> Snapshot:
-    """A snapshot from a file written by `backup`; raises StoreError."""
-    if len(text) < 8 or xxhash.xxh3_64_digest(text[8:]) != text[:8]:
-        raise StoreError("torn or damaged: the checksum does not fit")
-    return _SNAPSHOT.decode(text[8:])
-
-
-def backup(snapshot: Snapshot) -> bytes:
-    """A snapshot as a file."""
-    text = msgspec.msgpack.encode(snapshot)
-    return xxhash.xxh3_64_digest(text) + text
-
-
-def write_file(path: str, text: bytes) -> None:
-    """Whole or not at all; raises OSError."""
-    folder, name = os.path.split(os.path.abspath(path))
-    Files(folder).replace(name, text)
+        self._lock.close()
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -307,35 +307,35 @@
 def write_replica(folder: str, snapshot: bytes, before: list[bytes], after: list[bytes]) -> None:
     """A folder with a disk's identity, a term and a vote, entries, a snapshot, and entries after it."""
     from cedarmill.fleet.agree import actions, messages
-    from cedarmill.store.files import Files
-    from cedarmill.store.replica_store import Store
+    from cedarmill.store.files import Directory
+    from cedarmill.store.replica_store import ReplicaStore
 
-    store = Store(Files(folder), "main", "k1", "d15c0fed")
+    store = ReplicaStore(Directory(folder), "main", "k1", "d15c0fed")
     held = msgspec.msgpack.decode(snapshot, type=messages.Snapshot)
     first, rest = (
         [msgspec.msgpack.decode(one, type=messages.Entry) for one in part] for part in (before, after)
     )
-    store.save(actions.PersistTermAndVote(3, "k1"))
-    store.save(actions.PersistEntries(tuple(first)))
-    store.meet("d15c0bad", 4)
+    store.append(actions.PersistTermAndVote(3, "k1"))
+    store.append(actions.PersistEntries(tuple(first)))
+    store.record_peer_start("d15c0bad", 4)
     store.sync()
-    store.put_snapshot(held, rest[:2])
-    store.save(actions.PersistTermAndVote(4, "k2"))
-    store.save(actions.PersistEntries(tuple(rest[2:])))
+    store.write_snapshot(held, rest[:2])
+    store.append(actions.PersistTermAndVote(4, "k2"))
+    store.append(actions.PersistEntries(tuple(rest[2:])))
     store.sync()
     store.close()
 
 
 def read_replica(folder: str) -> Replica:
     """Open a folder as a replica does, which counts one more start."""
-    from cedarmill.store.files import Files
-    from cedarmill.store.replica_store import Store
+    from cedarmill.store.files import Directory
+    from cedarmill.store.replica_store import ReplicaStore
 
-    store = Store(Files(folder), "main", "k1")
-    saved, encode = store.saved, msgspec.msgpack.encode
+    store = ReplicaStore(Directory(folder), "main", "k1")
+    saved, encode = store.persistent_state, msgspec.msgpack.encode
     store.close()
     return Replica(encode(store.identity), saved.term, saved.vote, encode(saved.snapshot),
-                   list(map(encode, saved.entries)), store.met)  # fmt: skip
+                   list(map(encode, saved.entries)), store.peer_start_counts)  # fmt: skip
 
 
 class Played(NamedTuple):
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -8,7 +8,7 @@
 from faults import Fault, FaultPlan
 from fleets import LONG, KeeperCase, Member
 from nodes import ROOT
-from test_store import FaultyFiles
+from test_store import FaultyDirectory
 
 from cedarmill.fleet import commands
 from cedarmill.fleet import words as f
@@ -24,7 +24,7 @@
 from cedarmill.fleet.keeper import Keeper
 from cedarmill.net.keeper import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
 from cedarmill.net.operator import NoKeeper, Operator, new_id
-from cedarmill.store.replica_store import Store
+from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import KeeperOptions
 
 FULL = (Fault("write", "ENOSPC", times=0),)
@@ -175,9 +175,9 @@
         self.addCleanup(folder.cleanup)
         peers = {name: "127.0.0.1:1" for name in ("k0", "k1", "k2")}
         options = KeeperOptions("main", "k0", "127.0.0.1:0", folder.name, peers)
-        self.files = FaultyFiles(folder.name)
-        store = Store(self.files, "main", "k0", disk_name("main", "k0"))
-        store.put_snapshot(first_snapshot(options), [])
+        self.files = FaultyDirectory(folder.name)
+        store = ReplicaStore(self.files, "main", "k0", disk_name("main", "k0"))
+        store.write_snapshot(first_snapshot(options), [])
         store.close()
         self.process = KeeperProcess(options, self.files)
         self.addCleanup(self.process.loop.close)
