--- a/cedarmill/admin/__init__.py
+++ b/cedarmill/admin/__init__.py
@@ -1,1 +1,4 @@
-"""The operators' side of a node, without I/O: the door's calls and the executors taken out by hand."""
+"""The operators' side of a node: requests of the admin API, executors taken out by hand, sealed documents.
+
+No I/O and no clock, and no import of another package of the program.
+"""
--- a/cedarmill/admin/exclusions.py
+++ b/cedarmill/admin/exclusions.py
@@ -1,30 +1,35 @@
 """Executors taken out by hand: a set of discovery's names that outlives the process; no I/O.
 
-Two calls out take one call back: an exclusion is a mark, not a count. The marks are kept as one sealed
-document (`admin/sealed_document.py`), so that a daemon's store can later keep it as it is; `version` grows
-with each change, so that of two processes on one node the newer word is known. Marks do not age: they hold
-till they are taken back.
+Excluding twice is undone by including once: an exclusion is a mark, not a count. The marks are written as one
+sealed document (`admin/sealed_document.py`). `version` grows with each change, so that the newer state of two
+processes on one node is known. Marks do not expire: they hold until they are removed.
 """
 
+from typing import Self
+
 import msgspec
 
 from cedarmill.admin import sealed_document
-from cedarmill.admin.sealed_document import Moment
+from cedarmill.admin.errors import DocumentError
+from cedarmill.admin.sealed_document import ClockReading, UnsealedDocument
 
 KIND = "exclusions"
+OLD_FORM_START = b'{"version"'  # before format 1 the body stood alone, without a header
+
 
+class ExclusionsBody(msgspec.Struct, omit_defaults=True):
+    """The document's body."""
 
-class _Kept(msgspec.Struct, omit_defaults=True):
     version: int
     excluded: dict[str, int] | list[str]  # a list: as written before format 1, without times
     marked_us: dict[str, int] = {}  # on the clock of the header's boot; older programs drop it
 
 
-_DECODE = msgspec.json.Decoder(_Kept)
+_DECODER = msgspec.json.Decoder(ExclusionsBody)
 
 
 class Exclusions:
-    """The names that are out, each with the Unix time (us) of its mark, and the version of that word.
+    """The excluded names, each with the Unix time (us) of its mark, and the version of this state.
 
     `since` is for people. `marked_us` is on the machine's clock and is what decides: when the mark was made,
     or where that is not known, when this process first saw it, which is the latest that it can be.
@@ -36,62 +41,69 @@
         self.marked_us: dict[str, int] = {}
         self.version = 0
 
-    def copy(self) -> "Exclusions":
-        """As they stand, to go back to if a change cannot be kept."""
-        before = Exclusions(self.node)
-        before.since, before.marked_us, before.version = dict(self.since), dict(self.marked_us), self.version
-        return before
+    def copy(self) -> Self:
+        """As they stand, to go back to if a change cannot be written."""
+        copied = type(self)(self.node)
+        copied.since = dict(self.since)
+        copied.marked_us = dict(self.marked_us)
+        copied.version = self.version
+        return copied
 
-    def exclude(self, name: str, now: Moment) -> bool:
-        """Mark it out; whether that changed anything: a second mark leaves the time of the first."""
+    def exclude(self, name: str, now: ClockReading) -> bool:
+        """Mark it as excluded; whether that changed anything: a second mark leaves the time of the first."""
         if name in self.since:
             return False
-        self.since[name], self.marked_us[name] = now.unix_us, now.clock_us
+        self.since[name] = now.unix_us
+        self.marked_us[name] = now.monotonic_us
         self.version += 1
         return True
 
     def include(self, name: str) -> bool:
-        """Take the mark off; whether that changed anything."""
+        """Remove the mark; whether that changed anything."""
         if self.since.pop(name, None) is None:
             return False
         self.marked_us.pop(name, None)
         self.version += 1
         return True
 
-    def encode(self, now: Moment) -> bytes:
-        """The document to keep, written at that moment."""
-        body = msgspec.json.encode(_Kept(self.version, self.since, self.marked_us if now.boot else {}))
+    def encode(self, now: ClockReading) -> bytes:
+        """The document to write, sealed at that time."""
+        marked_us = self.marked_us if now.boot_id else {}
+        body = msgspec.json.encode(ExclusionsBody(self.version, self.since, marked_us))
         return sealed_document.seal(KIND, self.node, now, body)
 
-    def adopt(self, text: bytes, now: Moment) -> set[str]:
-        """Take a kept document that is newer than what is held; the names whose mark changed.
+    def adopt(self, document: bytes, now: ClockReading) -> set[str]:
+        """Replace the marks by those of a newer document; the names whose mark changed.
 
-        Marks of a document without times count from `now`. Raises ValueError for a document that cannot
-        be read: what is held stays as it is.
+        Marks of a document without times count from `now`. Raises DocumentError for a document that cannot
+        be read: the marks stay as they are.
         """
-        written, kept = _decode(text, self.node)
-        if kept.version <= self.version:
+        written_at, body = _decode(document, self.node)
+        if body.version <= self.version:
             return set()
-        names = kept.excluded
+        names = body.excluded
         since = dict(names) if isinstance(names, dict) else dict.fromkeys(names, now.unix_us)
-        told = kept.marked_us if written.comparable(now) else {}
-        marked = {name: min(told.get(name, self._marked(name, unix_us, now)), now.clock_us)
-                  for name, unix_us in since.items()}  # fmt: skip
+        marked_us = {}
+        for name, unix_us in since.items():
+            marked_at = self._first_seen_us(name, unix_us, now)
+            if written_at.is_comparable(now):
+                marked_at = body.marked_us.get(name, marked_at)
+            marked_us[name] = min(marked_at, now.monotonic_us)
         changed = set(self.since.keys() ^ since.keys())
-        self.since, self.marked_us, self.version = since, marked, kept.version
+        self.since, self.marked_us, self.version = since, marked_us, body.version
         return changed
 
-    def _marked(self, name: str, unix_us: int, now: Moment) -> int:
-        """The machine's time of a mark that is told without one: as known of the same mark, or now."""
-        return self.marked_us[name] if self.since.get(name) == unix_us else now.clock_us
+    def _first_seen_us(self, name: str, unix_us: int, now: ClockReading) -> int:
+        """The machine's time of a mark that came without one: as known of the same mark, or now."""
+        return self.marked_us[name] if self.since.get(name) == unix_us else now.monotonic_us
 
 
-def _decode(text: bytes, node: str) -> tuple[Moment, _Kept]:
-    """When it was written, and the body; before format 1 it stood alone, and its marks must be kept too."""
+def _decode(document: bytes, node: str) -> tuple[ClockReading, ExclusionsBody]:
+    """When a document was written, and its marks; raises DocumentError."""
     try:
-        if text.startswith(b'{"version"'):
-            return Moment(0), _DECODE.decode(text)
-        written, body = sealed_document.unseal(text, KIND, node)
-        return written, _DECODE.decode(body)
-    except ValueError as error:  # msgspec's errors are ValueErrors too
-        raise ValueError(f"kept exclusions: {error}") from None
+        if document.startswith(OLD_FORM_START):
+            return ClockReading(0), _DECODER.decode(document)
+        unsealed: UnsealedDocument = sealed_document.unseal(document, KIND, node)
+        return unsealed.written_at, _DECODER.decode(unsealed.body)
+    except (DocumentError, msgspec.MsgspecError) as error:
+        raise DocumentError(f"kept exclusions: {error}") from None
--- a/cedarmill/admin/routes.py
+++ b/cedarmill/admin/routes.py
@@ -1,17 +1,20 @@
-"""The calls of the operators' door as a table: method and path in, what to do out; no I/O.
+"""The admin API as a table: method and path in, what to do out; no I/O.
 
-The door is HTTP/1.1 with one call for each connection; yes is 2xx, no is 4xx or 5xx. The calls are those
-of the operators' page: `GET /api/ready`, `PUT /api/exclude/ID`, `PUT /api/include/ID`, `PUT /api/evacuate`,
-`PUT /api/rejoin`.
+The API is HTTP/1.1 with one request for each connection; success is 2xx, failure 4xx or 5xx. The requests are
+those of the operators' page: `GET /api/ready`, `PUT /api/exclude/ID`, `PUT /api/include/ID`,
+`PUT /api/evacuate`, `PUT /api/rejoin`.
 """
 
 import enum
 import re
 from dataclasses import dataclass
+from http import HTTPStatus
 
+from cedarmill.admin.errors import RequestRejectedError
 
-class Act(enum.Enum):
-    """What a call asks of the node."""
+
+class AdminAction(enum.Enum):
+    """What a request asks of the node."""
 
     READY = "ready"
     EXCLUDE = "exclude"
@@ -21,52 +24,67 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """A call understood: what to do, and to which executor where one is named."""
+class AdminRequest:
+    """A valid request: what to do, and to which executor where one is named."""
 
-    act: Act
+    action: AdminAction
     executor: str = ""
 
 
-class Refused(Exception):
-    """A call that gets a no before anything is done: its status, and a line for the operator."""
+@dataclass(frozen=True, slots=True)
+class AdminResponse:
+    """The answer to a request; `body` is plain text, one line."""
 
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
-        self.status = status
+    status: HTTPStatus
+    body: bytes
 
 
-# (path or prefix, whether an executor's id follows) -> method, act
-_FIXED = {b"/api/ready": (b"GET", Act.READY), b"/api/evacuate": (b"PUT", Act.EVACUATE),
-          b"/api/rejoin": (b"PUT", Act.REJOIN)}  # fmt: skip
-_NAMED = {b"/api/exclude/": Act.EXCLUDE, b"/api/include/": Act.INCLUDE}
-# discovery's names: printable, no slash; longer ones are no executor's
+@dataclass(frozen=True, slots=True)
+class Route:
+    """The method that a path takes, and what it does."""
+
+    method: bytes
+    action: AdminAction
+
+
+READY_PATH = b"/api/ready"
+FIXED_ROUTES = {
+    READY_PATH: Route(b"GET", AdminAction.READY),
+    b"/api/evacuate": Route(b"PUT", AdminAction.EVACUATE),
+    b"/api/rejoin": Route(b"PUT", AdminAction.REJOIN),
+}
+EXECUTOR_ROUTES = {  # by the part of the path before the executor's id
+    b"/api/exclude/": Route(b"PUT", AdminAction.EXCLUDE),
+    b"/api/include/": Route(b"PUT", AdminAction.INCLUDE),
+}
+# discovery's names: printable, no slash; a longer one is no executor's
 EXECUTOR_ID = re.compile(rb"[!-.0-~]{1,256}")
 
 
-def understand(method: bytes, target: bytes) -> Call:
-    """The call behind a request line; raises Refused with 404 (no such path or executor id) or 405."""
+def parse_request(method: bytes, target: bytes) -> AdminRequest:
+    """Parse a request line; raises RequestRejectedError: 404 (no such path or executor id) or 405."""
     path = target.partition(b"?")[0]
-    if path in _FIXED:
-        wanted, act = _FIXED[path]
-        _method(method, wanted)
-        return Call(act)
-    for prefix, act in _NAMED.items():
+    if path in FIXED_ROUTES:
+        route = FIXED_ROUTES[path]
+        _check_method(method, route)
+        return AdminRequest(route.action)
+    for prefix, route in EXECUTOR_ROUTES.items():
         if path.startswith(prefix):
-            name = path[len(prefix) :]
-            if not EXECUTOR_ID.fullmatch(name):
-                raise Refused(404, "no such executor")
-            _method(method, b"PUT")
-            return Call(act, name.decode("ascii"))
-    raise Refused(404, "no such call")
+            executor = path[len(prefix) :]
+            if not EXECUTOR_ID.fullmatch(executor):
+                raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no such executor")
+            _check_method(method, route)
+            return AdminRequest(route.action, executor.decode("ascii"))
+    raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no such call")
 
 
-def _method(method: bytes, wanted: bytes) -> None:
-    if method != wanted and not (wanted == b"GET" and method == b"HEAD"):
-        raise Refused(405, f"{wanted.decode()} only")
+def _check_method(method: bytes, route: Route) -> None:
+    """Raise RequestRejectedError for another method than the route's; HEAD goes with GET."""
+    if method != route.method and not (route.method == b"GET" and method == b"HEAD"):
+        raise RequestRejectedError(HTTPStatus.METHOD_NOT_ALLOWED, f"{route.method.decode()} only")
 
 
-def allowed(target: bytes) -> bytes:
-    """The `Allow` header's value for a path that was asked with the wrong method."""
+def allowed_methods(target: bytes) -> bytes:
+    """The `Allow` header's value for a path that was requested with the wrong method."""
     path = target.partition(b"?")[0]
-    return b"GET, HEAD" if path == b"/api/ready" else b"PUT"
+    return b"GET, HEAD" if path == READY_PATH else b"PUT"
--- a/cedarmill/net/beside.py
+++ b/cedarmill/net/beside.py
@@ -11,14 +11,14 @@
 import msgspec
 
 from cedarmill.admin import sealed_document
-from cedarmill.admin.resource_split import Room
-from cedarmill.admin.sealed_document import Moment
+from cedarmill.admin.resource_split import ConnectionCounts
+from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.decisions.memory import out
 from cedarmill.log import say
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.kept import KeptInPlace, kept_path
-from cedarmill.net.turn import Turn, moment
+from cedarmill.net.turn import Turn, clock_reading
 
 KIND = "out"
 ALONE_US = 100_000  # between two looks while no other process is seen
@@ -33,7 +33,7 @@
     """What a process tells of itself."""
 
     out: Out
-    room: Room  # held
+    room: ConnectionCounts  # held
 
 
 _DECODE = msgspec.json.Decoder(Told)
@@ -51,21 +51,21 @@
         self.kept = KeptInPlace(path)
         self.texts: list[bytes] = []
         self.alive_at: int | None = None  # in the brain's clock; None: nothing whole was read yet
-        self.told = Told({}, Room(0, 0))
+        self.told = Told({}, ConnectionCounts(0, 0))
 
-    def read(self, node: str, now: Moment) -> None:
+    def read(self, node: str, now: ClockReading) -> None:
         """Take up what is new; raises ValueError (what held goes on) or OSError."""
         if (texts := self.kept.texts()) == self.texts:
             return
         self.texts = texts
-        written, body = sealed_document.newest(texts, KIND, node, now)
+        written, body = sealed_document.unseal_newest(texts, KIND, node, now)
         self.told = _DECODE.decode(body)
-        if self.alive_at is None and written.comparable(now):
-            self.alive_at = written.clock_us
-        elif self.alive_at is None and written.other_boot(now):
-            self.alive_at = now.clock_us - SILENT_US - 1  # of no process of this machine, till it changes
+        if self.alive_at is None and written.is_comparable(now):
+            self.alive_at = written.monotonic_us
+        elif self.alive_at is None and written.is_of_other_boot(now):
+            self.alive_at = now.monotonic_us - SILENT_US - 1  # of no process of this machine, till it changes
         else:
-            self.alive_at = now.clock_us
+            self.alive_at = now.monotonic_us
 
     def silent_for(self, now_us: int, span_us: int) -> bool:
         """Whether it has given no sign of life for that long; a file that was only just made is none yet."""
@@ -75,8 +75,14 @@
 class Beside:
     """This process's document, and what the others' tell."""
 
-    def __init__(self, turn: Turn, discovery: DiscoveryClient, node: str, held: Callable[[], Room],
-                 shared: Callable[[list[Room]], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        turn: Turn,
+        discovery: DiscoveryClient,
+        node: str,
+        held: Callable[[], ConnectionCounts],
+        shared: Callable[[list[ConnectionCounts]], None],
+    ) -> None:
         self.turn, self.discovery, self.node, self.held, self.shared = turn, discovery, node, held, shared
         self.dispatch: Dispatch | None = None
         self.own = KeptInPlace(kept_path(node, f"{KIND}-{os.getpid()}"))
@@ -86,7 +92,7 @@
         self.others: dict[str, Other] = {}  # those of them that live
         self.told: Out = {}  # to the module
         self.written: tuple[int, Told | None] = (0, None)
-        self.rooms: list[Room] = []  # held by the others, as last heard
+        self.rooms: list[ConnectionCounts] = []  # held by the others, as last heard
 
     def start(self) -> None:
         """Look for other processes from now on."""
@@ -99,7 +105,7 @@
     def _look(self, now: int) -> None:
         """The one chain of looks."""
         self.turn.deadlines.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
-        here = moment(now)
+        here = clock_reading(now)
         self._read(here)
         try:
             self._write(here)
@@ -113,7 +119,7 @@
             self.rooms = rooms
             self.shared(rooms)
 
-    def _read(self, here: Moment) -> None:
+    def _read(self, here: ClockReading) -> None:
         names = self._names()
         for name in names - {os.path.basename(self.own.path)}:
             other = self.files.setdefault(name, Other(os.path.join(self.folder, name)))
@@ -142,13 +148,13 @@
             if self.files[name].silent_for(now, GONE_US):
                 self.files.pop(name).kept.remove()
 
-    def _write(self, here: Moment) -> None:
+    def _write(self, here: ClockReading) -> None:
         """Tell what is out: when it changed, for one that starts reads it at once; else now and then."""
         at, before = self.written
         told = Told(out(self.dispatch.brain, self.discovery.reader.names), self.held())
-        if told != before or here.clock_us - at >= BEAT_US:
+        if told != before or here.monotonic_us - at >= BEAT_US:
             self.own.write(sealed_document.seal(KIND, self.node, here, msgspec.json.encode(told)))
-            self.written = here.clock_us, told
+            self.written = here.monotonic_us, told
 
     def _tell(self, now: int) -> None:
         """The module hears of each executor where the sum has changed."""
--- a/cedarmill/net/door.py
+++ b/cedarmill/net/door.py
@@ -7,10 +7,13 @@
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 
 import httptools
 
 from cedarmill.admin import routes
+from cedarmill.admin.errors import RequestRejectedError
+from cedarmill.admin.routes import AdminRequest, AdminResponse
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.listening import Acceptor, listening_socket
@@ -22,21 +25,13 @@
 LINGER_US = 1_000_000  # for the caller to read the answer
 MAX_CALL = 8 * 1024  # bytes of head and body together
 HEAD = b"HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n%s\r\n"
-REASONS = {
-    200: "OK",
-    202: "Accepted",
-    400: "Bad Request",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    409: "Conflict",
-    431: "Request Header Fields Too Large",
-    500: "Internal Server Error",
-    503: "Service Unavailable",
-}
 
 
-Answer = Callable[[int, bytes], None]  # status and text; where a fleet is asked first, it comes later
+Answer = Callable[[AdminResponse], None]  # where a fleet is asked first, it comes later
+
+
+def _rejection(error: RequestRejectedError) -> AdminResponse:
+    return AdminResponse(error.status, str(error).encode() + b"\n")
 
 
 class DoorSession(asyncio.Protocol):
@@ -66,7 +61,7 @@
     def eof_received(self) -> bool:
         """A caller that stops sending before its call is whole gets its no; one answered, nothing."""
         if not self.over:
-            self.answer(400, b"the call ended before it was whole\n")
+            self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, b"the call ended before it was whole\n"))
         return True
 
     @callback
@@ -76,20 +71,22 @@
         self.size += len(data)
         try:
             if self.size > MAX_CALL:
-                raise routes.Refused(431, "the call is over 8 KiB")
+                raise RequestRejectedError(
+                    HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the call is over 8 KiB"
+                )
             self.parser.feed_data(data)
-        except routes.Refused as refused:
-            self.answer(refused.status, str(refused).encode() + b"\n")
+        except RequestRejectedError as refused:
+            self.answer(_rejection(refused))
         except httptools.HttpParserUpgrade:
-            self.answer(400, b"no upgrade here\n")
+            self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, b"no upgrade here\n"))
         except httptools.HttpParserCallbackError as error:
             fault = error.__context__
-            if not isinstance(fault, routes.Refused):
+            if not isinstance(fault, RequestRejectedError):
                 say("defect", fault, what="a call at the door")
-                fault = routes.Refused(500, "internal error")
-            self.answer(fault.status, str(fault).encode() + b"\n")
+                fault = RequestRejectedError(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error")
+            self.answer(_rejection(fault))
         except httptools.HttpParserError:
-            self.answer(400, b"malformed HTTP\n")
+            self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, b"malformed HTTP\n"))
 
     def on_url(self, url: bytes) -> None:
         self.target += url
@@ -97,22 +94,25 @@
     def on_message_complete(self) -> None:
         method = self.parser.get_method()
         try:
-            call = routes.understand(method, self.target)
-        except routes.Refused as refused:
-            more = b"Allow: %s\r\n" % routes.allowed(self.target) if refused.status == 405 else b""
-            self.answer(refused.status, str(refused).encode() + b"\n", more, method)
+            request = routes.parse_request(method, self.target)
+        except RequestRejectedError as refused:
+            more = b""
+            if refused.status == HTTPStatus.METHOD_NOT_ALLOWED:
+                more = b"Allow: %s\r\n" % routes.allowed_methods(self.target)
+            self.answer(_rejection(refused), more, method)
             return
         # from here on the caller waits for this process: a lock, or the fleet
         self.turn.deadlines.cancel(self.deadline)
         self.deadline = self.turn.deadlines.add(self.turn.now() + CALL_US, self._late)
-        self.door.obey(call, lambda status, text: self.answer(status, text, b"", method))
+        self.door.obey(request, lambda response: self.answer(response, b"", method))
 
-    def answer(self, status: int, body: bytes, more: bytes = b"", method: bytes = b"") -> None:
+    def answer(self, response: AdminResponse, more: bytes = b"", method: bytes = b"") -> None:
         """The one answer, then the end of the connection."""
         if self.over or self.transport is None or self.transport.is_closing():
             return
         self.over = True
-        text = HEAD % (status, REASONS[status].encode(), len(body), more)
+        status, body = response.status, response.body
+        text = HEAD % (status, status.phrase.encode(), len(body), more)
         self.transport.write(text if method == b"HEAD" else text + body)
         self.transport.write_eof()  # not closed here: unread input would reset the answer away
         self.turn.deadlines.cancel(self.deadline)
@@ -123,7 +123,7 @@
         if self.over:
             self.abort()
         else:
-            self.answer(408, b"the call did not arrive in time\n")
+            self.answer(AdminResponse(HTTPStatus.REQUEST_TIMEOUT, b"the call did not arrive in time\n"))
 
     def abort(self) -> None:
         if self.transport is not None:
@@ -133,7 +133,7 @@
 class Door:
     """The listening socket of the door and its sessions, the oldest first."""
 
-    def __init__(self, turn: Turn, obey: Callable[[routes.Call, Answer], None]) -> None:
+    def __init__(self, turn: Turn, obey: Callable[[AdminRequest, Answer], None]) -> None:
         self.turn, self.obey = turn, obey
         self.sessions: dict[DoorSession, None] = {}
         self.port = 0
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -10,10 +10,11 @@
 import os
 import secrets
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 
-from cedarmill.admin.routes import Act, Call
+from cedarmill.admin.routes import AdminAction, AdminRequest, AdminResponse
 from cedarmill.decisions import interface as api
 from cedarmill.fleet import commands
 from cedarmill.fleet import words as f
@@ -235,23 +236,23 @@
 
     # The door.
 
-    def obey(self, call: Call, answer: Answer) -> None:
+    def obey(self, request: AdminRequest, answer: Answer) -> None:
         """A call that takes something out or puts it back is a request to the fleet."""
-        kind, name = ("executor", call.executor) if call.executor else ("node", self.name)
-        if call.act == Act.EXCLUDE and not self.discovery.knows(name):
-            answer(404, b"no executor of that id\n")
+        kind, name = ("executor", request.executor) if request.executor else ("node", self.name)
+        if request.action == AdminAction.EXCLUDE and not self.discovery.knows(name):
+            answer(AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n"))
             return
-        takes = call.act in (Act.EXCLUDE, Act.EVACUATE)
-        who, key = f"door:{self.name}", (call.act.value, name)
+        takes = request.action in (AdminAction.EXCLUDE, AdminAction.EVACUATE)
+        who, key = f"door:{self.name}", (request.action.value, name)
         number = self.pending.setdefault(
             key, self._new_id()
         )  # asked again without an answer: the same request
-        request = (
+        command = (
             commands.Ask(0, who, number, kind, (name,), "at the door")
             if takes
             else commands.Give(0, who, number, kind, name)
         )
-        self.membership.ask(f.Do(request), DOOR_US, lambda word: self._told(word, key, takes, answer))
+        self.membership.ask(f.Do(command), DOOR_US, lambda word: self._told(word, key, takes, answer))
 
     def _new_id(self) -> str:
         self._calls += 1
@@ -260,20 +261,24 @@
     def _told(self, word: object, key: tuple[str, str], takes: bool, answer: Answer) -> None:
         if not isinstance(word, f.Did):
             reason = word.reason if isinstance(word, f.NotHere) else "not understood"
-            answer(503, f"not known: {reason}; call again\n".encode())
+            text = f"not known: {reason}; call again\n"
+            answer(AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, text.encode()))
             return
         self.pending.pop(key, None)
         if not takes:
-            answer(200 if word.ok or "is not out" in word.text else 409, f"{word.text}\n".encode())
+            done = word.ok or "is not out" in word.text
+            status = HTTPStatus.OK if done else HTTPStatus.CONFLICT
+            answer(AdminResponse(status, f"{word.text}\n".encode()))
             return
         state, notes = (word.permits[0][2], word.permits[0][3]) if word.permits else ("refused", [word.text])
         out_already = any("is out already" in note or "waits already" in note for note in notes)
         if state == "granted" or out_already:  # two calls out are one
-            answer(200, b"granted\n" if state == "granted" else f"{'; '.join(notes)}\n".encode())
+            text = "granted" if state == "granted" else "; ".join(notes)
+            answer(AdminResponse(HTTPStatus.OK, f"{text}\n".encode()))
         elif state == "waiting":
-            answer(202, f"waiting: {'; '.join(notes)}\n".encode())
+            answer(AdminResponse(HTTPStatus.ACCEPTED, f"waiting: {'; '.join(notes)}\n".encode()))
         else:
-            answer(409, f"{state}: {'; '.join(notes)}\n".encode())
+            answer(AdminResponse(HTTPStatus.CONFLICT, f"{state}: {'; '.join(notes)}\n".encode()))
 
     def leave(self, then: Callable[[], None]) -> None:
         """This process ends and has nothing out."""
--- a/cedarmill/net/hands.py
+++ b/cedarmill/net/hands.py
@@ -6,15 +6,16 @@
 """
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 from cedarmill.admin.exclusions import KIND, Exclusions
-from cedarmill.admin.routes import Act, Call
+from cedarmill.admin.routes import AdminAction, AdminRequest, AdminResponse
 from cedarmill.log import say
 from cedarmill.net.clients import Clients
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.door import Answer
 from cedarmill.net.kept import KeptFile, kept_path
-from cedarmill.net.turn import Turn, moment
+from cedarmill.net.turn import Turn, clock_reading
 
 LOOK_US = 500_000  # between two looks at the kept file: the node's other process may have changed it
 LOCK_WAIT_US = 500_000  # for the node's other process to leave that file: a call is answered within 1 s
@@ -31,10 +32,14 @@
         self.turn, self.clients, self.discovery, self.ending = turn, clients, discovery, ending
         self.kept = KeptFile(kept_path(node, KIND))
         self.exclusions = Exclusions(node)
-        self.agreed: Callable[[Call, Answer], None] | None = None  # where a fleet decides
+        self.agreed: Callable[[AdminRequest, Answer], None] | None = None  # where a fleet decides
         self.by_fleet: dict[str, int] = {}  # executors out by the fleet's word
         self._away = 0  # grows with each evacuation: an old sweep ends when it sees a newer one
-        self._acts = {Act.READY: self._ready, Act.EVACUATE: self._evacuate, Act.REJOIN: self._rejoin}
+        self._acts = {
+            AdminAction.READY: self._ready,
+            AdminAction.EVACUATE: self._evacuate,
+            AdminAction.REJOIN: self._rejoin,
+        }
 
     def start(self) -> None:
         """Take up the marks that an earlier process of this node left, before the first list is told."""
@@ -49,7 +54,9 @@
         """Take up what the node's other process kept, if it changed."""
         try:
             text = self.kept.read()
-            changed = self.exclusions.adopt(text, moment(self.turn.now())) if text is not None else set()
+            changed = (
+                self.exclusions.adopt(text, clock_reading(self.turn.now())) if text is not None else set()
+            )
         except (OSError, ValueError) as error:
             say("exclusions-unread", reason=error)
             return
@@ -61,15 +68,15 @@
         """Lay the marks as they now stand over what the module hears of these executors."""
         self.discovery.mark({**self.by_fleet, **self.exclusions.marked_us})
 
-    def obey(self, call: Call, answer: Answer) -> None:
+    def obey(self, request: AdminRequest, answer: Answer) -> None:
         """Answer a call understood: at once, or when the fleet has been asked, where there is one."""
-        if self.agreed is not None and call.act != Act.READY:
-            self.agreed(call, answer)
-        elif call.act in (Act.EXCLUDE, Act.INCLUDE):
+        if self.agreed is not None and request.action != AdminAction.READY:
+            self.agreed(request, answer)
+        elif request.action in (AdminAction.EXCLUDE, AdminAction.INCLUDE):
             now = self.turn.now()
-            self._mark(call, answer, now, now + LOCK_WAIT_US)
+            self._mark(request, answer, now, now + LOCK_WAIT_US)
         else:
-            answer(*self._acts[call.act](call))
+            answer(self._acts[request.action](request))
 
     def out_by_fleet(self, marks: dict[str, int]) -> None:
         """These are out by the fleet's word now, beside those by this door's; times in the brain's clock."""
@@ -78,31 +85,38 @@
 
     def send_away(self, away: bool) -> None:
         """The fleet has this node send its clients away, or take them again."""
-        (self._evacuate if away else self._rejoin)(Call(Act.EVACUATE if away else Act.REJOIN))
+        if away:
+            self._evacuate(AdminRequest(AdminAction.EVACUATE))
+        else:
+            self._rejoin(AdminRequest(AdminAction.REJOIN))
 
-    def _ready(self, call: Call) -> tuple[int, bytes]:
-        return (200, b"ready\n") if self.clients.ready() else (503, b"not ready\n")
+    def _ready(self, request: AdminRequest) -> AdminResponse:
+        if self.clients.ready():
+            return AdminResponse(HTTPStatus.OK, b"ready\n")
+        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"not ready\n")
 
-    def _mark(self, call: Call, answer: Answer, now: int, until: int) -> None:
+    def _mark(self, request: AdminRequest, answer: Answer, now: int, until: int) -> None:
         """Make the mark as soon as the node's other process leaves the file; a no if it has not by then."""
         try:
             with self.kept.alone():  # the node's other process may mark at the same time
-                done = self._mark_alone(call.executor, call.act == Act.EXCLUDE)
+                done = self._mark_alone(request.executor, request.action == AdminAction.EXCLUDE)
         except OSError as error:  # nothing half done: `_mark_alone` takes the mark back
             if not isinstance(error, BlockingIOError) or now >= until:
                 say("exclusions-unkept", reason=error)
-                done = 503, b"the mark could not be kept\n"
+                done = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"the mark could not be kept\n")
             else:
-                self.turn.deadlines.add(now + LOCK_AGAIN_US, lambda now: self._mark(call, answer, now, until))
+                self.turn.deadlines.add(
+                    now + LOCK_AGAIN_US, lambda now: self._mark(request, answer, now, until)
+                )
                 return
-        answer(*done)
+        answer(done)
 
-    def _mark_alone(self, name: str, out: bool) -> tuple[int, bytes]:
+    def _mark_alone(self, name: str, out: bool) -> AdminResponse:
         """Make the mark on the newest word of both processes; raises OSError where it cannot be kept."""
         self._take_up()
         if not (self.discovery.knows(name) or name in self.exclusions.since):
-            return 404, b"no executor of that id\n"
-        now, done = moment(self.turn.now()), b"excluded\n" if out else b"included\n"
+            return AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n")
+        now, done = clock_reading(self.turn.now()), b"excluded\n" if out else b"included\n"
         before = self.exclusions.copy()
         if self.exclusions.exclude(name, now) if out else self.exclusions.include(name):
             try:
@@ -112,26 +126,26 @@
                 raise
             say("excluded" if out else "included", executor=name)
             self._tell()
-        return 200, done
+        return AdminResponse(HTTPStatus.OK, done)
 
-    def _evacuate(self, call: Call) -> tuple[int, bytes]:
+    def _evacuate(self, request: AdminRequest) -> AdminResponse:
         if not self.clients.sending_away:
             self._away += 1
             self.clients.send_away(True)
             say("evacuated", held=len(self.clients.sessions))
             away = self._away
             self.turn.deadlines.add(self.turn.now() + AWAY_IDLE_US, lambda now: self._sweep(now, away))
-        return 200, b"evacuating\n"
+        return AdminResponse(HTTPStatus.OK, b"evacuating\n")
 
     def _sweep(self, now: int, away: int) -> None:
         if self.clients.sending_away and away == self._away:
             self.clients.close_idle()
             self.turn.deadlines.add(now + SWEEP_US, lambda now: self._sweep(now, away))
 
-    def _rejoin(self, call: Call) -> tuple[int, bytes]:
+    def _rejoin(self, request: AdminRequest) -> AdminResponse:
         if self.ending():
-            return 409, b"the process is ending\n"
+            return AdminResponse(HTTPStatus.CONFLICT, b"the process is ending\n")
         if self.clients.sending_away:
             self.clients.send_away(False)
             say("rejoined")
-        return 200, b"rejoined\n"
+        return AdminResponse(HTTPStatus.OK, b"rejoined\n")
--- a/cedarmill/net/memory.py
+++ b/cedarmill/net/memory.py
@@ -14,7 +14,7 @@
 from cedarmill.net.config import Start
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.kept import KeptInPlace, kept_path
-from cedarmill.net.turn import Turn, moment
+from cedarmill.net.turn import Turn, clock_reading
 
 KIND = "memory"
 KEEP_US = 500_000  # between two writings: a replaced process hands over news that are at most that old
@@ -57,8 +57,8 @@
         self.turn.deadlines.add(now + KEEP_US, self._keep)
 
     def _take_up(self, texts: list[bytes], now: int) -> None:
-        here = moment(now)
-        written_at, body = sealed_document.newest(texts, KIND, self.node, here)
+        here = clock_reading(now)
+        written_at, body = sealed_document.unseal_newest(texts, KIND, self.node, here)
         age = sealed_document.age_us(written_at, here, MOST_US)
         try:
             memory = _DECODE.decode(body)
@@ -89,7 +89,7 @@
             return
         self.turn.deadlines.add(now + KEEP_US, self._keep)
         try:
-            self.kept.write(sealed_document.seal(KIND, self.node, moment(now), self._body(now)))
+            self.kept.write(sealed_document.seal(KIND, self.node, clock_reading(now), self._body(now)))
         except OSError as error:
             say("memory-unkept", reason=error)
 
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.admin.resource_split import Limits, Room, share
+from cedarmill.admin.resource_split import ConnectionCounts, NodeLimits, split_limits
 from cedarmill.budget.machine import Budget
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.core.dispatch import Dispatch
@@ -62,8 +62,8 @@
         own = OWN_DESCRIPTORS + (door.DESCRIPTORS if config.mgmt else 0)
         own += FLEET_DESCRIPTORS if options.fleet is not None else 0
         own += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
-        self.limits = Limits(sockets, own, config.limits.memory_mb, OWN_MEMORY_MB, SESSION_MB)
-        room = share(self.limits, [])
+        self.limits = NodeLimits(sockets, own, config.limits.memory_mb, OWN_MEMORY_MB, SESSION_MB)
+        room = split_limits(self.limits, [])
         self.budget = Budget(options.deadlines, len(settings.classes))
         self.clients = Clients(self.turn, settings, room.sessions, options.deadlines)
         self.backends = Backends(self.turn, settings, room.connections, options)
@@ -90,13 +90,13 @@
 
         return NodeFleet(self.turn, self.config, self.options.fleet, self.clients, self.discovery, self.hands)
 
-    def _holds(self) -> Room:
+    def _holds(self) -> ConnectionCounts:
         """What counts against the node's limits, for its other processes."""
-        return Room(len(self.clients.sessions), self.backends.connections)
+        return ConnectionCounts(len(self.clients.sessions), self.backends.connections)
 
-    def _share(self, others: list[Room]) -> None:
+    def _share(self, others: list[ConnectionCounts]) -> None:
         """The node's other processes hold so much: take what they leave."""
-        self.clients.bound, self.backends.bound = share(self.limits, others)
+        self.clients.bound, self.backends.bound = split_limits(self.limits, others)
 
     def _listen_for_checkers(self) -> None:
         """The listeners of other installations; raises OSError."""
--- a/cedarmill/net/turn.py
+++ b/cedarmill/net/turn.py
@@ -5,7 +5,7 @@
 import os
 import time
 
-from cedarmill.admin.sealed_document import Moment
+from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.log import say
 
@@ -32,9 +32,9 @@
         return ""
 
 
-def moment(clock_us: int) -> Moment:
+def clock_reading(clock_us: int) -> ClockReading:
     """That time on the machine's clock (`Turn.now`), as other processes of this machine can read it."""
-    return Moment(unix_us(), clock_us, boot_id())
+    return ClockReading(unix_us(), clock_us, boot_id())
 
 
 class Turn:
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -287,11 +287,11 @@
     from cedarmill.net.kept import KeptInPlace, kept_path
 
     def seal(kind: str, node: str, unix_us: int, body: bytes) -> bytes:
-        return sealed_document.seal(kind, node, sealed_document.Moment(unix_us), body)
+        return sealed_document.seal(kind, node, sealed_document.ClockReading(unix_us), body)
 
     def unseal(text: bytes, kind: str, node: str) -> tuple[int, bytes]:
         written, body = sealed_document.unseal(text, kind, node)
-        assert (written.clock_us, written.boot) == (0, "")
+        assert (written.monotonic_us, written.boot_id) == (0, "")
         return written.unix_us, body
 
     return seal, unseal, kept_path, KeptInPlace
@@ -300,17 +300,17 @@
 def exclusions(node: str):
     """The marks of executors that are out by hand: `adopt(text, unix_us)`, `encode(unix_us)`, `since`."""
     from cedarmill.admin.exclusions import Exclusions
-    from cedarmill.admin.sealed_document import Moment
+    from cedarmill.admin.sealed_document import ClockReading
 
     class Marks(Exclusions):
         def adopt(self, text: bytes, unix_us: int) -> set[str]:
-            return super().adopt(text, Moment(unix_us))
+            return super().adopt(text, ClockReading(unix_us))
 
         def encode(self, unix_us: int) -> bytes:
-            return super().encode(Moment(unix_us))
+            return super().encode(ClockReading(unix_us))
 
         def exclude(self, name: str, unix_us: int) -> bool:
-            return super().exclude(name, Moment(unix_us))
+            return super().exclude(name, ClockReading(unix_us))
 
     return Marks(node)
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -13,7 +13,7 @@
 from nodes import WAIT, call
 
 from cedarmill.admin import sealed_document
-from cedarmill.admin.sealed_document import Moment
+from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.beside import SILENT_US
 from cedarmill.net.kept import KeptInPlace
 from cedarmill.net.turn import Turn, boot_id
@@ -63,10 +63,10 @@
         def told() -> bool:
             if not (texts := kept.texts()):
                 return False
-            now = Moment(0, Turn.now(), boot_id())
-            sealed = sealed_document.newest(texts, "memory", "n0", now)
+            now = ClockReading(0, Turn.now(), boot_id())
+            sealed = sealed_document.unseal_newest(texts, "memory", "n0", now)
             found.update(json.loads(sealed.body)["workers"])
-            return name in found and sealed.written.clock_us >= since * 1e6
+            return name in found and sealed.written_at.monotonic_us >= since * 1e6
 
         self.wait_for(told)
         kept.close()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -17,8 +17,9 @@
 from nodes import WAIT, NodeCase, call, read_answer
 
 from cedarmill.admin import routes, sealed_document
+from cedarmill.admin.errors import RequestRejectedError
 from cedarmill.admin.exclusions import Exclusions
-from cedarmill.admin.sealed_document import Moment
+from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.net.clients import Clients
 from cedarmill.net.door import SESSIONS
@@ -28,9 +29,9 @@
 from cedarmill.values import DeadlineOptions
 
 
-def at(us: int) -> Moment:
+def at(us: int) -> ClockReading:
     """A moment at which the wall clock and the machine's clock say the same."""
-    return Moment(us, us, "boot-1")
+    return ClockReading(us, us, "boot-1")
 
 
 class Told:
@@ -38,23 +39,27 @@
 
     status = 0
 
-    def __call__(self, status: int, text: bytes) -> None:
-        self.status = status
+    def __call__(self, response: routes.AdminResponse) -> None:
+        self.status = response.status
 
 
 class Calls(unittest.TestCase):
     """The table of calls, without a node."""
 
     def test_each_call_of_the_page_is_understood(self):
-        self.assertEqual(routes.understand(b"GET", b"/api/ready"), routes.Call(routes.Act.READY))
         self.assertEqual(
-            routes.understand(b"PUT", b"/api/exclude/s-1"), routes.Call(routes.Act.EXCLUDE, "s-1")
+            routes.parse_request(b"GET", b"/api/ready"), routes.AdminRequest(routes.AdminAction.READY)
         )
         self.assertEqual(
-            routes.understand(b"PUT", b"/api/include/s-1?x"), routes.Call(routes.Act.INCLUDE, "s-1")
+            routes.parse_request(b"PUT", b"/api/exclude/s-1"),
+            routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"),
         )
-        self.assertEqual(routes.understand(b"PUT", b"/api/evacuate").act, routes.Act.EVACUATE)
-        self.assertEqual(routes.understand(b"PUT", b"/api/rejoin").act, routes.Act.REJOIN)
+        self.assertEqual(
+            routes.parse_request(b"PUT", b"/api/include/s-1?x"),
+            routes.AdminRequest(routes.AdminAction.INCLUDE, "s-1"),
+        )
+        self.assertEqual(routes.parse_request(b"PUT", b"/api/evacuate").action, routes.AdminAction.EVACUATE)
+        self.assertEqual(routes.parse_request(b"PUT", b"/api/rejoin").action, routes.AdminAction.REJOIN)
 
     def test_wrong_paths_methods_and_ids_are_refused(self):
         for method, target, status in (
@@ -65,8 +70,8 @@
             (b"PUT", b"/api/exclude/", 404),
             (b"PUT", b"/api/exclude/a/b", 404),
         ):
-            with self.subTest(target=target), self.assertRaises(routes.Refused) as raised:
-                routes.understand(method, target)
+            with self.subTest(target=target), self.assertRaises(RequestRejectedError) as raised:
+                routes.parse_request(method, target)
             self.assertEqual(raised.exception.status, status)
 
     def test_two_outs_take_one_in_and_the_newer_document_wins(self):
@@ -103,18 +108,23 @@
     def test_a_step_of_the_wall_clock_moves_no_mark(self):
         """What decides is the time on the machine's clock; unknown, it is the latest that it can be."""
         marks = Exclusions("n0")
-        marks.exclude("s-1", Moment(5, 100, "boot-1"))
-        kept = marks.encode(Moment(5, 100, "boot-1"))
-        for now, known in ((Moment(5 - 3_600_000_000, 900, "boot-1"), 100), (Moment(9, 70, "boot-2"), 70)):
+        marks.exclude("s-1", ClockReading(5, 100, "boot-1"))
+        kept = marks.encode(ClockReading(5, 100, "boot-1"))
+        for now, known in (
+            (ClockReading(5 - 3_600_000_000, 900, "boot-1"), 100),
+            (ClockReading(9, 70, "boot-2"), 70),
+        ):
             other = Exclusions("n0")
             self.assertEqual(other.adopt(kept, now), {"s-1"})
             self.assertEqual((other.since, other.marked_us), ({"s-1": 5}, {"s-1": known}))
 
     def test_the_program_before_drops_the_times_of_marks_and_they_are_known_still(self):
         marks = Exclusions("n0")
-        marks.exclude("s-1", Moment(5, 100, "boot-1"))
+        marks.exclude("s-1", ClockReading(5, 100, "boot-1"))
         body = b'{"version":2,"excluded":{"s-1":5,"s-2":9}}'
-        marks.adopt(sealed_document.seal("exclusions", "n0", Moment(9), body), Moment(9, 400, "boot-1"))
+        marks.adopt(
+            sealed_document.seal("exclusions", "n0", ClockReading(9), body), ClockReading(9, 400, "boot-1")
+        )
         self.assertEqual(marks.marked_us, {"s-1": 100, "s-2": 400})
 
 
@@ -177,7 +187,10 @@
             hands.start()
             for number in range(10):
                 hands.obey(
-                    routes.Call(routes.Act.EXCLUDE if number % 2 else routes.Act.INCLUDE, "s-1"), Told()
+                    routes.AdminRequest(
+                        routes.AdminAction.EXCLUDE if number % 2 else routes.AdminAction.INCLUDE, "s-1"
+                    ),
+                    Told(),
                 )
             before = kept.looks
             turn.run_till(20 * LOOK_US)
@@ -215,7 +228,7 @@
     def mark(hands: Hands, names: list[str]) -> None:
         for name in names:
             told = Told()
-            hands.obey(routes.Call(routes.Act.EXCLUDE, name), told)
+            hands.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, name), told)
             hands.turn.run_until(lambda told=told: told.status)
             assert told.status == 200, told.status
 
@@ -223,28 +236,28 @@
         """Waited for on the loop's thread, a stopped process took this one with it, requests and all."""
         told, marked = Told(), Told()
         with KeptFile(self.path).alone():
-            self.old.obey(routes.Call(routes.Act.EXCLUDE, "s-1"), told)
+            self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
             self.assertEqual(told.status, 0)  # and the call has returned
             began = self.old.turn.now()
             self.old.turn.run_until(lambda: told.status)
             self.assertLessEqual(LOCK_WAIT_US, self.old.turn.now() - began + LOCK_AGAIN_US)
             self.assertEqual((told.status, self.old.exclusions.since), (503, {}))
-            self.old.obey(routes.Call(routes.Act.EXCLUDE, "s-1"), marked)
+            self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), marked)
         self.old.turn.run_until(lambda: marked.status)
         self.assertEqual((marked.status, set(self.old.exclusions.since)), (200, {"s-1"}))
 
     def test_a_write_that_fails_takes_back_its_own_mark_only(self):
         """The other process's mark was read just before, and would not have been read again."""
-        self.new.obey(routes.Call(routes.Act.EXCLUDE, "s-2"), Told())
+        self.new.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-2"), Told())
         told = Told()
         with mock.patch.object(self.old.kept, "write", side_effect=OSError(errno.ENOSPC, "full")):
-            self.old.obey(routes.Call(routes.Act.EXCLUDE, "s-1"), told)
+            self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
         self.assertEqual((told.status, set(self.old.exclusions.since)), (503, {"s-2"}))
 
     def test_a_mark_that_cannot_be_kept_is_not_made(self):
         self.old.kept = KeptFile("/proc/none/kept.json")
         told = Told()
-        self.old.obey(routes.Call(routes.Act.EXCLUDE, "s-1"), told)
+        self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
         self.assertEqual(told.status, 503)
         self.assertEqual(self.old.exclusions.since, {})
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -7,15 +7,15 @@
 from helpers import Driver, entry, sends, settings
 
 from cedarmill.admin import sealed_document
-from cedarmill.admin.resource_split import LEAST, Limits, Room, share
-from cedarmill.admin.sealed_document import Moment
+from cedarmill.admin.resource_split import MIN_PER_PROCESS, ConnectionCounts, NodeLimits, split_limits
+from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.memory import out, recall, recall_worker, remember
 
 HOUR_US = 3_600_000_000
 NAMES = {1: "s-1", 2: "s-2"}
-WRITTEN = Moment(5_000_000, 700, "boot-1")
+WRITTEN = ClockReading(5_000_000, 700, "boot-1")
 MOST_US = 30_000_000
 
 
@@ -49,32 +49,32 @@
     def test_an_hour_old_or_from_a_clock_that_is_ahead(self):
         """Of an older program, or where the boot has no id: by Unix time, as there is nothing else."""
         for written in (
-            Moment(5_000_000),
-            Moment(5_000_000, 9_000_000_000, "boot-1"),
+            ClockReading(5_000_000),
+            ClockReading(5_000_000, 9_000_000_000, "boot-1"),
         ):  # whose clock is ahead
             self.assertEqual(
-                sealed_document.age_us(written, Moment(6_000_000, 9, "boot-1"), MOST_US), 1_000_000
+                sealed_document.age_us(written, ClockReading(6_000_000, 9, "boot-1"), MOST_US), 1_000_000
             )
             for now in (5_000_000 + HOUR_US, 5_000_000 - HOUR_US):
                 with self.assertRaises(ValueError):
-                    sealed_document.age_us(written, Moment(now, 9, "boot-1"), MOST_US)
+                    sealed_document.age_us(written, ClockReading(now, 9, "boot-1"), MOST_US)
 
     def test_a_step_of_the_wall_clock_is_no_age(self):
         for step in (-HOUR_US, -5_000_000, 5_000_000, HOUR_US):
-            now = Moment(5_000_000 + step, 1_700, "boot-1")
+            now = ClockReading(5_000_000 + step, 1_700, "boot-1")
             self.assertEqual(sealed_document.age_us(WRITTEN, now, MOST_US), 1_000)
         with self.assertRaisesRegex(ValueError, "31 s old"):
-            sealed_document.age_us(WRITTEN, Moment(5_000_000, 31_000_700, "boot-1"), MOST_US)
+            sealed_document.age_us(WRITTEN, ClockReading(5_000_000, 31_000_700, "boot-1"), MOST_US)
 
     def test_from_before_the_last_start_of_the_machine(self):
         with self.assertRaisesRegex(ValueError, "last start"):
-            sealed_document.age_us(WRITTEN, Moment(5_000_000, 700, "boot-2"), MOST_US)
+            sealed_document.age_us(WRITTEN, ClockReading(5_000_000, 700, "boot-2"), MOST_US)
 
     def test_the_newest_of_two_halves_by_the_clock_that_no_step_moves(self):
         def sealed(body: bytes, *written) -> bytes:
-            return sealed_document.seal("memory", "n0", Moment(*written), body)
+            return sealed_document.seal("memory", "n0", ClockReading(*written), body)
 
-        now = Moment(0, 10_000, "boot-1")
+        now = ClockReading(0, 10_000, "boot-1")
         early = sealed(b"early", HOUR_US, 700, "boot-1")
         late = sealed(b"late", 5, 10_001, "boot-1")  # by a process that wrote it while this one looked
         other, older_form = sealed(b"other", 2 * HOUR_US, 950, "boot-0"), sealed(b"older form", 6)
@@ -82,7 +82,7 @@
                             ((older_form, late), b"older form"), ((older_form, early), b"early"),
                             ((late[:-1], early), b"early")):  # fmt: skip
             for order in (texts, texts[::-1]):
-                self.assertEqual(sealed_document.newest(list(order), "memory", "n0", now).body, body)
+                self.assertEqual(sealed_document.unseal_newest(list(order), "memory", "n0", now).body, body)
 
     def test_a_clock_that_was_changed(self):
         self.assertIn("torn", self.refused(self.text.replace(b'"clock_us":700', b'"clock_us":701')))
@@ -94,31 +94,34 @@
         written = json.loads(self.text.partition(b"\n")[0])
         self.assertEqual(header, {name: written[name] for name in header})
         older = json.dumps(header).encode() + b'\n{"a":1}'
-        self.assertEqual(sealed_document.unseal(older, "memory", "n0"), (Moment(5_000_000), b'{"a":1}'))
+        self.assertEqual(sealed_document.unseal(older, "memory", "n0"), (ClockReading(5_000_000), b'{"a":1}'))
 
 
 class Shares(unittest.TestCase):
     """Two processes sized for the whole node each would hold twice what it may."""
 
-    limits = Limits(384, 41, 80.0, 24.0, 0.1)
+    limits = NodeLimits(384, 41, 80.0, 24.0, 0.1)
 
     def test_alone_it_has_all_that_the_limits_leave(self):
-        self.assertEqual(share(self.limits, []), Room(171, 172))
+        self.assertEqual(split_limits(self.limits, []), ConnectionCounts(171, 172))
 
     def test_beside_others_it_takes_what_they_leave_and_all_stay_within_the_limits(self):
-        for held in (Room(0, 0), Room(40, 60), Room(100, 100)):
-            room = share(self.limits, [held])
+        for held in (ConnectionCounts(0, 0), ConnectionCounts(40, 60), ConnectionCounts(100, 100)):
+            room = split_limits(self.limits, [held])
             with self.subTest(held=held):
                 self.assertLessEqual(sum(held) + sum(room) + 2 * 41, 384)
                 self.assertLessEqual((held.sessions + room.sessions) * 0.1 + 2 * 24.0, 80.0)
 
     def test_beside_a_full_one_it_has_its_least(self):
-        self.assertEqual(share(self.limits, [Room(171, 172)]), Room(LEAST, LEAST))
+        self.assertEqual(
+            split_limits(self.limits, [ConnectionCounts(171, 172)]),
+            ConnectionCounts(MIN_PER_PROCESS, MIN_PER_PROCESS),
+        )
 
     def test_a_node_smaller_than_the_least_has_no_more_than_it_has_alone(self):
-        small = Limits(64, 41, 32.0, 24.0, 0.1)
-        self.assertEqual(share(small, []), Room(11, 12))
-        self.assertEqual(share(small, [Room(11, 12)]), Room(11, 12))
+        small = NodeLimits(64, 41, 32.0, 24.0, 0.1)
+        self.assertEqual(split_limits(small, []), ConnectionCounts(11, 12))
+        self.assertEqual(split_limits(small, [ConnectionCounts(11, 12)]), ConnectionCounts(11, 12))
 
 
 class Learned(unittest.TestCase):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,7 +9,7 @@
 
 from cedarmill.admin import sealed_document
 from cedarmill.admin.exclusions import Exclusions
-from cedarmill.admin.sealed_document import Moment
+from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.kept import KeptInPlace
 from cedarmill.net.turn import Turn, boot_id
 
@@ -125,7 +125,7 @@
         self.assertEqual(call(self.old_door, "PUT", "/api/exclude/s-1")[0], 200)
         self.assertEqual(call(self.new_door, "PUT", "/api/include/s-1")[0], 200)
         marks = Exclusions("n0")
-        marks.adopt(Path(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json").read_bytes(), Moment(0))
+        marks.adopt(Path(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json").read_bytes(), ClockReading(0))
         self.assertEqual(set(marks.since), {"s-0"})
 
     def test_a_third_start_while_two_live_loses_nothing(self):
@@ -200,7 +200,7 @@
         """Of the one backend, as kept last."""
         texts = self.kept().texts()
         body = (
-            sealed_document.newest(texts, "memory", "n0", Moment(0, Turn.now(), boot_id()))[1]
+            sealed_document.unseal_newest(texts, "memory", "n0", ClockReading(0, Turn.now(), boot_id()))[1]
             if texts
             else b'{"workers":{}}'
         )
