--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/fleet.py
@@ -375,11 +375,11 @@
 
     from cedarmill.fleet.agree.messages import Snapshot
     from cedarmill.fleet.messages import ReadRequest
-    from cedarmill.store import keep
+    from cedarmill.store import files, snapshots
 
     text = asker.ask(ReadRequest("backup")).body
     snapshot = msgspec.msgpack.decode(text, type=Snapshot)
-    keep.write_file(str(path), keep.backup(snapshot))
+    files.replace_file(str(path), snapshots.encode_checksummed(snapshot))
     asker.show(
         {"index": snapshot.index, "bytes": len(text)},
         lambda: iter([f"{path}: agreed up to entry {snapshot.index}, {len(text)} bytes"]),
--- a/cedarmill/fleet/hosting.py
+++ b/cedarmill/fleet/hosting.py
@@ -5,7 +5,15 @@
 
 from typing import Protocol
 
-from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.agree.actions import (
+    PersistEntries,
+    PersistTermAndVote,
+    RaiseAlarm,
+    RestoreSnapshot,
+    RoleChanged,
+    SendMessage,
+)
+from cedarmill.fleet.agree.messages import Entry, Snapshot
 from cedarmill.fleet.replica import Actions, Replica, StoreSnapshot
 from cedarmill.fleet.request_router import Reply
 
@@ -13,12 +21,12 @@
 class Port(Protocol):
     """A disk, a network, and a log for operators."""
 
-    def save(self, action: w.Save | w.Put) -> None: ...
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None: ...
     def sync(self) -> bool: ...
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None: ...
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None: ...
     def send(self, target: str, message: object) -> None: ...
     def reply(self, token: int, answer: object) -> None: ...
-    def tell(self, action: w.Role | w.Alarm) -> None: ...
+    def tell(self, action: RoleChanged | RaiseAlarm) -> None: ...
 
 
 class Host:
@@ -43,10 +51,10 @@
             actions, self.pending = self.pending, []
             last = -1
             for action in actions:
-                if isinstance(action, w.Save | w.Put):
+                if isinstance(action, PersistTermAndVote | PersistEntries):
                     self.port.save(action)
-                    last = action.entries[-1].index if isinstance(action, w.Put) else last
-                elif isinstance(action, w.Install):
+                    last = action.entries[-1].index if isinstance(action, PersistEntries) else last
+                elif isinstance(action, RestoreSnapshot):
                     self.port.put_snapshot(action.snapshot, list(self.keeper.raft.log.entries))
                 elif isinstance(action, StoreSnapshot):
                     self._snap(now, action.snapshot)
@@ -56,14 +64,14 @@
                 self.pending += self.keeper.on_synced(now, last)
         self._out(outward)
 
-    def _snap(self, now: int, snapshot: w.Snapshot) -> None:
+    def _snap(self, now: int, snapshot: Snapshot) -> None:
         rest = [entry for entry in self.keeper.raft.log.entries if entry.index > snapshot.index]
         self.port.put_snapshot(snapshot, rest)
         self.pending += self.keeper.on_snapshot_stored(now, snapshot)
 
     def _out(self, actions: Actions) -> None:
         for action in actions:
-            if isinstance(action, w.Send):
+            if isinstance(action, SendMessage):
                 self.port.send(action.target, action.message)
             elif isinstance(action, Reply):
                 self.port.reply(action.token, action.reply)
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -17,8 +17,9 @@
 import msgspec
 
 from cedarmill.fleet import budget_grants
-from cedarmill.fleet.agree import words as w
-from cedarmill.fleet.agree.core import Saved, Timing
+from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
+from cedarmill.fleet.agree.messages import Config, Entry, Peer, Snapshot
+from cedarmill.fleet.agree.state import PersistentState, Timing
 from cedarmill.fleet.budget_grants import Budget
 from cedarmill.fleet.budget_lease import BudgetLeases
 from cedarmill.fleet.hosting import Host
@@ -150,10 +151,10 @@
 class VKeeper(Process):
     """A keeper with its disk."""
 
-    def __init__(self, world: "Virtual", name: str, config: w.Config, fresh: ClusterState) -> None:
+    def __init__(self, world: "Virtual", name: str, config: Config, fresh: ClusterState) -> None:
         super().__init__(world, name, name)
-        self.disk = Disk(Saved(1, "", w.Snapshot(1, 1, config, encode_snapshot(fresh))))
-        self.copies: list[Saved] = []
+        self.disk = Disk(PersistentState(1, "", Snapshot(1, 1, config, encode_snapshot(fresh))))
+        self.copies: list[PersistentState] = []
         self.token = itertools.count(1)
         self.waits: dict[int, Callable] = {}
         self.start()
@@ -177,7 +178,7 @@
     def _passed(self) -> None:
         self._do(self.replica.on_time(self.clock.now()))
 
-    def _agreed(self, entry: w.Entry) -> None:
+    def _agreed(self, entry: Entry) -> None:
         """No other keeper may have applied anything else at that index."""
         known = self.world.agreed.setdefault(entry.index, (entry.term, entry.data))
         epoch = self.replica.state.generation << EPOCH_INDEX_BITS | entry.index
@@ -205,7 +206,7 @@
 
     # The port.
 
-    def save(self, action: w.Save | w.Put) -> None:
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
         self.disk.save(action)
 
     def sync(self) -> bool:
@@ -213,7 +214,7 @@
             raise OSError("killed before the sync")
         return self.disk.sync()
 
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None:
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.disk.put_snapshot(snapshot, entries)
 
     def send(self, target: str, message: object) -> None:
@@ -225,20 +226,20 @@
         if back is not None:
             back(answer)
 
-    def tell(self, action: w.Role | w.Alarm) -> None:
-        if isinstance(action, w.Role) and action.leads:
+    def tell(self, action: RoleChanged | RaiseAlarm) -> None:
+        if isinstance(action, RoleChanged) and action.leads:
             self.world.history.tell(self.name, "leads", epoch=action.term)
 
 
 class Disk:
     """What is synced outlives a kill; what is not, may be lost whole or in part."""
 
-    def __init__(self, saved: Saved) -> None:
+    def __init__(self, saved: PersistentState) -> None:
         self.saved = saved
-        self.waiting: list[w.Save | w.Put] = []
+        self.waiting: list[PersistTermAndVote | PersistEntries] = []
         self.syncs = 0
 
-    def save(self, action: w.Save | w.Put) -> None:
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
         self.waiting.append(action)
 
     def sync(self) -> bool:
@@ -250,24 +251,24 @@
         self.waiting = []
         return True
 
-    def _lay(self, action: w.Save | w.Put) -> None:
+    def _lay(self, action: PersistTermAndVote | PersistEntries) -> None:
         s = self.saved
-        if isinstance(action, w.Save):
-            self.saved = Saved(action.term, action.vote, s.snapshot, s.entries)
+        if isinstance(action, PersistTermAndVote):
+            self.saved = PersistentState(action.term, action.vote, s.snapshot, s.entries)
         else:
             first = action.entries[0].index
             kept = tuple(entry for entry in s.entries if entry.index < first)
-            self.saved = Saved(s.term, s.vote, s.snapshot, kept + action.entries)
+            self.saved = PersistentState(s.term, s.vote, s.snapshot, kept + action.entries)
 
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None:
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.sync()
-        self.saved = Saved(self.saved.term, self.saved.vote, snapshot, tuple(entries))
+        self.saved = PersistentState(self.saved.term, self.saved.vote, snapshot, tuple(entries))
 
-    def load(self) -> Saved:
+    def load(self) -> PersistentState:
         self.waiting = []
         s = self.saved
         rest = tuple(entry for entry in s.entries if entry.index > s.snapshot.index)
-        return Saved(s.term, s.vote, s.snapshot, rest, s.doubtful)
+        return PersistentState(s.term, s.vote, s.snapshot, rest, s.needs_catch_up)
 
 
 class VMember(Process):
@@ -707,7 +708,7 @@
         for name in self.executors:
             self.by_zone.setdefault(self.zone_of(name), []).append(name)
         names = [f"keeper-{n}" for n in range(shape.keepers)]
-        config = {name: w.Peer("", True, "") for name in names}
+        config = {name: Peer("", True, "") for name in names}
         fresh = ClusterState("lab", limits=list(shape.limits), slow_start_us=COLD)
         if shape.spends:
             budget_grants.set_budgets(fresh, [BUDGET])
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -15,7 +15,8 @@
 from cedarmill import log
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.fleet import budget_grants
-from cedarmill.fleet.agree import words as w
+from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
+from cedarmill.fleet.agree.messages import Entry, Peer, Snapshot, TimeoutNow
 from cedarmill.fleet.budget_grants import Budget
 from cedarmill.fleet.hosting import Host
 from cedarmill.fleet.messages import ClientRequest, ConnectionRejected, Hello, Probe, ProbeReply, Unavailable
@@ -30,9 +31,10 @@
 from cedarmill.net.listening import Acceptor, listening_socket
 from cedarmill.net.peers import HELLO_US, SILENT_US, Wire
 from cedarmill.net.turn import Turn, callback
-from cedarmill.store.files import Files
-from cedarmill.store.keep import Store, restore
-from cedarmill.store.log import StoreError
+from cedarmill.store.errors import StoreError
+from cedarmill.store.files import Directory
+from cedarmill.store.replica_store import ReplicaStore
+from cedarmill.store.snapshots import decode_backup
 from cedarmill.values import KeeperOptions
 
 DIAL_US = 200_000  # between two tries to reach another keeper
@@ -51,13 +53,13 @@
     return f"{cluster}/{name}/1"
 
 
-def first_snapshot(options: KeeperOptions, text: bytes = b"") -> w.Snapshot:
+def first_snapshot(options: KeeperOptions, text: bytes = b"") -> Snapshot:
     """What all keepers of a new cluster begin with, to the last byte; or of one restored from a backup.
 
     A restored one has a generation more, and counts what was granted as out till it is proved back. Raises
     StoreError.
     """
-    config = {name: w.Peer(address, True, disk_name(options.cluster, name))
+    config = {name: Peer(address, True, disk_name(options.cluster, name))
               for name, address in sorted(options.peers.items())}  # fmt: skip
     if not text:
         limits = [Limit(*dataclasses.astuple(limit)) for limit in options.limits]
@@ -75,8 +77,8 @@
             )
             with contextlib.suppress(InvalidLayoutError):  # no zones are planned then
                 intake.set_layout(world, layout)
-        return w.Snapshot(FIRST, FIRST, config, encode_snapshot(world))
-    before = restore(text)
+        return Snapshot(FIRST, FIRST, config, encode_snapshot(world))
+    before = decode_backup(text)
     world = decode_snapshot(before.data)
     world.generation, world.cluster = world.generation + 1, options.cluster
     for permit in world.permits.values():
@@ -86,21 +88,21 @@
     world.budget_grants = {}
     world.budgets_dealt_from = world.clock + LEASE_US  # what was leased after the backup may still hold
     world.note("restored from a backup: what was granted counts as out till it is back")
-    return w.Snapshot(before.index, max(before.term, FIRST), config, encode_snapshot(world))
+    return Snapshot(before.index, max(before.term, FIRST), config, encode_snapshot(world))
 
 
 class KeeperProcess:
     """One keeper on one loop."""
 
-    def __init__(self, options: KeeperOptions, files: Files | None = None) -> None:
+    def __init__(self, options: KeeperOptions, files: Directory | None = None) -> None:
         """Open the store; raises StoreError or OSError."""
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
         self.deadlines = Deadlines()
         self.turn = Turn(self.loop, self.deadlines)
-        self.files = files or Files(options.data)
-        self.store = Store(self.files, options.cluster, options.name)
+        self.files = files or Directory(options.data)
+        self.store = ReplicaStore(self.files, options.cluster, options.name)
         self._start_replica()
         self.recovering = False  # the disk has failed, and was not opened anew yet
         self.failed_at = 0
@@ -120,19 +122,19 @@
         """The core as the store tells it."""
         identity = self.store.identity
         seed = int.from_bytes(identity.disk.encode()[-6:], "big") + identity.boot
-        self.keeper = Replica(self.options.name, self.store.saved, self.turn.now(), seed)
+        self.keeper = Replica(self.options.name, self.store.persistent_state, self.turn.now(), seed)
         self.host = Host(self.keeper, self)
 
     # The port of the host.
 
-    def save(self, action: w.Save | w.Put) -> None:
-        self.store.save(action)
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
+        self.store.append(action)
 
     def sync(self) -> bool:
         return self.store.sync()
 
-    def put_snapshot(self, snapshot: w.Snapshot, entries: list[w.Entry]) -> None:
-        self.store.put_snapshot(snapshot, entries)
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
+        self.store.write_snapshot(snapshot, entries)
 
     def send(self, target: str, message: object) -> None:
         wire = self.wires.get(target)
@@ -152,8 +154,8 @@
         except OSError as error:
             wire.end(f"write failed: {error.strerror or error}")
 
-    def tell(self, action: w.Role | w.Alarm) -> None:
-        if isinstance(action, w.Role):
+    def tell(self, action: RoleChanged | RaiseAlarm) -> None:
+        if isinstance(action, RoleChanged):
             part = "leader" if action.leads else "follower"
             say("keeper-role", part=part, leader=action.leader or "nobody", term=action.term)
         else:
@@ -208,20 +210,21 @@
         followers = [name for name in agree.voters if name in self.wires and name in agree.progress]
         if self.keeper.is_leader and followers:
             target = max(followers, key=lambda name: agree.progress[name].match_index)
-            self.send(target, w.Lead(agree.term))
+            self.send(target, TimeoutNow(agree.term))
 
     def _recover(self, now: int) -> None:
         """Open the store anew and start from what it holds, as after a restart; else try again later."""
-        promised = self.store.persisted
+        acknowledged = self.store.acknowledged
         self.store.close()
         try:
-            store = Store(self.files, self.options.cluster, self.options.name)
+            store = ReplicaStore(self.files, self.options.cluster, self.options.name)
         except (StoreError, OSError) as error:
             say("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
             self.deadlines.add(now + self.retry_us, self._recover)
             return
-        store.saved.doubtful |= self.keeper.raft.needs_catch_up or store.lacks(promised)
+        if self.keeper.raft.needs_catch_up or store.may_lack(acknowledged):
+            store.persistent_state.needs_catch_up = True
         self.store, self.recovering = store, False
         self._start_replica()
         for wire in list(self.wires.values()):
@@ -288,7 +291,7 @@
             return (
                 f"{hello.name} has the disk {hello.disk}, the cluster knows {peer.disk}: replace the keeper"
             )
-        if not self.store.meet(hello.disk, hello.boot):
+        if not self.store.record_peer_start(hello.disk, hello.boot):
             return f"{hello.name} has an old copy of its disk: replace the keeper"
         return ""
 
@@ -393,14 +396,16 @@
         return 0
 
     def _tell_store(self) -> None:
-        told, saved = self.store.told, self.store.saved
-        say("keeper-store", disk=self.store.identity.disk, boot=self.store.identity.boot,
+        recovery, saved = self.store.recovery, self.store.persistent_state
+        say("keeper-store", disk=self.store.identity.disk, boot=self.store.identity.start_count,
             index=saved.entries[-1].index if saved.entries else saved.snapshot.index)  # fmt: skip
-        if told.torn:
-            say("keeper-torn", bytes=told.torn)
-        if saved.doubtful:
-            lost = "its disk is empty" if self.store.fresh else "its disk has lost what was synced"
-            say("keeper-doubtful", reason="its last record is damaged" if told.damaged else lost)
+        if recovery.torn_bytes:
+            say("keeper-torn", bytes=recovery.torn_bytes)
+        if saved.needs_catch_up:
+            reason = "its disk is empty" if self.store.was_empty else "its disk has lost what was synced"
+            if recovery.last_record_damaged:
+                reason = "its last record is damaged"
+            say("keeper-doubtful", reason=reason)
 
     def _terminate(self) -> None:
         """Hand the lead over first, so that nobody has to miss a leader."""
@@ -416,20 +421,23 @@
         say("loop", context.get("exception"), what=context.get("message"))
 
 
-def initialise(options: KeeperOptions, backup: bytes = b"", files: Files | None = None) -> None:
+def initialise(options: KeeperOptions, backup: bytes = b"", files: Directory | None = None) -> None:
     """Format this keeper's disk for a new cluster, or one restored; raises StoreError (not empty) or
     OSError.
     """
-    store = Store(
-        files or Files(options.data), options.cluster, options.name, disk_name(options.cluster, options.name)
+    store = ReplicaStore(
+        files or Directory(options.data),
+        options.cluster,
+        options.name,
+        disk_name(options.cluster, options.name),
     )
     try:
-        store.put_snapshot(first_snapshot(options, backup), [])
+        store.write_snapshot(first_snapshot(options, backup), [])
     finally:
         store.close()
 
 
-def main(options: KeeperOptions, log_format: str = "text", files: Files | None = None) -> int:
+def main(options: KeeperOptions, log_format: str = "text", files: Directory | None = None) -> int:
     """Run a keeper; the exit code: 0 ended by a signal, 2 it could not start.
 
     A disk that fails while it runs does not end it.
--- a/cedarmill/net/turn.py
+++ b/cedarmill/net/turn.py
@@ -5,9 +5,9 @@
 import os
 import time
 
+from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.deadlines import Deadlines
 from cedarmill.log import say
-from cedarmill.ops.document import Moment
 
 BOOT_ID = "/proc/sys/kernel/random/boot_id"  # random(4): a new one with each start of the kernel
 BOOT_ID_BYTES = 64
@@ -32,9 +32,9 @@
         return ""
 
 
-def moment(clock_us: int) -> Moment:
+def clock_reading(clock_us: int) -> ClockReading:
     """That time on the machine's clock (`Turn.now`), as other processes of this machine can read it."""
-    return Moment(unix_us(), clock_us, boot_id())
+    return ClockReading(unix_us(), clock_us, boot_id())
 
 
 class Turn:
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -283,15 +283,15 @@
 
     As 24d73c0 wrote them, without the machine's clock: programs of before it are still read.
     """
+    from cedarmill.admin import sealed_document
     from cedarmill.net.kept import KeptInPlace, kept_path
-    from cedarmill.ops import document
 
     def seal(kind: str, node: str, unix_us: int, body: bytes) -> bytes:
-        return document.seal(kind, node, document.Moment(unix_us), body)
+        return sealed_document.seal(kind, node, sealed_document.ClockReading(unix_us), body)
 
     def unseal(text: bytes, kind: str, node: str) -> tuple[int, bytes]:
-        written, body = document.unseal(text, kind, node)
-        assert (written.clock_us, written.boot) == (0, "")
+        written, body = sealed_document.unseal(text, kind, node)
+        assert (written.monotonic_us, written.boot_id) == (0, "")
         return written.unix_us, body
 
     return seal, unseal, kept_path, KeptInPlace
@@ -299,18 +299,18 @@
 
 def exclusions(node: str):
     """The marks of executors that are out by hand: `adopt(text, unix_us)`, `encode(unix_us)`, `since`."""
-    from cedarmill.ops.document import Moment
-    from cedarmill.ops.exclusions import Exclusions
+    from cedarmill.admin.exclusions import Exclusions
+    from cedarmill.admin.sealed_document import ClockReading
 
     class Marks(Exclusions):
         def adopt(self, text: bytes, unix_us: int) -> set[str]:
-            return super().adopt(text, Moment(unix_us))
+            return super().adopt(text, ClockReading(unix_us))
 
         def encode(self, unix_us: int) -> bytes:
-            return super().encode(Moment(unix_us))
+            return super().encode(ClockReading(unix_us))
 
         def exclude(self, name: str, unix_us: int) -> bool:
-            return super().exclude(name, Moment(unix_us))
+            return super().exclude(name, ClockReading(unix_us))
 
     return Marks(node)
 
@@ -329,35 +329,35 @@
 def write_replica(folder: str, snapshot: bytes, before: list[bytes], after: list[bytes]) -> None:
     """A folder with a disk's identity, a term and a vote, entries, a snapshot, and entries after it."""
     from cedarmill.fleet.agree import actions, messages
-    from cedarmill.store.files import Files
-    from cedarmill.store.keep import Store
+    from cedarmill.store.files import Directory
+    from cedarmill.store.replica_store import ReplicaStore
 
-    store = Store(Files(folder), "main", "k1", "d15c0fed")
+    store = ReplicaStore(Directory(folder), "main", "k1", "d15c0fed")
     held = msgspec.msgpack.decode(snapshot, type=messages.Snapshot)
     first, rest = (
         [msgspec.msgpack.decode(one, type=messages.Entry) for one in part] for part in (before, after)
     )
-    store.save(actions.PersistTermAndVote(3, "k1"))
-    store.save(actions.PersistEntries(tuple(first)))
-    store.meet("d15c0bad", 4)
+    store.append(actions.PersistTermAndVote(3, "k1"))
+    store.append(actions.PersistEntries(tuple(first)))
+    store.record_peer_start("d15c0bad", 4)
     store.sync()
-    store.put_snapshot(held, rest[:2])
-    store.save(actions.PersistTermAndVote(4, "k2"))
-    store.save(actions.PersistEntries(tuple(rest[2:])))
+    store.write_snapshot(held, rest[:2])
+    store.append(actions.PersistTermAndVote(4, "k2"))
+    store.append(actions.PersistEntries(tuple(rest[2:])))
     store.sync()
     store.close()
 
 
 def read_replica(folder: str) -> Replica:
     """Open a folder as a replica does, which counts one more start."""
-    from cedarmill.store.files import Files
-    from cedarmill.store.keep import Store
+    from cedarmill.store.files import Directory
+    from cedarmill.store.replica_store import ReplicaStore
 
-    store = Store(Files(folder), "main", "k1")
-    saved, encode = store.saved, msgspec.msgpack.encode
+    store = ReplicaStore(Directory(folder), "main", "k1")
+    saved, encode = store.persistent_state, msgspec.msgpack.encode
     store.close()
     return Replica(encode(store.identity), saved.term, saved.vote, encode(saved.snapshot),
-                   list(map(encode, saved.entries)), store.met)  # fmt: skip
+                   list(map(encode, saved.entries)), store.peer_start_counts)  # fmt: skip
 
 
 class Played(NamedTuple):
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -8,10 +8,17 @@
 from faults import Fault, FaultPlan
 from fleets import LONG, KeeperCase, Member
 from nodes import ROOT
-from test_store import FaultyFiles
-
-from cedarmill.fleet.agree import words as w
-from cedarmill.fleet.agree.core import Saved
+from test_store import FaultyDirectory
+
+from cedarmill.fleet.agree.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    RequestVote,
+    RequestVoteReply,
+    Snapshot,
+    TimeoutNow,
+)
+from cedarmill.fleet.agree.state import PersistentState
 from cedarmill.fleet.messages import (
     ChangeReplicas,
     ClientReply,
@@ -25,7 +32,7 @@
 from cedarmill.fleet.state_machine.commands import RequestPermits
 from cedarmill.net.keeper import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
 from cedarmill.net.operator import NoKeeper, Operator, new_id
-from cedarmill.store.keep import Store
+from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import KeeperOptions
 
 LOG_FILE = "/log"  # of the replica's data, and what replaces it; not the text log on standard error
@@ -177,9 +184,9 @@
         self.addCleanup(folder.cleanup)
         peers = {name: "127.0.0.1:1" for name in ("k0", "k1", "k2")}
         options = KeeperOptions("main", "k0", "127.0.0.1:0", folder.name, peers)
-        self.files = FaultyFiles(folder.name)
-        store = Store(self.files, "main", "k0", disk_name("main", "k0"))
-        store.put_snapshot(first_snapshot(options), [])
+        self.files = FaultyDirectory(folder.name)
+        store = ReplicaStore(self.files, "main", "k0", disk_name("main", "k0"))
+        store.write_snapshot(first_snapshot(options), [])
         store.close()
         self.process = KeeperProcess(options, self.files)
         self.addCleanup(self.process.loop.close)
@@ -199,9 +206,9 @@
         self.carry_out(keeper.on_time(keeper.due))
         for pre in (True, False):
             term = keeper.raft.term + pre
-            self.carry_out(keeper.on_message(process.turn.now(), "k2", w.Voted(term, True, pre)))
+            self.carry_out(keeper.on_message(process.turn.now(), "k2", RequestVoteReply(term, True, pre)))
         self.assertTrue(keeper.is_leader)
-        answer = w.Appended(keeper.raft.term, True, keeper.raft.log.last_index, 1)
+        answer = AppendEntriesReply(keeper.raft.term, True, keeper.raft.log.last_index, 1)
         self.carry_out(keeper.on_message(process.turn.now(), "k2", answer))
         self.break_disk()
         sent = len(process.wires["k2"].said)
@@ -211,8 +218,8 @@
             )
         )
         self.assertTrue(process.recovering)
-        self.assertEqual(process.wires["k2"].said[sent:], [w.Lead(keeper.raft.term)])
-        self.assertNotIn(w.Lead(keeper.raft.term), process.wires["k1"].said)
+        self.assertEqual(process.wires["k2"].said[sent:], [TimeoutNow(keeper.raft.term)])
+        self.assertNotIn(TimeoutNow(keeper.raft.term), process.wires["k1"].said)
 
     def test_a_start_of_another_disk_that_cannot_be_kept_is_a_failure_of_the_disk(self):
         wire = WireStub()
@@ -225,9 +232,9 @@
     def test_a_replica_whose_disk_has_lost_what_was_synced_does_not_vote(self):
         process, wire = self.process, WireStub("k1")
         process.wires = {"k1": wire}
-        ask = w.Vote(5, 9, 5, False)
+        ask = RequestVote(5, 9, 5, False)
         self.carry_out(process.keeper.on_message(process.turn.now() + 10_000_000, "k1", ask))
-        self.assertEqual(wire.said, [w.Voted(5, True, False)])
+        self.assertEqual(wire.said, [RequestVoteReply(5, True, False)])
         with open(self.files.path("log"), "rb+") as log:
             log.truncate(len(log.read()) - 1)  # the record of its vote
         self.break_disk()
@@ -256,8 +263,8 @@
         """A leader that answers late knows the id only: ids of two starts on one disk have to differ."""
         ids = []
         for boot in (1, 2):
-            keeper = Replica("k0", Saved(1, "", w.Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
-            keeper.on_message(0, "k1", w.Append(1, 1, 1, (), 1, 1))
+            keeper = Replica("k0", PersistentState(1, "", Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
+            keeper.on_message(0, "k1", AppendEntries(1, 1, 1, (), 1, 1))
             for token in range(3):
                 [sent] = keeper.on_request(1, token + 1, ReadRequest("status"))
                 ids.append(sent.message.id)
