--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -121,7 +121,7 @@
     def _start_replica(self) -> None:
         """The core as the store tells it."""
         identity = self.store.identity
-        seed = int.from_bytes(identity.disk.encode()[-6:], "big") + identity.boot
+        seed = int.from_bytes(identity.disk.encode()[-6:], "big") + identity.start_count
         self.keeper = Replica(self.options.name, self.store.persistent_state, self.turn.now(), seed)
         self.host = Host(self.keeper, self)
 
@@ -273,7 +273,7 @@
 
     def _own_hello(self) -> Hello:
         identity = self.store.identity
-        return Hello(self.options.cluster, self.options.name, "keeper", identity.disk, identity.boot)
+        return Hello(self.options.cluster, self.options.name, "keeper", identity.disk, identity.start_count)
 
     def _greet(self, wire: Wire) -> None:
         wire.say(0, self._own_hello())
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -245,7 +245,7 @@
         self.assertTrue(process.keeper.raft.needs_catch_up)
         process.wires = {"k2": WireStub("k2")}
         self.carry_out(process.keeper.on_message(process.turn.now() + 10_000_000, "k2", ask))
-        self.assertEqual([reply.granted for reply in process.wires["k2"].said], [False])
+        self.assertEqual([reply.vote_granted for reply in process.wires["k2"].said], [False])
         process._disk_failed(OSError("again"))
         process._recover(process.turn.now())
         self.assertTrue(process.keeper.raft.needs_catch_up, "no second failure ends the doubt")
