--- a/cedarmill/lab/fleet/bugs.py
+++ b/cedarmill/lab/fleet/bugs.py
@@ -176,9 +176,9 @@
                     self.port.save(action)
                     last = action.entries[-1].index if isinstance(action, PersistEntries) else last
                 elif isinstance(action, RestoreSnapshot):
-                    self.port.put_snapshot(action.snapshot, list(self.keeper.agree.log.entries))
+                    self.port.put_snapshot(action.snapshot, list(self.keeper.raft.log.entries))
             if self.port.sync() and last >= 0:
-                self.pending += self.keeper.synced(now, last)
+                self.pending += self.keeper.on_synced(now, last)
 
     def promise(self: Node, action: SendMessage) -> None:
         self.run.send(self.name, action)
--- a/cedarmill/lab/fleet/small.py
+++ b/cedarmill/lab/fleet/small.py
@@ -123,7 +123,7 @@
         if len(out) > 1:
             found.append("never too many out: a and b are out at once")
         permit = self._out("a")
-        if permit is not None and permit.drained:
+        if permit is not None and permit.drained_at:
             may_send = [n for n, one in self.orders.items() if "a" not in one.excluded_executors]
             busy = [n for n, job in self.jobs.items() if job]
             found += [f"no work after drained: {n} may still send" for n in may_send]
--- a/cedarmill/lab/fleet/zone_bugs.py
+++ b/cedarmill/lab/fleet/zone_bugs.py
@@ -127,8 +127,8 @@
     plain = PlanFollower.row_without
 
     def row_without(self, scope, left_out):
-        found = plain(self, scope, set(left_out) - self.plan.shut.keys())
-        names = [*self.plan.shut] if scope == "any" else []
+        found = plain(self, scope, set(left_out) - self.plan.closed_zones.keys())
+        names = [*self.plan.closed_zones] if scope == "any" else []
         return normalized(found | dict.fromkeys(names, WHOLE // 2)) if names else found
 
     return [(PlanFollower, "row_without", row_without)]
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/gossip.py
@@ -1,9 +1,10 @@
 """News of executors between nodes, on sockets: one connection a pair, where the fleet shares news.
 
-A node tells what it heard itself to those that use the same executor (`fleet/gossip_plan.py`), at most five times a
-second a link, and never what it was told: so a fact makes one message to each user and no more. How old a
-fact can be is bounded by stamps that come back, not by clocks: on a link that is late, or lost one way, the
-bound grows, and what is too old is not followed. Each link carries two small frames a second at the least.
+A node tells what it heard itself to those that use the same executor (`fleet/gossip_plan.py`), at most five
+times a second a link, and never what it was told: so a fact makes one message to each user and no more. How
+old a fact can be is bounded by stamps that come back, not by clocks: on a link that is late, or lost one
+way, the bound grows, and what is too old is not followed. Each link carries two small frames a second at
+the least.
 """
 
 from typing import NamedTuple
