--- a/cedarmill/fleet/replica.py
+++ b/cedarmill/fleet/replica.py
@@ -1,7 +1,7 @@
 """One replica of the cluster's state, without I/O: the replicated log, the state, and the requests for them.
 
 Each event (`on_message`, `on_request`, `on_time`, `on_synced`, `on_snapshot_stored`, `transfer_leadership`)
-returns actions for the adapter, to be carried out in order: those of `agree/words.py` (Save, Put, Install,
+returns actions for the adapter, to be carried out in order: those of `agree/actions.py` (Save, Put, Install,
 Send, Alarm, Role), Reply and StoreSnapshot. Between replicas, Send also carries forwarded requests.
 All times are microseconds of the replica's monotonic clock, unless they are said to be the cluster's.
 """
