--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from cedarmill.budget import machine as budgets
-from cedarmill.core.deadlines import Deadline, Deadlines
+from cedarmill.core.timers import Deadline, Deadlines
+from cedarmill.deadlines import propagation as budgets
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.interface import Outcome
--- a/cedarmill/budget/machine.py
+++ b/cedarmill/deadlines/propagation.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cedarmill.budget.ledger import Cause, Ledger
-from cedarmill.budget.margins import Margins
-from cedarmill.budget.worth import Quantile
+from cedarmill.deadlines.margins import Margins
+from cedarmill.deadlines.waste_ledger import Cause, Ledger
+from cedarmill.deadlines.worth_starting import Quantile
 from cedarmill.decisions.interface import NEVER_RAN, Outcome
 from cedarmill.values import DeadlineOptions
 
--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/backends.py
@@ -5,8 +5,8 @@
 
 import httptools
 
-from cedarmill.core.deadlines import Deadline
 from cedarmill.core.dispatch import Attempt, Dispatch, Probe
+from cedarmill.core.timers import Deadline
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 from cedarmill.log import say
--- a/cedarmill/net/discovery.py
+++ b/cedarmill/net/discovery.py
@@ -8,9 +8,9 @@
 
 import httptools
 
-from cedarmill.core.deadlines import Deadline
+from cedarmill.core.discovery_watch import Action, Call, Close, Connect, Event, ListWatch, Lost
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.core.list_watch import Action, Call, Close, Connect, Event, ListWatch, Lost
+from cedarmill.core.timers import Deadline
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.backends import Backends
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.core.deadlines import Deadlines
+from cedarmill.core.timers import Deadlines
 from cedarmill.fleet import slices, traffic
 from cedarmill.fleet import words as f
 from cedarmill.fleet.agree import words as w
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -10,9 +10,9 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.budget.machine import Budget
-from cedarmill.core.deadlines import Deadlines
 from cedarmill.core.dispatch import Dispatch
+from cedarmill.core.timers import Deadlines
+from cedarmill.deadlines.propagation import Budget
 from cedarmill.decisions.brain import Brain
 from cedarmill.log import say
 from cedarmill.net import door
--- a/cedarmill/net/sessions.py
+++ b/cedarmill/net/sessions.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from cedarmill.budget.source import BadDeadline, granted
 from cedarmill.core.dispatch import Req
+from cedarmill.deadlines.sources import BadDeadline, granted
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.hangup import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
--- a/cedarmill/net/steward.py
+++ b/cedarmill/net/steward.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.core.deadlines import Deadlines
+from cedarmill.core.timers import Deadlines
 from cedarmill.fleet import words as f
 from cedarmill.fleet.agent import Facts, Who
 from cedarmill.fleet.stewarding import Acted, Keep, Process, Start, Steward, Stop
--- a/cedarmill/net/turn.py
+++ b/cedarmill/net/turn.py
@@ -5,7 +5,7 @@
 import os
 import time
 
-from cedarmill.core.deadlines import Deadlines
+from cedarmill.core.timers import Deadlines
 from cedarmill.log import say
 from cedarmill.ops.document import Moment
 
--- a/tests/test_broken_sockets.py
+++ b/tests/test_broken_sockets.py
@@ -14,7 +14,7 @@
 from nodes import WAIT
 from test_leaving import raw
 
-from cedarmill.core.deadlines import Deadlines
+from cedarmill.core.timers import Deadlines
 from cedarmill.net.clients import Clients
 from cedarmill.net.sessions import ClientSession
 from cedarmill.net.turn import Turn
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 from test_core import Ports
 
-from cedarmill.budget import machine as budgets
-from cedarmill.budget.ledger import Cause, Row
-from cedarmill.budget.margins import Margins
-from cedarmill.budget.source import BadDeadline, granted
-from cedarmill.budget.worth import Quantile
-from cedarmill.core.deadlines import Deadlines
 from cedarmill.core.dispatch import Dispatch
+from cedarmill.core.timers import Deadlines
+from cedarmill.deadlines import propagation as budgets
+from cedarmill.deadlines.margins import Margins
+from cedarmill.deadlines.sources import BadDeadline, granted
+from cedarmill.deadlines.waste_ledger import Cause, Row
+from cedarmill.deadlines.worth_starting import Quantile
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.interface import Group, Outcome
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,8 +7,8 @@
 
 from helpers import entry, keyed, settings
 
-from cedarmill.core.deadlines import Deadlines
 from cedarmill.core.dispatch import Dispatch
+from cedarmill.core.timers import Deadlines
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.interface import Group, Outcome
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,8 +6,8 @@
 
 from helpers import settings
 
-from cedarmill.core.deadlines import Deadlines
-from cedarmill.core.list_watch import Event, State
+from cedarmill.core.discovery_watch import Event, State
+from cedarmill.core.timers import Deadlines
 from cedarmill.decisions import interface as api
 from cedarmill.net.config import Address, Endpoint, Listing
 from cedarmill.net.discovery import QUIET_US, DiscoveryClient
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -16,7 +16,7 @@
 from helpers import settings
 from nodes import WAIT, NodeCase, call, read_answer
 
-from cedarmill.core.deadlines import Deadlines
+from cedarmill.core.timers import Deadlines
 from cedarmill.net.clients import Clients
 from cedarmill.net.door import SESSIONS
 from cedarmill.net.hands import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, Hands
--- a/tests/test_executor_faults.py
+++ b/tests/test_executor_faults.py
@@ -13,7 +13,7 @@
 from helpers import settings
 from nodes import WAIT
 
-from cedarmill.core.deadlines import Deadlines
+from cedarmill.core.timers import Deadlines
 from cedarmill.decisions.interface import Outcome
 from cedarmill.net.backends import AT_ONCE, COMMIT_US, LEAVE_US, Backend, Backends, Connection
 from cedarmill.net.config import Address
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -5,8 +5,8 @@
 import unittest
 from random import Random
 
-from cedarmill.core import list_watch
-from cedarmill.core.list_watch import Call, Close, Connect, Event, ListWatch, Lost, State
+from cedarmill.core import discovery_watch as list_watch
+from cedarmill.core.discovery_watch import Call, Close, Connect, Event, ListWatch, Lost, State
 from cedarmill.net.list_stream import UNREADABLE, ListStream
 
 MANY = 200  # processes
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,8 +8,8 @@
 
 from nodes import NodeCase
 
-from cedarmill.core.deadlines import Deadlines
 from cedarmill.core.dispatch import Dispatch
+from cedarmill.core.timers import Deadlines
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.settings import from_operator
