--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from cedarmill.core.timers import Deadline, Deadlines
+from cedarmill.core.timers import Timer, Timers
 from cedarmill.deadlines import propagation as budgets
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
@@ -72,7 +72,7 @@
         self.attempts: list[Attempt] = []
         self.probes: list[Probe] = []  # asked for its sake, not yet answered
         self.answered = False
-        self.deadline: Deadline | None = None
+        self.deadline: Timer | None = None
 
 
 class Attempt:
@@ -102,9 +102,9 @@
 class Dispatch:
     """The reqs of a node, between the brain and the ports."""
 
-    def __init__(self, brain: Brain, deadlines: Deadlines, backends: BackendPort, discovery: DiscoveryPort,
+    def __init__(self, brain: Brain, timers: Timers, backends: BackendPort, discovery: DiscoveryPort,
                  budget: budgets.Budget | None = None) -> None:  # fmt: skip
-        self.brain, self.deadlines = brain, deadlines
+        self.brain, self.timers = brain, timers
         self.budget = budget or budgets.Budget(DeadlineOptions(), len(brain.settings.classes))
         self.backends, self.discovery = backends, discovery
         self.reqs: dict[int, Req] = {}
@@ -144,7 +144,7 @@
         req = Req(self._count, client, payload, self.brain.settings.classes[job.job_class], claim)
         self.reqs[req.id] = req
         self.owed += 1
-        req.deadline = self.deadlines.add(due, lambda at: self._overdue(at, req))
+        req.deadline = self.timers.add(due, lambda at: self._overdue(at, req))
         if self.budget.step(now, budgets.Arrived(claim)):  # hopeless: nothing has begun, no is harmless
             self._answer(now, req.id, "refused", 0)
         else:
@@ -172,9 +172,9 @@
         """Each open request has its final answer by then (us): the process may be killed soon after."""
         for req in list(self.reqs.values()):
             if not req.answered and req.due > until:
-                self.deadlines.cancel(req.deadline)
+                self.timers.cancel(req.deadline)
                 req.due = req.claim.due = until
-                req.deadline = self.deadlines.add(until, lambda at, req=req: self._overdue(at, req))
+                req.deadline = self.timers.add(until, lambda at, req=req: self._overdue(at, req))
 
     def _recall(self, now: int, probe: Probe) -> None:
         try:
@@ -403,7 +403,7 @@
 
     def _set_timer(self, now: int, action: api.SetTimer) -> None:
         token = action.token
-        self.deadlines.add(now + action.delay_us, lambda at: self._tell(at, api.TimerFired(token)))
+        self.timers.add(now + action.delay_us, lambda at: self._tell(at, api.TimerFired(token)))
 
     # Answers.
 
@@ -429,7 +429,7 @@
     def _forget(self, req: Req) -> None:
         """Let go of a req that is answered and has no attempt out."""
         if req.answered and all(attempt.outcome is not None for attempt in req.attempts):
-            self.deadlines.cancel(req.deadline)
+            self.timers.cancel(req.deadline)
             self.reqs.pop(req.id, None)
 
     def _overdue(self, now: int, req: Req) -> None:
--- a/cedarmill/core/timers.py
+++ b/cedarmill/core/timers.py
@@ -1,43 +1,47 @@
-"""The one sorted structure that holds every deadline of a node."""
+"""The one sorted structure of a node's timers.
+
+It reads no clock: times are whole microseconds of the caller's monotonic clock, and the caller sweeps.
+"""
 
 from collections.abc import Callable, Iterator
 
-from sortedcontainers import SortedDict
+from sortedcontainers import SortedDict  # type: ignore[import-untyped]  # the package ships no types
 
-Deadline = tuple[int, int]  # when it is due (us), and its place among equals
+Timer = tuple[int, int]  # a handle: when it is due (us), and its number among those due at once
+Callback = Callable[[int], None]  # is given the time of the sweep that calls it (us)
 
 
-class Deadlines:
-    """Calls to make, sorted by the time they are due."""
+class Timers:
+    """Callbacks sorted by the time at which they are due; adding and cancelling cost O(log n)."""
 
     def __init__(self) -> None:
-        self._calls = SortedDict()
+        self._callbacks: SortedDict = SortedDict()
         self._count = 0
-        self.next: int | None = None  # when the earliest is due: asked after every callback, so kept
+        self.next_due: int | None = None  # of the earliest timer (us): read after every callback, so cached
 
-    def add(self, at: int, call: Callable[[int], None]) -> Deadline:
-        """Enter a call, which is given the time of its sweep; the result serves to cancel it."""
+    def add(self, due: int, callback: Callback) -> Timer:
+        """Have a callback made at `due` (us); the handle serves to cancel it."""
         self._count += 1
-        self._calls[at, self._count] = call
-        if self.next is None or at < self.next:
-            self.next = at
-        return at, self._count
-
-    def cancel(self, deadline: Deadline | None) -> None:
-        """Take a deadline out; one that is past, or None, is passed over."""
-        if deadline is not None and self._calls.pop(deadline, None) and deadline[0] == self.next:
-            self._look()
-
-    def _look(self) -> None:
-        self.next = self._calls.peekitem(0)[0][0] if self._calls else None
-
-    def sweep(self, now: int) -> Iterator[Callable[[int], None]]:
-        """Take out what is due, earliest first; what the calls add waits for the next sweep."""
+        self._callbacks[due, self._count] = callback
+        if self.next_due is None or due < self.next_due:
+            self.next_due = due
+        return due, self._count
+
+    def cancel(self, timer: Timer | None) -> None:
+        """Remove a timer; one that has fired, or None, is passed over."""
+        if timer is not None and self._callbacks.pop(timer, None) and timer[0] == self.next_due:
+            self._update_next_due()
+
+    def sweep(self, now: int) -> Iterator[Callback]:
+        """Remove and yield what is due, earliest first; timers added meanwhile wait for the next sweep."""
         last = self._count
-        while self._calls:
-            at, number = self._calls.peekitem(0)[0]
-            if at > now or number > last:
+        while self._callbacks:
+            due, number = self._callbacks.peekitem(0)[0]
+            if due > now or number > last:
                 return
-            call = self._calls.popitem(0)[1]
-            self._look()
-            yield call
+            callback = self._callbacks.popitem(0)[1]
+            self._update_next_due()
+            yield callback
+
+    def _update_next_due(self) -> None:
+        self.next_due = self._callbacks.peekitem(0)[0][0] if self._callbacks else None
--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/backends.py
@@ -6,7 +6,7 @@
 import httptools
 
 from cedarmill.core.dispatch import Attempt, Dispatch, Probe
-from cedarmill.core.timers import Deadline
+from cedarmill.core.timers import Timer
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 from cedarmill.log import say
@@ -47,9 +47,9 @@
         self.closed = False
         self.opened_at = self.rested_at = 0
         self.answer_bytes = 0
-        self.deadline: Deadline | None = None
+        self.deadline: Timer | None = None
         self.text_at = 0  # when the request's text was made, and the time that it tells
-        self.leaving: Deadline | None = None  # of what the system has not taken yet
+        self.leaving: Timer | None = None  # of what the system has not taken yet
         self.task: asyncio.Task | None = None
 
     def open(self) -> None:
@@ -60,10 +60,10 @@
         turn = self.turn
         self.opened_at = turn.now()
         if not self.backend.backends.dispatch.may_connect(self.opened_at):
-            self.deadline = turn.deadlines.add(self.opened_at + PLACE_US, lambda now: self.open())
+            self.deadline = turn.timers.add(self.opened_at + PLACE_US, lambda now: self.open())
             return
         wait = self.backend.backends.settings.connect_timeout_us
-        self.deadline = turn.deadlines.add(turn.now() + wait, lambda now: self.abort())
+        self.deadline = turn.timers.add(turn.now() + wait, lambda now: self.abort())
         host, port = self.backend.address.host, self.backend.address.port
         opening = turn.loop.create_connection(lambda: self, host, port)
         self.task = turn.loop.create_task(opening)
@@ -79,7 +79,7 @@
 
     @callback
     def connection_made(self, transport) -> None:
-        self.turn.deadlines.cancel(self.deadline)
+        self.turn.timers.cancel(self.deadline)
         self.transport = transport
         if self.closed:
             self._abort_transport()
@@ -97,7 +97,7 @@
     def carry(self, exchange: Exchange) -> None:
         """Send an exchange out, if it still may be sent."""
         now = self.turn.now()
-        self.turn.deadlines.cancel(self.deadline)
+        self.turn.timers.cancel(self.deadline)
         outcome = exchange.barred(now)
         if outcome is not None:
             self._rest()
@@ -116,7 +116,7 @@
         self._write(text[:-1])
         if not self.closed:
             wait = COMMIT_US if exchange.unsafe else 0
-            self.deadline = self.turn.deadlines.add(now + wait, self._commit)
+            self.deadline = self.turn.timers.add(now + wait, self._commit)
 
     def _write(self, text: bytes) -> None:
         """Hand bytes to the transport, and give up what it does not let go of in time."""
@@ -130,12 +130,12 @@
             return
         self.handed = True
         if waiting:
-            self.leaving = self.turn.deadlines.add(self.text_at + LEAVE_US, lambda now: self.abort())
+            self.leaving = self.turn.timers.add(self.text_at + LEAVE_US, lambda now: self.abort())
         else:
             self._has_left()
 
     def _has_left(self) -> None:
-        self.turn.deadlines.cancel(self.leaving)
+        self.turn.timers.cancel(self.leaving)
         self.written = True
         if self.exchange is not None:
             self.exchange.on_written(self.turn.now())
@@ -148,7 +148,7 @@
             self.abort_quietly()
             exchange.finish(now, outcome)
         elif self.transport.get_write_buffer_size():
-            self.deadline = self.turn.deadlines.add(now + COMMIT_US, self._commit)
+            self.deadline = self.turn.timers.add(now + COMMIT_US, self._commit)
         else:
             last, self.last = self.last, b""
             self._write(last)
@@ -180,8 +180,8 @@
             else:
                 self.abort_quietly()
         elif exchange.ending and not exchange.told:  # the end of the message is all that may still come
-            self.turn.deadlines.cancel(self.deadline)
-            self.deadline = self.turn.deadlines.add(now + TAIL_US, lambda now: self.abort())
+            self.turn.timers.cancel(self.deadline)
+            self.deadline = self.turn.timers.add(now + TAIL_US, lambda now: self.abort())
         if exchange.ending or not whole:
             exchange.finish(now, *(exchange.ending or (Outcome.RESET,)))
 
@@ -237,22 +237,22 @@
     def abort_quietly(self) -> None:
         """End the connection; what it carries is told nothing."""
         self.exchange, self.closed = None, True
-        self._cancel_deadlines()
+        self._cancel_timers()
         self.backend.drop(self)
         if self.task is not None:
             self.task.cancel()
         if self.transport is not None:
             self._abort_transport()
 
-    def _cancel_deadlines(self) -> None:
-        self.turn.deadlines.cancel(self.deadline)
-        self.turn.deadlines.cancel(self.leaving)
+    def _cancel_timers(self) -> None:
+        self.turn.timers.cancel(self.deadline)
+        self.turn.timers.cancel(self.leaving)
 
     def _abort_transport(self, now: int = 0) -> None:
         try:
             self.transport.abort()
         except (OSError, RuntimeError):  # its descriptor must not stay
-            self.turn.deadlines.add(self.turn.now() + ABORT_AGAIN_US, self._abort_transport)
+            self.turn.timers.add(self.turn.now() + ABORT_AGAIN_US, self._abort_transport)
 
     def abort(self) -> None:
         """End the connection, and what it carries with it."""
@@ -262,13 +262,13 @@
     def end_sending(self) -> None:
         """Give up what it carries by ending the sending: the backend stops, and closes."""
         self.exchange = None
-        self._cancel_deadlines()
+        self._cancel_timers()
         try:
             self.transport.write_eof()
         except (OSError, RuntimeError):
             self.abort_quietly()
             return
-        self.deadline = self.turn.deadlines.add(self.turn.now() + TAIL_US, lambda now: self.abort())
+        self.deadline = self.turn.timers.add(self.turn.now() + TAIL_US, lambda now: self.abort())
 
     def _rest(self) -> None:
         """Into the pool."""
@@ -276,7 +276,7 @@
         self.rested_at = self.turn.now()
         self.backend.idle.append(self)
         wait = int(self.backend.backends.settings.conn_idle_us * IDLE_SHARE)
-        self.deadline = self.turn.deadlines.add(self.rested_at + wait, lambda now: self.abort())
+        self.deadline = self.turn.timers.add(self.rested_at + wait, lambda now: self.abort())
 
     def hung_up(self) -> bool:
         """Whether the other side has closed, or the socket can't be asked any more."""
@@ -408,6 +408,6 @@
         if check is None:
             return
         check.told = True
-        self.turn.deadlines.cancel(check.deadline)
+        self.turn.timers.cancel(check.deadline)
         if check.connection is not None and check.connection.exchange is check:
             check.connection.abort_quietly()
--- a/cedarmill/net/beside.py
+++ b/cedarmill/net/beside.py
@@ -98,7 +98,7 @@
 
     def _look(self, now: int) -> None:
         """The one chain of looks."""
-        self.turn.deadlines.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
+        self.turn.timers.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
         here = moment(now)
         self._read(here)
         try:
--- a/cedarmill/net/clients.py
+++ b/cedarmill/net/clients.py
@@ -144,7 +144,7 @@
             self._acceptor.close()
             return
         again = now if taken is Taken.MORE else now + BACKLOG_AGAIN_US
-        self.turn.deadlines.add(again, lambda now: self._take_backlog(until))
+        self.turn.timers.add(again, lambda now: self._take_backlog(until))
 
     def answer_all(self, now: int) -> None:
         """The process may be killed soon: whoever still waits is answered now."""
--- a/cedarmill/net/discovery.py
+++ b/cedarmill/net/discovery.py
@@ -10,7 +10,7 @@
 
 from cedarmill.core.discovery_watch import Action, Call, Close, Connect, Event, ListWatch, Lost
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.core.timers import Deadline
+from cedarmill.core.timers import Timer
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.backends import Backends
@@ -137,7 +137,7 @@
         self.pushed = not settings.on_request_discovery
         self.watching = ListWatch(settings.instances, self.pushed, random or Random())
         self.connection: WatchConnection | None = None
-        self._deadline: Deadline | None = None
+        self._deadline: Timer | None = None
         self.told: bool | None = None  # whether the log's last word is that it watches
         self.quiet_until = 0
         self.entries: dict[int, api.WorkerEntry] = {}  # the list as it stands, as discovery tells it
@@ -252,8 +252,8 @@
         before = self.watching.deadline
         actions = self.watching.step(self.turn.now(), event)
         if self.watching.deadline != before:  # first: whatever fails below, the watch is asked for again
-            self.turn.deadlines.cancel(self._deadline)
-            self._deadline = self.turn.deadlines.add(self.watching.deadline, self._due)
+            self.turn.timers.cancel(self._deadline)
+            self._deadline = self.turn.timers.add(self.watching.deadline, self._due)
         for action in actions:
             self._do(action, reason)
 
--- a/cedarmill/net/door.py
+++ b/cedarmill/net/door.py
@@ -55,11 +55,11 @@
     def connection_made(self, transport) -> None:
         self.transport = transport
         self.door.came(self)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + CALL_US, self._late)
+        self.deadline = self.turn.timers.add(self.turn.now() + CALL_US, self._late)
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.deadlines.cancel(self.deadline)
+        self.turn.timers.cancel(self.deadline)
         self.door.left(self)
         self.parser = None
 
@@ -112,8 +112,8 @@
         text = HEAD % (status, REASONS[status].encode(), len(body), more)
         self.transport.write(text if method == b"HEAD" else text + body)
         self.transport.write_eof()  # not closed here: unread input would reset the answer away
-        self.turn.deadlines.cancel(self.deadline)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + LINGER_US, lambda now: self.abort())
+        self.turn.timers.cancel(self.deadline)
+        self.deadline = self.turn.timers.add(self.turn.now() + LINGER_US, lambda now: self.abort())
 
     def _late(self, now: int) -> None:
         self.deadline = None
--- a/cedarmill/net/exchanges.py
+++ b/cedarmill/net/exchanges.py
@@ -213,7 +213,7 @@
         super().__init__(backends, backend)
         self.probe, probe.link = probe, self
         wait = PROBE_WAIT * backends.settings.connect_timeout_us
-        self.deadline = backends.turn.deadlines.add(backends.turn.now() + wait, self._late)
+        self.deadline = backends.turn.timers.add(backends.turn.now() + wait, self._late)
 
     def _late(self, now: int) -> None:
         """It has not come back in time."""
@@ -246,6 +246,6 @@
         self.ending = outcome, self.report(load)
 
     def tell(self, now: int, outcome: Outcome, *details: Any) -> None:
-        self.backends.turn.deadlines.cancel(self.deadline)
+        self.backends.turn.timers.cancel(self.deadline)
         self.probe.link = None  # or the cycle would wait for a full collection
         self.backends.dispatch.probed(now, self.probe, outcome, *details)
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -162,7 +162,7 @@
         if isinstance(word, f.Shown):
             self.peopled = epoch
             self.gossip.follow(msgspec.json.decode(word.text, type=dict[str, str]))
-        self.turn.deadlines.add(self.turn.now() + PEERS_US, self._learn_peers)
+        self.turn.timers.add(self.turn.now() + PEERS_US, self._learn_peers)
 
     def _lapsed(self) -> None:
         if self.options.cut_off == "stop":
@@ -279,7 +279,7 @@
         """This process ends and has nothing out."""
         self.gossip.end()
         self.membership.leave()
-        self.turn.deadlines.add(self.turn.now() + LEAVE_US, lambda now: then())
+        self.turn.timers.add(self.turn.now() + LEAVE_US, lambda now: then())
 
 
 def _at(who: Who, address: str) -> Who:
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/gossip.py
@@ -79,7 +79,7 @@
         if not self.peers:
             self._due = None
             return
-        self._due = self.turn.deadlines.add(now + TELL_US, self._again)
+        self._due = self.turn.timers.add(now + TELL_US, self._again)
         self._choose()
         for name in sorted(self.near | self.links.keys()):
             link = self.links.get(name)
--- a/cedarmill/net/grpc.py
+++ b/cedarmill/net/grpc.py
@@ -22,7 +22,7 @@
             self.abort()
             return
         if self.health.watches:  # it stays as long as it watches
-            self.turn.deadlines.cancel(self.deadline)
+            self.turn.timers.cancel(self.deadline)
         elif self.health.answered:
             self.rest()
 
@@ -37,7 +37,7 @@
 
     def __init__(self, turn: Turn, told: Self) -> None:
         super().__init__(turn, told, GrpcSession)
-        turn.deadlines.add(turn.now() + LOOK_US, self._look)
+        turn.timers.add(turn.now() + LOOK_US, self._look)
 
     def statuses(self) -> dict[str, int]:
         """The node as a whole, and under its name: SERVING while it is ready."""
@@ -50,5 +50,5 @@
             session.changed()
 
     def _look(self, now: int) -> None:
-        self.turn.deadlines.add(now + LOOK_US, self._look)
+        self.turn.timers.add(now + LOOK_US, self._look)
         self.changed()
--- a/cedarmill/net/hands.py
+++ b/cedarmill/net/hands.py
@@ -42,7 +42,7 @@
 
     def _look_again(self, now: int) -> None:
         """The one chain of looks at the kept file, every `LOOK_US`."""
-        self.turn.deadlines.add(now + LOOK_US, self._look_again)
+        self.turn.timers.add(now + LOOK_US, self._look_again)
         self._take_up()
 
     def _take_up(self) -> None:
@@ -93,7 +93,7 @@
                 say("exclusions-unkept", reason=error)
                 done = 503, b"the mark could not be kept\n"
             else:
-                self.turn.deadlines.add(now + LOCK_AGAIN_US, lambda now: self._mark(call, answer, now, until))
+                self.turn.timers.add(now + LOCK_AGAIN_US, lambda now: self._mark(call, answer, now, until))
                 return
         answer(*done)
 
@@ -120,13 +120,13 @@
             self.clients.send_away(True)
             say("evacuated", held=len(self.clients.sessions))
             away = self._away
-            self.turn.deadlines.add(self.turn.now() + AWAY_IDLE_US, lambda now: self._sweep(now, away))
+            self.turn.timers.add(self.turn.now() + AWAY_IDLE_US, lambda now: self._sweep(now, away))
         return 200, b"evacuating\n"
 
     def _sweep(self, now: int, away: int) -> None:
         if self.clients.sending_away and away == self._away:
             self.clients.close_idle()
-            self.turn.deadlines.add(now + SWEEP_US, lambda now: self._sweep(now, away))
+            self.turn.timers.add(now + SWEEP_US, lambda now: self._sweep(now, away))
 
     def _rejoin(self, call: Call) -> tuple[int, bytes]:
         if self.ending():
--- a/cedarmill/net/health.py
+++ b/cedarmill/net/health.py
@@ -71,7 +71,7 @@
             transport.abort()
             return
         self.listener.sessions.add(self)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + SESSION_US, lambda now: self.abort())
+        self.deadline = self.turn.timers.add(self.turn.now() + SESSION_US, lambda now: self.abort())
         self.opened()
 
     def opened(self) -> None:
@@ -79,14 +79,14 @@
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.deadlines.cancel(self.deadline)
+        self.turn.timers.cancel(self.deadline)
         self.listener.sessions.discard(self)
         self.parser = None
 
     def rest(self) -> None:
         """It has asked something good: it may keep its connection for the next time."""
-        self.turn.deadlines.cancel(self.deadline)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + IDLE_US, lambda now: self.abort())
+        self.turn.timers.cancel(self.deadline)
+        self.deadline = self.turn.timers.add(self.turn.now() + IDLE_US, lambda now: self.abort())
 
     def finish(self, text: bytes) -> None:
         """Say the last, and let the checker close: closed here, unread input would reset it away."""
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.fleet import slices, traffic
 from cedarmill.fleet import words as f
 from cedarmill.fleet.agree import words as w
@@ -90,8 +90,8 @@
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
-        self.deadlines = Deadlines()
-        self.turn = Turn(self.loop, self.deadlines)
+        self.timers = Timers()
+        self.turn = Turn(self.loop, self.timers)
         self.files = files or Files(options.data)
         self.store = Store(self.files, options.cluster, options.name)
         self._start_replica()
@@ -185,12 +185,12 @@
         say("replica-disk-failed", reason=error.strerror or error)
         self.recovering, self.failed_at, self.retry_us = True, self.turn.now(), RETRY_FIRST_US
         self.host.pending.clear()
-        self.deadlines.cancel(self._timer)
+        self.timers.cancel(self._timer)
         self._let_another_lead()
         waiting, self.tokens = self.tokens, {}
         for wire, number in waiting.values():
             self._say(wire, number, f.NotHere(DISK_REFUSAL))
-        self.deadlines.add(self.failed_at + self.retry_us, self._recover)
+        self.timers.add(self.failed_at + self.retry_us, self._recover)
 
     def _let_another_lead(self) -> None:
         """Ask the follower that is furthest to stand for election; that promises nothing, and needs no disk.
@@ -212,7 +212,7 @@
         except (StoreError, OSError) as error:
             say("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
-            self.deadlines.add(now + self.retry_us, self._recover)
+            self.timers.add(now + self.retry_us, self._recover)
             return
         store.saved.doubtful |= self.keeper.agree.doubtful or store.lacks(promised)
         self.store, self.recovering = store, False
@@ -224,8 +224,8 @@
         self._arm()
 
     def _arm(self) -> None:
-        self.deadlines.cancel(self._timer)
-        self._timer = self.deadlines.add(max(self.keeper.due, self.turn.now() + 1000), self._passed)
+        self.timers.cancel(self._timer)
+        self._timer = self.timers.add(max(self.keeper.due, self.turn.now() + 1000), self._passed)
 
     def _passed(self, now: int) -> None:
         if self.recovering:
@@ -242,7 +242,7 @@
 
     def _dial_again(self, now: int) -> None:
         """Of a pair, the one whose name comes first dials."""
-        self.deadlines.add(now + DIAL_US, self._dial_again)
+        self.timers.add(now + DIAL_US, self._dial_again)
         if self.recovering:
             return
         for name, address in self._addresses().items():
@@ -354,7 +354,7 @@
     def _incoming(self) -> Wire:
         """The connection of one who has dialled this process."""
         wire = Wire(self.turn, self._heard, self._ended)
-        self.deadlines.add(self.turn.now() + HELLO_US, lambda now: self._no_hello(wire))
+        self.timers.add(self.turn.now() + HELLO_US, lambda now: self._no_hello(wire))
         return wire
 
     def _no_hello(self, wire: Wire) -> None:
@@ -399,7 +399,7 @@
         """Hand the lead over first, so that nobody has to miss a leader."""
         if not self.recovering and self.keeper.leads and len(self.keeper.agree.voters) > 1:
             self._take(self.keeper.hand_over(self.turn.now()))
-            self.deadlines.add(self.turn.now() + 300_000, lambda now: self.loop.stop())
+            self.timers.add(self.turn.now() + 300_000, lambda now: self.loop.stop())
             self.turn.end()
         else:
             self.loop.stop()
--- a/cedarmill/net/lanes.py
+++ b/cedarmill/net/lanes.py
@@ -57,7 +57,7 @@
         self.holds = holds
         self.dispatch.mark = self._mark
         self.dispatch.seen = self._ended
-        turn.deadlines.add(turn.now() + LOOK_US, self._again)
+        turn.timers.add(turn.now() + LOOK_US, self._again)
 
     def _homes(self, bound: str, way: Way | None) -> tuple[int, ...]:
         """Zones in which such a req may run; before a plan has come, one that may not go far stays here."""
@@ -184,7 +184,7 @@
         self.look()
 
     def _again(self, now: int) -> None:
-        self.turn.deadlines.add(now + LOOK_US, self._again)
+        self.turn.timers.add(now + LOOK_US, self._again)
         if self.follower.way is not None:
             self.look()
 
--- a/cedarmill/net/listening.py
+++ b/cedarmill/net/listening.py
@@ -98,7 +98,7 @@
     def resume_later(self) -> None:
         """Pause, and resume after `ACCEPT_AGAIN_US`."""
         self.pause()
-        self.turn.deadlines.add(self.turn.now() + ACCEPT_AGAIN_US, self.resume)
+        self.turn.timers.add(self.turn.now() + ACCEPT_AGAIN_US, self.resume)
 
     def close(self) -> None:
         """End the listening; sessions stay. What still waits in the backlog is reset by the system."""
--- a/cedarmill/net/member.py
+++ b/cedarmill/net/member.py
@@ -74,9 +74,9 @@
     def _do(self, actions: list) -> None:
         for action in actions:
             self._carry_out[type(action)](action)
-        self.turn.deadlines.cancel(self._timer)
+        self.turn.timers.cancel(self._timer)
         at = max(self.agent.due, self.turn.now() + 1000)
-        self._timer = self.turn.deadlines.add(at, self._passed)
+        self._timer = self.turn.timers.add(at, self._passed)
 
     def _lapsed(self) -> None:
         say("lease-lapsed")
@@ -115,7 +115,7 @@
             return
         taker = self._asked.pop(number, None) if number else None
         if taker is not None:
-            self.turn.deadlines.cancel(taker[1])
+            self.turn.timers.cancel(taker[1])
             taker[0](word)
         elif not number:
             self._do(self.agent.heard(self.turn.now(), word))
@@ -129,7 +129,7 @@
         """Ask the keeper dialled; the taker gets its answer, or NotHere after `wait_us`."""
         self._count += 1
         number = self._count
-        late = self.turn.deadlines.add(self.turn.now() + wait_us, lambda now: self._late(number))
+        late = self.turn.timers.add(self.turn.now() + wait_us, lambda now: self._late(number))
         self._asked[number] = taker, late
         if self.wire is None or not self.wire.say(number, ask):
             self._late(number)
@@ -137,7 +137,7 @@
     def _late(self, number: int) -> None:
         taker = self._asked.pop(number, None)
         if taker is not None:
-            self.turn.deadlines.cancel(taker[1])
+            self.turn.timers.cancel(taker[1])
             taker[0](f.NotHere("no keeper answered in time"))
 
     def leave(self) -> None:
@@ -170,13 +170,13 @@
         except ValueError:
             done(wire, False)
             return
-        self.turn.deadlines.add(self.turn.now() + GLANCE_US, lambda now: done(wire, False))
+        self.turn.timers.add(self.turn.now() + GLANCE_US, lambda now: done(wire, False))
 
     def _incoming(self) -> Wire:
         """The connection of one who looks whether this process lives."""
         wire = Wire(self.turn, self._pinged, lambda wire, reason: self._pings.discard(wire))
         self._pings.add(wire)
-        self.turn.deadlines.add(self.turn.now() + GLANCE_US, lambda now: self._late_ping(wire))
+        self.turn.timers.add(self.turn.now() + GLANCE_US, lambda now: self._late_ping(wire))
         return wire
 
     def _has_room(self) -> bool:
--- a/cedarmill/net/memory.py
+++ b/cedarmill/net/memory.py
@@ -54,7 +54,7 @@
                 self._take_up(texts, now)
         except (OSError, ValueError) as error:
             say("memory-unread", reason=error)
-        self.turn.deadlines.add(now + KEEP_US, self._keep)
+        self.turn.timers.add(now + KEEP_US, self._keep)
 
     def _take_up(self, texts: list[bytes], now: int) -> None:
         here = moment(now)
@@ -87,7 +87,7 @@
         """The one chain of writings; a process that ends leaves the file to the one that replaces it."""
         if self.ending():
             return
-        self.turn.deadlines.add(now + KEEP_US, self._keep)
+        self.turn.timers.add(now + KEEP_US, self._keep)
         try:
             self.kept.write(document.seal(KIND, self.node, moment(now), self._body(now)))
         except OSError as error:
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -11,7 +11,7 @@
 
 from cedarmill import log
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.deadlines.propagation import Budget
 from cedarmill.decisions.brain import Brain
 from cedarmill.log import say
@@ -55,8 +55,8 @@
         config, settings = self.config, self.config.settings
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
-        self.deadlines = Deadlines()
-        self.turn = Turn(self.loop, self.deadlines)
+        self.timers = Timers()
+        self.turn = Turn(self.loop, self.timers)
         sockets = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         health = options.health
         own = OWN_DESCRIPTORS + (door.DESCRIPTORS if config.mgmt else 0)
@@ -71,7 +71,7 @@
             self.turn, settings, config.discovery, self.backends, Random(config.seed)
         )
         brain = Brain(settings, config.seed)
-        self.dispatch = Dispatch(brain, self.deadlines, self.backends, self.discovery, self.budget)
+        self.dispatch = Dispatch(brain, self.timers, self.backends, self.discovery, self.budget)
         self.beside = Beside(self.turn, self.discovery, config.name, self._holds, self._share)
         for adapter in (self.clients, self.backends, self.discovery, self.beside):
             adapter.dispatch = self.dispatch
@@ -141,7 +141,7 @@
             self.fleet.start()
         if self.inherited is not None:
             self.beside.start()
-        self.deadlines.add(self.turn.now() + self.options.ledger_every_us, self._account_again)
+        self.timers.add(self.turn.now() + self.options.ledger_every_us, self._account_again)
         self.loop.call_soon(self._started)
         gc.collect()
         gc.freeze()
@@ -157,7 +157,7 @@
 
     def _account_again(self, now: int) -> None:
         """Tell the ledger, and again after its time: only what happened since is told."""
-        self.deadlines.add(now + self.options.ledger_every_us, self._account_again)
+        self.timers.add(now + self.options.ledger_every_us, self._account_again)
         self._account(quiet=True)
 
     def _account(self, quiet: bool = False) -> None:
@@ -197,25 +197,25 @@
         kill = self.term_at + KILL_US + min(longest, KILL_DEADLINE_US)
         answer_by = self.clients.answer_by = kill - KILL_MARGIN_US
         self.dispatch.answer_by(answer_by)
-        self.deadlines.add(answer_by + ANSWER_ALL_US, self.clients.answer_all)
+        self.timers.add(answer_by + ANSWER_ALL_US, self.clients.answer_all)
         accept_until = self.term_at  # a socket that the platform holds: its new process takes what comes
         if self.inherited is None:
             soon = max(accept_until + ACCEPT_LEAST_US, answer_by - LAST_READ_US)
             accept_until = min(accept_until + ACCEPT_ON_US, soon)
-        self.deadlines.add(accept_until, self._stop)
+        self.timers.add(accept_until, self._stop)
         self.turn.end()
 
     def _stop(self, now: int) -> None:
         self.clients.stop_listening(take_backlog=self.inherited is None)
         say("closed", held=self.dispatch.owed)
-        self.deadlines.add(now + LAST_READ_US, self._end_if_done)
+        self.timers.add(now + LAST_READ_US, self._end_if_done)
 
     def _end_if_done(self, now: int) -> None:
         self.clients.close_idle()
         if self.dispatch.owed == 0 and self.clients.all_gone():
             self._leave()
         else:
-            self.deadlines.add(now + CHECK_END_US, self._end_if_done)
+            self.timers.add(now + CHECK_END_US, self._end_if_done)
 
     def _leave(self) -> None:
         if self.fleet is not None:
--- a/cedarmill/net/peers.py
+++ b/cedarmill/net/peers.py
@@ -90,7 +90,7 @@
 
     def dial(self, address: Address) -> None:
         """Connect; the task is this connection's, whatever it will carry."""
-        self._deadline = self.turn.deadlines.add(
+        self._deadline = self.turn.timers.add(
             self.turn.now() + CONNECT_US, lambda now: self.end("no connection")
         )
         opening = self.turn.loop.create_connection(lambda: self, address.host, address.port)
@@ -105,7 +105,7 @@
 
     @callback
     def connection_made(self, transport) -> None:
-        self.turn.deadlines.cancel(self._deadline)
+        self.turn.timers.cancel(self._deadline)
         self.transport = transport
         if self.over:
             transport.abort()
@@ -151,7 +151,7 @@
         if self.over:
             return
         self.over = True
-        self.turn.deadlines.cancel(self._deadline)
+        self.turn.timers.cancel(self._deadline)
         if self._task is not None:
             self._task.cancel()
         if self.transport is not None:
--- a/cedarmill/net/sessions.py
+++ b/cedarmill/net/sessions.py
@@ -74,8 +74,8 @@
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.deadlines.cancel(self.deadline)
-        self.turn.deadlines.cancel(self.look)
+        self.turn.timers.cancel(self.deadline)
+        self.turn.timers.cancel(self.look)
         self.clients.left(self)
         self.parser = self.message = None  # cycles with the parser would keep bodies till a full collection
         self._gone()
@@ -295,9 +295,9 @@
 
     def _await(self, until: int) -> None:
         """End the session unless it gets on by then."""
-        self.turn.deadlines.cancel(self.deadline)
+        self.turn.timers.cancel(self.deadline)
         self.until = until
-        self.deadline = self.turn.deadlines.add(until, self._late)
+        self.deadline = self.turn.timers.add(until, self._late)
 
     def _pause(self, pause: bool) -> None:
         if pause == self.paused or self.transport.is_closing():
@@ -324,8 +324,8 @@
 
     def _look_later(self) -> None:
         """Nothing is read for now, not even the client's end: look for it."""
-        self.turn.deadlines.cancel(self.look)
-        self.look = self.turn.deadlines.add(self.turn.now() + HANGUP_US, self._look)
+        self.turn.timers.cancel(self.look)
+        self.look = self.turn.timers.add(self.turn.now() + HANGUP_US, self._look)
 
     def _look(self, now: int) -> None:
         if (self.paused or self.half_closed) and not self._end_if_left():
@@ -393,7 +393,7 @@
         while self.answering is None and self.waiting and not self.ending and not self.clogged:
             if self.paused and self._end_if_left():
                 return
-            self.turn.deadlines.cancel(self.deadline)
+            self.turn.timers.cancel(self.deadline)
             self.answering = message = self.waiting.popleft()
             if message.fault is not None:
                 self._write(message.fault.status, str(message.fault).encode() + b"\n")
--- a/cedarmill/net/steward.py
+++ b/cedarmill/net/steward.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.fleet import words as f
 from cedarmill.fleet.agent import Facts, Who
 from cedarmill.fleet.stewarding import Acted, Keep, Process, Start, Steward, Stop
@@ -75,8 +75,8 @@
         """Take up what the steward before has left; raises ValueError or OSError."""
         self.options = options
         self.loop = uvloop.new_event_loop()
-        self.deadlines = Deadlines()
-        self.turn = Turn(self.loop, self.deadlines)
+        self.timers = Timers()
+        self.turn = Turn(self.loop, self.timers)
         self.files = Files(options.data)
         self.units = {one.name: Unit(one) for one in options.units}
         kept = Path(self.files.path(KEPT)).read_bytes() if self.files.exists(KEPT) else b""
@@ -240,7 +240,7 @@
 
     def _look(self, now: int) -> None:
         """Ten times a second: who has ended, who is ready, what is to be started anew."""
-        self.deadlines.add(now + LOOK_US, self._look)
+        self.timers.add(now + LOOK_US, self._look)
         for name, unit in self.core.units.items():
             for life, process in list(unit.lives.items()):
                 if process.pid and not self._alive(name, process):
--- a/cedarmill/net/turn.py
+++ b/cedarmill/net/turn.py
@@ -1,11 +1,11 @@
-"""One turn of the node: the clock, the deadlines due, the one loop timer, the net under callbacks."""
+"""One turn of the node: the clock, the timers due, the one loop timer, the net under callbacks."""
 
 import asyncio
 import functools
 import os
 import time
 
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.log import say
 from cedarmill.ops.document import Moment
 
@@ -38,10 +38,10 @@
 
 
 class Turn:
-    """Runs what the loop calls; after each call it sweeps the deadlines and sets the timer anew."""
+    """Runs what the loop calls; after each call it runs the timers due and sets the loop timer anew."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, deadlines: Deadlines) -> None:
-        self.loop, self.deadlines = loop, deadlines
+    def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers) -> None:
+        self.loop, self.timers = loop, timers
         self._timer: asyncio.TimerHandle | None = None
         self._armed: int | None = None
 
@@ -52,14 +52,14 @@
 
     def end(self) -> None:
         """Sweep what is due, then wait for the earliest of the rest."""
-        first = self.deadlines.next
+        first = self.timers.next_due
         if first is not None and first <= (now := self.now()):
-            for call in self.deadlines.sweep(now):
+            for call in self.timers.sweep(now):
                 try:
                     call(now)
                 except Exception:
                     say("defect", True, what="deadline")
-            first = self.deadlines.next
+            first = self.timers.next_due
         if first is None or (self._armed is not None and self._armed <= first):
             return  # most are cancelled: to wake for one in vain costs less than a new timer
         if self._timer is not None:
--- a/tests/test_broken_sockets.py
+++ b/tests/test_broken_sockets.py
@@ -14,7 +14,7 @@
 from nodes import WAIT
 from test_leaving import raw
 
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.net.clients import Clients
 from cedarmill.net.sessions import ClientSession
 from cedarmill.net.turn import Turn
@@ -186,7 +186,7 @@
     def test_a_callback_that_raises_leaves_no_request_without_its_answer(self):
         """The session was reset, whatever it owed."""
         loop = SimpleNamespace(call_later=lambda delay, call: SimpleNamespace(cancel=lambda: None))
-        clients = Clients(Turn(loop, Deadlines()), settings(SAFE), 8, DeadlineOptions())
+        clients = Clients(Turn(loop, Timers()), settings(SAFE), 8, DeadlineOptions())
         clients.dispatch, req = Mock(), Mock(answered=False)
         clients.dispatch.budget.margins.answer.return_value = 0
         clients.dispatch.arrive.return_value = req
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -11,7 +11,7 @@
 from test_core import Ports
 
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.deadlines import propagation as budgets
 from cedarmill.deadlines.margins import Margins
 from cedarmill.deadlines.sources import BadDeadline, granted
@@ -143,9 +143,9 @@
         self.begin()
 
     def begin(self) -> None:
-        self.ports, self.deadlines = Ports(), Deadlines()
+        self.ports, self.timers = Ports(), Timers()
         budget = budgets.Budget(self.options, 1)
-        self.dispatch = Dispatch(self.ports, self.deadlines, self.ports, self.ports, budget)
+        self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports, budget)
         self.dispatch.listed(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
 
     def arrive(self, *replies, due: int = 5_000_000):
@@ -162,7 +162,7 @@
         return self.dispatch.budget.ledger.take()
 
     def sweep(self, now: int) -> None:
-        for call in self.deadlines.sweep(now):
+        for call in self.timers.sweep(now):
             call(now)
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,7 @@
 from helpers import entry, keyed, settings
 
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.interface import Group, Outcome
@@ -75,8 +75,8 @@
     def setUp(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        self.ports, self.deadlines = Ports(), Deadlines()
-        self.dispatch = Dispatch(self.ports, self.deadlines, self.ports, self.ports)
+        self.ports, self.timers = Ports(), Timers()
+        self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports)
         self.dispatch.listed(0, api.WorkerList(api.ListKind.CACHED, [entry(1)]))
 
     def arrive(self, *replies, due: int = 5_000_000):
@@ -84,7 +84,7 @@
         return self.dispatch.arrive(0, self.ports, None, due, api.RequestArrived(0, 0, due))
 
     def sweep(self, now: int) -> None:
-        for call in self.deadlines.sweep(now):
+        for call in self.timers.sweep(now):
             call(now)
 
     def check_over(self, *answers: tuple) -> None:
@@ -224,23 +224,23 @@
         self.check_over()
 
 
-class DeadlinesTest(unittest.TestCase):
+class TimersTest(unittest.TestCase):
     def test_a_sweep_calls_what_is_due_in_order_and_nothing_that_was_cancelled(self):
         """A call may cancel a later one, or add one at once: that one waits, or the sweep might never end."""
-        deadlines, called = Deadlines(), []
-        last = deadlines.add(30, lambda now: called.append("cancelled"))
+        timers, called = Timers(), []
+        last = timers.add(30, lambda now: called.append("cancelled"))
 
         def first(now: int) -> None:
             called.append("first")
-            deadlines.cancel(last)
-            deadlines.add(now, lambda now: called.append("added"))
+            timers.cancel(last)
+            timers.add(now, lambda now: called.append("added"))
 
-        deadlines.add(20, lambda now: called.append("second"))
-        deadlines.add(10, first)
-        for call in deadlines.sweep(40):
+        timers.add(20, lambda now: called.append("second"))
+        timers.add(10, first)
+        for call in timers.sweep(40):
             call(40)
         self.assertEqual(called, ["first", "second"])
-        self.assertEqual(deadlines.next, 40)
+        self.assertEqual(timers.next_due, 40)
 
 
 class ListReaderTest(unittest.TestCase):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 from helpers import settings
 
 from cedarmill.core.discovery_watch import Event, State
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
 from cedarmill.net.config import Address, Endpoint, Listing
 from cedarmill.net.discovery import QUIET_US, DiscoveryClient
@@ -18,7 +18,7 @@
 
     def setUp(self) -> None:
         self.turn, self.lines = mock.Mock(), []
-        self.turn.deadlines = Deadlines()
+        self.turn.timers = Timers()
         self.discovery = DiscoveryClient(
             self.turn, settings(on_request_discovery=True), Address("127.0.0.1", 1), mock.Mock(), Random(1)
         )
@@ -36,9 +36,9 @@
         """The watch that is up, or that opens, breaks; then it is asked for anew, at its deadline."""
         self.turn.now.return_value = at
         self.discovery.happened(Event.BROKEN, "silence")
-        due = self.turn.deadlines.next
+        due = self.turn.timers.next_due
         self.turn.now.return_value = due
-        for call in self.turn.deadlines.sweep(due):
+        for call in self.turn.timers.sweep(due):
             call(due)
         self.connections += self.discovery.connection is not None
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -16,7 +16,7 @@
 from helpers import settings
 from nodes import WAIT, NodeCase, call, read_answer
 
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.net.clients import Clients
 from cedarmill.net.door import SESSIONS
 from cedarmill.net.hands import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, Hands
@@ -138,15 +138,15 @@
     """A turn on a clock that the test moves."""
 
     def __init__(self) -> None:
-        self.deadlines, self.at = Deadlines(), 0
+        self.timers, self.at = Timers(), 0
 
     def now(self) -> int:
         return self.at
 
     def run_till(self, until: int) -> None:
-        while self.deadlines.next is not None and self.deadlines.next <= until:
-            self.at = self.deadlines.next
-            for due in self.deadlines.sweep(self.at):
+        while self.timers.next_due is not None and self.timers.next_due <= until:
+            self.at = self.timers.next_due
+            for due in self.timers.sweep(self.at):
                 due(self.at)
         self.at = until
 
@@ -159,7 +159,7 @@
 
     def run_until(self, condition) -> None:
         while not condition():
-            for due in self.deadlines.sweep(now := self.now()):
+            for due in self.timers.sweep(now := self.now()):
                 due(now)
 
 
--- a/tests/test_executor_faults.py
+++ b/tests/test_executor_faults.py
@@ -13,7 +13,7 @@
 from helpers import settings
 from nodes import WAIT
 
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.decisions.interface import Outcome
 from cedarmill.net.backends import AT_ONCE, COMMIT_US, LEAVE_US, Backend, Backends, Connection
 from cedarmill.net.config import Address
@@ -345,8 +345,8 @@
     """What the system does not take at once."""
 
     def setUp(self) -> None:
-        self.deadlines = Deadlines()
-        self.backends = Backends(Turn(Mock(), self.deadlines), settings(), 0, Options())
+        self.timers = Timers()
+        self.backends = Backends(Turn(Mock(), self.timers), settings(), 0, Options())
         self.backends.dispatch = Mock()
 
     def send(self, taken: int, size: int, unsafe: bool = False, breaks: bool = False):
@@ -362,7 +362,7 @@
         return Backend(self.backends, 1, Address("127.0.0.1", 1), KindOptions())
 
     def sweep(self, at: int) -> None:
-        for call in self.deadlines.sweep(at):
+        for call in self.timers.sweep(at):
             call(at)
 
     def test_the_last_byte_waits_for_all_others(self):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         self.at, self.calls = 1_000_000, []
-        self.deadlines = SimpleNamespace(add=lambda when, call: self.calls.append((when, call)))
+        self.timers = SimpleNamespace(add=lambda when, call: self.calls.append((when, call)))
 
     def now(self) -> int:
         return self.at
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -9,7 +9,7 @@
 from nodes import NodeCase
 
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.core.timers import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.settings import from_operator
@@ -142,7 +142,7 @@
         for name in NAMES:
             settings = from_operator(operator_settings(name))
             clients = Clients(mock.Mock(), settings, 8, DeadlineOptions())
-            dispatch = Dispatch(Brain(settings, 1), Deadlines(), mock.Mock(), mock.Mock())
+            dispatch = Dispatch(Brain(settings, 1), Timers(), mock.Mock(), mock.Mock())
             sides.append((clients, dispatch))
         for name, (clients, dispatch) in zip(NAMES, sides, strict=True):
             settings = from_operator(operator_settings(name))
