--- a/cedarmill/core/__init__.py
+++ b/cedarmill/core/__init__.py
@@ -1,1 +1,1 @@
-"""The node's core: it owns reqs, attempts and deadlines, and knows no socket, no HTTP and no clock."""
+"""The node's core: it owns requests, attempts and timers, and knows no socket, no HTTP and no clock."""
--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -1,6 +1,6 @@
-"""Owns reqs and attempts: happenings become events of the brain, its actions calls on ports.
+"""Owns requests and attempts: what happens becomes events of the balancer, its actions calls on ports.
 
-Every req gets exactly one final answer here, whatever the brain or a port does. All times are whole
+Every request gets exactly one final answer here, whatever the balancer or a port does. All times are whole
 microseconds of the caller's clock; no protocol is known here, so any can be put in front.
 """
 
@@ -20,7 +20,7 @@
 
 
 class ClientPort(Protocol):
-    """Takes the one final answer of a req."""
+    """Takes the one final answer of a request."""
 
     def served(self, result: Any) -> None: ...
     def refused(self, retry_after_us: int) -> None: ...
@@ -28,7 +28,7 @@
     def present(self) -> bool: ...  # asked as bytes are written; one that has left is withdrawn by it
 
 
-class BackendPort(Protocol):
+class ExecutorPort(Protocol):
     """Carries attempts and probes; each comes back once through `ended` or `probed`.
 
     `cancel` tells whether the attempt is over here; False: it cannot be cancelled and goes on till its real
@@ -47,7 +47,7 @@
     def watch(self) -> None: ...
 
 
-class Nobody:
+class AbsentClient:
     """The client port of who has left, where work is set to go on all the same."""
 
     def served(self, result: Any) -> None: ...
@@ -59,14 +59,25 @@
         return True
 
 
-class Req:
-    """One req that the node has taken."""
-
-    __slots__ = ("id", "client", "payload", "due", "spec", "claim", "attempts", "probes", "answered",
-                 "deadline")  # fmt: skip
-
-    def __init__(self, number: int, client: ClientPort, payload: Any, spec: api.JobClass,
-                 claim: budgets.Claim) -> None:  # fmt: skip
+class Request:
+    """One request that the node has taken."""
+
+    __slots__ = (
+        "id",
+        "client",
+        "payload",
+        "due",
+        "spec",
+        "claim",
+        "attempts",
+        "probes",
+        "answered",
+        "deadline",
+    )
+
+    def __init__(
+        self, number: int, client: ClientPort, payload: Any, spec: api.JobClass, claim: budgets.Claim
+    ) -> None:
         self.id, self.client, self.payload, self.spec = number, client, payload, spec
         self.claim, self.due = claim, claim.due
         self.attempts: list[Attempt] = []
@@ -76,52 +87,67 @@
 
 
 class Attempt:
-    """One attempt of a req; `link` belongs to the backend port."""
-
-    __slots__ = ("req", "number", "worker", "sent_at", "outcome", "link", "written", "blind")
-
-    def __init__(self, req: Req, number: int, worker: int, now: int) -> None:
-        self.req, self.number, self.worker, self.sent_at = req, number, worker, now
+    """One attempt of a request; `exchange` belongs to the executor port."""
+
+    __slots__ = (
+        "request",
+        "number",
+        "executor",
+        "sent_at",
+        "outcome",
+        "exchange",
+        "written",
+        "end_unobserved",
+    )
+
+    def __init__(self, request: Request, number: int, executor: int, now: int) -> None:
+        self.request, self.number, self.executor, self.sent_at = request, number, executor, now
         self.outcome: Outcome | None = None
-        self.link: Any = None
+        self.exchange: Any = None
         self.written = False  # whether its last byte has left: only then may it run
-        self.blind = True  # whether a cancel's effect at the backend stays unknown; the port knows
+        self.end_unobserved = True  # whether a cancel's effect at the executor stays unknown; the port knows
 
 
 class Probe:
-    """One probe, and the req for whose sake it was asked, if any; `link` belongs to the backend port."""
+    """One probe, and the request that it is for, if any; `exchange` belongs to the executor port."""
 
-    __slots__ = ("worker", "req", "written", "link")
+    __slots__ = ("executor", "request", "written", "exchange")
 
-    def __init__(self, worker: int, req: Req | None) -> None:
-        self.worker, self.req = worker, req
+    def __init__(self, executor: int, request: Request | None) -> None:
+        self.executor, self.request = executor, request
         self.written = False
-        self.link: Any = None
+        self.exchange: Any = None
 
 
 class Dispatch:
-    """The reqs of a node, between the brain and the ports."""
-
-    def __init__(self, brain: Brain, timers: Timers, backends: BackendPort, discovery: DiscoveryPort,
-                 budget: budgets.Budget | None = None) -> None:  # fmt: skip
-        self.brain, self.timers = brain, timers
-        self.budget = budget or budgets.Budget(DeadlineOptions(), len(brain.settings.classes))
-        self.backends, self.discovery = backends, discovery
-        self.reqs: dict[int, Req] = {}
-        self.owed = 0  # reqs without their final answer
-        self.listed_ready: set[int] = set()
+    """The requests of a node, between the balancer and the ports."""
+
+    def __init__(
+        self,
+        balancer: Brain,
+        timers: Timers,
+        executors: ExecutorPort,
+        discovery: DiscoveryPort,
+        budget: budgets.Budget | None = None,
+    ) -> None:
+        self.balancer, self.timers = balancer, timers
+        self.budget = budget or budgets.Budget(DeadlineOptions(), len(balancer.settings.classes))
+        self.executors, self.discovery = executors, discovery
+        self.requests: dict[int, Request] = {}
+        self.unanswered = 0  # requests without their final answer
+        self.ready_executors: set[int] = set()
         # whether anything may be sent now, where a fleet says
         self.fence: Callable[[int], bool] | None = None
-        self.hears: Callable[[int, int, api.LoadReport], None] | None = None  # each report of a backend
+        self.hears: Callable[[int, int, api.LoadReport], None] | None = None  # each report of an executor
         self.told: Callable[[str, bool], None] | None = None  # hears of each final answer: which, and if late
-        self.mark: Callable[[api.RequestArrived], None] | None = None  # where a req may run, if it may
+        self.mark: Callable[[api.RequestArrived], None] | None = None  # where a request may run, if it may
         self.seen: Callable[[int, Attempt], None] | None = None  # hears of each attempt that has ended
         # whether one more may be spent of a budget (probes, lists, connects), where a fleet has set one
         self.may_spend: Callable[[int, str], bool] | None = None
         self.may_retry: Callable[[int], bool] | None = None  # whether one more try may follow a failed one
         self._count = 0
-        self._events: deque[tuple[api.Event, Req | None]] = deque()
-        self._busy = False
+        self._events: deque[tuple[api.Event, Request | None]] = deque()
+        self._delivering = False
         self._actions: dict[type, Callable[[int, Any], None]] = {
             api.Send: self._send,
             api.Cancel: self._cancel,
@@ -132,195 +158,217 @@
             api.Subscribe: self._subscribe,
         }
 
-    # Happenings.
+    # Events.
 
-    def arrive(self, now: int, client: ClientPort, payload: Any, due: int, job: api.RequestArrived) -> Req:
-        """Take a req; `job` describes it, its number is given here."""
+    def arrive(
+        self, now: int, client: ClientPort, payload: Any, due: int, job: api.RequestArrived
+    ) -> Request:
+        """Take a request; `job` describes it, its number is given here."""
         self._count += 1
         job.request = self._count
         if self.mark is not None:
             self.mark(job)
         claim = budgets.Claim(job.job_class, job.slots, due)
-        req = Req(self._count, client, payload, self.brain.settings.classes[job.job_class], claim)
-        self.reqs[req.id] = req
-        self.owed += 1
-        req.deadline = self.timers.add(due, lambda at: self._overdue(at, req))
+        request = Request(self._count, client, payload, self.balancer.settings.classes[job.job_class], claim)
+        self.requests[request.id] = request
+        self.unanswered += 1
+        request.deadline = self.timers.add(due, lambda at: self._overdue(at, request))
         if self.budget.step(now, budgets.Arrived(claim)):  # hopeless: nothing has begun, no is harmless
-            self._answer(now, req.id, "refused", 0)
+            self._answer(now, request.id, "refused", 0)
         else:
-            self._tell(now, job, req)
-        return req
+            self._deliver(now, job, request)
+        return request
 
-    def withdraw(self, now: int, req: Req) -> None:
+    def withdraw(self, now: int, request: Request) -> None:
         """The client has gone: nothing is owed any longer, and nothing more starts for it."""
-        if req.answered:
+        if request.answered:
             return
         if self.budget.options.on_leave == "ignore":
-            req.client = Nobody()
+            request.client = AbsentClient()
             return
-        unwritten = tuple(a.number for a in req.attempts if a.outcome is None and not a.written)
-        recalls = self.budget.step(now, budgets.Left(req.claim, unwritten))
-        self._close(req)
-        self._tell(now, api.RequestWithdrawn(req.id), req)  # first, or the brain would place it once more
-        for attempt in [req.attempts[recall.number] for recall in recalls]:
+        unwritten = tuple(a.number for a in request.attempts if a.outcome is None and not a.written)
+        recalls = self.budget.step(now, budgets.Left(request.claim, unwritten))
+        self._close(request)
+        self._deliver(
+            now, api.RequestWithdrawn(request.id), request
+        )  # first, or the balancer would place it once more
+        for attempt in [request.attempts[recall.number] for recall in recalls]:
             if attempt.outcome is None:
                 self._give_up(now, attempt, Outcome.MOOT)
-        for probe in [probe for probe in req.probes if not probe.written]:
-            self._recall(now, probe)
+        for probe in [probe for probe in request.probes if not probe.written]:
+            self._recall_probe(now, probe)
 
     def answer_by(self, until: int) -> None:
         """Each open request has its final answer by then (us): the process may be killed soon after."""
-        for req in list(self.reqs.values()):
-            if not req.answered and req.due > until:
-                self.timers.cancel(req.deadline)
-                req.due = req.claim.due = until
-                req.deadline = self.timers.add(until, lambda at, req=req: self._overdue(at, req))
-
-    def _recall(self, now: int, probe: Probe) -> None:
+        for request in list(self.requests.values()):
+            if not request.answered and request.due > until:
+                self.timers.cancel(request.deadline)
+                request.due = request.claim.due = until
+                request.deadline = self.timers.add(
+                    until, lambda at, request=request: self._overdue(at, request)
+                )
+
+    def _recall_probe(self, now: int, probe: Probe) -> None:
         try:
-            self.backends.recall(probe)
+            self.executors.recall(probe)
         except Exception:
             say("defect", True, what="recall")
-        self.probed(now, probe, Outcome.MOOT)
+        self.probe_ended(now, probe, Outcome.MOOT)
 
-    def written(self, now: int, attempt: Attempt) -> None:
+    def attempt_written(self, now: int, attempt: Attempt) -> None:
         """Its last byte has left: from now on it may run."""
         if not attempt.written and attempt.outcome is None:
             attempt.written = True
-            self.budget.step(now, budgets.Written(attempt.req.claim, attempt.number))
-
-    def ended(self, now: int, attempt: Attempt, outcome: Outcome, report: api.LoadReport | None = None,
-              result: Any = None) -> None:  # fmt: skip
+            self.budget.step(now, budgets.Written(attempt.request.claim, attempt.number))
+
+    def attempt_ended(
+        self,
+        now: int,
+        attempt: Attempt,
+        outcome: Outcome,
+        report: api.LoadReport | None = None,
+        result: Any = None,
+    ) -> None:
         """The one outcome of an attempt; a later one is passed over."""
         if attempt.outcome is not None:
             return
-        attempt.outcome, req = outcome, attempt.req
-        blind = attempt.blind and outcome in (Outcome.CANCELLED, Outcome.TIMEOUT)
-        self.budget.step(now, budgets.Ended(req.claim, attempt.number, outcome, blind))
+        attempt.outcome, request = outcome, attempt.request
+        end_unobserved = attempt.end_unobserved and outcome in (Outcome.CANCELLED, Outcome.TIMEOUT)
+        self.budget.step(now, budgets.Ended(request.claim, attempt.number, outcome, end_unobserved))
         if outcome == Outcome.OK:
-            self._answer(now, req.id, "served", result)
-        over = req.answered or outcome == Outcome.MOOT or now >= req.due  # no try will follow: none is spent
+            self._answer(now, request.id, "served", result)
+        over = (
+            request.answered or outcome == Outcome.MOOT or now >= request.due
+        )  # no try will follow: none is spent
         more = over or self.may_retry is None or self.may_retry(now)
-        tries = api.ANY_TRIES if more else len(req.attempts)
-        event = api.AttemptEnded(req.id, attempt.number, attempt.worker, outcome, req.answered, report, tries)
+        tries = api.ANY_TRIES if more else len(request.attempts)
+        event = api.AttemptEnded(
+            request.id, attempt.number, attempt.executor, outcome, request.answered, report, tries
+        )
         if self.seen is not None:
             self.seen(now, attempt)
-        self._heard(now, attempt.worker, report)
-        self._tell(now, event, req)
-        self._forget(req)
+        self._report_load(now, attempt.executor, report)
+        self._deliver(now, event, request)
+        self._forget(request)
 
-    def started(self, now: int, attempt: Attempt) -> None:
-        """The backend began to run it."""
-        self._tell(now, api.AttemptStarted(attempt.req.id, attempt.number, attempt.worker), attempt.req)
+    def attempt_started(self, now: int, attempt: Attempt) -> None:
+        """The executor began to run it."""
+        self._deliver(
+            now, api.AttemptStarted(attempt.request.id, attempt.number, attempt.executor), attempt.request
+        )
 
-    def progress(self, now: int, attempt: Attempt, done: float) -> None:
+    def attempt_progressed(self, now: int, attempt: Attempt, done: float) -> None:
         """Share done of it."""
-        event = api.AttemptProgress(attempt.req.id, attempt.number, attempt.worker, done)
-        self._tell(now, event, attempt.req)
+        event = api.AttemptProgress(attempt.request.id, attempt.number, attempt.executor, done)
+        self._deliver(now, event, attempt.request)
 
-    def probed(self, now: int, probe: Probe, outcome: Outcome, report: api.LoadReport | None = None) -> None:
+    def probe_ended(
+        self, now: int, probe: Probe, outcome: Outcome, report: api.LoadReport | None = None
+    ) -> None:
         """The result of one probe."""
-        if probe.req is not None and probe in probe.req.probes:
-            probe.req.probes.remove(probe)
-        self._heard(now, probe.worker, report)
-        self._tell(now, api.ProbeEnded(probe.worker, outcome, report))
+        if probe.request is not None and probe in probe.request.probes:
+            probe.request.probes.remove(probe)
+        self._report_load(now, probe.executor, report)
+        self._deliver(now, api.ProbeEnded(probe.executor, outcome, report))
 
-    def told_of(self, now: int, worker: int, report: api.LoadReport, age: int) -> None:
-        """What another node heard of a backend itself, at most so long ago (us)."""
-        self._tell(now, api.ProbeEnded(worker, Outcome.OK, report, age))
+    def on_peer_report(self, now: int, worker: int, report: api.LoadReport, age: int) -> None:
+        """What another node heard of an executor itself, at most so long ago (us)."""
+        self._deliver(now, api.ProbeEnded(worker, Outcome.OK, report, age))
 
-    def _heard(self, now: int, worker: int, report: api.LoadReport | None) -> None:
+    def _report_load(self, now: int, worker: int, report: api.LoadReport | None) -> None:
         if self.hears is not None and report:
             self.hears(now, worker, report)
 
-    def listed(self, now: int, news: api.WorkerList) -> None:
+    def on_endpoint_list(self, now: int, news: api.WorkerList) -> None:
         """News of discovery's list."""
         ready = {entry.worker for entry in news.entries if entry.state == api.WorkerState.READY}
         if news.kind in (api.ListKind.FULL, api.ListKind.CACHED):
-            self.listed_ready = ready
+            self.ready_executors = ready
         else:
-            self.listed_ready -= {entry.worker for entry in news.entries}
-            self.listed_ready |= ready
-        self._tell(now, news)
+            self.ready_executors -= {entry.worker for entry in news.entries}
+            self.ready_executors |= ready
+        self._deliver(now, news)
 
-    def shares(self, now: int, rows: dict[tuple[int, ...], dict[int, float]]) -> None:
-        """Which part of all reqs is to run in each zone, by the zones in which they may run."""
-        self._tell(now, api.Shares(rows))
+    def set_zone_shares(self, now: int, rows: dict[tuple[int, ...], dict[int, float]]) -> None:
+        """Which part of all requests is to run in each zone, by the zones in which they may run."""
+        self._deliver(now, api.Shares(rows))
 
-    def beside(self, now: int, worker: int, slots: float, memory: float) -> None:
-        """What another process of this node has out at a backend now."""
-        self._tell(now, api.Beside(worker, slots, memory))
+    def set_sibling_usage(self, now: int, worker: int, slots: float, memory: float) -> None:
+        """What another process of this node has out at an executor now."""
+        self._deliver(now, api.Beside(worker, slots, memory))
 
     def may_write(self, now: int, attempt: Attempt) -> bool:
         """Whether an attempt may still be sent: it can outlive its right while it waits to connect."""
-        return self.barred(now, attempt) is None
+        return self.blocking_outcome(now, attempt) is None
 
-    def barred(self, now: int, attempt: Attempt) -> Outcome | None:
+    def blocking_outcome(self, now: int, attempt: Attempt) -> Outcome | None:
         """The outcome of an attempt that may not be sent any longer, or None where it may.
 
         MOOT: no other attempt may be sent either, so that the request is answered at once. DROPPED: another
         executor may take it, and this one is not to blame.
         """
-        req = attempt.req
-        if attempt.outcome is not None or not self.budget.may_start(now, req.claim):
+        request = attempt.request
+        if attempt.outcome is not None or not self.budget.may_start(now, request.claim):
             return Outcome.MOOT
-        if not req.client.present():  # its close may wait unread where the loop was held up
+        if not request.client.present():  # its close may wait unread where the loop was held up
             return Outcome.MOOT
         if not self._within_window(now, attempt):
             return Outcome.MOOT
         if self.fence is not None and not self.fence(now):
             return Outcome.DROPPED
-        if attempt.worker not in self.listed_ready:  # drains or is gone since the brain chose it
+        if attempt.executor not in self.ready_executors:  # drains or is gone since the balancer chose it
             return Outcome.DROPPED
         return None
 
     def _within_window(self, now: int, attempt: Attempt) -> bool:
         """Whether it would arrive before repeats count anew, also if this node is held up at the write."""
-        req = attempt.req
-        if req.spec.effect != api.Effect.KEYED:
+        request = attempt.request
+        if request.spec.effect != api.Effect.KEYED:
             return True
-        arrives = now + HOLD_UP_US + 2 * self.brain.settings.tick_us  # the ticks are the way there
-        ran = [a for a in req.attempts if a is not attempt and a.outcome not in api.NEVER_RAN]
-        return all(arrives < a.sent_at + req.spec.repeat_window_us for a in ran)
-
-    def busy(self) -> set[int]:
-        """Backends with attempts that have not ended."""
-        return {a.worker for req in self.reqs.values() for a in req.attempts if a.outcome is None}
+        arrives = now + HOLD_UP_US + 2 * self.balancer.settings.tick_us  # the ticks are the way there
+        ran = [a for a in request.attempts if a is not attempt and a.outcome not in api.NEVER_RAN]
+        return all(arrives < a.sent_at + request.spec.repeat_window_us for a in ran)
+
+    def busy_executors(self) -> set[int]:
+        """Executors with attempts that have not ended."""
+        return {
+            a.executor for request in self.requests.values() for a in request.attempts if a.outcome is None
+        }
 
     def may_probe(self, probe: Probe) -> bool:
         """Whether a probe may still be written: not for a client's sake alone that has left."""
-        return probe.req is None or probe.req.claim.state is not budgets.State.LEFT
+        return probe.request is None or probe.request.claim.state is not budgets.State.LEFT
 
-    def room(self) -> float:
+    def free_share(self) -> float:
         """The share of all listed backends' slots that the module believes to be free of own work."""
-        listed = [worker for worker in self.brain.workers.values() if worker.listed]
+        listed = [worker for worker in self.balancer.workers.values() if worker.listed]
         slots = sum(worker.slots for worker in listed)
         return sum(max(0.0, worker.slots - worker.held) for worker in listed) / slots if slots else 0.0
 
-    # Brain.
+    # The balancer.
 
-    def _tell(self, now: int, event: api.Event, req: Req | None = None) -> None:
-        """Give the brain its events one after the other, also those that its own actions bring about."""
-        self._events.append((event, req))
-        if self._busy:
+    def _deliver(self, now: int, event: api.Event, request: Request | None = None) -> None:
+        """Give the balancer its events one after the other, also those that its own actions bring about."""
+        self._events.append((event, request))
+        if self._delivering:
             return
-        self._busy = True
+        self._delivering = True
         try:
             while self._events:
-                event, req = self._events.popleft()
-                self._handle(now, event, req)
+                event, request = self._events.popleft()
+                self._handle(now, event, request)
         finally:
-            self._busy = False
+            self._delivering = False
 
-    def _handle(self, now: int, event: api.Event, req: Req | None) -> None:
+    def _handle(self, now: int, event: api.Event, request: Request | None) -> None:
         try:
-            actions = self.brain.handle(now, event)
+            actions = self.balancer.handle(now, event)
         except Exception:
             say("defect", True, what=f"brain on {type(event).__name__}")
             actions = []
-            if req is not None and not req.answered:  # it may never hear of this req again
-                self._answer(now, req.id, "failed")
-                self._events.append((api.RequestWithdrawn(req.id), req))
+            if request is not None and not request.answered:  # it may never hear of this request again
+                self._answer(now, request.id, "failed")
+                self._events.append((api.RequestWithdrawn(request.id), request))
         for action in actions:
             try:
                 self._actions[type(action)](now, action)
@@ -328,57 +376,59 @@
                 say("defect", True, what=f"action {type(action).__name__}")
 
     def _send(self, now: int, action: api.Send) -> None:
-        req = self.reqs[action.request]
-        attempt = Attempt(req, len(req.attempts), action.worker, now)
-        req.attempts.append(attempt)
-        if attempt.number >= self.brain.settings.max_attempts or not self.budget.may_start(now, req.claim):
-            self.ended(now, attempt, Outcome.MOOT)
+        request = self.requests[action.request]
+        attempt = Attempt(request, len(request.attempts), action.worker, now)
+        request.attempts.append(attempt)
+        if attempt.number >= self.balancer.settings.max_attempts or not self.budget.may_start(
+            now, request.claim
+        ):
+            self.attempt_ended(now, attempt, Outcome.MOOT)
             return
-        if not self.budget.worth_starting(now, req.claim):
-            ran = any(a.outcome not in api.NEVER_RAN for a in req.attempts if a is not attempt)
-            self._answer(now, req.id, *(("failed",) if ran else ("refused", 0)))
-            self.ended(now, attempt, Outcome.MOOT)
+        if not self.budget.worth_starting(now, request.claim):
+            ran = any(a.outcome not in api.NEVER_RAN for a in request.attempts if a is not attempt)
+            self._answer(now, request.id, *(("failed",) if ran else ("refused", 0)))
+            self.attempt_ended(now, attempt, Outcome.MOOT)
             return
-        if (barred := self.barred(now, attempt)) is not None:
-            self.ended(now, attempt, barred)
+        if (blocking_outcome := self.blocking_outcome(now, attempt)) is not None:
+            self.attempt_ended(now, attempt, blocking_outcome)
             return
         try:
-            self.backends.send(attempt)
+            self.executors.send(attempt)
         except Exception:
             say("defect", True, what="send")
-            self.ended(now, attempt, Outcome.RESET)  # how far it came is not known
+            self.attempt_ended(now, attempt, Outcome.RESET)  # how far it came is not known
 
     def _cancel(self, now: int, action: api.Cancel) -> None:
-        req = self.reqs.get(action.request)
-        if req is None or (attempt := req.attempts[action.attempt]).outcome is not None:
+        request = self.requests.get(action.request)
+        if request is None or (attempt := request.attempts[action.attempt]).outcome is not None:
             return
-        self.budget.step(now, budgets.Cut(req.claim, attempt.number))
-        never = req.claim.state is budgets.State.LEFT and not attempt.written
+        self.budget.step(now, budgets.Cut(request.claim, attempt.number))
+        never = request.claim.state is budgets.State.LEFT and not attempt.written
         self._give_up(now, attempt, Outcome.MOOT if never else Outcome.CANCELLED)
 
     def _give_up(self, now: int, attempt: Attempt, outcome: Outcome, now_or_never: bool = False) -> None:
-        """End an attempt here, unless its backend cannot stop it: then its slots stay taken till it ends."""
+        """End an attempt here, unless its executor cannot stop it: then its slots stay taken till it ends."""
         over = True
         try:
-            over = self.backends.cancel(attempt, now_or_never) is not False
+            over = self.executors.cancel(attempt, now_or_never) is not False
         except Exception:
             say("defect", True, what="cancel")
         if over or now_or_never:
-            self.ended(now, attempt, outcome)
+            self.attempt_ended(now, attempt, outcome)
 
     def _probe(self, now: int, action: api.Probe) -> None:
-        req = self.reqs.get(action.request)
-        probe = Probe(action.worker, req)
+        request = self.requests.get(action.request)
+        probe = Probe(action.worker, request)
         if not self.may_probe(probe) or not self._spend(now, "probes"):
-            self.probed(now, probe, Outcome.MOOT)
+            self.probe_ended(now, probe, Outcome.MOOT)
             return
-        if req is not None:
-            req.probes.append(probe)
+        if request is not None:
+            request.probes.append(probe)
         try:
-            self.backends.probe(probe)
+            self.executors.probe(probe)
         except Exception:
             say("defect", True, what="probe")
-            self.probed(now, probe, Outcome.CONNECT_FAILED)  # or the brain would wait for ever
+            self.probe_ended(now, probe, Outcome.CONNECT_FAILED)  # or the balancer would wait for ever
 
     def _spend(self, now: int, budget: str) -> bool:
         return self.may_spend is None or self.may_spend(now, budget)
@@ -387,58 +437,60 @@
         """Whether a connection may be opened now, where a fleet has set a budget of them."""
         return self._spend(now, "connects")
 
-    def may_list(self, now: int) -> bool:
+    def may_call_discovery(self, now: int) -> bool:
         """Whether discovery may be called now, where a fleet has set a budget of calls."""
         return self._spend(now, "lists")
 
     def _subscribe(self, now: int, action: api.Subscribe) -> None:
         try:
-            if not self.may_list(now):
-                self.listed(now, api.WorkerList(api.ListKind.FAILED, []))  # it asks again, later each time
+            if not self.may_call_discovery(now):
+                self.on_endpoint_list(
+                    now, api.WorkerList(api.ListKind.FAILED, [])
+                )  # it asks again, later each time
                 return
             self.discovery.watch()  # from now on it asks by itself whenever the watch is lost
         except Exception:
             say("defect", True, what="watch")
-            self.listed(now, api.WorkerList(api.ListKind.FAILED, []))  # or it would never ask again
+            self.on_endpoint_list(now, api.WorkerList(api.ListKind.FAILED, []))  # or it would never ask again
 
     def _set_timer(self, now: int, action: api.SetTimer) -> None:
         token = action.token
-        self.timers.add(now + action.delay_us, lambda at: self._tell(at, api.TimerFired(token)))
+        self.timers.add(now + action.delay_us, lambda at: self._deliver(at, api.TimerFired(token)))
 
     # Answers.
 
     def _answer(self, now: int, number: int, kind: str, *details: Any) -> None:
         """The one place that gives a final answer: the first counts, later ones are passed over."""
-        req = self.reqs.get(number)
-        if req is None or req.answered:
+        request = self.requests.get(number)
+        if request is None or request.answered:
             return
-        self.budget.step(now, budgets.Answered(req.claim))
-        self._close(req)
+        self.budget.step(now, budgets.Answered(request.claim))
+        self._close(request)
         if self.told is not None:
-            self.told(kind, now > req.due - req.spec.deadline_us + req.spec.aim_us)
+            self.told(kind, now > request.due - request.spec.deadline_us + request.spec.aim_us)
         try:
-            getattr(req.client, kind)(*details)
+            getattr(request.client, kind)(*details)
         except Exception:
             say("defect", True, what="answer")
 
-    def _close(self, req: Req) -> None:
-        req.answered = True
-        self.owed -= 1
-        self._forget(req)
-
-    def _forget(self, req: Req) -> None:
-        """Let go of a req that is answered and has no attempt out."""
-        if req.answered and all(attempt.outcome is not None for attempt in req.attempts):
-            self.timers.cancel(req.deadline)
-            self.reqs.pop(req.id, None)
-
-    def _overdue(self, now: int, req: Req) -> None:
-        """The budget is used up: attempts time out, and the brain answers, or else this does."""
-        self.budget.step(now, budgets.RanOut(req.claim))
-        for attempt in req.attempts:
+    def _close(self, request: Request) -> None:
+        request.answered = True
+        self.unanswered -= 1
+        self._forget(request)
+
+    def _forget(self, request: Request) -> None:
+        """Let go of a request that is answered and has no attempt out."""
+        if request.answered and all(attempt.outcome is not None for attempt in request.attempts):
+            self.timers.cancel(request.deadline)
+            self.requests.pop(request.id, None)
+
+    def _overdue(self, now: int, request: Request) -> None:
+        """The budget is used up: attempts time out, and the balancer answers, or else this does."""
+        self.budget.step(now, budgets.RanOut(request.claim))
+        for attempt in request.attempts:
             if attempt.outcome is None:
                 self._give_up(now, attempt, Outcome.TIMEOUT, now_or_never=True)
-        if not req.answered:
+        if not request.answered:
             say("overdue-unanswered")
-            self._answer(now, req.id, "failed")
-            self._tell(now, api.RequestWithdrawn(req.id), req)
+            self._answer(now, request.id, "failed")
+            self._deliver(now, api.RequestWithdrawn(request.id), request)
--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/backends.py
@@ -375,19 +375,19 @@
     # The dispatch's port.
 
     def send(self, attempt: Attempt) -> None:
-        backend = self.by_number.get(attempt.worker)
+        backend = self.by_number.get(attempt.executor)
         if backend is None:  # it was never listed with an address
-            self.dispatch.ended(self.turn.now(), attempt, Outcome.CONNECT_FAILED)
+            self.dispatch.attempt_ended(self.turn.now(), attempt, Outcome.CONNECT_FAILED)
             return
         job = NodeJob if backend.kind.speaks == "node" else Job
         backend.carry(job(self, backend, attempt))
 
     def cancel(self, attempt: Attempt, now_or_never: bool = False) -> bool:
         """By what the backend honours; what has not gone out whole only needs its connection closed."""
-        connection = attempt.link.connection if attempt.link is not None else None
-        if connection is None or connection.exchange is not attempt.link:
+        connection = attempt.exchange.connection if attempt.exchange is not None else None
+        if connection is None or connection.exchange is not attempt.exchange:
             return True
-        how = attempt.link.backend.kind.cancel if attempt.written else "blind"
+        how = attempt.exchange.backend.kind.cancel if attempt.written else "blind"
         if how == "none" and not now_or_never:
             return False
         if how == "end":
@@ -397,14 +397,14 @@
         return True
 
     def probe(self, probe: Probe) -> None:
-        backend = self.by_number.get(probe.worker)
+        backend = self.by_number.get(probe.executor)
         if backend is None:
-            self.dispatch.probed(self.turn.now(), probe, Outcome.CONNECT_FAILED)
+            self.dispatch.probe_ended(self.turn.now(), probe, Outcome.CONNECT_FAILED)
             return
         backend.carry(Check(self, backend, probe))
 
     def recall(self, probe: Probe) -> None:
-        check, probe.link = probe.link, None
+        check, probe.exchange = probe.exchange, None
         if check is None:
             return
         check.told = True
--- a/cedarmill/net/beside.py
+++ b/cedarmill/net/beside.py
@@ -145,7 +145,7 @@
     def _write(self, here: Moment) -> None:
         """Tell what is out: when it changed, for one that starts reads it at once; else now and then."""
         at, before = self.written
-        told = Told(out(self.dispatch.brain, self.discovery.reader.names), self.held())
+        told = Told(out(self.dispatch.balancer, self.discovery.reader.names), self.held())
         if told != before or here.clock_us - at >= BEAT_US:
             self.own.write(document.seal(KIND, self.node, here, msgspec.json.encode(told)))
             self.written = here.clock_us, told
@@ -160,5 +160,5 @@
         for name in self.told.keys() | total.keys():
             number, news = self.discovery.reader.numbers.get(name), total.get(name, (0.0, 0.0))
             if number is not None and news != self.told.get(name, (0.0, 0.0)):
-                self.dispatch.beside(now, number, *news)
+                self.dispatch.set_sibling_usage(now, number, *news)
         self.told = {name: news for name, news in total.items() if name in self.discovery.reader.numbers}
--- a/cedarmill/net/clients.py
+++ b/cedarmill/net/clients.py
@@ -17,7 +17,7 @@
 BACKLOG_US = 500_000  # for the backlog to be taken at the end, where sessions are at their bound
 BACKLOG_AGAIN_US = 20_000
 BACKLOG_READ_US = 50_000  # before all has to be answered: for what was taken last to be read
-ACCEPTS = 32  # in one turn: a flood of connections must not hold up the reqs
+ACCEPTS = 32  # in one turn: a flood of connections must not hold up the requests
 BACKLOG = 1024
 ONCE = frozenset((b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-again", b"x-call-cost",
                   b"x-call-info", b"idempotency-key", b"content-type", b"host"))  # fmt: skip
@@ -60,8 +60,8 @@
         self._acceptor.resume()
 
     def ready(self) -> bool:
-        """Whether reqs can be served."""
-        return bool(self.dispatch.listed_ready) and not self.draining
+        """Whether requests can be served."""
+        return bool(self.dispatch.ready_executors) and not self.draining
 
     def _has_room(self) -> bool:
         """Whether one more session fits; at the bound others are asked to go."""
@@ -155,7 +155,7 @@
         return len(self.sessions) + self._acceptor.opening >= self.bound
 
     def close_idle(self) -> None:
-        """End the sessions that hold no req, nor one that has come and is not read yet."""
+        """End the sessions that hold no request, nor one that has come and is not read yet."""
         for session in [session for session in self.sessions if session.idle and not session.unread()]:
             session.close()
 
--- a/cedarmill/net/discovery.py
+++ b/cedarmill/net/discovery.py
@@ -184,7 +184,7 @@
         self.listed_start.update((self.reader.numbers[e.name], e.since_ms) for e in listing.endpoints)
         if kind != api.ListKind.CACHED:
             self.current_at = now
-        self.dispatch.listed(now, api.WorkerList(kind, [self._told(entry) for entry in entries]))
+        self.dispatch.on_endpoint_list(now, api.WorkerList(kind, [self._told(entry) for entry in entries]))
         if self.heard is not None:
             self.heard()
 
@@ -203,7 +203,7 @@
         self.held = held
         if self.entries:
             news = [self._told(entry) for entry in self.entries.values()]
-            self.dispatch.listed(self.turn.now(), api.WorkerList(api.ListKind.DELTA, news))
+            self.dispatch.on_endpoint_list(self.turn.now(), api.WorkerList(api.ListKind.DELTA, news))
 
     def hide(self, names: set[str]) -> None:
         """These are not used from now on, others that were hidden are again; none of them was restarted."""
@@ -211,7 +211,7 @@
         changed = [self.reader.numbers.get(name) for name in sorted(before ^ names)]
         news = [self._told(self.entries[number]) for number in changed if number in self.entries]
         if news:
-            self.dispatch.listed(self.turn.now(), api.WorkerList(api.ListKind.DELTA, news))
+            self.dispatch.on_endpoint_list(self.turn.now(), api.WorkerList(api.ListKind.DELTA, news))
 
     def knows(self, name: str) -> bool:
         """Whether discovery has named this executor since the start, or the configuration did."""
@@ -233,7 +233,7 @@
                 entry = self.entries[number] = replace(entry, started_at=now)
             entries.append(replace(self._told(entry), by_hand=name in before))
         if entries:
-            self.dispatch.listed(now, api.WorkerList(api.ListKind.DELTA, entries))
+            self.dispatch.on_endpoint_list(now, api.WorkerList(api.ListKind.DELTA, entries))
 
     def watch(self) -> None:
         """Ask for changes from now on, and again whenever the watch is lost."""
@@ -245,7 +245,7 @@
         self.current_at = None  # the new one may know executors that the old one never named
         self.happened(Event.MOVED)
         news = api.WorkerList(api.ListKind.CACHED, [self._told(entry) for entry in self.entries.values()])
-        self.dispatch.listed(self.turn.now(), news)
+        self.dispatch.on_endpoint_list(self.turn.now(), news)
 
     def happened(self, event: Event, reason: str = "") -> None:
         """Let the state machine take an event, and carry out what it orders."""
@@ -273,7 +273,7 @@
 
     def _connect(self, paid: bool) -> None:
         """Open a connection, if this node may call; what the dispatch asked for it has paid already."""
-        if not (paid or self.dispatch.may_list(self.turn.now())):
+        if not (paid or self.dispatch.may_call_discovery(self.turn.now())):
             self.happened(Event.BROKEN, "no list call left to this node by the fleet's budget")
             return
         self.connection = WatchConnection(self)
--- a/cedarmill/net/exchanges.py
+++ b/cedarmill/net/exchanges.py
@@ -110,18 +110,18 @@
     def __init__(self, backends: "Backends", backend: "Backend", attempt: Attempt) -> None:
         super().__init__(backends, backend)
         self.attempt = attempt
-        self.id = attempt.req.payload.headers[b"x-call-id"].decode("latin-1")
-        self.unsafe = attempt.req.spec.effect == api.Effect.UNSAFE
-        self.guarded = attempt.req.spec.effect != api.Effect.SAFE
-        attempt.link, attempt.blind = self, backend.kind.cancel not in ("close", "end")
+        self.id = attempt.request.payload.headers[b"x-call-id"].decode("latin-1")
+        self.unsafe = attempt.request.spec.effect == api.Effect.UNSAFE
+        self.guarded = attempt.request.spec.effect != api.Effect.SAFE
+        attempt.exchange, attempt.end_unobserved = self, backend.kind.cancel not in ("close", "end")
 
     def barred(self, now: int) -> Outcome | None:
-        return self.backends.dispatch.barred(now, self.attempt)
+        return self.backends.dispatch.blocking_outcome(now, self.attempt)
 
     def request(self, now: int) -> bytes:
-        message = self.attempt.req.payload
+        message = self.attempt.request.payload
         margins = self.backends.dispatch.budget.margins
-        rest = margins.passed_on(self.backend.number, self.attempt.req.due - now)
+        rest = margins.passed_on(self.backend.number, self.attempt.request.due - now)
         lines = [b"%s %s HTTP/1.1" % (message.method, message.target),
                  b"Host: " + str(self.backend.address.host).encode()]  # fmt: skip
         lines += [b"%s: %s" % (n, message.headers[n]) for n in PASSED_ON if n in message.headers]
@@ -130,7 +130,7 @@
         return b"\r\n".join(lines) + message.body
 
     def on_written(self, now: int) -> None:
-        self.backends.dispatch.written(now, self.attempt)
+        self.backends.dispatch.attempt_written(now, self.attempt)
 
     def on_body(self, data: bytes) -> None:
         if self.status != 200 or self.ending:
@@ -157,9 +157,9 @@
         elif line.state in _ENDS:
             self.ending = _ENDS[line.state], self.report(line.load)
         elif line.state == "started":
-            dispatch.started(now, self.attempt)
+            dispatch.attempt_started(now, self.attempt)
         elif line.state == "running":
-            dispatch.progress(now, self.attempt, line.share)
+            dispatch.attempt_progressed(now, self.attempt, line.share)
 
     def on_head(self) -> None:
         """Any status but 200 says it all; its body, if it ever ends, adds nothing."""
@@ -183,8 +183,8 @@
         self.ending = self.ending or (Outcome.RESET,)  # a stream without a last line
 
     def tell(self, now: int, outcome: Outcome, *details: Any) -> None:
-        self.attempt.link = None  # or the cycle would wait for a full collection
-        self.backends.dispatch.ended(now, self.attempt, outcome, *details)
+        self.attempt.exchange = None  # or the cycle would wait for a full collection
+        self.backends.dispatch.attempt_ended(now, self.attempt, outcome, *details)
 
 
 class NodeJob(Job):
@@ -196,7 +196,7 @@
             raise ValueError("an answer is too long")
 
     def on_head(self) -> None:
-        """429 and 503 are refusals: that node promises that nothing ran. 502 is a failed req."""
+        """429 and 503 are refusals: that node promises that nothing ran. 502 is a failed request."""
         if self.status in (429, 503):
             self.ending = (Outcome.FULL,)
         elif self.status != 200:
@@ -211,7 +211,7 @@
 
     def __init__(self, backends: "Backends", backend: "Backend", probe: Probe) -> None:
         super().__init__(backends, backend)
-        self.probe, probe.link = probe, self
+        self.probe, probe.exchange = probe, self
         wait = PROBE_WAIT * backends.settings.connect_timeout_us
         self.deadline = backends.turn.timers.add(backends.turn.now() + wait, self._late)
 
@@ -222,7 +222,7 @@
         self.finish(now, Outcome.TIMEOUT)
 
     def barred(self, now: int) -> Outcome | None:
-        wanted = self.probe.link is not None and self.backends.dispatch.may_probe(self.probe)
+        wanted = self.probe.exchange is not None and self.backends.dispatch.may_probe(self.probe)
         return None if wanted else Outcome.MOOT
 
     def request(self, now: int) -> bytes:
@@ -247,5 +247,5 @@
 
     def tell(self, now: int, outcome: Outcome, *details: Any) -> None:
         self.backends.turn.timers.cancel(self.deadline)
-        self.probe.link = None  # or the cycle would wait for a full collection
-        self.backends.dispatch.probed(now, self.probe, outcome, *details)
+        self.probe.exchange = None  # or the cycle would wait for a full collection
+        self.backends.dispatch.probe_ended(now, self.probe, outcome, *details)
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -115,7 +115,7 @@
         """A try beyond the first: a share of first tries here, within what the fleet may spend in all."""
         if "retries" not in self.purses.by_name:
             return self.purses.known
-        return self.tries.may(self.tally[0] + self.dispatch.owed) and self._may_spend(now, "retries")
+        return self.tries.may(self.tally[0] + self.dispatch.unanswered) and self._may_spend(now, "retries")
 
     def follow(self, orders: f.Orders) -> None:
         """Newer orders: the module hears of what is out as draining."""
@@ -189,19 +189,19 @@
             return {}
         done = {}
         shut = self.orders.way is not None and self.orders.way.shut
-        busy = self.dispatch.busy() if self.orders.out or shut else set()
+        busy = self.dispatch.busy_executors() if self.orders.out or shut else set()
         if shut and self.lanes is not None:
             done |= self.lanes.done(busy)
         if self.orders.out:
             numbers = self.discovery.reader.numbers
             done |= {name: epoch for name, epoch in self.orders.out.items() if numbers.get(name) not in busy}
-        if self.orders.away and not self.clients.sessions and not self.dispatch.owed:
+        if self.orders.away and not self.clients.sessions and not self.dispatch.unanswered:
             done[self.name] = self.orders.away
         return done
 
     def _seen(self) -> dict[str, f.Sight]:
         now = self.turn.now()
-        reader, workers, found = self.discovery.reader, self.dispatch.brain.workers, {}
+        reader, workers, found = self.discovery.reader, self.dispatch.balancer.workers, {}
         zones = {number: name for name, number in reader.zones.items()}
         kinds = {number: name for name, number in reader.kinds.items()}
         for number, entry in self.discovery.entries.items():
@@ -222,7 +222,7 @@
         return found
 
     def _answered(self, kind: str, late: bool) -> None:
-        """A req has its final answer."""
+        """A request has its final answer."""
         self.tally[0] += 1
         if kind == "failed":
             self.tally[1] += 1
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/gossip.py
@@ -189,12 +189,12 @@
     def _take(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
         """A fact of another's: followed where it is newer than what is known here, and not too old."""
         number = self.discovery.reader.numbers.get(name)
-        worker = self.dispatch.brain.workers.get(number) if number is not None else None
+        worker = self.dispatch.balancer.workers.get(number) if number is not None else None
         if worker is None or age > OLD_US or worker.strikes or now - age <= worker.heard_at:
             self.passed_over += 1
             return
         self.followed += 1
-        self.dispatch.told_of(now, number, report, age)
+        self.dispatch.on_peer_report(now, number, report, age)
 
     def end(self) -> None:
         """This process ends."""
--- a/cedarmill/net/health.py
+++ b/cedarmill/net/health.py
@@ -30,8 +30,8 @@
         self.name, self.clients = name, clients
 
     def checks(self) -> list[Check]:
-        """Whether reqs can be served."""
-        serves = bool(self.clients.dispatch.listed_ready)
+        """Whether requests can be served."""
+        serves = bool(self.clients.dispatch.ready_executors)
         draining = self.clients.draining
         return [Check("backends", serves, "" if serves else NO_BACKEND),
                 Check("draining", not draining, DRAINING if draining else "")]  # fmt: skip
@@ -40,9 +40,9 @@
         """The agent's words: its weight follows the room that the module believes in."""
         if self.clients.draining:
             return agent.AgentReply(admin=agent.Admin.DRAIN, reason=DRAINING)
-        if not self.clients.dispatch.listed_ready:
+        if not self.clients.dispatch.ready_executors:
             return agent.AgentReply(agent.Status.DOWN, agent.Admin.READY, reason=NO_BACKEND)
-        weight = max(1, round(100 * self.clients.dispatch.room()))  # 0% would say drain
+        weight = max(1, round(100 * self.clients.dispatch.free_share()))  # 0% would say drain
         return agent.AgentReply(agent.Status.UP, agent.Admin.READY, weight)
 
     def answer(self, target: str, json: bool) -> Answer | None:
--- a/cedarmill/net/lanes.py
+++ b/cedarmill/net/lanes.py
@@ -1,7 +1,7 @@
 """A node's lanes to the zones: what it tells of them, and how the fleet's plan of traffic reaches the module.
 
-The plan becomes what the module takes: shares of zones, the zones in which a req may run, and executors of a
-zone that is shut, which drain to the module.
+The plan becomes what the module takes: shares of zones, the zones in which a request may run, and executors
+of a zone that is shut, which drain to the module.
 """
 
 from collections.abc import Callable
@@ -35,7 +35,7 @@
                  holds: Callable[[int], bool], spend: Callable[[int, str], bool]) -> None:  # fmt: skip
         self.turn, self.zone, self.discovery, self.spend = turn, zone, discovery, spend
         self.dispatch = discovery.dispatch
-        settings = self.dispatch.brain.settings
+        settings = self.dispatch.balancer.settings
         self.follower = Follower()
         self.sights = Sightings(turn.now())
         self.use = Use()
@@ -50,9 +50,9 @@
         self.tenant_bounds = [stays.get(f"tenant:{tenant.name}", "any") for tenant in settings.tenants]
         self.homes = {bound: self._homes(bound, None) for bound in BOUNDS}
         self.gate = Gate()
-        self.cut = 0  # reqs that a cut refuses, and whose answer has not been told yet
+        self.cut = 0  # requests that a cut refuses, and whose answer has not been told yet
         # us that a job of a class runs where it does not wait: else demand would grow with the queue
-        self.runs = [mean[0] for mean in self.dispatch.brain.means]
+        self.runs = [mean[0] for mean in self.dispatch.balancer.means]
         self.quiet = [0] * len(self.runs)  # jobs that said so
         self.holds = holds
         self.dispatch.mark = self._mark
@@ -60,7 +60,7 @@
         turn.timers.add(turn.now() + LOOK_US, self._again)
 
     def _homes(self, bound: str, way: Way | None) -> tuple[int, ...]:
-        """Zones in which such a req may run; before a plan has come, one that may not go far stays here."""
+        """Zones in which such a request may run; without a plan, one that may not go far stays here."""
         if bound == "any":
             return ()
         names = way.reach.get(bound, [self.zone]) if way is not None else [self.zone]
@@ -74,11 +74,11 @@
         self.kind_names = {number: name for name, number in reader.kinds.items()}
 
     def _mark(self, job: api.RequestArrived) -> None:
-        """A req has come: where it may run, by its class or its tenant, the stricter; whether it is cut."""
+        """Set where a request may run, by its class or tenant, the stricter, and whether it is cut."""
         bound = self.class_bounds[job.job_class]
         if job.tenant < len(self.tenant_bounds):
             bound = min(bound, self.tenant_bounds[job.tenant], key=BOUNDS.index)
-        brain, now = self.dispatch.brain, self.turn.now()
+        brain, now = self.dispatch.balancer, self.turn.now()
         rank = int(brain.settings.classes[job.job_class].worth * 1000)
         if job.tenant < len(self.quotas) and not self.spend(now, self.quotas[job.tenant]):
             rank = rank * OVER // WHOLE  # beyond its tenant's quota over the fleet
@@ -91,25 +91,25 @@
             self.sights.came(now)
 
     def refused(self) -> None:
-        """A req was refused: by a cut, which was counted as it came, or by this node's own sight."""
+        """A request was refused: by a cut, which was counted as it came, or by this node's own sight."""
         if self.cut:
             self.cut -= 1
         else:
             self.sights.turned(self.turn.now())
 
     def _ended(self, now: int, attempt) -> None:
-        entry = self.discovery.entries.get(attempt.worker)
+        entry = self.discovery.entries.get(attempt.executor)
         if entry is None or attempt.outcome in NO_SIGN:
             return
         zone = self.zone_names.get(entry.zone, "")
         kind = self.kind_names.get(entry.kind, "")
         places = (zone, f"{zone}/{kind}") if kind else (zone,)
-        spec = attempt.req.spec
-        late = attempt.outcome == Outcome.OK and now > attempt.req.due - spec.deadline_us + spec.aim_us
+        spec = attempt.request.spec
+        late = attempt.outcome == Outcome.OK and now > attempt.request.due - spec.deadline_us + spec.aim_us
         self.sights.ended(now, places, attempt.outcome in FAILED, late, attempt.outcome in LOST)
         if attempt.outcome == Outcome.OK:
             self._ran(now, attempt)
-            claim = attempt.req.claim
+            claim = attempt.request.claim
             slot_time = int(claim.slots * self.runs[claim.job_class])
             self.sights.served(now, slot_time, int(claim.slots * spec.aim_us))
         way = self.follower.way
@@ -118,8 +118,8 @@
 
     def _ran(self, now: int, attempt) -> None:
         """How long it ran, where its executor had a slot free as it ended; till one had, the shortest."""
-        index = attempt.req.claim.job_class
-        worker, ran = self.dispatch.brain.workers.get(attempt.worker), now - attempt.sent_at
+        index = attempt.request.claim.job_class
+        worker, ran = self.dispatch.balancer.workers.get(attempt.executor), now - attempt.sent_at
         if worker is not None and worker.heard_at and worker.base - worker.held >= 1.0:
             self.quiet[index] = min(self.quiet[index] + 1, QUIET)
             self.runs[index] += (ran - self.runs[index]) / self.quiet[index]
@@ -130,7 +130,7 @@
 
     def places(self) -> dict[str, Place]:
         """Beliefs of each zone and group: executors that may be sent to, their slots, and those in use."""
-        brain, now = self.dispatch.brain, self.turn.now()
+        brain, now = self.dispatch.balancer, self.turn.now()
         self._learn_names()
         kinds = self.kind_names
         sums: dict[str, list[int]] = {}
@@ -156,7 +156,7 @@
         return {place: Place(*one) for place, one in sums.items()}
 
     def _cold(self, entry: api.WorkerEntry, now: int) -> float:
-        settings = self.dispatch.brain.settings
+        settings = self.dispatch.balancer.settings
         age = now - entry.started_at
         if not entry.started_at or age >= settings.cold_us:
             return 1.0
@@ -169,7 +169,7 @@
             return None
         self.digest_at = now + DIGEST_US
         seen = self.sights.seen(now, self.places())
-        brain = self.dispatch.brain
+        brain = self.dispatch.balancer
         out = int(1000 * sum(a.request.slots for w in brain.workers.values() for a in w.own.values()))
         return self.sights.digest(now, self.zone, seen, self.use.epoch, self.use.cannot, doubts, out)
 
@@ -203,7 +203,7 @@
         if use.rows != before.rows:
             rows = {self.homes[bound]: {numbers[z]: part / 1000 for z, part in use.rows[bound].items()}
                     for bound in reversed(BOUNDS)}  # fmt: skip
-            self.dispatch.shares(now, rows)
+            self.dispatch.set_zone_shares(now, rows)
         if use.cannot != before.cannot or use.shut != before.shut or use.epoch != before.epoch:
             shares = ", ".join(f"{zone} {part / 10:g}%" for zone, part in sorted(use.rows["any"].items()))
             say("zones-followed", epoch=use.epoch, shares=shares or "nothing",
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -188,7 +188,7 @@
         if self.draining:
             return
         self.draining = True
-        say("draining", held=self.dispatch.owed)
+        say("draining", held=self.dispatch.unanswered)
         self.clients.drain()
         for listener in self.checkers:
             listener.changed()
@@ -207,12 +207,12 @@
 
     def _stop(self, now: int) -> None:
         self.clients.stop_listening(take_backlog=self.inherited is None)
-        say("closed", held=self.dispatch.owed)
+        say("closed", held=self.dispatch.unanswered)
         self.timers.add(now + LAST_READ_US, self._end_if_done)
 
     def _end_if_done(self, now: int) -> None:
         self.clients.close_idle()
-        if self.dispatch.owed == 0 and self.clients.all_gone():
+        if self.dispatch.unanswered == 0 and self.clients.all_gone():
             self._leave()
         else:
             self.timers.add(now + CHECK_END_US, self._end_if_done)
--- a/cedarmill/net/sessions.py
+++ b/cedarmill/net/sessions.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from cedarmill.core.dispatch import Req
+from cedarmill.core.dispatch import Request
 from cedarmill.deadlines.sources import BadDeadline, granted
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
@@ -59,8 +59,8 @@
         self.faulty = False  # its input has gone wrong: nothing more is read from it
         self.waiting: deque[Message] = deque()
         self.answering: Message | None = None
-        self.req: Req | None = None
-        self.call_id = b""  # of the req that is open
+        self.request: Request | None = None
+        self.call_id = b""  # of the request that is open
         self.ending = self.clogged = self.paused = False
         self.half_closed = False  # it sends no more, but still reads
         self.deadline = self.look = None
@@ -84,9 +84,9 @@
         """The client has left: nothing is owed to it, and nothing more starts for it."""
         self.ending = True
         self.waiting.clear()
-        if self.req is not None:
-            req = self._release()
-            self.clients.dispatch.withdraw(self.turn.now(), req)
+        if self.request is not None:
+            request = self._release()
+            self.clients.dispatch.withdraw(self.turn.now(), request)
 
     @callback
     def eof_received(self) -> bool:
@@ -142,7 +142,7 @@
         """
         if self.ending:
             return
-        if self.req is not None:
+        if self.request is not None:
             self.clients.dispatch.withdraw(self.turn.now(), self._release())
         if self.message is not None:
             self.waiting.append(self.message)
@@ -160,7 +160,7 @@
 
     def answer_before_kill(self) -> None:
         """The process may be killed soon."""
-        forwarded = self.req is not None and any(attempt.written for attempt in self.req.attempts)
+        forwarded = self.request is not None and any(attempt.written for attempt in self.request.attempts)
         self.answer_all(502 if forwarded else 503, 503)
 
     def give_way(self, now: int, grace: int) -> bool:
@@ -458,8 +458,8 @@
         self._write(200, b"recalled\n")
 
     def recalled(self) -> None:
-        """Its client has left by word: nothing starts for the req, and the session goes on."""
-        if self.req is not None:
+        """Its client has left by word: nothing starts for the request, and the session goes on."""
+        if self.request is not None:
             self.clients.dispatch.withdraw(self.turn.now(), self._release())
             self._final(502, b"recalled by its client\n")
 
@@ -495,16 +495,16 @@
             raise BadMessage(503, "refused")
         clients.open_ids[call_id] = self
         self.call_id = call_id
-        req = clients.dispatch.arrive(now, self, message, due, job)
-        if not req.answered:
-            self.req = req
+        request = clients.dispatch.arrive(now, self, message, due, job)
+        if not request.answered:
+            self.request = request
 
-    def _release(self) -> Req | None:
-        """The req is no longer open."""
-        req, self.req = self.req, None
+    def _release(self) -> Request | None:
+        """The request is no longer open."""
+        request, self.request = self.request, None
         if self.clients.open_ids.get(self.call_id) is self:
             del self.clients.open_ids[self.call_id]
-        return req
+        return request
 
     # The final answers, as the core gives them.
 
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -300,7 +300,7 @@
         return client
 
     def served_by(self) -> int:
-        """Where the next req goes."""
+        """Where the next request goes."""
         client, found = self.client().ask(), -1
         while not client.answered(0.01):
             for number, server in enumerate(self.servers):
--- a/tests/test_broken_sockets.py
+++ b/tests/test_broken_sockets.py
@@ -187,9 +187,9 @@
         """The session was reset, whatever it owed."""
         loop = SimpleNamespace(call_later=lambda delay, call: SimpleNamespace(cancel=lambda: None))
         clients = Clients(Turn(loop, Timers()), settings(SAFE), 8, DeadlineOptions())
-        clients.dispatch, req = Mock(), Mock(answered=False)
+        clients.dispatch, request = Mock(), Mock(answered=False)
         clients.dispatch.budget.margins.answer.return_value = 0
-        clients.dispatch.arrive.return_value = req
+        clients.dispatch.arrive.return_value = request
         clients.classes = {"pin": 0}
         session, transport = ClientSession(clients), FakeTransport()
         clients.came, clients.left = Mock(), Mock()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -117,7 +117,7 @@
 
 class WorthTest(unittest.TestCase):
     def test_a_quantile_is_near_the_true_one_and_follows_a_change(self):
-        """Turned away by a quantile of last month, every req of a faster fleet would be refused."""
+        """Turned away by a quantile of last month, every request of a faster fleet would be refused."""
         draw, quantile = random.Random(5), Quantile(0.9)
         for mean in (500_000, 50_000):
             for _ in range(4_000):
@@ -146,7 +146,7 @@
         self.ports, self.timers = Ports(), Timers()
         budget = budgets.Budget(self.options, 1)
         self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports, budget)
-        self.dispatch.listed(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
+        self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
 
     def arrive(self, *replies, due: int = 5_000_000):
         self.ports.replies[api.RequestArrived] = list(replies)
@@ -154,9 +154,9 @@
 
     def out(self, at: int = 0):
         """A req with one attempt whose last byte has left."""
-        req = self.arrive(api.Send(self.dispatch._count + 1, 1))
-        self.dispatch.written(at, req.attempts[0])
-        return req
+        request = self.arrive(api.Send(self.dispatch._count + 1, 1))
+        self.dispatch.attempt_written(at, request.attempts[0])
+        return request
 
     def rows(self) -> list[Row]:
         return self.dispatch.budget.ledger.take()
@@ -169,27 +169,27 @@
 class LeavingTest(CoreCase):
     def test_what_has_not_gone_out_whole_never_ran_once_its_client_left(self):
         """Connecting, or but for the held last byte: told as never sent, nothing charged, nothing resent."""
-        req = self.arrive(api.Send(1, 1), api.Send(1, 2))
+        request = self.arrive(api.Send(1, 1), api.Send(1, 2))
         self.ports.replies[api.AttemptEnded] = deque([api.Send(1, 1)])
-        self.dispatch.withdraw(1_000, req)
-        self.assertEqual([a.outcome for a in req.attempts[:2]], [Outcome.MOOT] * 2)
+        self.dispatch.withdraw(1_000, request)
+        self.assertEqual([a.outcome for a in request.attempts[:2]], [Outcome.MOOT] * 2)
         self.assertEqual((len(self.ports.sent), self.ports.answers, self.rows()), (2, [], []))
-        self.assertFalse(self.dispatch.may_write(1_000, req.attempts[0]))
-        self.dispatch.written(1_001, req.attempts[0])  # a byte that crossed: too late to matter
-        self.assertFalse(req.attempts[0].written)
+        self.assertFalse(self.dispatch.may_write(1_000, request.attempts[0]))
+        self.dispatch.attempt_written(1_001, request.attempts[0])  # a byte that crossed: too late to matter
+        self.assertFalse(request.attempts[0].written)
 
     def test_a_probe_for_its_sake_alone_is_taken_back(self):
         """A probe costs the backend work; one that other reqs asked for, or that is out, goes on."""
         self.arrive(api.Probe(1, 1), api.Probe(2, 1))
         first, second = self.ports.probes
         second.written = True
-        self.dispatch.withdraw(1, self.dispatch.reqs[1])
+        self.dispatch.withdraw(1, self.dispatch.requests[1])
         self.assertEqual(self.ports.recalled, [first])
         told = [api.RequestWithdrawn(1), api.ProbeEnded(1, Outcome.MOOT)]
         self.assertEqual(self.ports.events[-2:], told)  # in this order: the brain would place it once more
         self.assertEqual((self.dispatch.may_probe(first), self.dispatch.may_probe(second)), (False, False))
         self.ports.replies[api.ProbeEnded] = [api.Probe(2)]
-        self.dispatch.probed(2, second, Outcome.OK)
+        self.dispatch.probe_ended(2, second, Outcome.OK)
         self.assertTrue(self.dispatch.may_probe(self.ports.probes[-1]))
 
     def test_leaving_and_a_retry_in_one_turn_a_thousand_times_in_both_orders(self):
@@ -198,19 +198,21 @@
             draw = random.Random(seed)
             self.begin()
             brain = Brain(settings(keyed(Group.ALL), can_probe=seed % 3 == 0, tells_start=False), seed)
-            self.dispatch.brain = brain
-            self.dispatch.listed(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
-            req = self.dispatch.arrive(0, self.ports, None, 5_000_000, api.RequestArrived(0, 0, 5_000_000))
+            self.dispatch.balancer = brain
+            self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
+            request = self.dispatch.arrive(
+                0, self.ports, None, 5_000_000, api.RequestArrived(0, 0, 5_000_000)
+            )
             self.sweep(200_000)
             if not self.ports.sent:
                 continue
             first = self.ports.sent[0]
             if draw.random() < 0.7:
-                self.dispatch.written(1, first)
+                self.dispatch.attempt_written(1, first)
             outcome = draw.choice((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET))
             both = [
-                lambda: self.dispatch.withdraw(300_000, req),  # noqa: B023
-                lambda: self.dispatch.ended(300_000, first, outcome),  # noqa: B023
+                lambda: self.dispatch.withdraw(300_000, request),  # noqa: B023
+                lambda: self.dispatch.attempt_ended(300_000, first, outcome),  # noqa: B023
             ]
             leaves_first = bool(seed % 2)
             for happening in both if leaves_first else reversed(both):
@@ -219,55 +221,55 @@
             self.assertLessEqual(sent, 1 if leaves_first else 2)
             self.sweep(6_000_000)
             self.assertEqual(len(self.ports.sent), sent, f"seed {seed}: a send after the client left")
-            self.assertFalse([a for a in req.attempts if a.outcome is None])
+            self.assertFalse([a for a in request.attempts if a.outcome is None])
             self.assertLessEqual(len(self.ports.answers), 1)  # one that was given before it left, at most
 
     def test_the_first_answer_counts_where_a_client_leaves_with_two_copies_out(self):
         """Both orders: nobody is answered after leaving, and the loser is charged to its cause."""
         for leaves_first, cause in ((True, Cause.LEFT), (False, Cause.LOST_RACE)):
             self.begin()
-            req = self.arrive(api.Send(1, 1), api.Send(1, 2))
-            for attempt in req.attempts:
-                self.dispatch.written(0, attempt)
+            request = self.arrive(api.Send(1, 1), api.Send(1, 2))
+            for attempt in request.attempts:
+                self.dispatch.attempt_written(0, attempt)
             both = [
-                lambda: self.dispatch.withdraw(1_000_000, req),  # noqa: B023
-                lambda: self.dispatch.ended(1_000_000, req.attempts[0], Outcome.OK, None, b"x"),  # noqa: B023
+                lambda: self.dispatch.withdraw(1_000_000, request),  # noqa: B023
+                lambda: self.dispatch.attempt_ended(1_000_000, request.attempts[0], Outcome.OK, None, b"x"),  # noqa: B023
             ]
             for happening in both if leaves_first else reversed(both):
                 happening()
-            self.dispatch.ended(1_500_000, req.attempts[1], Outcome.OK, None, b"y")
+            self.dispatch.attempt_ended(1_500_000, request.attempts[1], Outcome.OK, None, b"y")
             self.assertEqual(self.ports.answers, [] if leaves_first else [("served", b"x")])
             rows = self.rows()
             self.assertEqual([row.cause for row in rows], [cause])
             self.assertEqual(rows[0].after, 500_000)
-            self.assertEqual(self.dispatch.reqs, {})
+            self.assertEqual(self.dispatch.requests, {})
 
     def test_what_cannot_be_cancelled_counts_as_running_till_it_ends(self):
         """Slots believed free that are not would draw new work to a backend that is full."""
-        req = self.out()
+        request = self.out()
         self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
         self.ports.replies[api.RequestWithdrawn] = [api.Cancel(1, 0)]
-        self.dispatch.withdraw(1_000_000, req)
-        self.assertIsNone(req.attempts[0].outcome)
-        self.dispatch.ended(1_800_000, req.attempts[0], Outcome.OK, None, b"for nobody")
+        self.dispatch.withdraw(1_000_000, request)
+        self.assertIsNone(request.attempts[0].outcome)
+        self.dispatch.attempt_ended(1_800_000, request.attempts[0], Outcome.OK, None, b"for nobody")
         self.assertEqual(self.rows(), [Row(0, Cause.LEFT, 1, 1_000_000, 800_000, 0)])
-        self.assertEqual((self.ports.answers, self.dispatch.reqs), ([], {}))
+        self.assertEqual((self.ports.answers, self.dispatch.requests), ([], {}))
 
     def test_one_that_could_not_be_cut_and_answers_was_spent_for_somebody(self):
         """The module cuts, the backend goes on, and its answer serves: nothing to charge."""
-        req = self.out()
+        request = self.out()
         self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
-        self.dispatch._cancel(300_000, api.Cancel(req.id, 0))
-        self.dispatch.ended(800_000, req.attempts[0], Outcome.OK, None, b"x")
+        self.dispatch._cancel(300_000, api.Cancel(request.id, 0))
+        self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"x")
         self.assertEqual((self.ports.answers, self.rows()), ([("served", b"x")], []))
 
     def test_the_ledger_tells_each_cause_and_begins_anew(self):
         """Cut by the module, and overdue; what a blind cancel leaves running is guessed by the mean."""
         for _ in range(20):
-            req = self.out()
-            self.dispatch.ended(800_000, req.attempts[0], Outcome.OK, None, b"")
-        req = self.out()
-        self.dispatch._cancel(300_000, api.Cancel(req.id, 0))
+            request = self.out()
+            self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"")
+        request = self.out()
+        self.dispatch._cancel(300_000, api.Cancel(request.id, 0))
         late = self.out(at=100_000)
         self.sweep(5_000_000)
         rows = {row.cause: row for row in self.rows()}
@@ -281,8 +283,10 @@
         """Past on arrival: refused in the same turn. Shorter than a probe's wait: no probe is asked."""
         for due, answered in ((0, True), (30_000, False)):
             self.begin()
-            self.dispatch.brain = Brain(settings(keyed(Group.ALL), can_probe=True, report_by_probe=True), 1)
-            self.dispatch.listed(0, api.WorkerList(api.ListKind.CACHED, [entry(1)]))
+            self.dispatch.balancer = Brain(
+                settings(keyed(Group.ALL), can_probe=True, report_by_probe=True), 1
+            )
+            self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1)]))
             self.arrive(due=due)
             self.assertEqual((self.ports.probes, bool(self.ports.answers)), ([], answered))
             self.sweep(due)
@@ -295,8 +299,8 @@
     def test_what_cannot_end_in_time_is_refused_at_once_or_failed_where_it_ran(self):
         """The brain hears nothing of the first; a retry that is hopeless may only fail what may have run."""
         for _ in range(30):
-            req = self.out()
-            self.dispatch.ended(800_000, req.attempts[0], Outcome.OK, None, b"")
+            request = self.out()
+            self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"")
         told = len(self.ports.events)
         self.ports.answers.clear()
         self.arrive(api.Send(31, 1), due=500_000)
@@ -304,9 +308,9 @@
         for outcome, answer in ((Outcome.RESET, "failed"), (Outcome.FULL, "refused")):
             self.ports.answers.clear()
             number = self.dispatch._count + 1
-            req = self.arrive(api.Send(number, 1))
+            request = self.arrive(api.Send(number, 1))
             self.ports.replies[api.AttemptEnded] = deque([api.Send(number, 2)])
-            self.dispatch.ended(4_500_000, req.attempts[0], outcome)
+            self.dispatch.attempt_ended(4_500_000, request.attempts[0], outcome)
             self.assertEqual([kind for kind, *_ in self.ports.answers], [answer])
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core without sockets: one final answer for each req, whatever the brain or a port does."""
+"""The core without sockets: one final answer for each request, whatever the brain or a port does."""
 
 import logging
 import time
@@ -77,7 +77,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         self.ports, self.timers = Ports(), Timers()
         self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports)
-        self.dispatch.listed(0, api.WorkerList(api.ListKind.CACHED, [entry(1)]))
+        self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1)]))
 
     def arrive(self, *replies, due: int = 5_000_000):
         self.ports.replies[api.RequestArrived] = list(replies)
@@ -89,10 +89,10 @@
 
     def check_over(self, *answers: tuple) -> None:
         self.assertEqual(self.ports.answers, list(answers))
-        self.assertEqual((self.dispatch.reqs, self.dispatch.owed), ({}, 0))
+        self.assertEqual((self.dispatch.requests, self.dispatch.unanswered), ({}, 0))
 
     def test_a_brain_that_fails_on_a_req_leaves_it_failed_not_unanswered(self):
-        """An exception of the decisions must cost that req only."""
+        """An exception of the decisions must cost that request only."""
         self.ports.replies[api.RequestArrived] = ZeroDivisionError()
         self.dispatch.arrive(0, self.ports, None, 5_000_000, api.RequestArrived(0, 0, 5_000_000))
         self.check_over(("failed",))
@@ -102,22 +102,22 @@
         """Its answer would otherwise wait for the end of the budget."""
         self.arrive(api.Send(1, 1))
         self.ports.replies[api.AttemptEnded] = ZeroDivisionError()
-        self.dispatch.ended(1, self.ports.sent[0], Outcome.RESET)
+        self.dispatch.attempt_ended(1, self.ports.sent[0], Outcome.RESET)
         self.check_over(("failed",))
 
     def test_the_first_final_answer_counts(self):
         """Whatever follows, also another attempt's result, reaches no client."""
         self.arrive(api.Send(1, 1), api.Send(1, 1))
-        self.dispatch.ended(1, self.ports.sent[0], Outcome.OK, None, b"first")
+        self.dispatch.attempt_ended(1, self.ports.sent[0], Outcome.OK, None, b"first")
         self.ports.replies[api.AttemptEnded] = [api.Fail(1)]
-        self.dispatch.ended(2, self.ports.sent[1], Outcome.OK, None, b"second")
-        self.dispatch.ended(3, self.ports.sent[1], Outcome.RESET)
+        self.dispatch.attempt_ended(2, self.ports.sent[1], Outcome.OK, None, b"second")
+        self.dispatch.attempt_ended(3, self.ports.sent[1], Outcome.RESET)
         self.check_over(("served", b"first"))
         outcomes = [(e.attempt, e.final) for e in self.ports.events if isinstance(e, api.AttemptEnded)]
         self.assertEqual(outcomes, [(0, True), (1, True)])
 
     def test_a_brain_that_says_nothing_leaves_no_req_past_its_budget(self):
-        """Attempts time out first, so that the brain may answer; then the req is failed here."""
+        """Attempts time out first, so that the brain may answer; then the request is failed here."""
         self.arrive(api.Send(1, 1), due=1_000)
         self.sweep(999)
         self.assertEqual(self.ports.answers, [])
@@ -158,9 +158,9 @@
         self.check_over(("refused", 20))
 
     def test_a_send_that_comes_too_late_is_moot(self):
-        """Rule 1: nothing is sent for a req that is finished, or whose time has run out."""
-        req = self.arrive(api.Send(1, 1), due=0)
-        self.assertEqual((self.ports.sent, req.attempts[0].outcome), ([], Outcome.MOOT))
+        """Rule 1: nothing is sent for a request that is finished, or whose time has run out."""
+        request = self.arrive(api.Send(1, 1), due=0)
+        self.assertEqual((self.ports.sent, request.attempts[0].outcome), ([], Outcome.MOOT))
 
     def test_an_attempt_can_lose_its_right_while_it_connects(self):
         """Up to a connect time-out passes before it is written: drains, windows and budgets do not wait."""
@@ -170,36 +170,38 @@
         self.assertFalse(
             self.dispatch.may_write(840_000, second)
         )  # held up, it would arrive as the window ends
-        self.dispatch.ended(1, first, Outcome.FULL)
+        self.dispatch.attempt_ended(1, first, Outcome.FULL)
         self.assertTrue(self.dispatch.may_write(1_000_000, second))
         self.assertFalse(self.dispatch.may_write(5_000_000, second))
         drained = [entry(1, api.WorkerState.DRAINING)]
-        self.dispatch.listed(2, api.WorkerList(api.ListKind.DELTA, drained))
+        self.dispatch.on_endpoint_list(2, api.WorkerList(api.ListKind.DELTA, drained))
         self.assertFalse(self.dispatch.may_write(2, second))
 
     def test_what_may_not_be_sent_tells_why(self):
         """MOOT where no other may be sent either: the module answers at once. Else no executor is blamed."""
         self.arrive(api.Send(1, 1), api.Send(1, 1))
         second = self.ports.sent[1]
-        self.assertIs(self.dispatch.barred(840_000, second), Outcome.MOOT)
-        self.assertIs(self.dispatch.barred(5_000_000, second), Outcome.MOOT)
+        self.assertIs(self.dispatch.blocking_outcome(840_000, second), Outcome.MOOT)
+        self.assertIs(self.dispatch.blocking_outcome(5_000_000, second), Outcome.MOOT)
         self.dispatch.fence = lambda now: False
-        self.assertIs(self.dispatch.barred(1, second), Outcome.DROPPED)
+        self.assertIs(self.dispatch.blocking_outcome(1, second), Outcome.DROPPED)
         self.dispatch.fence = None
-        self.dispatch.listed(2, api.WorkerList(api.ListKind.DELTA, [entry(1, api.WorkerState.DRAINING)]))
-        self.assertIs(self.dispatch.barred(2, second), Outcome.DROPPED)
+        self.dispatch.on_endpoint_list(
+            2, api.WorkerList(api.ListKind.DELTA, [entry(1, api.WorkerState.DRAINING)])
+        )
+        self.assertIs(self.dispatch.blocking_outcome(2, second), Outcome.DROPPED)
 
     def test_a_repeat_past_its_window_is_answered_at_once(self):
         """The module was told of a failed connect, tried as often as it may, and struck sound executors."""
         brain = Brain(settings(keyed(Group.ZONE, window=1_000_000)), 1)
-        self.dispatch.brain = brain
-        self.dispatch.listed(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
-        req = self.arrive(due=5_000_000)
-        self.dispatch.written(0, self.ports.sent[0])
-        self.dispatch.ended(900_000, self.ports.sent[0], Outcome.RESET)
+        self.dispatch.balancer = brain
+        self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
+        request = self.arrive(due=5_000_000)
+        self.dispatch.attempt_written(0, self.ports.sent[0])
+        self.dispatch.attempt_ended(900_000, self.ports.sent[0], Outcome.RESET)
         self.assertEqual(len(self.ports.sent), 1)
         self.check_over(("failed",))
-        self.assertTrue(req.answered)
+        self.assertTrue(request.answered)
         self.assertEqual([worker.strikes for worker in brain.workers.values()], [0, 0])
 
     def test_what_is_open_when_the_process_has_to_end_is_answered_before(self):
@@ -216,11 +218,11 @@
 
     def test_a_client_that_leaves_is_owed_nothing(self):
         """The attempt is still out: its outcome is told later, and nobody is answered."""
-        req = self.arrive(api.Send(1, 1))
-        self.dispatch.written(0, req.attempts[0])
-        self.dispatch.withdraw(1, req)
-        self.assertEqual((self.dispatch.owed, len(self.dispatch.reqs)), (0, 1))
-        self.dispatch.ended(2, self.ports.sent[0], Outcome.OK, None, b"late")
+        request = self.arrive(api.Send(1, 1))
+        self.dispatch.attempt_written(0, request.attempts[0])
+        self.dispatch.withdraw(1, request)
+        self.assertEqual((self.dispatch.unanswered, len(self.dispatch.requests)), (0, 1))
+        self.dispatch.attempt_ended(2, self.ports.sent[0], Outcome.OK, None, b"late")
         self.check_over()
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -63,7 +63,7 @@
         self.assertEqual(self.lines, ["watching", "watch-lost", "watching", "watch-lost"])
 
     def test_a_call_that_the_fleet_has_no_budget_for_waits_as_a_failed_one(self) -> None:
-        self.discovery.dispatch.may_list.return_value = False
+        self.discovery.dispatch.may_call_discovery.return_value = False
         self.flap(1)
         self.assertIsNone(self.discovery.connection)
         self.assertIs(self.discovery.watching.state, State.WAITING)
@@ -107,7 +107,10 @@
     def ages(self, starts: dict[str, int], snapshot: bool = True) -> dict[str, int]:
         """Discovery tells this list; how old (us) the module then takes each for."""
         self.discovery.news(self.listing(starts, snapshot))
-        entries, names = self.discovery.dispatch.listed.call_args.args[1].entries, self.discovery.reader.names
+        entries, names = (
+            self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries,
+            self.discovery.reader.names,
+        )
         return {names[e.worker]: self.now - e.started_at for e in entries if e.started_at}
 
     def test_who_is_new_on_a_watch_that_holds_is_as_young_as_its_list(self) -> None:
@@ -204,7 +207,7 @@
         self.discovery.news(Listing(1, True, [entry]))
 
     def heard(self) -> api.WorkerEntry:
-        return self.discovery.dispatch.listed.call_args.args[1].entries[-1]
+        return self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries[-1]
 
     def test_out_it_drains_whatever_the_list_says(self) -> None:
         self.discovery.mark({"s-1": 50_000_000})
@@ -232,9 +235,9 @@
     def test_back_in_after_the_list_dropped_it_nothing_is_told(self) -> None:
         self.discovery.mark({"s-1": 50_000_000})
         self.discovery.news(Listing(2, True, []))
-        before = self.discovery.dispatch.listed.call_count
+        before = self.discovery.dispatch.on_endpoint_list.call_count
         self.discovery.mark({})
-        self.assertEqual(self.discovery.dispatch.listed.call_count, before)
+        self.assertEqual(self.discovery.dispatch.on_endpoint_list.call_count, before)
 
 
 if __name__ == "__main__":
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -47,7 +47,7 @@
         self.assertEqual(self.servers[0].next().headers["X-Call-Id"], f"{client.count:016x}")
 
     def test_a_close(self):
-        """Seen only when the time of the req in flight was up, 6 s later."""
+        """Seen only when the time of the request in flight was up, 6 s later."""
         self.gone(lambda sock: sock.close())
 
     def test_a_reset(self):
--- a/tests/test_executor_faults.py
+++ b/tests/test_executor_faults.py
@@ -423,11 +423,15 @@
         exchange = Noted(self.backends, self.backend())
         exchange.backend.carry(exchange)
         self.assertIs(exchange.outcome, Outcome.DROPPED)  # the bound is this node's: it blames no executor
-        attempt = Mock(worker=7)
+        attempt = Mock(executor=7)
         self.backends.send(attempt)  # listed, and never with an address
-        self.assertEqual(self.backends.dispatch.ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED))
+        self.assertEqual(
+            self.backends.dispatch.attempt_ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED)
+        )
         self.backends.probe(attempt)
-        self.assertEqual(self.backends.dispatch.probed.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED))
+        self.assertEqual(
+            self.backends.dispatch.probe_ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED)
+        )
 
 
 class LittleTime(ExecutorCase):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -36,7 +36,9 @@
     def __init__(self, clock: Clock, name: str, peer: str) -> None:
         workers = {n: SimpleNamespace(strikes=0, heard_at=0) for n in range(4)}
         self.heard: list[tuple[int, int]] = []
-        dispatch = SimpleNamespace(brain=SimpleNamespace(workers=workers), hears=None, told_of=self._told)
+        dispatch = SimpleNamespace(
+            balancer=SimpleNamespace(workers=workers), hears=None, on_peer_report=self._told
+        )
         entries = {n: api.WorkerEntry(n, api.WorkerState.READY) for n in workers}
         names = {n: f"e{n}" for n in workers}
         reader = SimpleNamespace(names=names, numbers={name: n for n, name in names.items()})
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -39,7 +39,7 @@
 
 class Racing(LeavingCase):
     def test_a_close_and_a_reset_at_one_moment_start_nothing_late(self):
-        """The reset lets a keyed req be sent again, the close forbids it: both orders."""
+        """The reset lets a keyed request be sent again, the close forbids it: both orders."""
         for number in range(40):
             client = self.client().ask()
             asked = self.servers[0].next()
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -43,7 +43,7 @@
         self.wait_for(lambda: not self.look("status")["halted"])  # a leader that has heard enough to grant
 
     def refused(self) -> bool:
-        """Whether a req is refused now; one that is not is served."""
+        """Whether a request is refused now; one that is not is served."""
         client = self.client().ask()
         self.wait_for(lambda: client.answered(0) or any(not server.asked.empty() for server in self.servers))
         for server in self.servers:
@@ -136,7 +136,7 @@
         stat = Path(f"/proc/{self.process.pid}/stat")
         self.wait_for(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
         client.ask()
-        self.kill("k0")  # or its first beat might be answered before the req is read
+        self.kill("k0")  # or its first beat might be answered before the request is read
         lease_s = 3.2
         time.sleep(lease_s)  # its lease has to run out while it stands still: no condition tells that
         self.process.send_signal(18)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -42,7 +42,7 @@
         self.assertEqual(client.answer()[0], 200)
 
     def test_an_upgrade_with_reqs_in_flight_on_both_processes(self):
-        """The new process serves while the old one still holds a req; the old answers it and ends."""
+        """The new process serves while the old one still holds a request; the old answers it and ends."""
         old_client = self.client().ask()
         old_asked = self.servers[0].next()  # held by the old process
         old, old_log = self.process, list(self.log)
@@ -92,7 +92,7 @@
             self.assertTrue(line, f"no {words!r}")
 
     def old_sends_to(self) -> int:
-        """Where the old process sends the next req of its kept session."""
+        """Where the old process sends the next request of its kept session."""
         self.kept_session.ask()
         self.wait_for(lambda: any(not server.asked.empty() for server in self.servers))
         number = next(n for n, server in enumerate(self.servers) if not server.asked.empty())
