--- a/cedarmill/lab/fleet/badnode.py
+++ b/cedarmill/lab/fleet/badnode.py
@@ -26,16 +26,17 @@
     """A real node that fails a fifth of what it has served."""
     from cedarmill.conf.settings import Settings
     from cedarmill.core.dispatch import Dispatch
+    from cedarmill.core.requests import Failed, Served
     from cedarmill.net.node import main as run
 
-    plain, dice = Dispatch._answer, random.Random(os.getpid())
+    plain, dice = Dispatch.give_final_answer, random.Random(os.getpid())
 
-    def answer(self, now, number, kind, *details):
-        if kind == "served" and dice.random() < BAD_PART:
-            kind, details = "failed", ()
-        plain(self, now, number, kind, *details)
+    def answer(self, now, number, final):
+        if isinstance(final, Served) and dice.random() < BAD_PART:
+            final = Failed()
+        plain(self, now, number, final)
 
-    Dispatch._answer = answer
+    Dispatch.give_final_answer = answer
     return run("text", Settings(conf).options)
 
 
--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/backends.py
@@ -5,7 +5,8 @@
 
 import httptools
 
-from cedarmill.core.dispatch import Attempt, Dispatch, Probe
+from cedarmill.core.dispatch import Dispatch
+from cedarmill.core.requests import Attempt, Probe
 from cedarmill.core.timers import Timer
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
--- a/cedarmill/net/exchanges.py
+++ b/cedarmill/net/exchanges.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cedarmill.core.dispatch import Attempt, Probe
+from cedarmill.core.requests import Attempt, Probe
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -2,7 +2,7 @@
 platform.
 
 Orders reach the module as what it knows already: executors that drain. Whether anything may be sent at all is
-asked when an attempt is written (`Dispatch.fence`): before the first orders nothing may, and with
+asked when an attempt is written (`DispatchObserver.may_send`): before the first orders nothing may, and with
 `cut-off="stop"` nothing once the lease has run out.
 """
 
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from cedarmill.core.requests import Failed, FinalAnswer, Refused, Request
 from cedarmill.decisions import interface as api
 from cedarmill.fleet import commands
 from cedarmill.fleet import words as f
@@ -22,6 +23,7 @@
 from cedarmill.net.clients import Clients
 from cedarmill.net.config import Address, Config
 from cedarmill.net.discovery import DiscoveryClient
+from cedarmill.net.fleet_observer import FleetObserver
 from cedarmill.net.gossip import Gossip
 from cedarmill.net.hands import Answer, Hands
 from cedarmill.net.lanes import Lanes
@@ -74,19 +76,16 @@
             turn, options.cluster, who, keepers, self.facts, self.follow, self._lapsed, self._resumed
         )
         self.listen = listen
-        self.dispatch.fence = self.may_send
-        self.dispatch.told = self._answered
         self.purses, self.tries = Purses(known=options.start == "alone"), Tries()
-        self.dispatch.may_spend = self._may_spend
-        self.dispatch.may_retry = self._may_retry
         hands.agreed = self.obey
         holds = self.membership.agent.holds
         self.lanes = None
         if zone:
-            self.lanes = Lanes(turn, self.name, zone, discovery, options, holds, self._may_spend)
+            self.lanes = Lanes(turn, self.name, zone, discovery, options, holds, self.may_spend)
         self.peopled, self._asks_peers = 0, False  # the epoch of the peers that are known
         self.gossip = Gossip(turn, self.name, options.cluster, discovery)
         self.membership.taken = self.gossip.take
+        self.dispatch.observer = FleetObserver(self)
         if options.start == "wait":
             discovery.hold(True)
 
@@ -107,15 +106,15 @@
             return self.options.start == "alone"
         return self.options.cut_off == "serve" or self.membership.agent.holds(now)
 
-    def _may_spend(self, now: int, budget: str) -> bool:
+    def may_spend(self, now: int, budget: str) -> bool:
         """Asked at each spending, by whether the lease holds at this moment."""
         return self.purses.spend(now, self.membership.agent.holds(now), budget)
 
-    def _may_retry(self, now: int) -> bool:
+    def may_retry(self, now: int) -> bool:
         """A try beyond the first: a share of first tries here, within what the fleet may spend in all."""
         if "retries" not in self.purses.by_name:
             return self.purses.known
-        return self.tries.may(self.tally[0] + self.dispatch.unanswered) and self._may_spend(now, "retries")
+        return self.tries.may(self.tally[0] + self.dispatch.unanswered) and self.may_spend(now, "retries")
 
     def follow(self, orders: f.Orders) -> None:
         """Newer orders: the module hears of what is out as draining."""
@@ -221,16 +220,16 @@
             )
         return found
 
-    def _answered(self, kind: str, late: bool) -> None:
+    def on_final_answer(self, now: int, request: Request, answer: FinalAnswer) -> None:
         """A request has its final answer."""
         self.tally[0] += 1
-        if kind == "failed":
+        if isinstance(answer, Failed):
             self.tally[1] += 1
-        elif kind == "refused":
+        elif isinstance(answer, Refused):
             self.tally[3] += 1
             if self.lanes is not None:
                 self.lanes.refused()
-        elif late:
+        elif now > request.objective_due:
             self.tally[2] += 1
 
     # The door.
--- /dev/null
+++ b/cedarmill/net/fleet_observer.py
@@ -0,0 +1,47 @@
+"""The fleet's view of the dispatch: one observer that passes events and questions to the parts concerned."""
+
+from typing import TYPE_CHECKING
+
+from cedarmill.core.observer import DispatchObserver
+from cedarmill.core.requests import Attempt, FinalAnswer, Request
+from cedarmill.decisions import interface as api
+
+if TYPE_CHECKING:
+    from cedarmill.net.fleet import NodeFleet
+
+
+class FleetObserver(DispatchObserver):
+    """Connects the dispatch to the node's fleet session, traffic routing and gossip; times in us."""
+
+    def __init__(self, fleet: "NodeFleet") -> None:
+        self._fleet, self._routing, self._gossip = fleet, fleet.lanes, fleet.gossip
+
+    def place_request(self, arrival: api.RequestArrived) -> None:
+        """Let the routing plan say where it may run."""
+        if self._routing is not None:
+            self._routing.place_request(arrival)
+
+    def on_report(self, now: int, executor: int, report: api.LoadReport) -> None:
+        """Pass a load report on to the peers that use the same executor."""
+        self._gossip.on_report(now, executor, report)
+
+    def on_final_answer(self, now: int, request: Request, answer: FinalAnswer) -> None:
+        """Count it among the node's results."""
+        self._fleet.on_final_answer(now, request, answer)
+
+    def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
+        """Count it as evidence of its executor's zone."""
+        if self._routing is not None:
+            self._routing.on_attempt_ended(now, attempt)
+
+    def may_send(self, now: int) -> bool:
+        """Whether the lease, or the settings without one, allow it."""
+        return self._fleet.may_send(now)
+
+    def may_spend(self, now: int, budget: str) -> bool:
+        """Whether the node's part of the fleet's budget has one left."""
+        return self._fleet.may_spend(now, budget)
+
+    def may_retry(self, now: int) -> bool:
+        """Whether the retry budget has one left."""
+        return self._fleet.may_retry(now)
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/gossip.py
@@ -54,7 +54,6 @@
     def __init__(self, turn: Turn, name: str, cluster: str, discovery: DiscoveryClient) -> None:
         self.turn, self.name, self.cluster, self.discovery = turn, name, cluster, discovery
         self.dispatch = discovery.dispatch
-        self.dispatch.hears = self.hears
         self.peers: dict[str, str] = {}
         self.links: dict[str, Link] = {}
         self.mine: frozenset[str] = frozenset()  # executors that this node uses
@@ -154,7 +153,7 @@
 
     # What is heard and told.
 
-    def hears(self, now: int, worker: int, report: api.LoadReport) -> None:
+    def on_report(self, now: int, worker: int, report: api.LoadReport) -> None:
         """A report has come here, with an answer or a probe."""
         if self.peers and worker in self.discovery.reader.names:
             self.facts[self.discovery.reader.names[worker]] = Report(now, report)
--- a/cedarmill/net/lanes.py
+++ b/cedarmill/net/lanes.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from random import Random
 
+from cedarmill.core.requests import Attempt
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 from cedarmill.fleet.evidence import BOUNDS, WHOLE, Digest
@@ -55,8 +56,6 @@
         self.runs = [mean[0] for mean in self.dispatch.balancer.means]
         self.quiet = [0] * len(self.runs)  # jobs that said so
         self.holds = holds
-        self.dispatch.mark = self._mark
-        self.dispatch.seen = self._ended
         turn.timers.add(turn.now() + LOOK_US, self._again)
 
     def _homes(self, bound: str, way: Way | None) -> tuple[int, ...]:
@@ -73,7 +72,7 @@
         self.zone_names = {number: name for name, number in reader.zones.items()}
         self.kind_names = {number: name for name, number in reader.kinds.items()}
 
-    def _mark(self, job: api.RequestArrived) -> None:
+    def place_request(self, job: api.RequestArrived) -> None:
         """Set where a request may run, by its class or tenant, the stricter, and whether it is cut."""
         bound = self.class_bounds[job.job_class]
         if job.tenant < len(self.tenant_bounds):
@@ -97,7 +96,8 @@
         else:
             self.sights.turned(self.turn.now())
 
-    def _ended(self, now: int, attempt) -> None:
+    def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
+        """An attempt has its outcome: what it says of the executor's zone."""
         entry = self.discovery.entries.get(attempt.executor)
         if entry is None or attempt.outcome in NO_SIGN:
             return
@@ -105,7 +105,7 @@
         kind = self.kind_names.get(entry.kind, "")
         places = (zone, f"{zone}/{kind}") if kind else (zone,)
         spec = attempt.request.spec
-        late = attempt.outcome == Outcome.OK and now > attempt.request.due - spec.deadline_us + spec.aim_us
+        late = attempt.outcome == Outcome.OK and now > attempt.request.objective_due
         self.sights.ended(now, places, attempt.outcome in FAILED, late, attempt.outcome in LOST)
         if attempt.outcome == Outcome.OK:
             self._ran(now, attempt)
--- a/cedarmill/net/sessions.py
+++ b/cedarmill/net/sessions.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from cedarmill.core.dispatch import Request
+from cedarmill.core.requests import Request
 from cedarmill.deadlines.sources import BadDeadline, granted
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -259,7 +259,7 @@
         """The module cuts, the backend goes on, and its answer serves: nothing to charge."""
         request = self.out()
         self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
-        self.dispatch._cancel(300_000, api.Cancel(request.id, 0))
+        self.dispatch.actions.cancel(300_000, api.Cancel(request.id, 0))
         self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"x")
         self.assertEqual((self.ports.answers, self.rows()), ([("served", b"x")], []))
 
@@ -269,7 +269,7 @@
             request = self.out()
             self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"")
         request = self.out()
-        self.dispatch._cancel(300_000, api.Cancel(request.id, 0))
+        self.dispatch.actions.cancel(300_000, api.Cancel(request.id, 0))
         late = self.out(at=100_000)
         self.sweep(5_000_000)
         rows = {row.cause: row for row in self.rows()}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -138,7 +138,7 @@
     def test_what_the_fleet_has_no_room_for_is_not_started_and_the_brain_hears_so(self):
         """A probe without a place in the fleet's budget never leaves; the list is asked for again later."""
         spent = []
-        self.dispatch.may_spend = lambda now, budget: bool(spent.append(budget))
+        self.dispatch.observer.may_spend = lambda now, budget: bool(spent.append(budget))
         self.arrive(api.Probe(1), api.Subscribe())
         self.assertEqual((spent, self.ports.probes), (["probes", "lists"], []))
         told = [api.ProbeEnded(1, Outcome.MOOT), api.WorkerList(api.ListKind.FAILED, [])]
@@ -183,9 +183,9 @@
         second = self.ports.sent[1]
         self.assertIs(self.dispatch.blocking_outcome(840_000, second), Outcome.MOOT)
         self.assertIs(self.dispatch.blocking_outcome(5_000_000, second), Outcome.MOOT)
-        self.dispatch.fence = lambda now: False
+        self.dispatch.observer.may_send = lambda now: False
         self.assertIs(self.dispatch.blocking_outcome(1, second), Outcome.DROPPED)
-        self.dispatch.fence = None
+        del self.dispatch.observer.may_send
         self.dispatch.on_endpoint_list(
             2, api.WorkerList(api.ListKind.DELTA, [entry(1, api.WorkerState.DRAINING)])
         )
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -36,9 +36,7 @@
     def __init__(self, clock: Clock, name: str, peer: str) -> None:
         workers = {n: SimpleNamespace(strikes=0, heard_at=0) for n in range(4)}
         self.heard: list[tuple[int, int]] = []
-        dispatch = SimpleNamespace(
-            balancer=SimpleNamespace(workers=workers), hears=None, on_peer_report=self._told
-        )
+        dispatch = SimpleNamespace(balancer=SimpleNamespace(workers=workers), on_peer_report=self._told)
         entries = {n: api.WorkerEntry(n, api.WorkerState.READY) for n in workers}
         names = {n: f"e{n}" for n in workers}
         reader = SimpleNamespace(names=names, numbers={name: n for n, name in names.items()})
@@ -82,7 +80,7 @@
                 self.b.take(word)
 
     def hears(self, worker: int = 1) -> None:
-        self.a.gossip.hears(self.clock.at, worker, (3.0, 1.0))
+        self.a.gossip.on_report(self.clock.at, worker, (3.0, 1.0))
 
     def test_what_is_heard_is_told_once_and_never_passed_on(self):
         self.carry()
