--- a/cedarmill/core/actions.py
+++ b/cedarmill/core/actions.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from cedarmill.core.requests import Attempt, Failed, Probe, Refused
-from cedarmill.deadlines import propagation as budgets
+from cedarmill.deadlines import propagation
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 from cedarmill.log import say
@@ -45,10 +45,10 @@
         attempt = Attempt(request, len(request.attempts), action.worker, now)
         request.attempts.append(attempt)
         too_many = attempt.number >= dispatch.balancer.settings.max_attempts
-        if too_many or not dispatch.budget.may_start(now, request.claim):
+        if too_many or not dispatch.deadline_tracker.may_start(now, request.claim):
             dispatch.attempt_ended(now, attempt, Outcome.MOOT)
             return
-        if not dispatch.budget.worth_starting(now, request.claim):
+        if not dispatch.deadline_tracker.worth_starting(now, request.claim):
             ran = any(a.outcome not in api.NEVER_RAN for a in request.attempts if a is not attempt)
             dispatch.give_final_answer(now, request.id, Failed() if ran else Refused())
             dispatch.attempt_ended(now, attempt, Outcome.MOOT)
@@ -67,8 +67,8 @@
         request = self.dispatch.requests.get(action.request)
         if request is None or (attempt := request.attempts[action.attempt]).outcome is not None:
             return
-        self.dispatch.budget.step(now, budgets.Cut(request.claim, attempt.number))
-        never_ran = request.claim.state is budgets.State.LEFT and not attempt.written
+        self.dispatch.deadline_tracker.step(now, propagation.AttemptAbandoned(request.claim, attempt.number))
+        never_ran = request.claim.state is propagation.ClaimState.CLIENT_LEFT and not attempt.written
         self.give_up(now, attempt, Outcome.MOOT if never_ran else Outcome.CANCELLED)
 
     def give_up(self, now: int, attempt: Attempt, outcome: Outcome, now_or_never: bool = False) -> None:
--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -13,7 +13,7 @@
 from cedarmill.core.ports import AbsentClient, ClientPort, DiscoveryPort, ExecutorPort
 from cedarmill.core.requests import Attempt, Failed, FinalAnswer, Probe, Refused, Request, Served
 from cedarmill.core.timers import Timers
-from cedarmill.deadlines import propagation as budgets
+from cedarmill.deadlines import propagation
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.interface import Outcome
@@ -21,6 +21,7 @@
 from cedarmill.values import DeadlineOptions
 
 HOLD_UP_US = 150_000  # a node may be held up so long between its clock and its write (standing test)
+WAY_TICKS = 2  # of the settings' clock: what is written arrives within them
 
 
 class Dispatch:
@@ -32,10 +33,11 @@
         timers: Timers,
         executors: ExecutorPort,
         discovery: DiscoveryPort,
-        budget: budgets.Budget | None = None,
+        deadline_tracker: propagation.DeadlineTracker | None = None,
     ) -> None:
         self.balancer, self.timers = balancer, timers
-        self.budget = budget or budgets.Budget(DeadlineOptions(), len(balancer.settings.classes))
+        classes = len(balancer.settings.classes)
+        self.deadline_tracker = deadline_tracker or propagation.DeadlineTracker(DeadlineOptions(), classes)
         self.executors, self.discovery = executors, discovery
         self.observer = DispatchObserver()
         self.requests: dict[int, Request] = {}
@@ -55,13 +57,13 @@
         self._count += 1
         arrival.request = self._count
         self.observer.place_request(arrival)
-        claim = budgets.Claim(arrival.job_class, arrival.slots, due)
+        claim = propagation.Claim(arrival.job_class, arrival.slots, due)
         spec = self.balancer.settings.classes[arrival.job_class]
         request = Request(self._count, client, payload, spec, claim)
         self.requests[request.id] = request
         self.unanswered += 1
         request.timer = self.timers.add(due, partial(self._on_deadline, request=request))
-        if self.budget.step(now, budgets.Arrived(claim)):  # hopeless: nothing has begun, no is harmless
+        if self.deadline_tracker.step(now, propagation.RequestArrived(claim)):  # hopeless, and nothing ran
             self.give_final_answer(now, request.id, Refused())
         else:
             self.deliver(now, arrival, request)
@@ -71,16 +73,19 @@
         """The client has gone: it gets no answer, and nothing more starts for it."""
         if request.answered:
             return
-        if self.budget.options.on_leave == "ignore":
+        if self.deadline_tracker.options.on_leave == "ignore":
             request.client = AbsentClient()
             return
         unwritten = tuple(a.number for a in request.attempts if a.outcome is None and not a.written)
-        recalls = self.budget.step(now, budgets.Left(request.claim, unwritten))
+        left = propagation.ClientLeft(request.claim, unwritten)
+        recalls = self.deadline_tracker.step(now, left)
         self._close(request)
         # first, or the balancer would place it once more
         self.deliver(now, api.RequestWithdrawn(request.id), request)
-        for attempt in [request.attempts[recall.number] for recall in recalls]:
-            if attempt.outcome is None:
+        for recall in recalls:
+            if not isinstance(recall, propagation.RecallAttempt):
+                continue
+            if (attempt := request.attempts[recall.number]).outcome is None:
                 self.actions.give_up(now, attempt, Outcome.MOOT)
         for probe in [probe for probe in request.probes if not probe.written]:
             self.actions.recall(now, probe)
@@ -99,7 +104,7 @@
         """Its last byte has left: from now on it may run."""
         if not attempt.written and attempt.outcome is None:
             attempt.written = True
-            self.budget.step(now, budgets.Written(attempt.request.claim, attempt.number))
+            self.deadline_tracker.step(now, propagation.AttemptWritten(attempt.request.claim, attempt.number))
 
     def attempt_started(self, now: int, attempt: Attempt) -> None:
         """The executor began to run it."""
@@ -124,20 +129,21 @@
             return
         attempt.outcome, request = outcome, attempt.request
         unobserved = attempt.end_unobserved and outcome in (Outcome.CANCELLED, Outcome.TIMEOUT)
-        self.budget.step(now, budgets.Ended(request.claim, attempt.number, outcome, unobserved))
+        ended = propagation.AttemptEnded(request.claim, attempt.number, outcome, unobserved)
+        self.deadline_tracker.step(now, ended)
         if outcome == Outcome.OK:
             self.give_final_answer(now, request.id, Served(result))
         # where no attempt can follow, none is spent of the fleet's budget
         over = request.answered or outcome == Outcome.MOOT or now >= request.due
         more = over or self.observer.may_retry(now)
         tries = api.ANY_TRIES if more else len(request.attempts)
-        ended = api.AttemptEnded(
+        event = api.AttemptEnded(
             request.id, attempt.number, attempt.executor, outcome, request.answered, report, tries
         )
         self.observer.on_attempt_ended(now, attempt)
         if report:
             self.observer.on_report(now, attempt.executor, report)
-        self.deliver(now, ended, request)
+        self.deliver(now, event, request)
         self._forget_if_finished(request)
 
     def probe_ended(
@@ -187,11 +193,12 @@
         executor may take it, and this one is not to blame.
         """
         request = attempt.request
-        if attempt.outcome is not None or not self.budget.may_start(now, request.claim):
+        if attempt.outcome is not None or not self.deadline_tracker.may_start(now, request.claim):
             return Outcome.MOOT
         if not request.client.present():  # its close may wait unread where the loop was held up
             return Outcome.MOOT
-        if not self._within_repeat_window(now, attempt):
+        on_the_way = HOLD_UP_US + WAY_TICKS * self.balancer.settings.tick_us
+        if not attempt.within_repeat_window(now + on_the_way):  # also if this node is held up at the write
             return Outcome.MOOT
         if not self.observer.may_send(now):
             return Outcome.DROPPED
@@ -199,15 +206,6 @@
             return Outcome.DROPPED
         return None
 
-    def _within_repeat_window(self, now: int, attempt: Attempt) -> bool:
-        """Whether it would arrive before repeats count anew, also if this node is held up at the write."""
-        request = attempt.request
-        if request.spec.effect != api.Effect.KEYED:
-            return True
-        arrives = now + HOLD_UP_US + 2 * self.balancer.settings.tick_us  # the ticks are the way there
-        ran = [a for a in request.attempts if a is not attempt and a.outcome not in api.NEVER_RAN]
-        return all(arrives < a.sent_at + request.spec.repeat_window_us for a in ran)
-
     def busy_executors(self) -> set[int]:
         """Executors with attempts that have not ended."""
         attempts = [attempt for request in self.requests.values() for attempt in request.attempts]
@@ -215,7 +213,7 @@
 
     def may_probe(self, probe: Probe) -> bool:
         """Whether a probe may still be written: not for the sake alone of a client that has left."""
-        return probe.request is None or probe.request.claim.state is not budgets.State.LEFT
+        return probe.request is None or probe.request.claim.state is not propagation.ClaimState.CLIENT_LEFT
 
     def may_connect(self, now: int) -> bool:
         """Whether a connection may be opened now, where a fleet has set a budget of them."""
@@ -265,7 +263,7 @@
         request = self.requests.get(number)
         if request is None or request.answered:
             return
-        self.budget.step(now, budgets.Answered(request.claim))
+        self.deadline_tracker.step(now, propagation.RequestAnswered(request.claim))
         self._close(request)
         self.observer.on_final_answer(now, request, answer)
         try:
@@ -285,7 +283,7 @@
 
     def _on_deadline(self, now: int, request: Request) -> None:
         """Time out the attempts, and fail the request unless the balancer answers it."""
-        self.budget.step(now, budgets.RanOut(request.claim))
+        self.deadline_tracker.step(now, propagation.DeadlinePassed(request.claim))
         for attempt in request.attempts:
             if attempt.outcome is None:
                 self.actions.give_up(now, attempt, Outcome.TIMEOUT, now_or_never=True)
--- a/cedarmill/core/requests.py
+++ b/cedarmill/core/requests.py
@@ -8,7 +8,7 @@
 
 from cedarmill.core.ports import ClientPort
 from cedarmill.core.timers import Timer
-from cedarmill.deadlines import propagation as budgets
+from cedarmill.deadlines import propagation
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 
@@ -53,7 +53,7 @@
     __slots__ = ("answered", "attempts", "claim", "client", "due", "id", "payload", "probes", "spec", "timer")
 
     def __init__(
-        self, number: int, client: ClientPort, payload: Any, spec: api.JobClass, claim: budgets.Claim
+        self, number: int, client: ClientPort, payload: Any, spec: api.JobClass, claim: propagation.Claim
     ) -> None:
         self.id, self.client, self.payload, self.spec = number, client, payload, spec
         self.claim, self.due = claim, claim.due
@@ -94,6 +94,14 @@
         self.written = False  # whether its last byte has left: only then may it run
         self.end_unobserved = True  # whether a cancel's effect at the executor is not seen; the port knows
 
+    def within_repeat_window(self, arrives: int) -> bool:
+        """Whether it arrives (us) before executors count a repeat of its request anew; keyed ones only."""
+        request = self.request
+        if request.spec.effect != api.Effect.KEYED:
+            return True
+        ran = [a for a in request.attempts if a is not self and a.outcome not in api.NEVER_RAN]
+        return all(arrives < a.sent_at + request.spec.repeat_window_us for a in ran)
+
 
 class Probe:
     """One probe, and the request that it is for, if any; `exchange` belongs to the executor port."""
--- a/cedarmill/deadlines/__init__.py
+++ b/cedarmill/deadlines/__init__.py
@@ -1,4 +1,4 @@
-"""Deadlines end to end: what a req may still spend, who has left, what is still worth starting.
+"""Deadlines end to end: the time that a request may still spend, who has left, what is worth starting.
 
-No I/O and no clock: `Budget.step(now, event)` gives actions, all times are whole microseconds.
+No I/O and no clock: `DeadlineTracker.step(now, event)` returns actions, all times are whole microseconds.
 """
--- a/cedarmill/deadlines/margins.py
+++ b/cedarmill/deadlines/margins.py
@@ -6,12 +6,15 @@
 
 from cedarmill.values import DeadlineOptions
 
-GAIN, SPREAD_GAIN, SPREADS = 1 / 8, 1 / 4, 4  # RFC 6298, section 2: alpha, beta, K
-SHARE = 10  # a margin takes at most this part of the budget: a short one must not vanish in it
+# RFC 6298, section 2: alpha, beta, K
+MEAN_GAIN = 1 / 8
+SPREAD_GAIN = 1 / 4
+SPREADS = 4
+BUDGET_PARTS = 10  # a margin takes at most one of these parts of the budget: a short one must not vanish
 
 
-class Estimate:
-    """A time that is measured again and again, and a bound that it seldom passes (RFC 6298)."""
+class BoundEstimate:
+    """A time that is measured again and again, and a bound that it seldom passes (RFC 6298, us)."""
 
     __slots__ = ("mean", "spread")
 
@@ -25,7 +28,7 @@
             self.mean, self.spread = float(sample), sample / 2
             return
         self.spread += (abs(self.mean - sample) - self.spread) * SPREAD_GAIN
-        self.mean += (sample - self.mean) * GAIN
+        self.mean += (sample - self.mean) * MEAN_GAIN
 
     def bound(self) -> int:
         """The bound (us); 0 while nothing is measured."""
@@ -33,38 +36,38 @@
 
 
 class Margins:
-    """The margins of one node: towards its clients, and towards each backend."""
+    """The margins of one node: towards its clients, and towards each executor."""
 
     def __init__(self, options: DeadlineOptions) -> None:
         self.options = options
         self.learned = options.margin == "learned"
-        self.lag = Estimate()  # from a deadline to the sweep that obeys it
-        self.trips: dict[int, Estimate] = {}  # to each backend and back
+        self.lag = BoundEstimate()  # from a deadline to the sweep that obeys it
+        self.round_trips: dict[int, BoundEstimate] = {}  # to each executor and back
 
     def _within(self, margin: int, budget: int) -> int:
         options = self.options
         margin = min(max(margin, options.margin_floor_us), options.margin_us)
-        return min(margin, budget // SHARE)
+        return min(margin, budget // BUDGET_PARTS)
 
-    def answer(self, budget: int) -> int:
-        """Kept back so that the answer leaves in time: this node's own lag."""
+    def for_answer(self, budget: int) -> int:
+        """Return what is kept back (us) so that the answer leaves in time: this node's own lag."""
         if not self.learned:
-            return min(self.options.margin_us, budget // SHARE)
+            return min(self.options.margin_us, budget // BUDGET_PARTS)
         return self._within(self.lag.bound(), budget)
 
-    def passed_on(self, worker: int, rest: int) -> int:
-        """What a backend is told of the rest: less the way there and back, at least 0, at most the rest."""
+    def remaining_for_executor(self, executor: int, rest: int) -> int:
+        """Return what an executor is told of the rest (us): less the way there and back, 0 to the rest."""
         if not self.learned or rest <= 0:
             return max(0, rest)
-        trip = self.trips.get(worker)
-        return rest - self._within(trip.bound() if trip else 0, rest)
+        round_trip = self.round_trips.get(executor)
+        return rest - self._within(round_trip.bound() if round_trip else 0, rest)
 
-    def trip(self, worker: int, took: int) -> None:
-        """A round trip to a backend was measured (us): one that opens a connection is the network's alone."""
+    def record_round_trip(self, executor: int, took: int) -> None:
+        """Learn a round trip to an executor (us): one that opens a connection is the network's alone."""
         if self.learned:
-            self.trips.setdefault(worker, Estimate()).learn(took)
+            self.round_trips.setdefault(executor, BoundEstimate()).learn(took)
 
-    def late(self, by: int) -> None:
-        """A deadline was obeyed so much after it was due (us)."""
+    def record_lag(self, lag: int) -> None:
+        """Learn that a deadline was obeyed so much after it was due (us)."""
         if self.learned:
-            self.lag.learn(max(0, by))
+            self.lag.learn(max(0, lag))
--- a/cedarmill/deadlines/sources.py
+++ b/cedarmill/deadlines/sources.py
@@ -7,6 +7,7 @@
 
 import re
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 
 from cedarmill.values import DeadlineOptions
 
@@ -15,39 +16,52 @@
 MAX_DIGITS = 15  # of a whole number in a header: more is no time that a client waits
 
 
-class BadDeadline(ValueError):
-    """A header that holds no deadline, named in one line."""
+class InvalidDeadline(ValueError):
+    """A header holds no deadline; the text names it in one line."""
+
+
+class ClocksDiffer(InvalidDeadline):
+    """An absolute deadline that only a clock out of step can have written."""
+
+
+@dataclass(frozen=True, slots=True)
+class Bounds:
+    """What a reader of a header needs beside it."""
+
+    options: DeadlineOptions
+    longest_us: int  # the class's give-up time
+    unix_us: int  # Unix time when the request came
 
 
 def _whole(name: str, text: bytes) -> int:
     if not text.isdigit() or len(text) > MAX_DIGITS:
-        raise BadDeadline(f"bad {name}")
+        raise InvalidDeadline(f"bad {name}")
     return int(text)
 
 
-def _milliseconds(name: str, text: bytes, unix_us: int, options: DeadlineOptions, longest_us: int) -> int:
+def _milliseconds(name: str, text: bytes, bounds: Bounds) -> int:
     return _whole(name, text) * 1000
 
 
-def _grpc(name: str, text: bytes, unix_us: int, options: DeadlineOptions, longest_us: int) -> int:
+def _grpc(name: str, text: bytes, bounds: Bounds) -> int:
     if (match := _GRPC.fullmatch(text)) is None:
-        raise BadDeadline(f"bad {name}")
+        raise InvalidDeadline(f"bad {name}")
     return int(match[1]) * _GRPC_NS[match[2]] // 1000
 
 
-def _absolute(name: str, text: bytes, unix_us: int, options: DeadlineOptions, longest_us: int) -> int:
-    """The rest by our clock, less the bound on the clocks' difference: a fast front makes nobody late.
+def _absolute(name: str, text: bytes, bounds: Bounds) -> int:
+    """Return the rest by our clock, less the bound on the clocks' difference: a fast front makes nobody late.
 
-    A rest that no req of the class can have shows that the clocks differ by more than the bound, and says
+    A rest that no request of the class can have shows that the clocks differ by more than the bound, and says
     nothing else.
     """
-    rest = _whole(name, text) * 1000 - unix_us
-    if rest > longest_us + options.skew_us:
-        raise BadDeadline(f"bad {name}: {rest // 1000} ms ahead, are the clocks set?")
-    return max(0, rest - options.skew_us)
+    rest = _whole(name, text) * 1000 - bounds.unix_us
+    if rest > bounds.longest_us + bounds.options.skew_us:
+        raise ClocksDiffer(f"bad {name}: {rest // 1000} ms ahead, are the clocks set?")
+    return max(0, rest - bounds.options.skew_us)
 
 
-_READERS: dict[str, Callable[[str, bytes, int, DeadlineOptions, int], int]] = {
+_READERS: dict[str, Callable[[str, bytes, Bounds], int]] = {
     "x-budget-ms": _milliseconds,
     "grpc-timeout": _grpc,
     "x-envoy-expected-rq-timeout-ms": _milliseconds,
@@ -55,18 +69,21 @@
 }
 
 
-def granted(headers: Mapping[bytes, bytes], options: DeadlineOptions, longest_us: int, unix_us: int) -> int:
-    """The microseconds that the client still waits: the tightest of what its headers say.
+def granted_budget(
+    headers: Mapping[bytes, bytes], options: DeadlineOptions, longest_us: int, unix_us: int
+) -> int:
+    """Return the microseconds that the client still waits: the tightest of what its headers say.
 
     `longest_us` is the class's give-up time and bounds it; `unix_us` the time when the request came, read
-    for absolute deadlines only. 0 says that the deadline is past. Raises BadDeadline for one that is
-    malformed, or where no header says anything.
+    for absolute deadlines only. 0 says that the deadline is past. Raises InvalidDeadline for one that is
+    malformed, or where no header says anything; ClocksDiffer, one of its kind, where clocks are out of step.
     """
-    found = [
-        _READERS[name](name, text, unix_us, options, longest_us)
+    bounds = Bounds(options, longest_us, unix_us)
+    budgets = [
+        _READERS[name](name, text, bounds)
         for name in options.sources
         if (text := headers.get(name.encode())) is not None
     ]
-    if not found:
-        raise BadDeadline(f"bad {options.sources[0]}")
-    return min(longest_us, *found)
+    if not budgets:
+        raise InvalidDeadline(f"bad {options.sources[0]}")
+    return min(longest_us, *budgets)
--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/backends.py
@@ -91,7 +91,7 @@
             self.abort()
             return
         trip = self.turn.now() - self.opened_at
-        self.backend.backends.dispatch.budget.margins.trip(self.backend.number, trip)
+        self.backend.backends.dispatch.deadline_tracker.margins.record_round_trip(self.backend.number, trip)
         exchange, self.exchange = self.exchange, None
         self.carry(exchange)
 
--- a/cedarmill/net/exchanges.py
+++ b/cedarmill/net/exchanges.py
@@ -120,8 +120,8 @@
 
     def request(self, now: int) -> bytes:
         message = self.attempt.request.payload
-        margins = self.backends.dispatch.budget.margins
-        rest = margins.passed_on(self.backend.number, self.attempt.request.due - now)
+        margins = self.backends.dispatch.deadline_tracker.margins
+        rest = margins.remaining_for_executor(self.backend.number, self.attempt.request.due - now)
         lines = [b"%s %s HTTP/1.1" % (message.method, message.target),
                  b"Host: " + str(self.backend.address.host).encode()]  # fmt: skip
         lines += [b"%s: %s" % (n, message.headers[n]) for n in PASSED_ON if n in message.headers]
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -12,7 +12,7 @@
 from cedarmill import log
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timers
-from cedarmill.deadlines.propagation import Budget
+from cedarmill.deadlines.propagation import DeadlineTracker
 from cedarmill.decisions.brain import Brain
 from cedarmill.log import say
 from cedarmill.net import door
@@ -64,14 +64,14 @@
         own += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
         self.limits = Limits(sockets, own, config.limits.memory_mb, OWN_MEMORY_MB, SESSION_MB)
         room = share(self.limits, [])
-        self.budget = Budget(options.deadlines, len(settings.classes))
+        self.deadline_tracker = DeadlineTracker(options.deadlines, len(settings.classes))
         self.clients = Clients(self.turn, settings, room.sessions, options.deadlines)
         self.backends = Backends(self.turn, settings, room.connections, options)
         self.discovery = DiscoveryClient(
             self.turn, settings, config.discovery, self.backends, Random(config.seed)
         )
         brain = Brain(settings, config.seed)
-        self.dispatch = Dispatch(brain, self.timers, self.backends, self.discovery, self.budget)
+        self.dispatch = Dispatch(brain, self.timers, self.backends, self.discovery, self.deadline_tracker)
         self.beside = Beside(self.turn, self.discovery, config.name, self._holds, self._share)
         for adapter in (self.clients, self.backends, self.discovery, self.beside):
             adapter.dispatch = self.dispatch
@@ -163,7 +163,8 @@
     def _account(self, quiet: bool = False) -> None:
         """Tell what was spent for nobody; when asked by a signal, also that it was nothing."""
         names = [spec.name for spec in self.config.settings.classes]
-        rows = [row._replace(job_class=names[row.job_class])._asdict() for row in self.budget.ledger.take()]
+        spent = self.deadline_tracker.ledger.take()
+        rows = [row._replace(job_class=names[row.job_class])._asdict() for row in spent]
         summary = "; ".join(SPENT.format(**{**row, "before": row["before"] / 1e6, "after": row["after"] / 1e6,
                                             "guessed": row["guessed"] / 1e6}) for row in rows)  # fmt: skip
         if rows or not quiet:
--- a/cedarmill/net/sessions.py
+++ b/cedarmill/net/sessions.py
@@ -9,7 +9,7 @@
 import httptools
 
 from cedarmill.core.requests import Request
-from cedarmill.deadlines.sources import BadDeadline, granted
+from cedarmill.deadlines.sources import ClocksDiffer, InvalidDeadline, granted_budget
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.hangup import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
@@ -438,12 +438,12 @@
         clients = self.clients
         unix = time.time_ns() // 1000 - (self.turn.now() - message.began_at)
         try:
-            budget = granted(message.headers, clients.options, longest, unix)
-        except BadDeadline as error:
-            if "clocks" in str(error):
+            budget = granted_budget(message.headers, clients.options, longest, unix)
+        except InvalidDeadline as error:
+            if isinstance(error, ClocksDiffer):
                 say("clock-off", reason=str(error))
             raise BadMessage(400, str(error)) from None
-        due = message.began_at + budget - clients.dispatch.budget.margins.answer(budget)
+        due = message.began_at + budget - clients.dispatch.deadline_tracker.margins.for_answer(budget)
         return min(due, clients.answer_by) if clients.answer_by else due
 
     def _recall(self, message: Message, path: bytes) -> None:
--- a/tests/test_broken_sockets.py
+++ b/tests/test_broken_sockets.py
@@ -188,7 +188,7 @@
         loop = SimpleNamespace(call_later=lambda delay, call: SimpleNamespace(cancel=lambda: None))
         clients = Clients(Turn(loop, Timers()), settings(SAFE), 8, DeadlineOptions())
         clients.dispatch, request = Mock(), Mock(answered=False)
-        clients.dispatch.budget.margins.answer.return_value = 0
+        clients.dispatch.deadline_tracker.margins.for_answer.return_value = 0
         clients.dispatch.arrive.return_value = request
         clients.classes = {"pin": 0}
         session, transport = ClientSession(clients), FakeTransport()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -12,11 +12,11 @@
 
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timers
-from cedarmill.deadlines import propagation as budgets
+from cedarmill.deadlines import propagation
 from cedarmill.deadlines.margins import Margins
-from cedarmill.deadlines.sources import BadDeadline, granted
-from cedarmill.deadlines.waste_ledger import Cause, Row
-from cedarmill.deadlines.worth_starting import Quantile
+from cedarmill.deadlines.sources import ClocksDiffer, InvalidDeadline, granted_budget
+from cedarmill.deadlines.waste_ledger import Cause, WasteRow
+from cedarmill.deadlines.worth_starting import RunningTimeQuantile
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.brain import Brain
 from cedarmill.decisions.interface import Group, Outcome
@@ -29,7 +29,7 @@
 
 def read(**headers: str) -> int:
     named = {name.replace("_", "-").encode(): value.encode() for name, value in headers.items()}
-    return granted(named, ALL, LONGEST, UNIX)
+    return granted_budget(named, ALL, LONGEST, UNIX)
 
 
 class SourceTest(unittest.TestCase):
@@ -56,16 +56,19 @@
                             ("x_budget_ms", "1e3"), ("x_budget_ms", ""),
                             ("x_deadline_unix_ms", "soon"),
                             ("x_envoy_expected_rq_timeout_ms", "9" * 16)):  # fmt: skip
-            with self.subTest(name, value=value), self.assertRaisesRegex(BadDeadline, name.replace("_", "-")):
+            with (
+                self.subTest(name, value=value),
+                self.assertRaisesRegex(InvalidDeadline, name.replace("_", "-")),
+            ):
                 read(**{"x_budget_ms": "100", name: value})
-        with self.assertRaises(BadDeadline):
+        with self.assertRaises(InvalidDeadline):
             read()
 
     def test_a_front_whose_clock_is_5_s_off_makes_nobody_late_unseen(self):
         """5 s behind: past, nothing starts. 5 s ahead: refused once it shows, else the relative one holds."""
         unix_ms = UNIX // 1000
         self.assertEqual(read(x_deadline_unix_ms=str(unix_ms + 4000 - 5000)), 0)
-        with self.assertRaisesRegex(BadDeadline, "clocks"):
+        with self.assertRaisesRegex(ClocksDiffer, "clocks"):
             read(x_deadline_unix_ms=str(unix_ms + 2000 + 5000))
         self.assertEqual(read(x_deadline_unix_ms=str(unix_ms + 500 + 5000), x_budget_ms="500"), 500_000)
 
@@ -74,7 +77,7 @@
         """An absolute deadline is worth as much as the bound on the clocks: it is taken off in full."""
         at_front = UNIX + off + rest  # what the front writes for a rest that is true
         headers = {b"x-deadline-unix-ms": str(at_front // 1000).encode()}
-        self.assertLessEqual(granted(headers, ALL, LONGEST, UNIX), rest)
+        self.assertLessEqual(granted_budget(headers, ALL, LONGEST, UNIX), rest)
 
 
 class MarginsTest(unittest.TestCase):
@@ -86,8 +89,8 @@
         """Whatever was measured, a margin is bounded, and a tenth of a short budget at most."""
         margins = self.learned()
         for trip in trips:
-            margins.trip(1, trip)
-        passed = margins.passed_on(1, rest)
+            margins.record_round_trip(1, trip)
+        passed = margins.remaining_for_executor(1, rest)
         self.assertLessEqual(passed, rest)
         self.assertGreaterEqual(passed, rest - min(margins.options.margin_us, rest // 10))
 
@@ -97,10 +100,10 @@
         for trip in (*trips, 0):
             margins = self.learned()
             for _ in range(50):
-                margins.late(lag)
-                margins.trip(1, trip)
-            due = rest - margins.answer(rest)
-            passed = margins.passed_on(1, due)
+                margins.record_lag(lag)
+                margins.record_round_trip(1, trip)
+            due = rest - margins.for_answer(rest)
+            passed = margins.remaining_for_executor(1, due)
             self.assertLessEqual(passed + trip + lag, rest)  # its answer is back before this hop's own ends
             given_away += rest - passed
             rest = passed
@@ -110,15 +113,15 @@
     def test_fixed_margins_are_the_platforms(self):
         """20 ms, a tenth of a short budget, and nothing more kept back from a backend."""
         margins = Margins(DeadlineOptions())
-        margins.trip(1, 9_000)
-        self.assertEqual([margins.answer(1_000_000), margins.answer(50_000)], [20_000, 5_000])
-        self.assertEqual(margins.passed_on(1, 700), 700)
+        margins.record_round_trip(1, 9_000)
+        self.assertEqual([margins.for_answer(1_000_000), margins.for_answer(50_000)], [20_000, 5_000])
+        self.assertEqual(margins.remaining_for_executor(1, 700), 700)
 
 
 class WorthTest(unittest.TestCase):
     def test_a_quantile_is_near_the_true_one_and_follows_a_change(self):
         """Turned away by a quantile of last month, every request of a faster fleet would be refused."""
-        draw, quantile = random.Random(5), Quantile(0.9)
+        draw, quantile = random.Random(5), RunningTimeQuantile(0.9)
         for mean in (500_000, 50_000):
             for _ in range(4_000):
                 quantile.learn(int(draw.expovariate(1 / mean)))
@@ -126,7 +129,7 @@
 
     def test_few_samples_turn_nobody_away(self):
         """A first slow job must not close a class."""
-        quantile = Quantile(0.9)
+        quantile = RunningTimeQuantile(0.9)
         for _ in range(19):
             quantile.learn(5_000_000)
         self.assertEqual(quantile.value(), 0)
@@ -144,8 +147,8 @@
 
     def begin(self) -> None:
         self.ports, self.timers = Ports(), Timers()
-        budget = budgets.Budget(self.options, 1)
-        self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports, budget)
+        deadline_tracker = propagation.DeadlineTracker(self.options, 1)
+        self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports, deadline_tracker)
         self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
 
     def arrive(self, *replies, due: int = 5_000_000):
@@ -158,8 +161,8 @@
         self.dispatch.attempt_written(at, request.attempts[0])
         return request
 
-    def rows(self) -> list[Row]:
-        return self.dispatch.budget.ledger.take()
+    def rows(self) -> list[WasteRow]:
+        return self.dispatch.deadline_tracker.ledger.take()
 
     def sweep(self, now: int) -> None:
         for call in self.timers.sweep(now):
@@ -226,7 +229,7 @@
 
     def test_the_first_answer_counts_where_a_client_leaves_with_two_copies_out(self):
         """Both orders: nobody is answered after leaving, and the loser is charged to its cause."""
-        for leaves_first, cause in ((True, Cause.LEFT), (False, Cause.LOST_RACE)):
+        for leaves_first, cause in ((True, Cause.CLIENT_LEFT), (False, Cause.LOST_RACE)):
             self.begin()
             request = self.arrive(api.Send(1, 1), api.Send(1, 2))
             for attempt in request.attempts:
@@ -252,7 +255,7 @@
         self.dispatch.withdraw(1_000_000, request)
         self.assertIsNone(request.attempts[0].outcome)
         self.dispatch.attempt_ended(1_800_000, request.attempts[0], Outcome.OK, None, b"for nobody")
-        self.assertEqual(self.rows(), [Row(0, Cause.LEFT, 1, 1_000_000, 800_000, 0)])
+        self.assertEqual(self.rows(), [WasteRow(0, Cause.CLIENT_LEFT, 1, 1_000_000, 800_000, 0)])
         self.assertEqual((self.ports.answers, self.dispatch.requests), ([], {}))
 
     def test_one_that_could_not_be_cut_and_answers_was_spent_for_somebody(self):
@@ -273,10 +276,12 @@
         late = self.out(at=100_000)
         self.sweep(5_000_000)
         rows = {row.cause: row for row in self.rows()}
-        self.assertEqual(set(rows), {Cause.CUT, Cause.OVERDUE})
-        self.assertEqual((rows[Cause.CUT].before, rows[Cause.CUT].after), (300_000, 0))
-        self.assertAlmostEqual(rows[Cause.CUT].guessed, 500_000, delta=1_000)
-        self.assertEqual((rows[Cause.OVERDUE].before, rows[Cause.OVERDUE].guessed), (4_900_000, 0))
+        self.assertEqual(set(rows), {Cause.ABANDONED, Cause.DEADLINE_PASSED})
+        self.assertEqual((rows[Cause.ABANDONED].before, rows[Cause.ABANDONED].after), (300_000, 0))
+        self.assertAlmostEqual(rows[Cause.ABANDONED].guessed, 500_000, delta=1_000)
+        self.assertEqual(
+            (rows[Cause.DEADLINE_PASSED].before, rows[Cause.DEADLINE_PASSED].guessed), (4_900_000, 0)
+        )
         self.assertEqual((late.attempts[0].outcome, self.rows()), (Outcome.TIMEOUT, []))
 
     def test_a_deadline_that_is_past_or_shorter_than_a_probe_starts_nothing_slow(self):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -149,7 +149,7 @@
             self.assertEqual(list(clients.classes), [spec.name for spec in settings.classes])
             self.assertEqual(list(clients.tenants), [tenant.name for tenant in settings.tenants])
             self.assertEqual(clients.deadlines, [spec.deadline_us for spec in settings.classes])
-            self.assertEqual(len(dispatch.budget.usual), len(settings.classes))
+            self.assertEqual(len(dispatch.deadline_tracker.mean_running_us), len(settings.classes))
 
 
 class Serving(NodeCase):
