--- a/cedarmill/net/discovery.py
+++ b/cedarmill/net/discovery.py
@@ -8,7 +8,15 @@
 
 import httptools
 
-from cedarmill.core.discovery_watch import Action, Call, Close, Connect, Event, ListWatch, Lost
+from cedarmill.core.discovery_watch import (
+    Action,
+    CloseConnection,
+    Connect,
+    DiscoveryWatch,
+    ReportLoss,
+    SendCall,
+    WatchEvent,
+)
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timer
 from cedarmill.decisions import interface as api
@@ -59,7 +67,7 @@
         if self.over:
             abort_quietly(transport)
             return
-        self.client.happened(Event.CONNECTED)
+        self.client.happened(WatchEvent.CONNECTED)
 
     def call(self, index: int) -> None:
         """Ask for what has changed since that version."""
@@ -78,7 +86,9 @@
         except Exception as error:
             self.broken(f"malformed answer: {error.__context__ or error}")
         if not self.over:
-            self.client.happened(Event.HEARD_PART if self.lists.partial else Event.HEARD)
+            self.client.happened(
+                WatchEvent.PARTIAL_LIST_RECEIVED if self.lists.partial else WatchEvent.DATA_RECEIVED
+            )
             if self.listed and not self.lists.partial:
                 self.client.current_at = self.turn.now()
 
@@ -114,7 +124,7 @@
     def broken(self, reason: str) -> None:
         """The connection is of no more use."""
         if not self.over:
-            self.client.happened(Event.BROKEN, reason)
+            self.client.happened(WatchEvent.CALL_FAILED, reason)
 
     def close(self) -> None:
         """The one end of a connection, as the state machine orders it."""
@@ -135,7 +145,7 @@
         self.reader = ListReader(settings)
         self.index = 0
         self.pushed = not settings.on_request_discovery
-        self.watching = ListWatch(settings.instances, self.pushed, random or Random())
+        self.watching = DiscoveryWatch(settings.instances, self.pushed, random or Random())
         self.connection: WatchConnection | None = None
         self._deadline: Timer | None = None
         self.told: bool | None = None  # whether the log's last word is that it watches
@@ -161,7 +171,7 @@
 
     def news(self, listing: Listing) -> None:
         """A list that the watch has brought."""
-        self.watching.listed()
+        self.watching.list_received()
         if not self.told:
             say("watching", index=listing.index, host=self.address.host, port=self.address.port)
             self.told = True
@@ -237,17 +247,17 @@
 
     def watch(self) -> None:
         """Ask for changes from now on, and again whenever the watch is lost."""
-        self.happened(Event.ASKED)
+        self.happened(WatchEvent.LIST_WANTED)
 
     def move(self, address: Address) -> None:
         """Discovery is elsewhere now and may count otherwise: the list is out of date till all of it came."""
         self.address, self.index, self.told, self.quiet_until = address, 0, None, 0
         self.current_at = None  # the new one may know executors that the old one never named
-        self.happened(Event.MOVED)
+        self.happened(WatchEvent.ADDRESS_CHANGED)
         news = api.WorkerList(api.ListKind.CACHED, [self._told(entry) for entry in self.entries.values()])
         self.dispatch.on_endpoint_list(self.turn.now(), news)
 
-    def happened(self, event: Event, reason: str = "") -> None:
+    def happened(self, event: WatchEvent, reason: str = "") -> None:
         """Let the state machine take an event, and carry out what it orders."""
         before = self.watching.deadline
         actions = self.watching.step(self.turn.now(), event)
@@ -258,23 +268,23 @@
             self._do(action, reason)
 
     def _due(self, now: int) -> None:
-        self.happened(Event.DUE)
+        self.happened(WatchEvent.TIMER_FIRED)
 
     def _do(self, action: Action, reason: str) -> None:
         match action:
             case Connect():
-                self._connect(paid=action.asked)
-            case Call():
+                self._connect(paid=action.requested)
+            case SendCall():
                 self.connection.call(self.index)
-            case Close():
+            case CloseConnection():
                 self._close()
-            case Lost():
+            case ReportLoss():
                 self._lost(action.reason or reason)
 
     def _connect(self, paid: bool) -> None:
         """Open a connection, if this node may call; what the dispatch asked for it has paid already."""
         if not (paid or self.dispatch.may_call_discovery(self.turn.now())):
-            self.happened(Event.BROKEN, "no list call left to this node by the fleet's budget")
+            self.happened(WatchEvent.CALL_FAILED, "no list call left to this node by the fleet's budget")
             return
         self.connection = WatchConnection(self)
         self.connection.open(self.address)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,7 +6,7 @@
 
 from helpers import settings
 
-from cedarmill.core.discovery_watch import Event, State
+from cedarmill.core.discovery_watch import WatchEvent, WatchState
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
 from cedarmill.net.config import Address, Endpoint, Listing
@@ -35,7 +35,7 @@
     def lose(self, at: int) -> None:
         """The watch that is up, or that opens, breaks; then it is asked for anew, at its deadline."""
         self.turn.now.return_value = at
-        self.discovery.happened(Event.BROKEN, "silence")
+        self.discovery.happened(WatchEvent.CALL_FAILED, "silence")
         due = self.turn.timers.next_due
         self.turn.now.return_value = due
         for call in self.turn.timers.sweep(due):
@@ -45,8 +45,8 @@
     def flap(self, at: int) -> None:
         self.turn.now.return_value = at
         self.discovery.watch()
-        self.discovery.happened(Event.CONNECTED)
-        self.discovery.happened(Event.HEARD)
+        self.discovery.happened(WatchEvent.CONNECTED)
+        self.discovery.happened(WatchEvent.DATA_RECEIVED)
         self.discovery.news(Listing(1, False, []))
         self.lose(at)
 
@@ -66,7 +66,7 @@
         self.discovery.dispatch.may_call_discovery.return_value = False
         self.flap(1)
         self.assertIsNone(self.discovery.connection)
-        self.assertIs(self.discovery.watching.state, State.WAITING)
+        self.assertIs(self.discovery.watching.state, WatchState.WAITING)
 
 
 S = 1_000_000
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -5,12 +5,20 @@
 import unittest
 from random import Random
 
-from cedarmill.core import discovery_watch as list_watch
-from cedarmill.core.discovery_watch import Call, Close, Connect, Event, ListWatch, Lost, State
+from cedarmill.core import discovery_watch
+from cedarmill.core.discovery_watch import (
+    CloseConnection,
+    Connect,
+    DiscoveryWatch,
+    ReportLoss,
+    SendCall,
+    WatchEvent,
+    WatchState,
+)
 from cedarmill.net.list_stream import UNREADABLE, ListStream
 
 MANY = 200  # processes
-TOLD_US = list_watch.TOLD_US
+CHANGE_KNOWN_WITHIN_US = discovery_watch.CHANGE_KNOWN_WITHIN_US
 
 
 def entry(name: str, **fields) -> dict:
@@ -20,24 +28,24 @@
 class Played(unittest.TestCase):
     """A watch that is driven by hand."""
 
-    def watch(self, seed: int = 1, processes: int = MANY, pushed: bool = False) -> ListWatch:
-        return ListWatch(processes, pushed, Random(seed))
+    def watch(self, seed: int = 1, processes: int = MANY, pushed: bool = False) -> DiscoveryWatch:
+        return DiscoveryWatch(processes, pushed, Random(seed))
 
-    def up(self, watch: ListWatch, now: int) -> int:
+    def up(self, watch: DiscoveryWatch, now: int) -> int:
         """Bring it from a wait or from nothing to a call that is written; the time."""
-        if watch.state is State.IDLE:
-            watch.step(now, Event.ASKED)
+        if watch.state is WatchState.IDLE:
+            watch.step(now, WatchEvent.LIST_WANTED)
         else:
             now = watch.deadline
-            self.assertEqual(watch.step(now, Event.DUE), [Connect()])
-        self.assertEqual(watch.step(now, Event.CONNECTED), [Call()])
+            self.assertEqual(watch.step(now, WatchEvent.TIMER_FIRED), [Connect()])
+        self.assertEqual(watch.step(now, WatchEvent.CONNECTED), [SendCall()])
         return now
 
-    def listed(self, watch: ListWatch, now: int) -> int:
+    def listed(self, watch: DiscoveryWatch, now: int) -> int:
         now = self.up(watch, now)
-        watch.step(now, Event.HEARD)
-        watch.listed()
-        self.assertIs(watch.state, State.WATCHING)
+        watch.step(now, WatchEvent.DATA_RECEIVED)
+        watch.list_received()
+        self.assertIs(watch.state, WatchState.WATCHING)
         return now
 
 
@@ -45,62 +53,80 @@
     """A change counts as told six seconds after discovery had it and could be reached."""
 
     def test_the_longest_good_call_after_the_longest_wait_stays_under_the_bound(self):
-        longest = list_watch.RETRY_US + list_watch.CONNECT_US + list_watch.CALL_US
-        self.assertLess(longest, TOLD_US)
+        longest = (
+            discovery_watch.LONGEST_RETRY_US
+            + discovery_watch.CONNECT_TIMEOUT_US
+            + discovery_watch.CALL_TIMEOUT_US
+        )
+        self.assertLess(longest, CHANGE_KNOWN_WITHIN_US)
 
     def test_after_any_loss_the_next_call_is_written_in_time(self):
         """Reachable from the moment at which the call began that failed: the worst one."""
         losses = {
-            "refused": lambda w, now: (w.step(now, Event.BROKEN), now)[1],
-            "never up": lambda w, now: (w.step(w.deadline, Event.DUE), now)[1],
+            "refused": lambda w, now: (w.step(now, WatchEvent.CALL_FAILED), now)[1],
+            "never up": lambda w, now: (w.step(w.deadline, WatchEvent.TIMER_FIRED), now)[1],
             "no answer": lambda w, now: self._silent_call(w, now),
-            "status": lambda w, now: (w.step(now, Event.CONNECTED), w.step(now, Event.BROKEN), now)[2],
-            "silent": lambda w, now: self._silent_watch(w, now, Event.HEARD),
-            "half a line": lambda w, now: self._silent_watch(w, now, Event.HEARD_PART),
+            "status": lambda w, now: (
+                w.step(now, WatchEvent.CONNECTED),
+                w.step(now, WatchEvent.CALL_FAILED),
+                now,
+            )[2],
+            "silent": lambda w, now: self._silent_watch(w, now, WatchEvent.DATA_RECEIVED),
+            "half a line": lambda w, now: self._silent_watch(w, now, WatchEvent.PARTIAL_LIST_RECEIVED),
         }
         for name, lose in losses.items():
             for seed, pushed in itertools.product(range(50), (False, True)):
                 watch, now = self.watch(seed, pushed=pushed), 0
-                watch.step(now, Event.ASKED)
+                watch.step(now, WatchEvent.LIST_WANTED)
                 for _ in range(6):
                     reachable = lose(watch, now)
-                    self.assertIs(watch.state, State.WAITING, name)
-                    self.assertLessEqual(watch.deadline - reachable, TOLD_US - list_watch.SERVICE_US, name)
+                    self.assertIs(watch.state, WatchState.WAITING, name)
+                    self.assertLessEqual(
+                        watch.deadline - reachable,
+                        CHANGE_KNOWN_WITHIN_US - discovery_watch.NEXT_CALL_RESERVE_US,
+                        name,
+                    )
                     now = watch.deadline
-                    self.assertIn(Connect(), watch.step(now, Event.DUE), name)
+                    self.assertIn(Connect(), watch.step(now, WatchEvent.TIMER_FIRED), name)
 
-    def _silent_call(self, watch: ListWatch, now: int) -> int:
-        watch.step(now + list_watch.CONNECT_US - 1, Event.CONNECTED)
-        watch.step(watch.deadline, Event.DUE)
+    def _silent_call(self, watch: DiscoveryWatch, now: int) -> int:
+        watch.step(now + discovery_watch.CONNECT_TIMEOUT_US - 1, WatchEvent.CONNECTED)
+        watch.step(watch.deadline, WatchEvent.TIMER_FIRED)
         return now
 
-    def _silent_watch(self, watch: ListWatch, now: int, last: Event) -> int:
-        watch.step(now, Event.CONNECTED)
+    def _silent_watch(self, watch: DiscoveryWatch, now: int, last: WatchEvent) -> int:
+        watch.step(now, WatchEvent.CONNECTED)
         watch.step(now, last)
-        self.assertEqual(watch.step(watch.deadline, Event.DUE), [Close(), Lost("silence")])
+        self.assertEqual(
+            watch.step(watch.deadline, WatchEvent.TIMER_FIRED), [CloseConnection(), ReportLoss("silence")]
+        )
         return now
 
     def test_a_list_that_trickles_and_never_ends_is_given_up(self):
         """Bytes alone are no sign of life: half a line may come one byte at a time for ever."""
         watch = self.watch()
         now = began = self.up(watch, 0)
-        while watch.state is not State.WAITING and now < 2 * TOLD_US:
+        while watch.state is not WatchState.WAITING and now < 2 * CHANGE_KNOWN_WITHIN_US:
             now += 100_000
-            watch.step(now, Event.DUE if now >= watch.deadline else Event.HEARD_PART)
-        self.assertLess(watch.deadline - began, TOLD_US)
+            watch.step(
+                now, WatchEvent.TIMER_FIRED if now >= watch.deadline else WatchEvent.PARTIAL_LIST_RECEIVED
+            )
+        self.assertLess(watch.deadline - began, CHANGE_KNOWN_WITHIN_US)
 
     def test_a_new_address_is_asked_within_its_time_from_every_state(self):
         """What it tells counts 4 s after SIGHUP, also where two come in a row or the watch is reopening."""
-        for state in State:
+        for state in WatchState:
             for seed in range(50):
                 watch = self.watch(seed)
                 watch.state, watch.failures = state, 9
-                closing = state not in (State.IDLE, State.WAITING)
-                self.assertEqual(watch.step(7, Event.MOVED), [Close()] if closing else [])
-                self.assertLessEqual(watch.deadline - 7, list_watch.MOVED_US)
-                watch.step(8, Event.MOVED)
-                self.assertLessEqual(watch.deadline - 8, list_watch.MOVED_US)
-                self.assertEqual(watch.step(watch.deadline, Event.DUE), [Connect()])
+                closing = state not in (WatchState.IDLE, WatchState.WAITING)
+                self.assertEqual(
+                    watch.step(7, WatchEvent.ADDRESS_CHANGED), [CloseConnection()] if closing else []
+                )
+                self.assertLessEqual(watch.deadline - 7, discovery_watch.NEW_ADDRESS_SPREAD_US)
+                watch.step(8, WatchEvent.ADDRESS_CHANGED)
+                self.assertLessEqual(watch.deadline - 8, discovery_watch.NEW_ADDRESS_SPREAD_US)
+                self.assertEqual(watch.step(watch.deadline, WatchEvent.TIMER_FIRED), [Connect()])
 
 
 class Pacing(Played):
@@ -111,11 +137,11 @@
             for seed in range(MANY):
                 watch, now = self.watch(seed), 0
                 self.listed(watch, now)
-                watch.step(now, Event.BROKEN)
+                watch.step(now, WatchEvent.CALL_FAILED)
                 for _ in range(failures - 1):
                     now = watch.deadline
-                    watch.step(now, Event.DUE)
-                    watch.step(now, Event.BROKEN)
+                    watch.step(now, WatchEvent.TIMER_FIRED)
+                    watch.step(now, WatchEvent.CALL_FAILED)
                 waits.append(watch.deadline - now)
             tenths = [wait // 100_000 for wait in waits]
             self.assertLess(max(map(tenths.count, tenths)), MANY / 8)
@@ -125,15 +151,15 @@
         self.listed(watch, 0)
         now = 0
         for _ in range(8):
-            watch.step(now, Event.BROKEN)
+            watch.step(now, WatchEvent.CALL_FAILED)
             waits.append(watch.deadline - now)
             now = watch.deadline
-            watch.step(now, Event.DUE)
+            watch.step(now, WatchEvent.TIMER_FIRED)
         self.assertLess(waits[0], 600_000)
-        self.assertGreaterEqual(min(waits), list_watch.RETRY_LEAST_US)
+        self.assertGreaterEqual(min(waits), discovery_watch.SHORTEST_RETRY_US)
         self.assertGreater(max(waits[4:]), 2 * waits[0])
-        watch.listed()
-        watch.step(now, Event.BROKEN)
+        watch.list_received()
+        watch.step(now, WatchEvent.CALL_FAILED)
         self.assertLess(watch.deadline - now, 600_000)
 
     def test_an_agent_that_pushes_is_asked_again_at_once(self):
@@ -141,18 +167,18 @@
         watch, now = self.watch(pushed=True), 0
         self.listed(watch, now)
         for _ in range(5):
-            watch.step(now, Event.BROKEN)
-            self.assertLessEqual(watch.deadline - now, list_watch.AGENT_RETRY_MOST_US)
+            watch.step(now, WatchEvent.CALL_FAILED)
+            self.assertLessEqual(watch.deadline - now, discovery_watch.AGENT_LONGEST_RETRY_US)
             now = watch.deadline
-            watch.step(now, Event.DUE)
+            watch.step(now, WatchEvent.TIMER_FIRED)
 
     def test_who_asks_while_it_waits_or_watches_changes_nothing(self):
         watch = self.watch()
         self.listed(watch, 0)
-        self.assertEqual(watch.step(1, Event.ASKED), [])
-        watch.step(1, Event.BROKEN)
+        self.assertEqual(watch.step(1, WatchEvent.LIST_WANTED), [])
+        watch.step(1, WatchEvent.CALL_FAILED)
         before = watch.deadline
-        self.assertEqual((watch.step(2, Event.ASKED), watch.deadline), ([], before))
+        self.assertEqual((watch.step(2, WatchEvent.LIST_WANTED), watch.deadline), ([], before))
 
 
 class Streams(unittest.TestCase):
