--- a/cedarmill/net/beside.py
+++ b/cedarmill/net/beside.py
@@ -104,7 +104,7 @@
 
     def _look(self, now: int) -> None:
         """The one chain of looks."""
-        self.turn.deadlines.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
+        self.turn.timers.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
         here = clock_reading(now)
         self._read(here)
         try:
@@ -151,7 +151,7 @@
     def _write(self, here: ClockReading) -> None:
         """Tell what is out: when it changed, for one that starts reads it at once; else now and then."""
         at, before = self.written
-        told = Told(out(self.dispatch.brain, self.discovery.reader.names), self.held())
+        told = Told(out(self.dispatch.balancer, self.discovery.reader.names), self.held())
         if told != before or here.monotonic_us - at >= BEAT_US:
             self.own.write(sealed_document.seal(KIND, self.node, here, msgspec.json.encode(told)))
             self.written = here.monotonic_us, told
@@ -166,5 +166,5 @@
         for name in self.told.keys() | total.keys():
             number, news = self.discovery.reader.numbers.get(name), total.get(name, (0.0, 0.0))
             if number is not None and news != self.told.get(name, (0.0, 0.0)):
-                self.dispatch.beside(now, number, *news)
+                self.dispatch.set_sibling_usage(now, number, *news)
         self.told = {name: news for name, news in total.items() if name in self.discovery.reader.numbers}
--- a/cedarmill/net/door.py
+++ b/cedarmill/net/door.py
@@ -50,11 +50,11 @@
     def connection_made(self, transport) -> None:
         self.transport = transport
         self.door.came(self)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + CALL_US, self._late)
+        self.deadline = self.turn.timers.add(self.turn.now() + CALL_US, self._late)
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.deadlines.cancel(self.deadline)
+        self.turn.timers.cancel(self.deadline)
         self.door.left(self)
         self.parser = None
 
@@ -102,8 +102,8 @@
             self.answer(_rejection(refused), more, method)
             return
         # from here on the caller waits for this process: a lock, or the fleet
-        self.turn.deadlines.cancel(self.deadline)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + CALL_US, self._late)
+        self.turn.timers.cancel(self.deadline)
+        self.deadline = self.turn.timers.add(self.turn.now() + CALL_US, self._late)
         self.door.obey(request, lambda response: self.answer(response, b"", method))
 
     def answer(self, response: AdminResponse, more: bytes = b"", method: bytes = b"") -> None:
@@ -115,8 +115,8 @@
         text = HEAD % (status, status.phrase.encode(), len(body), more)
         self.transport.write(text if method == b"HEAD" else text + body)
         self.transport.write_eof()  # not closed here: unread input would reset the answer away
-        self.turn.deadlines.cancel(self.deadline)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + LINGER_US, lambda now: self.abort())
+        self.turn.timers.cancel(self.deadline)
+        self.deadline = self.turn.timers.add(self.turn.now() + LINGER_US, lambda now: self.abort())
 
     def _late(self, now: int) -> None:
         self.deadline = None
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -2,7 +2,7 @@
 platform.
 
 Orders reach the module as what it knows already: executors that drain. Whether anything may be sent at all is
-asked when an attempt is written (`Dispatch.fence`): before the first orders nothing may, and with
+asked when an attempt is written (`DispatchObserver.may_send`): before the first orders nothing may, and with
 `cut-off="stop"` nothing once the lease has run out.
 """
 
@@ -15,6 +15,7 @@
 import msgspec
 
 from cedarmill.admin.routes import AdminAction, AdminRequest, AdminResponse
+from cedarmill.core.requests import Failed, FinalAnswer, Refused, Request
 from cedarmill.decisions import interface as api
 from cedarmill.fleet.budget_lease import BudgetLeases, RetryBudget
 from cedarmill.fleet.messages import (
@@ -32,6 +33,7 @@
 from cedarmill.net.clients import Clients
 from cedarmill.net.config import Address, Config
 from cedarmill.net.discovery import DiscoveryClient
+from cedarmill.net.fleet_observer import FleetObserver
 from cedarmill.net.gossip import Gossip
 from cedarmill.net.hands import Answer, Hands
 from cedarmill.net.lanes import Lanes
@@ -83,19 +85,16 @@
             turn, options.cluster, who, keepers, self.facts, self.follow, self._lapsed, self._resumed
         )
         self.listen = listen
-        self.dispatch.fence = self.may_send
-        self.dispatch.told = self._answered
         self.purses, self.tries = BudgetLeases(known=options.start == "alone"), RetryBudget()
-        self.dispatch.may_spend = self._may_spend
-        self.dispatch.may_retry = self._may_retry
         hands.agreed = self.obey
         holds = self.membership.agent.holds
         self.lanes = None
         if zone:
-            self.lanes = Lanes(turn, self.name, zone, discovery, options, holds, self._may_spend)
+            self.lanes = Lanes(turn, self.name, zone, discovery, options, holds, self.may_spend)
         self.peopled, self._asks_peers = 0, False  # the epoch of the peers that are known
         self.gossip = Gossip(turn, self.name, options.cluster, discovery)
         self.membership.taken = self.gossip.take
+        self.dispatch.observer = FleetObserver(self)
         if options.start == "wait":
             discovery.hold(True)
 
@@ -116,15 +115,15 @@
             return self.options.start == "alone"
         return self.options.cut_off == "serve" or self.membership.agent.holds(now)
 
-    def _may_spend(self, now: int, budget: str) -> bool:
+    def may_spend(self, now: int, budget: str) -> bool:
         """Asked at each spending, by whether the lease holds at this moment."""
         return self.purses.spend(now, self.membership.agent.holds(now), budget)
 
-    def _may_retry(self, now: int) -> bool:
+    def may_retry(self, now: int) -> bool:
         """A try beyond the first: a share of first tries here, within what the fleet may spend in all."""
         if "retries" not in self.purses.by_name:
             return self.purses.known
-        return self.tries.spend(self.tally[0] + self.dispatch.owed) and self._may_spend(now, "retries")
+        return self.tries.spend(self.tally[0] + self.dispatch.unanswered) and self.may_spend(now, "retries")
 
     def follow(self, orders: Orders) -> None:
         """Newer orders: the module hears of what is out as draining."""
@@ -175,7 +174,7 @@
         if isinstance(word, ReadReply):
             self.peopled = epoch
             self.gossip.follow(msgspec.json.decode(word.body, type=dict[str, str]))
-        self.turn.deadlines.add(self.turn.now() + PEERS_US, self._learn_peers)
+        self.turn.timers.add(self.turn.now() + PEERS_US, self._learn_peers)
 
     def _lapsed(self) -> None:
         if self.options.cut_off == "stop":
@@ -207,7 +206,7 @@
             return {}
         done = {}
         shut = self.orders.routes is not None and self.orders.routes.closed_zones
-        busy = self.dispatch.busy() if self.orders.excluded_executors or shut else set()
+        busy = self.dispatch.busy_executors() if self.orders.excluded_executors or shut else set()
         if shut and self.lanes is not None:
             done |= self.lanes.done(busy)
         if self.orders.excluded_executors:
@@ -217,13 +216,13 @@
                 for name, epoch in self.orders.excluded_executors.items()
                 if numbers.get(name) not in busy
             }
-        if self.orders.drain_clients_epoch and not self.clients.sessions and not self.dispatch.owed:
+        if self.orders.drain_clients_epoch and not self.clients.sessions and not self.dispatch.unanswered:
             done[self.name] = self.orders.drain_clients_epoch
         return done
 
     def _seen(self) -> dict[str, ExecutorObservation]:
         now = self.turn.now()
-        reader, workers, found = self.discovery.reader, self.dispatch.brain.workers, {}
+        reader, workers, found = self.discovery.reader, self.dispatch.balancer.workers, {}
         zones = {number: name for name, number in reader.zones.items()}
         kinds = {number: name for name, number in reader.kinds.items()}
         for number, entry in self.discovery.entries.items():
@@ -243,16 +242,16 @@
             )
         return found
 
-    def _answered(self, kind: str, late: bool) -> None:
-        """A req has its final answer."""
+    def on_final_answer(self, now: int, request: Request, answer: FinalAnswer) -> None:
+        """A request has its final answer."""
         self.tally[0] += 1
-        if kind == "failed":
+        if isinstance(answer, Failed):
             self.tally[1] += 1
-        elif kind == "refused":
+        elif isinstance(answer, Refused):
             self.tally[3] += 1
             if self.lanes is not None:
                 self.lanes.refused()
-        elif late:
+        elif now > request.objective_due:
             self.tally[2] += 1
 
     # The door.
@@ -268,13 +267,13 @@
         number = self.pending.setdefault(
             key, self._new_id()
         )  # asked again without an answer: the same request
-        request = (
+        command = (
             RequestPermits(0, who, number, kind, (name,), "at the door")
             if takes
             else ReturnPermit(0, who, number, kind, name)
         )
         self.membership.ask(
-            SubmitRequest(request), DOOR_US, lambda word: self._told(word, key, takes, answer)
+            SubmitRequest(command), DOOR_US, lambda word: self._told(word, key, takes, answer)
         )
 
     def _new_id(self) -> str:
@@ -284,7 +283,8 @@
     def _told(self, word: object, key: tuple[str, str], takes: bool, answer: Answer) -> None:
         if not isinstance(word, SubmitReply):
             reason = word.reason if isinstance(word, Unavailable) else "not understood"
-            answer(503, f"not known: {reason}; call again\n".encode())
+            text = f"not known: {reason}; call again\n"
+            answer(AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, text.encode()))
             return
         self.pending.pop(key, None)
         if not takes:
@@ -306,7 +306,7 @@
         """This process ends and has nothing out."""
         self.gossip.end()
         self.membership.leave()
-        self.turn.deadlines.add(self.turn.now() + LEAVE_US, lambda now: then())
+        self.turn.timers.add(self.turn.now() + LEAVE_US, lambda now: then())
 
 
 def _at(who: MemberIdentity, address: str) -> MemberIdentity:
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/gossip.py
@@ -59,7 +59,6 @@
     def __init__(self, turn: Turn, name: str, cluster: str, discovery: DiscoveryClient) -> None:
         self.turn, self.name, self.cluster, self.discovery = turn, name, cluster, discovery
         self.dispatch = discovery.dispatch
-        self.dispatch.hears = self.hears
         self.peers: dict[str, str] = {}
         self.links: dict[str, Link] = {}
         self.mine: frozenset[str] = frozenset()  # executors that this node uses
@@ -84,7 +83,7 @@
         if not self.peers:
             self._due = None
             return
-        self._due = self.turn.deadlines.add(now + TELL_US, self._again)
+        self._due = self.turn.timers.add(now + TELL_US, self._again)
         self._choose()
         for name in sorted(self.near | self.links.keys()):
             link = self.links.get(name)
@@ -161,7 +160,7 @@
 
     # What is heard and told.
 
-    def hears(self, now: int, worker: int, report: api.LoadReport) -> None:
+    def on_report(self, now: int, worker: int, report: api.LoadReport) -> None:
         """A report has come here, with an answer or a probe."""
         if self.peers and worker in self.discovery.reader.names:
             self.facts[self.discovery.reader.names[worker]] = Report(now, report)
@@ -196,12 +195,12 @@
     def _take(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
         """A fact of another's: followed where it is newer than what is known here, and not too old."""
         number = self.discovery.reader.numbers.get(name)
-        worker = self.dispatch.brain.workers.get(number) if number is not None else None
+        worker = self.dispatch.balancer.workers.get(number) if number is not None else None
         if worker is None or age > OLD_US or worker.strikes or now - age <= worker.heard_at:
             self.passed_over += 1
             return
         self.followed += 1
-        self.dispatch.told_of(now, number, report, age)
+        self.dispatch.on_peer_report(now, number, report, age)
 
     def end(self) -> None:
         """This process ends."""
--- a/cedarmill/net/health.py
+++ b/cedarmill/net/health.py
@@ -30,8 +30,8 @@
         self.name, self.clients = name, clients
 
     def checks(self) -> list[Check]:
-        """Whether reqs can be served."""
-        serves = bool(self.clients.dispatch.listed_ready)
+        """Whether requests can be served."""
+        serves = bool(self.clients.dispatch.ready_executors)
         draining = self.clients.draining
         return [Check("backends", serves, "" if serves else NO_BACKEND),
                 Check("draining", not draining, DRAINING if draining else "")]  # fmt: skip
@@ -40,9 +40,9 @@
         """The agent's words: its weight follows the room that the module believes in."""
         if self.clients.draining:
             return agent.AgentReply(admin=agent.Admin.DRAIN, reason=DRAINING)
-        if not self.clients.dispatch.listed_ready:
+        if not self.clients.dispatch.ready_executors:
             return agent.AgentReply(agent.Status.DOWN, agent.Admin.READY, reason=NO_BACKEND)
-        weight = max(1, round(100 * self.clients.dispatch.room()))  # 0% would say drain
+        weight = max(1, round(100 * self.clients.dispatch.free_share()))  # 0% would say drain
         return agent.AgentReply(agent.Status.UP, agent.Admin.READY, weight)
 
     def answer(self, target: str, json: bool) -> Answer | None:
@@ -71,7 +71,7 @@
             transport.abort()
             return
         self.listener.sessions.add(self)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + SESSION_US, lambda now: self.abort())
+        self.deadline = self.turn.timers.add(self.turn.now() + SESSION_US, lambda now: self.abort())
         self.opened()
 
     def opened(self) -> None:
@@ -79,14 +79,14 @@
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.deadlines.cancel(self.deadline)
+        self.turn.timers.cancel(self.deadline)
         self.listener.sessions.discard(self)
         self.parser = None
 
     def rest(self) -> None:
         """It has asked something good: it may keep its connection for the next time."""
-        self.turn.deadlines.cancel(self.deadline)
-        self.deadline = self.turn.deadlines.add(self.turn.now() + IDLE_US, lambda now: self.abort())
+        self.turn.timers.cancel(self.deadline)
+        self.deadline = self.turn.timers.add(self.turn.now() + IDLE_US, lambda now: self.abort())
 
     def finish(self, text: bytes) -> None:
         """Say the last, and let the checker close: closed here, unread input would reset it away."""
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.core.deadlines import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.fleet import budget_grants
 from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
 from cedarmill.fleet.agree.messages import Entry, Peer, Snapshot, TimeoutNow
@@ -99,8 +99,8 @@
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
-        self.deadlines = Deadlines()
-        self.turn = Turn(self.loop, self.deadlines)
+        self.timers = Timers()
+        self.turn = Turn(self.loop, self.timers)
         self.files = files or Directory(options.data)
         self.store = ReplicaStore(self.files, options.cluster, options.name)
         self._start_replica()
@@ -194,12 +194,12 @@
         say("replica-disk-failed", reason=error.strerror or error)
         self.recovering, self.failed_at, self.retry_us = True, self.turn.now(), RETRY_FIRST_US
         self.host.pending.clear()
-        self.deadlines.cancel(self._timer)
+        self.timers.cancel(self._timer)
         self._let_another_lead()
         waiting, self.tokens = self.tokens, {}
         for wire, number in waiting.values():
             self._say(wire, number, Unavailable(DISK_REFUSAL))
-        self.deadlines.add(self.failed_at + self.retry_us, self._recover)
+        self.timers.add(self.failed_at + self.retry_us, self._recover)
 
     def _let_another_lead(self) -> None:
         """Ask the follower that is furthest to stand for election; that promises nothing, and needs no disk.
@@ -221,7 +221,7 @@
         except (StoreError, OSError) as error:
             say("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
-            self.deadlines.add(now + self.retry_us, self._recover)
+            self.timers.add(now + self.retry_us, self._recover)
             return
         if self.keeper.raft.needs_catch_up or store.may_lack(acknowledged):
             store.persistent_state.needs_catch_up = True
@@ -234,8 +234,8 @@
         self._arm()
 
     def _arm(self) -> None:
-        self.deadlines.cancel(self._timer)
-        self._timer = self.deadlines.add(max(self.keeper.due, self.turn.now() + 1000), self._passed)
+        self.timers.cancel(self._timer)
+        self._timer = self.timers.add(max(self.keeper.due, self.turn.now() + 1000), self._passed)
 
     def _passed(self, now: int) -> None:
         if self.recovering:
@@ -252,7 +252,7 @@
 
     def _dial_again(self, now: int) -> None:
         """Of a pair, the one whose name comes first dials."""
-        self.deadlines.add(now + DIAL_US, self._dial_again)
+        self.timers.add(now + DIAL_US, self._dial_again)
         if self.recovering:
             return
         for name, address in self._addresses().items():
@@ -364,7 +364,7 @@
     def _incoming(self) -> Wire:
         """The connection of one who has dialled this process."""
         wire = Wire(self.turn, self._heard, self._ended)
-        self.deadlines.add(self.turn.now() + HELLO_US, lambda now: self._no_hello(wire))
+        self.timers.add(self.turn.now() + HELLO_US, lambda now: self._no_hello(wire))
         return wire
 
     def _no_hello(self, wire: Wire) -> None:
@@ -411,7 +411,7 @@
         """Hand the lead over first, so that nobody has to miss a leader."""
         if not self.recovering and self.keeper.is_leader and len(self.keeper.raft.voters) > 1:
             self._take(self.keeper.transfer_leadership(self.turn.now()))
-            self.deadlines.add(self.turn.now() + 300_000, lambda now: self.loop.stop())
+            self.timers.add(self.turn.now() + 300_000, lambda now: self.loop.stop())
             self.turn.end()
         else:
             self.loop.stop()
--- a/cedarmill/net/lanes.py
+++ b/cedarmill/net/lanes.py
@@ -1,12 +1,13 @@
 """A node's lanes to the zones: what it tells of them, and how the fleet's plan of traffic reaches the module.
 
-The plan becomes what the module takes: shares of zones, the zones in which a req may run, and executors of a
-zone that is shut, which drain to the module.
+The plan becomes what the module takes: shares of zones, the zones in which a request may run, and executors
+of a zone that is shut, which drain to the module.
 """
 
 from collections.abc import Callable
 from random import Random
 
+from cedarmill.core.requests import Attempt
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 from cedarmill.fleet.admission_level.gate import OVER_QUOTA_SHARE, RETRY_AFTER_FACTORS, AdmissionGate
@@ -35,7 +36,7 @@
                  holds: Callable[[int], bool], spend: Callable[[int, str], bool]) -> None:  # fmt: skip
         self.turn, self.zone, self.discovery, self.spend = turn, zone, discovery, spend
         self.dispatch = discovery.dispatch
-        settings = self.dispatch.brain.settings
+        settings = self.dispatch.balancer.settings
         self.follower = PlanFollower()
         self.sights = ObservationLog(turn.now())
         self.use = RoutingDecision()
@@ -53,12 +54,10 @@
         self.gate = AdmissionGate()
         self.cut = 0  # reqs that a cut refuses, and whose answer has not been told yet
         # us that a job of a class runs where it does not wait: else demand would grow with the queue
-        self.runs = [mean[0] for mean in self.dispatch.brain.means]
+        self.runs = [mean[0] for mean in self.dispatch.balancer.means]
         self.quiet = [0] * len(self.runs)  # jobs that said so
         self.holds = holds
-        self.dispatch.mark = self._mark
-        self.dispatch.seen = self._ended
-        turn.deadlines.add(turn.now() + LOOK_US, self._again)
+        turn.timers.add(turn.now() + LOOK_US, self._again)
 
     def _homes(self, bound: str, way: RouteWeights | None) -> tuple[int, ...]:
         """Zones in which such a req may run; before a plan has come, one that may not go far stays here."""
@@ -74,12 +73,12 @@
         self.zone_names = {number: name for name, number in reader.zones.items()}
         self.kind_names = {number: name for name, number in reader.kinds.items()}
 
-    def _mark(self, job: api.RequestArrived) -> None:
-        """A req has come: where it may run, by its class or its tenant, the stricter; whether it is cut."""
+    def place_request(self, job: api.RequestArrived) -> None:
+        """Set where a request may run, by its class or tenant, the stricter, and whether it is cut."""
         bound = self.class_bounds[job.job_class]
         if job.tenant < len(self.tenant_bounds):
             bound = min(bound, self.tenant_bounds[job.tenant], key=SCOPES.index)
-        brain, now = self.dispatch.brain, self.turn.now()
+        brain, now = self.dispatch.balancer, self.turn.now()
         rank = int(brain.settings.classes[job.job_class].worth * 1000)
         if job.tenant < len(self.quotas) and not self.spend(now, self.quotas[job.tenant]):
             rank = rank * OVER_QUOTA_SHARE // WHOLE  # beyond its tenant's quota over the fleet
@@ -92,25 +91,26 @@
             self.sights.record_admitted(now)
 
     def refused(self) -> None:
-        """A req was refused: by a cut, which was counted as it came, or by this node's own sight."""
+        """A request was refused: by a cut, which was counted as it came, or by this node's own sight."""
         if self.cut:
             self.cut -= 1
         else:
             self.sights.record_local_rejection(self.turn.now())
 
-    def _ended(self, now: int, attempt) -> None:
-        entry = self.discovery.entries.get(attempt.worker)
+    def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
+        """An attempt has its outcome: what it says of the executor's zone."""
+        entry = self.discovery.entries.get(attempt.executor)
         if entry is None or attempt.outcome in NO_SIGN:
             return
         zone = self.zone_names.get(entry.zone, "")
         kind = self.kind_names.get(entry.kind, "")
         places = (zone, f"{zone}/{kind}") if kind else (zone,)
-        spec = attempt.req.spec
-        late = attempt.outcome == Outcome.OK and now > attempt.req.due - spec.deadline_us + spec.aim_us
+        spec = attempt.request.spec
+        late = attempt.outcome == Outcome.OK and now > attempt.request.objective_due
         self.sights.record_attempt(now, places, attempt.outcome in FAILED, late, attempt.outcome in LOST)
         if attempt.outcome == Outcome.OK:
             self._ran(now, attempt)
-            claim = attempt.req.claim
+            claim = attempt.request.claim
             slot_time = int(claim.slots * self.runs[claim.job_class])
             self.sights.record_served(now, slot_time, int(claim.slots * spec.aim_us))
         way = self.follower.plan
@@ -123,8 +123,8 @@
 
     def _ran(self, now: int, attempt) -> None:
         """How long it ran, where its executor had a slot free as it ended; till one had, the shortest."""
-        index = attempt.req.claim.job_class
-        worker, ran = self.dispatch.brain.workers.get(attempt.worker), now - attempt.sent_at
+        index = attempt.request.claim.job_class
+        worker, ran = self.dispatch.balancer.workers.get(attempt.executor), now - attempt.sent_at
         if worker is not None and worker.heard_at and worker.base - worker.held >= 1.0:
             self.quiet[index] = min(self.quiet[index] + 1, QUIET)
             self.runs[index] += (ran - self.runs[index]) / self.quiet[index]
@@ -135,7 +135,7 @@
 
     def places(self) -> dict[str, LocationEstimate]:
         """Beliefs of each zone and group: executors that may be sent to, their slots, and those in use."""
-        brain, now = self.dispatch.brain, self.turn.now()
+        brain, now = self.dispatch.balancer, self.turn.now()
         self._learn_names()
         kinds = self.kind_names
         sums: dict[str, list[int]] = {}
@@ -161,7 +161,7 @@
         return {place: LocationEstimate(*one) for place, one in sums.items()}
 
     def _cold(self, entry: api.WorkerEntry, now: int) -> float:
-        settings = self.dispatch.brain.settings
+        settings = self.dispatch.balancer.settings
         age = now - entry.started_at
         if not entry.started_at or age >= settings.cold_us:
             return 1.0
@@ -174,7 +174,7 @@
             return None
         self.digest_at = now + DIGEST_US
         seen = self.sights.observations(now, self.places())
-        brain = self.dispatch.brain
+        brain = self.dispatch.balancer
         out = int(1000 * sum(a.request.slots for w in brain.workers.values() for a in w.own.values()))
         return self.sights.make_digest(
             now, self.zone, seen, self.use.epoch, self.use.unreachable_zones, doubts, out
@@ -191,7 +191,7 @@
         self.look()
 
     def _again(self, now: int) -> None:
-        self.turn.deadlines.add(now + LOOK_US, self._again)
+        self.turn.timers.add(now + LOOK_US, self._again)
         if self.follower.plan is not None:
             self.look()
 
@@ -210,7 +210,7 @@
         if use.weights != before.weights:
             rows = {self.homes[bound]: {numbers[z]: part / 1000 for z, part in use.weights[bound].items()}
                     for bound in reversed(SCOPES)}  # fmt: skip
-            self.dispatch.shares(now, rows)
+            self.dispatch.set_zone_shares(now, rows)
         if (
             use.unreachable_zones != before.unreachable_zones
             or use.closed_zones != before.closed_zones
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -11,9 +11,9 @@
 
 from cedarmill import log
 from cedarmill.admin.resource_split import ConnectionCounts, NodeLimits, split_limits
-from cedarmill.budget.machine import Budget
-from cedarmill.core.deadlines import Deadlines
 from cedarmill.core.dispatch import Dispatch
+from cedarmill.core.timers import Timers
+from cedarmill.deadlines.propagation import DeadlineTracker
 from cedarmill.decisions.brain import Brain
 from cedarmill.log import say
 from cedarmill.net import door
@@ -55,8 +55,8 @@
         config, settings = self.config, self.config.settings
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
-        self.deadlines = Deadlines()
-        self.turn = Turn(self.loop, self.deadlines)
+        self.timers = Timers()
+        self.turn = Turn(self.loop, self.timers)
         sockets = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         health = options.health
         own = OWN_DESCRIPTORS + (door.DESCRIPTORS if config.mgmt else 0)
@@ -64,14 +64,14 @@
         own += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
         self.limits = NodeLimits(sockets, own, config.limits.memory_mb, OWN_MEMORY_MB, SESSION_MB)
         room = split_limits(self.limits, [])
-        self.budget = Budget(options.deadlines, len(settings.classes))
+        self.deadline_tracker = DeadlineTracker(options.deadlines, len(settings.classes))
         self.clients = Clients(self.turn, settings, room.sessions, options.deadlines)
         self.backends = Backends(self.turn, settings, room.connections, options)
         self.discovery = DiscoveryClient(
             self.turn, settings, config.discovery, self.backends, Random(config.seed)
         )
         brain = Brain(settings, config.seed)
-        self.dispatch = Dispatch(brain, self.deadlines, self.backends, self.discovery, self.budget)
+        self.dispatch = Dispatch(brain, self.timers, self.backends, self.discovery, self.deadline_tracker)
         self.beside = Beside(self.turn, self.discovery, config.name, self._holds, self._share)
         for adapter in (self.clients, self.backends, self.discovery, self.beside):
             adapter.dispatch = self.dispatch
@@ -141,7 +141,7 @@
             self.fleet.start()
         if self.inherited is not None:
             self.beside.start()
-        self.deadlines.add(self.turn.now() + self.options.ledger_every_us, self._account_again)
+        self.timers.add(self.turn.now() + self.options.ledger_every_us, self._account_again)
         self.loop.call_soon(self._started)
         gc.collect()
         gc.freeze()
@@ -157,13 +157,14 @@
 
     def _account_again(self, now: int) -> None:
         """Tell the ledger, and again after its time: only what happened since is told."""
-        self.deadlines.add(now + self.options.ledger_every_us, self._account_again)
+        self.timers.add(now + self.options.ledger_every_us, self._account_again)
         self._account(quiet=True)
 
     def _account(self, quiet: bool = False) -> None:
         """Tell what was spent for nobody; when asked by a signal, also that it was nothing."""
         names = [spec.name for spec in self.config.settings.classes]
-        rows = [row._replace(job_class=names[row.job_class])._asdict() for row in self.budget.ledger.take()]
+        spent = self.deadline_tracker.ledger.take()
+        rows = [row._replace(job_class=names[row.job_class])._asdict() for row in spent]
         summary = "; ".join(SPENT.format(**{**row, "before": row["before"] / 1e6, "after": row["after"] / 1e6,
                                             "guessed": row["guessed"] / 1e6}) for row in rows)  # fmt: skip
         if rows or not quiet:
@@ -188,7 +189,7 @@
         if self.draining:
             return
         self.draining = True
-        say("draining", held=self.dispatch.owed)
+        say("draining", held=self.dispatch.unanswered)
         self.clients.drain()
         for listener in self.checkers:
             listener.changed()
@@ -197,25 +198,25 @@
         kill = self.term_at + KILL_US + min(longest, KILL_DEADLINE_US)
         answer_by = self.clients.answer_by = kill - KILL_MARGIN_US
         self.dispatch.answer_by(answer_by)
-        self.deadlines.add(answer_by + ANSWER_ALL_US, self.clients.answer_all)
+        self.timers.add(answer_by + ANSWER_ALL_US, self.clients.answer_all)
         accept_until = self.term_at  # a socket that the platform holds: its new process takes what comes
         if self.inherited is None:
             soon = max(accept_until + ACCEPT_LEAST_US, answer_by - LAST_READ_US)
             accept_until = min(accept_until + ACCEPT_ON_US, soon)
-        self.deadlines.add(accept_until, self._stop)
+        self.timers.add(accept_until, self._stop)
         self.turn.end()
 
     def _stop(self, now: int) -> None:
         self.clients.stop_listening(take_backlog=self.inherited is None)
-        say("closed", held=self.dispatch.owed)
-        self.deadlines.add(now + LAST_READ_US, self._end_if_done)
+        say("closed", held=self.dispatch.unanswered)
+        self.timers.add(now + LAST_READ_US, self._end_if_done)
 
     def _end_if_done(self, now: int) -> None:
         self.clients.close_idle()
-        if self.dispatch.owed == 0 and self.clients.all_gone():
+        if self.dispatch.unanswered == 0 and self.clients.all_gone():
             self._leave()
         else:
-            self.deadlines.add(now + CHECK_END_US, self._end_if_done)
+            self.timers.add(now + CHECK_END_US, self._end_if_done)
 
     def _leave(self) -> None:
         if self.fleet is not None:
--- a/cedarmill/net/sessions.py
+++ b/cedarmill/net/sessions.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from cedarmill.budget.source import BadDeadline, granted
-from cedarmill.core.dispatch import Req
+from cedarmill.core.requests import Request
+from cedarmill.deadlines.sources import ClocksDiffer, InvalidDeadline, granted_budget
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.hangup import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
@@ -61,8 +61,8 @@
         self.faulty = False  # its input has gone wrong: nothing more is read from it
         self.waiting: deque[Message] = deque()
         self.answering: Message | None = None
-        self.req: Req | None = None
-        self.call_id = b""  # of the req that is open
+        self.request: Request | None = None
+        self.call_id = b""  # of the request that is open
         self.ending = self.clogged = self.paused = False
         self.half_closed = False  # it sends no more, but still reads
         self.deadline = self.look = None
@@ -76,8 +76,8 @@
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.deadlines.cancel(self.deadline)
-        self.turn.deadlines.cancel(self.look)
+        self.turn.timers.cancel(self.deadline)
+        self.turn.timers.cancel(self.look)
         self.clients.left(self)
         self.parser = self.message = None  # cycles with the parser would keep bodies till a full collection
         self._gone()
@@ -86,9 +86,9 @@
         """The client has left: nothing is owed to it, and nothing more starts for it."""
         self.ending = True
         self.waiting.clear()
-        if self.req is not None:
-            req = self._release()
-            self.clients.dispatch.withdraw(self.turn.now(), req)
+        if self.request is not None:
+            request = self._release()
+            self.clients.dispatch.withdraw(self.turn.now(), request)
 
     @callback
     def eof_received(self) -> bool:
@@ -144,7 +144,7 @@
         """
         if self.ending:
             return
-        if self.req is not None:
+        if self.request is not None:
             self.clients.dispatch.withdraw(self.turn.now(), self._release())
         if self.message is not None:
             self.waiting.append(self.message)
@@ -162,7 +162,7 @@
 
     def answer_before_kill(self) -> None:
         """The process may be killed soon."""
-        forwarded = self.req is not None and any(attempt.written for attempt in self.req.attempts)
+        forwarded = self.request is not None and any(attempt.written for attempt in self.request.attempts)
         self.answer_all(502 if forwarded else 503, 503)
 
     def give_way(self, now: int, grace: int) -> bool:
@@ -302,9 +302,9 @@
 
     def _await(self, until: int) -> None:
         """End the session unless it gets on by then."""
-        self.turn.deadlines.cancel(self.deadline)
+        self.turn.timers.cancel(self.deadline)
         self.until = until
-        self.deadline = self.turn.deadlines.add(until, self._late)
+        self.deadline = self.turn.timers.add(until, self._late)
 
     def _pause(self, pause: bool) -> None:
         if pause == self.paused or self.transport.is_closing():
@@ -332,8 +332,8 @@
 
     def _look_later(self) -> None:
         """Nothing is read for now, not even the client's end: look for it."""
-        self.turn.deadlines.cancel(self.look)
-        self.look = self.turn.deadlines.add(self.turn.now() + HANGUP_US, self._look)
+        self.turn.timers.cancel(self.look)
+        self.look = self.turn.timers.add(self.turn.now() + HANGUP_US, self._look)
 
     def _look(self, now: int) -> None:
         if (self.paused or self.half_closed) and not self._end_if_left():
@@ -401,7 +401,7 @@
         while self.answering is None and self.waiting and not self.ending and not self.clogged:
             if self.paused and self._end_if_left():
                 return
-            self.turn.deadlines.cancel(self.deadline)
+            self.turn.timers.cancel(self.deadline)
             self.answering = message = self.waiting.popleft()
             if message.fault is not None:
                 self._write(message.fault.status, str(message.fault).encode() + b"\n")
@@ -446,12 +446,12 @@
         clients = self.clients
         unix = time.time_ns() // 1000 - (self.turn.now() - message.sent_at)
         try:
-            budget = granted(message.headers, clients.options, longest, unix)
-        except BadDeadline as error:
-            if "clocks" in str(error):
+            budget = granted_budget(message.headers, clients.options, longest, unix)
+        except InvalidDeadline as error:
+            if isinstance(error, ClocksDiffer):
                 say("clock-off", reason=str(error))
             raise BadMessage(400, str(error)) from None
-        due = message.sent_at + budget - clients.dispatch.budget.margins.answer(budget)
+        due = message.sent_at + budget - clients.dispatch.deadline_tracker.margins.for_answer(budget)
         return min(due, clients.answer_by) if clients.answer_by else due
 
     def _recall(self, message: Message, path: bytes) -> None:
@@ -466,8 +466,8 @@
         self._write(200, b"recalled\n")
 
     def recalled(self) -> None:
-        """Its client has left by word: nothing starts for the req, and the session goes on."""
-        if self.req is not None:
+        """Its client has left by word: nothing starts for the request, and the session goes on."""
+        if self.request is not None:
             self.clients.dispatch.withdraw(self.turn.now(), self._release())
             self._final(502, b"recalled by its client\n")
 
@@ -503,16 +503,16 @@
             raise BadMessage(503, "refused")
         clients.open_ids[call_id] = self
         self.call_id = call_id
-        req = clients.dispatch.arrive(now, self, message, due, job)
-        if not req.answered:
-            self.req = req
+        request = clients.dispatch.arrive(now, self, message, due, job)
+        if not request.answered:
+            self.request = request
 
-    def _release(self) -> Req | None:
-        """The req is no longer open."""
-        req, self.req = self.req, None
+    def _release(self) -> Request | None:
+        """The request is no longer open."""
+        request, self.request = self.request, None
         if self.clients.open_ids.get(self.call_id) is self:
             del self.clients.open_ids[self.call_id]
-        return req
+        return request
 
     # The final answers, as the core gives them.
 
--- a/tests/test_executor_faults.py
+++ b/tests/test_executor_faults.py
@@ -13,7 +13,7 @@
 from helpers import settings
 from nodes import WAIT
 
-from cedarmill.core.deadlines import Deadlines
+from cedarmill.core.timers import Timers
 from cedarmill.decisions.interface import Outcome
 from cedarmill.net.backends import AT_ONCE, COMMIT_US, LEAVE_US, Backend, Backends, Connection
 from cedarmill.net.config import Address
@@ -345,8 +345,8 @@
     """What the system does not take at once."""
 
     def setUp(self) -> None:
-        self.deadlines = Deadlines()
-        self.backends = Backends(Turn(Mock(), self.deadlines), settings(), 0, Options())
+        self.timers = Timers()
+        self.backends = Backends(Turn(Mock(), self.timers), settings(), 0, Options())
         self.backends.dispatch = Mock()
 
     def send(self, taken: int, size: int, unsafe: bool = False, breaks: bool = False):
@@ -362,7 +362,7 @@
         return Backend(self.backends, 1, Address("127.0.0.1", 1), KindOptions())
 
     def sweep(self, at: int) -> None:
-        for call in self.deadlines.sweep(at):
+        for call in self.timers.sweep(at):
             call(at)
 
     def test_the_last_byte_waits_for_all_others(self):
@@ -423,11 +423,15 @@
         exchange = Noted(self.backends, self.backend())
         exchange.backend.carry(exchange)
         self.assertIs(exchange.outcome, Outcome.DROPPED)  # the bound is this node's: it blames no executor
-        attempt = Mock(worker=7)
+        attempt = Mock(executor=7)
         self.backends.send(attempt)  # listed, and never with an address
-        self.assertEqual(self.backends.dispatch.ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED))
+        self.assertEqual(
+            self.backends.dispatch.attempt_ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED)
+        )
         self.backends.probe(attempt)
-        self.assertEqual(self.backends.dispatch.probed.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED))
+        self.assertEqual(
+            self.backends.dispatch.probe_ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED)
+        )
 
 
 class LittleTime(ExecutorCase):
