--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -115,8 +115,8 @@
 
 
 def _asker(keepers: list[str], until: float, done: list[int]) -> None:
-    from cedarmill.fleet.messages import SubmitRequest
-    from cedarmill.fleet.state_machine import commands
+    from cedarmill.cluster.messages import SubmitRequest
+    from cedarmill.cluster.state_machine import commands
     from cedarmill.net.operator import Operator, new_id
 
     operator = Operator("bench", keepers, "bench")
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -136,9 +136,9 @@
 
 def size() -> None:
     """Links, frames and bytes of shared news a node, by fleet size; bytes of orders; what a frame costs."""
-    from cedarmill.fleet.admission_level.state import SheddingThreshold
-    from cedarmill.fleet.gossip_plan import GossipPlan
-    from cedarmill.fleet.messages import GossipUpdate, HeartbeatReply, Orders
+    from cedarmill.cluster.admission_level.state import SheddingThreshold
+    from cedarmill.cluster.gossip_plan import GossipPlan
+    from cedarmill.cluster.messages import GossipUpdate, HeartbeatReply, Orders
     from cedarmill.net import gossip, peers
 
     for nodes, executors in ((12, 24), (48, 48), (200, 1000)):
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -25,17 +25,17 @@
 
 import msgspec  # noqa: E402
 
-from cedarmill.fleet.observations.assessment import (  # noqa: E402
+from cedarmill.cluster.observations.assessment import (  # noqa: E402
     ClusterAssessment,
     ObservationCollector,
     ZoneAssessment,
 )
-from cedarmill.fleet.observations.digest import SCOPES, LocationObservation, ObservationDigest  # noqa: E402
-from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog  # noqa: E402
-from cedarmill.fleet.traffic_plan import planner  # noqa: E402
-from cedarmill.fleet.traffic_plan.allocation import allocate  # noqa: E402
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout  # noqa: E402
-from cedarmill.fleet.traffic_plan.state import ZoneState  # noqa: E402
+from cedarmill.cluster.observations.digest import SCOPES, LocationObservation, ObservationDigest  # noqa: E402
+from cedarmill.cluster.observations.log import LocationEstimate, ObservationLog  # noqa: E402
+from cedarmill.cluster.traffic_plan import planner  # noqa: E402
+from cedarmill.cluster.traffic_plan.allocation import allocate  # noqa: E402
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout  # noqa: E402
+from cedarmill.cluster.traffic_plan.state import ZoneState  # noqa: E402
 from cedarmill.lab.fleet import regions  # noqa: E402
 
 WORKERS = multiprocessing.cpu_count()
--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/fleet.py
@@ -62,13 +62,13 @@
 
     def look(self, what: str, kind: str = "", names: tuple[str, ...] = ()) -> Any:
         """A part of what is agreed."""
-        from cedarmill.fleet.messages import ReadRequest
+        from cedarmill.cluster.messages import ReadRequest
 
         return json.loads(self.ask(ReadRequest(what, kind, list(names))).body)
 
     def do(self, make: Callable[[str, str], Any]) -> Any:
         """A request under an id of its own, the same at each keeper that is asked."""
-        from cedarmill.fleet.messages import SubmitRequest
+        from cedarmill.cluster.messages import SubmitRequest
         from cedarmill.net.operator import new_id
 
         return self.ask(SubmitRequest(make(self.who, new_id())))
@@ -212,8 +212,8 @@
 @click.pass_obj
 def limits(asker: Asker, path: str | None) -> None:
     """The limits, with what is out under each; or new ones."""
-    from cedarmill.fleet.state import Limit
-    from cedarmill.fleet.state_machine import commands
+    from cedarmill.cluster.state import Limit
+    from cedarmill.cluster.state_machine import commands
 
     if path is not None:
         from cedarmill.conf.fleet import keeper
@@ -258,7 +258,7 @@
     watch: bool,
 ) -> None:
     """Ask leave to take targets out; each is decided by itself, in one order over the fleet."""
-    from cedarmill.fleet.state_machine import commands
+    from cedarmill.cluster.state_machine import commands
 
     if dry_run:
         sys.exit(_dry_run(asker, names, kind))
@@ -327,7 +327,7 @@
 @click.pass_obj
 def undrain(asker: Asker, name: str, kind: str) -> None:
     """Put a target back, or no longer wait for it."""
-    from cedarmill.fleet.state_machine import commands
+    from cedarmill.cluster.state_machine import commands
 
     _tell(asker, asker.do(lambda who, number: commands.ReturnPermit(0, who, number, kind, name)))
 
@@ -339,7 +339,7 @@
 @click.pass_obj
 def say(asker: Asker, what: str, name: str, reason: str) -> None:
     """Say what nobody can prove: that a target is drained, a member has ended, a lost target is found."""
-    from cedarmill.fleet.state_machine import commands
+    from cedarmill.cluster.state_machine import commands
 
     _tell(asker, asker.do(lambda who, number: commands.OperatorStatement(0, who, number, what, name, reason)))
 
@@ -360,7 +360,7 @@
 @click.pass_obj
 def keepers(asker: Asker, act: str, name: str, address: str, disk: str) -> None:
     """Change the keepers by one, or hand the lead over."""
-    from cedarmill.fleet.messages import ChangeReplicas
+    from cedarmill.cluster.messages import ChangeReplicas
 
     answer = asker.ask(ChangeReplicas(act, name, address, disk))
     _tell(asker, answer)
@@ -373,8 +373,8 @@
     """Write what is agreed into a file, for `keeper --init --restore`."""
     import msgspec
 
-    from cedarmill.fleet.agree.messages import Snapshot
-    from cedarmill.fleet.messages import ReadRequest
+    from cedarmill.cluster.messages import ReadRequest
+    from cedarmill.cluster.raft.messages import Snapshot
     from cedarmill.store import files, snapshots
 
     text = asker.ask(ReadRequest("backup")).body
@@ -420,8 +420,8 @@
     sample: int,
 ) -> None:
     """Enter a plan; nothing happens before it is started."""
-    from cedarmill.fleet.state import ReleasePlan
-    from cedarmill.fleet.state_machine import commands
+    from cedarmill.cluster.state import ReleasePlan
+    from cedarmill.cluster.state_machine import commands
 
     made = ReleasePlan(
         version,
@@ -441,7 +441,7 @@
     @click.option("--why", default="")
     @click.pass_obj
     def act(asker: Asker, number: int, why: str) -> None:
-        from cedarmill.fleet.state_machine import commands
+        from cedarmill.cluster.state_machine import commands
 
         _tell(asker, asker.do(lambda who, token: commands.ControlRelease(0, who, token, number, name, why)))
 
--- a/cedarmill/cli/fleet_load.py
+++ b/cedarmill/cli/fleet_load.py
@@ -78,8 +78,8 @@
 @click.pass_obj
 def cut(asker: Asker, act: str, below: float | None, part: str, lasts: str, reason: str) -> None:
     """Refuse what is worth least, at every node at once, till an end; or end such a cut."""
+    from cedarmill.cluster.state_machine import commands
     from cedarmill.conf.document import ConfError, share
-    from cedarmill.fleet.state_machine import commands
 
     if act == "set" and below is None:
         raise ConfError("--below: needed with set")
@@ -99,9 +99,9 @@
 @click.pass_obj
 def budgets(asker: Asker, path: Path) -> None:
     """Set what the fleet may spend; a smaller budget takes slices back as their holders follow."""
+    from cedarmill.cluster.budget_grants import Budget
+    from cedarmill.cluster.state_machine import commands
     from cedarmill.conf.fleet import keeper
-    from cedarmill.fleet.budget_grants import Budget
-    from cedarmill.fleet.state_machine import commands
 
     wanted = tuple(Budget(*one) for one in keeper(path).budgets)
     _tell(asker, asker.do(lambda who, number: commands.SetBudgets(0, who, number, wanted)))
--- a/cedarmill/cli/fleet_zones.py
+++ b/cedarmill/cli/fleet_zones.py
@@ -63,10 +63,10 @@
 def zones(asker: Asker, path: Path | None) -> None:
     """Demand, capacity and shares of each zone, and why they are so; or lay the zones anew."""
     if path is not None:
+        from cedarmill.cluster.state_machine import commands
+        from cedarmill.cluster.traffic_plan.layout import ZoneLayout
         from cedarmill.conf.document import ConfError
         from cedarmill.conf.fleet import keeper
-        from cedarmill.fleet.state_machine import commands
-        from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 
         read = keeper(path)
         if not read.regions:
@@ -79,7 +79,7 @@
 
 
 def _act(asker: Asker, act: str, zone: str, over: int, why: str) -> Any:
-    from cedarmill.fleet.state_machine import commands
+    from cedarmill.cluster.state_machine import commands
 
     return asker.do(lambda who, number: commands.ControlZone(0, who, number, act, zone, over, why))
 
--- a/cedarmill/cli/health.py
+++ b/cedarmill/cli/health.py
@@ -60,7 +60,7 @@
 
 
 def _agent(sock: socket.socket, host: str, send: str, proxy: bool, till: float) -> tuple[bool, list[str]]:
-    from cedarmill.health.wire.agent import Admin, AgentReader, Status
+    from cedarmill.health.codecs.agent import Admin, AgentReader, Status
 
     if send:
         sock.sendall(send.encode() + b"\n")
@@ -85,8 +85,8 @@
 def _http(sock: socket.socket, host: str, path: str, proxy: bool, till: float) -> tuple[bool, list[str]]:
     import http.client
 
-    from cedarmill.health.wire.http import FAIL_AT_ONCE, Expected, judge
-    from cedarmill.health.wire.proxy import ProxyHeader, compose_1
+    from cedarmill.health.codecs.http import FAIL_AT_ONCE, Expected, judge
+    from cedarmill.health.codecs.proxy import ProxyHeader, compose_1
 
     if proxy:
         sock.sendall(compose_1(ProxyHeader(sock.getsockname()[:2], sock.getpeername()[:2])))
--- a/cedarmill/fleet/admission_level/controller.py
+++ b/cedarmill/cluster/admission_level/controller.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet.admission_level.state import (
+from cedarmill.cluster.admission_level.state import (
     LATE_SHARE,
     STEP_US,
     UNKNOWN,
@@ -19,10 +19,10 @@
     LoadReport,
     SheddingThreshold,
 )
-from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.cluster.observations.digest import WHOLE
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.state import ClusterState
 
 CLUSTER = "the fleet"  # as operators read it
 PROMPT_SHARE = 50  # thousandths of requests that are late, up to which less is shed
--- a/cedarmill/fleet/admission_level/gate.py
+++ b/cedarmill/cluster/admission_level/gate.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Mapping
 
-from cedarmill.fleet.admission_level.state import SheddingThreshold
-from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.cluster.admission_level.state import SheddingThreshold
+from cedarmill.cluster.observations.digest import WHOLE
 
 FADE_US = 10_000_000  # after a lease has lapsed, until a threshold is not obeyed any longer
 RETRY_AFTER_FACTORS = (0.5, 2.0)  # times its slack, evenly: when the client of a rejected request may retry
--- a/cedarmill/fleet/admission_level/state.py
+++ b/cedarmill/cluster/admission_level/state.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.cluster.observations.digest import WHOLE
 
 STEP_US = 500_000  # between two steps of a level
 LATE_SHARE = 200  # thousandths of requests that are late: shed more
--- a/cedarmill/fleet/budget_grants.py
+++ b/cedarmill/cluster/budget_grants.py
@@ -14,7 +14,7 @@
 import msgspec
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.state import ClusterState
 
 GRANTED_SHARE = 800  # thousandths of a budget that are granted; the rest are floors
 DEMAND_TOLERANCE = 100  # thousandths by which demand may differ and count as the same
--- a/cedarmill/fleet/budget_lease.py
+++ b/cedarmill/cluster/budget_lease.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Mapping
 
-from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.cluster.observations.digest import WHOLE
 
 BURST_US = 200_000  # of its rate that may be spent at once
 QUOTA_PREFIX = "tenant:"  # of budgets that are requests of a tenant
--- a/cedarmill/fleet/canary_comparison.py
+++ b/cedarmill/cluster/canary_comparison.py
@@ -8,7 +8,7 @@
 import math
 from typing import NamedTuple
 
-from cedarmill.fleet.state import ReleasePlan
+from cedarmill.cluster.state import ReleasePlan
 
 
 class RequestCounts(NamedTuple):
--- a/cedarmill/fleet/executor_health.py
+++ b/cedarmill/cluster/executor_health.py
@@ -1,10 +1,10 @@
 """The health of executors, from what all nodes observe, so that no single node outvotes the rest. No I/O."""
 
-from cedarmill.fleet import session_tracker
-from cedarmill.fleet.messages import ExecutorObservation
-from cedarmill.fleet.session_tracker import AT_ONCE, SessionTracker
-from cedarmill.fleet.state import ClusterState, Target
-from cedarmill.fleet.states import TargetHealth
+from cedarmill.cluster import session_tracker
+from cedarmill.cluster.messages import ExecutorObservation
+from cedarmill.cluster.session_tracker import AT_ONCE, SessionTracker
+from cedarmill.cluster.state import ClusterState, Target
+from cedarmill.cluster.states import TargetHealth
 
 FAILING_SHARE = 0.5  # of the nodes that have tried an executor lately: more have to find it failing
 MASS_SHARE = 0.34  # of all executors that may become worse between two rounds and be believed
--- a/cedarmill/fleet/hosting.py
+++ b/cedarmill/cluster/hosting.py
@@ -5,7 +5,7 @@
 
 from typing import Protocol
 
-from cedarmill.fleet.agree.actions import (
+from cedarmill.cluster.raft.actions import (
     PersistEntries,
     PersistTermAndVote,
     RaiseAlarm,
@@ -13,9 +13,9 @@
     RoleChanged,
     SendMessage,
 )
-from cedarmill.fleet.agree.messages import Entry, Snapshot
-from cedarmill.fleet.replica import Actions, Replica, StoreSnapshot
-from cedarmill.fleet.request_router import Reply
+from cedarmill.cluster.raft.messages import Entry, Snapshot
+from cedarmill.cluster.replica import Actions, Replica, StoreSnapshot
+from cedarmill.cluster.request_router import Reply
 
 
 class Port(Protocol):
--- a/cedarmill/fleet/leader_duties.py
+++ b/cedarmill/cluster/leader_duties.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet import canary_comparison
-from cedarmill.fleet.session_tracker import AT_ONCE, LEASE_US, ExpiredLeases
-from cedarmill.fleet.state import Target
-from cedarmill.fleet.state_machine import dispatch, rollout
-from cedarmill.fleet.state_machine.commands import (
+from cedarmill.cluster import canary_comparison
+from cedarmill.cluster.session_tracker import AT_ONCE, LEASE_US, ExpiredLeases
+from cedarmill.cluster.state import Target
+from cedarmill.cluster.state_machine import dispatch, rollout
+from cedarmill.cluster.state_machine.commands import (
     AdvanceTime,
     ExpireSessions,
     HaltGrants,
@@ -16,12 +16,12 @@
     RecordZoneEvidence,
     UpdateTargets,
 )
-from cedarmill.fleet.state_machine.permit_states import target_key
-from cedarmill.fleet.states import MemberState, StepState, TargetHealth
-from cedarmill.fleet.traffic_plan.similarity import are_similar
+from cedarmill.cluster.state_machine.permit_states import target_key
+from cedarmill.cluster.states import MemberState, StepState, TargetHealth
+from cedarmill.cluster.traffic_plan.similarity import are_similar
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.replica import Replica
+    from cedarmill.cluster.replica import Replica
 
 INTERVAL_US = 100_000  # between two rounds
 COMPARE_INTERVAL_US = 1_000_000
--- a/cedarmill/fleet/leadership.py
+++ b/cedarmill/cluster/leadership.py
@@ -1,9 +1,9 @@
 """What a leader knows beside the agreed state; a new leader begins without any of it."""
 
-from cedarmill.fleet.canary_comparison import CanaryComparison
-from cedarmill.fleet.executor_health import ExecutorHealth
-from cedarmill.fleet.observations.assessment import ObservationCollector
-from cedarmill.fleet.session_tracker import SessionTracker
+from cedarmill.cluster.canary_comparison import CanaryComparison
+from cedarmill.cluster.executor_health import ExecutorHealth
+from cedarmill.cluster.observations.assessment import ObservationCollector
+from cedarmill.cluster.session_tracker import SessionTracker
 
 
 class Leadership:
--- a/cedarmill/fleet/member_messages.py
+++ b/cedarmill/cluster/member_messages.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from cedarmill.fleet.admission_level.state import SheddingThreshold
-from cedarmill.fleet.observations.digest import ObservationDigest
-from cedarmill.fleet.release_state import UnitOrderFields, UnitReportFields
-from cedarmill.fleet.traffic_plan.state import WeightRow
+from cedarmill.cluster.admission_level.state import SheddingThreshold
+from cedarmill.cluster.observations.digest import ObservationDigest
+from cedarmill.cluster.release_state import UnitOrderFields, UnitReportFields
+from cedarmill.cluster.traffic_plan.state import WeightRow
 
 
 class ExecutorObservation(msgspec.Struct, array_like=True, frozen=True):
--- a/cedarmill/fleet/member_orders.py
+++ b/cedarmill/cluster/member_orders.py
@@ -1,13 +1,13 @@
 """What each member is ordered to follow, made from the agreed state."""
 
-from cedarmill.fleet import budget_grants
-from cedarmill.fleet.admission_level import controller
-from cedarmill.fleet.admission_level.state import SheddingThreshold
-from cedarmill.fleet.messages import Orders
-from cedarmill.fleet.observations.digest import SCOPES
-from cedarmill.fleet.state import ClusterState, Member
-from cedarmill.fleet.state_machine import rollout
-from cedarmill.fleet.traffic_control import reports
+from cedarmill.cluster import budget_grants
+from cedarmill.cluster.admission_level import controller
+from cedarmill.cluster.admission_level.state import SheddingThreshold
+from cedarmill.cluster.messages import Orders
+from cedarmill.cluster.observations.digest import SCOPES
+from cedarmill.cluster.state import ClusterState, Member
+from cedarmill.cluster.state_machine import rollout
+from cedarmill.cluster.traffic_control import reports
 
 
 def orders_for(state: ClusterState, member: Member) -> Orders:
--- a/cedarmill/fleet/member_requests.py
+++ b/cedarmill/cluster/member_requests.py
@@ -2,12 +2,12 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet import member_orders
-from cedarmill.fleet.budget_grants import is_demand_similar
-from cedarmill.fleet.messages import Heartbeat, HeartbeatReply
-from cedarmill.fleet.session_tracker import LEASE_US, PROBERS
-from cedarmill.fleet.state import ClusterState, Member, UnitReport, generation_of
-from cedarmill.fleet.state_machine.commands import (
+from cedarmill.cluster import member_orders
+from cedarmill.cluster.budget_grants import is_demand_similar
+from cedarmill.cluster.messages import Heartbeat, HeartbeatReply
+from cedarmill.cluster.session_tracker import LEASE_US, PROBERS
+from cedarmill.cluster.state import ClusterState, Member, UnitReport, generation_of
+from cedarmill.cluster.state_machine.commands import (
     AcknowledgeOrders,
     AdoptUnknownGrants,
     ConfirmDrained,
@@ -17,10 +17,10 @@
     SetBudgetDemand,
     UpdateUnits,
 )
-from cedarmill.fleet.states import MemberState
+from cedarmill.cluster.states import MemberState
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.replica import Replica
+    from cedarmill.cluster.replica import Replica
 
 
 class MemberRequests:
--- a/cedarmill/fleet/messages.py
+++ b/cedarmill/cluster/messages.py
@@ -8,8 +8,7 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.messages import Message
-from cedarmill.fleet.member_messages import (
+from cedarmill.cluster.member_messages import (
     ExecutorObservation,
     Heartbeat,
     HeartbeatReply,
@@ -18,7 +17,8 @@
     ProbeReply,
     RouteWeights,
 )
-from cedarmill.fleet.state_machine.commands import AnyRequest
+from cedarmill.cluster.raft.messages import Message
+from cedarmill.cluster.state_machine.commands import AnyRequest
 
 __all__ = [
     "ChangeReplicas",
--- a/cedarmill/fleet/observations/assessment.py
+++ b/cedarmill/cluster/observations/assessment.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from cedarmill.fleet.observations import verdicts
-from cedarmill.fleet.observations.digest import ObservationDigest, median, share_of
-from cedarmill.fleet.observations.verdicts import UNREACHED_SHARE, Digests, GroupFindings, ZoneVerdict
+from cedarmill.cluster.observations import verdicts
+from cedarmill.cluster.observations.digest import ObservationDigest, median, share_of
+from cedarmill.cluster.observations.verdicts import UNREACHED_SHARE, Digests, GroupFindings, ZoneVerdict
 
 DIGEST_LIFETIME_US = 3_000_000  # for which a digest counts
 DEMAND_LIFETIME_US = 30_000_000  # for which demand and slots of silent observers are kept
--- a/cedarmill/fleet/observations/log.py
+++ b/cedarmill/cluster/observations/log.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarmill.fleet.observations.digest import (
+from cedarmill.cluster.observations.digest import (
     WHOLE,
     LocationObservation,
     ObservationDigest,
--- a/cedarmill/fleet/observations/verdicts.py
+++ b/cedarmill/cluster/observations/verdicts.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from cedarmill.fleet.observations.digest import (
+from cedarmill.cluster.observations.digest import (
     WHOLE,
     LocationObservation,
     ObservationDigest,
--- a/cedarmill/fleet/operator_requests.py
+++ b/cedarmill/cluster/operator_requests.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.events import ChangeMembership, TransferLeadership
-from cedarmill.fleet.agree.messages import Peer
-from cedarmill.fleet.messages import ChangeReplicas, PermitSummary, SubmitReply, SubmitRequest
-from cedarmill.fleet.pending_requests import Waiting
-from cedarmill.fleet.state import ClusterState, RequestOutcome
-from cedarmill.fleet.state_machine.commands import AnyRequest, ControlRelease, PlanRelease
+from cedarmill.cluster.messages import ChangeReplicas, PermitSummary, SubmitReply, SubmitRequest
+from cedarmill.cluster.pending_requests import Waiting
+from cedarmill.cluster.raft.events import ChangeMembership, TransferLeadership
+from cedarmill.cluster.raft.messages import Peer
+from cedarmill.cluster.state import ClusterState, RequestOutcome
+from cedarmill.cluster.state_machine.commands import AnyRequest, ControlRelease, PlanRelease
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.replica import Replica
+    from cedarmill.cluster.replica import Replica
 
 
 class OperatorRequests:
--- a/cedarmill/fleet/pending_requests.py
+++ b/cedarmill/cluster/pending_requests.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarmill.fleet.messages import ClientRequest
+from cedarmill.cluster.messages import ClientRequest
 
 
 class Waiting(NamedTuple):
--- a/cedarmill/fleet/plan_follower.py
+++ b/cedarmill/cluster/plan_follower.py
@@ -10,12 +10,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from cedarmill.fleet.messages import RouteWeights
-from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation, share_of
-from cedarmill.fleet.observations.verdicts import MIN_ATTEMPTS, UNREACHED_SHARE
-from cedarmill.fleet.traffic_plan.planner import PROBE_WEIGHT
-from cedarmill.fleet.traffic_plan.state import WeightRow
-from cedarmill.fleet.traffic_plan.weights import normalized
+from cedarmill.cluster.messages import RouteWeights
+from cedarmill.cluster.observations.digest import SCOPES, WHOLE, LocationObservation, share_of
+from cedarmill.cluster.observations.verdicts import MIN_ATTEMPTS, UNREACHED_SHARE
+from cedarmill.cluster.traffic_plan.planner import PROBE_WEIGHT
+from cedarmill.cluster.traffic_plan.state import WeightRow
+from cedarmill.cluster.traffic_plan.weights import normalized
 
 EXCLUSION_US = 5_000_000  # for which a zone that was not reached is left out; doubled each time in a row
 MAX_EXCLUSION_US = 80_000_000
--- a/cedarmill/fleet/agree/actions.py
+++ b/cedarmill/cluster/raft/actions.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.messages import Entry, Message, Snapshot
+from cedarmill.cluster.raft.messages import Entry, Message, Snapshot
 
 
 class RejectionReason(enum.StrEnum):
--- a/cedarmill/fleet/agree/configuration.py
+++ b/cedarmill/cluster/raft/configuration.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.log import Log
-from cedarmill.fleet.agree.messages import Config, Peer
+from cedarmill.cluster.raft.log import Log
+from cedarmill.cluster.raft.messages import Config, Peer
 
 _DECODER = msgspec.msgpack.Decoder(Config)
 
--- a/cedarmill/fleet/agree/election.py
+++ b/cedarmill/cluster/raft/election.py
@@ -1,11 +1,11 @@
 """Elections: pre-vote, votes, and the beginning of a leader's term (thesis, 3.4, 3.6.1, 4.2.3 and 9.6)."""
 
-from cedarmill.fleet.agree.actions import RoleChanged
-from cedarmill.fleet.agree.messages import EntryKind, RequestVote, RequestVoteReply, TimeoutNow
-from cedarmill.fleet.agree.progress import FollowerProgress
-from cedarmill.fleet.agree.replication import Replicator
-from cedarmill.fleet.agree.roles import Role
-from cedarmill.fleet.agree.state import NOBODY, NodeState
+from cedarmill.cluster.raft.actions import RoleChanged
+from cedarmill.cluster.raft.messages import EntryKind, RequestVote, RequestVoteReply, TimeoutNow
+from cedarmill.cluster.raft.progress import FollowerProgress
+from cedarmill.cluster.raft.replication import Replicator
+from cedarmill.cluster.raft.roles import Role
+from cedarmill.cluster.raft.state import NOBODY, NodeState
 
 
 class Election:
--- a/cedarmill/fleet/agree/events.py
+++ b/cedarmill/cluster/raft/events.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.messages import Message, Peer, Snapshot
+from cedarmill.cluster.raft.messages import Message, Peer, Snapshot
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
--- a/cedarmill/fleet/agree/log.py
+++ b/cedarmill/cluster/raft/log.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from cedarmill.fleet.agree.messages import Entry, EntryKind, Snapshot
+from cedarmill.cluster.raft.messages import Entry, EntryKind, Snapshot
 
 UNKNOWN_TERM = -1  # of an index that is compacted, or not in the log yet; no entry has it
 
--- a/cedarmill/fleet/agree/membership.py
+++ b/cedarmill/cluster/raft/membership.py
@@ -3,11 +3,11 @@
 With Ongaro's later amendment to 4.1: a leader first commits an entry of its own term.
 """
 
-from cedarmill.fleet.agree.actions import ProposalAccepted, RejectionReason, RequestRejected
-from cedarmill.fleet.agree.configuration import encode_config
-from cedarmill.fleet.agree.events import ChangeMembership
-from cedarmill.fleet.agree.messages import Config, EntryKind, Peer
-from cedarmill.fleet.agree.state import NodeState
+from cedarmill.cluster.raft.actions import ProposalAccepted, RejectionReason, RequestRejected
+from cedarmill.cluster.raft.configuration import encode_config
+from cedarmill.cluster.raft.events import ChangeMembership
+from cedarmill.cluster.raft.messages import Config, EntryKind, Peer
+from cedarmill.cluster.raft.state import NodeState
 
 CATCH_UP_ENTRIES = 16  # that a replica may lack of the log to be made a voter
 
--- a/cedarmill/fleet/agree/node.py
+++ b/cedarmill/cluster/raft/node.py
@@ -10,9 +10,9 @@
 
 from typing import assert_never
 
-from cedarmill.fleet.agree.actions import Action, ProposalAccepted, RejectionReason, RequestRejected
-from cedarmill.fleet.agree.election import Election
-from cedarmill.fleet.agree.events import (
+from cedarmill.cluster.raft.actions import Action, ProposalAccepted, RejectionReason, RequestRejected
+from cedarmill.cluster.raft.election import Election
+from cedarmill.cluster.raft.events import (
     ChangeMembership,
     ConfirmLeadership,
     Event,
@@ -23,9 +23,9 @@
     TimeAdvanced,
     TransferLeadership,
 )
-from cedarmill.fleet.agree.log import Log
-from cedarmill.fleet.agree.membership import MembershipChanges
-from cedarmill.fleet.agree.messages import (
+from cedarmill.cluster.raft.log import Log
+from cedarmill.cluster.raft.membership import MembershipChanges
+from cedarmill.cluster.raft.messages import (
     AppendEntries,
     AppendEntriesReply,
     Config,
@@ -37,13 +37,13 @@
     RequestVoteReply,
     TimeoutNow,
 )
-from cedarmill.fleet.agree.progress import FollowerProgress
-from cedarmill.fleet.agree.reads import ReadIndex
-from cedarmill.fleet.agree.replication import EntriesReceiver, Replicator
-from cedarmill.fleet.agree.roles import Role
-from cedarmill.fleet.agree.snapshots import SnapshotReceiver
-from cedarmill.fleet.agree.state import NOBODY, NodeState, PersistentState, Timing
-from cedarmill.fleet.agree.transfer import LeadershipTransfer
+from cedarmill.cluster.raft.progress import FollowerProgress
+from cedarmill.cluster.raft.reads import ReadIndex
+from cedarmill.cluster.raft.replication import EntriesReceiver, Replicator
+from cedarmill.cluster.raft.roles import Role
+from cedarmill.cluster.raft.snapshots import SnapshotReceiver
+from cedarmill.cluster.raft.state import NOBODY, NodeState, PersistentState, Timing
+from cedarmill.cluster.raft.transfer import LeadershipTransfer
 
 _FROM_STRANGERS = (AppendEntries, InstallSnapshot, RequestVote)  # taken from outside the configuration
 
--- a/cedarmill/fleet/agree/reads.py
+++ b/cedarmill/cluster/raft/reads.py
@@ -1,8 +1,8 @@
 """Linearizable reads without entries in the log: read index (thesis, 6.4)."""
 
-from cedarmill.fleet.agree.actions import LeadershipConfirmed, RejectionReason, RequestRejected
-from cedarmill.fleet.agree.events import ConfirmLeadership
-from cedarmill.fleet.agree.state import NodeState, PendingRead
+from cedarmill.cluster.raft.actions import LeadershipConfirmed, RejectionReason, RequestRejected
+from cedarmill.cluster.raft.events import ConfirmLeadership
+from cedarmill.cluster.raft.state import NodeState, PendingRead
 
 
 class ReadIndex:
--- a/cedarmill/fleet/agree/replication.py
+++ b/cedarmill/cluster/raft/replication.py
@@ -1,20 +1,20 @@
 """Replication of the log: heartbeats, entries and the commit index (thesis, 3.5, 3.6 and 6.2)."""
 
-from cedarmill.fleet.agree.actions import RaiseAlarm
-from cedarmill.fleet.agree.events import PersistenceCompleted
-from cedarmill.fleet.agree.membership import MembershipChanges
-from cedarmill.fleet.agree.messages import (
+from cedarmill.cluster.raft.actions import RaiseAlarm
+from cedarmill.cluster.raft.events import PersistenceCompleted
+from cedarmill.cluster.raft.membership import MembershipChanges
+from cedarmill.cluster.raft.messages import (
     AppendEntries,
     AppendEntriesReply,
     Entry,
     InstallSnapshotReply,
 )
-from cedarmill.fleet.agree.progress import FollowerProgress
-from cedarmill.fleet.agree.reads import ReadIndex
-from cedarmill.fleet.agree.roles import Role
-from cedarmill.fleet.agree.snapshots import SnapshotSender
-from cedarmill.fleet.agree.state import NOBODY, NodeState
-from cedarmill.fleet.agree.transfer import LeadershipTransfer
+from cedarmill.cluster.raft.progress import FollowerProgress
+from cedarmill.cluster.raft.reads import ReadIndex
+from cedarmill.cluster.raft.roles import Role
+from cedarmill.cluster.raft.snapshots import SnapshotSender
+from cedarmill.cluster.raft.state import NOBODY, NodeState
+from cedarmill.cluster.raft.transfer import LeadershipTransfer
 
 MAX_BATCH_ENTRIES = 64  # in one AppendEntries
 MAX_BATCH_BYTES = 64 * 1024  # of data in one AppendEntries with more than one entry
--- a/cedarmill/fleet/agree/snapshots.py
+++ b/cedarmill/cluster/raft/snapshots.py
@@ -2,12 +2,17 @@
 
 from dataclasses import dataclass, field
 
-from cedarmill.fleet.agree.actions import RestoreSnapshot
-from cedarmill.fleet.agree.events import SnapshotPersisted
-from cedarmill.fleet.agree.log import Log
-from cedarmill.fleet.agree.messages import AppendEntriesReply, InstallSnapshot, InstallSnapshotReply, Snapshot
-from cedarmill.fleet.agree.progress import FollowerProgress
-from cedarmill.fleet.agree.state import NodeState
+from cedarmill.cluster.raft.actions import RestoreSnapshot
+from cedarmill.cluster.raft.events import SnapshotPersisted
+from cedarmill.cluster.raft.log import Log
+from cedarmill.cluster.raft.messages import (
+    AppendEntriesReply,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    Snapshot,
+)
+from cedarmill.cluster.raft.progress import FollowerProgress
+from cedarmill.cluster.raft.state import NodeState
 
 CHUNK_BYTES = 32 * 1024  # of a snapshot's data in one message
 
--- a/cedarmill/fleet/agree/state.py
+++ b/cedarmill/cluster/raft/state.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass, field
 
-from cedarmill.fleet.agree.actions import (
+from cedarmill.cluster.raft.actions import (
     Action,
     ApplyEntries,
     PersistEntries,
@@ -17,11 +17,11 @@
     RoleChanged,
     SendMessage,
 )
-from cedarmill.fleet.agree.configuration import ClusterConfiguration
-from cedarmill.fleet.agree.log import Log
-from cedarmill.fleet.agree.messages import Entry, EntryKind, Message, Snapshot
-from cedarmill.fleet.agree.progress import FollowerProgress
-from cedarmill.fleet.agree.roles import Role, check_transition
+from cedarmill.cluster.raft.configuration import ClusterConfiguration
+from cedarmill.cluster.raft.log import Log
+from cedarmill.cluster.raft.messages import Entry, EntryKind, Message, Snapshot
+from cedarmill.cluster.raft.progress import FollowerProgress
+from cedarmill.cluster.raft.roles import Role, check_transition
 
 NOBODY = ""  # in place of a replica's name: no vote given, no leader known
 
--- a/cedarmill/fleet/agree/transfer.py
+++ b/cedarmill/cluster/raft/transfer.py
@@ -1,9 +1,9 @@
 """Transfer of leadership to another voter (thesis, 3.10)."""
 
-from cedarmill.fleet.agree.events import TransferLeadership
-from cedarmill.fleet.agree.messages import TimeoutNow
-from cedarmill.fleet.agree.progress import FollowerProgress
-from cedarmill.fleet.agree.state import NodeState
+from cedarmill.cluster.raft.events import TransferLeadership
+from cedarmill.cluster.raft.messages import TimeoutNow
+from cedarmill.cluster.raft.progress import FollowerProgress
+from cedarmill.cluster.raft.state import NodeState
 
 TRANSFER_TIMEOUT = 2  # in election timeouts; after that the leader goes on leading
 
--- a/cedarmill/fleet/release_state.py
+++ b/cedarmill/cluster/release_state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cedarmill.fleet.states import ReleaseState, StepState
+from cedarmill.cluster.states import ReleaseState, StepState
 
 UnitReportFields = tuple[str, str, int, int]  # those of a UnitReport, which comes as a plain array
 UnitOrderFields = tuple[str, int]  # those of a UnitOrder
--- a/cedarmill/fleet/replica.py
+++ b/cedarmill/cluster/replica.py
@@ -1,8 +1,8 @@
 """One replica of the cluster's state, without I/O: the replicated log, the state, and the requests for them.
 
 Each event (`on_message`, `on_request`, `on_time`, `on_synced`, `on_snapshot_stored`, `transfer_leadership`)
-returns actions for the adapter, to be carried out in order: those of `agree/actions.py` (Save, Put, Install,
-Send, Alarm, Role), Reply and StoreSnapshot. Between replicas, Send also carries forwarded requests.
+returns actions for the adapter, to be carried out in order: those of `raft/actions.py`,
+Reply and StoreSnapshot. Between replicas, SendMessage also carries forwarded requests.
 All times are microseconds of the replica's monotonic clock, unless they are said to be the cluster's.
 """
 
@@ -11,7 +11,19 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.actions import (
+from cedarmill.cluster.leader_duties import NEW_LEADER_HALT, LeaderDuties
+from cedarmill.cluster.leadership import Leadership
+from cedarmill.cluster.messages import (
+    ChangeReplicas,
+    ClientRequest,
+    ForwardReply,
+    ForwardRequest,
+    ReplicaMessage,
+    SubmitRequest,
+    Unavailable,
+)
+from cedarmill.cluster.pending_requests import Origin, PendingRequests, Placed, Waiting
+from cedarmill.cluster.raft.actions import (
     ApplyEntries,
     LeadershipConfirmed,
     ProposalAccepted,
@@ -19,7 +31,7 @@
     RestoreSnapshot,
     RoleChanged,
 )
-from cedarmill.fleet.agree.events import (
+from cedarmill.cluster.raft.events import (
     Event,
     MessageReceived,
     PersistenceCompleted,
@@ -28,26 +40,14 @@
     TimeAdvanced,
     TransferLeadership,
 )
-from cedarmill.fleet.agree.messages import Entry, EntryKind, Snapshot
-from cedarmill.fleet.agree.node import RaftNode
-from cedarmill.fleet.agree.state import PersistentState, Timing
-from cedarmill.fleet.leader_duties import NEW_LEADER_HALT, LeaderDuties
-from cedarmill.fleet.leadership import Leadership
-from cedarmill.fleet.messages import (
-    ChangeReplicas,
-    ClientRequest,
-    ForwardReply,
-    ForwardRequest,
-    ReplicaMessage,
-    SubmitRequest,
-    Unavailable,
-)
-from cedarmill.fleet.pending_requests import Origin, PendingRequests, Placed, Waiting
-from cedarmill.fleet.request_router import Reply, RequestRouter
-from cedarmill.fleet.state import ClusterState, RequestOutcome, decode_snapshot, encode_snapshot
-from cedarmill.fleet.state_machine import dispatch
-from cedarmill.fleet.state_machine.command import Command
-from cedarmill.fleet.state_machine.commands import HaltGrants
+from cedarmill.cluster.raft.messages import Entry, EntryKind, Snapshot
+from cedarmill.cluster.raft.node import RaftNode
+from cedarmill.cluster.raft.state import PersistentState, Timing
+from cedarmill.cluster.request_router import Reply, RequestRouter
+from cedarmill.cluster.state import ClusterState, RequestOutcome, decode_snapshot, encode_snapshot
+from cedarmill.cluster.state_machine import dispatch
+from cedarmill.cluster.state_machine.command import Command
+from cedarmill.cluster.state_machine.commands import HaltGrants
 
 SNAPSHOT_ENTRIES = 2_000  # entries that the log may hold before a snapshot is made
 FORWARD_TIMEOUT_US = 3_000_000  # for the leader's reply to a forwarded request
--- a/cedarmill/fleet/request_router.py
+++ b/cedarmill/cluster/request_router.py
@@ -4,10 +4,8 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.actions import SendMessage
-from cedarmill.fleet.agree.events import ConfirmLeadership
-from cedarmill.fleet.member_requests import MemberRequests
-from cedarmill.fleet.messages import (
+from cedarmill.cluster.member_requests import MemberRequests
+from cedarmill.cluster.messages import (
     ClientReply,
     ClientRequest,
     ForwardReply,
@@ -20,12 +18,14 @@
     SubmitRequest,
     Unavailable,
 )
-from cedarmill.fleet.operator_requests import OperatorRequests
-from cedarmill.fleet.pending_requests import Waiting
-from cedarmill.fleet.state_views import render
+from cedarmill.cluster.operator_requests import OperatorRequests
+from cedarmill.cluster.pending_requests import Waiting
+from cedarmill.cluster.raft.actions import SendMessage
+from cedarmill.cluster.raft.events import ConfirmLeadership
+from cedarmill.cluster.state_views import render
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.replica import Replica
+    from cedarmill.cluster.replica import Replica
 
 
 class Reply(msgspec.Struct, frozen=True):
--- a/cedarmill/fleet/session.py
+++ b/cedarmill/cluster/session.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from cedarmill.fleet.messages import (
+from cedarmill.cluster.messages import (
     ClientReply,
     ClientRequest,
     ExecutorObservation,
@@ -20,9 +20,9 @@
     Orders,
     Unavailable,
 )
-from cedarmill.fleet.observations.digest import ObservationDigest
-from cedarmill.fleet.session_tracker import holder_lease_end
-from cedarmill.fleet.state import UnitReportFields
+from cedarmill.cluster.observations.digest import ObservationDigest
+from cedarmill.cluster.session_tracker import holder_lease_end
+from cedarmill.cluster.state import UnitReportFields
 
 HEARTBEAT_US = 250_000  # between two heartbeats
 REPLY_TIMEOUT_US = 1_000_000  # for a reply, before another replica is tried
--- a/cedarmill/fleet/session_tracker.py
+++ b/cedarmill/cluster/session_tracker.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarmill.fleet.messages import ExecutorObservation, Heartbeat
-from cedarmill.fleet.state import ClusterState, Member
-from cedarmill.fleet.states import MemberState
+from cedarmill.cluster.messages import ExecutorObservation, Heartbeat
+from cedarmill.cluster.state import ClusterState, Member
+from cedarmill.cluster.states import MemberState
 
 LEASE_US = 3_000_000  # that a session holds without a heartbeat
 CLOCK_RATE_BOUND = 0.01  # by which one process's clock may run faster than another's: far over a quartz's
--- a/cedarmill/fleet/state.py
+++ b/cedarmill/cluster/state.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from cedarmill.fleet.admission_level.state import AdmissionLevel
-from cedarmill.fleet.budget_grants import Budget, BudgetGrant
-from cedarmill.fleet.release_state import (
+from cedarmill.cluster.admission_level.state import AdmissionLevel
+from cedarmill.cluster.budget_grants import Budget, BudgetGrant
+from cedarmill.cluster.release_state import (
     Release,
     ReleasePlan,
     Unit,
@@ -21,9 +21,9 @@
     UnitReportFields,
     UnitStep,
 )
-from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
-from cedarmill.fleet.traffic_plan.state import TrafficState, ZoneState
+from cedarmill.cluster.states import MemberState, PermitState, TargetHealth
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_plan.state import TrafficState, ZoneState
 
 __all__ = [
     "EPOCH_INDEX_BITS",
--- a/cedarmill/fleet/state_machine/budgets.py
+++ b/cedarmill/cluster/state_machine/budgets.py
@@ -1,11 +1,11 @@
 """Budgets of the cluster, leased to nodes: demand, acknowledgement of smaller leases, and settings."""
 
-from cedarmill.fleet import budget_grants
-from cedarmill.fleet.budget_grants import Budget, InvalidBudgetError
-from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.state import ClusterState, RequestOutcome
-from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
-from cedarmill.fleet.states import MemberState
+from cedarmill.cluster import budget_grants
+from cedarmill.cluster.budget_grants import Budget, InvalidBudgetError
+from cedarmill.cluster.errors import RequestRejected
+from cedarmill.cluster.state import ClusterState, RequestOutcome
+from cedarmill.cluster.state_machine.command import Command, Handlers, OperatorRequest, accepted
+from cedarmill.cluster.states import MemberState
 
 
 class SetBudgetDemand(Command, tag="wants", frozen=True):
--- a/cedarmill/fleet/state_machine/command.py
+++ b/cedarmill/cluster/state_machine/command.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cedarmill.fleet.state import ClusterState, RequestOutcome
+from cedarmill.cluster.state import ClusterState, RequestOutcome
 
 DEFAULT_WAIT_US = 600_000_000  # how long a request for a permit waits to be granted
 
--- a/cedarmill/fleet/state_machine/commands.py
+++ b/cedarmill/cluster/state_machine/commands.py
@@ -1,26 +1,26 @@
 """All commands in one place: `AnyRequest` is what operators send, `AnyCommand` what the log holds."""
 
-from cedarmill.fleet.state_machine.budgets import AcknowledgeOrders, SetBudgetDemand, SetBudgets
-from cedarmill.fleet.state_machine.command import Command, OperatorRequest
-from cedarmill.fleet.state_machine.operator_statements import OperatorStatement
-from cedarmill.fleet.state_machine.permits import (
+from cedarmill.cluster.state_machine.budgets import AcknowledgeOrders, SetBudgetDemand, SetBudgets
+from cedarmill.cluster.state_machine.command import Command, OperatorRequest
+from cedarmill.cluster.state_machine.operator_statements import OperatorStatement
+from cedarmill.cluster.state_machine.permits import (
     AdoptUnknownGrants,
     ConfirmDrained,
     RequestPermits,
     ReturnPermit,
     SetLimits,
 )
-from cedarmill.fleet.state_machine.releases import ControlRelease, PlanRelease, RecordComparison
-from cedarmill.fleet.state_machine.sessions import (
+from cedarmill.cluster.state_machine.releases import ControlRelease, PlanRelease, RecordComparison
+from cedarmill.cluster.state_machine.sessions import (
     EndMember,
     ExpireSessions,
     RegisterMember,
     RestoreSession,
 )
-from cedarmill.fleet.state_machine.setup import AdvanceTime, InitializeCluster
-from cedarmill.fleet.state_machine.targets import HaltGrants, UpdateTargets, UpdateUnits
-from cedarmill.fleet.state_machine.traffic import OverrideAdmission, RecordZoneEvidence
-from cedarmill.fleet.state_machine.zones import ControlZone, SetZones
+from cedarmill.cluster.state_machine.setup import AdvanceTime, InitializeCluster
+from cedarmill.cluster.state_machine.targets import HaltGrants, UpdateTargets, UpdateUnits
+from cedarmill.cluster.state_machine.traffic import OverrideAdmission, RecordZoneEvidence
+from cedarmill.cluster.state_machine.zones import ControlZone, SetZones
 
 __all__ = [
     "AcknowledgeOrders",
--- a/cedarmill/fleet/state_machine/dispatch.py
+++ b/cedarmill/cluster/state_machine/dispatch.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from cedarmill.fleet.errors import RequestRejected, UnknownCommand
-from cedarmill.fleet.state import ClusterState, RequestOutcome
-from cedarmill.fleet.state_machine import (
+from cedarmill.cluster.errors import RequestRejected, UnknownCommand
+from cedarmill.cluster.state import ClusterState, RequestOutcome
+from cedarmill.cluster.state_machine import (
     budgets,
     operator_statements,
     permit_queue,
@@ -19,11 +19,11 @@
     targets,
     zones,
 )
-from cedarmill.fleet.state_machine import permits as permit_commands
-from cedarmill.fleet.state_machine import traffic as traffic_commands
-from cedarmill.fleet.state_machine.command import Command, Handler, OperatorRequest
-from cedarmill.fleet.state_machine.commands import AnyCommand
-from cedarmill.fleet.traffic_control import schedule, shedding
+from cedarmill.cluster.state_machine import permits as permit_commands
+from cedarmill.cluster.state_machine import traffic as traffic_commands
+from cedarmill.cluster.state_machine.command import Command, Handler, OperatorRequest
+from cedarmill.cluster.state_machine.commands import AnyCommand
+from cedarmill.cluster.traffic_control import schedule, shedding
 
 OUTCOMES_KEPT = 5000  # of requests, the oldest of which are forgotten first
 OUTCOME_KEPT_US = 3_600_000_000  # how long an outcome is remembered
--- a/cedarmill/fleet/state_machine/drains.py
+++ b/cedarmill/cluster/state_machine/drains.py
@@ -1,6 +1,6 @@
 """Drains: which members have to confirm that they are done with a target before it counts as drained."""
 
-from cedarmill.fleet.state import ClusterState, Permit
+from cedarmill.cluster.state import ClusterState, Permit
 
 
 def members_to_drain(state: ClusterState, permit: Permit) -> list[str]:
--- a/cedarmill/fleet/state_machine/limits.py
+++ b/cedarmill/cluster/state_machine/limits.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from cedarmill.fleet.state import PER_MILLE, ClusterState, Limit, Target
-from cedarmill.fleet.state_machine.permit_states import target_key
-from cedarmill.fleet.states import TargetHealth
+from cedarmill.cluster.state import PER_MILLE, ClusterState, Limit, Target
+from cedarmill.cluster.state_machine.permit_states import target_key
+from cedarmill.cluster.states import TargetHealth
 
 FLAP_WINDOW_US = 60_000_000  # in which lease expiries are counted
 FLAP_EXPIRIES = 3  # of a node in that window: it counts as out until they are fewer
--- a/cedarmill/fleet/state_machine/operator_statements.py
+++ b/cedarmill/cluster/state_machine/operator_statements.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Callable
 
-from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.state import ClusterState, RequestOutcome
-from cedarmill.fleet.state_machine import drains
-from cedarmill.fleet.state_machine.command import Handlers, OperatorRequest, accepted
-from cedarmill.fleet.state_machine.permit_states import give_back
-from cedarmill.fleet.state_machine.sessions import end_member
-from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
+from cedarmill.cluster.errors import RequestRejected
+from cedarmill.cluster.state import ClusterState, RequestOutcome
+from cedarmill.cluster.state_machine import drains
+from cedarmill.cluster.state_machine.command import Handlers, OperatorRequest, accepted
+from cedarmill.cluster.state_machine.permit_states import give_back
+from cedarmill.cluster.state_machine.sessions import end_member
+from cedarmill.cluster.states import MemberState, PermitState, TargetHealth
 
 
 class OperatorStatement(OperatorRequest, tag="word", frozen=True):
--- a/cedarmill/fleet/state_machine/permit_queue.py
+++ b/cedarmill/cluster/state_machine/permit_queue.py
@@ -6,11 +6,11 @@
 
 from dataclasses import dataclass
 
-from cedarmill.fleet.state import ClusterState, Limit, Permit
-from cedarmill.fleet.state_machine import drains, limits
-from cedarmill.fleet.state_machine.limits import FLAP_WINDOW_US, Answer
-from cedarmill.fleet.state_machine.permit_states import OPEN_STATES, move, target_key
-from cedarmill.fleet.states import PermitState
+from cedarmill.cluster.state import ClusterState, Limit, Permit
+from cedarmill.cluster.state_machine import drains, limits
+from cedarmill.cluster.state_machine.limits import FLAP_WINDOW_US, Answer
+from cedarmill.cluster.state_machine.permit_states import OPEN_STATES, move, target_key
+from cedarmill.cluster.states import PermitState
 
 ENDED_KEPT = 500  # permits that have ended and are still listed
 WARM_UP_CHECK_US = 500_000  # between two looks at targets in slow start while a request waits
--- a/cedarmill/fleet/state_machine/permit_states.py
+++ b/cedarmill/cluster/state_machine/permit_states.py
@@ -1,7 +1,7 @@
 """The states of a permit: whatever changes one stands in this table."""
 
-from cedarmill.fleet.state import ClusterState, Permit
-from cedarmill.fleet.states import PermitState
+from cedarmill.cluster.state import ClusterState, Permit
+from cedarmill.cluster.states import PermitState
 
 # (state, event) -> state
 STATES: dict[tuple[str, str], PermitState] = {
--- a/cedarmill/fleet/state_machine/permits.py
+++ b/cedarmill/cluster/state_machine/permits.py
@@ -1,18 +1,18 @@
 """Permits to take targets out of service: requests, returns, confirmations of drains, and limits."""
 
-from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.state import ClusterState, Limit, Permit, RequestOutcome
-from cedarmill.fleet.state_machine import drains, permit_queue, zones
-from cedarmill.fleet.state_machine.command import (
+from cedarmill.cluster.errors import RequestRejected
+from cedarmill.cluster.state import ClusterState, Limit, Permit, RequestOutcome
+from cedarmill.cluster.state_machine import drains, permit_queue, zones
+from cedarmill.cluster.state_machine.command import (
     DEFAULT_WAIT_US,
     Command,
     Handlers,
     OperatorRequest,
     accepted,
 )
-from cedarmill.fleet.state_machine.permit_queue import PermitRequest
-from cedarmill.fleet.state_machine.permit_states import give_back, move, open_permit
-from cedarmill.fleet.states import PermitState
+from cedarmill.cluster.state_machine.permit_queue import PermitRequest
+from cedarmill.cluster.state_machine.permit_states import give_back, move, open_permit
+from cedarmill.cluster.states import PermitState
 
 
 class ConfirmDrained(Command, tag="cleared", frozen=True):
--- a/cedarmill/fleet/state_machine/release_states.py
+++ b/cedarmill/cluster/state_machine/release_states.py
@@ -1,7 +1,7 @@
 """The states of a release and of each unit within it: whatever changes one stands in these tables."""
 
-from cedarmill.fleet.state import ClusterState, Release, UnitStep
-from cedarmill.fleet.states import ReleaseState, StepState
+from cedarmill.cluster.state import ClusterState, Release, UnitStep
+from cedarmill.cluster.states import ReleaseState, StepState
 
 # (state, event) -> state, of a release
 STATES: dict[tuple[str, str], ReleaseState] = {
--- a/cedarmill/fleet/state_machine/releases.py
+++ b/cedarmill/cluster/state_machine/releases.py
@@ -1,11 +1,11 @@
 """Releases of new versions: plans, operators' control, and the comparison of versions."""
 
-from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.state import ClusterState, Release, ReleasePlan, RequestOutcome, UnitStep
-from cedarmill.fleet.state_machine import rollout
-from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
-from cedarmill.fleet.state_machine.release_states import END_STATES, move, move_step
-from cedarmill.fleet.states import ReleaseState
+from cedarmill.cluster.errors import RequestRejected
+from cedarmill.cluster.state import ClusterState, Release, ReleasePlan, RequestOutcome, UnitStep
+from cedarmill.cluster.state_machine import rollout
+from cedarmill.cluster.state_machine.command import Command, Handlers, OperatorRequest, accepted
+from cedarmill.cluster.state_machine.release_states import END_STATES, move, move_step
+from cedarmill.cluster.states import ReleaseState
 
 
 class RecordComparison(Command, tag="judged", frozen=True):
--- a/cedarmill/fleet/state_machine/rollout.py
+++ b/cedarmill/cluster/state_machine/rollout.py
@@ -7,13 +7,13 @@
 
 from collections.abc import Iterator
 
-from cedarmill.fleet.state import ClusterState, Release, UnitOrder, UnitOrderFields, UnitStep
-from cedarmill.fleet.state_machine import permit_queue
-from cedarmill.fleet.state_machine.permit_queue import PermitRequest
-from cedarmill.fleet.state_machine.permit_states import give_back
-from cedarmill.fleet.state_machine.permit_states import move as move_permit
-from cedarmill.fleet.state_machine.release_states import move, move_step
-from cedarmill.fleet.states import PermitState, ReleaseState, StepState
+from cedarmill.cluster.state import ClusterState, Release, UnitOrder, UnitOrderFields, UnitStep
+from cedarmill.cluster.state_machine import permit_queue
+from cedarmill.cluster.state_machine.permit_queue import PermitRequest
+from cedarmill.cluster.state_machine.permit_states import give_back
+from cedarmill.cluster.state_machine.permit_states import move as move_permit
+from cedarmill.cluster.state_machine.release_states import move, move_step
+from cedarmill.cluster.states import PermitState, ReleaseState, StepState
 
 MAX_EXITS = 2  # unexpected ends of a unit that was just changed, at which it has failed: one may be chance
 MAX_BAKE_FACTOR = 4  # times the bake of the plan, while too few requests have come to compare
--- a/cedarmill/fleet/state_machine/sessions.py
+++ b/cedarmill/cluster/state_machine/sessions.py
@@ -1,11 +1,11 @@
 """Sessions of members (nodes and process supervisors): joining, lease expiry, return and end."""
 
-from cedarmill.fleet import budget_grants
-from cedarmill.fleet.state import ClusterState, Member, Target
-from cedarmill.fleet.state_machine import drains
-from cedarmill.fleet.state_machine.command import Command, Handlers
-from cedarmill.fleet.state_machine.permit_states import move, target_key
-from cedarmill.fleet.states import MemberState, PermitState, TargetHealth
+from cedarmill.cluster import budget_grants
+from cedarmill.cluster.state import ClusterState, Member, Target
+from cedarmill.cluster.state_machine import drains
+from cedarmill.cluster.state_machine.command import Command, Handlers
+from cedarmill.cluster.state_machine.permit_states import move, target_key
+from cedarmill.cluster.states import MemberState, PermitState, TargetHealth
 
 ENDED_KEPT_US = 600_000_000  # how long an incarnation that has ended is still listed
 LAPSES_KEPT = 8  # lease expiries remembered of each member
--- a/cedarmill/fleet/state_machine/setup.py
+++ b/cedarmill/cluster/state_machine/setup.py
@@ -1,7 +1,7 @@
 """The first entry of a cluster, and the passing of time."""
 
-from cedarmill.fleet.state import ClusterState
-from cedarmill.fleet.state_machine.command import Command, Handlers
+from cedarmill.cluster.state import ClusterState
+from cedarmill.cluster.state_machine.command import Command, Handlers
 
 
 class AdvanceTime(Command, tag="tick", frozen=True):
--- a/cedarmill/fleet/state_machine/targets.py
+++ b/cedarmill/cluster/state_machine/targets.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-from cedarmill.fleet.state import ClusterState, Target, Unit, UnitReport, UnitReportFields
-from cedarmill.fleet.state_machine.command import Command, Handlers
-from cedarmill.fleet.state_machine.permit_states import target_key
-from cedarmill.fleet.states import TargetHealth
+from cedarmill.cluster.state import ClusterState, Target, Unit, UnitReport, UnitReportFields
+from cedarmill.cluster.state_machine.command import Command, Handlers
+from cedarmill.cluster.state_machine.permit_states import target_key
+from cedarmill.cluster.states import TargetHealth
 
 
 class UpdateTargets(Command, tag="seen", frozen=True):
--- a/cedarmill/fleet/state_machine/traffic.py
+++ b/cedarmill/cluster/state_machine/traffic.py
@@ -1,13 +1,13 @@
 """Traffic over all zones: evidence of the nodes, and an operator's override of the admission level."""
 
-from cedarmill.fleet.admission_level import controller
-from cedarmill.fleet.admission_level.state import SheddingThreshold
-from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.observations.assessment import ClusterAssessment
-from cedarmill.fleet.observations.digest import WHOLE
-from cedarmill.fleet.state import ClusterState, RequestOutcome
-from cedarmill.fleet.state_machine.command import Command, Handlers, OperatorRequest, accepted
-from cedarmill.fleet.traffic_control import intake
+from cedarmill.cluster.admission_level import controller
+from cedarmill.cluster.admission_level.state import SheddingThreshold
+from cedarmill.cluster.errors import RequestRejected
+from cedarmill.cluster.observations.assessment import ClusterAssessment
+from cedarmill.cluster.observations.digest import WHOLE
+from cedarmill.cluster.state import ClusterState, RequestOutcome
+from cedarmill.cluster.state_machine.command import Command, Handlers, OperatorRequest, accepted
+from cedarmill.cluster.traffic_control import intake
 
 
 class RecordZoneEvidence(Command, tag="observed", frozen=True):
--- a/cedarmill/fleet/state_machine/zones.py
+++ b/cedarmill/cluster/state_machine/zones.py
@@ -2,17 +2,17 @@
 
 from collections.abc import Callable
 
-from cedarmill.fleet.errors import RequestRejected
-from cedarmill.fleet.state import ClusterState, RequestOutcome
-from cedarmill.fleet.state_machine import permit_queue
-from cedarmill.fleet.state_machine.command import DEFAULT_WAIT_US, Handlers, OperatorRequest, accepted
-from cedarmill.fleet.state_machine.permit_queue import PermitRequest
-from cedarmill.fleet.state_machine.permit_states import give_back, move, open_permit
-from cedarmill.fleet.states import PermitState
-from cedarmill.fleet.traffic_control import intake, ramps, zone_status
-from cedarmill.fleet.traffic_control.errors import InvalidLayoutError
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
-from cedarmill.fleet.traffic_plan.state import ZoneState
+from cedarmill.cluster.errors import RequestRejected
+from cedarmill.cluster.state import ClusterState, RequestOutcome
+from cedarmill.cluster.state_machine import permit_queue
+from cedarmill.cluster.state_machine.command import DEFAULT_WAIT_US, Handlers, OperatorRequest, accepted
+from cedarmill.cluster.state_machine.permit_queue import PermitRequest
+from cedarmill.cluster.state_machine.permit_states import give_back, move, open_permit
+from cedarmill.cluster.states import PermitState
+from cedarmill.cluster.traffic_control import intake, ramps, zone_status
+from cedarmill.cluster.traffic_control.errors import InvalidLayoutError
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_plan.state import ZoneState
 
 
 class SetZones(OperatorRequest, tag="zones", frozen=True):
--- a/cedarmill/fleet/state_views.py
+++ b/cedarmill/cluster/state_views.py
@@ -5,17 +5,17 @@
 
 import msgspec
 
-from cedarmill.fleet import budget_grants
-from cedarmill.fleet.messages import ReadRequest
-from cedarmill.fleet.session_tracker import LEASE_US
-from cedarmill.fleet.state import PER_MILLE, ClusterState, Limit, Permit, Release
-from cedarmill.fleet.state_machine import limits
-from cedarmill.fleet.states import MemberState, PermitState
-from cedarmill.fleet.traffic_control import reports
-from cedarmill.fleet.traffic_control.errors import TrafficError
+from cedarmill.cluster import budget_grants
+from cedarmill.cluster.messages import ReadRequest
+from cedarmill.cluster.session_tracker import LEASE_US
+from cedarmill.cluster.state import PER_MILLE, ClusterState, Limit, Permit, Release
+from cedarmill.cluster.state_machine import limits
+from cedarmill.cluster.states import MemberState, PermitState
+from cedarmill.cluster.traffic_control import reports
+from cedarmill.cluster.traffic_control.errors import TrafficError
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.replica import Replica
+    from cedarmill.cluster.replica import Replica
 
 Row = dict[str, Any]
 
--- a/cedarmill/fleet/supervision.py
+++ b/cedarmill/cluster/supervision.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from cedarmill.fleet.errors import ClusterError
-from cedarmill.fleet.state import UnitOrderFields, UnitReport, UnitReportFields
+from cedarmill.cluster.errors import ClusterError
+from cedarmill.cluster.state import UnitOrderFields, UnitReport, UnitReportFields
 
 RESTART_DELAY_US = 500_000  # before a unit that ended by itself is started again: at first,
 MAX_RESTART_DELAY_US = 8_000_000  # and at most; it doubles each time
--- a/cedarmill/fleet/traffic_control/intake.py
+++ b/cedarmill/cluster/traffic_control/intake.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from cedarmill.fleet.observations.assessment import DEMAND_LIFETIME_US, ClusterAssessment, ZoneAssessment
-from cedarmill.fleet.observations.digest import WHOLE
-from cedarmill.fleet.observations.verdicts import FAILING_SHARE, Verdict
-from cedarmill.fleet.state import Target
-from cedarmill.fleet.state_machine.permit_states import target_key
-from cedarmill.fleet.traffic_control.errors import InvalidLayoutError
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
-from cedarmill.fleet.traffic_plan.state import ZoneState
+from cedarmill.cluster.observations.assessment import DEMAND_LIFETIME_US, ClusterAssessment, ZoneAssessment
+from cedarmill.cluster.observations.digest import WHOLE
+from cedarmill.cluster.observations.verdicts import FAILING_SHARE, Verdict
+from cedarmill.cluster.state import Target
+from cedarmill.cluster.state_machine.permit_states import target_key
+from cedarmill.cluster.traffic_control.errors import InvalidLayoutError
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_plan.state import ZoneState
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.state import ClusterState
 
 RECOVERED_SHARE = FAILING_SHARE // 3  # thousandths of failures below which a failing zone counts as well
 
--- a/cedarmill/fleet/traffic_control/ramps.py
+++ b/cedarmill/cluster/traffic_control/ramps.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from cedarmill.fleet.observations.assessment import ClusterAssessment
-from cedarmill.fleet.observations.digest import WHOLE
-from cedarmill.fleet.traffic_control import zone_status
-from cedarmill.fleet.traffic_plan import planner
-from cedarmill.fleet.traffic_plan.state import ZoneEvent, ZoneState, ZoneStatus
+from cedarmill.cluster.observations.assessment import ClusterAssessment
+from cedarmill.cluster.observations.digest import WHOLE
+from cedarmill.cluster.traffic_control import zone_status
+from cedarmill.cluster.traffic_plan import planner
+from cedarmill.cluster.traffic_plan.state import ZoneEvent, ZoneState, ZoneStatus
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.state import ClusterState
 
 RETURN_RATE = 100  # thousandths of a zone's capacity that come back in a second
 
--- a/cedarmill/fleet/traffic_control/reports.py
+++ b/cedarmill/cluster/traffic_control/reports.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from cedarmill.fleet.observations.assessment import ClusterAssessment
-from cedarmill.fleet.observations.digest import SCOPES, WHOLE
-from cedarmill.fleet.traffic_control import zone_status
-from cedarmill.fleet.traffic_control.errors import NoAssessmentError, UnknownZoneError
-from cedarmill.fleet.traffic_plan import planner
-from cedarmill.fleet.traffic_plan.state import WeightTable, ZoneState, ZoneStatus
-from cedarmill.fleet.traffic_plan.weights import expected_load
+from cedarmill.cluster.observations.assessment import ClusterAssessment
+from cedarmill.cluster.observations.digest import SCOPES, WHOLE
+from cedarmill.cluster.traffic_control import zone_status
+from cedarmill.cluster.traffic_control.errors import NoAssessmentError, UnknownZoneError
+from cedarmill.cluster.traffic_plan import planner
+from cedarmill.cluster.traffic_plan.state import WeightTable, ZoneState, ZoneStatus
+from cedarmill.cluster.traffic_plan.weights import expected_load
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.messages import RouteWeights
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.messages import RouteWeights
+    from cedarmill.cluster.state import ClusterState
 
 
 class ZoneForecast(msgspec.Struct, frozen=True):
@@ -98,7 +98,7 @@
 
 def route_weights(state: "ClusterState", zone: str) -> "RouteWeights | None":
     """Where the nodes of a zone send requests; None: there is no such zone."""
-    from cedarmill.fleet.messages import RouteWeights  # which holds types of `traffic_plan/`
+    from cedarmill.cluster.messages import RouteWeights  # which holds types of `traffic_plan/`
 
     traffic, layout = state.traffic, state.zoning
     if zone not in state.zones:
--- a/cedarmill/fleet/traffic_control/rollout.py
+++ b/cedarmill/cluster/traffic_control/rollout.py
@@ -2,13 +2,13 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet.observations.assessment import ClusterAssessment
-from cedarmill.fleet.traffic_plan import planner, weights
-from cedarmill.fleet.traffic_plan.planner import PROBE_WEIGHT, TrafficPlan
-from cedarmill.fleet.traffic_plan.state import WeightTable, ZoneStatus
+from cedarmill.cluster.observations.assessment import ClusterAssessment
+from cedarmill.cluster.traffic_plan import planner, weights
+from cedarmill.cluster.traffic_plan.planner import PROBE_WEIGHT, TrafficPlan
+from cedarmill.cluster.traffic_plan.state import WeightTable, ZoneStatus
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.state import ClusterState
 
 MOVE_RATE = 200  # thousandths of a row that move in a second, where nothing is lost
 MOVE_INTERVAL_US = 500_000  # between two moves
--- a/cedarmill/fleet/traffic_control/schedule.py
+++ b/cedarmill/cluster/traffic_control/schedule.py
@@ -2,14 +2,14 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet.admission_level.state import LATE_SHARE as ADMISSION_LATE_SHARE
-from cedarmill.fleet.admission_level.state import STEP_US as ADMISSION_STEP_US
-from cedarmill.fleet.observations.digest import WHOLE
-from cedarmill.fleet.traffic_control import ramps, rollout, trust, zone_status
-from cedarmill.fleet.traffic_plan.state import ZoneState, ZoneStatus
+from cedarmill.cluster.admission_level.state import LATE_SHARE as ADMISSION_LATE_SHARE
+from cedarmill.cluster.admission_level.state import STEP_US as ADMISSION_STEP_US
+from cedarmill.cluster.observations.digest import WHOLE
+from cedarmill.cluster.traffic_control import ramps, rollout, trust, zone_status
+from cedarmill.cluster.traffic_plan.state import ZoneState, ZoneStatus
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.state import ClusterState
 
 FROZEN_REVIEW_US = 60_000_000  # between two reviews of a frozen plan
 CALM_REVIEW_US = 30_000_000  # the same where nothing moves
--- a/cedarmill/fleet/traffic_control/shedding.py
+++ b/cedarmill/cluster/traffic_control/shedding.py
@@ -2,14 +2,14 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet.admission_level import controller
-from cedarmill.fleet.admission_level.state import UNKNOWN, LoadReport
-from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
-from cedarmill.fleet.observations.digest import WHOLE
-from cedarmill.fleet.traffic_plan import planner
+from cedarmill.cluster.admission_level import controller
+from cedarmill.cluster.admission_level.state import UNKNOWN, LoadReport
+from cedarmill.cluster.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.cluster.observations.digest import WHOLE
+from cedarmill.cluster.traffic_plan import planner
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.state import ClusterState
 
 
 def update_admission(state: "ClusterState") -> None:
--- a/cedarmill/fleet/traffic_control/trust.py
+++ b/cedarmill/cluster/traffic_control/trust.py
@@ -4,16 +4,16 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet.observations.assessment import ClusterAssessment
-from cedarmill.fleet.observations.digest import WHOLE
-from cedarmill.fleet.observations.verdicts import LATE_SHARE, Verdict
-from cedarmill.fleet.traffic_control.zone_status import LOSS_MEMORY_US
-from cedarmill.fleet.traffic_plan import planner
-from cedarmill.fleet.traffic_plan.state import ZoneState, ZoneStatus
-from cedarmill.fleet.traffic_plan.weights import expected_load
+from cedarmill.cluster.observations.assessment import ClusterAssessment
+from cedarmill.cluster.observations.digest import WHOLE
+from cedarmill.cluster.observations.verdicts import LATE_SHARE, Verdict
+from cedarmill.cluster.traffic_control.zone_status import LOSS_MEMORY_US
+from cedarmill.cluster.traffic_plan import planner
+from cedarmill.cluster.traffic_plan.state import ZoneState, ZoneStatus
+from cedarmill.cluster.traffic_plan.weights import expected_load
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState
+    from cedarmill.cluster.state import ClusterState
 
 TRUST_INTERVAL_US = 2_000_000  # between two changes of a zone's trust
 PROMPT_SHARE = LATE_SHARE // 3  # thousandths of late requests below which trust is raised
--- a/cedarmill/fleet/traffic_control/zone_status.py
+++ b/cedarmill/cluster/traffic_control/zone_status.py
@@ -5,15 +5,15 @@
 
 from typing import TYPE_CHECKING
 
-from cedarmill.fleet.observations.assessment import ClusterAssessment
-from cedarmill.fleet.observations.digest import WHOLE
-from cedarmill.fleet.observations.verdicts import Verdict
-from cedarmill.fleet.state_machine.permit_states import target_key
-from cedarmill.fleet.states import TargetHealth
-from cedarmill.fleet.traffic_plan.state import TRANSITIONS, ZoneEvent, ZoneState, ZoneStatus
+from cedarmill.cluster.observations.assessment import ClusterAssessment
+from cedarmill.cluster.observations.digest import WHOLE
+from cedarmill.cluster.observations.verdicts import Verdict
+from cedarmill.cluster.state_machine.permit_states import target_key
+from cedarmill.cluster.states import TargetHealth
+from cedarmill.cluster.traffic_plan.state import TRANSITIONS, ZoneEvent, ZoneState, ZoneStatus
 
 if TYPE_CHECKING:
-    from cedarmill.fleet.state import ClusterState, Permit
+    from cedarmill.cluster.state import ClusterState, Permit
 
 DWELL_US = 10_000_000  # for which a zone has to be well before it is used again; doubled by each loss lately
 MAX_DWELL_US = 160_000_000
--- a/cedarmill/fleet/traffic_plan/allocation.py
+++ b/cedarmill/cluster/traffic_plan/allocation.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarmill.fleet.observations.digest import SCOPES, WHOLE
-from cedarmill.fleet.observations.verdicts import LinkState
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.observations.digest import SCOPES, WHOLE
+from cedarmill.cluster.observations.verdicts import LinkState
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 
 LOCAL_GROWTH = 50  # thousandths by which a zone's own demand may grow before others have moved away
 DEGRADED_LINK_COST = 1000  # added to the cost of a link that loses some requests: it is used last
--- a/cedarmill/fleet/traffic_plan/planner.py
+++ b/cedarmill/cluster/traffic_plan/planner.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
 
-from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
-from cedarmill.fleet.observations.digest import SCOPES, WHOLE
-from cedarmill.fleet.traffic_plan.allocation import Allocation, DemandKey, allocate
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
-from cedarmill.fleet.traffic_plan.state import WeightRow, WeightTable, ZoneState, ZoneStatus
-from cedarmill.fleet.traffic_plan.weights import normalized
+from cedarmill.cluster.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.cluster.observations.digest import SCOPES, WHOLE
+from cedarmill.cluster.traffic_plan.allocation import Allocation, DemandKey, allocate
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_plan.state import WeightRow, WeightTable, ZoneState, ZoneStatus
+from cedarmill.cluster.traffic_plan.weights import normalized
 
 PROBE_WEIGHT = 20  # thousandths of its own requests that a lost or failing zone gets: else nobody would know
 
--- a/cedarmill/fleet/traffic_plan/similarity.py
+++ b/cedarmill/cluster/traffic_plan/similarity.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
-from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.cluster.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.cluster.observations.digest import WHOLE
 
 TOLERANCE = 40  # thousandths by which slots, demand and failures may differ
 NOISY_TOLERANCE = 200  # the same for what varies by chance from second to second
--- a/cedarmill/fleet/traffic_plan/state.py
+++ b/cedarmill/cluster/traffic_plan/state.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from cedarmill.fleet.observations.assessment import ClusterAssessment
-from cedarmill.fleet.observations.digest import WHOLE
+from cedarmill.cluster.observations.assessment import ClusterAssessment
+from cedarmill.cluster.observations.digest import WHOLE
 
 WeightRow = dict[str, int]  # thousandths of a zone's requests, by the zone that receives them
 WeightTable = dict[str, dict[str, WeightRow]]  # by the zone that sends, then by scope
--- a/cedarmill/fleet/traffic_plan/weights.py
+++ b/cedarmill/cluster/traffic_plan/weights.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Iterable, Mapping
 
-from cedarmill.fleet.observations.digest import SCOPES, WHOLE
-from cedarmill.fleet.traffic_plan.allocation import DemandKey
-from cedarmill.fleet.traffic_plan.state import WeightRow, WeightTable
+from cedarmill.cluster.observations.digest import SCOPES, WHOLE
+from cedarmill.cluster.traffic_plan.allocation import DemandKey
+from cedarmill.cluster.traffic_plan.state import WeightRow, WeightTable
 
 HOLD_BACK_ROUNDS = 3  # in which rows are held back that would bring a zone over its room
 
--- a/cedarmill/health/wire/orca.py
+++ b/cedarmill/health/codecs/orca.py
@@ -12,7 +12,7 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from google.protobuf.message import DecodeError
 
-from cedarmill.health.wire.load import MAX_HEADER, MAX_METRICS, LoadReport, StateError
+from cedarmill.health.codecs.load import MAX_HEADER, MAX_METRICS, LoadReport, StateError
 
 _DOUBLES = {"cpu_utilization": 1, "mem_utilization": 2, "rps_fractional": 6, "eps": 7,
             "application_utilization": 9}  # fmt: skip
--- a/cedarmill/health/wire/state.py
+++ b/cedarmill/health/codecs/state.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from cedarmill.health.wire.load import MAX_HEADER, MAX_METRICS, LoadReport, StateError
+from cedarmill.health.codecs.load import MAX_HEADER, MAX_METRICS, LoadReport, StateError
 
 
 class ServerState(StrEnum):
@@ -96,7 +96,7 @@
     elif form.upper() == "JSON":
         pairs = _json_pairs(body)
     elif form.upper() == "BIN":
-        from cedarmill.health.wire.orca import parse_binary  # protobuf: only where a backend sends it
+        from cedarmill.health.codecs.orca import parse_binary  # protobuf: only where a backend sends it
 
         return parse_binary(body.strip())
     else:
--- a/cedarmill/health/verdict.py
+++ b/cedarmill/health/verdict.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from cedarmill.health.wire.agent import Admin, AgentReply, Status
+from cedarmill.health.codecs.agent import Admin, AgentReply, Status
 
 PENALTY = 1000.0  # for one change of the verdict (RFC 2439, section 4.2, figures of its example)
 LEAST_SIZE = 0.1  # of its size, of a box that has just come back: one that gets nothing shows nothing
--- a/cedarmill/lab/fleet/bugs.py
+++ b/cedarmill/lab/fleet/bugs.py
@@ -9,26 +9,26 @@
 
 import msgspec
 
-from cedarmill.fleet import budget_grants, budget_lease, member_orders, replica, session_tracker
-from cedarmill.fleet.agree import replication
-from cedarmill.fleet.agree.actions import (
+from cedarmill.cluster import budget_grants, budget_lease, member_orders, replica, session_tracker
+from cedarmill.cluster.hosting import Host
+from cedarmill.cluster.member_requests import MemberRequests
+from cedarmill.cluster.raft import replication
+from cedarmill.cluster.raft.actions import (
     LeadershipConfirmed,
     PersistEntries,
     PersistTermAndVote,
     RestoreSnapshot,
     SendMessage,
 )
-from cedarmill.fleet.agree.election import Election
-from cedarmill.fleet.agree.events import ConfirmLeadership
-from cedarmill.fleet.agree.messages import RequestVote
-from cedarmill.fleet.agree.reads import ReadIndex
-from cedarmill.fleet.agree.replication import Replicator
-from cedarmill.fleet.agree.state import NodeState
-from cedarmill.fleet.hosting import Host
-from cedarmill.fleet.member_requests import MemberRequests
-from cedarmill.fleet.session import MemberSession
-from cedarmill.fleet.state import PER_MILLE
-from cedarmill.fleet.state_machine import (
+from cedarmill.cluster.raft.election import Election
+from cedarmill.cluster.raft.events import ConfirmLeadership
+from cedarmill.cluster.raft.messages import RequestVote
+from cedarmill.cluster.raft.reads import ReadIndex
+from cedarmill.cluster.raft.replication import Replicator
+from cedarmill.cluster.raft.state import NodeState
+from cedarmill.cluster.session import MemberSession
+from cedarmill.cluster.state import PER_MILLE
+from cedarmill.cluster.state_machine import (
     dispatch,
     drains,
     limits,
@@ -37,8 +37,8 @@
     release_states,
     rollout,
 )
-from cedarmill.fleet.state_machine.commands import ConfirmDrained, ExpireSessions
-from cedarmill.fleet.supervision import ProcessSupervisor
+from cedarmill.cluster.state_machine.commands import ConfirmDrained, ExpireSessions
+from cedarmill.cluster.supervision import ProcessSupervisor
 from cedarmill.lab.fleet.virtual import Disk, VNode
 from cedarmill.lab.fleet.virtual_log import Node
 
--- a/cedarmill/lab/fleet/operators.py
+++ b/cedarmill/lab/fleet/operators.py
@@ -5,10 +5,10 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING
 
+from cedarmill.cluster.messages import ClientReply, ClientRequest, ReadRequest, SubmitReply, SubmitRequest
+from cedarmill.cluster.state import ReleasePlan
+from cedarmill.cluster.state_machine import commands
 from cedarmill.conf.document import microseconds
-from cedarmill.fleet.messages import ClientReply, ClientRequest, ReadRequest, SubmitReply, SubmitRequest
-from cedarmill.fleet.state import ReleasePlan
-from cedarmill.fleet.state_machine import commands
 from cedarmill.lab.fleet.scenario import Happening
 from cedarmill.net.operator import Operator, new_id
 
--- a/cedarmill/lab/fleet/regions.py
+++ b/cedarmill/lab/fleet/regions.py
@@ -12,17 +12,17 @@
 
 import numpy
 
-from cedarmill.fleet.messages import RouteWeights
-from cedarmill.fleet.observations.assessment import DIGEST_LIFETIME_US, ObservationCollector
-from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation, ObservationDigest
-from cedarmill.fleet.plan_follower import PlanFollower
-from cedarmill.fleet.state import ClusterState, Member
-from cedarmill.fleet.state_machine import commands, dispatch
-from cedarmill.fleet.traffic_control import reports, rollout, zone_status
-from cedarmill.fleet.traffic_plan.allocation import allocate
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
-from cedarmill.fleet.traffic_plan.similarity import are_similar
-from cedarmill.fleet.traffic_plan.state import WeightTable
+from cedarmill.cluster.messages import RouteWeights
+from cedarmill.cluster.observations.assessment import DIGEST_LIFETIME_US, ObservationCollector
+from cedarmill.cluster.observations.digest import SCOPES, WHOLE, LocationObservation, ObservationDigest
+from cedarmill.cluster.plan_follower import PlanFollower
+from cedarmill.cluster.state import ClusterState, Member
+from cedarmill.cluster.state_machine import commands, dispatch
+from cedarmill.cluster.traffic_control import reports, rollout, zone_status
+from cedarmill.cluster.traffic_plan.allocation import allocate
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_plan.similarity import are_similar
+from cedarmill.cluster.traffic_plan.state import WeightTable
 
 DT = 0.1  # s, a step
 US = 1_000_000
--- a/cedarmill/lab/fleet/small.py
+++ b/cedarmill/lab/fleet/small.py
@@ -4,26 +4,26 @@
 
 import msgspec
 
-from cedarmill.fleet.member_orders import orders_for
-from cedarmill.fleet.messages import Orders
-from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
-from cedarmill.fleet.observations.digest import SCOPES, WHOLE, LocationObservation
-from cedarmill.fleet.plan_follower import PlanFollower
-from cedarmill.fleet.state import ClusterState, Limit, Member, RequestOutcome, Target
-from cedarmill.fleet.state_machine.command import Command
-from cedarmill.fleet.state_machine.dispatch import apply, encode, next_due
-from cedarmill.fleet.state_machine.permit_states import open_permit
-from cedarmill.fleet.state_machine.permits import ConfirmDrained, RequestPermits, ReturnPermit
-from cedarmill.fleet.state_machine.sessions import ExpireSessions, RestoreSession
-from cedarmill.fleet.state_machine.setup import AdvanceTime
-from cedarmill.fleet.state_machine.targets import UpdateTargets
-from cedarmill.fleet.state_machine.traffic import RecordZoneEvidence
-from cedarmill.fleet.state_machine.zones import ControlZone, SetZones
-from cedarmill.fleet.traffic_control.reports import route_weights
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
-from cedarmill.fleet.traffic_plan.planner import available_room, demand_by_source
-from cedarmill.fleet.traffic_plan.state import WeightRow
-from cedarmill.fleet.traffic_plan.weights import expected_load
+from cedarmill.cluster.member_orders import orders_for
+from cedarmill.cluster.messages import Orders
+from cedarmill.cluster.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.cluster.observations.digest import SCOPES, WHOLE, LocationObservation
+from cedarmill.cluster.plan_follower import PlanFollower
+from cedarmill.cluster.state import ClusterState, Limit, Member, RequestOutcome, Target
+from cedarmill.cluster.state_machine.command import Command
+from cedarmill.cluster.state_machine.dispatch import apply, encode, next_due
+from cedarmill.cluster.state_machine.permit_states import open_permit
+from cedarmill.cluster.state_machine.permits import ConfirmDrained, RequestPermits, ReturnPermit
+from cedarmill.cluster.state_machine.sessions import ExpireSessions, RestoreSession
+from cedarmill.cluster.state_machine.setup import AdvanceTime
+from cedarmill.cluster.state_machine.targets import UpdateTargets
+from cedarmill.cluster.state_machine.traffic import RecordZoneEvidence
+from cedarmill.cluster.state_machine.zones import ControlZone, SetZones
+from cedarmill.cluster.traffic_control.reports import route_weights
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_plan.planner import available_room, demand_by_source
+from cedarmill.cluster.traffic_plan.state import WeightRow
+from cedarmill.cluster.traffic_plan.weights import expected_load
 from cedarmill.lab.fleet.explore import hashed
 
 S = 1_000_000
--- a/cedarmill/lab/fleet/storm_bugs.py
+++ b/cedarmill/lab/fleet/storm_bugs.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from cedarmill.fleet.admission_level import controller
-from cedarmill.fleet.admission_level.gate import AdmissionGate
-from cedarmill.fleet.admission_level.state import SheddingThreshold
-from cedarmill.fleet.budget_lease import QUOTA_PREFIX, BudgetLeases
-from cedarmill.fleet.gossip_plan import ReportBoard
+from cedarmill.cluster.admission_level import controller
+from cedarmill.cluster.admission_level.gate import AdmissionGate
+from cedarmill.cluster.admission_level.state import SheddingThreshold
+from cedarmill.cluster.budget_lease import QUOTA_PREFIX, BudgetLeases
+from cedarmill.cluster.gossip_plan import ReportBoard
 from cedarmill.lab.fleet import storms
 from cedarmill.lab.fleet.bugs import Patch, planted_patches
 from cedarmill.lab.fleet.storms import Result
--- a/cedarmill/lab/fleet/storms.py
+++ b/cedarmill/lab/fleet/storms.py
@@ -14,15 +14,15 @@
 
 import numpy
 
-from cedarmill.fleet import budget_grants
-from cedarmill.fleet.admission_level import controller
-from cedarmill.fleet.admission_level.gate import OVER_QUOTA_SHARE, AdmissionGate
-from cedarmill.fleet.admission_level.state import UNKNOWN, LoadReport, SheddingThreshold
-from cedarmill.fleet.budget_grants import Budget
-from cedarmill.fleet.budget_lease import BudgetLeases, RetryBudget
-from cedarmill.fleet.gossip_plan import MAX_SENT_FACTOR, ExecutorReport, GossipPlan, ReportBoard
-from cedarmill.fleet.state import ClusterState, Member
-from cedarmill.fleet.state_machine import commands, dispatch
+from cedarmill.cluster import budget_grants
+from cedarmill.cluster.admission_level import controller
+from cedarmill.cluster.admission_level.gate import OVER_QUOTA_SHARE, AdmissionGate
+from cedarmill.cluster.admission_level.state import UNKNOWN, LoadReport, SheddingThreshold
+from cedarmill.cluster.budget_grants import Budget
+from cedarmill.cluster.budget_lease import BudgetLeases, RetryBudget
+from cedarmill.cluster.gossip_plan import MAX_SENT_FACTOR, ExecutorReport, GossipPlan, ReportBoard
+from cedarmill.cluster.state import ClusterState, Member
+from cedarmill.cluster.state_machine import commands, dispatch
 
 US = 1_000_000
 DT = 0.05  # s, between two turns of clients, news and agreement
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/fleet/virtual.py
@@ -16,14 +16,11 @@
 
 import msgspec
 
-from cedarmill.fleet import budget_grants
-from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
-from cedarmill.fleet.agree.messages import Config, Entry, Peer, Snapshot
-from cedarmill.fleet.agree.state import PersistentState, Timing
-from cedarmill.fleet.budget_grants import Budget
-from cedarmill.fleet.budget_lease import BudgetLeases
-from cedarmill.fleet.hosting import Host
-from cedarmill.fleet.messages import (
+from cedarmill.cluster import budget_grants
+from cedarmill.cluster.budget_grants import Budget
+from cedarmill.cluster.budget_lease import BudgetLeases
+from cedarmill.cluster.hosting import Host
+from cedarmill.cluster.messages import (
     ClientRequest,
     ExecutorObservation,
     HeartbeatReply,
@@ -33,11 +30,14 @@
     SubmitReply,
     SubmitRequest,
 )
-from cedarmill.fleet.observations.digest import ObservationDigest
-from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog
-from cedarmill.fleet.plan_follower import PlanFollower
-from cedarmill.fleet.replica import Replica
-from cedarmill.fleet.session import (
+from cedarmill.cluster.observations.digest import ObservationDigest
+from cedarmill.cluster.observations.log import LocationEstimate, ObservationLog
+from cedarmill.cluster.plan_follower import PlanFollower
+from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
+from cedarmill.cluster.raft.messages import Config, Entry, Peer, Snapshot
+from cedarmill.cluster.raft.state import PersistentState, Timing
+from cedarmill.cluster.replica import Replica
+from cedarmill.cluster.session import (
     Connect,
     FollowOrders,
     MemberIdentity,
@@ -46,17 +46,17 @@
     ProbeMember,
     SendRequest,
 )
-from cedarmill.fleet.state import EPOCH_INDEX_BITS, ClusterState, Limit, ReleasePlan, encode_snapshot
-from cedarmill.fleet.state_machine import commands
-from cedarmill.fleet.supervision import (
+from cedarmill.cluster.state import EPOCH_INDEX_BITS, ClusterState, Limit, ReleasePlan, encode_snapshot
+from cedarmill.cluster.state_machine import commands
+from cedarmill.cluster.supervision import (
     OrderApplied,
     ProcessSupervisor,
     StartProcess,
     StopProcess,
     StoreUnits,
 )
-from cedarmill.fleet.traffic_control import intake
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_control import intake
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.lab.fleet.history import History
 from cedarmill.lab.fleet.laws import Record
 from cedarmill.lab.story import Visit
--- a/cedarmill/lab/fleet/virtual_log.py
+++ b/cedarmill/lab/fleet/virtual_log.py
@@ -7,7 +7,7 @@
 
 import random
 
-from cedarmill.fleet.agree.actions import (
+from cedarmill.cluster.raft.actions import (
     Action,
     ApplyEntries,
     LeadershipConfirmed,
@@ -17,7 +17,7 @@
     RoleChanged,
     SendMessage,
 )
-from cedarmill.fleet.agree.events import (
+from cedarmill.cluster.raft.events import (
     ChangeMembership,
     ConfirmLeadership,
     Event,
@@ -27,10 +27,10 @@
     SnapshotPersisted,
     TimeAdvanced,
 )
-from cedarmill.fleet.agree.messages import AppendEntries, Entry, Message, Peer, Snapshot
-from cedarmill.fleet.agree.node import RaftNode
-from cedarmill.fleet.agree.roles import Role
-from cedarmill.fleet.agree.state import PersistentState, Timing
+from cedarmill.cluster.raft.messages import AppendEntries, Entry, Message, Peer, Snapshot
+from cedarmill.cluster.raft.node import RaftNode
+from cedarmill.cluster.raft.roles import Role
+from cedarmill.cluster.raft.state import PersistentState, Timing
 from cedarmill.lab.fleet.virtual import Disk
 
 STEP = 3_000  # us that pass at the most between two events
--- a/cedarmill/lab/fleet/zone_bugs.py
+++ b/cedarmill/lab/fleet/zone_bugs.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from cedarmill.fleet.observations import assessment, verdicts
-from cedarmill.fleet.observations.digest import WHOLE, share_of
-from cedarmill.fleet.observations.verdicts import GroupFindings, Verdict, ZoneVerdict
-from cedarmill.fleet.plan_follower import PlanFollower
-from cedarmill.fleet.traffic_control import ramps, rollout, trust, zone_status
-from cedarmill.fleet.traffic_plan import planner
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
-from cedarmill.fleet.traffic_plan.planner import Room
-from cedarmill.fleet.traffic_plan.weights import normalized
+from cedarmill.cluster.observations import assessment, verdicts
+from cedarmill.cluster.observations.digest import WHOLE, share_of
+from cedarmill.cluster.observations.verdicts import GroupFindings, Verdict, ZoneVerdict
+from cedarmill.cluster.plan_follower import PlanFollower
+from cedarmill.cluster.traffic_control import ramps, rollout, trust, zone_status
+from cedarmill.cluster.traffic_plan import planner
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_plan.planner import Room
+from cedarmill.cluster.traffic_plan.weights import normalized
 from cedarmill.lab.fleet import regions
 from cedarmill.lab.fleet.bugs import Patch, planted_patches
 from cedarmill.lab.fleet.regions import breaches
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -15,10 +15,8 @@
 import msgspec
 
 from cedarmill.admin.routes import AdminAction, AdminRequest, AdminResponse
-from cedarmill.core.requests import Failed, FinalAnswer, Refused, Request
-from cedarmill.decisions import interface as api
-from cedarmill.fleet.budget_lease import BudgetLeases, RetryBudget
-from cedarmill.fleet.messages import (
+from cedarmill.cluster.budget_lease import BudgetLeases, RetryBudget
+from cedarmill.cluster.messages import (
     ExecutorObservation,
     Orders,
     ReadReply,
@@ -27,8 +25,10 @@
     SubmitRequest,
     Unavailable,
 )
-from cedarmill.fleet.session import MemberIdentity, MemberReport
-from cedarmill.fleet.state_machine.commands import RequestPermits, ReturnPermit
+from cedarmill.cluster.session import MemberIdentity, MemberReport
+from cedarmill.cluster.state_machine.commands import RequestPermits, ReturnPermit
+from cedarmill.core.requests import Failed, FinalAnswer, Refused, Request
+from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.clients import Clients
 from cedarmill.net.config import Address, Config
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/gossip.py
@@ -9,9 +9,9 @@
 
 from typing import NamedTuple
 
+from cedarmill.cluster import gossip_plan
+from cedarmill.cluster.messages import GossipSubscription, GossipUpdate
 from cedarmill.decisions import interface as api
-from cedarmill.fleet import gossip_plan
-from cedarmill.fleet.messages import GossipSubscription, GossipUpdate
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.discovery import DiscoveryClient
--- a/cedarmill/net/grpc.py
+++ b/cedarmill/net/grpc.py
@@ -1,6 +1,6 @@
 """The listener for gRPC health: HTTP/2 sessions whose watches hear of a change. Off on the platform."""
 
-from cedarmill.health.wire.grpc import HealthConnection, ProtocolError, Status
+from cedarmill.health.codecs.grpc import HealthConnection, ProtocolError, Status
 from cedarmill.net.health import Listener, Self, Session
 from cedarmill.net.turn import Turn, callback
 
--- a/cedarmill/net/health.py
+++ b/cedarmill/net/health.py
@@ -4,8 +4,8 @@
 
 import httptools
 
-from cedarmill.health.wire import agent, proxy
-from cedarmill.health.wire.http import Answer, Check, compose
+from cedarmill.health.codecs import agent, proxy
+from cedarmill.health.codecs.http import Answer, Check, compose
 from cedarmill.net.clients import Clients
 from cedarmill.net.config import Address
 from cedarmill.net.listening import Acceptor, listening_socket
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/keeper.py
@@ -13,19 +13,26 @@
 import uvloop
 
 from cedarmill import log
+from cedarmill.cluster import budget_grants
+from cedarmill.cluster.budget_grants import Budget
+from cedarmill.cluster.hosting import Host
+from cedarmill.cluster.messages import (
+    ClientRequest,
+    ConnectionRejected,
+    Hello,
+    Probe,
+    ProbeReply,
+    Unavailable,
+)
+from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
+from cedarmill.cluster.raft.messages import Entry, Peer, Snapshot, TimeoutNow
+from cedarmill.cluster.replica import Replica
+from cedarmill.cluster.session_tracker import LEASE_US
+from cedarmill.cluster.state import ClusterState, Limit, decode_snapshot, encode_snapshot
+from cedarmill.cluster.traffic_control import intake
+from cedarmill.cluster.traffic_control.errors import InvalidLayoutError
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.core.timers import Timers
-from cedarmill.fleet import budget_grants
-from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
-from cedarmill.fleet.agree.messages import Entry, Peer, Snapshot, TimeoutNow
-from cedarmill.fleet.budget_grants import Budget
-from cedarmill.fleet.hosting import Host
-from cedarmill.fleet.messages import ClientRequest, ConnectionRejected, Hello, Probe, ProbeReply, Unavailable
-from cedarmill.fleet.replica import Replica
-from cedarmill.fleet.session_tracker import LEASE_US
-from cedarmill.fleet.state import ClusterState, Limit, decode_snapshot, encode_snapshot
-from cedarmill.fleet.traffic_control import intake
-from cedarmill.fleet.traffic_control.errors import InvalidLayoutError
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.listening import Acceptor, listening_socket
--- a/cedarmill/net/lanes.py
+++ b/cedarmill/net/lanes.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable
 from random import Random
 
+from cedarmill.cluster.admission_level.gate import OVER_QUOTA_SHARE, RETRY_AFTER_FACTORS, AdmissionGate
+from cedarmill.cluster.budget_lease import QUOTA_PREFIX
+from cedarmill.cluster.messages import RouteWeights
+from cedarmill.cluster.observations.digest import SCOPES, WHOLE, ObservationDigest
+from cedarmill.cluster.observations.log import LocationEstimate, ObservationLog
+from cedarmill.cluster.plan_follower import UNREACHED_STREAK, PlanFollower, RoutingDecision
 from cedarmill.core.requests import Attempt
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
-from cedarmill.fleet.admission_level.gate import OVER_QUOTA_SHARE, RETRY_AFTER_FACTORS, AdmissionGate
-from cedarmill.fleet.budget_lease import QUOTA_PREFIX
-from cedarmill.fleet.messages import RouteWeights
-from cedarmill.fleet.observations.digest import SCOPES, WHOLE, ObservationDigest
-from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog
-from cedarmill.fleet.plan_follower import UNREACHED_STREAK, PlanFollower, RoutingDecision
 from cedarmill.log import say
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.turn import Turn
--- a/cedarmill/net/member.py
+++ b/cedarmill/net/member.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from cedarmill.fleet.messages import (
+from cedarmill.cluster.messages import (
     ClientRequest,
     ConnectionRejected,
     GossipSubscription,
@@ -12,7 +12,7 @@
     ProbeReply,
     Unavailable,
 )
-from cedarmill.fleet.session import (
+from cedarmill.cluster.session import (
     Connect,
     FollowOrders,
     LeaseExpired,
--- a/cedarmill/net/operator.py
+++ b/cedarmill/net/operator.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Sequence
 
-from cedarmill.fleet.messages import ClientReply, ClientRequest, ConnectionRejected, Hello, Unavailable
+from cedarmill.cluster.messages import ClientReply, ClientRequest, ConnectionRejected, Hello, Unavailable
 from cedarmill.net.config import Address
 from cedarmill.net.peers import Bad, Reader, frame
 
--- a/cedarmill/net/peers.py
+++ b/cedarmill/net/peers.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from cedarmill.fleet.messages import (
+from cedarmill.cluster.messages import (
     ClientReply,
     ClientRequest,
     ConnectionRejected,
--- a/cedarmill/net/steward.py
+++ b/cedarmill/net/steward.py
@@ -18,10 +18,9 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.core.timers import Timers
-from cedarmill.fleet.messages import Orders
-from cedarmill.fleet.session import MemberIdentity, MemberReport
-from cedarmill.fleet.supervision import (
+from cedarmill.cluster.messages import Orders
+from cedarmill.cluster.session import MemberIdentity, MemberReport
+from cedarmill.cluster.supervision import (
     OrderApplied,
     Process,
     ProcessSupervisor,
@@ -29,6 +28,7 @@
     StopProcess,
     StoreUnits,
 )
+from cedarmill.core.timers import Timers
 from cedarmill.log import say
 from cedarmill.net.config import Address
 from cedarmill.net.listening import listening_socket
--- a/cedarmill/store/records.py
+++ b/cedarmill/store/records.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from cedarmill.fleet.agree.messages import Entry
+from cedarmill.cluster.raft.messages import Entry
 from cedarmill.store.errors import UnknownFormatError
 
 FORMAT_VERSION = 1
--- a/cedarmill/store/replica_store.py
+++ b/cedarmill/store/replica_store.py
@@ -11,9 +11,9 @@
 import secrets
 from typing import NamedTuple
 
-from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote
-from cedarmill.fleet.agree.messages import Entry, Snapshot
-from cedarmill.fleet.agree.state import PersistentState
+from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote
+from cedarmill.cluster.raft.messages import Entry, Snapshot
+from cedarmill.cluster.raft.state import PersistentState
 from cedarmill.store import records
 from cedarmill.store.errors import DamagedError, DiskInUseError, ForeignDiskError, UnknownFormatError
 from cedarmill.store.files import Directory, DirectoryLock
--- a/cedarmill/store/snapshots.py
+++ b/cedarmill/store/snapshots.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from cedarmill.fleet.agree.messages import Snapshot
+from cedarmill.cluster.raft.messages import Snapshot
 from cedarmill.store.errors import DamagedError, UnknownFormatError
 from cedarmill.store.files import Directory
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -11,7 +11,7 @@
 
 from nodes import ROOT, WAIT
 
-from cedarmill.fleet.messages import ExecutorObservation, Heartbeat, HeartbeatReply, Orders, ReadRequest
+from cedarmill.cluster.messages import ExecutorObservation, Heartbeat, HeartbeatReply, Orders, ReadRequest
 from cedarmill.lab.fleet.crew import free_port
 from cedarmill.net.operator import NoKeeper, Operator
 
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -328,7 +328,7 @@
 
 def write_replica(folder: str, snapshot: bytes, before: list[bytes], after: list[bytes]) -> None:
     """A folder with a disk's identity, a term and a vote, entries, a snapshot, and entries after it."""
-    from cedarmill.fleet.agree import actions, messages
+    from cedarmill.cluster.raft import actions, messages
     from cedarmill.store.files import Directory
     from cedarmill.store.replica_store import ReplicaStore
 
@@ -372,7 +372,7 @@
 
 def play_fleet(seed: int) -> Played:
     """Play one seed of the fleet's virtual time to its end."""
-    from cedarmill.fleet.state import encode_snapshot
+    from cedarmill.cluster.state import encode_snapshot
     from cedarmill.lab.fleet.search import shape_of
     from cedarmill.lab.fleet.virtual import Virtual
 
@@ -387,8 +387,8 @@
 
 def replay(before: bytes, entries: list[tuple[int, int, bytes]]) -> bytes:
     """Apply commands to what was agreed before; what is agreed then."""
-    from cedarmill.fleet.state import decode_snapshot, encode_snapshot
-    from cedarmill.fleet.state_machine.dispatch import apply
+    from cedarmill.cluster.state import decode_snapshot, encode_snapshot
+    from cedarmill.cluster.state_machine.dispatch import apply
 
     world = decode_snapshot(before)
     for index, _, data in entries:
@@ -399,8 +399,8 @@
 
 def answer(played: Played, what: str, kind: str = "", names: tuple[str, ...] = ()) -> bytes:
     """What a replica answers to a look."""
-    from cedarmill.fleet.messages import ReadRequest
-    from cedarmill.fleet.state_views import render
+    from cedarmill.cluster.messages import ReadRequest
+    from cedarmill.cluster.state_views import render
 
     return render(played.replica, played.now, ReadRequest(what, kind, list(names)))
 
@@ -412,8 +412,8 @@
     from click.testing import CliRunner
 
     from cedarmill.cli import main
-    from cedarmill.fleet.messages import ReadReply
-    from cedarmill.fleet.state_views import render
+    from cedarmill.cluster.messages import ReadReply
+    from cedarmill.cluster.state_views import render
     from cedarmill.net.operator import Operator
 
     with mock.patch.object(
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -8,18 +8,18 @@
 
 from helpers import Driver, sends
 
+from cedarmill.cluster.admission_level import controller
+from cedarmill.cluster.admission_level.controller import threshold_for, threshold_of
+from cedarmill.cluster.admission_level.gate import FADE_US, AdmissionGate
+from cedarmill.cluster.admission_level.state import STEP_US, LoadReport, SheddingThreshold
+from cedarmill.cluster.budget_grants import Budget, BudgetGrant, divide, granted_rate, rates_for
+from cedarmill.cluster.budget_lease import BudgetLease, BudgetLeases, RetryBudget
+from cedarmill.cluster.gossip_plan import MAX_AGE_S, ExecutorReport, GossipPlan, ReportBoard
+from cedarmill.cluster.observations.assessment import ClusterAssessment, ZoneAssessment
+from cedarmill.cluster.state import ClusterState, Member, RequestOutcome, decode_snapshot, encode_snapshot
+from cedarmill.cluster.state_machine import commands, dispatch
+from cedarmill.cluster.traffic_plan.similarity import are_similar
 from cedarmill.decisions import interface as api
-from cedarmill.fleet.admission_level import controller
-from cedarmill.fleet.admission_level.controller import threshold_for, threshold_of
-from cedarmill.fleet.admission_level.gate import FADE_US, AdmissionGate
-from cedarmill.fleet.admission_level.state import STEP_US, LoadReport, SheddingThreshold
-from cedarmill.fleet.budget_grants import Budget, BudgetGrant, divide, granted_rate, rates_for
-from cedarmill.fleet.budget_lease import BudgetLease, BudgetLeases, RetryBudget
-from cedarmill.fleet.gossip_plan import MAX_AGE_S, ExecutorReport, GossipPlan, ReportBoard
-from cedarmill.fleet.observations.assessment import ClusterAssessment, ZoneAssessment
-from cedarmill.fleet.state import ClusterState, Member, RequestOutcome, decode_snapshot, encode_snapshot
-from cedarmill.fleet.state_machine import commands, dispatch
-from cedarmill.fleet.traffic_plan.similarity import are_similar
 from cedarmill.lab.fleet import storm_bugs
 from cedarmill.lab.fleet.laws import verdict
 from cedarmill.lab.fleet.run import play as run_fleet
--- a/tests/test_header_health.py
+++ b/tests/test_header_health.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cedarmill.health.wire.load import LoadReport, StateError
-from cedarmill.health.wire.orca import parse_binary, render_binary
-from cedarmill.health.wire.state import (
+from cedarmill.health.codecs.load import LoadReport, StateError
+from cedarmill.health.codecs.orca import parse_binary, render_binary
+from cedarmill.health.codecs.state import (
     CheckerView,
     ServerState,
     parse_load_report,
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cedarmill.health import budget as probes
+from cedarmill.health import probe_budget as probes
 from cedarmill.health import verdict as verdicts
-from cedarmill.health.wire import agent, proxy
-from cedarmill.health.wire.agent import Admin, AgentError, AgentReader, AgentReply, Status
+from cedarmill.health.codecs import agent, proxy
+from cedarmill.health.codecs.agent import Admin, AgentError, AgentReader, AgentReply, Status
 
 S = 1_000_000
 REPLIES = st.builds(
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -6,9 +6,9 @@
 
 from fleets import LONG, KeeperCase, Member, cli
 
-from cedarmill.fleet.messages import ReadRequest, SubmitRequest
-from cedarmill.fleet.observations.digest import LocationObservation, ObservationDigest
-from cedarmill.fleet.state_machine import commands
+from cedarmill.cluster.messages import ReadRequest, SubmitRequest
+from cedarmill.cluster.observations.digest import LocationObservation, ObservationDigest
+from cedarmill.cluster.state_machine import commands
 from cedarmill.net.operator import NoKeeper, Operator, new_id
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,8 +5,8 @@
 
 from fleets import LONG, KeeperCase
 
-from cedarmill.fleet.agree.messages import AppendEntries, Entry, EntryKind
-from cedarmill.fleet.messages import ForwardRequest, HeartbeatReply, Hello, Orders, ReadRequest
+from cedarmill.cluster.messages import ForwardRequest, HeartbeatReply, Hello, Orders, ReadRequest
+from cedarmill.cluster.raft.messages import AppendEntries, Entry, EntryKind
 from cedarmill.net.peers import HEAD, MAX_FRAME, Bad, Reader, frame
 
 WORDS = (
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -4,13 +4,13 @@
 
 import unittest
 
-from cedarmill.fleet.canary_comparison import (
+from cedarmill.cluster.canary_comparison import (
     CanaryComparison,
     RequestCounts,
     chance_if_alike,
     reason_to_halt,
 )
-from cedarmill.fleet.state import (
+from cedarmill.cluster.state import (
     ClusterState,
     Limit,
     ReleasePlan,
@@ -19,7 +19,7 @@
     decode_snapshot,
     encode_snapshot,
 )
-from cedarmill.fleet.state_machine import commands, dispatch, limits, release_states
+from cedarmill.cluster.state_machine import commands, dispatch, limits, release_states
 
 S = 1_000_000
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from cedarmill.fleet.agree import messages
-from cedarmill.fleet.agree.actions import RejectionReason
-from cedarmill.fleet.agree.messages import Entry, EntryKind, Peer
-from cedarmill.fleet.agree.roles import NEXT_ROLES, InvalidTransition, Role, check_transition
+from cedarmill.cluster.raft import messages
+from cedarmill.cluster.raft.actions import RejectionReason
+from cedarmill.cluster.raft.messages import Entry, EntryKind, Peer
+from cedarmill.cluster.raft.roles import NEXT_ROLES, InvalidTransition, Role, check_transition
 
 PEER = Peer("127.0.0.1:1", False, "d0")
 ENTRIES = (Entry(3, 2, EntryKind.COMMAND, b"xy"), Entry(4, 2, EntryKind.NOOP))
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -6,8 +6,8 @@
 
 from fleets import KeeperCase, cli
 
-from cedarmill.fleet.state_machine import drains, limits
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.state_machine import drains, limits
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.lab.fleet.bugs import planted_patches
 from cedarmill.lab.fleet.explore import explore
 from cedarmill.lab.fleet.regions import INCIDENTS, breaches, run
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -10,16 +10,7 @@
 from nodes import ROOT
 from test_store import FaultyDirectory
 
-from cedarmill.fleet.agree.messages import (
-    AppendEntries,
-    AppendEntriesReply,
-    RequestVote,
-    RequestVoteReply,
-    Snapshot,
-    TimeoutNow,
-)
-from cedarmill.fleet.agree.state import PersistentState
-from cedarmill.fleet.messages import (
+from cedarmill.cluster.messages import (
     ChangeReplicas,
     ClientReply,
     ClientRequest,
@@ -28,8 +19,17 @@
     ReadRequest,
     SubmitRequest,
 )
-from cedarmill.fleet.replica import Replica
-from cedarmill.fleet.state_machine.commands import RequestPermits
+from cedarmill.cluster.raft.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    RequestVote,
+    RequestVoteReply,
+    Snapshot,
+    TimeoutNow,
+)
+from cedarmill.cluster.raft.state import PersistentState
+from cedarmill.cluster.replica import Replica
+from cedarmill.cluster.state_machine.commands import RequestPermits
 from cedarmill.net.keeper import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
 from cedarmill.net.operator import NoKeeper, Operator, new_id
 from cedarmill.store.replica_store import ReplicaStore
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 from nodes import ROOT
 
-from cedarmill.fleet.agree.actions import PersistEntries, PersistTermAndVote
-from cedarmill.fleet.agree.messages import Entry, EntryKind, Peer, Snapshot
+from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote
+from cedarmill.cluster.raft.messages import Entry, EntryKind, Peer, Snapshot
 from cedarmill.store import records, replica_store, snapshots
 from cedarmill.store.errors import StoreError
 from cedarmill.store.files import AppendFile, Directory
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -3,18 +3,17 @@
 import unittest
 
 from cedarmill import Brain
-from cedarmill.decisions import interface as api
-from cedarmill.fleet.messages import RouteWeights
-from cedarmill.fleet.observations.assessment import ClusterAssessment, ObservationCollector, ZoneAssessment
-from cedarmill.fleet.observations.digest import (
+from cedarmill.cluster.messages import RouteWeights
+from cedarmill.cluster.observations.assessment import ClusterAssessment, ObservationCollector, ZoneAssessment
+from cedarmill.cluster.observations.digest import (
     MAX_LOCATIONS,
     LocationObservation,
     ObservationDigest,
     limit_locations,
 )
-from cedarmill.fleet.observations.log import LocationEstimate, ObservationLog
-from cedarmill.fleet.plan_follower import EXCLUSION_US, RAMP_US, PlanFollower
-from cedarmill.fleet.state import (
+from cedarmill.cluster.observations.log import LocationEstimate, ObservationLog
+from cedarmill.cluster.plan_follower import EXCLUSION_US, RAMP_US, PlanFollower
+from cedarmill.cluster.state import (
     ClusterState,
     Limit,
     Member,
@@ -22,13 +21,14 @@
     decode_snapshot,
     encode_snapshot,
 )
-from cedarmill.fleet.state_machine import commands, dispatch
-from cedarmill.fleet.traffic_control import reports, rollout, zone_status
-from cedarmill.fleet.traffic_control.errors import UnknownZoneError
-from cedarmill.fleet.traffic_plan.allocation import Allocation, allocate
-from cedarmill.fleet.traffic_plan.layout import ZoneLayout
-from cedarmill.fleet.traffic_plan.planner import PROBE_WEIGHT
-from cedarmill.fleet.traffic_plan.weights import expected_load
+from cedarmill.cluster.state_machine import commands, dispatch
+from cedarmill.cluster.traffic_control import reports, rollout, zone_status
+from cedarmill.cluster.traffic_control.errors import UnknownZoneError
+from cedarmill.cluster.traffic_plan.allocation import Allocation, allocate
+from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+from cedarmill.cluster.traffic_plan.planner import PROBE_WEIGHT
+from cedarmill.cluster.traffic_plan.weights import expected_load
+from cedarmill.decisions import interface as api
 from cedarmill.lab.fleet.small import Entries
 
 S = 1_000_000
