--- a/cedarmill/cluster/hosting.py
+++ b/cedarmill/cluster/hosting.py
@@ -21,12 +21,23 @@
 class Port(Protocol):
     """A disk, a network, and a log for operators."""
 
-    def save(self, action: PersistTermAndVote | PersistEntries) -> None: ...
-    def sync(self) -> bool: ...
-    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None: ...
-    def send(self, target: str, message: object) -> None: ...
-    def reply(self, token: int, answer: object) -> None: ...
-    def tell(self, action: RoleChanged | RaiseAlarm) -> None: ...
+    def save(self, action: PersistTermAndVote | PersistEntries) -> None:
+        """Append to the disk; it is kept after `sync`. Raises OSError."""
+
+    def sync(self) -> bool:
+        """Keep all that was saved; whether there was anything. Raises OSError."""
+
+    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
+        """Keep a snapshot and the entries after it. Raises OSError."""
+
+    def send(self, target: str, message: object) -> None:
+        """Send to another replica, if it is connected."""
+
+    def reply(self, token: int, answer: object) -> None:
+        """Answer a request of a member or an operator."""
+
+    def tell(self, action: RoleChanged | RaiseAlarm) -> None:
+        """Log for operators."""
 
 
 class Host:
--- a/cedarmill/core/actions.py
+++ b/cedarmill/core/actions.py
@@ -42,7 +42,7 @@
         """Start the next attempt of a request, if it may still be sent."""
         dispatch = self.dispatch
         request = dispatch.requests[action.request]
-        attempt = Attempt(request, len(request.attempts), action.worker, now)
+        attempt = Attempt(request, len(request.attempts), action.executor, now)
         request.attempts.append(attempt)
         too_many = attempt.number >= dispatch.balancer.settings.max_attempts
         if too_many or not dispatch.deadline_tracker.may_start(now, request.claim):
@@ -93,7 +93,7 @@
         """Probe an executor, for the sake of a request or of none."""
         dispatch = self.dispatch
         request = dispatch.requests.get(action.request)
-        probe = Probe(action.worker, request)
+        probe = Probe(action.executor, request)
         if not dispatch.may_probe(probe) or not dispatch.observer.may_spend(now, "probes"):
             dispatch.probe_ended(now, probe, Outcome.MOOT)
             return
--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -168,11 +168,11 @@
 
     def on_endpoint_list(self, now: int, change: api.WorkerList) -> None:
         """Take a whole list or a change of it."""
-        ready = {entry.worker for entry in change.entries if entry.state == api.WorkerState.READY}
+        ready = {entry.executor for entry in change.entries if entry.state == api.WorkerState.READY}
         if change.kind in (api.ListKind.FULL, api.ListKind.CACHED):
             self.ready_executors = ready
         else:
-            self.ready_executors -= {entry.worker for entry in change.entries}
+            self.ready_executors -= {entry.executor for entry in change.entries}
             self.ready_executors |= ready
         self.deliver(now, change)
 
@@ -225,9 +225,10 @@
 
     def free_share(self) -> float:
         """The share of all listed executors' slots that the balancer believes free of own work (0 to 1)."""
-        listed = [worker for worker in self.balancer.workers.values() if worker.listed]
-        slots = sum(worker.slots for worker in listed)
-        return sum(max(0.0, worker.slots - worker.held) for worker in listed) / slots if slots else 0.0
+        listed = [executor for executor in self.balancer.executors.values() if executor.listed]
+        slots = sum(executor.slots for executor in listed)
+        free = sum(max(0.0, executor.slots - executor.held_slots) for executor in listed)
+        return free / slots if slots else 0.0
 
     # The balancer.
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -104,3 +104,15 @@
     command = [sys.executable, "-B", "-c", code]
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
     assert run.stdout == printed
+
+
+def test_types_of_control_and_state():
+    run = subprocess.run([sys.executable, "-m", "mypy", "--cache-dir=/dev/null"], cwd=ROOT, capture_output=True, text=True)
+    assert run.returncode == 0, run.stdout
+
+
+def test_packages_stay_as_readable_as_they_are():
+    """Old words, long modules and functions, undocumented items: no more than the bounds that were reached."""
+    command = [sys.executable, "-B", "tools/readability.py", "--check"]
+    run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
+    assert run.returncode == 0, run.stdout
