--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,7 @@
 from fleet import OFFSET, node_settings  # noqa: E402
 
 from cedarmill.decisions import interface as api  # noqa: E402
-from cedarmill.decisions.brain import Brain  # noqa: E402
+from cedarmill.decisions.balancer import Balancer  # noqa: E402
 
 PAIRS, JOBS = 9, 4_000
 GAP_US = 20_000  # between jobs: 50 a second at one node
@@ -23,10 +23,10 @@
 
 def play(workers: int, seed: int) -> float:
     """Seconds of CPU for one job: its arrival, its probes, its end."""
-    random, brain = Random(seed), Brain(node_settings(40, 0), seed)
-    ready = api.WorkerState.READY
-    entries = [api.WorkerEntry(n, ready, n % 4, n // 4, 0, 2.0 + n % 2) for n in range(workers)]
-    brain.handle(OFFSET, api.WorkerList(api.ListKind.CACHED, entries))
+    random, brain = Random(seed), Balancer(node_settings(40, 0), seed)
+    ready = api.ExecutorState.READY
+    entries = [api.EndpointEntry(n, ready, n % 4, n // 4, 0, 2.0 + n % 2) for n in range(workers)]
+    brain.handle(OFFSET, api.EndpointList(api.EndpointListKind.CACHED, entries))
     out: list[tuple[int, int, int]] = []  # due, request, worker
     spent, now = 0.0, OFFSET
 
@@ -37,10 +37,10 @@
         spent += time.process_time() - began
         for action in actions:
             if isinstance(action, api.Send):
-                out.append((now + RUN_US, action.request, action.worker))
+                out.append((now + RUN_US, action.request, action.executor))
             elif isinstance(action, api.Probe):
                 report = (random.choice((0.0, 1.0, 2.0)) + random.random() / 100, 0.0, 0.0, 10.0)
-                take(api.ProbeEnded(action.worker, api.Outcome.OK, report))
+                take(api.ProbeEnded(action.executor, api.Outcome.OK, report))
 
     for number in range(1, JOBS + 1):
         now += GAP_US
--- a/cedarmill/__init__.py
+++ b/cedarmill/__init__.py
@@ -1,6 +1,6 @@
 """Dispatcher decisions by a preemptive connection pool."""
 
-from cedarmill.decisions.brain import Brain
+from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import Settings
 
-__all__ = ["Brain", "Settings"]
+__all__ = ["Balancer", "Settings"]
--- a/cedarmill/core/actions.py
+++ b/cedarmill/core/actions.py
@@ -121,7 +121,7 @@
                 return
         except Exception:
             say("defect", True, what="watch")
-        failed = api.WorkerList(api.ListKind.FAILED, [])  # the balancer asks again, later each time
+        failed = api.EndpointList(api.EndpointListKind.FAILED, [])  # the balancer asks again, later each time
         self.dispatch.on_endpoint_list(now, failed)
 
     def set_timer(self, now: int, action: api.SetTimer) -> None:
--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -15,7 +15,7 @@
 from cedarmill.core.timers import Timers
 from cedarmill.deadlines import propagation
 from cedarmill.decisions import interface as api
-from cedarmill.decisions.brain import Brain
+from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import Outcome
 from cedarmill.log import say
 from cedarmill.values import DeadlineOptions
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        balancer: Brain,
+        balancer: Balancer,
         timers: Timers,
         executors: ExecutorPort,
         discovery: DiscoveryPort,
@@ -136,7 +136,7 @@
         # where no attempt can follow, none is spent of the fleet's budget
         over = request.answered or outcome == Outcome.MOOT or now >= request.due
         more = over or self.observer.may_retry(now)
-        tries = api.ANY_TRIES if more else len(request.attempts)
+        tries = api.UNLIMITED_ATTEMPTS if more else len(request.attempts)
         event = api.AttemptEnded(
             request.id, attempt.number, attempt.executor, outcome, request.answered, report, tries
         )
@@ -162,14 +162,14 @@
 
     def set_sibling_usage(self, now: int, executor: int, slots: float, memory: float) -> None:
         """Another process of this node has this much in flight at an executor now."""
-        self.deliver(now, api.Beside(executor, slots, memory))
+        self.deliver(now, api.SiblingLoad(executor, slots, memory))
 
     # Events of discovery and of the fleet.
 
-    def on_endpoint_list(self, now: int, change: api.WorkerList) -> None:
+    def on_endpoint_list(self, now: int, change: api.EndpointList) -> None:
         """Take a whole list or a change of it."""
-        ready = {entry.executor for entry in change.entries if entry.state == api.WorkerState.READY}
-        if change.kind in (api.ListKind.FULL, api.ListKind.CACHED):
+        ready = {entry.executor for entry in change.entries if entry.state == api.ExecutorState.READY}
+        if change.kind in (api.EndpointListKind.FULL, api.EndpointListKind.CACHED):
             self.ready_executors = ready
         else:
             self.ready_executors -= {entry.executor for entry in change.entries}
@@ -178,7 +178,7 @@
 
     def set_zone_shares(self, now: int, shares: dict[tuple[int, ...], dict[int, float]]) -> None:
         """Which part of all requests is to run in each zone, by the zones in which they may run."""
-        self.deliver(now, api.Shares(shares))
+        self.deliver(now, api.ZoneShares(shares))
 
     # What the adapters ask.
 
--- a/cedarmill/core/requests.py
+++ b/cedarmill/core/requests.py
@@ -53,7 +53,7 @@
     __slots__ = ("answered", "attempts", "claim", "client", "due", "id", "payload", "probes", "spec", "timer")
 
     def __init__(
-        self, number: int, client: ClientPort, payload: Any, spec: api.JobClass, claim: propagation.Claim
+        self, number: int, client: ClientPort, payload: Any, spec: api.RequestClass, claim: propagation.Claim
     ) -> None:
         self.id, self.client, self.payload, self.spec = number, client, payload, spec
         self.claim, self.due = claim, claim.due
--- a/cedarmill/decisions/__init__.py
+++ b/cedarmill/decisions/__init__.py
@@ -3,7 +3,3 @@
 One module for each kind of decision, plain functions over the state that they share (`state.py`);
 `balancer.py` routes events to them. Nothing of the packages above may be imported here.
 """
-
-from cedarmill.decisions import old_names
-
-old_names.install()
--- a/cedarmill/decisions/interface.py
+++ b/cedarmill/decisions/interface.py
@@ -266,14 +266,3 @@
 
 
 Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | Subscribe
-
-# Old names, until the packages above have been renamed (see old_names.py for those of fields).
-ANY_TRIES = UNLIMITED_ATTEMPTS
-Beside = SiblingLoad
-Group = DeduplicationScope
-JobClass = RequestClass
-ListKind = EndpointListKind
-Shares = ZoneShares
-WorkerEntry = EndpointEntry
-WorkerList = EndpointList
-WorkerState = ExecutorState
--- a/cedarmill/net/beside.py
+++ b/cedarmill/net/beside.py
@@ -14,7 +14,7 @@
 from cedarmill.admin.resource_split import ConnectionCounts
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.decisions.memory import out
+from cedarmill.decisions.snapshot import held_now
 from cedarmill.log import say
 from cedarmill.net.discovery import DiscoveryClient
 from cedarmill.net.kept import KeptInPlace, kept_path
@@ -151,7 +151,7 @@
     def _write(self, here: ClockReading) -> None:
         """Tell what is out: when it changed, for one that starts reads it at once; else now and then."""
         at, before = self.written
-        told = Told(out(self.dispatch.balancer, self.discovery.reader.names), self.held())
+        told = Told(held_now(self.dispatch.balancer, self.discovery.reader.names), self.held())
         if told != before or here.monotonic_us - at >= BEAT_US:
             self.own.write(sealed_document.seal(KIND, self.node, here, msgspec.json.encode(told)))
             self.written = here.monotonic_us, told
--- a/cedarmill/net/config.py
+++ b/cedarmill/net/config.py
@@ -15,9 +15,9 @@
 )
 
 _STATES = {
-    "SERVING": api.WorkerState.READY,
-    "DRAINING": api.WorkerState.DRAINING,
-    "DELETED": api.WorkerState.GONE,
+    "SERVING": api.ExecutorState.READY,
+    "DRAINING": api.ExecutorState.DRAINING,
+    "DELETED": api.ExecutorState.GONE,
 }
 
 
@@ -161,7 +161,7 @@
         self.starts: dict[str, Start] = {}  # by name; none of those that started long ago
         self._first_offset_us = unix_us() - Turn.now()  # of Unix time against the brain's clock
 
-    def entry(self, raw: Endpoint, now: int, listed_before: int | None = None) -> api.WorkerEntry:
+    def entry(self, raw: Endpoint, now: int, listed_before: int | None = None) -> api.EndpointEntry:
         """One entry, read at `now`; a zone or kind that the settings do not name is one of its own.
 
         `listed_before`: a time at which the list was known to be the newest; whoever is new since, or has a
@@ -169,9 +169,9 @@
         """
         number = self.numbers.setdefault(raw.name, len(self.numbers) + 1)
         self.names[number] = raw.name
-        return api.WorkerEntry(
+        return api.EndpointEntry(
             number,
-            _STATES.get(raw.status, api.WorkerState.DRAINING),  # one not known yet: nothing new goes there
+            _STATES.get(raw.status, api.ExecutorState.DRAINING),  # one not known yet: nothing new goes there
             self.zones.setdefault(raw.zone, len(self.zones)),
             raw.group,
             self._started_at(raw, now, listed_before) if raw.since_ms else 0,
--- a/cedarmill/net/discovery.py
+++ b/cedarmill/net/discovery.py
@@ -150,7 +150,7 @@
         self._deadline: Timer | None = None
         self.told: bool | None = None  # whether the log's last word is that it watches
         self.quiet_until = 0
-        self.entries: dict[int, api.WorkerEntry] = {}  # the list as it stands, as discovery tells it
+        self.entries: dict[int, api.EndpointEntry] = {}  # the list as it stands, as discovery tells it
         self.heard: Callable[[], None] | None = None  # called after each news of the list
         self.excluded: dict[str, int] = {}  # out by hand, and since when: to the module they drain
         self.held = False  # nothing may be sent: to the module all drain
@@ -160,7 +160,7 @@
 
     def first(self, known: Listing) -> None:
         """The list of the configuration; an agent that pushes the list is asked for changes at once."""
-        self._tell(known, api.ListKind.CACHED)
+        self._tell(known, api.EndpointListKind.CACHED)
         if self.pushed:
             self.watch()
 
@@ -175,35 +175,35 @@
         if not self.told:
             say("watching", index=listing.index, host=self.address.host, port=self.address.port)
             self.told = True
-        self._tell(listing, api.ListKind.FULL if listing.snapshot else api.ListKind.DELTA)
+        self._tell(listing, api.EndpointListKind.FULL if listing.snapshot else api.EndpointListKind.DELTA)
 
-    def _tell(self, listing: Listing, kind: api.ListKind) -> None:
+    def _tell(self, listing: Listing, kind: api.EndpointListKind) -> None:
         now, entries = self.turn.now(), []
         for endpoint in listing.endpoints:
             entry = self.reader.entry(endpoint, now, self.current_at)
             try:
-                self.backends.update(entry.worker, endpoint)
+                self.backends.update(entry.executor, endpoint)
             except ValueError as error:
                 say("entry-passed-over", name=endpoint.name, reason=error)
-                entry = replace(entry, state=api.WorkerState.DRAINING)  # nothing new goes where it was
+                entry = replace(entry, state=api.ExecutorState.DRAINING)  # nothing new goes where it was
             entries.append(entry)
         self.index = listing.index
-        if kind != api.ListKind.DELTA:
+        if kind != api.EndpointListKind.DELTA:
             self.entries.clear()
-        self.entries.update((entry.worker, entry) for entry in entries)
+        self.entries.update((entry.executor, entry) for entry in entries)
         self.listed_start.update((self.reader.numbers[e.name], e.since_ms) for e in listing.endpoints)
-        if kind != api.ListKind.CACHED:
+        if kind != api.EndpointListKind.CACHED:
             self.current_at = now
-        self.dispatch.on_endpoint_list(now, api.WorkerList(kind, [self._told(entry) for entry in entries]))
+        self.dispatch.on_endpoint_list(now, api.EndpointList(kind, [self._told(entry) for entry in entries]))
         if self.heard is not None:
             self.heard()
 
-    def _told(self, entry: api.WorkerEntry) -> api.WorkerEntry:
+    def _told(self, entry: api.EndpointEntry) -> api.EndpointEntry:
         """The entry as the module hears it: one that is out by hand drains."""
-        name = self.reader.names.get(entry.worker)
+        name = self.reader.names.get(entry.executor)
         out = self.held or name in self.excluded or name in self.hidden
-        if out and entry.state == api.WorkerState.READY:
-            return replace(entry, state=api.WorkerState.DRAINING)
+        if out and entry.state == api.ExecutorState.READY:
+            return replace(entry, state=api.ExecutorState.DRAINING)
         return entry
 
     def hold(self, held: bool) -> None:
@@ -213,7 +213,9 @@
         self.held = held
         if self.entries:
             news = [self._told(entry) for entry in self.entries.values()]
-            self.dispatch.on_endpoint_list(self.turn.now(), api.WorkerList(api.ListKind.DELTA, news))
+            self.dispatch.on_endpoint_list(
+                self.turn.now(), api.EndpointList(api.EndpointListKind.DELTA, news)
+            )
 
     def hide(self, names: set[str]) -> None:
         """These are not used from now on, others that were hidden are again; none of them was restarted."""
@@ -221,7 +223,9 @@
         changed = [self.reader.numbers.get(name) for name in sorted(before ^ names)]
         news = [self._told(self.entries[number]) for number in changed if number in self.entries]
         if news:
-            self.dispatch.on_endpoint_list(self.turn.now(), api.WorkerList(api.ListKind.DELTA, news))
+            self.dispatch.on_endpoint_list(
+                self.turn.now(), api.EndpointList(api.EndpointListKind.DELTA, news)
+            )
 
     def knows(self, name: str) -> bool:
         """Whether discovery has named this executor since the start, or the configuration did."""
@@ -243,7 +247,7 @@
                 entry = self.entries[number] = replace(entry, started_at=now)
             entries.append(replace(self._told(entry), by_hand=name in before))
         if entries:
-            self.dispatch.on_endpoint_list(now, api.WorkerList(api.ListKind.DELTA, entries))
+            self.dispatch.on_endpoint_list(now, api.EndpointList(api.EndpointListKind.DELTA, entries))
 
     def watch(self) -> None:
         """Ask for changes from now on, and again whenever the watch is lost."""
@@ -254,7 +258,9 @@
         self.address, self.index, self.told, self.quiet_until = address, 0, None, 0
         self.current_at = None  # the new one may know executors that the old one never named
         self.happened(WatchEvent.ADDRESS_CHANGED)
-        news = api.WorkerList(api.ListKind.CACHED, [self._told(entry) for entry in self.entries.values()])
+        news = api.EndpointList(
+            api.EndpointListKind.CACHED, [self._told(entry) for entry in self.entries.values()]
+        )
         self.dispatch.on_endpoint_list(self.turn.now(), news)
 
     def happened(self, event: WatchEvent, reason: str = "") -> None:
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/fleet.py
@@ -45,7 +45,11 @@
 FRESH_US = 3_000_000  # since an executor last answered here: older, this node says nothing of its health
 PEERS_US = 1_000_000  # after an answer, till the peers are asked for again if they have changed
 DOOR_US = 900_000  # for a keeper's answer to a call at the door: the page owes one within 1 s
-STATES = {api.WorkerState.READY: "ready", api.WorkerState.DRAINING: "draining", api.WorkerState.GONE: "gone"}
+STATES = {
+    api.ExecutorState.READY: "ready",
+    api.ExecutorState.DRAINING: "draining",
+    api.ExecutorState.GONE: "gone",
+}
 
 
 class NodeFleet:
@@ -222,12 +226,12 @@
 
     def _seen(self) -> dict[str, ExecutorObservation]:
         now = self.turn.now()
-        reader, workers, found = self.discovery.reader, self.dispatch.balancer.workers, {}
+        reader, workers, found = self.discovery.reader, self.dispatch.balancer.executors, {}
         zones = {number: name for name, number in reader.zones.items()}
         kinds = {number: name for name, number in reader.kinds.items()}
         for number, entry in self.discovery.entries.items():
             worker = workers.get(number)
-            ill = worker is not None and worker.strikes >= STRIKES
+            ill = worker is not None and worker.consecutive_failures >= STRIKES
             sure = ill or (worker is not None and now - worker.heard_at < FRESH_US)
             started = self.discovery.listed_start.get(number, 0)
             found[reader.names[number]] = ExecutorObservation(
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/gossip.py
@@ -97,7 +97,7 @@
     def _choose(self) -> None:
         """Executors that this node uses, over all zones: drawn by zone, nearly all nodes would share one."""
         names, entries = self.discovery.reader.names, self.discovery.entries.items()
-        listed = [names[number] for number, entry in entries if entry.state == api.WorkerState.READY]
+        listed = [names[number] for number, entry in entries if entry.state == api.ExecutorState.READY]
         if not self.draw.update([self.name, *self.peers], listed):
             return
         mine = frozenset(self.draw.executors_of(self.name))
@@ -195,8 +195,8 @@
     def _take(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
         """A fact of another's: followed where it is newer than what is known here, and not too old."""
         number = self.discovery.reader.numbers.get(name)
-        worker = self.dispatch.balancer.workers.get(number) if number is not None else None
-        if worker is None or age > OLD_US or worker.strikes or now - age <= worker.heard_at:
+        worker = self.dispatch.balancer.executors.get(number) if number is not None else None
+        if worker is None or age > OLD_US or worker.consecutive_failures or now - age <= worker.heard_at:
             self.passed_over += 1
             return
         self.followed += 1
--- a/cedarmill/net/lanes.py
+++ b/cedarmill/net/lanes.py
@@ -54,7 +54,7 @@
         self.gate = AdmissionGate()
         self.cut = 0  # reqs that a cut refuses, and whose answer has not been told yet
         # us that a job of a class runs where it does not wait: else demand would grow with the queue
-        self.runs = [mean[0] for mean in self.dispatch.balancer.means]
+        self.runs = [times.mean_us for times in self.dispatch.balancer.state.learned.class_times]
         self.quiet = [0] * len(self.runs)  # jobs that said so
         self.holds = holds
         turn.timers.add(turn.now() + LOOK_US, self._again)
@@ -124,8 +124,8 @@
     def _ran(self, now: int, attempt) -> None:
         """How long it ran, where its executor had a slot free as it ended; till one had, the shortest."""
         index = attempt.request.claim.job_class
-        worker, ran = self.dispatch.balancer.workers.get(attempt.executor), now - attempt.sent_at
-        if worker is not None and worker.heard_at and worker.base - worker.held >= 1.0:
+        worker, ran = self.dispatch.balancer.executors.get(attempt.executor), now - attempt.sent_at
+        if worker is not None and worker.heard_at and worker.capacity - worker.held_slots >= 1.0:
             self.quiet[index] = min(self.quiet[index] + 1, QUIET)
             self.runs[index] += (ran - self.runs[index]) / self.quiet[index]
         elif not self.quiet[index]:
@@ -139,18 +139,22 @@
         self._learn_names()
         kinds = self.kind_names
         sums: dict[str, list[int]] = {}
-        heard = [worker.slots for worker in brain.workers.values() if worker.listed and worker.heard_at]
+        heard = [worker.slots for worker in brain.executors.values() if worker.listed and worker.heard_at]
         usual = sum(heard) / len(heard) if heard else 1.0  # of executors that have told nothing yet
         for number, entry in self.discovery.entries.items():
             name = self.discovery.reader.names[number]
-            if entry.state != api.WorkerState.READY or name in self.discovery.excluded:
+            if entry.state != api.ExecutorState.READY or name in self.discovery.excluded:
                 continue
-            worker = brain.workers.get(number)
+            worker = brain.executors.get(number)
             if worker is None or not worker.heard_at:
                 slots = usual
             else:
-                slots = max(worker.slots, brain.slots.get(entry.kind, 1.0))
-            free = max(0.0, worker.base - worker.held) if worker is not None and worker.heard_at else slots
+                slots = max(worker.slots, brain.state.learned.slots_by_kind.get(entry.kind, 1.0))
+            free = (
+                max(0.0, worker.capacity - worker.held_slots)
+                if worker is not None and worker.heard_at
+                else slots
+            )
             cold = self._cold(entry, now)
             zone = self.zone_names.get(entry.zone, "")
             for place in (zone, f"{zone}/{kinds[entry.kind]}") if entry.kind in kinds else (zone,):
@@ -160,7 +164,7 @@
                 one[2] += int(1000 * max(0.0, slots - free))
         return {place: LocationEstimate(*one) for place, one in sums.items()}
 
-    def _cold(self, entry: api.WorkerEntry, now: int) -> float:
+    def _cold(self, entry: api.EndpointEntry, now: int) -> float:
         settings = self.dispatch.balancer.settings
         age = now - entry.started_at
         if not entry.started_at or age >= settings.cold_us:
@@ -175,7 +179,7 @@
         self.digest_at = now + DIGEST_US
         seen = self.sights.observations(now, self.places())
         brain = self.dispatch.balancer
-        out = int(1000 * sum(a.request.slots for w in brain.workers.values() for a in w.own.values()))
+        out = int(1000 * sum(a.request.slots for w in brain.executors.values() for a in w.attempts.values()))
         return self.sights.make_digest(
             now, self.zone, seen, self.use.epoch, self.use.unreachable_zones, doubts, out
         )
--- a/cedarmill/net/memory.py
+++ b/cedarmill/net/memory.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from cedarmill.admin import sealed_document
-from cedarmill.decisions.brain import Brain
-from cedarmill.decisions.memory import Memory, recall, recall_worker, remember
+from cedarmill.decisions.balancer import Balancer
+from cedarmill.decisions.snapshot import Snapshot, restore, restore_executor, take_snapshot
 from cedarmill.log import say
 from cedarmill.net.config import Start
 from cedarmill.net.discovery import DiscoveryClient
@@ -22,7 +22,7 @@
 LATE_US = 3_000_000  # for the first lists to name the executors that the document tells of
 
 
-class _Kept(Memory, omit_defaults=True):
+class _Kept(Snapshot, omit_defaults=True):
     """The module's memory, and what this process knows of the executors' starts.
 
     Kept apart from the module's: a stamp of discovery that the next process reads by a wall clock stepped
@@ -39,11 +39,11 @@
 class Keeper:
     """Writes the document again and again, and lays one found at the start over a new brain."""
 
-    def __init__(self, turn: Turn, brain: Brain, discovery: DiscoveryClient, node: str,
+    def __init__(self, turn: Turn, brain: Balancer, discovery: DiscoveryClient, node: str,
                  ending: Callable[[], bool]) -> None:  # fmt: skip
         self.turn, self.brain, self.discovery, self.node, self.ending = turn, brain, discovery, node, ending
         self.kept = KeptInPlace(kept_path(node, KIND))
-        self.pending: Memory | None = None  # what of a document still waits for its executors to be listed
+        self.pending: Snapshot | None = None  # what of a document still waits for its executors to be listed
         self.pending_until = 0
 
     def start(self) -> None:
@@ -65,10 +65,10 @@
         except msgspec.MsgspecError as error:
             raise ValueError(str(error)) from None
         written = now - age
-        if not recall(self.brain, memory, written):
+        if not restore(self.brain, memory, written):
             raise ValueError("of other settings: classes or tenants differ")
         self.pending, self.pending_until = memory, now + LATE_US
-        say("recalled", workers=len(memory.workers), age=age / 1e6)
+        say("recalled", workers=len(memory.executors), age=age / 1e6)
         self.discovery.inherit(
             {name: Start(stamp, written - ago) for name, (stamp, ago) in memory.starts.items()},
             None if memory.list_age_us is None else written - memory.list_age_us,
@@ -77,10 +77,10 @@
 
     def _lay(self, written: int) -> None:
         """Lay over each executor that is listed by now; the rest waits a little for the next list."""
-        numbers, workers = self.discovery.reader.numbers, self.brain.workers
-        for name in [name for name in self.pending.workers if numbers.get(name) in workers]:
-            recall_worker(workers[numbers[name]], self.pending.workers.pop(name), written)
-        if not self.pending.workers or self.turn.now() > self.pending_until:
+        numbers, workers = self.discovery.reader.numbers, self.brain.executors
+        for name in [name for name in self.pending.executors if numbers.get(name) in workers]:
+            restore_executor(workers[numbers[name]], self.pending.executors.pop(name), written)
+        if not self.pending.executors or self.turn.now() > self.pending_until:
             self.discovery.heard = None
 
     def _keep(self, now: int) -> None:
@@ -95,10 +95,10 @@
 
     def _body(self, now: int) -> bytes:
         discovery = self.discovery
-        memory = remember(self.brain, discovery.reader.names, now)
+        memory = take_snapshot(self.brain, discovery.reader.names, now)
         listed = (discovery.reader.names[number] for number in discovery.entries)
         known = ((name, start) for name in listed if (start := discovery.reader.starts.get(name)))
         starts = {name: (start.since_ms, now - start.at_us) for name, start in known}
         list_age = None if discovery.current_at is None else now - discovery.current_at
-        fields = {name: getattr(memory, name) for name in Memory.__struct_fields__}
+        fields = {name: getattr(memory, name) for name in Snapshot.__struct_fields__}
         return msgspec.json.encode(_Kept(**fields, starts=starts, list_age_us=list_age))
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -14,7 +14,7 @@
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timers
 from cedarmill.deadlines.propagation import DeadlineTracker
-from cedarmill.decisions.brain import Brain
+from cedarmill.decisions.balancer import Balancer
 from cedarmill.log import say
 from cedarmill.net import door
 from cedarmill.net.backends import Backends
@@ -70,7 +70,7 @@
         self.discovery = DiscoveryClient(
             self.turn, settings, config.discovery, self.backends, Random(config.seed)
         )
-        brain = Brain(settings, config.seed)
+        brain = Balancer(settings, config.seed)
         self.dispatch = Dispatch(brain, self.timers, self.backends, self.discovery, self.deadline_tracker)
         self.beside = Beside(self.turn, self.discovery, config.name, self._holds, self._share)
         for adapter in (self.clients, self.backends, self.discovery, self.beside):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,17 +1,17 @@
 """Small builders shared by the tests: settings, events, a brain that is driven by hand."""
 
 from cedarmill.decisions import interface as api
-from cedarmill.decisions.brain import Brain
+from cedarmill.decisions.balancer import Balancer
 
-SAFE = api.JobClass("s", 1.0, 200_000, 5_000_000, api.Effect.SAFE)
-UNSAFE = api.JobClass("u", 5.0, 200_000, 5_000_000, api.Effect.UNSAFE)
+SAFE = api.RequestClass("s", 1.0, 200_000, 5_000_000, api.Effect.SAFE)
+UNSAFE = api.RequestClass("u", 5.0, 200_000, 5_000_000, api.Effect.UNSAFE)
 
 
-def keyed(group: api.Group, window: int = 3_000_000) -> api.JobClass:
-    return api.JobClass("k", 3.0, 200_000, 5_000_000, api.Effect.KEYED, group, window)
+def keyed(group: api.DeduplicationScope, window: int = 3_000_000) -> api.RequestClass:
+    return api.RequestClass("k", 3.0, 200_000, 5_000_000, api.Effect.KEYED, group, window)
 
 
-def settings(*classes: api.JobClass, **changes) -> api.Settings:
+def settings(*classes: api.RequestClass, **changes) -> api.Settings:
     values = dict(
         instances=2, zone=0, classes=classes or (SAFE, UNSAFE), cold_us=10_000_000, cold_share=0.2,
         fall_multiple=3.0, overload_window_us=2_000_000, max_attempts=3, can_cancel=True, may_duplicate=True,
@@ -24,12 +24,12 @@
 class Driver:
     """Feeds a brain and numbers requests; `now` moves by hand."""
 
-    def __init__(self, *classes: api.JobClass, workers: int = 2, seed: int = 1, entries=None, **changes):
-        self.brain = Brain(settings(*classes, **changes), seed)
+    def __init__(self, *classes: api.RequestClass, workers: int = 2, seed: int = 1, entries=None, **changes):
+        self.brain = Balancer(settings(*classes, **changes), seed)
         self.now = 1_000_000_000
         self.requests = 0
         entries = entries or [entry(n) for n in range(1, workers + 1)]
-        self.first = self.feed(api.WorkerList(api.ListKind.CACHED, entries))
+        self.first = self.feed(api.EndpointList(api.EndpointListKind.CACHED, entries))
 
     def feed(self, event, after: int = 0):
         self.now += after
@@ -57,7 +57,7 @@
         """The workers that jobs are sent to, one after the other, each served at once."""
         drawn = []
         for _ in range(count):
-            drawn.append(sends(self.arrive(0))[0].worker)
+            drawn.append(sends(self.arrive(0))[0].executor)
             self.end(self.requests, drawn[-1], api.Outcome.OK)
         return drawn
 
@@ -70,8 +70,8 @@
         return [a for t in actions if isinstance(t, api.SetTimer) for a in self.feed(api.TimerFired(t.token))]
 
 
-def entry(worker: int, state: api.WorkerState = api.WorkerState.READY, **fields) -> api.WorkerEntry:
-    return api.WorkerEntry(worker, state, **fields)
+def entry(worker: int, state: api.ExecutorState = api.ExecutorState.READY, **fields) -> api.EndpointEntry:
+    return api.EndpointEntry(worker, state, **fields)
 
 
 def kinds(actions) -> list[str]:
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -9,7 +9,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions import learning, retries
 from cedarmill.decisions.admission import PREEMPTION_GAIN_LEAST
-from cedarmill.decisions.interface import DeduplicationScope as Group
+from cedarmill.decisions.interface import DeduplicationScope as DeduplicationScope
 from cedarmill.decisions.interface import Effect, Outcome
 from cedarmill.decisions.interface import ExecutorState as WorkerState
 from cedarmill.decisions.state import ClassRunningTimes
@@ -63,7 +63,7 @@
 
 
 def test_victim_is_the_lowest_worth_then_the_one_not_started():
-    low = api.JobClass("low", 0.5, 200_000, 5_000_000, Effect.SAFE)
+    low = api.RequestClass("low", 0.5, 200_000, 5_000_000, Effect.SAFE)
     d = Driver(SAFE, UNSAFE, low, workers=1)
     d.report(1, 2)
     d.brain.executors[1].queue_places = 2.0
@@ -78,7 +78,7 @@
 
 def test_cut_safe_job_is_tried_again_and_cut_unsafe_job_fails():
     for effect, end in ((Effect.SAFE, ["Refuse"]), (Effect.UNSAFE, ["Fail"])):
-        low = api.JobClass("low", 0.5, 200_000, 5_000_000, effect)
+        low = api.RequestClass("low", 0.5, 200_000, 5_000_000, effect)
         d = Driver(low, UNSAFE, workers=1)
         d.report(1, 1)
         ids = fill(d, 1)
@@ -147,9 +147,9 @@
     d = Driver(entries=[*near, entry(4, zone=1)], instances=1, tells_start=False)
     for worker in (1, 2, 3):
         d.report(worker, 5)
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(4, api.WorkerState.DRAINING, zone=1)]))
+    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(4, api.ExecutorState.DRAINING, zone=1)]))
     back = entry(4, zone=1, started_at=d.now - 8_000_000, by_hand=True)
-    d.feed(api.WorkerList(api.ListKind.DELTA, [back]))
+    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [back]))
     first, second = (sends(d.arrive(0))[0].executor for _ in range(2))
     assert first == 4
     assert second != 4
@@ -158,7 +158,7 @@
 QUEUED = {"tells_start": False, "report_fields": ("free_slots", "free_memory", "queue")}
 
 
-def queued_driver(*classes: api.JobClass) -> Driver:
+def queued_driver(*classes: api.RequestClass) -> Driver:
     """One worker of two slots that holds four own jobs, as sent before any report told of a queue."""
     d = Driver(*classes, workers=1, **QUEUED)
     d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
@@ -190,7 +190,7 @@
 
 def test_a_job_with_little_time_to_spare_does_not_wait_where_a_usual_one_may():
     """A job of 50 ms behind one of a second came late, and the slot it then took served nobody."""
-    late = api.JobClass("l", 1.0, 100_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
+    late = api.RequestClass("l", 1.0, 100_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
     d = Driver(late, workers=1, **QUEUED)
     d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
     d.brain.state.learned.class_times[0] = ClassRunningTimes(1_000_000.0, 0.0, 50)
@@ -203,7 +203,7 @@
 
 def test_places_to_wait_fall_when_jobs_miss_their_own_wanted_time():
     """Against the class's mean, which late jobs raise, a fleet that was late throughout looked well."""
-    late = api.JobClass("l", 1.0, 200_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
+    late = api.RequestClass("l", 1.0, 200_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
     d = Driver(late, UNSAFE, workers=1, **QUEUED)
     d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
     d.brain.state.learned.class_times[0] = ClassRunningTimes(3_000_000.0, 3.0, 50)
@@ -446,7 +446,7 @@
 
 
 def test_class_that_needs_a_kind_of_worker_goes_only_there():
-    special = api.JobClass("g", 1.0, 200_000, 5_000_000, Effect.SAFE, worker_kind=2)
+    special = api.RequestClass("g", 1.0, 200_000, 5_000_000, Effect.SAFE, worker_kind=2)
     d = Driver(special, entries=[entry(1, kind=0), entry(2, kind=2)])
     d.report(1, 9)
     d.report(2, 1)
@@ -485,10 +485,10 @@
 
 
 def test_held_job_gets_its_answer_before_the_deadline():
-    d = Driver(keyed(Group.CELL), workers=1)
+    d = Driver(keyed(DeduplicationScope.CELL), workers=1)
     d.arrive(0)
     d.start(1, 1)
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(1, WorkerState.GONE)]))
+    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, WorkerState.GONE)]))
     actions = d.end(1, 1, Outcome.RESET, final=False)
     assert kinds(actions) == []
     delay = max(a.delay_us for a in actions if isinstance(a, api.SetTimer))
@@ -526,9 +526,9 @@
 PLACES = {1: (0, 0), 2: (0, 0), 3: (0, 1), 4: (1, 2)}  # worker: zone, cell
 ALLOWED = {
     (Effect.SAFE, None): {1, 2, 3, 4},
-    (Effect.KEYED, Group.ALL): {1, 2, 3, 4},
-    (Effect.KEYED, Group.ZONE): {1, 2, 3},
-    (Effect.KEYED, Group.CELL): {1, 2},
+    (Effect.KEYED, DeduplicationScope.ALL): {1, 2, 3, 4},
+    (Effect.KEYED, DeduplicationScope.ZONE): {1, 2, 3},
+    (Effect.KEYED, DeduplicationScope.CELL): {1, 2},
     (Effect.UNSAFE, None): set(),
 }
 
@@ -536,7 +536,7 @@
 def _class(effect, group):
     if group:
         return keyed(group)
-    return api.JobClass("c", 3.0, 200_000, 5_000_000, effect, repeat_window_us=3_000_000)
+    return api.RequestClass("c", 3.0, 200_000, 5_000_000, effect, repeat_window_us=3_000_000)
 
 
 @pytest.mark.parametrize("effect,group", ALLOWED)
@@ -547,8 +547,14 @@
     d = Driver(_class(effect, group), may_duplicate=duplicate,
                entries=[entry(1, zone=0, cell=0)])  # fmt: skip
     assert sends(d.arrive(0))[0].executor == 1
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(n, zone=z, cell=c) for n, (z, c) in PLACES.items()]))
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(1, WorkerState.GONE)]))  # the group outlives the worker
+    d.feed(
+        api.EndpointList(
+            api.EndpointListKind.DELTA, [entry(n, zone=z, cell=c) for n, (z, c) in PLACES.items()]
+        )
+    )
+    d.feed(
+        api.EndpointList(api.EndpointListKind.DELTA, [entry(1, WorkerState.GONE)])
+    )  # the group outlives the worker
     request = d.brain.requests[1]
     attempt = request.attempts[0]
     if outcome is not None:
@@ -561,11 +567,13 @@
     if outcome is None and not duplicate:
         expected = set()
     assert allowed == expected - {1}
-    harmless = outcome in NEVER_RAN or effect == Effect.SAFE or group == Group.ALL
+    harmless = outcome in NEVER_RAN or effect == Effect.SAFE or group == DeduplicationScope.ALL
     assert retries.may_refuse(request) == harmless
 
 
-def broken(after: int, window: int, left: int = 5_000_000, group: Group = Group.ZONE):
+def broken(
+    after: int, window: int, left: int = 5_000_000, group: DeduplicationScope = DeduplicationScope.ZONE
+):
     """What follows when the one attempt of a keyed job breaks so long after it was sent."""
     d = Driver(keyed(group, window), workers=2)
     assert sends(d.arrive(0, left=left))
@@ -578,7 +586,7 @@
 def test_a_repeat_that_may_be_written_after_its_window_is_not_chosen_and_answered_at_once(after, window):
     """Chosen two ticks before the end, it was written 0.15 s later, or taken back and held to the end."""
     assert kinds(broken(after, window)[1]) == ["Fail"]
-    assert kinds(broken(after, window, group=Group.ALL)[1]) == ["Refuse"]
+    assert kinds(broken(after, window, group=DeduplicationScope.ALL)[1]) == ["Refuse"]
 
 
 def test_a_repeat_within_its_window_is_chosen_as_before():
@@ -593,9 +601,9 @@
 
 def test_a_held_job_is_answered_when_its_window_closes():
     """It was held to its deadline, though nothing could follow any longer."""
-    d = Driver(keyed(Group.ZONE, 1_000_000), workers=1)
+    d = Driver(keyed(DeduplicationScope.ZONE, 1_000_000), workers=1)
     d.arrive(0)
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(1, WorkerState.GONE)]))
+    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, WorkerState.GONE)]))
     actions = d.end(1, 1, Outcome.RESET)
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
     assert timer.delay_us == 1_000_000 - 150_000 - 2 * d.brain.settings.tick_us
@@ -626,30 +634,30 @@
 @pytest.mark.parametrize("state", [WorkerState.DRAINING, WorkerState.GONE])
 def test_nothing_goes_to_a_draining_or_gone_worker(state):
     d = Driver(workers=2)
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(1, state)]))
+    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, state)]))
     assert {a.executor for _ in range(20) for a in sends(d.arrive(0))} <= {2}
 
 
 def test_a_worker_missing_in_a_full_list_has_gone():
     d = Driver(workers=2)
-    d.feed(api.WorkerList(api.ListKind.FULL, [entry(2)]))
+    d.feed(api.EndpointList(api.EndpointListKind.FULL, [entry(2)]))
     assert {a.executor for _ in range(20) for a in sends(d.arrive(0))} <= {2}
 
 
 def test_a_worker_that_the_list_moves_to_another_zone_is_there():
     """The old zone stood for good: a keyed job could be sent again where its repeat is not known."""
-    d = Driver(keyed(Group.ZONE), workers=3)
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(2, api.WorkerState.DRAINING)]))
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(3, api.WorkerState.DRAINING)]))
+    d = Driver(keyed(DeduplicationScope.ZONE), workers=3)
+    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(2, api.ExecutorState.DRAINING)]))
+    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(3, api.ExecutorState.DRAINING)]))
     assert sends(d.arrive(0))[0].executor == 1
-    d.feed(api.WorkerList(api.ListKind.FULL, [entry(2, zone=1), entry(3, zone=0)]))
+    d.feed(api.EndpointList(api.EndpointListKind.FULL, [entry(2, zone=1), entry(3, zone=0)]))
     assert [w.id for w in d.brain.state.pools.far] == [2] and [w.id for w in d.brain.state.pools.near] == [3]
     assert [a.executor for a in sends(d.end(1, 1, Outcome.RESET))] == [3]
 
 
 def test_an_empty_whole_list_is_true():
     d = Driver(workers=2)
-    d.feed(api.WorkerList(api.ListKind.FULL, []))
+    d.feed(api.EndpointList(api.EndpointListKind.FULL, []))
     assert kinds(d.arrive(0)) == ["Refuse"]
 
 
@@ -659,7 +667,7 @@
     assert kinds(d.fire_all(d.first, 200_000)) == ["Subscribe"]
     delays = []
     for _ in range(6):
-        actions = d.feed(api.WorkerList(api.ListKind.FAILED, []))
+        actions = d.feed(api.EndpointList(api.EndpointListKind.FAILED, []))
         delays.append(actions[0].delay_us)
         assert kinds(actions) == []
         assert kinds(d.fire_all(actions, delays[-1])) == ["Subscribe"]
@@ -679,7 +687,7 @@
     """The doubled wait was a float without bound: the 1,024th failure raised, and nothing was asked again."""
     d = Driver(on_request_discovery=True)
     for _ in range(1200):
-        actions = d.feed(api.WorkerList(api.ListKind.FAILED, []))
+        actions = d.feed(api.EndpointList(api.EndpointListKind.FAILED, []))
     assert kinds(d.fire_all(actions, actions[0].delay_us)) == ["Subscribe"]
 
 
@@ -713,7 +721,7 @@
     d = Driver(workers=1)
     d.report(1, 4)
     d.arrive(0)
-    d.feed(api.WorkerList(api.ListKind.DELTA, [entry(1, started_at=d.now)]))
+    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, started_at=d.now)]))
     worker = d.brain.executors[1]
     assert (worker.started_at, worker.held_slots, worker.slots, worker.report) == (d.now, 0, 4, None)
     assert kinds(d.end(1, 1, Outcome.RESET, final=False)) in (["Refuse"], ["Send"])
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -18,8 +18,8 @@
 from cedarmill.deadlines.waste_ledger import Cause, WasteRow
 from cedarmill.deadlines.worth_starting import RunningTimeQuantile
 from cedarmill.decisions import interface as api
-from cedarmill.decisions.brain import Brain
-from cedarmill.decisions.interface import Group, Outcome
+from cedarmill.decisions.balancer import Balancer
+from cedarmill.decisions.interface import DeduplicationScope, Outcome
 from cedarmill.values import SOURCES, DeadlineOptions
 
 ALL = DeadlineOptions(sources=SOURCES, skew_us=50_000)
@@ -149,7 +149,7 @@
         self.ports, self.timers = Ports(), Timers()
         deadline_tracker = propagation.DeadlineTracker(self.options, 1)
         self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports, deadline_tracker)
-        self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
+        self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1), entry(2)]))
 
     def arrive(self, *replies, due: int = 5_000_000):
         self.ports.replies[api.RequestArrived] = list(replies)
@@ -200,9 +200,13 @@
         for seed in range(1_000):
             draw = random.Random(seed)
             self.begin()
-            brain = Brain(settings(keyed(Group.ALL), can_probe=seed % 3 == 0, tells_start=False), seed)
+            brain = Balancer(
+                settings(keyed(DeduplicationScope.ALL), can_probe=seed % 3 == 0, tells_start=False), seed
+            )
             self.dispatch.balancer = brain
-            self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
+            self.dispatch.on_endpoint_list(
+                0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1), entry(2)])
+            )
             request = self.dispatch.arrive(
                 0, self.ports, None, 5_000_000, api.RequestArrived(0, 0, 5_000_000)
             )
@@ -288,10 +292,10 @@
         """Past on arrival: refused in the same turn. Shorter than a probe's wait: no probe is asked."""
         for due, answered in ((0, True), (30_000, False)):
             self.begin()
-            self.dispatch.balancer = Brain(
-                settings(keyed(Group.ALL), can_probe=True, report_by_probe=True), 1
+            self.dispatch.balancer = Balancer(
+                settings(keyed(DeduplicationScope.ALL), can_probe=True, report_by_probe=True), 1
             )
-            self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1)]))
+            self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1)]))
             self.arrive(due=due)
             self.assertEqual((self.ports.probes, bool(self.ports.answers)), ([], answered))
             self.sweep(due)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,8 +10,8 @@
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
-from cedarmill.decisions.brain import Brain
-from cedarmill.decisions.interface import Group, Outcome
+from cedarmill.decisions.balancer import Balancer
+from cedarmill.decisions.interface import DeduplicationScope, Outcome
 from cedarmill.net.config import Endpoint, ListReader
 
 
@@ -19,7 +19,7 @@
     """A brain that does as it is told, and ports that note what they are asked for."""
 
     def __init__(self) -> None:
-        self.settings = settings(keyed(Group.ALL, window=1_000_000))
+        self.settings = settings(keyed(DeduplicationScope.ALL, window=1_000_000))
         self.events: list[api.Event] = []
         self.replies: dict[type, object] = {}
         self.answers: list[tuple] = []
@@ -77,7 +77,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         self.ports, self.timers = Ports(), Timers()
         self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports)
-        self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1)]))
+        self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1)]))
 
     def arrive(self, *replies, due: int = 5_000_000):
         self.ports.replies[api.RequestArrived] = list(replies)
@@ -141,14 +141,14 @@
         self.dispatch.observer.may_spend = lambda now, budget: bool(spent.append(budget))
         self.arrive(api.Probe(1), api.Subscribe())
         self.assertEqual((spent, self.ports.probes), (["probes", "lists"], []))
-        told = [api.ProbeEnded(1, Outcome.MOOT), api.WorkerList(api.ListKind.FAILED, [])]
+        told = [api.ProbeEnded(1, Outcome.MOOT), api.EndpointList(api.EndpointListKind.FAILED, [])]
         self.assertEqual(self.ports.events[-2:], told)
 
     def test_a_probe_or_a_watch_that_cannot_start_is_told_as_failed(self):
         """The brain holds a worker for the answer to a probe, and asks for the list again only when told."""
         self.ports.broken |= {"probe", "watch"}
         self.arrive(api.Probe(1), api.Subscribe())
-        told = [api.ProbeEnded(1, Outcome.CONNECT_FAILED), api.WorkerList(api.ListKind.FAILED, [])]
+        told = [api.ProbeEnded(1, Outcome.CONNECT_FAILED), api.EndpointList(api.EndpointListKind.FAILED, [])]
         self.assertEqual(self.ports.events[-2:], told)
 
     def test_a_client_port_that_fails_does_not_stop_the_rest(self):
@@ -173,8 +173,8 @@
         self.dispatch.attempt_ended(1, first, Outcome.FULL)
         self.assertTrue(self.dispatch.may_write(1_000_000, second))
         self.assertFalse(self.dispatch.may_write(5_000_000, second))
-        drained = [entry(1, api.WorkerState.DRAINING)]
-        self.dispatch.on_endpoint_list(2, api.WorkerList(api.ListKind.DELTA, drained))
+        drained = [entry(1, api.ExecutorState.DRAINING)]
+        self.dispatch.on_endpoint_list(2, api.EndpointList(api.EndpointListKind.DELTA, drained))
         self.assertFalse(self.dispatch.may_write(2, second))
 
     def test_what_may_not_be_sent_tells_why(self):
@@ -187,22 +187,22 @@
         self.assertIs(self.dispatch.blocking_outcome(1, second), Outcome.DROPPED)
         del self.dispatch.observer.may_send
         self.dispatch.on_endpoint_list(
-            2, api.WorkerList(api.ListKind.DELTA, [entry(1, api.WorkerState.DRAINING)])
+            2, api.EndpointList(api.EndpointListKind.DELTA, [entry(1, api.ExecutorState.DRAINING)])
         )
         self.assertIs(self.dispatch.blocking_outcome(2, second), Outcome.DROPPED)
 
     def test_a_repeat_past_its_window_is_answered_at_once(self):
         """The module was told of a failed connect, tried as often as it may, and struck sound executors."""
-        brain = Brain(settings(keyed(Group.ZONE, window=1_000_000)), 1)
+        brain = Balancer(settings(keyed(DeduplicationScope.ZONE, window=1_000_000)), 1)
         self.dispatch.balancer = brain
-        self.dispatch.on_endpoint_list(0, api.WorkerList(api.ListKind.CACHED, [entry(1), entry(2)]))
+        self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1), entry(2)]))
         request = self.arrive(due=5_000_000)
         self.dispatch.attempt_written(0, self.ports.sent[0])
         self.dispatch.attempt_ended(900_000, self.ports.sent[0], Outcome.RESET)
         self.assertEqual(len(self.ports.sent), 1)
         self.check_over(("failed",))
         self.assertTrue(request.answered)
-        self.assertEqual([worker.strikes for worker in brain.workers.values()], [0, 0])
+        self.assertEqual([executor.consecutive_failures for executor in brain.executors.values()], [0, 0])
 
     def test_what_is_open_when_the_process_has_to_end_is_answered_before(self):
         """Its own deadline may lie behind the kill: an executor that hangs would hold it till then."""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -206,14 +206,14 @@
         entry = Endpoint("s-1", "SERVING", "127.0.0.1:1", **fields)
         self.discovery.news(Listing(1, True, [entry]))
 
-    def heard(self) -> api.WorkerEntry:
+    def heard(self) -> api.EndpointEntry:
         return self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries[-1]
 
     def test_out_it_drains_whatever_the_list_says(self) -> None:
         self.discovery.mark({"s-1": 50_000_000})
-        self.assertEqual(self.heard().state, api.WorkerState.DRAINING)
+        self.assertEqual(self.heard().state, api.ExecutorState.DRAINING)
         self.list(since_ms=52_000)
-        self.assertEqual(self.heard().state, api.WorkerState.DRAINING)
+        self.assertEqual(self.heard().state, api.ExecutorState.DRAINING)
 
     def test_back_in_it_counts_from_the_restart_that_the_list_told(self) -> None:
         """Counted from the call, it stayed cold to the module for seconds after it was warm."""
@@ -223,7 +223,7 @@
         self.now = 60_000_000
         self.discovery.mark({})
         told = self.heard()
-        self.assertEqual((told.state, told.started_at), (api.WorkerState.READY, 52_000_000))
+        self.assertEqual((told.state, told.started_at), (api.ExecutorState.READY, 52_000_000))
         self.assertTrue(told.by_hand)
 
     def test_back_in_before_the_list_tells_its_restart_it_counts_from_the_call(self) -> None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -34,21 +34,21 @@
     """One node with its gossip; what it says is kept."""
 
     def __init__(self, clock: Clock, name: str, peer: str) -> None:
-        workers = {n: SimpleNamespace(strikes=0, heard_at=0) for n in range(4)}
+        workers = {n: SimpleNamespace(consecutive_failures=0, heard_at=0) for n in range(4)}
         self.heard: list[tuple[int, int]] = []
-        dispatch = SimpleNamespace(balancer=SimpleNamespace(workers=workers), on_peer_report=self._told)
-        entries = {n: api.WorkerEntry(n, api.WorkerState.READY) for n in workers}
+        dispatch = SimpleNamespace(balancer=SimpleNamespace(executors=workers), on_peer_report=self._told)
+        entries = {n: api.EndpointEntry(n, api.ExecutorState.READY) for n in workers}
         names = {n: f"e{n}" for n in workers}
         reader = SimpleNamespace(names=names, numbers={name: n for n, name in names.items()})
         discovery = SimpleNamespace(dispatch=dispatch, entries=entries, reader=reader)
-        self.gossip, self.workers, self.said = Gossip(clock, name, "c", discovery), workers, []
+        self.gossip, self.executors, self.said = Gossip(clock, name, "c", discovery), workers, []
         link = self.gossip.links[peer] = Link(peer)
         self.wire = link.wire = SimpleNamespace(name=peer, say=lambda number, word: self.said.append(word))
         self.link = link
 
     def _told(self, now: int, worker: int, report: tuple, age: int) -> None:
         self.heard.append((worker, age))
-        self.workers[worker].heard_at = now - age
+        self.executors[worker].heard_at = now - age
 
     def take(self, word) -> None:
         """A frame comes from the other side."""
@@ -116,11 +116,11 @@
 
     def test_own_news_and_an_executor_that_this_node_cannot_reach_go_before_what_is_told(self):
         self.carry()
-        self.b.workers[1].strikes = 1
+        self.b.executors[1].consecutive_failures = 1
         self.hears()
         self.carry()
         self.assertEqual(self.b.heard, [])
-        self.b.workers[2].heard_at = self.clock.at + OLD_US
+        self.b.executors[2].heard_at = self.clock.at + OLD_US
         self.hears(2)
         self.carry()
         self.assertEqual(self.b.heard, [])
@@ -129,7 +129,7 @@
         gossip, self.a.wire.end = self.a.gossip, lambda reason: None
         names = {n: f"e{n}" for n in range(600)}
         gossip.discovery.reader.names = names
-        gossip.discovery.entries = {n: api.WorkerEntry(n, api.WorkerState.READY) for n in names}
+        gossip.discovery.entries = {n: api.EndpointEntry(n, api.ExecutorState.READY) for n in names}
         gossip.follow({f"n{n}": "nowhere" for n in range(120)})
         self.clock.pass_on(STILL_US)
         shares = {name for name in gossip.peers if gossip.mine & set(gossip.draw.executors_of(name))}
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -10,8 +10,8 @@
 from cedarmill.admin.resource_split import MIN_PER_PROCESS, ConnectionCounts, NodeLimits, split_limits
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.decisions import interface as api
-from cedarmill.decisions.brain import Brain
-from cedarmill.decisions.memory import out, recall, recall_worker, remember
+from cedarmill.decisions.balancer import Balancer
+from cedarmill.decisions.snapshot import held_now, restore, restore_executor, take_snapshot
 
 HOUR_US = 3_600_000_000
 NAMES = {1: "s-1", 2: "s-2"}
@@ -134,12 +134,12 @@
         return driver
 
     def after(self, old: Driver, age_us: int = 0, entries=None) -> Driver:
-        memory = remember(old.brain, NAMES, old.now)
+        memory = take_snapshot(old.brain, NAMES, old.now)
         new = Driver(tells_start=False, seed=2, entries=entries)
         written = new.now - age_us
-        self.assertTrue(recall(new.brain, memory, written))
+        self.assertTrue(restore(new.brain, memory, written))
         for number, name in NAMES.items():
-            recall_worker(new.brain.workers[number], memory.workers[name], written)
+            restore_executor(new.brain.executors[number], memory.executors[name], written)
         return new
 
     def sent(self, driver: Driver, count: int = 14) -> int:
@@ -151,39 +151,39 @@
 
     def test_news_age_while_the_new_process_starts(self):
         new = self.after(self.old(), age_us=700_000)
-        self.assertEqual(new.now - new.brain.workers[1].heard_at, 700_000)
+        self.assertEqual(new.now - new.brain.executors[1].heard_at, 700_000)
 
     def test_jobs_of_the_other_process_hold_slots_till_it_tells_their_end(self):
         """A report that shows none free is as old as ever; the other process knows of an end at once."""
         new = self.after(self.old())
         for worker in (1, 2):
-            new.feed(api.Beside(worker, 4.0, 0.0))
+            new.feed(api.SiblingLoad(worker, 4.0, 0.0))
             new.report(worker, 0.0)
         self.assertEqual(self.sent(new), 0)
-        new.feed(api.Beside(1, 1.0, 0.0))
+        new.feed(api.SiblingLoad(1, 1.0, 0.0))
         self.assertEqual(self.sent(new), 3)
 
     def test_what_is_out_is_told_without_what_others_have_out(self):
         old = self.old()
         self.sent(old, 3)
-        old.feed(api.Beside(1, 2.0, 1.0))
-        told = out(old.brain, NAMES)
+        old.feed(api.SiblingLoad(1, 2.0, 1.0))
+        told = held_now(old.brain, NAMES)
         self.assertEqual(sum(slots for slots, _ in told.values()), 3.0)
 
     def test_a_worker_that_restarted_since_is_not_taken_for_the_old_one(self):
         entries = [entry(1, started_at=999_000_000), entry(2)]
         new = self.after(self.old(), entries=entries)
-        self.assertEqual(new.brain.workers[1].slots, 1.0)
-        self.assertEqual(new.brain.workers[2].slots, 4.0)
+        self.assertEqual(new.brain.executors[1].slots, 1.0)
+        self.assertEqual(new.brain.executors[2].slots, 4.0)
 
     def test_a_start_listed_a_millisecond_apart_is_the_same_process(self):
         old = Driver(tells_start=False, entries=[entry(1, started_at=900_000_000), entry(2)])
         old.report(1, 4.0)
         new = self.after(old, entries=[entry(1, started_at=900_001_000), entry(2)])
-        self.assertEqual(new.brain.workers[1].slots, 4.0)
+        self.assertEqual(new.brain.executors[1].slots, 4.0)
         again = [entry(1, started_at=900_001_000), entry(2)]
-        new.feed(api.WorkerList(api.ListKind.FULL, again))
-        self.assertEqual(new.brain.workers[1].slots, 4.0)
+        new.feed(api.EndpointList(api.EndpointListKind.FULL, again))
+        self.assertEqual(new.brain.executors[1].slots, 4.0)
 
     def test_what_a_cold_worker_was_sent_counts_on(self):
         """Rule 4 sees one node: its next process must not spend the window's budget once more."""
@@ -191,22 +191,22 @@
         old = Driver(tells_start=False, entries=listed)
         self.assertTrue(sends(old.arrive(0)))
         new = self.after(old, entries=listed)
-        before, after = ({n: w.cold_log for n, w in d.brain.workers.items()} for d in (old, new))
+        before, after = ({n: w.slow_start.sends for n, w in d.brain.executors.items()} for d in (old, new))
         self.assertEqual(before, after)
         self.assertEqual(sum(map(len, after.values())), 1)
 
     def test_an_heir_asks_for_the_list_at_once(self):
         """What discovery tells binds it 2 s after its yes; the span of a large fleet is longer."""
-        memory = remember(self.old().brain, NAMES, 1_000_000_000)
+        memory = take_snapshot(self.old().brain, NAMES, 1_000_000_000)
         for heir in (False, True):
-            brain = Brain(settings(instances=48, on_request_discovery=True), 1)
+            brain = Balancer(settings(instances=48, on_request_discovery=True), 1)
             if heir:
-                recall(brain, memory, 1_000_000_000)
-            news = api.WorkerList(api.ListKind.CACHED, [entry(1)])
+                restore(brain, memory, 1_000_000_000)
+            news = api.EndpointList(api.EndpointListKind.CACHED, [entry(1)])
             (timer,) = brain.handle(1_000_000_000, news)
             self.assertEqual(timer.delay_us == 0, heir)
 
     def test_other_settings_take_up_nothing(self):
-        memory = remember(self.old().brain, NAMES, 1_000_000_000)
-        memory.means.pop()
-        self.assertFalse(recall(Driver().brain, memory, 1_000_000_000))
+        memory = take_snapshot(self.old().brain, NAMES, 1_000_000_000)
+        memory.class_times.pop()
+        self.assertFalse(restore(Driver().brain, memory, 1_000_000_000))
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -12,14 +12,7 @@
 DECISIONS = ROOT / "cedarmill/decisions"
 POLICY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
 RECORDS = [f"cedarmill/decisions/{name}.py" for name in ("state", "interface", "settings_types")]
-NOT_DECISIONS = (
-    "__init__",
-    "brain",
-    "memory",
-    "old_names",
-    "settings",
-    "snapshot",
-)  # aliases, input, stored form
+NOT_DECISIONS = ("__init__", "settings", "snapshot")  # input, stored form
 LONGEST_MODULE, LONGEST_FUNCTION = 300, 40  # lines
 STANDARD = {"collections.abc", "dataclasses", "enum", "itertools", "math", "random", "typing"}
 
@@ -107,12 +100,14 @@
 
 
 def test_types_of_control_and_state():
-    run = subprocess.run([sys.executable, "-m", "mypy", "--cache-dir=/dev/null"], cwd=ROOT, capture_output=True, text=True)
+    run = subprocess.run(
+        [sys.executable, "-m", "mypy", "--cache-dir=/dev/null"], cwd=ROOT, capture_output=True, text=True
+    )
     assert run.returncode == 0, run.stdout
 
 
 def test_packages_stay_as_readable_as_they_are():
-    """Old words, long modules and functions, undocumented items: no more than the bounds that were reached."""
+    """Old words, long modules, undocumented items: no more than the bounds that were reached."""
     command = [sys.executable, "-B", "tools/readability.py", "--check"]
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     assert run.returncode == 0, run.stdout
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -8,10 +8,16 @@
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
-from cedarmill.decisions.interface import DeduplicationScope as Group
+from cedarmill.decisions.interface import DeduplicationScope as DeduplicationScope
 from cedarmill.decisions.interface import Effect, Outcome
 
-CLASSES = (SAFE, UNSAFE, keyed(Group.ALL), keyed(Group.ZONE), keyed(Group.CELL))
+CLASSES = (
+    SAFE,
+    UNSAFE,
+    keyed(DeduplicationScope.ALL),
+    keyed(DeduplicationScope.ZONE),
+    keyed(DeduplicationScope.CELL),
+)
 SURE_NOT_RUN = {Outcome.FULL, Outcome.CONNECT_FAILED}
 
 
@@ -64,7 +70,7 @@
                     assert not job.answered and self.now < job.deadline  # rule 1
                     job.answered = True
                     if isinstance(action, api.Refuse):  # rule 2: a refusal says that it may be tried again
-                        harmless = job.spec.effect == Effect.SAFE or job.spec.group == Group.ALL
+                        harmless = job.spec.effect == Effect.SAFE or job.spec.group == DeduplicationScope.ALL
                         keyed_all = harmless and job.spec.effect != Effect.UNSAFE
                         assert keyed_all or all(a.outcome in SURE_NOT_RUN for a in job.attempts)
                 case api.Cancel():
@@ -89,8 +95,8 @@
             if attempt.outcome in SURE_NOT_RUN or spec.effect == Effect.SAFE:
                 continue
             assert spec.effect == Effect.KEYED and self.now < attempt.sent + spec.repeat_window_us
-            if spec.group != Group.ALL:
-                side = 0 if spec.group == Group.ZONE else 1
+            if spec.group != DeduplicationScope.ALL:
+                side = 0 if spec.group == DeduplicationScope.ZONE else 1
                 assert attempt.group[side] == group[side]
         job.attempts.append(Out(len(job.attempts), worker, group, self.now))
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,7 +11,7 @@
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
-from cedarmill.decisions.brain import Brain
+from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.settings import from_operator
 from cedarmill.net.clients import Clients
 from cedarmill.values import DeadlineOptions
@@ -83,12 +83,12 @@
 
 def played(settings: api.Settings) -> list:
     """What a new brain does with a job of each class and tenant, on two executors, one of them cold."""
-    brain = Brain(settings, seed=7)
+    brain = Balancer(settings, seed=7)
     entries = [
-        api.WorkerEntry(1, api.WorkerState.READY),
-        api.WorkerEntry(2, api.WorkerState.READY, started_at=900_000),
+        api.EndpointEntry(1, api.ExecutorState.READY),
+        api.EndpointEntry(2, api.ExecutorState.READY, started_at=900_000),
     ]
-    done = [brain.handle(1_000_000, api.WorkerList(api.ListKind.CACHED, entries))]
+    done = [brain.handle(1_000_000, api.EndpointList(api.EndpointListKind.CACHED, entries))]
     for number in range(1, 41):
         index = number % len(settings.classes)
         job = api.RequestArrived(number, index, 2_000_000, tenant=number % 4, hint_us=100 * number)
@@ -142,7 +142,7 @@
         for name in NAMES:
             settings = from_operator(operator_settings(name))
             clients = Clients(mock.Mock(), settings, 8, DeadlineOptions())
-            dispatch = Dispatch(Brain(settings, 1), Timers(), mock.Mock(), mock.Mock())
+            dispatch = Dispatch(Balancer(settings, 1), Timers(), mock.Mock(), mock.Mock())
             sides.append((clients, dispatch))
         for name, (clients, dispatch) in zip(NAMES, sides, strict=True):
             settings = from_operator(operator_settings(name))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -88,10 +88,10 @@
     events = decode(ROWS + changed + empty + changed, 4)
     assert [len(event.entries) for _, event in events] == [2, 0]
     first, second = events[0][1].entries
-    assert first == api.WorkerEntry(0x3124A07, api.WorkerState.READY, 0, 0, 0, 1.0, 0)
-    assert second == api.WorkerEntry(0x2C9011F2, api.WorkerState.READY, 1, 0, 0x5D1420, 1.5, 0)
+    assert first == api.EndpointEntry(0x3124A07, api.ExecutorState.READY, 0, 0, 0, 1.0, 0)
+    assert second == api.EndpointEntry(0x2C9011F2, api.ExecutorState.READY, 1, 0, 0x5D1420, 1.5, 0)
     ((_, failed),) = decode("04240003000000000007")
-    assert failed == api.WorkerList(api.ListKind.FAILED, [])
+    assert failed == api.EndpointList(api.EndpointListKind.FAILED, [])
 
 
 def test_absent_report_is_none_and_absent_hint_is_zero():
@@ -122,8 +122,8 @@
 def test_settings():
     s = wire.settings(json.dumps(SETTINGS).encode())
     assert s.report_fields == ("free_slots", "free_memory", "served_per_s", "errors_per_s")
-    keyed = (api.Effect.KEYED, api.Group.CELL, 7_500_000)
-    assert s.classes[0] == api.JobClass("a", 3.0, 200_000, 5_000_000, *keyed, 2.0)
+    keyed = (api.Effect.KEYED, api.DeduplicationScope.CELL, 7_500_000)
+    assert s.classes[0] == api.RequestClass("a", 3.0, 200_000, 5_000_000, *keyed, 2.0)
     assert (s.on_request_discovery, s.report_by_probe, s.tells_start) == (True, False, True)
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -464,7 +464,7 @@
     """The plan as the module takes it."""
 
     def setUp(self):
-        job = api.JobClass("j", worth=1.0, aim_us=200_000, deadline_us=2 * S, effect=api.Effect.SAFE)
+        job = api.RequestClass("j", worth=1.0, aim_us=200_000, deadline_us=2 * S, effect=api.Effect.SAFE)
         self.brain = Brain(
             api.Settings(
                 instances=1,
@@ -478,31 +478,33 @@
             ),
             seed=1,
         )
-        entries = [api.WorkerEntry(n, api.WorkerState.READY, zone=n % 2) for n in range(8)]
-        self.brain.handle(0, api.WorkerList(api.ListKind.CACHED, entries))
+        entries = [api.EndpointEntry(n, api.ExecutorState.READY, zone=n % 2) for n in range(8)]
+        self.brain.handle(0, api.EndpointList(api.EndpointListKind.CACHED, entries))
 
     def sent(self, count: int, homes: tuple[int, ...] = ()) -> list[int]:
         zones_ = []
         for number in range(count):
             job = api.RequestArrived(number, 0, 2 * S, homes=homes)
             for action in self.brain.handle(1000 + number * 10_000, job):
-                zones_ += [action.worker % 2] if isinstance(action, api.Send) else []
-            worker = self.brain.requests[number].attempts[0].worker.id if number in self.brain.requests else 0
+                zones_ += [action.executor % 2] if isinstance(action, api.Send) else []
+            worker = (
+                self.brain.requests[number].attempts[0].executor.id if number in self.brain.requests else 0
+            )
             ended = api.AttemptEnded(number, 0, worker, api.Outcome.OK, True)
             self.brain.handle(6000 + number * 10_000, ended)
         return zones_
 
     def test_shares_are_kept_to(self):
-        self.brain.handle(1, api.Shares({(): {0: 0.3, 1: 0.7}}))
+        self.brain.handle(1, api.ZoneShares({(): {0: 0.3, 1: 0.7}}))
         self.assertAlmostEqual(self.sent(400).count(0) / 400, 0.3, delta=0.08)
 
     def test_without_a_plan_it_stays_near(self):
         self.assertEqual(set(self.sent(50)), {0})
 
     def test_a_req_that_may_not_leave_is_refused_rather_than_sent_away(self):
-        self.brain.handle(1, api.Shares({(): {1: 1.0}, (0,): {0: 1.0}}))
+        self.brain.handle(1, api.ZoneShares({(): {1: 1.0}, (0,): {0: 1.0}}))
         self.assertEqual(set(self.sent(30, (0,))), {0})
-        gone = [api.WorkerEntry(n, api.WorkerState.GONE, zone=0) for n in range(0, 8, 2)]
-        self.brain.handle(2 * S, api.WorkerList(api.ListKind.DELTA, gone))
+        gone = [api.EndpointEntry(n, api.ExecutorState.GONE, zone=0) for n in range(0, 8, 2)]
+        self.brain.handle(2 * S, api.EndpointList(api.EndpointListKind.DELTA, gone))
         actions = self.brain.handle(2 * S + 1, api.RequestArrived(999, 0, 2 * S, homes=(0,)))
         self.assertEqual([type(action) for action in actions], [api.Refuse])
