--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -119,6 +119,7 @@
     def each_step_while_it_serves(self, step: int) -> None:
         watch = self.lists(8, self.entry(0, since_ms=(started := self.stamp(2.0))))
         self.wait_log("watching from")
+        self.assertIsNotNone(self.age_s("s-0"))  # the line comes before its stamp is read
         began = time.monotonic()
         self.plan.step_clock(step)
         watch.line({"index": 8, "snapshot": False, "endpoints": [self.entry(0, since_ms=started)]})
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -111,7 +111,7 @@
             self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries,
             self.discovery.reader.names,
         )
-        return {names[e.worker]: self.now - e.started_at for e in entries if e.started_at}
+        return {names[e.executor]: self.now - e.started_at for e in entries if e.started_at}
 
     def test_who_is_new_on_a_watch_that_holds_is_as_young_as_its_list(self) -> None:
         """Whenever the clock was stepped; by the stamp alone, one an hour ahead made it warm."""
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from cedarmill import Brain
+from cedarmill import Balancer
 from cedarmill.cluster.messages import RouteWeights
 from cedarmill.cluster.observations.assessment import ClusterAssessment, ObservationCollector, ZoneAssessment
 from cedarmill.cluster.observations.digest import (
@@ -465,7 +465,7 @@
 
     def setUp(self):
         job = api.RequestClass("j", worth=1.0, aim_us=200_000, deadline_us=2 * S, effect=api.Effect.SAFE)
-        self.brain = Brain(
+        self.brain = Balancer(
             api.Settings(
                 instances=1,
                 zone=0,
