--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/backends.py
@@ -13,7 +13,7 @@
 from cedarmill.log import say
 from cedarmill.net.config import Address, Endpoint
 from cedarmill.net.exchanges import Check, Exchange, Job, NodeJob
-from cedarmill.net.hangup import hung_up
+from cedarmill.net.hangup import TRANSPORT_ERRORS, hung_up
 from cedarmill.net.turn import Turn, callback
 from cedarmill.values import KindOptions, Options
 
@@ -87,7 +87,7 @@
             return
         try:
             transport.set_write_buffer_limits(high=0)  # resume_writing then tells that all has left
-        except (OSError, RuntimeError):  # it has broken meanwhile
+        except TRANSPORT_ERRORS:  # it has broken meanwhile
             self.abort()
             return
         trip = self.turn.now() - self.opened_at
@@ -124,7 +124,7 @@
         try:
             self.transport.write(text)
             waiting = self.transport.get_write_buffer_size() > 0
-        except (OSError, RuntimeError):  # it has broken: nothing of this has left
+        except TRANSPORT_ERRORS:  # it has broken: nothing of this has left
             self.abort()
             return
         if self.last or self.transport.is_closing():  # closing: it broke, and connection_lost comes
@@ -252,7 +252,7 @@
     def _abort_transport(self, now: int = 0) -> None:
         try:
             self.transport.abort()
-        except (OSError, RuntimeError):  # its descriptor must not stay
+        except TRANSPORT_ERRORS:  # its descriptor must not stay
             self.turn.timers.add(self.turn.now() + ABORT_AGAIN_US, self._abort_transport)
 
     def abort(self) -> None:
@@ -266,7 +266,7 @@
         self._cancel_timers()
         try:
             self.transport.write_eof()
-        except (OSError, RuntimeError):
+        except TRANSPORT_ERRORS:
             self.abort_quietly()
             return
         self.deadline = self.turn.timers.add(self.turn.now() + TAIL_US, lambda now: self.abort())
@@ -279,13 +279,6 @@
         wait = int(self.backend.backends.settings.conn_idle_us * IDLE_SHARE)
         self.deadline = self.turn.timers.add(self.rested_at + wait, lambda now: self.abort())
 
-    def hung_up(self) -> bool:
-        """Whether the other side has closed, or the socket can't be asked any more."""
-        try:
-            return hung_up(self.transport)
-        except (OSError, RuntimeError):
-            return True
-
     def rested(self, now: int) -> bool:
         """Whether no second answer to its last request can come any more."""
         return now - self.rested_at >= LATE_ANSWER_US
@@ -325,7 +318,7 @@
         rested = [connection for connection in usable if connection.rested(now)]
         choice = rested if exchange.unsafe else rested + usable
         # its close may have come and not be read yet; one call of the system for each that is asked
-        return next((connection for connection in choice if not connection.hung_up()), None)
+        return next((connection for connection in choice if not hung_up(connection.transport)), None)
 
     def drop(self, connection: Connection) -> None:
         """Forget a connection."""
--- a/cedarmill/net/discovery.py
+++ b/cedarmill/net/discovery.py
@@ -23,15 +23,13 @@
 from cedarmill.log import say
 from cedarmill.net.backends import Backends
 from cedarmill.net.config import Address, Listing, ListReader, Start
+from cedarmill.net.hangup import TRANSPORT_ERRORS
 from cedarmill.net.list_stream import ListStream
 from cedarmill.net.turn import Turn, callback
 
 QUIET_US = 30_000_000  # between two lines that tell of a lost watch: a discovery may come and go
 
 
-TRANSPORT_ERRORS = (OSError, RuntimeError)  # of a transport whose socket has just broken, or is closed
-
-
 def abort_quietly(transport: asyncio.Transport) -> None:
     """End a connection of which nothing more is wanted, in whatever state its socket is."""
     with contextlib.suppress(*TRANSPORT_ERRORS):
