--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from cedarmill.lab.fleet.virtual import S, Shape, Virtual  # noqa: E402
+from cedarmill.lab.simulation.cluster import S, Shape, Virtual  # noqa: E402
 
 SEEDS = 200
 GRANTS_S = 4.0  # of asking
@@ -117,7 +117,7 @@
 def _asker(keepers: list[str], until: float, done: list[int]) -> None:
     from cedarmill.cluster.messages import SubmitRequest
     from cedarmill.cluster.state_machine import commands
-    from cedarmill.net.operator import Operator, new_id
+    from cedarmill.net.cluster.operator import Operator, new_id
 
     operator = Operator("bench", keepers, "bench")
     while time.monotonic() < until:
@@ -127,7 +127,7 @@
 
 def grants() -> None:
     """Agreed requests a second; what each asks is decided and refused, which costs the same sync."""
-    from cedarmill.lab.fleet.crew import free_port
+    from cedarmill.lab.cluster.process_group import free_port
 
     for count in (1, 3, 5):
         with tempfile.TemporaryDirectory() as folder:
@@ -168,9 +168,9 @@
 
 def keepers_gone() -> None:
     """Two runs of the same load, one with all keepers killed in the middle."""
-    from cedarmill.lab.fleet.report import verdict_of
-    from cedarmill.lab.fleet.run import play
-    from cedarmill.lab.fleet.scenario import Happening, read
+    from cedarmill.lab.cluster.report import verdict_of
+    from cedarmill.lab.cluster.run import play
+    from cedarmill.lab.cluster.scenario import Happening, read
 
     plain = dataclasses.replace(read("drains"), timeline=())
     gone = Happening("process", 3 * S, 0, {"name": "keeper-*", "fault": "kill"})
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -4,7 +4,7 @@
     python benchmarks/overload.py --only incidents --seeds 4
 
 - `ways`: three ways in one run, the same seeds, by offered load and number of nodes; plots into `found/`.
-- `incidents`: the named incidents of `lab/fleet/storms.py`, three ways.
+- `incidents`: the named incidents of `lab/simulation/overload/simulation.py`, three ways.
 - `outlives`: the load from which an overload outlives its trigger where nodes do not learn their places.
 - `size`: links, frames and bytes of shared news a node at 12, 48 and 200 nodes, and what a frame costs.
 - `budgets`: virtual rounds of nodes that spend all they may under faults (`--rounds`), and in how many a law
@@ -22,8 +22,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from cedarmill.lab.fleet import storms  # noqa: E402
-from cedarmill.lab.fleet.storms import Place, Result  # noqa: E402
+from cedarmill.lab.simulation.overload import simulation as storms  # noqa: E402
+from cedarmill.lab.simulation.overload.simulation import Place, Result  # noqa: E402
 
 LOADS = (0.5, 0.8, 1.0, 1.5, 2.0, 3.0, 5.0)  # times the slots, for 20 s after 10 s at 0.5
 FRAMES = 2000  # written and read, for the cost of one
@@ -119,7 +119,7 @@
 
 def budgets(rounds: int) -> None:
     """Virtual rounds of spending; then planted bugs in the first of them."""
-    from cedarmill.lab.fleet import search
+    from cedarmill.lab.simulation import search
 
     began, spent, broken = time.monotonic(), 0, []
     with multiprocessing.get_context("spawn").Pool(WORKERS) as pool:
@@ -139,7 +139,8 @@
     from cedarmill.cluster.admission_level.state import SheddingThreshold
     from cedarmill.cluster.gossip_plan import GossipPlan
     from cedarmill.cluster.messages import GossipUpdate, HeartbeatReply, Orders
-    from cedarmill.net import gossip, peers
+    from cedarmill.net import framing as peers
+    from cedarmill.net.cluster import gossip
 
     for nodes, executors in ((12, 24), (48, 48), (200, 1000)):
         draw, names = GossipPlan(), [f"node-{n}" for n in range(nodes)]
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -36,7 +36,7 @@
 from cedarmill.cluster.traffic_plan.allocation import allocate  # noqa: E402
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout  # noqa: E402
 from cedarmill.cluster.traffic_plan.state import ZoneState  # noqa: E402
-from cedarmill.lab.fleet import regions  # noqa: E402
+from cedarmill.lab.simulation.zones import simulation as regions  # noqa: E402
 
 WORKERS = multiprocessing.cpu_count()
 
@@ -204,7 +204,7 @@
 
 def bugs(seeds: int) -> None:
     """Planted bugs."""
-    from cedarmill.lab.fleet.zone_bugs import BUGS, hunt
+    from cedarmill.lab.simulation.zones.mutants import BUGS, hunt
 
     with multiprocessing.get_context("spawn").Pool(WORKERS) as pool:
         for found in pool.imap(functools.partial(hunt, seeds=range(1, seeds + 1)), BUGS):
@@ -214,8 +214,8 @@
 
 def orders(seeds: int) -> None:
     """Small cases whole."""
-    from cedarmill.lab.fleet.explore import explore
-    from cedarmill.lab.fleet.small import CASES
+    from cedarmill.lab.simulation.exhaustive import explore
+    from cedarmill.lab.simulation.small_cases import CASES
 
     for name, case in CASES.items():
         began = time.monotonic()
--- a/cedarmill/cli/__init__.py
+++ b/cedarmill/cli/__init__.py
@@ -2,9 +2,9 @@
 
 import click
 
-from cedarmill.cli import conf, fleet, health, keeper, lab, node, sim
-from cedarmill.cli import fleet_load as fleet_load  # their commands enter fleet's as they are imported
-from cedarmill.cli import fleet_zones as fleet_zones
+from cedarmill.cli import cluster, conf, health, lab, node, replica, sim
+from cedarmill.cli import cluster_load as cluster_load  # adds its commands to the group as it is imported
+from cedarmill.cli import cluster_zones as cluster_zones
 
 EXIT_CODES = "Exit codes: 0 done; 1 a run found something wrong; 2 bad input or use, said in one line."
 
@@ -39,9 +39,9 @@
 
 for command in (
     node.node,
-    keeper.keeper,
-    keeper.steward,
-    fleet.fleet,
+    replica.keeper,
+    replica.steward,
+    cluster.fleet,
     sim.sim,
     conf.conf,
     health.health,
--- a/cedarmill/cli/fleet.py
+++ b/cedarmill/cli/cluster.py
@@ -37,7 +37,7 @@
         """
         from cedarmill.conf.document import ConfError
         from cedarmill.conf.settings import Settings
-        from cedarmill.net.operator import Operator
+        from cedarmill.net.cluster.operator import Operator
 
         if (self.conf is None) == (self.keepers is None):
             raise ConfError("give -c FILE, or --keepers and --cluster")
@@ -52,7 +52,7 @@
 
     def ask(self, ask: Any) -> Any:
         """The answer; ends the command where no keeper gives one."""
-        from cedarmill.net.operator import NoKeeper
+        from cedarmill.net.cluster.operator import NoKeeper
 
         try:
             return self.operator.ask(ask)
@@ -69,7 +69,7 @@
     def do(self, make: Callable[[str, str], Any]) -> Any:
         """A request under an id of its own, the same at each keeper that is asked."""
         from cedarmill.cluster.messages import SubmitRequest
-        from cedarmill.net.operator import new_id
+        from cedarmill.net.cluster.operator import new_id
 
         return self.ask(SubmitRequest(make(self.who, new_id())))
 
@@ -216,7 +216,7 @@
     from cedarmill.cluster.state_machine import commands
 
     if path is not None:
-        from cedarmill.conf.fleet import keeper
+        from cedarmill.conf.cluster import keeper
 
         wanted = tuple(
             Limit(one.kind, one.per, one.most, one.share, one.capacity_left) for one in keeper(path).limits
@@ -483,7 +483,7 @@
         return [one for one in asker.look("releases") if number in (None, one["id"])]
 
     if watch and not plain and not asker.as_json and sys.stdout.isatty():
-        from cedarmill.cli.watch import watch_releases
+        from cedarmill.cli.release_screen import watch_releases
 
         watch_releases(found, release_lines, RELEASE_ENDS)
     elif watch:
--- a/cedarmill/cli/fleet_load.py
+++ b/cedarmill/cli/cluster_load.py
@@ -5,7 +5,7 @@
 
 import click
 
-from cedarmill.cli.fleet import EXITS, Asker, _duration, _tell, fleet
+from cedarmill.cli.cluster import EXITS, Asker, _duration, _tell, fleet
 
 
 def _rate(thousandths: int) -> str:
@@ -101,7 +101,7 @@
     """Set what the fleet may spend; a smaller budget takes slices back as their holders follow."""
     from cedarmill.cluster.budget_grants import Budget
     from cedarmill.cluster.state_machine import commands
-    from cedarmill.conf.fleet import keeper
+    from cedarmill.conf.cluster import keeper
 
     wanted = tuple(Budget(*one) for one in keeper(path).budgets)
     _tell(asker, asker.do(lambda who, number: commands.SetBudgets(0, who, number, wanted)))
--- a/cedarmill/cli/fleet_zones.py
+++ b/cedarmill/cli/cluster_zones.py
@@ -7,7 +7,7 @@
 
 import click
 
-from cedarmill.cli.fleet import EXITS, REFUSED, WAITS, Asker, _duration, _tell, _watch_permits, fleet
+from cedarmill.cli.cluster import EXITS, REFUSED, WAITS, Asker, _duration, _tell, _watch_permits, fleet
 
 
 def _slots(thousandths: int) -> str:
@@ -65,8 +65,8 @@
     if path is not None:
         from cedarmill.cluster.state_machine import commands
         from cedarmill.cluster.traffic_plan.layout import ZoneLayout
+        from cedarmill.conf.cluster import keeper
         from cedarmill.conf.document import ConfError
-        from cedarmill.conf.fleet import keeper
 
         read = keeper(path)
         if not read.regions:
--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -83,7 +83,7 @@
     import msgspec
 
     from cedarmill.conf.document import ConfError
-    from cedarmill.lab.story import Story
+    from cedarmill.lab.history import Story
 
     stories = []
     for path in runs:
@@ -116,9 +116,9 @@
     import dataclasses
 
     from cedarmill.conf.document import ConfError
-    from cedarmill.lab.fleet import report as reports
-    from cedarmill.lab.fleet.run import play
-    from cedarmill.lab.fleet.scenario import read, shipped
+    from cedarmill.lab.cluster import report as reports
+    from cedarmill.lab.cluster.run import play
+    from cedarmill.lab.cluster.scenario import read, shipped
 
     if listed:
         for name in shipped():
@@ -147,7 +147,7 @@
     from rich.console import Console
     from rich.table import Table
 
-    from cedarmill.lab.fleet.report import table
+    from cedarmill.lab.cluster.report import table
 
     rows = Table("", *(f"{one.scenario}\nseed {one.seed}" for one in verdicts))
     for name, cells in table(verdicts):
@@ -167,7 +167,7 @@
     from rich.table import Table
 
     from cedarmill.lab import report as reports
-    from cedarmill.lab.judge import judge
+    from cedarmill.lab.checker import judge
 
     table = Table("", *(f"{story.side}\nseed {story.seed}" for story in stories))
     for name, cells in reports.rows(stories):
--- a/cedarmill/cluster/messages.py
+++ b/cedarmill/cluster/messages.py
@@ -1,4 +1,4 @@
-"""All messages between members, operators and replicas; the frames of `net/peers.py` carry them.
+"""All messages between members, operators and replicas; the frames of `net/framing.py` carry them.
 
 Tags and keys are those with which the protocol began: `rename` maps each field to its key. All times and
 ages are microseconds.
--- a/cedarmill/lab/judge.py
+++ b/cedarmill/lab/checker.py
@@ -7,7 +7,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterator
 
-from cedarmill.lab.story import Story, Visit
+from cedarmill.lab.history import Story, Visit
 
 SLACK_US = 50_000  # past a budget in which an answer still counts (protocol page)
 DRAIN_US = 1_500_000  # after a drain was told, in which work may still come
--- a/cedarmill/lab/fleet/disks.py
+++ b/cedarmill/lab/cluster/disks.py
@@ -72,8 +72,8 @@
 
 def main(conf: str, control: str) -> int:
     """Run a keeper on a disk whose faults the control file names; its exit code."""
-    from cedarmill.conf.fleet import keeper
-    from cedarmill.net.keeper import main as run
+    from cedarmill.conf.cluster import keeper
+    from cedarmill.net.cluster.replica import main as run
 
     options = keeper(conf)
     FaultyFile.control = Path(control)
--- a/cedarmill/lab/fleet/executors.py
+++ b/cedarmill/lab/cluster/executors.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Callable
 
-from cedarmill.lab.boxes import Box, BoxWire
-from cedarmill.lab.fleet.history import History
+from cedarmill.lab.cluster.history import History
+from cedarmill.lab.executor import Box, BoxWire
 
 COLD_SHARE = 0.3  # of its speed that a started executor has at first (brief: 30 %)
 WARM_S = 2.0  # till it has all: shorter than the brief's 8.9 s, so that a round of seconds sees the end of it
--- a/cedarmill/lab/fleet/faults.py
+++ b/cedarmill/lab/cluster/faults.py
@@ -10,11 +10,11 @@
 import numpy
 
 from cedarmill.conf.document import microseconds, share
-from cedarmill.lab.fleet.links import LinkFault
-from cedarmill.lab.fleet.scenario import Happening
+from cedarmill.lab.cluster.links import LinkFault
+from cedarmill.lab.cluster.scenario import Happening
 
 if TYPE_CHECKING:
-    from cedarmill.lab.fleet.run import FleetRun
+    from cedarmill.lab.cluster.run import FleetRun
 
 CHANCE_S = (0.3, 2.5)  # how long a fault by chance lasts, between these
 ZONE_US = 3_000_000  # that a fault of a zone lasts longer than others by chance
--- a/cedarmill/lab/fleet/laws.py
+++ b/cedarmill/lab/cluster/invariants.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from cedarmill.lab.fleet import linear
-from cedarmill.lab.fleet.history import Event
-from cedarmill.lab.judge import no_forbidden_repeat, one_final_answer, true_results
-from cedarmill.lab.story import Story, Visit
+from cedarmill.lab.checker import no_forbidden_repeat, one_final_answer, true_results
+from cedarmill.lab.cluster import linearizability as linear
+from cedarmill.lab.cluster.history import Event
+from cedarmill.lab.history import Story, Visit
 from cedarmill.values import LimitOptions
 
 KNOWN_US = 4_000_000  # after which the fleet has to know of a loss that nobody planned, where all try at once
--- a/cedarmill/lab/fleet/linear.py
+++ b/cedarmill/lab/cluster/linearizability.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from cedarmill.lab.fleet.laws import Record
+    from cedarmill.lab.cluster.invariants import Record
 
 NEVER = 1 << 62
 MOST = 400_000  # states that are tried before the search gives up, and says so
@@ -50,7 +50,7 @@
     """One search for an order."""
 
     def __init__(self, record: "Record", ops: list[Operation]) -> None:
-        from cedarmill.lab.fleet.laws import allowed, scope
+        from cedarmill.lab.cluster.invariants import allowed, scope
 
         self.ops, self.tried = ops, set()
         self.whole = (1 << len(ops)) - 1
--- a/cedarmill/lab/fleet/bugs.py
+++ b/cedarmill/lab/cluster/mutants.py
@@ -39,8 +39,8 @@
 )
 from cedarmill.cluster.state_machine.commands import ConfirmDrained, ExpireSessions
 from cedarmill.cluster.supervision import ProcessSupervisor
-from cedarmill.lab.fleet.virtual import Disk, VNode
-from cedarmill.lab.fleet.virtual_log import Node
+from cedarmill.lab.simulation.cluster import Disk, VNode
+from cedarmill.lab.simulation.raft_log import Node
 
 Patch = tuple[object, str, Any]  # where, the name, what stands there instead
 
--- a/cedarmill/lab/fleet/operators.py
+++ b/cedarmill/lab/cluster/operators.py
@@ -9,11 +9,11 @@
 from cedarmill.cluster.state import ReleasePlan
 from cedarmill.cluster.state_machine import commands
 from cedarmill.conf.document import microseconds
-from cedarmill.lab.fleet.scenario import Happening
-from cedarmill.net.operator import Operator, new_id
+from cedarmill.lab.cluster.scenario import Happening
+from cedarmill.net.cluster.operator import Operator, new_id
 
 if TYPE_CHECKING:
-    from cedarmill.lab.fleet.run import FleetRun
+    from cedarmill.lab.cluster.run import FleetRun
 
 CALL_S = 2.0  # for a door to answer: the page owes it within 1 s
 DRAIN_S = 1.6  # after the last door's yes: the rule on drains, and the call's own time
--- a/cedarmill/lab/fleet/crew.py
+++ b/cedarmill/lab/cluster/process_group.py
@@ -13,11 +13,11 @@
 from typing import TYPE_CHECKING
 from xml.sax.saxutils import quoteattr
 
-from cedarmill.lab.fleet.disks import flip
-from cedarmill.lab.fleet.processes import Process, environment
+from cedarmill.lab.cluster.disks import flip
+from cedarmill.lab.cluster.processes import Process, environment
 
 if TYPE_CHECKING:
-    from cedarmill.lab.fleet.run import FleetRun
+    from cedarmill.lab.cluster.run import FleetRun
 
 CLUSTER = "lab"
 FIRST_VERSION = "v1"
@@ -89,7 +89,7 @@
             f'data={quoteattr(str(folder / "data"))}>\n' + "\n".join(peers + limits + self._budgets())
             + self._zones() + f'\n<cold lasts="{COLD_S}s" share="30%"/>\n</keeper>\n')  # fmt: skip
         await self._format(name)
-        command = [sys.executable, "-m", "cedarmill.lab.fleet.disks", str(conf), str(folder / "fault")]
+        command = [sys.executable, "-m", "cedarmill.lab.cluster.disks", str(conf), str(folder / "fault")]
         self.run.processes[name] = Process(name, command, environment(), self.run.process_told, self.heard)
         await self.run.start(name)
 
@@ -177,7 +177,8 @@
         good = f"{sys.executable} -m cedarmill.cli node -c {settings}"
         runs = {FIRST_VERSION: good, "v2": good, "v3": good}
         runs |= {
-            bad: f"{sys.executable} -m cedarmill.lab.fleet.badnode {bad} {settings}" for bad in BAD_VERSIONS
+            bad: f"{sys.executable} -m cedarmill.lab.cluster.faulty_releases {bad} {settings}"
+            for bad in BAD_VERSIONS
         }
         lines = [
             f'<run version="{version}" command={quoteattr(command)}/>' for version, command in runs.items()
--- a/cedarmill/lab/fleet/report.py
+++ b/cedarmill/lab/cluster/report.py
@@ -9,7 +9,7 @@
 matplotlib.use("Agg")
 import msgspec  # noqa: E402  the backend without a screen comes first
 
-from cedarmill.lab.fleet.laws import Out, Record, homes, most_out, verdict  # noqa: E402
+from cedarmill.lab.cluster.invariants import Out, Record, homes, most_out, verdict  # noqa: E402
 from cedarmill.lab.report import STYLE, picture  # noqa: E402
 
 SHOWN = 20  # breaches of a law in the page
--- a/cedarmill/lab/fleet/run.py
+++ b/cedarmill/lab/cluster/run.py
@@ -16,19 +16,19 @@
 import uvloop
 
 from cedarmill.conf.document import ConfError
-from cedarmill.lab.director import Director
-from cedarmill.lab.fleet.crew import Crew
-from cedarmill.lab.fleet.executors import WARM_S, Executor
-from cedarmill.lab.fleet.faults import Faults
-from cedarmill.lab.fleet.history import History
-from cedarmill.lab.fleet.laws import Record
-from cedarmill.lab.fleet.links import Links
-from cedarmill.lab.fleet.operators import Operators
-from cedarmill.lab.fleet.processes import Process, environment
-from cedarmill.lab.fleet.scenario import FleetScenario
+from cedarmill.lab.cluster.executors import WARM_S, Executor
+from cedarmill.lab.cluster.faults import Faults
+from cedarmill.lab.cluster.history import History
+from cedarmill.lab.cluster.invariants import Record
+from cedarmill.lab.cluster.links import Links
+from cedarmill.lab.cluster.operators import Operators
+from cedarmill.lab.cluster.process_group import Crew
+from cedarmill.lab.cluster.processes import Process, environment
+from cedarmill.lab.cluster.scenario import FleetScenario
+from cedarmill.lab.discovery import Director
+from cedarmill.lab.history import Story
 from cedarmill.lab.load import Load
 from cedarmill.lab.run import platform_settings
-from cedarmill.lab.story import Story
 
 START_S = 30.0  # for a process to start, on a machine that starts thirty at once
 END_S = 25.0  # for a process to end after SIGTERM
--- a/cedarmill/lab/fleet/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -5,12 +5,12 @@
 
 from lxml import etree
 
+from cedarmill.conf.cluster import budget, limit
 from cedarmill.conf.document import ConfError, load, microseconds
-from cedarmill.conf.fleet import budget, limit
 from cedarmill.lab import scenario as lab
+from cedarmill.lab.history import ClassRules
 from cedarmill.lab.load import Habits
 from cedarmill.lab.scenario import class_habits, class_rules
-from cedarmill.lab.story import ClassRules
 from cedarmill.values import LimitOptions
 
 SHIPPED = Path(__file__).parent / "scenarios"
--- a/cedarmill/lab/director.py
+++ b/cedarmill/lab/discovery.py
@@ -5,7 +5,7 @@
 
 import httptools
 
-from cedarmill.lab.story import Drain
+from cedarmill.lab.history import Drain
 
 BEAT_S = 2.0  # between empty lines while nothing changes
 
--- a/cedarmill/lab/boxes.py
+++ b/cedarmill/lab/executor.py
@@ -11,7 +11,7 @@
 import httptools
 import numpy
 
-from cedarmill.lab.story import Visit
+from cedarmill.lab.history import Visit
 
 REJECT = b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 BREAK_S = 0.2  # mean time into a request at which a reset comes, where that is the fault
--- a/cedarmill/lab/figures.py
+++ b/cedarmill/lab/figures.py
@@ -4,8 +4,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from cedarmill.lab.judge import judge, late_starts
-from cedarmill.lab.story import Story
+from cedarmill.lab.checker import judge, late_starts
+from cedarmill.lab.history import Story
 
 LONGEST_US = 60_000_000  # that the histogram can hold
 DIGITS = 3
--- a/cedarmill/lab/load.py
+++ b/cedarmill/lab/load.py
@@ -11,7 +11,7 @@
 import httptools
 import numpy
 
-from cedarmill.lab.story import Answer, Call
+from cedarmill.lab.history import Answer, Call
 
 EXTRA_US = 300_000  # past its budget a client waits no longer: then it closes
 
--- a/cedarmill/lab/report.py
+++ b/cedarmill/lab/report.py
@@ -11,9 +11,9 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402  the backend without a screen comes first
 
+from cedarmill.lab.checker import judge  # noqa: E402
 from cedarmill.lab.figures import Figures, figures, latencies  # noqa: E402
-from cedarmill.lab.judge import judge  # noqa: E402
-from cedarmill.lab.story import Story  # noqa: E402
+from cedarmill.lab.history import Story  # noqa: E402
 
 PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9)
 SHOWN = 20  # breaches of a rule in a report
--- a/cedarmill/lab/run.py
+++ b/cedarmill/lab/run.py
@@ -16,11 +16,11 @@
 
 from cedarmill.conf.document import ConfError
 from cedarmill.conf.settings import Settings
-from cedarmill.lab.boxes import Box
-from cedarmill.lab.director import Director
+from cedarmill.lab.discovery import Director
+from cedarmill.lab.executor import Box
+from cedarmill.lab.history import Story
 from cedarmill.lab.load import Load
 from cedarmill.lab.scenario import Fault, Scenario, Side
-from cedarmill.lab.story import Story
 
 START_S = 20.0  # for a node to start
 END_S = 20.0  # for a node to end after SIGTERM
--- a/cedarmill/lab/scenario.py
+++ b/cedarmill/lab/scenario.py
@@ -6,8 +6,8 @@
 from lxml import etree
 
 from cedarmill.conf.document import ConfError, load, microseconds, share
+from cedarmill.lab.history import ClassRules
 from cedarmill.lab.load import Habits
-from cedarmill.lab.story import ClassRules
 
 SHIPPED = Path(__file__).parent / "scenarios"
 
--- a/cedarmill/lab/fleet/virtual.py
+++ b/cedarmill/lab/simulation/cluster.py
@@ -57,9 +57,9 @@
 )
 from cedarmill.cluster.traffic_control import intake
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
-from cedarmill.lab.fleet.history import History
-from cedarmill.lab.fleet.laws import Record
-from cedarmill.lab.story import Visit
+from cedarmill.lab.cluster.history import History
+from cedarmill.lab.cluster.invariants import Record
+from cedarmill.lab.history import Visit
 from cedarmill.values import LimitOptions
 
 RATE_MOST = 0.005  # that a clock runs fast or slow: half of the bound that leases are made for
--- a/cedarmill/lab/fleet/storm_bugs.py
+++ b/cedarmill/lab/simulation/overload/mutants.py
@@ -12,9 +12,9 @@
 from cedarmill.cluster.admission_level.state import SheddingThreshold
 from cedarmill.cluster.budget_lease import QUOTA_PREFIX, BudgetLeases
 from cedarmill.cluster.gossip_plan import ReportBoard
-from cedarmill.lab.fleet import storms
-from cedarmill.lab.fleet.bugs import Patch, planted_patches
-from cedarmill.lab.fleet.storms import Result
+from cedarmill.lab.cluster.mutants import Patch, planted_patches
+from cedarmill.lab.simulation.overload import simulation as storms
+from cedarmill.lab.simulation.overload.simulation import Result
 
 # by incident: what has to hold of its result
 LAWS: dict[str, dict[str, Callable[[Result], bool]]] = {
--- a/cedarmill/lab/fleet/virtual_log.py
+++ b/cedarmill/lab/simulation/raft_log.py
@@ -31,7 +31,7 @@
 from cedarmill.cluster.raft.node import RaftNode
 from cedarmill.cluster.raft.roles import Role
 from cedarmill.cluster.raft.state import PersistentState, Timing
-from cedarmill.lab.fleet.virtual import Disk
+from cedarmill.lab.simulation.cluster import Disk
 
 STEP = 3_000  # us that pass at the most between two events
 CRASH, LOSE, CUT, SNAP, CHANGE = 0.006, 0.02, 0.004, 0.002, 0.002  # chances at each event
--- a/cedarmill/lab/fleet/search.py
+++ b/cedarmill/lab/simulation/search.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from cedarmill.lab.fleet.bugs import planted
-from cedarmill.lab.fleet.laws import verdict
-from cedarmill.lab.fleet.virtual import S, Shape, Virtual
-from cedarmill.lab.fleet.virtual_log import LogRun, figure_eight
+from cedarmill.lab.cluster.invariants import verdict
+from cedarmill.lab.cluster.mutants import planted
+from cedarmill.lab.simulation.cluster import S, Shape, Virtual
+from cedarmill.lab.simulation.raft_log import LogRun, figure_eight
 
 RELEASES = ("", "good", "late", "failing", "exiting")
 
--- a/cedarmill/lab/fleet/small.py
+++ b/cedarmill/lab/simulation/small_cases.py
@@ -24,7 +24,7 @@
 from cedarmill.cluster.traffic_plan.planner import available_room, demand_by_source
 from cedarmill.cluster.traffic_plan.state import WeightRow
 from cedarmill.cluster.traffic_plan.weights import expected_load
-from cedarmill.lab.fleet.explore import hashed
+from cedarmill.lab.simulation.exhaustive import hashed
 
 S = 1_000_000
 
--- a/cedarmill/lab/fleet/zone_bugs.py
+++ b/cedarmill/lab/simulation/zones/mutants.py
@@ -16,9 +16,9 @@
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.cluster.traffic_plan.planner import Room
 from cedarmill.cluster.traffic_plan.weights import normalized
-from cedarmill.lab.fleet import regions
-from cedarmill.lab.fleet.bugs import Patch, planted_patches
-from cedarmill.lab.fleet.regions import breaches
+from cedarmill.lab.cluster.mutants import Patch, planted_patches
+from cedarmill.lab.simulation.zones import simulation as regions
+from cedarmill.lab.simulation.zones.simulation import breaches
 
 
 class Bug(NamedTuple):
--- a/cedarmill/net/hands.py
+++ b/cedarmill/net/admin/handlers.py
@@ -11,11 +11,11 @@
 from cedarmill.admin.exclusions import KIND, Exclusions
 from cedarmill.admin.routes import AdminAction, AdminRequest, AdminResponse
 from cedarmill.log import say
-from cedarmill.net.clients import Clients
-from cedarmill.net.discovery import DiscoveryClient
-from cedarmill.net.door import Answer
-from cedarmill.net.kept import KeptFile, kept_path
-from cedarmill.net.turn import Turn, clock_reading
+from cedarmill.net.admin.server import Answer
+from cedarmill.net.clients.server import Clients
+from cedarmill.net.discovery.client import DiscoveryClient
+from cedarmill.net.loop import Turn, clock_reading
+from cedarmill.net.upgrade.state_file import KeptFile, kept_path
 
 LOOK_US = 500_000  # between two looks at the kept file: the node's other process may have changed it
 LOCK_WAIT_US = 500_000  # for the node's other process to leave that file: a call is answered within 1 s
--- a/cedarmill/net/door.py
+++ b/cedarmill/net/admin/server.py
@@ -16,8 +16,8 @@
 from cedarmill.admin.routes import AdminRequest, AdminResponse
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Acceptor, listening_socket
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.listener import Acceptor, listening_socket
+from cedarmill.net.loop import Turn, callback
 
 SESSIONS = 16  # open at once: an operator's tools make a few calls, not hundreds
 DESCRIPTORS = SESSIONS + 1  # with the listening socket
--- a/cedarmill/net/clients.py
+++ b/cedarmill/net/clients/server.py
@@ -6,10 +6,10 @@
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
+from cedarmill.net.clients.session import ClientSession
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Acceptor, Taken, listening_socket
-from cedarmill.net.sessions import ClientSession
-from cedarmill.net.turn import Turn
+from cedarmill.net.listener import Acceptor, Taken, listening_socket
+from cedarmill.net.loop import Turn
 from cedarmill.values import DeadlineOptions
 
 GRACE_US = 150_000  # a session younger than that makes no room for others
--- a/cedarmill/net/sessions.py
+++ b/cedarmill/net/clients/session.py
@@ -12,12 +12,12 @@
 from cedarmill.deadlines.sources import ClocksDiffer, InvalidDeadline, granted_budget
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
-from cedarmill.net.hangup import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
-from cedarmill.net.messages import BadMessage, Message
-from cedarmill.net.turn import callback
+from cedarmill.net.clients.request import BadMessage, Message
+from cedarmill.net.loop import callback
+from cedarmill.net.socket_state import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
 
 if TYPE_CHECKING:
-    from cedarmill.net.clients import Clients
+    from cedarmill.net.clients.server import Clients
 
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
--- /dev/null
+++ b/cedarmill/net/cluster/__init__.py
@@ -0,0 +1,4 @@
+"""The cluster on sockets: replicas, members, process supervisors, gossip. Not loaded without `<fleet>`.
+
+What is agreed, and who may do what, is decided without I/O in `cluster/`.
+"""
--- a/cedarmill/net/gossip.py
+++ b/cedarmill/net/cluster/gossip.py
@@ -14,9 +14,9 @@
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.discovery import DiscoveryClient
-from cedarmill.net.peers import Wire
-from cedarmill.net.turn import Turn
+from cedarmill.net.discovery.client import DiscoveryClient
+from cedarmill.net.framing import Wire
+from cedarmill.net.loop import Turn
 
 TELL_US = 200_000  # between two frames with facts on a link
 STILL_US = 500_000  # between two frames without any: the other side needs a stamp
--- a/cedarmill/net/member.py
+++ b/cedarmill/net/cluster/member.py
@@ -25,9 +25,9 @@
 )
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Acceptor, listening_socket
-from cedarmill.net.peers import Wire
-from cedarmill.net.turn import Turn
+from cedarmill.net.framing import Wire
+from cedarmill.net.listener import Acceptor, listening_socket
+from cedarmill.net.loop import Turn
 
 GLANCE_US = 800_000  # for a member that is looked at to answer
 PINGERS = 64  # connections of members that look, at once
--- a/cedarmill/net/fleet.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -30,15 +30,15 @@
 from cedarmill.core.requests import Failed, FinalAnswer, Refused, Request
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
-from cedarmill.net.clients import Clients
+from cedarmill.net.admin.handlers import Answer, Hands
+from cedarmill.net.clients.server import Clients
+from cedarmill.net.cluster.gossip import Gossip
+from cedarmill.net.cluster.member import LEAVE_US, Membership
+from cedarmill.net.cluster.observer import FleetObserver
+from cedarmill.net.cluster.routing import Lanes
 from cedarmill.net.config import Address, Config
-from cedarmill.net.discovery import DiscoveryClient
-from cedarmill.net.fleet_observer import FleetObserver
-from cedarmill.net.gossip import Gossip
-from cedarmill.net.hands import Answer, Hands
-from cedarmill.net.lanes import Lanes
-from cedarmill.net.member import LEAVE_US, Membership
-from cedarmill.net.turn import Turn
+from cedarmill.net.discovery.client import DiscoveryClient
+from cedarmill.net.loop import Turn
 from cedarmill.values import FleetOptions
 
 STRIKES = 1  # signs that an executor is dead or unreachable, and none since that it serves
--- a/cedarmill/net/fleet_observer.py
+++ b/cedarmill/net/cluster/observer.py
@@ -7,7 +7,7 @@
 from cedarmill.decisions import interface as api
 
 if TYPE_CHECKING:
-    from cedarmill.net.fleet import NodeFleet
+    from cedarmill.net.cluster.node_role import NodeFleet
 
 
 class FleetObserver(DispatchObserver):
--- a/cedarmill/net/operator.py
+++ b/cedarmill/net/cluster/operator.py
@@ -9,7 +9,7 @@
 
 from cedarmill.cluster.messages import ClientReply, ClientRequest, ConnectionRejected, Hello, Unavailable
 from cedarmill.net.config import Address
-from cedarmill.net.peers import Bad, Reader, frame
+from cedarmill.net.framing import Bad, Reader, frame
 
 TRY_S = 1.5  # for one keeper to answer, before the next is asked
 ALL_S = 12.0  # for any of them: an election may be under way
--- a/cedarmill/net/keeper.py
+++ b/cedarmill/net/cluster/replica.py
@@ -35,9 +35,9 @@
 from cedarmill.core.timers import Timers
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Acceptor, listening_socket
-from cedarmill.net.peers import HELLO_US, SILENT_US, Wire
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.framing import HELLO_US, SILENT_US, Wire
+from cedarmill.net.listener import Acceptor, listening_socket
+from cedarmill.net.loop import Turn, callback
 from cedarmill.store.errors import StoreError
 from cedarmill.store.files import Directory
 from cedarmill.store.replica_store import ReplicaStore
--- a/cedarmill/net/lanes.py
+++ b/cedarmill/net/cluster/routing.py
@@ -17,8 +17,8 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 from cedarmill.log import say
-from cedarmill.net.discovery import DiscoveryClient
-from cedarmill.net.turn import Turn
+from cedarmill.net.discovery.client import DiscoveryClient
+from cedarmill.net.loop import Turn
 from cedarmill.values import FleetOptions
 
 LOOK_US = 250_000  # between two looks at what the plan and this node's own sight come to
--- a/cedarmill/net/steward.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -30,10 +30,10 @@
 )
 from cedarmill.core.timers import Timers
 from cedarmill.log import say
+from cedarmill.net.cluster.member import Membership
 from cedarmill.net.config import Address
-from cedarmill.net.listening import listening_socket
-from cedarmill.net.member import Membership
-from cedarmill.net.turn import Turn
+from cedarmill.net.listener import listening_socket
+from cedarmill.net.loop import Turn
 from cedarmill.store.files import Directory
 from cedarmill.values import StewardOptions, UnitOptions
 
--- a/cedarmill/net/config.py
+++ b/cedarmill/net/config.py
@@ -8,7 +8,7 @@
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.settings import from_operator
-from cedarmill.net.turn import Turn, unix_us
+from cedarmill.net.loop import Turn, unix_us
 
 STAMP_SLACK_US = (
     1_000_000  # an executor may be listed so much later than it started, as the list is told late
--- a/cedarmill/net/discovery.py
+++ b/cedarmill/net/discovery/client.py
@@ -21,11 +21,11 @@
 from cedarmill.core.timers import Timer
 from cedarmill.decisions import interface as api
 from cedarmill.log import say
-from cedarmill.net.backends import Backends
 from cedarmill.net.config import Address, Listing, ListReader, Start
-from cedarmill.net.hangup import TRANSPORT_ERRORS
-from cedarmill.net.list_stream import ListStream
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.discovery.list_stream import ListStream
+from cedarmill.net.loop import Turn, callback
+from cedarmill.net.socket_state import TRANSPORT_ERRORS
+from cedarmill.net.upstream.pool import Backends
 
 QUIET_US = 30_000_000  # between two lines that tell of a lost watch: a discovery may come and go
 
--- a/cedarmill/net/peers.py
+++ b/cedarmill/net/framing.py
@@ -21,7 +21,7 @@
 )
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.loop import Turn, callback
 
 VERSION = 1
 HEAD = struct.Struct(">IB")
--- a/cedarmill/net/grpc.py
+++ b/cedarmill/net/health/grpc.py
@@ -1,8 +1,8 @@
 """The listener for gRPC health: HTTP/2 sessions whose watches hear of a change. Off on the platform."""
 
 from cedarmill.health.codecs.grpc import HealthConnection, ProtocolError, Status
-from cedarmill.net.health import Listener, Self, Session
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.health.listener import Listener, Self, Session
+from cedarmill.net.loop import Turn, callback
 
 SERVICE = "cedarmill"  # beside "", which means the whole node
 LOOK_US = 250_000  # between two looks at what the watches were told; a drain is told at once
--- a/cedarmill/net/health.py
+++ b/cedarmill/net/health/listener.py
@@ -6,10 +6,10 @@
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.http import Answer, Check, compose
-from cedarmill.net.clients import Clients
+from cedarmill.net.clients.server import Clients
 from cedarmill.net.config import Address
-from cedarmill.net.listening import Acceptor, listening_socket
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.listener import Acceptor, listening_socket
+from cedarmill.net.loop import Turn, callback
 
 SESSIONS = 32  # open at once on each listener: a checker that connects by hundreds gets the rest closed
 ACCEPTS = 4  # in one turn: so many descriptors more are held for a moment
--- a/cedarmill/net/listening.py
+++ b/cedarmill/net/listener.py
@@ -8,7 +8,7 @@
 
 from cedarmill.log import say
 from cedarmill.net.config import Address
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.loop import Turn, callback
 
 ACCEPT_AGAIN_US = 50_000  # after the system had no descriptor or memory for a connection
 # accept(2): these tell of the one connection, or of the call, and the next may be well
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -16,15 +16,15 @@
 from cedarmill.deadlines.propagation import DeadlineTracker
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.log import say
-from cedarmill.net import door
-from cedarmill.net.backends import Backends
-from cedarmill.net.beside import Beside
-from cedarmill.net.clients import Clients
+from cedarmill.net.admin import server as door
+from cedarmill.net.admin.handlers import Hands
+from cedarmill.net.clients.server import Clients
 from cedarmill.net.config import Address, Config, ConfigError, inherited_socket
-from cedarmill.net.discovery import DiscoveryClient
-from cedarmill.net.hands import Hands
-from cedarmill.net.memory import Keeper
-from cedarmill.net.turn import Turn
+from cedarmill.net.discovery.client import DiscoveryClient
+from cedarmill.net.loop import Turn
+from cedarmill.net.upgrade.sibling import Beside
+from cedarmill.net.upgrade.warm_state import Keeper
+from cedarmill.net.upstream.pool import Backends
 from cedarmill.values import Options
 
 OWN_DESCRIPTORS = 24  # the loop's, the log, the listening socket, discovery: 14 were counted
@@ -86,7 +86,7 @@
 
     def _fleet(self):
         """The node's part in the fleet; the platform's run has none, and loads nothing of it."""
-        from cedarmill.net.fleet import NodeFleet
+        from cedarmill.net.cluster.node_role import NodeFleet
 
         return NodeFleet(self.turn, self.config, self.options.fleet, self.clients, self.discovery, self.hands)
 
@@ -103,7 +103,7 @@
         options = self.options.health
         if not (options.agent or options.http or options.grpc):
             return
-        from cedarmill.net import health  # the platform's run has no use for it
+        from cedarmill.net.health import listener as health  # the platform's run has no use for it
 
         told = health.Self(self.config.name, self.clients)
         listeners = {}
@@ -112,7 +112,7 @@
         if options.http:
             listeners["http"] = health.Listener(self.turn, told, health.HttpSession)
         if options.grpc:
-            from cedarmill.net.grpc import GrpcListener
+            from cedarmill.net.health.grpc import GrpcListener
 
             listeners["grpc"] = GrpcListener(self.turn, told)
         for kind, listener in listeners.items():
--- a/cedarmill/net/beside.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -16,9 +16,9 @@
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.decisions.snapshot import held_now
 from cedarmill.log import say
-from cedarmill.net.discovery import DiscoveryClient
-from cedarmill.net.kept import KeptInPlace, kept_path
-from cedarmill.net.turn import Turn, clock_reading
+from cedarmill.net.discovery.client import DiscoveryClient
+from cedarmill.net.loop import Turn, clock_reading
+from cedarmill.net.upgrade.state_file import KeptInPlace, kept_path
 
 KIND = "out"
 ALONE_US = 100_000  # between two looks while no other process is seen
--- a/cedarmill/net/memory.py
+++ b/cedarmill/net/upgrade/warm_state.py
@@ -12,9 +12,9 @@
 from cedarmill.decisions.snapshot import Snapshot, restore, restore_executor, take_snapshot
 from cedarmill.log import say
 from cedarmill.net.config import Start
-from cedarmill.net.discovery import DiscoveryClient
-from cedarmill.net.kept import KeptInPlace, kept_path
-from cedarmill.net.turn import Turn, clock_reading
+from cedarmill.net.discovery.client import DiscoveryClient
+from cedarmill.net.loop import Turn, clock_reading
+from cedarmill.net.upgrade.state_file import KeptInPlace, kept_path
 
 KIND = "memory"
 KEEP_US = 500_000  # between two writings: a replaced process hands over news that are at most that old
--- a/cedarmill/net/exchanges.py
+++ b/cedarmill/net/upstream/exchange.py
@@ -1,6 +1,6 @@
 """Exchanges: what a connection to a backend carries, an attempt or a probe, from its request to its one end.
 
-They read answers and hold the state of an attempt; the sockets are in net/backends.py.
+They read answers and hold the state of an attempt; the sockets are in net/upstream/pool.py.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -12,7 +12,7 @@
 from cedarmill.decisions.interface import Outcome
 
 if TYPE_CHECKING:
-    from cedarmill.net.backends import Backend, Backends, Connection
+    from cedarmill.net.upstream.pool import Backend, Backends, Connection
 
 PROBE_WAIT = 2  # connect time-outs that a probe may take
 MAX_LINE = 256 * 1024
--- a/cedarmill/net/backends.py
+++ b/cedarmill/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""Backends: a pool of HTTP/1.1 connections to each executor, which carry exchanges (net/exchanges.py)."""
+"""A pool of HTTP/1.1 connections to each executor, which carry exchanges (net/upstream/exchange.py)."""
 
 import asyncio
 import errno
@@ -12,9 +12,9 @@
 from cedarmill.decisions.interface import Outcome
 from cedarmill.log import say
 from cedarmill.net.config import Address, Endpoint
-from cedarmill.net.exchanges import Check, Exchange, Job, NodeJob
-from cedarmill.net.hangup import TRANSPORT_ERRORS, hung_up
-from cedarmill.net.turn import Turn, callback
+from cedarmill.net.loop import Turn, callback
+from cedarmill.net.socket_state import TRANSPORT_ERRORS, hung_up
+from cedarmill.net.upstream.exchange import Check, Exchange, Job, NodeJob
 from cedarmill.values import KindOptions, Options
 
 IDLE_SHARE = 0.5  # of the time after which the executor's machine closes an idle connection
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -12,8 +12,8 @@
 from nodes import ROOT, WAIT
 
 from cedarmill.cluster.messages import ExecutorObservation, Heartbeat, HeartbeatReply, Orders, ReadRequest
-from cedarmill.lab.fleet.crew import free_port
-from cedarmill.net.operator import NoKeeper, Operator
+from cedarmill.lab.cluster.process_group import free_port
+from cedarmill.net.cluster.operator import NoKeeper, Operator
 
 LONG = 3 * WAIT  # for elections and leases on a machine that runs many tests at once
 LIMITS = ('<limit kind="executor" per="fleet" most="2"/>', '<limit kind="executor" per="zone" most="1"/>',
@@ -56,7 +56,7 @@
     def start_keeper(self, name: str) -> None:
         words = ["cedarmill.cli", "keeper", "-c", str(self.folder / f"{name}.xml")]
         if self.faulty:
-            words = ["cedarmill.lab.fleet.disks", str(self.folder / f"{name}.xml"), str(self.fault(name))]
+            words = ["cedarmill.lab.cluster.disks", str(self.folder / f"{name}.xml"), str(self.fault(name))]
         with open(self.folder / f"{name}.log", "a") as log:
             self.running[name] = subprocess.Popen([sys.executable, "-m", *words], cwd=ROOT, stderr=log)
 
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -263,9 +263,9 @@
 
 def decoded_without_decoder() -> list:
     """Types of JSON documents that are decoded with `msgspec.json.decode(text, type=...)`."""
-    from cedarmill.lab.fleet.history import Event
-    from cedarmill.lab.fleet.report import Verdict
-    from cedarmill.lab.story import Story
+    from cedarmill.lab.cluster.history import Event
+    from cedarmill.lab.cluster.report import Verdict
+    from cedarmill.lab.history import Story
     from cedarmill.net.config import _File
 
     return [_File, Event, Verdict, Story]
@@ -273,7 +273,7 @@
 
 def frame_codec() -> tuple[Callable[[int, Any], bytes], Callable[[bytes], list]]:
     """Writes one frame between processes; reads frames."""
-    from cedarmill.net.peers import Reader, frame
+    from cedarmill.net.framing import Reader, frame
 
     return frame, lambda data: Reader().feed(data)
 
@@ -284,7 +284,7 @@
     As 24d73c0 wrote them, without the machine's clock: programs of before it are still read.
     """
     from cedarmill.admin import sealed_document
-    from cedarmill.net.kept import KeptInPlace, kept_path
+    from cedarmill.net.upgrade.state_file import KeptInPlace, kept_path
 
     def seal(kind: str, node: str, unix_us: int, body: bytes) -> bytes:
         return sealed_document.seal(kind, node, sealed_document.ClockReading(unix_us), body)
@@ -373,8 +373,8 @@
 def play_fleet(seed: int) -> Played:
     """Play one seed of the fleet's virtual time to its end."""
     from cedarmill.cluster.state import encode_snapshot
-    from cedarmill.lab.fleet.search import shape_of
-    from cedarmill.lab.fleet.virtual import Virtual
+    from cedarmill.lab.simulation.cluster import Virtual
+    from cedarmill.lab.simulation.search import shape_of
 
     run = Virtual(shape_of(seed), seed)
     before = encode_snapshot(next(iter(run.keepers.values())).replica.state)
@@ -414,7 +414,7 @@
     from cedarmill.cli import main
     from cedarmill.cluster.messages import ReadReply
     from cedarmill.cluster.state_views import render
-    from cedarmill.net.operator import Operator
+    from cedarmill.net.cluster.operator import Operator
 
     with mock.patch.object(
         Operator, "ask", lambda self, ask: ReadReply(render(played.replica, played.now, ask))
@@ -453,10 +453,10 @@
 
 def xml_files() -> dict[str, Any]:
     """Each XML file that the repository ships, as the values that its reader makes of it."""
-    from cedarmill.conf import fleet
+    from cedarmill.conf import cluster as fleet
     from cedarmill.conf.settings import Settings
     from cedarmill.lab import scenario
-    from cedarmill.lab.fleet import scenario as fleet_scenario
+    from cedarmill.lab.cluster import scenario as fleet_scenario
 
     found = {}
     for path in sorted([*ROOT.glob("deploy/**/*.xml"), *ROOT.glob("cedarmill/**/*.xml")]):
@@ -496,7 +496,7 @@
 
 def refused_xml() -> dict[str, str]:
     """Of the files that the repository ships, those that their own readers refuse, and why."""
-    from cedarmill.conf import fleet
+    from cedarmill.conf import cluster as fleet
     from cedarmill.conf.settings import Settings
 
     found, readers = {}, {"keeper": fleet.keeper, "steward": fleet.steward, "cedarmill": Settings}
@@ -562,7 +562,9 @@
 
 def timeline(kind: str, seed: int) -> str:
     """The hash of one seed's timeline: of the fleet, of the log alone, of a storm or of zones."""
-    from cedarmill.lab.fleet import regions, search, storms
+    from cedarmill.lab.simulation import search
+    from cedarmill.lab.simulation.overload import simulation as storms
+    from cedarmill.lab.simulation.zones import simulation as regions
 
     if kind == "fleet":
         return search.one((seed, "")).digest
--- a/tests/test_broken_sockets.py
+++ b/tests/test_broken_sockets.py
@@ -15,9 +15,9 @@
 from test_leaving import raw
 
 from cedarmill.core.timers import Timers
-from cedarmill.net.clients import Clients
-from cedarmill.net.sessions import ClientSession
-from cedarmill.net.turn import Turn
+from cedarmill.net.clients.server import Clients
+from cedarmill.net.clients.session import ClientSession
+from cedarmill.net.loop import Turn
 from cedarmill.values import DeadlineOptions
 
 ERRORS = ("EPIPE", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS")
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -20,11 +20,11 @@
 from cedarmill.cluster.state_machine import commands, dispatch
 from cedarmill.cluster.traffic_plan.similarity import are_similar
 from cedarmill.decisions import interface as api
-from cedarmill.lab.fleet import storm_bugs
-from cedarmill.lab.fleet.laws import verdict
-from cedarmill.lab.fleet.run import play as run_fleet
-from cedarmill.lab.fleet.scenario import read
-from cedarmill.lab.fleet.storms import play
+from cedarmill.lab.cluster.invariants import verdict
+from cedarmill.lab.cluster.run import play as run_fleet
+from cedarmill.lab.cluster.scenario import read
+from cedarmill.lab.simulation.overload import mutants as storm_bugs
+from cedarmill.lab.simulation.overload.simulation import play
 
 S = 1_000_000
 PROBES = Budget("probes", 100_000, 10)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -14,9 +14,9 @@
 
 from cedarmill.admin import sealed_document
 from cedarmill.admin.sealed_document import ClockReading
-from cedarmill.net.beside import SILENT_US
-from cedarmill.net.kept import KeptInPlace
-from cedarmill.net.turn import Turn, boot_id
+from cedarmill.net.loop import Turn, boot_id
+from cedarmill.net.upgrade.sibling import SILENT_US
+from cedarmill.net.upgrade.state_file import KeptInPlace
 
 STEPS_S = {"an_hour_back": -3600, "5_s_back": -5, "5_s_ahead": 5, "an_hour_ahead": 3600}
 TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
 from cedarmill.net.config import Address, Endpoint, Listing
-from cedarmill.net.discovery import QUIET_US, DiscoveryClient
+from cedarmill.net.discovery.client import QUIET_US, DiscoveryClient
 
 
 class Flapping(unittest.TestCase):
@@ -24,8 +24,8 @@
         )
         self.discovery.dispatch = mock.Mock()
         patches = (
-            mock.patch("cedarmill.net.discovery.say", lambda name, *_, **__: self.lines.append(name)),
-            mock.patch("cedarmill.net.discovery.WatchConnection"),
+            mock.patch("cedarmill.net.discovery.client.say", lambda name, *_, **__: self.lines.append(name)),
+            mock.patch("cedarmill.net.discovery.client.WatchConnection"),
         )
         for patch in patches:
             patch.start()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -21,11 +21,11 @@
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.timers import Timers
-from cedarmill.net.clients import Clients
-from cedarmill.net.door import SESSIONS
-from cedarmill.net.hands import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, Hands
-from cedarmill.net.kept import KeptFile
-from cedarmill.net.sessions import ClientSession
+from cedarmill.net.admin.handlers import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, Hands
+from cedarmill.net.admin.server import SESSIONS
+from cedarmill.net.clients.server import Clients
+from cedarmill.net.clients.session import ClientSession
+from cedarmill.net.upgrade.state_file import KeptFile
 from cedarmill.values import DeadlineOptions
 
 
--- a/tests/test_executor_faults.py
+++ b/tests/test_executor_faults.py
@@ -15,10 +15,10 @@
 
 from cedarmill.core.timers import Timers
 from cedarmill.decisions.interface import Outcome
-from cedarmill.net.backends import AT_ONCE, COMMIT_US, LEAVE_US, Backend, Backends, Connection
 from cedarmill.net.config import Address
-from cedarmill.net.exchanges import Exchange
-from cedarmill.net.turn import Turn
+from cedarmill.net.loop import Turn
+from cedarmill.net.upstream.exchange import Exchange
+from cedarmill.net.upstream.pool import AT_ONCE, COMMIT_US, LEAVE_US, Backend, Backends, Connection
 from cedarmill.values import KindOptions, Options
 
 LOAD = {"x0": 100, "x1": 100}  # as the executor reports it: free slots, free memory
--- a/tests/test_fleet_lab.py
+++ b/tests/test_fleet_lab.py
@@ -9,14 +9,14 @@
 import numpy
 
 from cedarmill.conf.document import ConfError
-from cedarmill.lab.fleet.history import Event, History
-from cedarmill.lab.fleet.history import read as read_history
-from cedarmill.lab.fleet.laws import Record, verdict
-from cedarmill.lab.fleet.links import LinkFault, Links
-from cedarmill.lab.fleet.report import write
-from cedarmill.lab.fleet.run import play
-from cedarmill.lab.fleet.scenario import read, shipped
-from cedarmill.lab.story import Visit
+from cedarmill.lab.cluster.history import Event, History
+from cedarmill.lab.cluster.history import read as read_history
+from cedarmill.lab.cluster.invariants import Record, verdict
+from cedarmill.lab.cluster.links import LinkFault, Links
+from cedarmill.lab.cluster.report import write
+from cedarmill.lab.cluster.run import play
+from cedarmill.lab.cluster.scenario import read, shipped
+from cedarmill.lab.history import Visit
 from cedarmill.values import LimitOptions as Limit
 
 PLACES = {f"box-{n}": {"kind": "executor", "zone": f"zone-{n % 2}"} for n in range(6)}
@@ -169,7 +169,7 @@
             self.assertTrue(read(name).timeline)
 
     def test_a_broken_file_is_refused_with_its_line(self):
-        text = (Path(__file__).parent.parent / "cedarmill/lab/fleet/scenarios/doors.xml").read_text()
+        text = (Path(__file__).parent.parent / "cedarmill/lab/cluster/scenarios/doors.xml").read_text()
         for change, words in ((('fault="pause"', 'fault="slow"'), ("<process> size", "needed here")),
                               (('most="3"', 'per="x"'), ("per",)), (('most="3"', ""), ("<limit>", "needed")),
                               (('at="2s"', 'at="2"'), ("no unit",))):  # fmt: skip
--- a/tests/test_fleet_rounds.py
+++ b/tests/test_fleet_rounds.py
@@ -4,10 +4,10 @@
 import unittest
 from pathlib import Path
 
-from cedarmill.lab.fleet.laws import Record
-from cedarmill.lab.fleet.report import verdict_of
-from cedarmill.lab.fleet.run import play
-from cedarmill.lab.fleet.scenario import read
+from cedarmill.lab.cluster.invariants import Record
+from cedarmill.lab.cluster.report import verdict_of
+from cedarmill.lab.cluster.run import play
+from cedarmill.lab.cluster.scenario import read
 
 
 class Rounds(unittest.TestCase):
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -8,10 +8,10 @@
 
 from nodes import ROOT
 
-from cedarmill.lab.fleet.bugs import BUGS
-from cedarmill.lab.fleet.laws import LAWS
-from cedarmill.lab.fleet.search import digest, hunt, log_run, many
-from cedarmill.lab.fleet.virtual_log import figure_eight
+from cedarmill.lab.cluster.invariants import LAWS
+from cedarmill.lab.cluster.mutants import BUGS
+from cedarmill.lab.simulation.raft_log import figure_eight
+from cedarmill.lab.simulation.search import digest, hunt, log_run, many
 
 MOST = 300  # seeds in which a planted bug has to be seen
 
@@ -59,7 +59,7 @@
 class OneTimeline(unittest.TestCase):
     def test_equal_for_other_hash_seeds_and_numbers_of_workers(self):
         here = digest(many(range(6)))
-        code = ("from cedarmill.lab.fleet.search import digest, many\n"
+        code = ("from cedarmill.lab.simulation.search import digest, many\n"
                 "if __name__ == '__main__': print(digest(many(range(6), '', WORKERS)))")  # fmt: skip
         for hash_seed, workers in (("1", 1), ("77", 3)):
             with tempfile.NamedTemporaryFile("w", suffix=".py") as file:  # spawned workers read the main file
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from cedarmill.decisions import interface as api
-from cedarmill.net.gossip import OLD_US, STILL_US, Gossip, Link
+from cedarmill.net.cluster.gossip import OLD_US, STILL_US, Gossip, Link
 
 MS = 1_000
 
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -9,7 +9,7 @@
 from cedarmill.cluster.messages import ReadRequest, SubmitRequest
 from cedarmill.cluster.observations.digest import LocationObservation, ObservationDigest
 from cedarmill.cluster.state_machine import commands
-from cedarmill.net.operator import NoKeeper, Operator, new_id
+from cedarmill.net.cluster.operator import NoKeeper, Operator, new_id
 
 
 class Cluster(KeeperCase):
--- a/tests/test_kept_files.py
+++ b/tests/test_kept_files.py
@@ -9,8 +9,8 @@
 
 from nodes import WAIT
 
-from cedarmill.net import kept
-from cedarmill.net.kept import KeptFile, KeptInPlace
+from cedarmill.net.upgrade import state_file as kept
+from cedarmill.net.upgrade.state_file import KeptFile, KeptInPlace
 
 
 def cut_short(real, most: int):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,12 +11,12 @@
 from test_conf import command
 
 from cedarmill.conf.document import ConfError
-from cedarmill.lab.boxes import Box
+from cedarmill.lab.checker import judge
+from cedarmill.lab.executor import Box
 from cedarmill.lab.figures import figures
-from cedarmill.lab.judge import judge
+from cedarmill.lab.history import Answer, Call, ClassRules, Drain, Story, Visit
 from cedarmill.lab.load import Load
 from cedarmill.lab.scenario import read, shipped
-from cedarmill.lab.story import Answer, Call, ClassRules, Drain, Story, Visit
 
 GOOD = Story(
     "s", "on", 1, 10_000_000, {"pin": ClassRules("keyed", "zone", 1_000_000), "issue": ClassRules("unsafe")}
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -16,10 +16,10 @@
 from nodes import ROOT, WAIT, NodeCase
 from test_node import CutOff
 
+from cedarmill.lab.history import Call
 from cedarmill.lab.load import ClientWire
 from cedarmill.lab.run import Run
 from cedarmill.lab.scenario import read
-from cedarmill.lab.story import Call
 
 
 def raw(number: int, job_class: str = "pin", budget: int = 6000, more: str = "") -> bytes:
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -15,7 +15,7 @@
     WatchEvent,
     WatchState,
 )
-from cedarmill.net.list_stream import UNREADABLE, ListStream
+from cedarmill.net.discovery.list_stream import UNREADABLE, ListStream
 
 MANY = 200  # processes
 CHANGE_KNOWN_WITHIN_US = discovery_watch.CHANGE_KNOWN_WITHIN_US
--- a/tests/test_node_fleet.py
+++ b/tests/test_node_fleet.py
@@ -9,7 +9,7 @@
 from fleets import LONG, KeeperCase
 from nodes import NodeCase, call
 
-from cedarmill.lab.fleet.crew import free_port
+from cedarmill.lab.cluster.process_group import free_port
 
 
 class FleetNode(KeeperCase, NodeCase):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 
 from cedarmill.cluster.messages import ForwardRequest, HeartbeatReply, Hello, Orders, ReadRequest
 from cedarmill.cluster.raft.messages import AppendEntries, Entry, EntryKind
-from cedarmill.net.peers import HEAD, MAX_FRAME, Bad, Reader, frame
+from cedarmill.net.framing import HEAD, MAX_FRAME, Bad, Reader, frame
 
 WORDS = (
     Hello("c", "k0", "keeper", "d", 3),
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -8,14 +8,14 @@
 
 from cedarmill.cluster.state_machine import drains, limits
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
-from cedarmill.lab.fleet.bugs import planted_patches
-from cedarmill.lab.fleet.explore import explore
-from cedarmill.lab.fleet.regions import INCIDENTS, breaches, run
-from cedarmill.lab.fleet.report import write
-from cedarmill.lab.fleet.run import play
-from cedarmill.lab.fleet.scenario import read
-from cedarmill.lab.fleet.small import Drains, Traffic
-from cedarmill.lab.fleet.zone_bugs import BUGS, hunt
+from cedarmill.lab.cluster.mutants import planted_patches
+from cedarmill.lab.cluster.report import write
+from cedarmill.lab.cluster.run import play
+from cedarmill.lab.cluster.scenario import read
+from cedarmill.lab.simulation.exhaustive import explore
+from cedarmill.lab.simulation.small_cases import Drains, Traffic
+from cedarmill.lab.simulation.zones.mutants import BUGS, hunt
+from cedarmill.lab.simulation.zones.simulation import INCIDENTS, breaches, run
 
 SHORT = [name for name, one in INCIDENTS.items() if one.length <= 90]
 
--- a/tests/test_replica_disk.py
+++ b/tests/test_replica_disk.py
@@ -30,8 +30,8 @@
 from cedarmill.cluster.raft.state import PersistentState
 from cedarmill.cluster.replica import Replica
 from cedarmill.cluster.state_machine.commands import RequestPermits
-from cedarmill.net.keeper import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
-from cedarmill.net.operator import NoKeeper, Operator, new_id
+from cedarmill.net.cluster.operator import NoKeeper, Operator, new_id
+from cedarmill.net.cluster.replica import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import KeeperOptions
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -13,7 +13,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.settings import from_operator
-from cedarmill.net.clients import Clients
+from cedarmill.net.clients.server import Clients
 from cedarmill.values import DeadlineOptions
 
 SITES = Path(__file__).parent.parent / "deploy/sites"
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -9,7 +9,7 @@
 from fleets import LONG, cli
 from nodes import ROOT
 
-from cedarmill.lab.fleet.crew import free_port
+from cedarmill.lab.cluster.process_group import free_port
 
 FILE = """<steward version="1" name="s0" data="{data}">
 <fleet cluster="main"><keeper name="k0" address="127.0.0.1:{keeper}"/></fleet>
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,8 +10,8 @@
 from cedarmill.admin import sealed_document
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
-from cedarmill.net.kept import KeptInPlace
-from cedarmill.net.turn import Turn, boot_id
+from cedarmill.net.loop import Turn, boot_id
+from cedarmill.net.upgrade.state_file import KeptInPlace
 
 
 class HeldSocket(NodeCase):
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from cedarmill.cli.fleet import RELEASE_ENDS, release_lines
-from cedarmill.cli.watch import ReleaseScreen
+from cedarmill.cli.cluster import RELEASE_ENDS, release_lines
+from cedarmill.cli.release_screen import ReleaseScreen
 
 
 def release(state: str) -> dict:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -29,7 +29,7 @@
 from cedarmill.cluster.traffic_plan.planner import PROBE_WEIGHT
 from cedarmill.cluster.traffic_plan.weights import expected_load
 from cedarmill.decisions import interface as api
-from cedarmill.lab.fleet.small import Entries
+from cedarmill.lab.simulation.small_cases import Entries
 
 S = 1_000_000
 ZONING = ZoneLayout({"east": ["a", "b"], "west": ["c"]})
