--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+sys.path[:0] = [str(ROOT)]
 
 from cedarmill.lab.simulation.cluster import S, Shape, Virtual  # noqa: E402
 
--- a/benchmarks/balancers.py
+++ b/benchmarks/balancers.py
@@ -9,12 +9,11 @@
 from pathlib import Path
 from random import Random
 
-sys.path[:0] = [str(Path(__file__).parents[1]), str(Path(__file__).parents[1] / "tests")]
-
-from fleet import OFFSET, node_settings  # noqa: E402
+sys.path[:0] = [str(Path(__file__).parents[1])]
 
 from cedarmill.decisions import interface as api  # noqa: E402
 from cedarmill.decisions.balancer import Balancer  # noqa: E402
+from tests.support.balancer_simulation import OFFSET, node_settings  # noqa: E402
 
 PAIRS, JOBS = 9, 4_000
 GAP_US = 20_000  # between jobs: 50 a second at one node
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+sys.path[:0] = [str(ROOT)]
 
-from test_leaving import Thousand  # noqa: E402
+from tests.net.test_client_cancellation import Thousand  # noqa: E402
 
 
 def main() -> None:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -28,7 +28,7 @@
 import uvloop
 
 ROOT = Path(__file__).resolve().parent.parent
-sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+sys.path[:0] = [str(ROOT)]
 CONNECTIONS = 32
 ROUNDS = 8
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -235,7 +235,7 @@
 
 def storms() -> str:
     """What a keeper's file says where the fleet acts as one under overload: nothing of it binds here."""
-    from nodes import SETTINGS
+    from tests.support.node_case import SETTINGS
 
     names = ("probes", "connects", "retries", "lists")
     budgets = "".join(f'<budget name="{name}" per-second="100000" nodes="4"/>' for name in names)
@@ -249,7 +249,7 @@
 
     `conf`: the inside of a cedarmill.xml, with which the command starts it.
     """
-    from nodes import SETTINGS
+    from tests.support.node_case import SETTINGS
 
     settings = json.loads(json.dumps(SETTINGS))
     settings["caps"]["probes"] = True
--- a/cedarmill/net/clients/__init__.py
+++ b/cedarmill/net/clients/__init__.py
@@ -1,4 +1,4 @@
 """The clients' side: the listening socket, client connections (HTTP/1.1), and their final answers.
 
-Nothing here chooses an executor, retries or refuses by itself: that is `decisions/`, through `core/dispatch.py`.
+Nothing here chooses an executor, retries or refuses by itself: `decisions/` does, through `core/dispatch.py`.
 """
--- a/tests/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -6,8 +6,6 @@
 import unittest
 from pathlib import Path
 
-from helpers import Driver, sends
-
 from cedarmill.cluster.admission_level import controller
 from cedarmill.cluster.admission_level.controller import threshold_for, threshold_of
 from cedarmill.cluster.admission_level.gate import FADE_US, AdmissionGate
@@ -25,6 +23,7 @@
 from cedarmill.lab.cluster.scenario import read
 from cedarmill.lab.simulation.overload import mutants as storm_bugs
 from cedarmill.lab.simulation.overload.simulation import play
+from tests.support.builders import Driver, sends
 
 S = 1_000_000
 PROBES = Budget("probes", 100_000, 10)
--- a/tests/test_conf.py
+++ b/tests/conf/test_settings.py
@@ -11,12 +11,12 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from nodes import ROOT, NodeCase
 
 from cedarmill.conf.document import ConfError, duration, microseconds
 from cedarmill.conf.settings import Settings
 from cedarmill.log import EVENTS
 from cedarmill.values import Options
+from tests.support.node_case import ROOT, NodeCase
 
 
 def command(*words: str, **env: str) -> subprocess.CompletedProcess:
--- a/tests/test_sites.py
+++ b/tests/conf/test_sites.py
@@ -6,8 +6,6 @@
 from pathlib import Path
 from unittest import mock
 
-from nodes import NodeCase
-
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
@@ -15,8 +13,9 @@
 from cedarmill.decisions.settings import from_operator
 from cedarmill.net.clients.server import Clients
 from cedarmill.values import DeadlineOptions
+from tests.support.node_case import NodeCase
 
-SITES = Path(__file__).parent.parent / "deploy/sites"
+SITES = Path(__file__).parents[2] / "deploy/sites"
 NAMES = sorted(path.stem for path in SITES.glob("*.toml"))
 WORDS = json.loads((SITES / "wire.json").read_text())["init"]["words"]
 MS = 1000  # us
--- a/tests/test_core.py
+++ b/tests/core/test_dispatch.py
@@ -5,14 +5,13 @@
 import unittest
 from collections import deque
 
-from helpers import entry, keyed, settings
-
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import DeduplicationScope, Outcome
 from cedarmill.net.config import Endpoint, ListReader
+from tests.support.builders import entry, keyed, settings
 
 
 class Ports:
--- a/tests/test_budget.py
+++ b/tests/deadlines/test_deadlines.py
@@ -5,10 +5,8 @@
 import unittest
 from collections import deque
 
-from helpers import entry, keyed, settings
 from hypothesis import given
 from hypothesis import strategies as st
-from test_core import Ports
 
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timers
@@ -21,6 +19,8 @@
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import DeduplicationScope, Outcome
 from cedarmill.values import SOURCES, DeadlineOptions
+from tests.core.test_dispatch import Ports
+from tests.support.builders import entry, keyed, settings
 
 ALL = DeadlineOptions(sources=SOURCES, skew_us=50_000)
 LONGEST = 6_000_000
--- a/tests/test_brain.py
+++ b/tests/decisions/test_balancer.py
@@ -4,7 +4,6 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SAFE, UNSAFE, Driver, entry, keyed, kinds, sends
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions import learning, retries
@@ -13,6 +12,7 @@
 from cedarmill.decisions.interface import Effect, Outcome
 from cedarmill.decisions.interface import ExecutorState as WorkerState
 from cedarmill.decisions.state import ClassRunningTimes
+from tests.support.builders import SAFE, UNSAFE, Driver, entry, keyed, kinds, sends
 
 
 def fill(d: Driver, worker: int, job_class: int = 0) -> list[int]:
--- a/tests/test_fleet.py
+++ b/tests/decisions/test_many_balancers.py
@@ -2,10 +2,9 @@
 
 import unittest
 
-from fleet import SLOTS, Fleet, S
-
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import ExecutorState
+from tests.support.balancer_simulation import SLOTS, Fleet, S
 
 
 def replace(fleet: Fleet, count: int, at: float) -> list:
--- a/tests/test_sequences.py
+++ b/tests/decisions/test_sequences.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass, field
 
 import pytest
-from helpers import SAFE, UNSAFE, entry, keyed, settings
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import DeduplicationScope as DeduplicationScope
 from cedarmill.decisions.interface import Effect, Outcome
+from tests.support.builders import SAFE, UNSAFE, entry, keyed, settings
 
 CLASSES = (
     SAFE,
--- a/tests/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -8,12 +8,11 @@
 from dataclasses import dataclass
 from random import Random
 
-from helpers import Driver, entry, sends
-
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import ExecutorState
 from cedarmill.decisions.state import ClassRunningTimes, TenantLoad
+from tests.support.builders import Driver, entry, sends
 
 SECOND_US = 1_000_000
 COLD_US, COLD_SHARE, FALL_MULTIPLE, WINDOW_US = 9 * SECOND_US, 0.3, 2.5, 1_500_000
--- a/tests/test_memory.py
+++ b/tests/decisions/test_snapshot.py
@@ -4,14 +4,13 @@
 import unittest
 import zlib
 
-from helpers import Driver, entry, sends, settings
-
 from cedarmill.admin import sealed_document
 from cedarmill.admin.resource_split import MIN_PER_PROCESS, ConnectionCounts, NodeLimits, split_limits
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.snapshot import held_now, restore, restore_executor, take_snapshot
+from tests.support.builders import Driver, entry, sends, settings
 
 HOUR_US = 3_600_000_000
 NAMES = {1: "s-1", 2: "s-2"}
--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -6,7 +6,7 @@
 The committed data were made by the code of 24d73c0, before the first rename of issue 36. The generator runs
 against whatever code is there, and has to make the same, but for fields with defaults that the documents in
 `$TMPDIR` got before the renames began, with the machine's clock: both forms are held. `--check` holds all 20
-seeds of each timeline and took 95 s, `tests/test_golden.py` does the rest and a few seeds in seconds. A
+seeds of each timeline and took 95 s, `test_golden.py` does the rest and a few seeds in seconds. A
 difference means that something written by the program before would now be read or answered otherwise: that is
 mended in the program, not by making the data anew. Data are made anew only where a form or an answer is
 changed on purpose.
@@ -25,13 +25,14 @@
 from pathlib import Path
 
 if __name__ == "__main__":
-    sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent.parent)]
+    sys.path[:0] = [str(Path(__file__).parents[2])]
 
 import lmdb
 import msgspec
-from golden import reach
-from golden.reach import DATA
-from nodes import SETTINGS
+
+from tests.golden import reach
+from tests.golden.reach import DATA
+from tests.support.node_case import SETTINGS
 
 SEEDS = {"fleet": range(20), "log": range(20), "zones": range(20), "storm": range(20)}
 FLEET_SEED = 5  # whose fleet plans zones, drains and keeps its permits till the end
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -510,7 +510,7 @@
 
 def admin_answers() -> list[list]:
     """What a node's operators' listener answers: for each request in order, all bytes of the answer."""
-    from nodes import WAIT, NodeCase
+    from tests.support.node_case import WAIT, NodeCase
 
     class Node(NodeCase):
         def config(self) -> dict:
--- a/tests/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -14,7 +14,8 @@
 
 import lmdb
 import msgspec
-from golden import reach
+
+from tests.golden import reach
 
 QUICK = {"fleet": (0, 3), "log": range(5), "zones": (0,), "storm": (0,)}  # the generator holds all seeds
 
--- a/tests/test_fleet_lab.py
+++ b/tests/lab/test_cluster_lab.py
@@ -169,7 +169,7 @@
             self.assertTrue(read(name).timeline)
 
     def test_a_broken_file_is_refused_with_its_line(self):
-        text = (Path(__file__).parent.parent / "cedarmill/lab/cluster/scenarios/doors.xml").read_text()
+        text = (Path(__file__).parents[2] / "cedarmill/lab/cluster/scenarios/doors.xml").read_text()
         for change, words in ((('fault="pause"', 'fault="slow"'), ("<process> size", "needed here")),
                               (('most="3"', 'per="x"'), ("per",)), (('most="3"', ""), ("<limit>", "needed")),
                               (('at="2s"', 'at="2"'), ("no unit",))):  # fmt: skip
--- a/tests/test_fleet_virtual.py
+++ b/tests/lab/test_cluster_simulation.py
@@ -6,12 +6,11 @@
 import tempfile
 import unittest
 
-from nodes import ROOT
-
 from cedarmill.lab.cluster.invariants import LAWS
 from cedarmill.lab.cluster.mutants import BUGS
 from cedarmill.lab.simulation.raft_log import figure_eight
 from cedarmill.lab.simulation.search import digest, hunt, log_run, many
+from tests.support.node_case import ROOT
 
 MOST = 300  # seeds in which a planted bug has to be seen
 
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -8,7 +8,6 @@
 from types import SimpleNamespace
 
 import numpy
-from test_conf import command
 
 from cedarmill.conf.document import ConfError
 from cedarmill.lab.checker import judge
@@ -17,6 +16,7 @@
 from cedarmill.lab.history import Answer, Call, ClassRules, Drain, Story, Visit
 from cedarmill.lab.load import Load
 from cedarmill.lab.scenario import read, shipped
+from tests.conf.test_settings import command
 
 GOOD = Story(
     "s", "on", 1, 10_000_000, {"pin": ClassRules("keyed", "zone", 1_000_000), "issue": ClassRules("unsafe")}
--- a/tests/test_regions.py
+++ b/tests/lab/test_zone_simulation.py
@@ -4,8 +4,6 @@
 import unittest
 from pathlib import Path
 
-from fleets import KeeperCase, cli
-
 from cedarmill.cluster.state_machine import drains, limits
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.lab.cluster.mutants import planted_patches
@@ -16,6 +14,7 @@
 from cedarmill.lab.simulation.small_cases import Drains, Traffic
 from cedarmill.lab.simulation.zones.mutants import BUGS, hunt
 from cedarmill.lab.simulation.zones.simulation import INCIDENTS, breaches, run
+from tests.support.replica_case import KeeperCase, cli
 
 SHORT = [name for name, one in INCIDENTS.items() if one.length <= 90]
 
--- a/tests/test_peers.py
+++ b/tests/net/cluster/test_framing.py
@@ -3,11 +3,10 @@
 import socket
 import unittest
 
-from fleets import LONG, KeeperCase
-
 from cedarmill.cluster.messages import ForwardRequest, HeartbeatReply, Hello, Orders, ReadRequest
 from cedarmill.cluster.raft.messages import AppendEntries, Entry, EntryKind
 from cedarmill.net.framing import HEAD, MAX_FRAME, Bad, Reader, frame
+from tests.support.replica_case import LONG, KeeperCase
 
 WORDS = (
     Hello("c", "k0", "keeper", "d", 3),
--- a/tests/test_node_fleet.py
+++ b/tests/net/cluster/test_node_role.py
@@ -6,10 +6,9 @@
 import unittest
 from pathlib import Path
 
-from fleets import LONG, KeeperCase
-from nodes import NodeCase, call
-
 from cedarmill.lab.cluster.process_group import free_port
+from tests.support.node_case import NodeCase, call
+from tests.support.replica_case import LONG, KeeperCase
 
 
 class FleetNode(KeeperCase, NodeCase):
--- a/tests/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -5,11 +5,6 @@
 import tempfile
 import unittest
 
-from faults import Fault, FaultPlan
-from fleets import LONG, KeeperCase, Member
-from nodes import ROOT
-from test_store import FaultyDirectory
-
 from cedarmill.cluster.messages import (
     ChangeReplicas,
     ClientReply,
@@ -34,6 +29,10 @@
 from cedarmill.net.cluster.replica import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import KeeperOptions
+from tests.store.test_replica_store import FaultyDirectory
+from tests.support.node_case import ROOT
+from tests.support.replica_case import LONG, KeeperCase, Member
+from tests.support.system_call_faults import Fault, FaultPlan
 
 LOG_FILE = "/log"  # of the replica's data, and what replaces it; not the text log on standard error
 FULL = (Fault("write", "ENOSPC", match=LOG_FILE, times=0),)
--- a/tests/test_keepers.py
+++ b/tests/net/cluster/test_replicas.py
@@ -4,12 +4,11 @@
 import shutil
 import unittest
 
-from fleets import LONG, KeeperCase, Member, cli
-
 from cedarmill.cluster.messages import ReadRequest, SubmitRequest
 from cedarmill.cluster.observations.digest import LocationObservation, ObservationDigest
 from cedarmill.cluster.state_machine import commands
 from cedarmill.net.cluster.operator import NoKeeper, Operator, new_id
+from tests.support.replica_case import LONG, KeeperCase, Member, cli
 
 
 class Cluster(KeeperCase):
--- a/tests/test_steward.py
+++ b/tests/net/cluster/test_supervisor.py
@@ -6,10 +6,9 @@
 import unittest
 from pathlib import Path
 
-from fleets import LONG, cli
-from nodes import ROOT
-
 from cedarmill.lab.cluster.process_group import free_port
+from tests.support.node_case import ROOT
+from tests.support.replica_case import LONG, cli
 
 FILE = """<steward version="1" name="s0" data="{data}">
 <fleet cluster="main"><keeper name="k0" address="127.0.0.1:{keeper}"/></fleet>
--- a/tests/test_door.py
+++ b/tests/net/test_admin_api.py
@@ -13,9 +13,6 @@
 import unittest
 from unittest import mock
 
-from helpers import settings
-from nodes import WAIT, NodeCase, call, read_answer
-
 from cedarmill.admin import routes, sealed_document
 from cedarmill.admin.errors import RequestRejectedError
 from cedarmill.admin.exclusions import Exclusions
@@ -27,6 +24,8 @@
 from cedarmill.net.clients.session import ClientSession
 from cedarmill.net.upgrade.state_file import KeptFile
 from cedarmill.values import DeadlineOptions
+from tests.support.builders import settings
+from tests.support.node_case import WAIT, NodeCase, call, read_answer
 
 
 def at(us: int) -> ClockReading:
--- a/tests/test_leaving.py
+++ b/tests/net/test_client_cancellation.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 
 import uvloop
-from nodes import ROOT, WAIT, NodeCase
-from test_node import CutOff
 
 from cedarmill.lab.history import Call
 from cedarmill.lab.load import ClientWire
 from cedarmill.lab.run import Run
 from cedarmill.lab.scenario import read
+from tests.net.test_node import CutOff
+from tests.support.node_case import ROOT, WAIT, NodeCase
 
 
 def raw(number: int, job_class: str = "pin", budget: int = 6000, more: str = "") -> bytes:
--- a/tests/test_broken_sockets.py
+++ b/tests/net/test_client_socket_errors.py
@@ -8,17 +8,16 @@
 from types import SimpleNamespace
 from unittest.mock import Mock
 
-from faults import Fault
-from faulty_nodes import FaultyNodeCase
-from helpers import SAFE, settings
-from nodes import WAIT
-from test_leaving import raw
-
 from cedarmill.core.timers import Timers
 from cedarmill.net.clients.server import Clients
 from cedarmill.net.clients.session import ClientSession
 from cedarmill.net.loop import Turn
 from cedarmill.values import DeadlineOptions
+from tests.net.test_client_cancellation import raw
+from tests.support.builders import SAFE, settings
+from tests.support.faulty_node_case import FaultyNodeCase
+from tests.support.node_case import WAIT
+from tests.support.system_call_faults import Fault
 
 ERRORS = ("EPIPE", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS")
 
--- a/tests/test_clocks.py
+++ b/tests/net/test_clock_steps.py
@@ -7,16 +7,15 @@
 import unittest
 from pathlib import Path
 
-import test_upgrade
-from faults import Fault
-from faulty_nodes import FaultyNodeCase
-from nodes import WAIT, call
-
 from cedarmill.admin import sealed_document
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import Turn, boot_id
 from cedarmill.net.upgrade.sibling import SILENT_US
 from cedarmill.net.upgrade.state_file import KeptInPlace
+from tests.net import test_upgrade
+from tests.support.faulty_node_case import FaultyNodeCase
+from tests.support.node_case import WAIT, call
+from tests.support.system_call_faults import Fault
 
 STEPS_S = {"an_hour_back": -3600, "5_s_back": -5, "5_s_ahead": 5, "an_hour_ahead": 3600}
 TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
--- a/tests/test_discovery.py
+++ b/tests/net/test_discovery_client.py
@@ -4,13 +4,12 @@
 from random import Random
 from unittest import mock
 
-from helpers import settings
-
 from cedarmill.core.discovery_watch import WatchEvent, WatchState
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
 from cedarmill.net.config import Address, Endpoint, Listing
 from cedarmill.net.discovery.client import QUIET_US, DiscoveryClient
+from tests.support.builders import settings
 
 
 class Flapping(unittest.TestCase):
--- a/tests/test_quiet_lists.py
+++ b/tests/net/test_discovery_faults.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from nodes import WAIT, NodeCase, Server
+from tests.support.node_case import WAIT, NodeCase, Server
 
 LATEST = 6.0  # seconds: a change counts as told so long after discovery had it and could be reached
 
--- a/tests/test_endings.py
+++ b/tests/net/test_endings.py
@@ -10,8 +10,8 @@
 import time
 import unittest
 
-from nodes import WAIT, NodeCase
-from test_leaving import LeavingCase, raw
+from tests.net.test_client_cancellation import LeavingCase, raw
+from tests.support.node_case import WAIT, NodeCase
 
 INSTANT = 'HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n{"state":"done","result":1}'
 NEVER_RAN = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_balancers.py
+++ b/tests/net/test_health_listeners.py
@@ -9,12 +9,12 @@
 
 import grpc
 from grpc_health.v1 import health_pb2, health_pb2_grpc
-from nodes import WAIT, NodeCase
-from test_conf import command
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.agent import Admin, Status
 from cedarmill.health.codecs.http import FAIL_AT_ONCE, JSON, Expected, judge
+from tests.conf.test_settings import command
+from tests.support.node_case import WAIT, NodeCase
 
 Serving = health_pb2.HealthCheckResponse
 
--- a/tests/test_accepting.py
+++ b/tests/net/test_listener.py
@@ -10,10 +10,10 @@
 import time
 import unittest
 
-from faults import Fault
-from faulty_nodes import FaultyNodeCase
-from nodes import WAIT
-from test_leaving import raw
+from tests.net.test_client_cancellation import raw
+from tests.support.faulty_node_case import FaultyNodeCase
+from tests.support.node_case import WAIT
+from tests.support.system_call_faults import Fault
 
 ONE_CONNECTION = (
     "ECONNABORTED",
--- a/tests/test_log.py
+++ b/tests/net/test_log.py
@@ -9,10 +9,9 @@
 import unittest
 from unittest import mock
 
-from faulty_nodes import FaultyNodeCase
-from nodes import WAIT
-
 from cedarmill import log
+from tests.support.faulty_node_case import FaultyNodeCase
+from tests.support.node_case import WAIT
 
 
 class Log(unittest.TestCase):
--- a/tests/test_node.py
+++ b/tests/net/test_node.py
@@ -12,7 +12,7 @@
 import unittest
 from pathlib import Path
 
-from nodes import ROOT, WAIT, NodeCase, Server
+from tests.support.node_case import ROOT, WAIT, NodeCase, Server
 
 
 class Serving(NodeCase):
--- a/tests/test_room.py
+++ b/tests/net/test_small_limits.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from nodes import WAIT, NodeCase
+from tests.support.node_case import WAIT, NodeCase
 
 
 class LessRoom(NodeCase):
--- a/tests/test_stopped_clients.py
+++ b/tests/net/test_stalled_clients.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from test_leaving import LeavingCase, raw
+from tests.net.test_client_cancellation import LeavingCase, raw
 
 OWED = 3.0  # seconds within which a client that has stopped gets its error or the close
 SOON = 2.0  # a client that is slow is not taken for one that has stopped
--- a/tests/test_kept_files.py
+++ b/tests/net/test_state_files.py
@@ -7,10 +7,9 @@
 import unittest
 from unittest import mock
 
-from nodes import WAIT
-
 from cedarmill.net.upgrade import state_file as kept
 from cedarmill.net.upgrade.state_file import KeptFile, KeptInPlace
+from tests.support.node_case import WAIT
 
 
 def cut_short(real, most: int):
--- a/tests/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -5,13 +5,12 @@
 import socket
 from pathlib import Path
 
-from nodes import WAIT, Client, NodeCase, call
-
 from cedarmill.admin import sealed_document
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import Turn, boot_id
 from cedarmill.net.upgrade.state_file import KeptInPlace
+from tests.support.node_case import WAIT, Client, NodeCase, call
 
 
 class HeldSocket(NodeCase):
--- a/tests/test_executor_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -8,11 +8,6 @@
 from pathlib import Path
 from unittest.mock import Mock
 
-from faults import Fault
-from faulty_nodes import FaultyNodeCase
-from helpers import settings
-from nodes import WAIT
-
 from cedarmill.core.timers import Timers
 from cedarmill.decisions.interface import Outcome
 from cedarmill.net.config import Address
@@ -20,6 +15,10 @@
 from cedarmill.net.upstream.exchange import Exchange
 from cedarmill.net.upstream.pool import AT_ONCE, COMMIT_US, LEAVE_US, Backend, Backends, Connection
 from cedarmill.values import KindOptions, Options
+from tests.support.builders import settings
+from tests.support.faulty_node_case import FaultyNodeCase
+from tests.support.node_case import WAIT
+from tests.support.system_call_faults import Fault
 
 LOAD = {"x0": 100, "x1": 100}  # as the executor reports it: free slots, free memory
 SLACK_S = 0.15  # of the deadline that an attempt tells (standing test)
--- a/tests/test_wire.py
+++ b/tests/sim/test_wire.py
@@ -9,12 +9,12 @@
 from pathlib import Path
 
 import pytest
-from helpers import settings
 
 from cedarmill.decisions import interface as api
 from cedarmill.sim import simhost, wire
+from tests.support.builders import settings
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 ACCEPT = "041a000300048d4b5d3a91c43fc0000000002ee04000000091f03b7c55d20a64010000000000000003a980"
 SETTLED = "0456000300048d4b5d3a91c40003124a070a000048440100043ecccccd3fa00000430c00003f000000"
 ROWS = (
--- a/tests/test_store.py
+++ b/tests/store/test_replica_store.py
@@ -13,7 +13,6 @@
 import lmdb
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from nodes import ROOT
 
 from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote
 from cedarmill.cluster.raft.messages import Entry, EntryKind, Peer, Snapshot
@@ -21,6 +20,7 @@
 from cedarmill.store.errors import StoreError
 from cedarmill.store.files import AppendFile, Directory
 from cedarmill.store.log import MAGIC, LogFile, encode_record, read_records
+from tests.support.node_case import ROOT
 
 RECORDS = [b"first", b"second" * 5, b"third"]
 WHOLE = MAGIC + b"".join(map(encode_record, RECORDS))
--- a/tests/faulty_nodes.py
+++ b/tests/support/faulty_node_case.py
@@ -2,8 +2,8 @@
 
 import tempfile
 
-from faults import FaultPlan
-from nodes import NodeCase
+from tests.support.node_case import NodeCase
+from tests.support.system_call_faults import FaultPlan
 
 
 class FaultyNodeCase(NodeCase):
--- a/tests/nodes.py
+++ b/tests/support/node_case.py
@@ -19,7 +19,7 @@
 import unittest
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 WAIT = 10  # seconds, at most, for a condition
 SETTINGS = {
     "instances": 1, "zone": 0, "localities": ["here", "there"], "kinds": ["box"], "quantum": 2000,
--- a/tests/fleets.py
+++ b/tests/support/replica_case.py
@@ -9,11 +9,10 @@
 import unittest
 from pathlib import Path
 
-from nodes import ROOT, WAIT
-
 from cedarmill.cluster.messages import ExecutorObservation, Heartbeat, HeartbeatReply, Orders, ReadRequest
 from cedarmill.lab.cluster.process_group import free_port
 from cedarmill.net.cluster.operator import NoKeeper, Operator
+from tests.support.node_case import ROOT, WAIT
 
 LONG = 3 * WAIT  # for elections and leases on a machine that runs many tests at once
 LIMITS = ('<limit kind="executor" per="fleet" most="2"/>', '<limit kind="executor" per="zone" most="1"/>',
--- a/tests/faults.py
+++ b/tests/support/system_call_faults.py
@@ -25,7 +25,7 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PLAN, HITS = "plan.json", "hits"
 TRANSPORT_CALLS = frozenset(
     (
--- a/tests/test_faults.py
+++ b/tests/support/test_system_call_faults.py
@@ -1,7 +1,7 @@
 """The layer that breaks system calls: that a node under it serves, meets what is armed, and only that."""
 
-from faults import Fault
-from faulty_nodes import FaultyNodeCase
+from tests.support.faulty_node_case import FaultyNodeCase
+from tests.support.system_call_faults import Fault
 
 
 class Layer(FaultyNodeCase):
