--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from cedarmill.lab.simulation.cluster import S, Shape, Virtual  # noqa: E402
+from cedarmill.lab.simulation.cluster import ClusterSimulation, S, Shape  # noqa: E402
 
 SEEDS = 200
 GRANTS_S = 4.0  # of asking
@@ -46,7 +46,7 @@
     for members in (12, 100, 1000):
         nodes = members // 2
         shape = Shape(nodes=nodes, executors=24, faults=0, drains=0, length=8 * S, works=False)
-        run = Virtual(shape, 1)
+        run = ClusterSimulation(shape, 1)
         run.run()
         marks, between = run.counted, run.between
         seconds = shape.length / S - 4
@@ -56,7 +56,7 @@
 
 def _without(seed: int) -> float | None:
     """Kill the leader once; how long till another leads (s)."""
-    run = Virtual(Shape(faults=0, drains=0, length=16 * S, nodes=2), seed)
+    run = ClusterSimulation(Shape(faults=0, drains=0, length=16 * S, nodes=2), seed)
     run.after(8 * S + seed * 7919 % 100_000, lambda: run.leader().kill())
     run.run()
     leads = [event.at for event in run.history.events if event.what == "leads" and event.at > 8 * S]
@@ -74,7 +74,7 @@
 def _release(job: tuple[str, int]) -> tuple[str, float, int, int]:
     """A release: its end, the time from its first job to the last start (s), nodes reached, jobs it got."""
     version, seed = job
-    run = Virtual(Shape(release=version, faults=0, drains=0, nodes=12, length=60 * S), seed)
+    run = ClusterSimulation(Shape(release=version, faults=0, drains=0, nodes=12, length=60 * S), seed)
     run.run()
     starts = [e.at for e in run.history.events if e.what == "starts" and e.note == version]
     ends = [e.what.removeprefix("release ") for e in run.history.events if e.who == "driver"]
@@ -117,9 +117,9 @@
 def _asker(keepers: list[str], until: float, done: list[int]) -> None:
     from cedarmill.cluster.messages import SubmitRequest
     from cedarmill.cluster.state_machine import commands
-    from cedarmill.net.cluster.operator import Operator, new_id
+    from cedarmill.net.cluster.operator import OperatorClient, new_id
 
-    operator = Operator("bench", keepers, "bench")
+    operator = OperatorClient("bench", keepers, "bench")
     while time.monotonic() < until:
         operator.ask(SubmitRequest(commands.ReturnPermit(0, "bench", new_id(), "executor", "nobody")))
         done.append(1)
@@ -170,10 +170,10 @@
     """Two runs of the same load, one with all keepers killed in the middle."""
     from cedarmill.lab.cluster.report import verdict_of
     from cedarmill.lab.cluster.run import play
-    from cedarmill.lab.cluster.scenario import Happening, read
+    from cedarmill.lab.cluster.scenario import ScenarioEvent, read
 
     plain = dataclasses.replace(read("drains"), timeline=())
-    gone = Happening("process", 3 * S, 0, {"name": "keeper-*", "fault": "kill"})
+    gone = ScenarioEvent("process", 3 * S, 0, {"name": "keeper-*", "fault": "kill"})
     none = dataclasses.replace(plain, fleet=dataclasses.replace(plain.fleet, keepers=0))
     killed = dataclasses.replace(plain, timeline=(gone,))
     for name, scenario in (
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -148,17 +148,19 @@
         uses = {name: set(draw.executors_of(name)) for name in names}
         links = [sum(bool(mine & uses[one]) for one in names if one != name) for name, mine in uses.items()]
         facts = [(f"box-{n}", 50_000, (2.0, 2.0)) for n in range(4)]
-        still, full = (peers.frame(0, GossipUpdate(told, 1 << 40, 1 << 40, 100_000)) for told in ([], facts))
+        still, full = (
+            peers.encode_frame(0, GossipUpdate(told, 1 << 40, 1 << 40, 100_000)) for told in ([], facts)
+        )
         mean, low, high = statistics.mean(links), 1e6 / gossip.STILL_US, 1e6 / gossip.TELL_US
         began = time.process_time()
         for _ in range(FRAMES):
-            peers.Reader().feed(peers.frame(0, GossipUpdate(facts, 1 << 40, 1 << 40, 100_000)))
+            peers.FrameReader().feed(peers.encode_frame(0, GossipUpdate(facts, 1 << 40, 1 << 40, 100_000)))
         cost = (time.process_time() - began) / FRAMES
         purse = dict.fromkeys(("probes", "connects", "retries", "lists"), (10_000, 1_000))
         orders = Orders(
             1 << 40, admission_cut=SheddingThreshold(1000, 500), budget_leases=purse, membership_epoch=1 << 40
         )
-        told = len(peers.frame(0, HeartbeatReply(1, 1, 1, orders)))
+        told = len(peers.encode_frame(0, HeartbeatReply(1, 1, 1, orders)))
         sent, most = mean * low * len(still) / 1024, mean * high * len(full) / 1024
         print(f"{nodes} nodes, {executors} executors: {mean:.0f} links a node, {max(links)} at the most; "
               f"on one {low:.0f} to {high:.0f} frames a second each way, {len(still)} bytes without facts, "
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -300,11 +300,11 @@
                 sides[name] = (process.pid, port)
                 print(f"{boxes} boxes, {name}: {resident:.2f} MB before the first session")
         figures: dict[str, list[float]] = {name: [] for name in sides}
-        for turn in range(ROUNDS + 1):
-            for name, (pid, port) in list(sides.items())[:: 1 if turn % 2 else -1]:
+        for driver in range(ROUNDS + 1):
+            for name, (pid, port) in list(sides.items())[:: 1 if driver % 2 else -1]:
                 before = cpu(pid)
                 bad = uvloop.run(_round(port, count))
-                if turn:  # the first warms up
+                if driver:  # the first warms up
                     figures[name].append((cpu(pid) - before) / count * 1e6)
                 if bad:
                     print(f"{boxes} boxes, {name}: {bad} of {count} not served")
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -204,10 +204,10 @@
 
 def bugs(seeds: int) -> None:
     """Planted bugs."""
-    from cedarmill.lab.simulation.zones.mutants import BUGS, hunt
+    from cedarmill.lab.simulation.zones.mutants import MUTANTS, hunt
 
     with multiprocessing.get_context("spawn").Pool(WORKERS) as pool:
-        for found in pool.imap(functools.partial(hunt, seeds=range(1, seeds + 1)), BUGS):
+        for found in pool.imap(functools.partial(hunt, seeds=range(1, seeds + 1)), MUTANTS):
             law = found.law or "not seen"
             print(f"{found.bug}: {law}, {found.incident}, seed {found.seed}, {found.seconds} s")
 
--- a/cedarmill/cli/cluster.py
+++ b/cedarmill/cli/cluster.py
@@ -37,7 +37,7 @@
         """
         from cedarmill.conf.document import ConfError
         from cedarmill.conf.settings import Settings
-        from cedarmill.net.cluster.operator import Operator
+        from cedarmill.net.cluster.operator import OperatorClient
 
         if (self.conf is None) == (self.keepers is None):
             raise ConfError("give -c FILE, or --keepers and --cluster")
@@ -45,18 +45,18 @@
             part = Settings(self.conf).options.fleet
             if part is None:
                 raise ConfError(f"{self.conf}: no <fleet>")
-            return Operator(part.cluster, list(part.keepers.values()), self.who)
+            return OperatorClient(part.cluster, list(part.keepers.values()), self.who)
         if not self.cluster:
             raise ConfError("--keepers takes --cluster")
-        return Operator(self.cluster, [place for place in self.keepers.split(",") if place], self.who)
+        return OperatorClient(self.cluster, [place for place in self.keepers.split(",") if place], self.who)
 
     def ask(self, ask: Any) -> Any:
         """The answer; ends the command where no keeper gives one."""
-        from cedarmill.net.cluster.operator import NoKeeper
+        from cedarmill.net.cluster.operator import NoReplicaError
 
         try:
             return self.operator.ask(ask)
-        except NoKeeper as error:
+        except NoReplicaError as error:
             click.echo(f"no keeper answered: {error}", err=True)
             sys.exit(NOBODY)
 
--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -83,12 +83,12 @@
     import msgspec
 
     from cedarmill.conf.document import ConfError
-    from cedarmill.lab.history import Story
+    from cedarmill.lab.history import History
 
     stories = []
     for path in runs:
         try:
-            stories.append(msgspec.json.decode(path.read_bytes(), type=Story))
+            stories.append(msgspec.json.decode(path.read_bytes(), type=History))
         except msgspec.MsgspecError as error:
             raise ConfError(f"{path}: no run of the laboratory: {error}") from None
     sys.exit(_tell(stories, out))
@@ -167,7 +167,7 @@
     from rich.table import Table
 
     from cedarmill.lab import report as reports
-    from cedarmill.lab.checker import judge
+    from cedarmill.lab.checker import check_history
 
     table = Table("", *(f"{story.side}\nseed {story.seed}" for story in stories))
     for name, cells in reports.rows(stories):
@@ -177,7 +177,7 @@
     for story in stories:
         if not story.kept_promise:
             click.echo(f"{story.side} seed {story.seed}: this machine was late by {story.lag / 1000:.0f} ms")
-        for rule, found in judge(story).items():
+        for rule, found in check_history(story).items():
             broken += len(found)
             for text in found[:3]:
                 click.echo(f"{story.side} seed {story.seed}: {rule}: {text}")
--- a/cedarmill/conf/cluster.py
+++ b/cedarmill/conf/cluster.py
@@ -5,7 +5,7 @@
 
 from cedarmill.conf.document import ConfError, load, microseconds, share
 from cedarmill.conf.settings import address, fleet_part, named_addresses
-from cedarmill.values import KeeperOptions, LimitOptions, StewardOptions, UnitOptions
+from cedarmill.values import LimitOptions, ReplicaOptions, SupervisorOptions, UnitOptions
 
 
 def limit(path: str | Path, element) -> LimitOptions:
@@ -21,7 +21,7 @@
     return -1 if text is None else round(share(text) * 1000)
 
 
-def keeper(path: str | Path) -> KeeperOptions:
+def keeper(path: str | Path) -> ReplicaOptions:
     """A keeper's file; raises ConfError or OSError."""
     root = load(path, "keeper")
     peers = named_addresses(path, root.findall("peer"))
@@ -40,7 +40,7 @@
         raise ConfError(f"{path}:{root.findall('budget')[-1].sourceline}: <budget> name: one is named twice")
     if (zones := root.find("zones")) is not None:
         values |= zoning(path, zones)
-    return KeeperOptions(
+    return ReplicaOptions(
         root.get("cluster"),
         root.get("name"),
         listen,
@@ -80,13 +80,13 @@
     }
 
 
-def steward(path: str | Path) -> StewardOptions:
+def steward(path: str | Path) -> SupervisorOptions:
     """A steward's file; raises ConfError or OSError."""
     root = load(path, "steward")
     units = tuple(_unit(path, element) for element in root.findall("unit"))
     if len({unit.name for unit in units}) < len(units):
         raise ConfError(f"{path}:{root.sourceline}: <unit> name: one is named twice")
-    return StewardOptions(root.get("name"), root.get("data"), fleet_part(path, root.find("fleet")), units)
+    return SupervisorOptions(root.get("name"), root.get("data"), fleet_part(path, root.find("fleet")), units)
 
 
 def _unit(path: str | Path, element) -> UnitOptions:
--- a/cedarmill/conf/settings.py
+++ b/cedarmill/conf/settings.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from cedarmill.conf.document import ConfError, duration, load, microseconds, share
-from cedarmill.values import DeadlineOptions, FleetOptions, HealthOptions, KindOptions, Options
+from cedarmill.values import ClusterOptions, DeadlineOptions, HealthOptions, KindOptions, Options
 
 
 class Held(NamedTuple):
@@ -79,11 +79,11 @@
     return found
 
 
-def fleet_part(path, element) -> FleetOptions:
+def fleet_part(path, element) -> ClusterOptions:
     """A `<fleet>` element; raises ConfError."""
     keepers = named_addresses(path, element.findall("keeper"))
     listen = address(path, element, "listen") if element.get("listen") else ""
-    return FleetOptions(element.get("cluster"), keepers, listen, element.get("cut-off", "serve"),
+    return ClusterOptions(element.get("cluster"), keepers, listen, element.get("cut-off", "serve"),
                         element.get("start", "wait"), _stays(path, element))  # fmt: skip
 
 
@@ -169,7 +169,7 @@
                 raise ConfError(f"{where}: <{name}> listen: {found[name]!r} is not ADDRESS:PORT")
         return HealthOptions(**found)
 
-    def _fleet(self) -> FleetOptions | None:
+    def _fleet(self) -> ClusterOptions | None:
         element = self._find("fleet")
         if element is None:
             self._hold("fleet", "off", None)
--- a/cedarmill/core/actions.py
+++ b/cedarmill/core/actions.py
@@ -10,7 +10,7 @@
 from cedarmill.deadlines import propagation
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
-from cedarmill.log import say
+from cedarmill.log import log_event
 
 if TYPE_CHECKING:
     from cedarmill.core.dispatch import Dispatch
@@ -36,7 +36,7 @@
         try:
             self._handlers[type(action)](now, action)
         except Exception:
-            say("defect", True, what=f"action {type(action).__name__}")
+            log_event("defect", True, what=f"action {type(action).__name__}")
 
     def send(self, now: int, action: api.Send) -> None:
         """Start the next attempt of a request, if it may still be sent."""
@@ -59,7 +59,7 @@
         try:
             dispatch.executors.send(attempt)
         except Exception:
-            say("defect", True, what="send")
+            log_event("defect", True, what="send")
             dispatch.attempt_ended(now, attempt, Outcome.RESET)  # how far it came is not known
 
     def cancel(self, now: int, action: api.Cancel) -> None:
@@ -77,7 +77,7 @@
         try:
             over = self.dispatch.executors.cancel(attempt, now_or_never) is not False
         except Exception:
-            say("defect", True, what="cancel")
+            log_event("defect", True, what="cancel")
         if over or now_or_never:
             self.dispatch.attempt_ended(now, attempt, outcome)
 
@@ -102,7 +102,7 @@
         try:
             dispatch.executors.probe(probe)
         except Exception:
-            say("defect", True, what="probe")
+            log_event("defect", True, what="probe")
             dispatch.probe_ended(now, probe, Outcome.CONNECT_FAILED)  # or the balancer would wait for ever
 
     def recall(self, now: int, probe: Probe) -> None:
@@ -110,7 +110,7 @@
         try:
             self.dispatch.executors.recall(probe)
         except Exception:
-            say("defect", True, what="recall")
+            log_event("defect", True, what="recall")
         self.dispatch.probe_ended(now, probe, Outcome.MOOT)
 
     def subscribe(self, now: int, action: api.Subscribe) -> None:
@@ -120,7 +120,7 @@
                 self.dispatch.discovery.watch()
                 return
         except Exception:
-            say("defect", True, what="watch")
+            log_event("defect", True, what="watch")
         failed = api.EndpointList(api.EndpointListKind.FAILED, [])  # the balancer asks again, later each time
         self.dispatch.on_endpoint_list(now, failed)
 
--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -17,7 +17,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import Outcome
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.values import DeadlineOptions
 
 HOLD_UP_US = 150_000  # a node may be held up so long between its clock and its write (standing test)
@@ -249,7 +249,7 @@
         try:
             actions = self.balancer.handle(now, event)
         except Exception:
-            say("defect", True, what=f"brain on {type(event).__name__}")
+            log_event("defect", True, what=f"brain on {type(event).__name__}")
             actions = []
             if request is not None and not request.answered:  # it may never hear of this request again
                 self.give_final_answer(now, request.id, Failed())
@@ -270,7 +270,7 @@
         try:
             answer.give(request.client)
         except Exception:
-            say("defect", True, what="answer")
+            log_event("defect", True, what="answer")
 
     def _close(self, request: Request) -> None:
         request.answered = True
@@ -289,6 +289,6 @@
             if attempt.outcome is None:
                 self.actions.give_up(now, attempt, Outcome.TIMEOUT, now_or_never=True)
         if not request.answered:
-            say("overdue-unanswered")
+            log_event("overdue-unanswered")
             self.give_final_answer(now, request.id, Failed())
             self.deliver(now, api.RequestWithdrawn(request.id), request)
--- a/cedarmill/lab/checker.py
+++ b/cedarmill/lab/checker.py
@@ -7,7 +7,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterator
 
-from cedarmill.lab.history import Story, Visit
+from cedarmill.lab.history import History, Visit
 
 SLACK_US = 50_000  # past a budget in which an answer still counts (protocol page)
 DRAIN_US = 1_500_000  # after a drain was told, in which work may still come
@@ -15,7 +15,7 @@
 LATE_TIMES = 4  # the node waits its turn on the same machine as we do: so many times our own loop's lateness
 
 
-def one_final_answer(story: Story) -> Iterator[str]:
+def one_final_answer(story: History) -> Iterator[str]:
     """Each call that stayed has exactly one, in time, unless its connection broke; who left has none."""
     for call in story.calls:
         if len(call.answers) > 1:
@@ -29,7 +29,7 @@
             yield f"call {call.id}: answered after it left"
 
 
-def true_results(story: Story) -> Iterator[str]:
+def true_results(story: History) -> Iterator[str]:
     """A served call got what a box made for that very call."""
     made = {f"{visit.id} by {visit.box}" for visit in story.visits if visit.outcome == "done"}
     for call in story.calls:
@@ -38,7 +38,7 @@
                 yield f"call {call.id}: served with {answer.result!r}, which no box made for it"
 
 
-def _may_have_run(story: Story) -> dict[int, list[Visit]]:
+def _may_have_run(story: History) -> dict[int, list[Visit]]:
     """The visits of each job that may have run, in order, over all tries of its client."""
     jobs = {call.id: call.job for call in story.calls}
     found: dict[int, list[Visit]] = defaultdict(list)
@@ -48,7 +48,7 @@
     return found
 
 
-def no_forbidden_repeat(story: Story) -> Iterator[str]:
+def no_forbidden_repeat(story: History) -> Iterator[str]:
     """Unsafe: once. Keyed: again only in the same zone, and within its window."""
     for job, visits in _may_have_run(story).items():
         rules = story.classes.get(visits[0].job_class)
@@ -67,7 +67,7 @@
                     yield f"job {job}: {again.job_class} again at {again.box}, {how}"
 
 
-def nothing_after_a_drain(story: Story) -> Iterator[str]:
+def nothing_after_a_drain(story: History) -> Iterator[str]:
     """No box gets work later than DRAIN_US after its drain was told."""
     told = {drain.box: drain.at for drain in story.drains}
     for visit in story.visits:
@@ -76,7 +76,7 @@
             yield f"call {visit.id}: reached {visit.box} {after:.3f} s after its drain"
 
 
-def late_starts(story: Story) -> list[tuple[Visit, int]]:
+def late_starts(story: History) -> list[tuple[Visit, int]]:
     """Attempts whose last byte reached a box though the client had left before, and how long before (us).
 
     Not those that a node could not have called back: within LEAVE_US, and on a machine that ran late no
@@ -88,13 +88,13 @@
             if visit.id in left and visit.at > left[visit.id] + grace]  # fmt: skip
 
 
-def nothing_for_who_left(story: Story) -> Iterator[str]:
+def nothing_for_who_left(story: History) -> Iterator[str]:
     """No attempt starts for a client that has left, where nodes stop work for those."""
     for visit, after in late_starts(story) if story.stops else ():
         yield f"call {visit.id}: reached {visit.box} {after / 1e3:.1f} ms after its client left"
 
 
-RULES: dict[str, Callable[[Story], Iterator[str]]] = {
+RULES: dict[str, Callable[[History], Iterator[str]]] = {
     "exactly one final answer": one_final_answer,
     "served with true results": true_results,
     "no forbidden repeat": no_forbidden_repeat,
@@ -103,6 +103,6 @@
 }
 
 
-def judge(story: Story) -> dict[str, list[str]]:
+def check_history(story: History) -> dict[str, list[str]]:
     """The breaches of each rule, by its name."""
     return {name: list(rule(story)) for name, rule in RULES.items()}
--- a/cedarmill/lab/cluster/executors.py
+++ b/cedarmill/lab/cluster/executors.py
@@ -3,18 +3,18 @@
 import asyncio
 from collections.abc import Callable
 
-from cedarmill.lab.cluster.history import History
-from cedarmill.lab.executor import Box, BoxWire
+from cedarmill.lab.cluster.history import EventHistory
+from cedarmill.lab.executor import EmulatedExecutor, ExecutorConnection
 
 COLD_SHARE = 0.3  # of its speed that a started executor has at first (brief: 30 %)
 WARM_S = 2.0  # till it has all: shorter than the brief's 8.9 s, so that a round of seconds sees the end of it
 WARM_STEPS = 8  # in which it warms up
 
 
-class Executor(Box):
+class Executor(EmulatedExecutor):
     """A box under one name and address over several lives."""
 
-    history: History
+    history: EventHistory
     on_up: Callable[[str], None] = staticmethod(lambda name: None)  # told of each new life
     planned = False  # whether its being down was meant
     alive = True
@@ -27,8 +27,8 @@
         self.port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
 
-    def _wire(self) -> BoxWire:
-        return BoxWire(self)
+    def _wire(self) -> ExecutorConnection:
+        return ExecutorConnection(self)
 
     def down(self, planned: bool) -> int:
         """It ends now; the number of jobs that were lost with it."""
--- a/cedarmill/lab/cluster/faults.py
+++ b/cedarmill/lab/cluster/faults.py
@@ -11,10 +11,10 @@
 
 from cedarmill.conf.document import microseconds, share
 from cedarmill.lab.cluster.links import LinkFault
-from cedarmill.lab.cluster.scenario import Happening
+from cedarmill.lab.cluster.scenario import ScenarioEvent
 
 if TYPE_CHECKING:
-    from cedarmill.lab.cluster.run import FleetRun
+    from cedarmill.lab.cluster.run import ClusterRun
 
 CHANCE_S = (0.3, 2.5)  # how long a fault by chance lasts, between these
 ZONE_US = 3_000_000  # that a fault of a zone lasts longer than others by chance
@@ -26,7 +26,7 @@
 class Faults:
     """Lets what the timeline says happen to a run."""
 
-    def __init__(self, run: "FleetRun") -> None:
+    def __init__(self, run: "ClusterRun") -> None:
         self.run = run
         self.dice = numpy.random.Generator(numpy.random.PCG64(run.seeds[4]))
         self._timers: list[asyncio.TimerHandle] = []
@@ -35,7 +35,7 @@
         self._endings: list[tuple[object, Callable[[], None]]] = []
         self.stopped: set[int] = set()  # processes of units that stand still
 
-    def plan(self, timeline: Iterable[Happening]) -> None:
+    def plan(self, timeline: Iterable[ScenarioEvent]) -> None:
         """Enter all of it."""
         for entry in timeline:
             for at, one in self._drawn(entry):
@@ -63,7 +63,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _drawn(self, entry: Happening) -> list[tuple[int, Happening]]:
+    def _drawn(self, entry: ScenarioEvent) -> list[tuple[int, ScenarioEvent]]:
         """An entry by chance becomes those that the seed draws."""
         if entry.what != "chance":
             return [(entry.at, entry)]
@@ -83,21 +83,21 @@
             else:
                 found.append((int(at), self._by_chance(kind, places, int(at), lasts)))
 
-    def _by_chance(self, kind: str, places: list[str], at: int, lasts: int) -> Happening:
+    def _by_chance(self, kind: str, places: list[str], at: int, lasts: int) -> ScenarioEvent:
         names = [name for name in self._names() if name.partition("-")[0] in places]
         name = str(self.dice.choice(names))
         if kind in PROCESS_FAULTS:
             words = {"name": name, "fault": kind, "size": SLOW_DUTY}
-            return Happening("process", at, lasts, words)
+            return ScenarioEvent("process", at, lasts, words)
         if kind in LINK_FAULTS:
             other = str(self.dice.choice([one for one in names if one != name] or ["*"]))
             both = self.dice.random() < 0.5
             words = {"from": name, "to": other if both else "*", "fault": kind, "share": "30%",
                      "delay": "400ms"}  # fmt: skip
-            return Happening("link", at, lasts, words)
-        return Happening("disk", at, lasts, {"name": name, "fault": kind})
+            return ScenarioEvent("link", at, lasts, words)
+        return ScenarioEvent("disk", at, lasts, {"name": name, "fault": kind})
 
-    def _on_zones(self, kind: str, at: int, lasts: int) -> list[Happening]:
+    def _on_zones(self, kind: str, at: int, lasts: int) -> list[ScenarioEvent]:
         """A fault of a whole zone, or of what lies between two."""
         zones = self.run.scenario.fleet.zone_names
         one, other = (str(name) for name in self.dice.choice(zones, 2, replace=False))
@@ -105,14 +105,14 @@
         fault = kind.removeprefix("zone-")
         if fault in ("kill", "slow", "reset", "refuse"):
             words = {"name": f"box@{one}", "fault": fault, "size": "50%" if fault == "slow" else "33%"}
-            return [Happening("executor", at, lasts, words)]
+            return [ScenarioEvent("executor", at, lasts, words)]
         if fault == "blind":
-            return [Happening("process", at, lasts, {"name": f"node@{one}", "fault": "pause"})]
+            return [ScenarioEvent("process", at, lasts, {"name": f"node@{one}", "fault": "pause"})]
         words = {"from": f"node@{one}", "to": f"box@{other}", "share": "20%", "delay": "300ms",
                  "fault": {"one-way": "cut"}.get(fault, fault)}  # fmt: skip
-        found = [Happening("link", at, lasts, words)]
+        found = [ScenarioEvent("link", at, lasts, words)]
         if fault != "one-way":
-            found.append(Happening("link", at, lasts, words | {"from": words["to"], "to": words["from"]}))
+            found.append(ScenarioEvent("link", at, lasts, words | {"from": words["to"], "to": words["from"]}))
         return found
 
     def _names(self) -> list[str]:
@@ -137,11 +137,11 @@
 
     # Processes.
 
-    def _process(self, entry: Happening) -> None:
+    def _process(self, entry: ScenarioEvent) -> None:
         for name in self._matching(entry.words["name"]):
             self._one_process(name, entry)
 
-    def _one_process(self, name: str, entry: Happening) -> None:
+    def _one_process(self, name: str, entry: ScenarioEvent) -> None:
         process, fault = self.run.processes.get(name), entry.words["fault"]
         if process is None:
             self._unit(name, entry)
@@ -161,7 +161,7 @@
             process.slow(share(entry.words["size"]))
             self._ends(entry.at + entry.lasts, process.full_speed)
 
-    def _unit(self, name: str, entry: Happening) -> None:
+    def _unit(self, name: str, entry: ScenarioEvent) -> None:
         """A node that its steward has started: its processes are known by their ids."""
         fault = entry.words["fault"]
         numbers = {"kill": signal.SIGKILL, "term": signal.SIGTERM, "pause": signal.SIGSTOP}
@@ -186,7 +186,7 @@
 
     # Links.
 
-    def _link(self, entry: Happening) -> None:
+    def _link(self, entry: ScenarioEvent) -> None:
         words = entry.words
         sizes = {
             "drop": lambda: share(words["share"]),
@@ -200,7 +200,7 @@
             for target in self._matching(words["to"]) if words["to"] != "*" else ["*"]:
                 self._cut(source, target, fault, entry)
 
-    def _cut(self, source: str, target: str, fault: LinkFault, entry: Happening) -> None:
+    def _cut(self, source: str, target: str, fault: LinkFault, entry: ScenarioEvent) -> None:
         told = f"{source}>{target}"
         self.run.history.tell("lab", f"link {fault.kind}", told, number=entry.lasts / 1e6)
         for direction in self.run.links.directions(source, target):
@@ -208,7 +208,7 @@
             if entry.lasts:
                 self._ends(entry.at + entry.lasts, direction.lift, fault.kind)
 
-    def _partition(self, entry: Happening) -> None:
+    def _partition(self, entry: ScenarioEvent) -> None:
         """Among the keepers, with the members on either side."""
         keepers = sorted(name for name in self.run.processes if name.startswith("keeper"))
         leader = self.run.leader() or keepers[0]
@@ -237,12 +237,12 @@
 
     # Disks, executors, operators.
 
-    def _disk(self, entry: Happening) -> None:
+    def _disk(self, entry: ScenarioEvent) -> None:
         for name in self._matching(entry.words["name"]):
             self.run.history.tell("lab", f"disk {entry.words['fault']}", name)
             self.run.disk_fault(name, entry.words["fault"], entry.lasts)
 
-    def _executor(self, entry: Happening) -> None:
+    def _executor(self, entry: ScenarioEvent) -> None:
         for name in self._matching(entry.words["name"]):
             box, fault = self.run.executors[name], entry.words["fault"]
             if fault == "kill":
@@ -259,7 +259,7 @@
         box.lift(fault)
         self.run.history.tell(box.name, "found", box.name, note="fault")
 
-    def _operator(self, entry: Happening) -> None:
+    def _operator(self, entry: ScenarioEvent) -> None:
         self.run.operators.act(entry)
 
     def heal(self) -> None:
--- a/cedarmill/lab/cluster/history.py
+++ b/cedarmill/lab/cluster/history.py
@@ -21,7 +21,7 @@
     number: float = 0.0
 
 
-class History:
+class EventHistory:
     """The events of a run, in the order in which they were told."""
 
     def __init__(self, clock: Callable[[], int]) -> None:
@@ -45,7 +45,7 @@
 
 
 def read(path: Path) -> list[Event]:
-    """The events of a file written by `History.write`; raises OSError or ValueError naming the line."""
+    """The events of a file written by `EventHistory.write`; raises OSError or ValueError naming the line."""
     decoder, found = msgspec.json.Decoder(Event), []
     for number, line in enumerate(path.read_bytes().splitlines(), 1):
         try:
--- a/cedarmill/lab/cluster/invariants.py
+++ b/cedarmill/lab/cluster/invariants.py
@@ -11,7 +11,7 @@
 from cedarmill.lab.checker import no_forbidden_repeat, one_final_answer, true_results
 from cedarmill.lab.cluster import linearizability as linear
 from cedarmill.lab.cluster.history import Event
-from cedarmill.lab.history import Story, Visit
+from cedarmill.lab.history import History, Visit
 from cedarmill.values import LimitOptions
 
 KNOWN_US = 4_000_000  # after which the fleet has to know of a loss that nobody planned, where all try at once
@@ -26,7 +26,7 @@
     limits: tuple[LimitOptions, ...] = ()
     places: dict[str, dict[str, str]] = field(default_factory=dict)  # of a target: kind, zone, type, group
     slots: dict[str, int] = field(default_factory=dict)
-    story: Story | None = None
+    story: History | None = None
     cold: int = 0  # us that an executor which came back counts in part; 0: not asked
     known: int = KNOWN_US
     found: list[str] = field(default_factory=list)  # breaches that the run itself saw in what keepers agreed
@@ -305,7 +305,7 @@
             yield from rule(record.story)
 
 
-LAWS: dict[str, Callable[[Record], Iterator[str]]] = {
+INVARIANTS: dict[str, Callable[[Record], Iterator[str]]] = {
     "never too many out": never_too_many_out,
     "cold ones count": cold_ones_count,
     "same id, same outcome": same_id_same_outcome,
@@ -326,7 +326,7 @@
 
 def verdict(record: Record) -> dict[str, list[str]]:
     """The breaches of each law, by its name."""
-    return {name: list(law(record)) for name, law in LAWS.items()}
+    return {name: list(law(record)) for name, law in INVARIANTS.items()}
 
 
 def most_out(record: Record) -> tuple[int, int]:
--- a/cedarmill/lab/cluster/mutants.py
+++ b/cedarmill/lab/cluster/mutants.py
@@ -39,7 +39,7 @@
 )
 from cedarmill.cluster.state_machine.commands import ConfirmDrained, ExpireSessions
 from cedarmill.cluster.supervision import ProcessSupervisor
-from cedarmill.lab.simulation.cluster import Disk, VNode
+from cedarmill.lab.simulation.cluster import Disk, SimulatedNode
 from cedarmill.lab.simulation.raft_log import Node
 
 Patch = tuple[object, str, Any]  # where, the name, what stands there instead
@@ -289,7 +289,7 @@
 
 def sends_before_it_was_told() -> list[Patch]:
     """A node that has just started sends before it has heard what is out."""
-    return [(VNode, "may_send", lambda self: True)]
+    return [(SimulatedNode, "may_send", lambda self: True)]
 
 
 def older_orders_followed() -> list[Patch]:
@@ -399,7 +399,7 @@
     return [(budget_grants, "acknowledge", follows)]
 
 
-BUGS: dict[str, Callable[[], list[Patch]]] = {
+MUTANTS: dict[str, Callable[[], list[Patch]]] = {
     bug.__name__.replace("_", "-"): bug
     for bug in (
         grant_counted_late,
@@ -440,7 +440,7 @@
 @contextlib.contextmanager
 def planted(name: str) -> Iterator[None]:
     """While it lasts the bug is there; an empty name plants none."""
-    with planted_patches(BUGS[name]() if name else []):
+    with planted_patches(MUTANTS[name]() if name else []):
         yield
 
 
--- a/cedarmill/lab/cluster/operators.py
+++ b/cedarmill/lab/cluster/operators.py
@@ -9,11 +9,11 @@
 from cedarmill.cluster.state import ReleasePlan
 from cedarmill.cluster.state_machine import commands
 from cedarmill.conf.document import microseconds
-from cedarmill.lab.cluster.scenario import Happening
-from cedarmill.net.cluster.operator import Operator, new_id
+from cedarmill.lab.cluster.scenario import ScenarioEvent
+from cedarmill.net.cluster.operator import OperatorClient, new_id
 
 if TYPE_CHECKING:
-    from cedarmill.lab.cluster.run import FleetRun
+    from cedarmill.lab.cluster.run import ClusterRun
 
 CALL_S = 2.0  # for a door to answer: the page owes it within 1 s
 DRAIN_S = 1.6  # after the last door's yes: the rule on drains, and the call's own time
@@ -43,7 +43,7 @@
 class Operators:
     """All operators of a run."""
 
-    def __init__(self, run: "FleetRun") -> None:
+    def __init__(self, run: "ClusterRun") -> None:
         self.run = run
         self._tasks: set[asyncio.Task] = set()
         self.failed: list[str] = []
@@ -53,7 +53,7 @@
     def busy(self) -> bool:
         return bool(self._tasks)
 
-    def act(self, entry: Happening) -> None:
+    def act(self, entry: ScenarioEvent) -> None:
         """Let an operator do what an entry of the timeline says."""
         words = entry.words
         act = getattr(self, f"_{words['act']}")
@@ -76,7 +76,7 @@
 
     async def ask(self, who: str, ask: ClientRequest) -> ClientReply:
         """Ask the keepers till one answers; the same request each time."""
-        operator = Operator("lab", self.run.crew.addresses, who)
+        operator = OperatorClient("lab", self.run.crew.addresses, who)
         for _ in range(PATIENCE):
             try:
                 return await asyncio.to_thread(operator.ask, ask, ASK_S)
--- a/cedarmill/lab/cluster/process_group.py
+++ b/cedarmill/lab/cluster/process_group.py
@@ -17,7 +17,7 @@
 from cedarmill.lab.cluster.processes import Process, environment
 
 if TYPE_CHECKING:
-    from cedarmill.lab.cluster.run import FleetRun
+    from cedarmill.lab.cluster.run import ClusterRun
 
 CLUSTER = "lab"
 FIRST_VERSION = "v1"
@@ -46,17 +46,22 @@
         return sock.getsockname()[1]
 
 
-class Crew:
+class ProcessGroup:
     """All of a run that agree, and the nodes that follow."""
 
-    def __init__(self, run: "FleetRun") -> None:
+    def __init__(self, run: "ClusterRun") -> None:
         self.run = run
         self.ports = {f"keeper-{n}": free_port() for n in range(run.scenario.fleet.keepers)}
         self.leading = ""
         self.acting: dict[str, int] = {}  # by unit: the epoch of the order that is being acted on
         self.listens: dict[str, int] = {}  # clients' ports of nodes under stewards
-        self.told = {"keeper-role": self._role, "steward-acts": self._acts, "steward-starts": self._starts,
-                     "steward-ready": self._ready, "steward-ended": self._ended}  # fmt: skip
+        self.told = {
+            "replica-role": self._role,
+            "supervisor-acts": self._acts,
+            "supervisor-starts": self._starts,
+            "supervisor-ready": self._ready,
+            "supervisor-process-ended": self._ended,
+        }
 
     @property
     def addresses(self) -> list[str]:
@@ -198,7 +203,7 @@
         process = Process(name, command, environment(), self.run.process_told, self.heard)
         self.run.processes[name] = process
         await process.start()
-        await process.said('"steward-ready"', START_S)
+        await process.said('"supervisor-ready"', START_S)
         self.run.ports[node] = self.listens[node]
 
     def unit(self, node: str) -> dict:
--- a/cedarmill/lab/cluster/run.py
+++ b/cedarmill/lab/cluster/run.py
@@ -18,15 +18,15 @@
 from cedarmill.conf.document import ConfError
 from cedarmill.lab.cluster.executors import WARM_S, Executor
 from cedarmill.lab.cluster.faults import Faults
-from cedarmill.lab.cluster.history import History
+from cedarmill.lab.cluster.history import EventHistory
 from cedarmill.lab.cluster.invariants import Record
 from cedarmill.lab.cluster.links import Links
 from cedarmill.lab.cluster.operators import Operators
-from cedarmill.lab.cluster.process_group import Crew
+from cedarmill.lab.cluster.process_group import ProcessGroup
 from cedarmill.lab.cluster.processes import Process, environment
-from cedarmill.lab.cluster.scenario import FleetScenario
-from cedarmill.lab.discovery import Director
-from cedarmill.lab.history import Story
+from cedarmill.lab.cluster.scenario import ClusterScenario
+from cedarmill.lab.discovery import DiscoveryServer
+from cedarmill.lab.history import History
 from cedarmill.lab.load import Load
 from cedarmill.lab.run import platform_settings
 
@@ -44,7 +44,7 @@
     return float(body)
 
 
-class FleetLoad(Load):
+class ClusterLoad(Load):
     """Each call on a connection of its own, node by node: one that has just started gets its part at once."""
 
     def _idle(self) -> None:
@@ -52,19 +52,19 @@
             self.idle.pop().transport.close()
 
 
-class FleetRun:
+class ClusterRun:
     """One scenario, one seed."""
 
-    def __init__(self, scenario: FleetScenario, seed: int, folder: Path,
+    def __init__(self, scenario: ClusterScenario, seed: int, folder: Path,
                  told: Callable[[float], None] = lambda done: None) -> None:  # fmt: skip
         self.scenario, self.seed, self.folder, self.told = scenario, seed, folder, told
         self.began = time.monotonic_ns() // 1000
         seeds = numpy.random.SeedSequence(seed).spawn(6)  # fleet, boxes, clients, links, faults, operators
         self.seeds = seeds
-        self.history = History(self.clock)
+        self.history = EventHistory(self.clock)
         self.links = Links(seeds[3])
         self.executors: dict[str, Executor] = {}
-        self.directors: dict[str, Director] = {}
+        self.directors: dict[str, DiscoveryServer] = {}
         self.processes: dict[str, Process] = {}
         self.ports: dict[str, int] = {}  # clients', by node
         self.doors: dict[str, int] = {}  # operators', by node
@@ -72,7 +72,7 @@
         self.visits: list = []
         self.spent: list[tuple[int, str]] = []  # at executors: when, of which budget
         self.load: Load | None = None
-        self.crew = Crew(self)
+        self.crew = ProcessGroup(self)
         self.operators = Operators(self)
         self.faults = Faults(self)
         self.ending = False
@@ -132,9 +132,9 @@
         for director in self.directors.values():
             director.restarted(name, since_ms)
 
-    async def _director(self, node: str) -> Director:
+    async def _director(self, node: str) -> DiscoveryServer:
         """The list as one node sees it: with its own links to the executors, where links are faulty."""
-        director = self.directors[node] = Director(self.clock)
+        director = self.directors[node] = DiscoveryServer(self.clock)
         await director.open()
         for box in self.executors.values():
             address = box.address
@@ -178,9 +178,9 @@
             door = await process.said("operators' door on", START_S, since)
             self.doors[name] = int(door.split()[-1])
         elif name.startswith("keeper"):
-            await process.said('"keeper-serves"', START_S, since)
+            await process.said('"replica-serves"', START_S, since)
         elif name.startswith("steward"):
-            await process.said('"steward-serves"', START_S, since)
+            await process.said('"supervisor-serves"', START_S, since)
 
     async def start_again(self, name: str, disk: str) -> None:
         """Start a process that has ended, with the disk that is asked for."""
@@ -229,7 +229,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         current = asyncio.current_task()  # ended from outside, it ends all that it has started
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, current.cancel)
-        story = Story(self.scenario.name, "fleet", self.seed, self.scenario.length, self.scenario.rules)
+        story = History(self.scenario.name, "fleet", self.seed, self.scenario.length, self.scenario.rules)
         try:
             await self.open()
             gc.collect()
@@ -238,7 +238,7 @@
             self.began += began
             for event in self.history.events:  # what happened before has negative times
                 event.at -= began
-            self.load = FleetLoad(self.clock, self.seeds[2], self.scenario.habits, self.scenario.rate,
+            self.load = ClusterLoad(self.clock, self.seeds[2], self.scenario.habits, self.scenario.rate,
                              lambda: list(self.ports.values()), "close")  # fmt: skip
             self.load.start(self.scenario.length)
             self.faults.plan(self.scenario.timeline)
@@ -270,7 +270,7 @@
         if self.scenario.fleet.keepers:
             await self.operators.name_open()
 
-    def _record(self, story: Story) -> Record:
+    def _record(self, story: History) -> Record:
         places = {box.name: {"kind": "executor", "zone": box.zone, "type": KIND, "group": "0"}
                   for box in self.executors.values()}  # fmt: skip
         for number, name in enumerate(self.nodes):
@@ -308,12 +308,12 @@
         self.links.close()
 
 
-def play(scenario: FleetScenario, seed: int, folder: Path | None = None,
+def play(scenario: ClusterScenario, seed: int, folder: Path | None = None,
          told: Callable[[float], None] = lambda done: None) -> Record:  # fmt: skip
     """Play a scenario with one seed; what it left goes to `folder` where one is given."""
     with tempfile.TemporaryDirectory(prefix="cedarmill-fleet-") as spare, asyncio.Runner(
             loop_factory=uvloop.new_event_loop) as runner:  # fmt: skip
-        run = FleetRun(scenario, seed, folder or Path(spare), told)
+        run = ClusterRun(scenario, seed, folder or Path(spare), told)
         record = runner.run(run.play())
         run.history.write(run.folder / "history.jsonl")
         return record
--- a/cedarmill/lab/cluster/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Happening:
+class ScenarioEvent:
     """One entry of the timeline: an element's name, when, how long (0: for good), and its other words."""
 
     what: str
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetScenario:
+class ClusterScenario:
     """All of a scenario but its seed."""
 
     name: str
@@ -70,7 +70,7 @@
     rules: dict[str, ClassRules]
     worths: dict[str, float]
     limits: tuple[LimitOptions, ...]
-    timeline: tuple[Happening, ...]
+    timeline: tuple[ScenarioEvent, ...]
     stays: dict[str, str] = field(default_factory=dict)  # classes that may not leave their zone or region
     budgets: tuple[tuple[str, int, int], ...] = ()  # name, rate (thousandths/s), nodes with a floor
 
@@ -80,13 +80,13 @@
     return lab.shipped(SHIPPED)
 
 
-def read(name: str) -> FleetScenario:
+def read(name: str) -> ClusterScenario:
     """A shipped scenario by its name, or a file by its path; raises ConfError or OSError."""
     path = lab.locate(name, SHIPPED)
     root = load(path, "fleet-scenario")
     classes = root.findall("load/class")
     timeline = tuple(_happening(path, element) for element in root if element.tag in _NEEDS)
-    return FleetScenario(
+    return ClusterScenario(
         path.stem, root.get("about"), microseconds(root.get("length")), _fleet(root.find("fleet")),
         float(root.find("load").get("rate")), tuple(map(class_habits, classes)),
         {element.get("name"): class_rules(element) for element in classes},
@@ -115,10 +115,10 @@
 }  # fmt: skip
 
 
-def _happening(path: Path, element: etree._Element) -> Happening:
+def _happening(path: Path, element: etree._Element) -> ScenarioEvent:
     words = {name: value for name, value in element.attrib.items() if name not in ("at", "for")}
     for needed in _NEEDS[element.tag].get(words.get("fault", words.get("act", "")), ()):
         if needed not in words:
             raise ConfError(f"{path}:{element.sourceline}: <{element.tag}> {needed}: needed here")
     lasts = microseconds(element.get("for", "0s"))
-    return Happening(element.tag, microseconds(element.get("at")), lasts, words, element.sourceline)
+    return ScenarioEvent(element.tag, microseconds(element.get("at")), lasts, words, element.sourceline)
--- a/cedarmill/lab/discovery.py
+++ b/cedarmill/lab/discovery.py
@@ -10,10 +10,10 @@
 BEAT_S = 2.0  # between empty lines while nothing changes
 
 
-class DirectorWire(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """One call: the list, or a watch that stays open."""
 
-    def __init__(self, director: "Director") -> None:
+    def __init__(self, director: "DiscoveryServer") -> None:
         self.director = director
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
@@ -50,13 +50,13 @@
         self.transport.write(b"%x\r\n%s\r\n" % (len(text), text))
 
 
-class Director:
+class DiscoveryServer:
     """The list of a run's boxes."""
 
     def __init__(self, clock) -> None:
         self.clock = clock
         self.entries: dict[str, dict] = {}
-        self.watches: set[DirectorWire] = set()
+        self.watches: set[DiscoveryConnection] = set()
         self.drains: list[Drain] = []
         self.index = 1
         self.address = ""
@@ -65,7 +65,7 @@
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: DirectorWire(self), "127.0.0.1", 0)
+        self._server = await loop.create_server(lambda: DiscoveryConnection(self), "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
         self._beat = loop.call_later(BEAT_S, self._tick)
 
--- a/cedarmill/lab/executor.py
+++ b/cedarmill/lab/executor.py
@@ -18,24 +18,24 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Job:
+class ExecutorRequest:
     """One attempt at a box: its visit, and the work that it still needs (us at speed 1)."""
 
     __slots__ = ("visit", "left", "wire", "began")
 
-    def __init__(self, visit: Visit, work: float, wire: "BoxWire") -> None:
+    def __init__(self, visit: Visit, work: float, wire: "ExecutorConnection") -> None:
         self.visit, self.left, self.wire = visit, work, wire
         self.began = 0
 
 
-class BoxWire(asyncio.Protocol):
+class ExecutorConnection(asyncio.Protocol):
     """One connection to a box: one request at a time."""
 
-    def __init__(self, box: "Box") -> None:
+    def __init__(self, box: "EmulatedExecutor") -> None:
         self.box = box
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.job: Job | None = None
+        self.job: ExecutorRequest | None = None
         self.target, self.headers, self.body = b"", {}, bytearray()
 
     def connection_made(self, transport) -> None:
@@ -88,7 +88,7 @@
         self.transport.write(HEAD + b"%x\r\n%s\r\n0\r\n\r\n" % (len(line), line))
 
 
-class Box:
+class EmulatedExecutor:
     """One lookup box: the sum of running jobs shares its cores, the rest waits in order."""
 
     def __init__(self, name: str, zone: str, cores: int, slots: int, speed: float, queue: int, honours: bool,
@@ -98,9 +98,9 @@
         self.queue_bound, self.honours, self.work, self.clock = queue, honours, work, clock
         self.visits, self.dice = visits, dice
         self.spent: list[tuple[int, str]] = []  # when, of which budget: probes and connections that came
-        self.running: list[Job] = []
-        self.waiting: deque[Job] = deque()
-        self.wires: set[BoxWire] = set()
+        self.running: list[ExecutorRequest] = []
+        self.waiting: deque[ExecutorRequest] = deque()
+        self.wires: set[ExecutorConnection] = set()
         self.faults: dict[str, float] = {}  # kind to part or factor, while it lasts
         self.address = ""
         self._counted = 0
@@ -110,7 +110,7 @@
     async def open(self) -> None:
         """Listen on a free loopback port."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: BoxWire(self), "127.0.0.1", 0)
+        self._server = await loop.create_server(lambda: ExecutorConnection(self), "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def close(self) -> None:
@@ -145,7 +145,7 @@
 
     # Jobs.
 
-    def asked(self, wire: BoxWire) -> None:
+    def asked(self, wire: ExecutorConnection) -> None:
         """A request is whole: from now on it counts."""
         now, faults = self.clock(), self.faults
         job_class = wire.headers.get(b"x-call-class", b"").decode()
@@ -158,13 +158,13 @@
         if self.dice.random() < faults.get("reset", 0.0):
             after = float(self.dice.exponential(BREAK_S))
             asyncio.get_running_loop().call_later(after, self._break, wire, visit)
-        wire.job = Job(visit, self.work(bytes(wire.body), job_class), wire)
+        wire.job = ExecutorRequest(visit, self.work(bytes(wire.body), job_class), wire)
         if "hang" not in faults:  # one that hangs takes work and says nothing
             self.waiting.append(wire.job)
             self._advance()
             self._start()
 
-    def abandoned(self, wire: BoxWire) -> None:
+    def abandoned(self, wire: ExecutorConnection) -> None:
         """The node has closed: a box that honours it stops, any other goes on for nobody."""
         job, wire.job = wire.job, None
         if job is None or job.visit.ended is not None or not self.honours:
@@ -174,7 +174,7 @@
         self._end(job, "stopped")
         self._start()
 
-    def _break(self, wire: BoxWire, visit: Visit) -> None:
+    def _break(self, wire: ExecutorConnection, visit: Visit) -> None:
         """The connection breaks under its request, and the job dies with it."""
         job = wire.job
         if job is None or job.visit is not visit or visit.ended is not None:
@@ -186,12 +186,12 @@
         wire.transport.abort()
         self._start()
 
-    def _take_out(self, job: Job) -> None:
+    def _take_out(self, job: ExecutorRequest) -> None:
         for place in (self.running, self.waiting):
             if job in place:
                 place.remove(job)
 
-    def _end(self, job: Job, outcome: str) -> None:
+    def _end(self, job: ExecutorRequest, outcome: str) -> None:
         visit = job.visit
         visit.ended, visit.outcome = self.clock(), outcome
         visit.slot_time = visit.ended - visit.began if visit.began is not None else 0
--- a/cedarmill/lab/figures.py
+++ b/cedarmill/lab/figures.py
@@ -4,14 +4,14 @@
 
 from hdrh.histogram import HdrHistogram
 
-from cedarmill.lab.checker import judge, late_starts
-from cedarmill.lab.history import Story
+from cedarmill.lab.checker import check_history, late_starts
+from cedarmill.lab.history import History
 
 LONGEST_US = 60_000_000  # that the histogram can hold
 DIGITS = 3
 
 
-def latencies(story: Story) -> HdrHistogram:
+def latencies(story: History) -> HdrHistogram:
     """Of what was served, in microseconds from when it was due: waiting to be sent counts."""
     histogram = HdrHistogram(1, LONGEST_US, DIGITS)
     for call in story.calls:
@@ -38,7 +38,7 @@
     breaches: int
 
 
-def figures(story: Story) -> Figures:
+def figures(story: History) -> Figures:
     """All of them."""
     left = {call.id: call.left for call in story.calls if call.left is not None}
     stayed = [call for call in story.calls if call.left is None]
@@ -58,5 +58,5 @@
         len(story.calls), len(left), served / count, refused / count, failed / count,
         histogram.get_value_at_percentile(50) / 1e6, histogram.get_value_at_percentile(99) / 1e6,
         len(story.visits), len(late_starts(story)), spent / 1e6, wasted / max(1, spent),
-        sum(map(len, judge(story).values())),
+        sum(map(len, check_history(story).values())),
     )  # fmt: skip
--- a/cedarmill/lab/history.py
+++ b/cedarmill/lab/history.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Story:
+class History:
     """One run of one side."""
 
     scenario: str
--- a/cedarmill/lab/load.py
+++ b/cedarmill/lab/load.py
@@ -31,7 +31,7 @@
     repeats: bool = True  # whether it may come back after a break, when the job may have run
 
 
-class ClientWire(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection of the clients: one call at a time."""
 
     def __init__(self, load: "Load") -> None:
@@ -100,7 +100,7 @@
         self.arrivals, self.traits, self.waits = streams  # apart: one more draw here moves none there
         self.calls: list[Call] = []
         self.stray: list[Answer] = []
-        self.idle: set[ClientWire] = set()
+        self.idle: set[ClientConnection] = set()
         self.open = 0
         self.until = 0
         self._jobs, self._ids, self._turns = itertools.count(1), itertools.count(1), itertools.count()
@@ -142,12 +142,14 @@
             return
         ports = self.ports()
         port = call.port = ports[next(self._turns) % len(ports)]
-        opening = asyncio.get_running_loop().create_connection(lambda: ClientWire(self), "127.0.0.1", port)
+        opening = asyncio.get_running_loop().create_connection(
+            lambda: ClientConnection(self), "127.0.0.1", port
+        )
         task = asyncio.ensure_future(opening)  # the connection's, whatever it will carry
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._opened(done, call))
 
-    def _idle(self) -> "ClientWire | None":
+    def _idle(self) -> "ClientConnection | None":
         while self.idle:
             wire = self.idle.pop()
             if not wire.transport.is_closing():
@@ -163,7 +165,7 @@
             return
         self._send(task.result()[1], call)
 
-    def _send(self, wire: "ClientWire", call: Call) -> None:
+    def _send(self, wire: "ClientConnection", call: Call) -> None:
         habits, work, _, leaves = self._plans[id(call)]
         wire.call, call.sent = call, self.clock()
         body = b"%d" % int(work)
@@ -175,7 +177,7 @@
         wait = habits.budget + EXTRA_US if leaves is None else leaves
         asyncio.get_running_loop().call_later(wait / 1e6, self._go, wire, call)
 
-    def _go(self, wire: "ClientWire", call: Call) -> None:
+    def _go(self, wire: "ClientConnection", call: Call) -> None:
         if wire.call is call and not wire.transport.is_closing():
             wire.leave(self.leave_by)
             self._ended(call)
--- a/cedarmill/lab/report.py
+++ b/cedarmill/lab/report.py
@@ -11,9 +11,9 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402  the backend without a screen comes first
 
-from cedarmill.lab.checker import judge  # noqa: E402
+from cedarmill.lab.checker import check_history  # noqa: E402
 from cedarmill.lab.figures import Figures, figures, latencies  # noqa: E402
-from cedarmill.lab.history import Story  # noqa: E402
+from cedarmill.lab.history import History  # noqa: E402
 
 PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9)
 SHOWN = 20  # breaches of a rule in a report
@@ -30,7 +30,7 @@
     return f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
-def rows(stories: Sequence[Story]) -> list[tuple[str, list[str]]]:
+def rows(stories: Sequence[History]) -> list[tuple[str, list[str]]]:
     """The table of figures: a row a figure, a column a run."""
     found = [figures(story) for story in stories]
     table = [(field.name, [text_of(field.name, getattr(one, field.name)) for one in found])
@@ -38,7 +38,7 @@
     return [*table, ("loop_lag_ms", [f"{story.lag / 1000:.1f}" for story in stories])]
 
 
-def _label(story: Story) -> str:
+def _label(story: History) -> str:
     return f"{story.side} (seed {story.seed})"
 
 
@@ -56,7 +56,7 @@
     return f'<img alt="{html.escape(title)}" src="data:image/png;base64,{code}">'
 
 
-def _latency(stories: Sequence[Story]) -> str:
+def _latency(stories: Sequence[History]) -> str:
     def draw(axes) -> None:
         for story in stories:
             histogram = latencies(story)
@@ -66,7 +66,7 @@
     return picture(draw, "Time from due to answer, of what was served", "percentile", "seconds")
 
 
-def _nobody(stories: Sequence[Story]) -> str:
+def _nobody(stories: Sequence[History]) -> str:
     def draw(axes) -> None:
         for story in stories:
             left = {call.id: call.left for call in story.calls if call.left is not None}
@@ -83,7 +83,7 @@
     )
 
 
-def _served(stories: Sequence[Story]) -> str:
+def _served(stories: Sequence[History]) -> str:
     def draw(axes) -> None:
         for story in stories:
             bins = [0] * (story.length // 1_000_000 + 1)
@@ -104,16 +104,16 @@
     return f"<table><tr>{cells}</tr>{lines}</table>"
 
 
-def _breaches(story: Story) -> str:
+def _breaches(story: History) -> str:
     parts = []
-    for rule, found in judge(story).items():
+    for rule, found in check_history(story).items():
         verdict = "kept" if not found else f"<b class=bad>{len(found)} breaches</b>"
         items = "".join(f"<li>{html.escape(text)}</li>" for text in found[:SHOWN])
         parts.append(f"<li>{html.escape(rule)}: {verdict}<ul>{items}</ul></li>")
     return f"<h3>{html.escape(_label(story))}</h3><ul>{''.join(parts)}</ul>"
 
 
-def page(stories: Sequence[Story]) -> str:
+def page(stories: Sequence[History]) -> str:
     """The whole report."""
     title = html.escape(", ".join(dict.fromkeys(story.scenario for story in stories)))
     head = ["", *map(_label, stories)]
--- a/cedarmill/lab/run.py
+++ b/cedarmill/lab/run.py
@@ -16,9 +16,9 @@
 
 from cedarmill.conf.document import ConfError
 from cedarmill.conf.settings import Settings
-from cedarmill.lab.discovery import Director
-from cedarmill.lab.executor import Box
-from cedarmill.lab.history import Story
+from cedarmill.lab.discovery import DiscoveryServer
+from cedarmill.lab.executor import EmulatedExecutor
+from cedarmill.lab.history import History
 from cedarmill.lab.load import Load
 from cedarmill.lab.scenario import Fault, Scenario, Side
 
@@ -99,10 +99,10 @@
         self.began = 0
         seeds = numpy.random.SeedSequence(seed).spawn(4)  # the fleet's, the boxes', the clients', the faults'
         self.seeds = seeds
-        self.story = Story(scenario.name, side.name, seed, scenario.length, scenario.rules,
+        self.story = History(scenario.name, side.name, seed, scenario.length, scenario.rules,
                            honours=side.honours, nodes=scenario.nodes)  # fmt: skip
-        self.boxes: list[Box] = []
-        self.directors: list[Director] = []
+        self.boxes: list[EmulatedExecutor] = []
+        self.directors: list[DiscoveryServer] = []
         self.nodes: list[NodeProcess] = []
         self._settings: Path | None = None
 
@@ -123,7 +123,7 @@
             scenario.trace,
         )
 
-    async def play(self, folder: Path) -> Story:
+    async def play(self, folder: Path) -> History:
         """Start all, play the timeline, end all; the story of it."""
         self.began = time.monotonic_ns() // 1000
         load = self.load()
@@ -147,15 +147,26 @@
             self._settings.write_bytes(self.side.settings)
             self.story.stops = Settings(self._settings).options.deadlines.on_leave == "stop"
         fleet, draw = self.scenario.fleet, numpy.random.Generator(numpy.random.PCG64(self.seeds[0]))
-        director = Director(self.clock)
+        director = DiscoveryServer(self.clock)
         self.directors.append(director)
         await director.open()
         for number, seed in enumerate(self.seeds[1].spawn(fleet.boxes)):
             speed = float(draw.uniform(fleet.slowest, fleet.fastest))
             zone = f"zone-{number % fleet.zones}"
             dice = numpy.random.Generator(numpy.random.PCG64(seed))
-            box = Box(f"box-{number}", zone, fleet.cores, fleet.slots, speed, fleet.queue, self.side.honours,
-                      lambda body, _: float(body), self.clock, self.story.visits, dice)  # fmt: skip
+            box = EmulatedExecutor(
+                f"box-{number}",
+                zone,
+                fleet.cores,
+                fleet.slots,
+                speed,
+                fleet.queue,
+                self.side.honours,
+                lambda body, _: float(body),
+                self.clock,
+                self.story.visits,
+                dice,
+            )
             await box.open()
             director.enter(box.name, box.address, zone, "box")
             self.boxes.append(box)
@@ -165,12 +176,12 @@
             self.nodes.insert(0, node)
             port = await asyncio.wait_for(node.port, START_S)
             if number:
-                before = Director(self.clock)
+                before = DiscoveryServer(self.clock)
                 await before.open()
                 before.enter(f"node-{number}", f"127.0.0.1:{port}", "zone-0", NODE_KIND)
                 self.directors.append(before)
 
-    async def _start(self, folder: Path, number: int, front: bool, director: Director) -> NodeProcess:
+    async def _start(self, folder: Path, number: int, front: bool, director: DiscoveryServer) -> NodeProcess:
         config = folder / f"{self.side.name}-node-{number}.json"
         config.write_text(json.dumps({
             "name": f"node-{number}", "listen": "127.0.0.1:0", "discovery": director.address,
@@ -244,7 +255,7 @@
 
 def play(
     scenario: Scenario, side: Side, seed: int, told: Callable[[float], None] = lambda done: None
-) -> Story:
+) -> History:
     """Play one side with one seed; raises ConfError where a node does not start."""
     with tempfile.TemporaryDirectory(prefix="cedarmill-lab-") as folder, asyncio.Runner(
             loop_factory=uvloop.new_event_loop) as runner:  # fmt: skip
--- a/cedarmill/lab/simulation/cluster.py
+++ b/cedarmill/lab/simulation/cluster.py
@@ -57,7 +57,7 @@
 )
 from cedarmill.cluster.traffic_control import intake
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
-from cedarmill.lab.cluster.history import History
+from cedarmill.lab.cluster.history import EventHistory
 from cedarmill.lab.cluster.invariants import Record
 from cedarmill.lab.history import Visit
 from cedarmill.values import LimitOptions
@@ -100,7 +100,7 @@
 class Clock:
     """A process's own: it only moves forward, at its own rate."""
 
-    def __init__(self, world: "Virtual", dice: random.Random) -> None:
+    def __init__(self, world: "ClusterSimulation", dice: random.Random) -> None:
         self.world = world
         self.rate = 1 + dice.uniform(-RATE_MOST, RATE_MOST)
         self.offset = dice.randrange(10**9)
@@ -116,7 +116,7 @@
 class Process:
     """What all processes have: a clock, and being dead or standing still."""
 
-    def __init__(self, world: "Virtual", name: str, seed: str) -> None:
+    def __init__(self, world: "ClusterSimulation", name: str, seed: str) -> None:
         self.world, self.name = world, name
         self.clock = Clock(world, random.Random(f"{world.seed}/{seed}/clock"))
         self.alive, self.paused = True, False
@@ -151,7 +151,7 @@
 class VKeeper(Process):
     """A keeper with its disk."""
 
-    def __init__(self, world: "Virtual", name: str, config: Config, fresh: ClusterState) -> None:
+    def __init__(self, world: "ClusterSimulation", name: str, config: Config, fresh: ClusterState) -> None:
         super().__init__(world, name, name)
         self.disk = Disk(PersistentState(1, "", Snapshot(1, 1, config, encode_snapshot(fresh))))
         self.copies: list[PersistentState] = []
@@ -274,7 +274,7 @@
 class VMember(Process):
     """A process with a session."""
 
-    def __init__(self, world: "Virtual", name: str, identity: MemberIdentity) -> None:
+    def __init__(self, world: "ClusterSimulation", name: str, identity: MemberIdentity) -> None:
         super().__init__(world, name, f"{name}/{identity.incarnation}")
         self.dice = random.Random(f"{world.seed}/{name}/{identity.incarnation}")
         self.identity = identity
@@ -335,10 +335,10 @@
         self.world.after(5 * MS, found)
 
 
-class VNode(VMember):
+class SimulatedNode(VMember):
     """A node: it sends work to executors that are not out, as long as it knows what is out."""
 
-    def __init__(self, world: "Virtual", name: str, life: str, version: str) -> None:
+    def __init__(self, world: "ClusterSimulation", name: str, life: str, version: str) -> None:
         zone = f"z{int(name.partition('-')[2]) % world.shape.zones}"
         self.out: dict[str, int] = {}
         self.jobs: dict[str, int] = {}
@@ -467,7 +467,7 @@
 class VSteward(VMember):
     """A steward with its machine: it outlives its processes, they outlive it."""
 
-    def __init__(self, world: "Virtual", number: int, life: int) -> None:
+    def __init__(self, world: "ClusterSimulation", number: int, life: int) -> None:
         self.unit = f"node-{number}"
         self.number = number
         self.machine = world.machines[number]
@@ -546,7 +546,7 @@
         if self.taking:
             self.world.history.tell(self.name, "taken", action.unit, epoch=self.taking)
             self.taking = 0
-        node = VNode(self.world, action.unit, action.incarnation, action.version)
+        node = SimulatedNode(self.world, action.unit, action.incarnation, action.version)
         self.machine.nodes[action.incarnation] = node
         self.world.members[f"node:{action.unit}:{action.incarnation}"] = node
         self.world.history.tell(self.name, "starts", action.unit, note=action.version)
@@ -556,7 +556,7 @@
         elif action.version != "late":
             self.world.after(300 * MS, self._ready, action.unit, action.incarnation, node)
 
-    def _ready(self, unit: str, life: str, node: VNode) -> None:
+    def _ready(self, unit: str, life: str, node: SimulatedNode) -> None:
         if node.alive and self.alive:
             self.run(self._ready_now, unit, life)
         elif node.alive:  # its steward died meanwhile: the next one asks again
@@ -575,7 +575,7 @@
 
     kept: bytes = b""
     lives: int = 0
-    nodes: dict[str, VNode] = field(default_factory=dict)
+    nodes: dict[str, SimulatedNode] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -589,7 +589,7 @@
 class Operator:
     """Drains one executor, restarts it, puts it back; asks again, with the same id, till it has an answer."""
 
-    def __init__(self, world: "Virtual", number: int, target: str) -> None:
+    def __init__(self, world: "ClusterSimulation", number: int, target: str) -> None:
         self.world, self.name, self.target = world, f"operator-{number}", target
         self.dice = random.Random(f"{world.seed}/{self.name}")
         self.permit = 0
@@ -676,7 +676,7 @@
     return int.from_bytes(hashlib.blake2b(repr(parts).encode(), digest_size=6).digest(), "big")
 
 
-class Virtual:
+class ClusterSimulation:
     """One run."""
 
     def __init__(self, shape: Shape, seed: int) -> None:
@@ -685,7 +685,7 @@
         self.timing = Timing()
         self.dice = random.Random(f"{seed}/world")
         self.net = random.Random(f"{seed}/net")
-        self.history = History(lambda: self.time)
+        self.history = EventHistory(lambda: self.time)
         self.visits: list[Visit] = []
         self._queue: list[tuple[int, int, Callable, tuple]] = []
         self._order = itertools.count()
@@ -694,7 +694,7 @@
         self.messages = 0
         self.counted = self.between = 0  # messages since the start was over, and those between keepers
         self.jobs: dict[str, int] = {}  # by version of the node that sent them
-        self.sleepers: list[VNode] = []  # nodes that stand still till something is drained
+        self.sleepers: list[SimulatedNode] = []  # nodes that stand still till something is drained
         self.mid_change: set[int] = set()  # stewards that meet a fault right after their next start
         self.trapped: set[str] = set()  # members that stand still when orders are on their way
         self.agreed: dict[int, tuple[int, bytes]] = {}  # what was applied first at each index
@@ -773,12 +773,12 @@
 
     # Executors and nodes.
 
-    def visit(self, node: VNode, name: str) -> None:
+    def visit(self, node: SimulatedNode, name: str) -> None:
         """A job goes to an executor; it takes its time, or is lost with it."""
         wait = int(self.net.expovariate(1 / 800)) + 100
         self.after(wait, self._arrive, node, name)
 
-    def _arrive(self, node: VNode, name: str) -> None:
+    def _arrive(self, node: SimulatedNode, name: str) -> None:
         box = self.executors[name]
         self.visits.append(Visit(name, self.zone_of(name), f"{node.identity.incarnation}", "job", self.time))
         if not box.up:
@@ -787,19 +787,19 @@
         box.jobs += 1
         self.after(self.net.randrange(50, 400) * MS, self._leave, node, name)
 
-    def _leave(self, node: VNode, name: str) -> None:
+    def _leave(self, node: SimulatedNode, name: str) -> None:
         box = self.executors[name]
         box.jobs = max(0, box.jobs - 1)
         node.run(node.ended, name)
 
-    def end_node(self, node: VNode) -> None:
+    def end_node(self, node: SimulatedNode) -> None:
         """SIGTERM: it answers what it holds, says that it leaves, and ends."""
         if node.alive and (node.paused or any(node.jobs.values())):
             self.after(200 * MS, self.end_node, node)
         elif node.alive:
             node.kill()
 
-    def ready_at(self, number: int, unit: str, life: str, node: VNode) -> None:
+    def ready_at(self, number: int, unit: str, life: str, node: SimulatedNode) -> None:
         self.stewards[number]._ready(unit, life, node)
 
     # The run.
@@ -907,7 +907,7 @@
         if way > 0:
             self.cut["*", name] = self.time + lasts
 
-    def _some_node(self) -> VNode | None:
+    def _some_node(self) -> SimulatedNode | None:
         nodes = [node for machine in self.machines for node in machine.nodes.values() if node.alive]
         return self.dice.choice(nodes) if nodes else None
 
@@ -1027,7 +1027,7 @@
 class Driver:
     """Plans and starts a release, and watches it."""
 
-    def __init__(self, world: Virtual, version: str) -> None:
+    def __init__(self, world: ClusterSimulation, version: str) -> None:
         self.world, self.version = world, version
         self.dice = random.Random(f"{world.seed}/release")
         self.number = 0
--- a/cedarmill/lab/simulation/overload/mutants.py
+++ b/cedarmill/lab/simulation/overload/mutants.py
@@ -104,7 +104,7 @@
     return [(controller, "_adjust_fill", adjust_fill)]
 
 
-BUGS = {
+MUTANTS = {
     "most-worth-first-refused": Bug(most_worth_first_refused, "month-end"),
     "cut-is-never-lifted": Bug(cut_is_never_lifted, "burst"),
     "quota-is-not-asked": Bug(quota_is_not_asked, "flood"),
@@ -126,7 +126,7 @@
 
 def hunt(name: str, seeds: Sequence[int]) -> Found:
     """Play the bug's incident till a law sees it."""
-    bug, began = BUGS[name], time.monotonic()
+    bug, began = MUTANTS[name], time.monotonic()
     with planted_patches(bug.patches()):
         for seed in seeds:
             if found := breaches(storms.play("fleet", bug.incident, seed), bug.incident):
--- a/cedarmill/lab/simulation/raft_log.py
+++ b/cedarmill/lab/simulation/raft_log.py
@@ -40,7 +40,7 @@
 class Node:
     """A keeper: its core, what is on its disk, and what is not yet."""
 
-    def __init__(self, run: "LogRun", name: str, saved: PersistentState) -> None:
+    def __init__(self, run: "LogSimulation", name: str, saved: PersistentState) -> None:
         self.run, self.name, self.disk = run, name, Disk(saved)
         self.starts = 0
         self.start()
@@ -97,7 +97,7 @@
         self.alive, self.after = False, []
 
 
-class LogRun:
+class LogSimulation:
     """One run of some thousand events."""
 
     def __init__(self, seed: int, keepers: int = 3, events: int = 8000, churn: bool = False,
@@ -244,7 +244,7 @@
     An entry of an old term comes to stand with a majority, and is replaced all the same: who calls it
     agreed by count alone is wrong. Chance hardly finds it, since a new leader's own entry follows at once.
     """
-    run = LogRun(8, 5)
+    run = LogSimulation(8, 5)
     k0, k1, k2, k3, k4 = (run.nodes[name] for name in sorted(run.nodes))
 
     def settle(*there: Node, rounds: int = 60, upto: int = 1 << 30) -> None:
--- a/cedarmill/lab/simulation/search.py
+++ b/cedarmill/lab/simulation/search.py
@@ -9,8 +9,8 @@
 
 from cedarmill.lab.cluster.invariants import verdict
 from cedarmill.lab.cluster.mutants import planted
-from cedarmill.lab.simulation.cluster import S, Shape, Virtual
-from cedarmill.lab.simulation.raft_log import LogRun, figure_eight
+from cedarmill.lab.simulation.cluster import ClusterSimulation, S, Shape
+from cedarmill.lab.simulation.raft_log import LogSimulation, figure_eight
 
 RELEASES = ("", "good", "late", "failing", "exiting")
 
@@ -56,7 +56,7 @@
     """Play one seed of spending, with a bug planted or none."""
     seed, bug = job
     with planted(bug):
-        record = Virtual(spending(seed), seed).run()
+        record = ClusterSimulation(spending(seed), seed).run()
     return Spent(seed, {law: texts for law, texts in verdict(record).items() if texts}, len(record.spent))
 
 
@@ -64,7 +64,7 @@
     """Play one seed, with a bug planted or none."""
     seed, bug = job
     with planted(bug):
-        run = Virtual(shape_of(seed), seed)
+        run = ClusterSimulation(shape_of(seed), seed)
         record = run.run()
         broken = {law: texts for law, texts in verdict(record).items() if texts}
     counts = Counter(event.what for event in record.events)
@@ -99,9 +99,9 @@
                "spends-before-it-was-told", "returned-twice")  # fmt: skip
 
 
-def log_run(seed: int) -> LogRun:
+def log_run(seed: int) -> LogSimulation:
     """Three keepers or five; each fourth with leaders that die soon, each third with keepers that change."""
-    return LogRun(seed, 3 if seed % 2 else 5, churn=seed % 4 == 2, changes=seed % 3 == 0)
+    return LogSimulation(seed, 3 if seed % 2 else 5, churn=seed % 4 == 2, changes=seed % 3 == 0)
 
 
 def hunt_log(bug: str, most: int, first: int = 0) -> Hunt:
--- a/cedarmill/lab/simulation/zones/mutants.py
+++ b/cedarmill/lab/simulation/zones/mutants.py
@@ -139,7 +139,7 @@
     return [(trust, "adjust_trust", lambda state, found: None)]
 
 
-BUGS = {
+MUTANTS = {
     "loud-observers-outvote": Bug(loud_observers_outvote, ("loud",)),
     "silence-is-loss": Bug(silence_is_loss, ("blind", "late-10")),
     "late-news-are-new": Bug(late_news_are_new, ("late-30",)),
@@ -170,7 +170,7 @@
 
 def hunt(name: str, seeds: Sequence[int]) -> Found:
     """Play the bug's incidents till a law sees it."""
-    bug, began = BUGS[name], time.monotonic()
+    bug, began = MUTANTS[name], time.monotonic()
     with planted_patches(bug.patches()):
         for seed in seeds:
             for incident in bug.incidents:
--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -10,12 +10,12 @@
 
 from cedarmill.admin.exclusions import KIND, Exclusions
 from cedarmill.admin.routes import AdminAction, AdminRequest, AdminResponse
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.admin.server import Answer
-from cedarmill.net.clients.server import Clients
+from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.discovery.client import DiscoveryClient
-from cedarmill.net.loop import Turn, clock_reading
-from cedarmill.net.upgrade.state_file import KeptFile, kept_path
+from cedarmill.net.loop import EventLoopDriver, clock_reading
+from cedarmill.net.upgrade.state_file import StateFile, state_file_path
 
 LOOK_US = 500_000  # between two looks at the kept file: the node's other process may have changed it
 LOCK_WAIT_US = 500_000  # for the node's other process to leave that file: a call is answered within 1 s
@@ -24,13 +24,19 @@
 SWEEP_US = 100_000  # then between two closings of what has become idle
 
 
-class Hands:
+class AdminHandlers:
     """Carries out the door's calls."""
 
-    def __init__(self, turn: Turn, clients: Clients, discovery: DiscoveryClient, node: str,
-                 ending: Callable[[], bool]) -> None:  # fmt: skip
-        self.turn, self.clients, self.discovery, self.ending = turn, clients, discovery, ending
-        self.kept = KeptFile(kept_path(node, KIND))
+    def __init__(
+        self,
+        driver: EventLoopDriver,
+        clients: ClientServer,
+        discovery: DiscoveryClient,
+        node: str,
+        ending: Callable[[], bool],
+    ) -> None:
+        self.driver, self.clients, self.discovery, self.ending = driver, clients, discovery, ending
+        self.kept = StateFile(state_file_path(node, KIND))
         self.exclusions = Exclusions(node)
         self.agreed: Callable[[AdminRequest, Answer], None] | None = None  # where a fleet decides
         self.by_fleet: dict[str, int] = {}  # executors out by the fleet's word
@@ -43,11 +49,11 @@
 
     def start(self) -> None:
         """Take up the marks that an earlier process of this node left, before the first list is told."""
-        self._look_again(self.turn.now())
+        self._look_again(self.driver.now())
 
     def _look_again(self, now: int) -> None:
         """The one chain of looks at the kept file, every `LOOK_US`."""
-        self.turn.timers.add(now + LOOK_US, self._look_again)
+        self.driver.timers.add(now + LOOK_US, self._look_again)
         self._take_up()
 
     def _take_up(self) -> None:
@@ -55,13 +61,13 @@
         try:
             text = self.kept.read()
             changed = (
-                self.exclusions.adopt(text, clock_reading(self.turn.now())) if text is not None else set()
+                self.exclusions.adopt(text, clock_reading(self.driver.now())) if text is not None else set()
             )
         except (OSError, ValueError) as error:
-            say("exclusions-unread", reason=error)
+            log_event("exclusions-unread", reason=error)
             return
         if changed:
-            say("exclusions-taken", names=", ".join(sorted(changed)))
+            log_event("exclusions-taken", names=", ".join(sorted(changed)))
             self._tell()
 
     def _tell(self) -> None:
@@ -73,7 +79,7 @@
         if self.agreed is not None and request.action != AdminAction.READY:
             self.agreed(request, answer)
         elif request.action in (AdminAction.EXCLUDE, AdminAction.INCLUDE):
-            now = self.turn.now()
+            now = self.driver.now()
             self._mark(request, answer, now, now + LOCK_WAIT_US)
         else:
             answer(self._acts[request.action](request))
@@ -102,10 +108,12 @@
                 done = self._mark_alone(request.executor, request.action == AdminAction.EXCLUDE)
         except OSError as error:  # nothing half done: `_mark_alone` takes the mark back
             if not isinstance(error, BlockingIOError) or now >= until:
-                say("exclusions-unkept", reason=error)
+                log_event("exclusions-not-saved", reason=error)
                 done = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"the mark could not be kept\n")
             else:
-                self.turn.timers.add(now + LOCK_AGAIN_US, lambda now: self._mark(request, answer, now, until))
+                self.driver.timers.add(
+                    now + LOCK_AGAIN_US, lambda now: self._mark(request, answer, now, until)
+                )
                 return
         answer(done)
 
@@ -114,7 +122,7 @@
         self._take_up()
         if not (self.discovery.knows(name) or name in self.exclusions.since):
             return AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n")
-        now, done = clock_reading(self.turn.now()), b"excluded\n" if out else b"included\n"
+        now, done = clock_reading(self.driver.now()), b"excluded\n" if out else b"included\n"
         before = self.exclusions.copy()
         if self.exclusions.exclude(name, now) if out else self.exclusions.include(name):
             try:
@@ -122,7 +130,7 @@
             except OSError:
                 self.exclusions = before
                 raise
-            say("excluded" if out else "included", executor=name)
+            log_event("excluded" if out else "included", executor=name)
             self._tell()
         return AdminResponse(HTTPStatus.OK, done)
 
@@ -130,20 +138,20 @@
         if not self.clients.sending_away:
             self._away += 1
             self.clients.send_away(True)
-            say("evacuated", held=len(self.clients.sessions))
+            log_event("evacuated", held=len(self.clients.sessions))
             away = self._away
-            self.turn.timers.add(self.turn.now() + AWAY_IDLE_US, lambda now: self._sweep(now, away))
+            self.driver.timers.add(self.driver.now() + AWAY_IDLE_US, lambda now: self._sweep(now, away))
         return AdminResponse(HTTPStatus.OK, b"evacuating\n")
 
     def _sweep(self, now: int, away: int) -> None:
         if self.clients.sending_away and away == self._away:
             self.clients.close_idle()
-            self.turn.timers.add(now + SWEEP_US, lambda now: self._sweep(now, away))
+            self.driver.timers.add(now + SWEEP_US, lambda now: self._sweep(now, away))
 
     def _rejoin(self, request: AdminRequest) -> AdminResponse:
         if self.ending():
             return AdminResponse(HTTPStatus.CONFLICT, b"the process is ending\n")
         if self.clients.sending_away:
             self.clients.send_away(False)
-            say("rejoined")
+            log_event("rejoined")
         return AdminResponse(HTTPStatus.OK, b"rejoined\n")
--- a/cedarmill/net/admin/server.py
+++ b/cedarmill/net/admin/server.py
@@ -14,10 +14,10 @@
 from cedarmill.admin import routes
 from cedarmill.admin.errors import RequestRejectedError
 from cedarmill.admin.routes import AdminRequest, AdminResponse
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.config import Address
 from cedarmill.net.listener import Acceptor, listening_socket
-from cedarmill.net.loop import Turn, callback
+from cedarmill.net.loop import EventLoopDriver, callback
 
 SESSIONS = 16  # open at once: an operator's tools make a few calls, not hundreds
 DESCRIPTORS = SESSIONS + 1  # with the listening socket
@@ -34,11 +34,11 @@
     return AdminResponse(error.status, str(error).encode() + b"\n")
 
 
-class DoorSession(asyncio.Protocol):
+class AdminSession(asyncio.Protocol):
     """One caller's connection: one call, one answer, then the end."""
 
-    def __init__(self, door: "Door") -> None:
-        self.door, self.turn = door, door.turn
+    def __init__(self, door: "AdminServer") -> None:
+        self.door, self.driver = door, door.driver
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
@@ -50,11 +50,11 @@
     def connection_made(self, transport) -> None:
         self.transport = transport
         self.door.came(self)
-        self.deadline = self.turn.timers.add(self.turn.now() + CALL_US, self._late)
+        self.deadline = self.driver.timers.add(self.driver.now() + CALL_US, self._late)
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.timers.cancel(self.deadline)
+        self.driver.timers.cancel(self.deadline)
         self.door.left(self)
         self.parser = None
 
@@ -82,7 +82,7 @@
         except httptools.HttpParserCallbackError as error:
             fault = error.__context__
             if not isinstance(fault, RequestRejectedError):
-                say("defect", fault, what="a call at the door")
+                log_event("defect", fault, what="a call at the door")
                 fault = RequestRejectedError(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error")
             self.answer(_rejection(fault))
         except httptools.HttpParserError:
@@ -102,8 +102,8 @@
             self.answer(_rejection(refused), more, method)
             return
         # from here on the caller waits for this process: a lock, or the fleet
-        self.turn.timers.cancel(self.deadline)
-        self.deadline = self.turn.timers.add(self.turn.now() + CALL_US, self._late)
+        self.driver.timers.cancel(self.deadline)
+        self.deadline = self.driver.timers.add(self.driver.now() + CALL_US, self._late)
         self.door.obey(request, lambda response: self.answer(response, b"", method))
 
     def answer(self, response: AdminResponse, more: bytes = b"", method: bytes = b"") -> None:
@@ -115,8 +115,8 @@
         text = HEAD % (status, status.phrase.encode(), len(body), more)
         self.transport.write(text if method == b"HEAD" else text + body)
         self.transport.write_eof()  # not closed here: unread input would reset the answer away
-        self.turn.timers.cancel(self.deadline)
-        self.deadline = self.turn.timers.add(self.turn.now() + LINGER_US, lambda now: self.abort())
+        self.driver.timers.cancel(self.deadline)
+        self.deadline = self.driver.timers.add(self.driver.now() + LINGER_US, lambda now: self.abort())
 
     def _late(self, now: int) -> None:
         self.deadline = None
@@ -130,21 +130,21 @@
             self.transport.abort()
 
 
-class Door:
+class AdminServer:
     """The listening socket of the door and its sessions, the oldest first."""
 
-    def __init__(self, turn: Turn, obey: Callable[[AdminRequest, Answer], None]) -> None:
-        self.turn, self.obey = turn, obey
-        self.sessions: dict[DoorSession, None] = {}
+    def __init__(self, driver: EventLoopDriver, obey: Callable[[AdminRequest, Answer], None]) -> None:
+        self.driver, self.obey = driver, obey
+        self.sessions: dict[AdminSession, None] = {}
         self.port = 0
         self._acceptor: Acceptor | None = None
 
     def listen(self, address: Address) -> None:
         """Bind and accept; raises OSError."""
         self._acceptor = Acceptor(
-            self.turn,
+            self.driver,
             listening_socket(address, SESSIONS * 4),
-            lambda: DoorSession(self),
+            lambda: AdminSession(self),
             listener="door",
             batch=SESSIONS,
             has_room=self._has_room,
@@ -166,8 +166,8 @@
             session.abort()
             return
 
-    def came(self, session: DoorSession) -> None:
+    def came(self, session: AdminSession) -> None:
         self.sessions[session] = None
 
-    def left(self, session: DoorSession) -> None:
+    def left(self, session: AdminSession) -> None:
         self.sessions.pop(session, None)
--- a/cedarmill/net/clients/request.py
+++ b/cedarmill/net/clients/request.py
@@ -2,8 +2,22 @@
 
 import math
 
-
-class BadMessage(Exception):
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+}
+
+
+class MalformedRequest(Exception):
     """A message that gets an error answer and goes no further."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -11,7 +25,7 @@
         self.status = status
 
 
-class Message:
+class ClientRequest:
     """One HTTP request as it arrives."""
 
     __slots__ = ("began_at", "sent_at", "method", "target", "headers", "body", "head", "keep_alive", "fault")
@@ -22,7 +36,7 @@
         self.sent_at = now if unread_since is None else unread_since
         self.method, self.target, self.headers, self.body = b"", b"", {}, bytearray()
         self.head = self.keep_alive = True  # the head arrives first
-        self.fault: BadMessage | None = None
+        self.fault: MalformedRequest | None = None
 
     def number(self, name: bytes) -> int | None:
         """A header that holds a whole number."""
@@ -30,7 +44,7 @@
         if text is None:
             return None
         if not text.isdigit() or len(text) > 15:
-            raise BadMessage(400, f"bad {name.decode()}")
+            raise MalformedRequest(400, f"bad {name.decode()}")
         return int(text)
 
     def figures(self) -> dict[str, float]:
@@ -41,7 +55,7 @@
             try:
                 found[name.strip()] = float(value)
             except ValueError:
-                raise BadMessage(400, "bad x-call-info") from None
+                raise MalformedRequest(400, "bad x-call-info") from None
         if not all(0 <= value < math.inf for value in found.values()):
-            raise BadMessage(400, "bad x-call-info")
+            raise MalformedRequest(400, "bad x-call-info")
         return found
--- a/cedarmill/net/clients/server.py
+++ b/cedarmill/net/clients/server.py
@@ -5,11 +5,11 @@
 
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.decisions import interface as api
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.clients.session import ClientSession
 from cedarmill.net.config import Address
 from cedarmill.net.listener import Acceptor, Taken, listening_socket
-from cedarmill.net.loop import Turn
+from cedarmill.net.loop import EventLoopDriver
 from cedarmill.values import DeadlineOptions
 
 GRACE_US = 150_000  # a session younger than that makes no room for others
@@ -19,15 +19,29 @@
 BACKLOG_READ_US = 50_000  # before all has to be answered: for what was taken last to be read
 ACCEPTS = 32  # in one turn: a flood of connections must not hold up the requests
 BACKLOG = 1024
-ONCE = frozenset((b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-again", b"x-call-cost",
-                  b"x-call-info", b"idempotency-key", b"content-type", b"host"))  # fmt: skip
-
-
-class Clients:
+ONCE = frozenset(
+    (
+        b"x-call-id",
+        b"x-call-class",
+        b"x-caller",
+        b"x-budget-ms",
+        b"x-again",
+        b"x-call-cost",
+        b"x-call-info",
+        b"idempotency-key",
+        b"content-type",
+        b"host",
+    )
+)
+
+
+class ClientServer:
     """The listening socket and its sessions."""
 
-    def __init__(self, turn: Turn, settings: api.Settings, bound: int, options: DeadlineOptions) -> None:
-        self.turn, self.bound, self.options = turn, bound, options
+    def __init__(
+        self, driver: EventLoopDriver, settings: api.Settings, bound: int, options: DeadlineOptions
+    ) -> None:
+        self.driver, self.bound, self.options = driver, bound, options
         self.once = ONCE.union(name.encode() for name in options.sources)
         self.dispatch: Dispatch | None = None
         self.classes = {spec.name: n for n, spec in enumerate(settings.classes)}
@@ -49,7 +63,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # taken on by accepted sockets
         sock.setblocking(False)
         self._acceptor = Acceptor(
-            self.turn,
+            self.driver,
             sock,
             lambda: ClientSession(self, self._acceptor.held_since),
             listener="clients",
@@ -75,7 +89,7 @@
 
         Until they have gone, or where none can go, the backlog holds what is new.
         """
-        now = self.turn.now()
+        now = self.driver.now()
         old = [session for session in islice(self.unproven, ACCEPTS) if session.born <= now - GRACE_US]
         going = [session for session in old if session.give_way(now, GRACE_US)]
         if not going:
@@ -86,7 +100,7 @@
         if going:
             self._acceptor.pause()  # `left` resumes
         else:
-            say("sessions-full", bound=self.bound)
+            log_event("sessions-full", bound=self.bound)
             self._acceptor.resume_later()
 
     def came(self, session: ClientSession) -> None:
@@ -132,19 +146,19 @@
         """
         self.closing = True
         if take_backlog:
-            self._take_backlog(min(self.turn.now() + BACKLOG_US, self.answer_by - BACKLOG_READ_US))
+            self._take_backlog(min(self.driver.now() + BACKLOG_US, self.answer_by - BACKLOG_READ_US))
         else:
             self._acceptor.close()
 
     def _take_backlog(self, until: int) -> None:
         """Accept what waits, then close the socket; without room or descriptors it is tried for a while."""
-        now = self.turn.now()
+        now = self.driver.now()
         taken = self._acceptor.take()
         if taken is Taken.EMPTY or now >= until:
             self._acceptor.close()
             return
         again = now if taken is Taken.MORE else now + BACKLOG_AGAIN_US
-        self.turn.timers.add(again, lambda now: self._take_backlog(until))
+        self.driver.timers.add(again, lambda now: self._take_backlog(until))
 
     def answer_all(self, now: int) -> None:
         """The process may be killed soon: whoever still waits is answered now."""
--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -11,56 +11,38 @@
 from cedarmill.core.requests import Request
 from cedarmill.deadlines.sources import ClocksDiffer, InvalidDeadline, granted_budget
 from cedarmill.decisions import interface as api
-from cedarmill.log import say
-from cedarmill.net.clients.request import BadMessage, Message
+from cedarmill.log import log_event
+from cedarmill.net.clients import limits
+from cedarmill.net.clients.request import REASONS, ClientRequest, MalformedRequest
 from cedarmill.net.loop import callback
 from cedarmill.net.socket_state import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
 
 if TYPE_CHECKING:
-    from cedarmill.net.clients.server import Clients
-
-MAX_BODY = 64 * 1024
-MAX_HEAD = 16 * 1024
-MAX_PIPELINED = 8
-MAX_UNREAD = 1024 * 1024  # of what comes after the last answer is read and dropped
-FIRST_US = 2_800_000  # for a session's first good request to arrive whole, however its bytes come
-IDLE_US = 60_000_000  # afterwards, between requests
-SLOW_US = 15_000_000  # afterwards, for a request to arrive whole while its bytes keep coming
-# since the last byte of half a request: 3 s, less twice 0.15 s (read late, and ended late)
-STOPPED_US = 2_700_000
-UNREAD_US = 20_000  # for the loop to read what already waits at the socket, before a client counts as late
-LINGER_US = 1_000_000  # for a client to read the last answer and close, though it may still be sending
-ROOM_ERROR_LINGER_US = 20_000  # for the error to leave that a stopped client gets as it makes room
-ABORT_AGAIN_US = 50_000  # after a connection could not be aborted
-HANGUP_US = 50_000  # between two looks whether a client has gone from whom nothing is read for now
+    from cedarmill.net.clients.server import ClientServer
+
 CALL_ID = re.compile(rb"[!-~]{1,256}")
-REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-    500: "Internal Server Error", 502: "Bad Gateway", 503: "Service Unavailable",
-}  # fmt: skip
 
 
 class ClientSession(asyncio.Protocol):
     """One connection of a client."""
 
-    def __init__(self, clients: "Clients", unread_since: int | None = None) -> None:
-        self.clients, self.turn = clients, clients.turn
+    def __init__(self, clients: "ClientServer", unread_since: int | None = None) -> None:
+        self.clients, self.driver = clients, clients.driver
         # since when its bytes may have waited unread, in the backlog or while reading was paused
         self.unread_since = unread_since
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.message: Message | None = None  # what arrives now
+        self.message: ClientRequest | None = None  # what arrives now
         self.head_bytes = self.passed_over = 0
         self.proven = False  # whether it has sent a good request
-        self.born = self.turn.now()
+        self.born = self.driver.now()
         self.asked_since = self.born  # from when it may send, unless proven: its birth or its last answer
         self.heard_at = self.born  # its last byte
         self.looked = False  # what waited unread at its deadline was given time
         self.unread_there = self.ends_by = 0  # while it ends: what the client has not read, the last moment
         self.faulty = False  # its input has gone wrong: nothing more is read from it
-        self.waiting: deque[Message] = deque()
-        self.answering: Message | None = None
+        self.waiting: deque[ClientRequest] = deque()
+        self.answering: ClientRequest | None = None
         self.request: Request | None = None
         self.call_id = b""  # of the request that is open
         self.ending = self.clogged = self.paused = False
@@ -72,12 +54,12 @@
     def connection_made(self, transport) -> None:
         self.transport = transport
         self.clients.came(self)
-        self._await(self.born + FIRST_US)
+        self._await(self.born + limits.FIRST_US)
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.timers.cancel(self.deadline)
-        self.turn.timers.cancel(self.look)
+        self.driver.timers.cancel(self.deadline)
+        self.driver.timers.cancel(self.look)
         self.clients.left(self)
         self.parser = self.message = None  # cycles with the parser would keep bodies till a full collection
         self._gone()
@@ -88,7 +70,7 @@
         self.waiting.clear()
         if self.request is not None:
             request = self._release()
-            self.clients.dispatch.withdraw(self.turn.now(), request)
+            self.clients.dispatch.withdraw(self.driver.now(), request)
 
     @callback
     def eof_received(self) -> bool:
@@ -99,7 +81,7 @@
         """
         if self.clients.options.half_close == "leaves" or not (self.answering or self.waiting):
             self._gone()
-            self._await(self.turn.now() + LINGER_US)
+            self._await(self.driver.now() + limits.LINGER_US)
             return False
         self.half_closed = True
         return True
@@ -123,7 +105,7 @@
         try:
             self.answer_all(500, 500)
         except Exception:
-            say("defect", True, what="the end of a session")
+            log_event("defect", True, what="the end of a session")
             self.drop()
 
     def drop(self) -> None:
@@ -134,7 +116,7 @@
         try:
             self.transport.abort()
         except TRANSPORT_ERRORS:
-            self._await(self.turn.now() + ABORT_AGAIN_US)
+            self._await(self.driver.now() + limits.ABORT_AGAIN_US)
 
     def answer_all(self, in_flight: int, unsent: int) -> None:
         """Answer all that is owed now, in order, and end; nothing more is forwarded.
@@ -145,7 +127,7 @@
         if self.ending:
             return
         if self.request is not None:
-            self.clients.dispatch.withdraw(self.turn.now(), self._release())
+            self.clients.dispatch.withdraw(self.driver.now(), self._release())
         if self.message is not None:
             self.waiting.append(self.message)
         self.message, self.faulty = None, True
@@ -171,8 +153,8 @@
         A client in the middle of a request goes if it sent nothing during `grace`, and gets its error.
         """
         if self.ending:
-            if self.until > now + ROOM_ERROR_LINGER_US:
-                self._await(now + ROOM_ERROR_LINGER_US)
+            if self.until > now + limits.ROOM_ERROR_LINGER_US:
+                self._await(now + limits.ROOM_ERROR_LINGER_US)
             return True
         if self.answering is not None or self.waiting or self.unread():
             return False
@@ -182,7 +164,7 @@
         if self.heard_at > now - grace:
             return False
         self._too_late()
-        self._await(now + ROOM_ERROR_LINGER_US)
+        self._await(now + limits.ROOM_ERROR_LINGER_US)
         return True
 
     @property
@@ -195,7 +177,7 @@
         """Whether bytes wait at the socket: a loop that was held up runs its timers before it reads them."""
         return bytes_wait(self.transport)
 
-    def close(self, linger: int = LINGER_US) -> None:
+    def close(self, linger: int = limits.LINGER_US) -> None:
         """End it when all that was written has left and the client has closed, or soon: a slow reader has
         `SLOW_US`, as long as it gets on.
 
@@ -206,8 +188,8 @@
         if self.transport.is_closing():  # the client was first
             return
         self._pause(False)
-        now = self.turn.now()
-        self.unread_there, self.ends_by = bytes_unread(self.transport), now + SLOW_US
+        now = self.driver.now()
+        self.unread_there, self.ends_by = bytes_unread(self.transport), now + limits.SLOW_US
         try:
             self.transport.write_eof()
         except TRANSPORT_ERRORS:
@@ -216,7 +198,7 @@
 
     @callback
     def data_received(self, data: bytes) -> None:
-        self.heard_at = self.turn.now()
+        self.heard_at = self.driver.now()
         self._parse(data)
         if self.unread_since is not None and not self.paused and not self.unread():
             self.unread_since = None  # from now on bytes are read as they come
@@ -224,31 +206,31 @@
     def _parse(self, data: bytes) -> None:
         if self.ending or self.faulty:
             self.passed_over += len(data)
-            self._pause(self.passed_over > MAX_UNREAD)
+            self._pause(self.passed_over > limits.MAX_UNREAD)
             return
         try:
             self.parser.feed_data(data)
             if self.message is not None and not self.message.method:
                 self.head_bytes += len(data)  # a header is told only when it is whole
-                if self.head_bytes > MAX_HEAD:
-                    raise BadMessage(431, "the head is too large")
+                if self.head_bytes > limits.MAX_HEAD:
+                    raise MalformedRequest(431, "the head is too large")
         except httptools.HttpParserUpgrade:  # the message is whole, what follows it is not read
             self.faulty = True
             self.waiting[-1].keep_alive = False
         except httptools.HttpParserCallbackError as error:
             self._reject(error.__context__)
         except httptools.HttpParserError:
-            self._reject(BadMessage(400, "malformed HTTP"))
-        except BadMessage as fault:
+            self._reject(MalformedRequest(400, "malformed HTTP"))
+        except MalformedRequest as fault:
             self._reject(fault)
         self._next()
 
     def _reject(self, fault: BaseException | None) -> None:
         """The answer that ends the session, after those that are still owed."""
-        if not isinstance(fault, BadMessage):
-            say("defect", fault, what="callback on a message")
-            fault = BadMessage(500, "internal error")
-        message, self.message = self.message or Message(self.turn.now()), None
+        if not isinstance(fault, MalformedRequest):
+            log_event("defect", fault, what="callback on a message")
+            fault = MalformedRequest(500, "internal error")
+        message, self.message = self.message or ClientRequest(self.driver.now()), None
         message.body = bytearray()  # not kept for a client that may linger, nor in the error's frames
         fault.__traceback__ = None
         message.fault, message.keep_alive, self.faulty = fault, False, True
@@ -257,9 +239,12 @@
     # httptools calls these.
 
     def on_message_begin(self) -> None:
-        if len(self.waiting) >= MAX_PIPELINED or sum(len(ahead.body) for ahead in self.waiting) > MAX_BODY:
-            raise BadMessage(400, "too many requests at once")
-        self.message, self.head_bytes = Message(self.turn.now(), self.unread_since), 0
+        if (
+            len(self.waiting) >= limits.MAX_PIPELINED
+            or sum(len(ahead.body) for ahead in self.waiting) > limits.MAX_BODY
+        ):
+            raise MalformedRequest(400, "too many requests at once")
+        self.message, self.head_bytes = ClientRequest(self.driver.now(), self.unread_since), 0
         self.clients.stirred(self)
 
     def on_url(self, url: bytes) -> None:
@@ -267,31 +252,31 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.head_bytes += len(name) + len(value)
-        if self.head_bytes > MAX_HEAD:
-            raise BadMessage(431, "the head is too large")
+        if self.head_bytes > limits.MAX_HEAD:
+            raise MalformedRequest(431, "the head is too large")
         name, message = name.lower(), self.message
         if not message.head:
             return  # a trailer changes nothing
         if name in self.clients.once and name in message.headers:
-            raise BadMessage(400, f"{name.decode()} comes twice")
+            raise MalformedRequest(400, f"{name.decode()} comes twice")
         message.headers[name] = value.strip()
 
     def on_headers_complete(self) -> None:
         message = self.message
         message.method, message.head = self.parser.get_method(), False
         length = message.headers.get(b"content-length", b"0")
-        if length.isdigit() and int(length) > MAX_BODY:
-            raise BadMessage(413, "the body is over 64 KiB")
+        if length.isdigit() and int(length) > limits.MAX_BODY:
+            raise MalformedRequest(413, "the body is over 64 KiB")
         body = length != b"0" or b"transfer-encoding" in message.headers
         if body and self.parser.should_upgrade():  # the parser would stop before it
-            raise BadMessage(400, "an offer to upgrade takes no body")
+            raise MalformedRequest(400, "an offer to upgrade takes no body")
         if message.headers.get(b"expect", b"").lower() == b"100-continue" and self.answering is None:
             self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
         self.message.body += data
-        if len(self.message.body) > MAX_BODY:
-            raise BadMessage(413, "the body is over 64 KiB")
+        if len(self.message.body) > limits.MAX_BODY:
+            raise MalformedRequest(413, "the body is over 64 KiB")
 
     def on_message_complete(self) -> None:
         message, self.message = self.message, None
@@ -302,9 +287,9 @@
 
     def _await(self, until: int) -> None:
         """End the session unless it gets on by then."""
-        self.turn.timers.cancel(self.deadline)
+        self.driver.timers.cancel(self.deadline)
         self.until = until
-        self.deadline = self.turn.timers.add(until, self._late)
+        self.deadline = self.driver.timers.add(until, self._late)
 
     def _pause(self, pause: bool) -> None:
         if pause == self.paused or self.transport.is_closing():
@@ -320,7 +305,7 @@
             return  # not paused: what comes is bounded by `MAX_PIPELINED`, and it is tried again
         self.paused = pause
         if pause:
-            self.unread_since = self.unread_since or self.turn.now()
+            self.unread_since = self.unread_since or self.driver.now()
             self._look_later()
 
     def _reads_no_more(self) -> None:
@@ -332,8 +317,8 @@
 
     def _look_later(self) -> None:
         """Nothing is read for now, not even the client's end: look for it."""
-        self.turn.timers.cancel(self.look)
-        self.look = self.turn.timers.add(self.turn.now() + HANGUP_US, self._look)
+        self.driver.timers.cancel(self.look)
+        self.look = self.driver.timers.add(self.driver.now() + limits.HANGUP_US, self._look)
 
     def _look(self, now: int) -> None:
         if (self.paused or self.half_closed) and not self._end_if_left():
@@ -361,7 +346,7 @@
             self._late_to_close(now)
         elif not self.looked and self.unread():
             self.looked = True
-            self._await(now + UNREAD_US)
+            self._await(now + limits.UNREAD_US)
         elif self.message is not None and not self.faulty:
             self._too_late()
         else:
@@ -372,46 +357,46 @@
         before, self.unread_there = self.unread_there, bytes_unread(self.transport)
         gets_on = self.unread_there < before and now < self.ends_by
         if gets_on and self.transport.get_write_buffer_size():  # what the system holds leaves by itself
-            self._await(now + LINGER_US)
+            self._await(now + limits.LINGER_US)
         else:
             self.drop()
 
     def _too_late(self) -> None:
-        self._reject(BadMessage(408, "the request did not arrive in time"))
+        self._reject(MalformedRequest(408, "the request did not arrive in time"))
         self._next()
 
     def _whole_by(self) -> int:
         """When the request that arrives now has to be whole."""
-        return self.message.began_at + SLOW_US if self.proven else self.asked_since + FIRST_US
+        return self.message.began_at + limits.SLOW_US if self.proven else self.asked_since + limits.FIRST_US
 
     def _rest(self) -> None:
         """Wait for what the client sends next."""
-        now = self.turn.now()
+        now = self.driver.now()
         self.looked = self.looked and self.message is not None and now >= self._whole_by()
         if self.message is not None:
-            self._await(min(self._whole_by(), self.heard_at + STOPPED_US))
+            self._await(min(self._whole_by(), self.heard_at + limits.STOPPED_US))
         elif self.proven:
             if self.idle and not self.clogged:
                 self.clients.rested(self)
-            self._await(now + IDLE_US)
+            self._await(now + limits.IDLE_US)
         else:
-            self._await(now + FIRST_US)
+            self._await(now + limits.FIRST_US)
 
     def _next(self) -> None:
         while self.answering is None and self.waiting and not self.ending and not self.clogged:
             if self.paused and self._end_if_left():
                 return
-            self.turn.timers.cancel(self.deadline)
+            self.driver.timers.cancel(self.deadline)
             self.answering = message = self.waiting.popleft()
             if message.fault is not None:
                 self._write(message.fault.status, str(message.fault).encode() + b"\n")
                 continue
             try:
                 self._serve(message)
-            except BadMessage as fault:
+            except MalformedRequest as fault:
                 self._write(fault.status, str(fault).encode() + b"\n")
             except Exception:
-                say("defect", True, what="callback on a req")
+                log_event("defect", True, what="callback on a req")
                 self._release()
                 self._write(500, b"internal error\n")
         if self.answering is None and not self.ending and self.message is not None:
@@ -419,11 +404,11 @@
         if not self.ending:
             self._pause(bool(self.waiting))  # a client that sends ahead is read no further for now
 
-    def _serve(self, message: Message) -> None:
+    def _serve(self, message: ClientRequest) -> None:
         path = message.target.partition(b"?")[0]
         if path == b"/ready":
             if message.method != b"GET":
-                raise BadMessage(405, "GET only")
+                raise MalformedRequest(405, "GET only")
             ready = self.clients.ready()
             self.clients.prove(self)
             self._write(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
@@ -431,36 +416,36 @@
             self._recall(message, path)
         elif path == b"/api" or path.startswith(b"/api/"):  # without a key the path ends there
             if message.method != b"POST":
-                raise BadMessage(405, "POST only")
+                raise MalformedRequest(405, "POST only")
             self._take(message, path)
         else:
-            raise BadMessage(404, "unknown path")
+            raise MalformedRequest(404, "unknown path")
 
-    def _checked(self, message: Message) -> None:
+    def _checked(self, message: ClientRequest) -> None:
         """The platform's header must hold a budget, where it is read at all."""
         if "x-budget-ms" in self.clients.options.sources and message.number(b"x-budget-ms") == 0:
-            raise BadMessage(400, "bad x-budget-ms")
+            raise MalformedRequest(400, "bad x-budget-ms")
 
-    def _due(self, message: Message, longest: int) -> int:
+    def _due(self, message: ClientRequest, longest: int) -> int:
         """When the answer has to leave: the client's deadline, less this node's margin."""
         clients = self.clients
-        unix = time.time_ns() // 1000 - (self.turn.now() - message.sent_at)
+        unix = time.time_ns() // 1000 - (self.driver.now() - message.sent_at)
         try:
             budget = granted_budget(message.headers, clients.options, longest, unix)
         except InvalidDeadline as error:
             if isinstance(error, ClocksDiffer):
-                say("clock-off", reason=str(error))
-            raise BadMessage(400, str(error)) from None
+                log_event("clock-off", reason=str(error))
+            raise MalformedRequest(400, str(error)) from None
         due = message.sent_at + budget - clients.dispatch.deadline_tracker.margins.for_answer(budget)
         return min(due, clients.answer_by) if clients.answer_by else due
 
-    def _recall(self, message: Message, path: bytes) -> None:
+    def _recall(self, message: ClientRequest, path: bytes) -> None:
         """`DELETE /api/calls/ID`, from a front that cannot close: the client of that call has left."""
         call_id = path.removeprefix(b"/api/calls/")
         session = self.clients.open_ids.get(call_id) if call_id != path else None
         caller = message.headers.get(b"x-caller")
         if session is None or session.answering.headers.get(b"x-caller") != caller:
-            raise BadMessage(404, "no such call is open")
+            raise MalformedRequest(404, "no such call is open")
         self.clients.prove(self)
         session.recalled()
         self._write(200, b"recalled\n")
@@ -468,20 +453,20 @@
     def recalled(self) -> None:
         """Its client has left by word: nothing starts for the request, and the session goes on."""
         if self.request is not None:
-            self.clients.dispatch.withdraw(self.turn.now(), self._release())
+            self.clients.dispatch.withdraw(self.driver.now(), self._release())
             self._final(502, b"recalled by its client\n")
 
-    def _take(self, message: Message, path: bytes) -> None:
-        clients, now = self.clients, self.turn.now()
+    def _take(self, message: ClientRequest, path: bytes) -> None:
+        clients, now = self.clients, self.driver.now()
         self._checked(message)
         call_id = message.headers.get(b"x-call-id", b"")
         if not CALL_ID.fullmatch(call_id):
-            raise BadMessage(400, "bad x-call-id")
+            raise MalformedRequest(400, "bad x-call-id")
         if call_id in clients.open_ids:
-            raise BadMessage(409, "a req with this x-call-id is open")
+            raise MalformedRequest(409, "a req with this x-call-id is open")
         name = message.headers.get(b"x-call-class", b"").decode("latin-1")
         if name not in clients.classes:
-            raise BadMessage(400, "unknown x-call-class")
+            raise MalformedRequest(400, "unknown x-call-class")
         tenant = message.headers.get(b"x-caller", b"").decode("latin-1")
         figures = message.figures()
         try:
@@ -490,17 +475,23 @@
             key = 0
         due = self._due(message, clients.deadlines[clients.classes[name]])
         job = api.RequestArrived(
-            0, clients.classes[name], max(0, due - now), figures.get("slots", 1.0),
-            figures.get("memory", figures.get("mem", 0.0)), message.number(b"x-call-cost") or 0,
-            clients.tenants.get(tenant, len(clients.tenants)), key, message.headers.get(b"x-again") == b"1",
-        )  # fmt: skip
+            0,
+            clients.classes[name],
+            max(0, due - now),
+            figures.get("slots", 1.0),
+            figures.get("memory", figures.get("mem", 0.0)),
+            message.number(b"x-call-cost") or 0,
+            clients.tenants.get(tenant, len(clients.tenants)),
+            key,
+            message.headers.get(b"x-again") == b"1",
+        )
         clients.prove(self)
         left = self._left()  # a loop that was held up may read a request long after its client closed
         if left:
             self.drop()
             return
         if left is None:
-            raise BadMessage(503, "refused")
+            raise MalformedRequest(503, "refused")
         clients.open_ids[call_id] = self
         self.call_id = call_id
         request = clients.dispatch.arrive(now, self, message, due, job)
@@ -552,7 +543,7 @@
         if last or message.fault is not None:
             self.close()
         else:
-            self.asked_since = self.turn.now()
+            self.asked_since = self.driver.now()
             self._rest()
 
     def _send(self, text: bytes) -> bool:
--- a/cedarmill/net/cluster/gossip.py
+++ b/cedarmill/net/cluster/gossip.py
@@ -12,11 +12,11 @@
 from cedarmill.cluster import gossip_plan
 from cedarmill.cluster.messages import GossipSubscription, GossipUpdate
 from cedarmill.decisions import interface as api
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.config import Address
 from cedarmill.net.discovery.client import DiscoveryClient
-from cedarmill.net.framing import Wire
-from cedarmill.net.loop import Turn
+from cedarmill.net.framing import FramedConnection
+from cedarmill.net.loop import EventLoopDriver
 
 TELL_US = 200_000  # between two frames with facts on a link
 STILL_US = 500_000  # between two frames without any: the other side needs a stamp
@@ -37,7 +37,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.wire: Wire | None = None
+        self.wire: FramedConnection | None = None
         self.uses: frozenset[str] = frozenset()
         self.told: dict[str, int] = {}  # by executor: when the fact was heard that was told last
         self.said = 0  # when a frame went out last
@@ -56,8 +56,8 @@
 class Gossip:
     """A node's links to those that use the same executors; made where a fleet is set, idle without peers."""
 
-    def __init__(self, turn: Turn, name: str, cluster: str, discovery: DiscoveryClient) -> None:
-        self.turn, self.name, self.cluster, self.discovery = turn, name, cluster, discovery
+    def __init__(self, driver: EventLoopDriver, name: str, cluster: str, discovery: DiscoveryClient) -> None:
+        self.driver, self.name, self.cluster, self.discovery = driver, name, cluster, discovery
         self.dispatch = discovery.dispatch
         self.peers: dict[str, str] = {}
         self.links: dict[str, Link] = {}
@@ -76,14 +76,14 @@
         for name in [name for name in self.links if name not in self.peers]:
             self._drop(self.links.pop(name), "not a peer any longer")
         if self.peers and self._due is None:
-            self._again(self.turn.now())
+            self._again(self.driver.now())
 
     def _again(self, now: int) -> None:
         """Every so often, while there are peers."""
         if not self.peers:
             self._due = None
             return
-        self._due = self.turn.timers.add(now + TELL_US, self._again)
+        self._due = self.driver.timers.add(now + TELL_US, self._again)
         self._choose()
         for name in sorted(self.near | self.links.keys()):
             link = self.links.get(name)
@@ -113,7 +113,7 @@
 
     def _say_uses(self, link: Link) -> None:
         if link.wire is not None:
-            link.wire.say(0, GossipSubscription(self.cluster, self.name, sorted(self.mine)))
+            link.wire.send(0, GossipSubscription(self.cluster, self.name, sorted(self.mine)))
 
     # Links: of a pair the one whose name comes first dials.
 
@@ -122,7 +122,7 @@
         if self.name > name or now < link.dial_at or name not in self.near:
             return
         link.dial_at = now + AGAIN_US
-        wire = Wire(self.turn, self._heard, self._ended, lambda wire: self._up(link, wire))
+        wire = FramedConnection(self.driver, self._heard, self._ended, lambda wire: self._up(link, wire))
         wire.name = name
         try:
             address = Address.parse(self.peers[name])
@@ -131,11 +131,11 @@
         link.wire = wire
         wire.dial(address)
 
-    def _up(self, link: Link, wire: Wire) -> None:
-        link.stamp, link.stamped, link.told = -1, self.turn.now(), {}
+    def _up(self, link: Link, wire: FramedConnection) -> None:
+        link.stamp, link.stamped, link.told = -1, self.driver.now(), {}
         self._say_uses(link)
 
-    def take(self, wire: Wire, word: GossipSubscription) -> bool:
+    def take(self, wire: FramedConnection, word: GossipSubscription) -> bool:
         """A peer has dialled, and tells what it uses; False: it is nobody to share with."""
         if word.cluster != self.cluster or word.name not in self.peers:
             return False
@@ -153,7 +153,7 @@
         if wire is not None:
             wire.end(reason)
 
-    def _ended(self, wire: Wire, reason: str) -> None:
+    def _ended(self, wire: FramedConnection, reason: str) -> None:
         link = self.links.get(wire.name)
         if link is not None and link.wire is wire:
             link.wire, link.uses = None, frozenset()
@@ -177,13 +177,13 @@
         if facts or now - link.said >= STILL_US:
             link.said = now
             since = now - link.stamped if link.stamp >= 0 else 0
-            link.wire.say(0, GossipUpdate(facts, now, link.stamp, since))
+            link.wire.send(0, GossipUpdate(facts, now, link.stamp, since))
 
-    def _heard(self, wire: Wire, number: int, word: object) -> None:
+    def _heard(self, wire: FramedConnection, number: int, word: object) -> None:
         link = self.links.get(wire.name)
         if link is None or link.wire is not wire:
             return
-        now = self.turn.now()
+        now = self.driver.now()
         if isinstance(word, GossipSubscription):
             link.uses = frozenset(word.executors)
         elif isinstance(word, GossipUpdate):
@@ -205,5 +205,7 @@
     def end(self) -> None:
         """This process ends."""
         if self.followed or self.passed_over:
-            say("news-shared", followed=self.followed, passed_over=self.passed_over, peers=len(self.links))
+            log_event(
+                "gossip-summary", followed=self.followed, passed_over=self.passed_over, peers=len(self.links)
+            )
         self.follow({})
--- a/cedarmill/net/cluster/node_role.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -29,17 +29,17 @@
 from cedarmill.cluster.state_machine.commands import RequestPermits, ReturnPermit
 from cedarmill.core.requests import Failed, FinalAnswer, Refused, Request
 from cedarmill.decisions import interface as api
-from cedarmill.log import say
-from cedarmill.net.admin.handlers import Answer, Hands
-from cedarmill.net.clients.server import Clients
+from cedarmill.log import log_event
+from cedarmill.net.admin.handlers import AdminHandlers, Answer
+from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.cluster.gossip import Gossip
 from cedarmill.net.cluster.member import LEAVE_US, Membership
-from cedarmill.net.cluster.observer import FleetObserver
-from cedarmill.net.cluster.routing import Lanes
+from cedarmill.net.cluster.observer import ClusterObserver
+from cedarmill.net.cluster.routing import ClusterRouting
 from cedarmill.net.config import Address, Config
 from cedarmill.net.discovery.client import DiscoveryClient
-from cedarmill.net.loop import Turn
-from cedarmill.values import FleetOptions
+from cedarmill.net.loop import EventLoopDriver
+from cedarmill.values import ClusterOptions
 
 STRIKES = 1  # signs that an executor is dead or unreachable, and none since that it serves
 FRESH_US = 3_000_000  # since an executor last answered here: older, this node says nothing of its health
@@ -52,19 +52,19 @@
 }
 
 
-class NodeFleet:
+class NodeRole:
     """What ties a node to the fleet."""
 
     def __init__(
         self,
-        turn: Turn,
+        driver: EventLoopDriver,
         config: Config,
-        options: FleetOptions,
-        clients: Clients,
+        options: ClusterOptions,
+        clients: ClientServer,
         discovery: DiscoveryClient,
-        hands: Hands,
+        hands: AdminHandlers,
     ) -> None:
-        self.turn, self.options, self.name = turn, options, config.name
+        self.driver, self.options, self.name = driver, options, config.name
         self.clients, self.discovery, self.hands = clients, discovery, hands
         self.dispatch = discovery.dispatch
         self.tally = [0, 0, 0, 0]  # jobs, failed, late, refused
@@ -86,7 +86,7 @@
         )
         keepers = {name: Address.parse(address) for name, address in options.keepers.items()}
         self.membership = Membership(
-            turn, options.cluster, who, keepers, self.facts, self.follow, self._lapsed, self._resumed
+            driver, options.cluster, who, keepers, self.facts, self.follow, self._lapsed, self._resumed
         )
         self.listen = listen
         self.purses, self.tries = BudgetLeases(known=options.start == "alone"), RetryBudget()
@@ -94,11 +94,11 @@
         holds = self.membership.agent.holds
         self.lanes = None
         if zone:
-            self.lanes = Lanes(turn, self.name, zone, discovery, options, holds, self.may_spend)
+            self.lanes = ClusterRouting(driver, self.name, zone, discovery, options, holds, self.may_spend)
         self.peopled, self._asks_peers = 0, False  # the epoch of the peers that are known
-        self.gossip = Gossip(turn, self.name, options.cluster, discovery)
+        self.gossip = Gossip(driver, self.name, options.cluster, discovery)
         self.membership.taken = self.gossip.take
-        self.dispatch.observer = FleetObserver(self)
+        self.dispatch.observer = ClusterObserver(self)
         if options.start == "wait":
             discovery.hold(True)
 
@@ -132,18 +132,18 @@
     def follow(self, orders: Orders) -> None:
         """Newer orders: the module hears of what is out as draining."""
         before, self.orders = self.orders, orders
-        say(
-            "fleet-orders",
+        log_event(
+            "cluster-orders",
             epoch=orders.epoch,
             out=", ".join(sorted(orders.excluded_executors)) or "nothing",
             away="yes" if orders.drain_clients_epoch else "no",
         )
         if before is None or before.excluded_executors.keys() != orders.excluded_executors.keys():
-            self.hands.out_by_fleet(dict.fromkeys(orders.excluded_executors, self.turn.now()))
-        if self.may_send(self.turn.now()) or self.options.cut_off == "serve":
+            self.hands.out_by_fleet(dict.fromkeys(orders.excluded_executors, self.driver.now()))
+        if self.may_send(self.driver.now()) or self.options.cut_off == "serve":
             self.discovery.hold(False)
         self.purses.set_rates(
-            self.turn.now(), self.membership.agent.holds(self.turn.now()), orders.budget_leases
+            self.driver.now(), self.membership.agent.holds(self.driver.now()), orders.budget_leases
         )
         self._learn_peers()
         if self.lanes is not None:
@@ -159,8 +159,12 @@
             tight = ", ".join(
                 f"{bound} {cut.weight / 1000:g}" for bound, cut in sorted(orders.scoped_cuts.items())
             )
-            say("cut-followed", part=f"{part / 10:g}%", rank=f"{rank / 1000:g}" if rank >= 0 else "nothing",
-                tight=tight or "nothing")  # fmt: skip
+            log_event(
+                "admission-level-followed",
+                part=f"{part / 10:g}%",
+                rank=f"{rank / 1000:g}" if rank >= 0 else "nothing",
+                tight=tight or "nothing",
+            )
         gate.set_thresholds(orders.admission_cut, orders.scoped_cuts)
 
     def _learn_peers(self, now: int = 0) -> None:
@@ -178,7 +182,7 @@
         if isinstance(word, ReadReply):
             self.peopled = epoch
             self.gossip.follow(msgspec.json.decode(word.body, type=dict[str, str]))
-        self.turn.timers.add(self.turn.now() + PEERS_US, self._learn_peers)
+        self.driver.timers.add(self.driver.now() + PEERS_US, self._learn_peers)
 
     def _lapsed(self) -> None:
         if self.options.cut_off == "stop":
@@ -192,14 +196,14 @@
     def facts(self) -> MemberReport:
         """As it stands at a beat."""
         agent = self.membership.agent
-        doubts = self.turn.now() < agent.doubts_until
+        doubts = self.driver.now() < agent.doubts_until
         digest = self.lanes.digest(doubts) if self.lanes is not None else None
         return MemberReport(
             self._done(),
             self._seen(),
             request_counts=tuple(self.tally),
             digest=digest,
-            budget_demand=self.purses.demands(self.turn.now()),
+            budget_demand=self.purses.demands(self.driver.now()),
         )
 
     def _done(self) -> dict[str, int]:
@@ -225,7 +229,7 @@
         return done
 
     def _seen(self) -> dict[str, ExecutorObservation]:
-        now = self.turn.now()
+        now = self.driver.now()
         reader, workers, found = self.discovery.reader, self.dispatch.balancer.executors, {}
         zones = {number: name for name, number in reader.zones.items()}
         kinds = {number: name for name, number in reader.kinds.items()}
@@ -310,7 +314,7 @@
         """This process ends and has nothing out."""
         self.gossip.end()
         self.membership.leave()
-        self.turn.timers.add(self.turn.now() + LEAVE_US, lambda now: then())
+        self.driver.timers.add(self.driver.now() + LEAVE_US, lambda now: then())
 
 
 def _at(who: MemberIdentity, address: str) -> MemberIdentity:
--- a/cedarmill/net/cluster/observer.py
+++ b/cedarmill/net/cluster/observer.py
@@ -7,13 +7,13 @@
 from cedarmill.decisions import interface as api
 
 if TYPE_CHECKING:
-    from cedarmill.net.cluster.node_role import NodeFleet
+    from cedarmill.net.cluster.node_role import NodeRole
 
 
-class FleetObserver(DispatchObserver):
+class ClusterObserver(DispatchObserver):
     """Connects the dispatch to the node's fleet session, traffic routing and gossip; times in us."""
 
-    def __init__(self, fleet: "NodeFleet") -> None:
+    def __init__(self, fleet: "NodeRole") -> None:
         self._fleet, self._routing, self._gossip = fleet, fleet.lanes, fleet.gossip
 
     def place_request(self, arrival: api.RequestArrived) -> None:
--- a/cedarmill/net/cluster/operator.py
+++ b/cedarmill/net/cluster/operator.py
@@ -9,13 +9,13 @@
 
 from cedarmill.cluster.messages import ClientReply, ClientRequest, ConnectionRejected, Hello, Unavailable
 from cedarmill.net.config import Address
-from cedarmill.net.framing import Bad, Reader, frame
+from cedarmill.net.framing import FrameReader, InvalidFrame, encode_frame
 
 TRY_S = 1.5  # for one keeper to answer, before the next is asked
 ALL_S = 12.0  # for any of them: an election may be under way
 
 
-class NoKeeper(OSError):
+class NoReplicaError(OSError):
     """No keeper answered, and why each did not."""
 
 
@@ -24,7 +24,7 @@
     return secrets.token_hex(8)
 
 
-class Operator:
+class OperatorClient:
     """Asks keepers, beginning with the one that answered last."""
 
     def __init__(self, cluster: str, keepers: Sequence[str], name: str) -> None:
@@ -43,19 +43,21 @@
                     return answer
                 reasons[f"{address.host}:{address.port}"] = answer.reason
             time.sleep(0.1)  # not at once again: who is to lead is being settled
-        raise NoKeeper("; ".join(f"{where}: {why}" for where, why in reasons.items()) or "no keeper is named")
+        raise NoReplicaError(
+            "; ".join(f"{where}: {why}" for where, why in reasons.items()) or "no keeper is named"
+        )
 
     def _one(self, address: Address, ask: ClientRequest) -> ClientReply:
         try:
             with socket.create_connection((address.host, address.port), TRY_S) as sock:
-                sock.sendall(frame(0, Hello(self.cluster, self.name, "client")) + frame(1, ask))
+                sock.sendall(encode_frame(0, Hello(self.cluster, self.name, "client")) + encode_frame(1, ask))
                 return self._answer(sock)
-        except (OSError, Bad) as error:
+        except (OSError, InvalidFrame) as error:
             return Unavailable(str(error) or type(error).__name__)
 
     @staticmethod
     def _answer(sock: socket.socket) -> ClientReply:
-        reader, until = Reader(), time.monotonic() + TRY_S
+        reader, until = FrameReader(), time.monotonic() + TRY_S
         while (left := until - time.monotonic()) > 0:
             sock.settimeout(left)
             data = sock.recv(65536)
--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -33,16 +33,16 @@
 from cedarmill.cluster.traffic_control.errors import InvalidLayoutError
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.core.timers import Timers
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.config import Address
-from cedarmill.net.framing import HELLO_US, SILENT_US, Wire
+from cedarmill.net.framing import HELLO_US, SILENT_US, FramedConnection
 from cedarmill.net.listener import Acceptor, listening_socket
-from cedarmill.net.loop import Turn, callback
+from cedarmill.net.loop import EventLoopDriver, callback
 from cedarmill.store.errors import StoreError
 from cedarmill.store.files import Directory
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.store.snapshots import decode_backup
-from cedarmill.values import KeeperOptions
+from cedarmill.values import ReplicaOptions
 
 DIAL_US = 200_000  # between two tries to reach another keeper
 SESSIONS = 4096  # connections of members and operators: nodes, stewards, and a few operators
@@ -60,14 +60,16 @@
     return f"{cluster}/{name}/1"
 
 
-def first_snapshot(options: KeeperOptions, text: bytes = b"") -> Snapshot:
+def first_snapshot(options: ReplicaOptions, text: bytes = b"") -> Snapshot:
     """What all keepers of a new cluster begin with, to the last byte; or of one restored from a backup.
 
     A restored one has a generation more, and counts what was granted as out till it is proved back. Raises
     StoreError.
     """
-    config = {name: Peer(address, True, disk_name(options.cluster, name))
-              for name, address in sorted(options.peers.items())}  # fmt: skip
+    config = {
+        name: Peer(address, True, disk_name(options.cluster, name))
+        for name, address in sorted(options.peers.items())
+    }
     if not text:
         limits = [Limit(*dataclasses.astuple(limit)) for limit in options.limits]
         world = ClusterState(
@@ -98,26 +100,26 @@
     return Snapshot(before.index, max(before.term, FIRST), config, encode_snapshot(world))
 
 
-class KeeperProcess:
+class ReplicaProcess:
     """One keeper on one loop."""
 
-    def __init__(self, options: KeeperOptions, files: Directory | None = None) -> None:
+    def __init__(self, options: ReplicaOptions, files: Directory | None = None) -> None:
         """Open the store; raises StoreError or OSError."""
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
         self.timers = Timers()
-        self.turn = Turn(self.loop, self.timers)
+        self.driver = EventLoopDriver(self.loop, self.timers)
         self.files = files or Directory(options.data)
         self.store = ReplicaStore(self.files, options.cluster, options.name)
         self._start_replica()
         self.recovering = False  # the disk has failed, and was not opened anew yet
         self.failed_at = 0
         self.retry_us = RETRY_FIRST_US
-        self.wires: dict[str, Wire] = {}  # to other keepers, one each
-        self.dialling: dict[str, Wire] = {}
-        self.askers: dict[Wire, str] = {}
-        self.tokens: dict[int, tuple[Wire, int]] = {}
+        self.wires: dict[str, FramedConnection] = {}  # to other keepers, one each
+        self.dialling: dict[str, FramedConnection] = {}
+        self.askers: dict[FramedConnection, str] = {}
+        self.tokens: dict[int, tuple[FramedConnection, int]] = {}
         self.port = 0
         self.alarms: set[str] = set()
         self._count = 0
@@ -129,7 +131,7 @@
         """The core as the store tells it."""
         identity = self.store.identity
         seed = int.from_bytes(identity.disk.encode()[-6:], "big") + identity.start_count
-        self.keeper = Replica(self.options.name, self.store.persistent_state, self.turn.now(), seed)
+        self.keeper = Replica(self.options.name, self.store.persistent_state, self.driver.now(), seed)
         self.host = Host(self.keeper, self)
 
     # The port of the host.
@@ -154,24 +156,24 @@
             self._say(*found, answer)
 
     @staticmethod
-    def _say(wire: Wire, number: int, message: object) -> None:
+    def _say(wire: FramedConnection, number: int, message: object) -> None:
         """Write a frame; a connection that breaks meanwhile costs itself only."""
         try:
-            wire.say(number, message)
+            wire.send(number, message)
         except OSError as error:
             wire.end(f"write failed: {error.strerror or error}")
 
     def tell(self, action: RoleChanged | RaiseAlarm) -> None:
         if isinstance(action, RoleChanged):
             part = "leader" if action.leads else "follower"
-            say("keeper-role", part=part, leader=action.leader or "nobody", term=action.term)
+            log_event("replica-role", part=part, leader=action.leader or "nobody", term=action.term)
         else:
             self._alarm(action.text)
 
     def _alarm(self, text: str) -> None:
         if text not in self.alarms:
             self.alarms.add(text)
-            say("keeper-alarm", reason=text)
+            log_event("replica-alarm", reason=text)
 
     # Turns.
 
@@ -188,7 +190,7 @@
         if self.recovering:
             return
         try:
-            self.host.flush(self.turn.now())
+            self.host.flush(self.driver.now())
         except OSError as error:  # of the disk: `send`, `reply` and `tell` raise none
             self._disk_failed(error)
             return
@@ -198,8 +200,8 @@
         """Nothing more may be promised till the store was opened anew: stop leading, refuse what waits."""
         if self.recovering:
             return
-        say("replica-disk-failed", reason=error.strerror or error)
-        self.recovering, self.failed_at, self.retry_us = True, self.turn.now(), RETRY_FIRST_US
+        log_event("replica-disk-failed", reason=error.strerror or error)
+        self.recovering, self.failed_at, self.retry_us = True, self.driver.now(), RETRY_FIRST_US
         self.host.pending.clear()
         self.timers.cancel(self._timer)
         self._let_another_lead()
@@ -226,7 +228,7 @@
         try:
             store = ReplicaStore(self.files, self.options.cluster, self.options.name)
         except (StoreError, OSError) as error:
-            say("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
+            log_event("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
             self.timers.add(now + self.retry_us, self._recover)
             return
@@ -236,13 +238,13 @@
         self._start_replica()
         for wire in list(self.wires.values()):
             wire.end("started anew")  # what the others sent was for the replica before
-        say("replica-disk-recovered", seconds=(self.turn.now() - self.failed_at) / 1e6)
+        log_event("replica-disk-recovered", seconds=(self.driver.now() - self.failed_at) / 1e6)
         self._tell_store()
         self._arm()
 
     def _arm(self) -> None:
         self.timers.cancel(self._timer)
-        self._timer = self.timers.add(max(self.keeper.due, self.turn.now() + 1000), self._passed)
+        self._timer = self.timers.add(max(self.keeper.due, self.driver.now() + 1000), self._passed)
 
     def _passed(self, now: int) -> None:
         if self.recovering:
@@ -264,7 +266,7 @@
             return
         for name, address in self._addresses().items():
             if self.options.name < name and name not in self.wires and name not in self.dialling:
-                wire = Wire(self.turn, self._heard, self._ended, self._greet)
+                wire = FramedConnection(self.driver, self._heard, self._ended, self._greet)
                 wire.name = name
                 self.dialling[name] = wire
                 wire.dial(address)
@@ -282,8 +284,8 @@
         identity = self.store.identity
         return Hello(self.options.cluster, self.options.name, "keeper", identity.disk, identity.start_count)
 
-    def _greet(self, wire: Wire) -> None:
-        wire.say(0, self._own_hello())
+    def _greet(self, wire: FramedConnection) -> None:
+        wire.send(0, self._own_hello())
 
     def _admit(self, hello: Hello) -> str:
         """Why a connection is not taken; empty: it is."""
@@ -302,7 +304,7 @@
             return f"{hello.name} has an old copy of its disk: replace the keeper"
         return ""
 
-    def _hello(self, wire: Wire, number: int, hello: Hello) -> None:
+    def _hello(self, wire: FramedConnection, number: int, hello: Hello) -> None:
         if self.recovering and hello.role == "keeper":
             wire.end("the disk has failed")
             return
@@ -329,11 +331,11 @@
         if not dialled:
             self._greet(wire)
 
-    def _refused(self, wire: Wire, number: int, word: ConnectionRejected) -> None:
+    def _refused(self, wire: FramedConnection, number: int, word: ConnectionRejected) -> None:
         self._alarm(f"refused by {wire.name}: {word.reason}")
         wire.end(word.reason)
 
-    def _heard(self, wire: Wire, number: int, word: object) -> None:
+    def _heard(self, wire: FramedConnection, number: int, word: object) -> None:
         known = self._words.get(type(word))
         if known is not None:
             known(wire, number, word)
@@ -341,11 +343,11 @@
             self._asked(wire, number, word)
         elif self.wires.get(wire.name) is wire:
             if not self.recovering:
-                self._take(self.keeper.on_message(self.turn.now(), wire.name, word))
+                self._take(self.keeper.on_message(self.driver.now(), wire.name, word))
         else:
             wire.end("no hello came first")
 
-    def _asked(self, wire: Wire, number: int, word: object) -> None:
+    def _asked(self, wire: FramedConnection, number: int, word: object) -> None:
         if not isinstance(word, ClientRequest):
             wire.end("not a request")
             return
@@ -356,9 +358,9 @@
             return
         self._count += 1
         self.tokens[self._count] = wire, number
-        self._take(self.keeper.on_request(self.turn.now(), self._count, word))
+        self._take(self.keeper.on_request(self.driver.now(), self._count, word))
 
-    def _ended(self, wire: Wire, reason: str) -> None:
+    def _ended(self, wire: FramedConnection, reason: str) -> None:
         if self.wires.get(wire.name) is wire:
             del self.wires[wire.name]
         if self.dialling.get(wire.name) is wire:
@@ -368,13 +370,13 @@
 
     # Listening.
 
-    def _incoming(self) -> Wire:
+    def _incoming(self) -> FramedConnection:
         """The connection of one who has dialled this process."""
-        wire = Wire(self.turn, self._heard, self._ended)
-        self.timers.add(self.turn.now() + HELLO_US, lambda now: self._no_hello(wire))
+        wire = FramedConnection(self.driver, self._heard, self._ended)
+        self.timers.add(self.driver.now() + HELLO_US, lambda now: self._no_hello(wire))
         return wire
 
-    def _no_hello(self, wire: Wire) -> None:
+    def _no_hello(self, wire: FramedConnection) -> None:
         if not wire.name:
             wire.end("no hello")
 
@@ -387,48 +389,57 @@
             self.loop.add_signal_handler(number, self._terminate)
         listen = Address.parse(self.options.listen)
         sock = listening_socket(listen, BACKLOG)
-        self.acceptor = Acceptor(self.turn, sock, self._incoming, listener="keeper", batch=ACCEPTS)
+        self.acceptor = Acceptor(self.driver, sock, self._incoming, listener="keeper", batch=ACCEPTS)
         self.port = self.acceptor.port
         self.acceptor.resume()
         self._tell_store()
-        self._dial_again(self.turn.now())
+        self._dial_again(self.driver.now())
         self._arm()
-        self.turn.end()
-        say("keeper-serves", name=self.options.name, cluster=self.options.cluster, host=listen.host,
-            port=self.port)  # fmt: skip
+        self.driver.end()
+        log_event(
+            "replica-serves",
+            name=self.options.name,
+            cluster=self.options.cluster,
+            host=listen.host,
+            port=self.port,
+        )
         self.loop.call_soon(signal.pthread_sigmask, signal.SIG_UNBLOCK, SIGNALS)  # it hears of them only now
         self.loop.run_forever()
         self.store.close()
-        say("ended", name=self.options.name)
+        log_event("ended", name=self.options.name)
         return 0
 
     def _tell_store(self) -> None:
         recovery, saved = self.store.recovery, self.store.persistent_state
-        say("keeper-store", disk=self.store.identity.disk, boot=self.store.identity.start_count,
-            index=saved.entries[-1].index if saved.entries else saved.snapshot.index)  # fmt: skip
+        log_event(
+            "replica-store",
+            disk=self.store.identity.disk,
+            boot=self.store.identity.start_count,
+            index=saved.entries[-1].index if saved.entries else saved.snapshot.index,
+        )
         if recovery.torn_bytes:
-            say("keeper-torn", bytes=recovery.torn_bytes)
+            log_event("replica-log-truncated", bytes=recovery.torn_bytes)
         if saved.needs_catch_up:
             reason = "its disk is empty" if self.store.was_empty else "its disk has lost what was synced"
             if recovery.last_record_damaged:
                 reason = "its last record is damaged"
-            say("keeper-doubtful", reason=reason)
+            log_event("replica-needs-catch-up", reason=reason)
 
     def _terminate(self) -> None:
         """Hand the lead over first, so that nobody has to miss a leader."""
         if not self.recovering and self.keeper.is_leader and len(self.keeper.raft.voters) > 1:
-            self._take(self.keeper.transfer_leadership(self.turn.now()))
-            self.timers.add(self.turn.now() + 300_000, lambda now: self.loop.stop())
-            self.turn.end()
+            self._take(self.keeper.transfer_leadership(self.driver.now()))
+            self.timers.add(self.driver.now() + 300_000, lambda now: self.loop.stop())
+            self.driver.end()
         else:
             self.loop.stop()
 
     @staticmethod
     def _exception(loop, context: dict) -> None:
-        say("loop", context.get("exception"), what=context.get("message"))
+        log_event("loop", context.get("exception"), what=context.get("message"))
 
 
-def initialise(options: KeeperOptions, backup: bytes = b"", files: Directory | None = None) -> None:
+def initialise(options: ReplicaOptions, backup: bytes = b"", files: Directory | None = None) -> None:
     """Format this keeper's disk for a new cluster, or one restored; raises StoreError (not empty) or
     OSError.
     """
@@ -444,7 +455,7 @@
         store.close()
 
 
-def main(options: KeeperOptions, log_format: str = "text", files: Directory | None = None) -> int:
+def main(options: ReplicaOptions, log_format: str = "text", files: Directory | None = None) -> int:
     """Run a keeper; the exit code: 0 ended by a signal, 2 it could not start.
 
     A disk that fails while it runs does not end it.
@@ -452,7 +463,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # till the loop runs
     log.begin(log_format)
     try:
-        return KeeperProcess(options, files).run()
+        return ReplicaProcess(options, files).run()
     except (StoreError, OSError) as error:
         print(f"cedarmill: {error}", file=sys.stderr)
         return 2
--- a/cedarmill/net/cluster/routing.py
+++ b/cedarmill/net/cluster/routing.py
@@ -16,10 +16,10 @@
 from cedarmill.core.requests import Attempt
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.discovery.client import DiscoveryClient
-from cedarmill.net.loop import Turn
-from cedarmill.values import FleetOptions
+from cedarmill.net.loop import EventLoopDriver
+from cedarmill.values import ClusterOptions
 
 LOOK_US = 250_000  # between two looks at what the plan and this node's own sight come to
 DIGEST_US = 1_000_000  # between two digests
@@ -29,19 +29,27 @@
 NO_SIGN = frozenset((Outcome.MOOT, Outcome.CANCELLED, Outcome.UNUSABLE, Outcome.FULL))
 
 
-class Lanes:
+class ClusterRouting:
     """One node's; made where its fleet plans zones."""
 
-    def __init__(self, turn: Turn, name: str, zone: str, discovery: DiscoveryClient, options: FleetOptions,
-                 holds: Callable[[int], bool], spend: Callable[[int, str], bool]) -> None:  # fmt: skip
-        self.turn, self.zone, self.discovery, self.spend = turn, zone, discovery, spend
+    def __init__(
+        self,
+        driver: EventLoopDriver,
+        name: str,
+        zone: str,
+        discovery: DiscoveryClient,
+        options: ClusterOptions,
+        holds: Callable[[int], bool],
+        spend: Callable[[int, str], bool],
+    ) -> None:
+        self.driver, self.zone, self.discovery, self.spend = driver, zone, discovery, spend
         self.dispatch = discovery.dispatch
         settings = self.dispatch.balancer.settings
         self.follower = PlanFollower()
-        self.sights = ObservationLog(turn.now())
+        self.sights = ObservationLog(driver.now())
         self.use = RoutingDecision()
         self.dice = Random(name)
-        self.digest_at = turn.now()
+        self.digest_at = driver.now()
         self.zone_names: dict[int, str] = {}
         self.kind_names: dict[int, str] = {}
         self._learn_names()
@@ -57,7 +65,7 @@
         self.runs = [times.mean_us for times in self.dispatch.balancer.state.learned.class_times]
         self.quiet = [0] * len(self.runs)  # jobs that said so
         self.holds = holds
-        turn.timers.add(turn.now() + LOOK_US, self._again)
+        driver.timers.add(driver.now() + LOOK_US, self._again)
 
     def _homes(self, bound: str, way: RouteWeights | None) -> tuple[int, ...]:
         """Zones in which such a req may run; before a plan has come, one that may not go far stays here."""
@@ -78,7 +86,7 @@
         bound = self.class_bounds[job.job_class]
         if job.tenant < len(self.tenant_bounds):
             bound = min(bound, self.tenant_bounds[job.tenant], key=SCOPES.index)
-        brain, now = self.dispatch.balancer, self.turn.now()
+        brain, now = self.dispatch.balancer, self.driver.now()
         rank = int(brain.settings.classes[job.job_class].worth * 1000)
         if job.tenant < len(self.quotas) and not self.spend(now, self.quotas[job.tenant]):
             rank = rank * OVER_QUOTA_SHARE // WHOLE  # beyond its tenant's quota over the fleet
@@ -95,7 +103,7 @@
         if self.cut:
             self.cut -= 1
         else:
-            self.sights.record_local_rejection(self.turn.now())
+            self.sights.record_local_rejection(self.driver.now())
 
     def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
         """An attempt has its outcome: what it says of the executor's zone."""
@@ -135,7 +143,7 @@
 
     def places(self) -> dict[str, LocationEstimate]:
         """Beliefs of each zone and group: executors that may be sent to, their slots, and those in use."""
-        brain, now = self.dispatch.balancer, self.turn.now()
+        brain, now = self.dispatch.balancer, self.driver.now()
         self._learn_names()
         kinds = self.kind_names
         sums: dict[str, list[int]] = {}
@@ -173,7 +181,7 @@
 
     def digest(self, doubts: bool) -> ObservationDigest | None:
         """Once in a while; None in between."""
-        now = self.turn.now()
+        now = self.driver.now()
         if now < self.digest_at or not self.zone:
             return None
         self.digest_at = now + DIGEST_US
@@ -195,13 +203,13 @@
         self.look()
 
     def _again(self, now: int) -> None:
-        self.turn.timers.add(now + LOOK_US, self._again)
+        self.driver.timers.add(now + LOOK_US, self._again)
         if self.follower.plan is not None:
             self.look()
 
     def look(self) -> None:
         """By the plan and by what this node sees: tell the module what has changed."""
-        now = self.turn.now()
+        now = self.driver.now()
         places = self.places()
         empty = set(self.discovery.reader.zones) - places.keys()
         seen = self.sights.observations(now, places)
@@ -212,8 +220,10 @@
         if use.closed_zones != before.closed_zones or use.closed_zones:
             self._shut(use.closed_zones)
         if use.weights != before.weights:
-            rows = {self.homes[bound]: {numbers[z]: part / 1000 for z, part in use.weights[bound].items()}
-                    for bound in reversed(SCOPES)}  # fmt: skip
+            rows = {
+                self.homes[bound]: {numbers[z]: part / 1000 for z, part in use.weights[bound].items()}
+                for bound in reversed(SCOPES)
+            }
             self.dispatch.set_zone_shares(now, rows)
         if (
             use.unreachable_zones != before.unreachable_zones
@@ -221,14 +231,21 @@
             or use.epoch != before.epoch
         ):
             shares = ", ".join(f"{zone} {part / 10:g}%" for zone, part in sorted(use.weights["any"].items()))
-            say("zones-followed", epoch=use.epoch, shares=shares or "nothing",
-                cannot=", ".join(use.unreachable_zones) or "nothing")  # fmt: skip
+            log_event(
+                "traffic-plan-followed",
+                epoch=use.epoch,
+                shares=shares or "nothing",
+                cannot=", ".join(use.unreachable_zones) or "nothing",
+            )
 
     def _shut(self, zones: tuple[str, ...]) -> None:
         """Executors of these zones get nothing, whatever the plan and this node's sight come to."""
         names = self.discovery.reader.names
-        hidden = {names[n] for n, entry in self.discovery.entries.items()
-                  if self.zone_names.get(entry.zone) in zones}  # fmt: skip
+        hidden = {
+            names[n]
+            for n, entry in self.discovery.entries.items()
+            if self.zone_names.get(entry.zone) in zones
+        }
         if hidden != self.discovery.hidden:
             self.discovery.hide(hidden)
 
@@ -237,5 +254,8 @@
         if self.follower.plan is None:
             return {}
         held = {self.zone_names.get(e.zone, "") for n, e in self.discovery.entries.items() if n in busy}
-        return {zone: epoch for zone, epoch in self.follower.plan.closed_zones.items()
-                if zone in self.use.closed_zones and zone not in held}  # fmt: skip
+        return {
+            zone: epoch
+            for zone, epoch in self.follower.plan.closed_zones.items()
+            if zone in self.use.closed_zones and zone not in held
+        }
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -29,13 +29,13 @@
     StoreUnits,
 )
 from cedarmill.core.timers import Timers
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.cluster.member import Membership
 from cedarmill.net.config import Address
 from cedarmill.net.listener import listening_socket
-from cedarmill.net.loop import Turn
+from cedarmill.net.loop import EventLoopDriver
 from cedarmill.store.files import Directory
-from cedarmill.values import StewardOptions, UnitOptions
+from cedarmill.values import SupervisorOptions, UnitOptions
 
 LOOK_US = 100_000  # between two looks at processes
 READY_S = 0.5  # for a process's door to answer
@@ -75,15 +75,15 @@
         return ""
 
 
-class StewardProcess:
+class SupervisorProcess:
     """The steward of one machine on one loop."""
 
-    def __init__(self, options: StewardOptions) -> None:
+    def __init__(self, options: SupervisorOptions) -> None:
         """Take up what the steward before has left; raises ValueError or OSError."""
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.timers = Timers()
-        self.turn = Turn(self.loop, self.timers)
+        self.driver = EventLoopDriver(self.loop, self.timers)
         self.files = Directory(options.data)
         self.units = {one.name: Unit(one) for one in options.units}
         kept = Path(self.files.path(KEPT)).read_bytes() if self.files.exists(KEPT) else b""
@@ -95,7 +95,7 @@
         part = options.fleet
         who = MemberIdentity("steward", options.name, secrets.token_hex(6), address=part.listen)
         keepers = {name: Address.parse(address) for name, address in part.keepers.items()}
-        self.membership = Membership(self.turn, part.cluster, who, keepers, self._facts, self._follow)
+        self.membership = Membership(self.driver, part.cluster, who, keepers, self._facts, self._follow)
         self._carry_out = {
             StartProcess: self._start,
             StopProcess: self._stop,
@@ -112,7 +112,7 @@
             self.membership.listen(Address.parse(self.options.fleet.listen))
         self.loop.call_soon(self._started)
         self.loop.run_forever()
-        say("ended", name=self.options.name)
+        log_event("ended", name=self.options.name)
         return self.code
 
     def _started(self) -> None:
@@ -121,11 +121,11 @@
         Units are started after that, or they would inherit that signals are blocked.
         """
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-        self._do(self.core.begin(self.turn.now(), self._adopt))
-        self._look(self.turn.now())
+        self._do(self.core.begin(self.driver.now(), self._adopt))
+        self._look(self.driver.now())
         self.membership.start()
-        say("steward-serves", name=self.options.name, units=", ".join(self.units))
-        self.turn.end()
+        log_event("supervisor-serves", name=self.options.name, units=", ".join(self.units))
+        self.driver.end()
 
     # The fleet.
 
@@ -140,12 +140,19 @@
         """What is ordered and not done yet, while the lease holds at this moment."""
         if self.orders is None:
             return
-        now = self.turn.now()
-        known = {name: told for name, told in self.orders.units.items()
-                 if name in self.units and told[0] in self.units[name].options.commands}  # fmt: skip
+        now = self.driver.now()
+        known = {
+            name: told
+            for name, told in self.orders.units.items()
+            if name in self.units and told[0] in self.units[name].options.commands
+        }
         for name in self.orders.units.keys() - known.keys():
             if name in self.units:
-                say("steward-waits", unit=name, reason=f"no command for version {self.orders.units[name][0]}")
+                log_event(
+                    "supervisor-waits",
+                    unit=name,
+                    reason=f"no command for version {self.orders.units[name][0]}",
+                )
         self._do(self.core.order(now, known, self.membership.agent.lease_until))
 
     # Processes.
@@ -155,14 +162,14 @@
             self._carry_out[type(action)](action)
 
     def _acted(self, action: OrderApplied) -> None:
-        say("steward-acts", unit=action.unit, epoch=action.epoch, left=action.lease_left_s)
+        log_event("supervisor-acts", unit=action.unit, epoch=action.epoch, left=action.lease_left_s)
 
     def _keep(self, action: StoreUnits) -> None:
         """Before what follows of it; a steward that cannot keep it must not go on."""
         try:
             self.files.replace(KEPT, action.document)
         except OSError as error:
-            say("keeper-disk", reason=error.strerror or error)
+            log_event("supervisor-disk-failed", reason=error.strerror or error)
             self.code = 3
             self.loop.stop()
             raise
@@ -171,7 +178,7 @@
         unit = self.units[action.unit]
         reason = unit.hold()
         if reason:  # the process before still has it, and its steward has died
-            say("steward-waits", unit=action.unit, reason=reason)
+            log_event("supervisor-waits", unit=action.unit, reason=reason)
             self.waiting[action.unit] = action
             self._stop_others(action)
             return
@@ -187,13 +194,19 @@
         try:
             child = self._spawn(unit, action, env)
         except OSError as error:  # no such command, say: as a process that ended at once
-            say("steward-waits", unit=action.unit, reason=f"version {action.version}: {error.strerror}")
-            self._do(self.core.on_exited(self.turn.now(), action.unit, action.incarnation))
+            log_event(
+                "supervisor-waits", unit=action.unit, reason=f"version {action.version}: {error.strerror}"
+            )
+            self._do(self.core.on_exited(self.driver.now(), action.unit, action.incarnation))
             return
         unit.children[action.incarnation] = child
         unit.ticks[action.incarnation] = start_ticks(child.pid)
-        say(
-            "steward-starts", unit=action.unit, version=action.version, life=action.incarnation, pid=child.pid
+        log_event(
+            "supervisor-starts",
+            unit=action.unit,
+            version=action.version,
+            life=action.incarnation,
+            pid=child.pid,
         )
         self._do(self.core.on_started(action.unit, action.incarnation, child.pid))
 
@@ -217,7 +230,7 @@
                 self._signal(action.unit, process, signal.SIGTERM)
 
     def _stop(self, action: StopProcess) -> None:
-        say("steward-stops", unit=action.unit, life=action.incarnation)
+        log_event("supervisor-stops", unit=action.unit, life=action.incarnation)
         process = self.core.units[action.unit].processes[action.incarnation]
         self._signal(action.unit, process, signal.SIGTERM)
 
@@ -249,7 +262,7 @@
         for name, unit in self.core.units.items():
             if process.incarnation in unit.processes:
                 self.units[name].ticks[process.incarnation] = start_ticks(process.pid)
-                say("steward-adopts", unit=name, life=process.incarnation, pid=process.pid)
+                log_event("supervisor-adopts", unit=name, life=process.incarnation, pid=process.pid)
         return True
 
     def _look(self, now: int) -> None:
@@ -260,7 +273,7 @@
                 if process.pid and not self._alive(name, process):
                     self._ended(name, life)
             if unit.current and not unit.ready and self._ready(name, unit.current):
-                say("steward-ready", unit=name, life=unit.current, version=unit.version)
+                log_event("supervisor-ready", unit=name, life=unit.current, version=unit.version)
                 self._do(self.core.on_ready(now, name, unit.current))
         for process in self.core.to_kill(now):
             for name, unit in self.core.units.items():
@@ -277,8 +290,10 @@
     def _ended(self, name: str, life: str) -> None:
         child = self.units[name].children.pop(life, None)
         self.units[name].ticks.pop(life, None)
-        say("steward-ended", unit=name, life=life, code="?" if child is None else child.returncode)
-        self._do(self.core.on_exited(self.turn.now(), name, life))
+        log_event(
+            "supervisor-process-ended", unit=name, life=life, code="?" if child is None else child.returncode
+        )
+        self._do(self.core.on_exited(self.driver.now(), name, life))
 
     def _log_path(self, unit: str, life: str) -> str:
         return self.files.path(f"{unit}-{life}.log")
@@ -310,12 +325,12 @@
         return int(words[2]) if found and len(words) > 2 and words[2].isdecimal() and "\n" in rest else 0
 
 
-def main(options: StewardOptions, log_format: str = "text") -> int:
+def main(options: SupervisorOptions, log_format: str = "text") -> int:
     """Run a steward; the exit code: 0 ended by a signal, 2 it could not start, 3 its disk failed."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # till the loop runs
     log.begin(log_format)
     try:
-        return StewardProcess(options).run()
+        return SupervisorProcess(options).run()
     except (ValueError, OSError) as error:
         print(f"cedarmill: {options.data}: {error}", file=sys.stderr)
         return 2
--- a/cedarmill/net/config.py
+++ b/cedarmill/net/config.py
@@ -8,7 +8,7 @@
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.settings import from_operator
-from cedarmill.net.loop import Turn, unix_us
+from cedarmill.net.loop import EventLoopDriver, unix_us
 
 STAMP_SLACK_US = (
     1_000_000  # an executor may be listed so much later than it started, as the list is told late
@@ -159,7 +159,7 @@
         self.zones = {name: n for n, name in enumerate(settings.zones)}
         self.kinds = {name: n for n, name in enumerate(settings.kinds)}
         self.starts: dict[str, Start] = {}  # by name; none of those that started long ago
-        self._first_offset_us = unix_us() - Turn.now()  # of Unix time against the brain's clock
+        self._first_offset_us = unix_us() - EventLoopDriver.now()  # of Unix time against the brain's clock
 
     def entry(self, raw: Endpoint, now: int, listed_before: int | None = None) -> api.EndpointEntry:
         """One entry, read at `now`; a zone or kind that the settings do not name is one of its own.
--- a/cedarmill/net/discovery/client.py
+++ b/cedarmill/net/discovery/client.py
@@ -20,12 +20,12 @@
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.core.timers import Timer
 from cedarmill.decisions import interface as api
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.config import Address, Listing, ListReader, Start
 from cedarmill.net.discovery.list_stream import ListStream
-from cedarmill.net.loop import Turn, callback
+from cedarmill.net.loop import EventLoopDriver, callback
 from cedarmill.net.socket_state import TRANSPORT_ERRORS
-from cedarmill.net.upstream.pool import Backends
+from cedarmill.net.upstream.pool import UpstreamPools
 
 QUIET_US = 30_000_000  # between two lines that tell of a lost watch: a discovery may come and go
 
@@ -40,7 +40,7 @@
     """One connection to discovery, which carries one call for changes."""
 
     def __init__(self, client: "DiscoveryClient") -> None:
-        self.client, self.turn = client, client.turn
+        self.client, self.driver = client, client.driver
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.lists = ListStream()
@@ -49,8 +49,8 @@
         self.task: asyncio.Task | None = None
 
     def open(self, address: Address) -> None:
-        opening = self.turn.loop.create_connection(lambda: self, address.host, address.port)
-        self.task = self.turn.loop.create_task(opening)
+        opening = self.driver.loop.create_connection(lambda: self, address.host, address.port)
+        self.task = self.driver.loop.create_task(opening)
         self.task.add_done_callback(self._opened)
 
     @callback
@@ -88,7 +88,7 @@
                 WatchEvent.PARTIAL_LIST_RECEIVED if self.lists.partial else WatchEvent.DATA_RECEIVED
             )
             if self.listed and not self.lists.partial:
-                self.client.current_at = self.turn.now()
+                self.client.current_at = self.driver.now()
 
     # httptools calls these.
 
@@ -136,9 +136,15 @@
 class DiscoveryClient:
     """Holds the list's version and at most one watch; the dispatch's port to discovery."""
 
-    def __init__(self, turn: Turn, settings: api.Settings, address: Address, backends: Backends,
-                 random: Random | None = None) -> None:  # fmt: skip
-        self.turn, self.address, self.backends = turn, address, backends
+    def __init__(
+        self,
+        driver: EventLoopDriver,
+        settings: api.Settings,
+        address: Address,
+        backends: UpstreamPools,
+        random: Random | None = None,
+    ) -> None:
+        self.driver, self.address, self.backends = driver, address, backends
         self.dispatch: Dispatch | None = None
         self.reader = ListReader(settings)
         self.index = 0
@@ -171,18 +177,18 @@
         """A list that the watch has brought."""
         self.watching.list_received()
         if not self.told:
-            say("watching", index=listing.index, host=self.address.host, port=self.address.port)
+            log_event("watching", index=listing.index, host=self.address.host, port=self.address.port)
             self.told = True
         self._tell(listing, api.EndpointListKind.FULL if listing.snapshot else api.EndpointListKind.DELTA)
 
     def _tell(self, listing: Listing, kind: api.EndpointListKind) -> None:
-        now, entries = self.turn.now(), []
+        now, entries = self.driver.now(), []
         for endpoint in listing.endpoints:
             entry = self.reader.entry(endpoint, now, self.current_at)
             try:
                 self.backends.update(entry.executor, endpoint)
             except ValueError as error:
-                say("entry-passed-over", name=endpoint.name, reason=error)
+                log_event("entry-passed-over", name=endpoint.name, reason=error)
                 entry = replace(entry, state=api.ExecutorState.DRAINING)  # nothing new goes where it was
             entries.append(entry)
         self.index = listing.index
@@ -212,7 +218,7 @@
         if self.entries:
             news = [self._told(entry) for entry in self.entries.values()]
             self.dispatch.on_endpoint_list(
-                self.turn.now(), api.EndpointList(api.EndpointListKind.DELTA, news)
+                self.driver.now(), api.EndpointList(api.EndpointListKind.DELTA, news)
             )
 
     def hide(self, names: set[str]) -> None:
@@ -222,7 +228,7 @@
         news = [self._told(self.entries[number]) for number in changed if number in self.entries]
         if news:
             self.dispatch.on_endpoint_list(
-                self.turn.now(), api.EndpointList(api.EndpointListKind.DELTA, news)
+                self.driver.now(), api.EndpointList(api.EndpointListKind.DELTA, news)
             )
 
     def knows(self, name: str) -> bool:
@@ -235,7 +241,7 @@
         One that comes back was restarted by hand while it was out: to the module it is a new process, started
         when the list says, if that is after it went out, else now; an older start says nothing of that.
         """
-        now, before, entries = self.turn.now(), self.excluded, []
+        now, before, entries = self.driver.now(), self.excluded, []
         self.excluded = marks
         for name in sorted(before.keys() ^ marks.keys()):
             number = self.reader.numbers.get(name)
@@ -259,15 +265,15 @@
         news = api.EndpointList(
             api.EndpointListKind.CACHED, [self._told(entry) for entry in self.entries.values()]
         )
-        self.dispatch.on_endpoint_list(self.turn.now(), news)
+        self.dispatch.on_endpoint_list(self.driver.now(), news)
 
     def happened(self, event: WatchEvent, reason: str = "") -> None:
         """Let the state machine take an event, and carry out what it orders."""
         before = self.watching.deadline
-        actions = self.watching.step(self.turn.now(), event)
+        actions = self.watching.step(self.driver.now(), event)
         if self.watching.deadline != before:  # first: whatever fails below, the watch is asked for again
-            self.turn.timers.cancel(self._deadline)
-            self._deadline = self.turn.timers.add(self.watching.deadline, self._due)
+            self.driver.timers.cancel(self._deadline)
+            self._deadline = self.driver.timers.add(self.watching.deadline, self._due)
         for action in actions:
             self._do(action, reason)
 
@@ -287,7 +293,7 @@
 
     def _connect(self, paid: bool) -> None:
         """Open a connection, if this node may call; what the dispatch asked for it has paid already."""
-        if not (paid or self.dispatch.may_call_discovery(self.turn.now())):
+        if not (paid or self.dispatch.may_call_discovery(self.driver.now())):
             self.happened(WatchEvent.CALL_FAILED, "no list call left to this node by the fleet's budget")
             return
         self.connection = WatchConnection(self)
@@ -300,7 +306,7 @@
 
     def _lost(self, reason: str) -> None:
         """Tell the log, late if it stays lost."""
-        now = self.turn.now()
+        now = self.driver.now()
         if self.told is not False and now >= self.quiet_until:
-            say("watch-lost", reason=reason)
+            log_event("watch-lost", reason=reason)
             self.told, self.quiet_until = False, now + QUIET_US
--- a/cedarmill/net/framing.py
+++ b/cedarmill/net/framing.py
@@ -19,9 +19,9 @@
     Hello,
     ReplicaMessage,
 )
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.config import Address
-from cedarmill.net.loop import Turn, callback
+from cedarmill.net.loop import EventLoopDriver, callback
 
 VERSION = 1
 HEAD = struct.Struct(">IB")
@@ -38,17 +38,17 @@
 _ENCODE = msgspec.msgpack.Encoder()
 
 
-def frame(number: int, word: object) -> bytes:
+def encode_frame(number: int, word: object) -> bytes:
     """One frame as it is written."""
     body = _ENCODE.encode((number, word))
     return HEAD.pack(len(body), VERSION) + body
 
 
-class Bad(ValueError):
+class InvalidFrame(ValueError):
     """What came is no frame of ours, in one line."""
 
 
-class Reader:
+class FrameReader:
     """Cuts what comes into frames."""
 
     def __init__(self) -> None:
@@ -61,9 +61,9 @@
         while len(self._buffer) >= HEAD.size:
             length, version = HEAD.unpack_from(self._buffer)
             if version != VERSION:
-                raise Bad(f"version {version}, this program speaks {VERSION}")
+                raise InvalidFrame(f"version {version}, this program speaks {VERSION}")
             if length > MAX_FRAME:
-                raise Bad(f"a frame of {length} bytes, at most {MAX_FRAME} are taken")
+                raise InvalidFrame(f"a frame of {length} bytes, at most {MAX_FRAME} are taken")
             if len(self._buffer) < HEAD.size + length:
                 break
             body = bytes(self._buffer[HEAD.size : HEAD.size + length])
@@ -71,37 +71,37 @@
             try:
                 found.append(_DECODE.decode(body))
             except msgspec.MsgspecError as error:
-                raise Bad(str(error)) from None
+                raise InvalidFrame(str(error)) from None
         return found
 
 
-class Wire(asyncio.Protocol):
+class FramedConnection(asyncio.Protocol):
     """One connection; who owns it is told of what comes and of its end."""
 
     def __init__(
         self,
-        turn: Turn,
-        heard: Callable[["Wire", int, Word], None],
-        ended: Callable[["Wire", str], None],
-        made: Callable[["Wire"], None] | None = None,
+        driver: EventLoopDriver,
+        heard: Callable[["FramedConnection", int, Word], None],
+        ended: Callable[["FramedConnection", str], None],
+        made: Callable[["FramedConnection"], None] | None = None,
     ) -> None:
-        self.turn, self.heard, self.ended, self.made = turn, heard, ended, made
+        self.driver, self.heard, self.ended, self.made = driver, heard, ended, made
         self.transport: asyncio.Transport | None = None
-        self.reader = Reader()
+        self.reader = FrameReader()
         self.over = False
         self.name = ""  # of the other side, once it has said hello
-        self.last = turn.now()  # when something came
+        self.last = driver.now()  # when something came
         self.dropped = 0
         self._task: asyncio.Task | None = None
         self._deadline = None
 
     def dial(self, address: Address) -> None:
         """Connect; the task is this connection's, whatever it will carry."""
-        self._deadline = self.turn.timers.add(
-            self.turn.now() + CONNECT_US, lambda now: self.end("no connection")
+        self._deadline = self.driver.timers.add(
+            self.driver.now() + CONNECT_US, lambda now: self.end("no connection")
         )
-        opening = self.turn.loop.create_connection(lambda: self, address.host, address.port)
-        self._task = self.turn.loop.create_task(opening)
+        opening = self.driver.loop.create_connection(lambda: self, address.host, address.port)
+        self._task = self.driver.loop.create_task(opening)
         self._task.add_done_callback(self._opened)
 
     @callback
@@ -112,12 +112,12 @@
 
     @callback
     def connection_made(self, transport) -> None:
-        self.turn.timers.cancel(self._deadline)
+        self.driver.timers.cancel(self._deadline)
         self.transport = transport
         if self.over:
             transport.abort()
             return
-        self.last = self.turn.now()
+        self.last = self.driver.now()
         if self.made is not None:
             self.made(self)
 
@@ -125,11 +125,11 @@
     def data_received(self, data: bytes) -> None:
         if self.over:
             return
-        self.last = self.turn.now()
+        self.last = self.driver.now()
         try:
             frames = self.reader.feed(data)
-        except Bad as error:
-            say("frame-bad", reason=str(error), peer=self.name or "?")
+        except InvalidFrame as error:
+            log_event("frame-bad", reason=str(error), peer=self.name or "?")
             self.end(str(error))
             return
         for number, word in frames:
@@ -140,14 +140,14 @@
     def connection_lost(self, error) -> None:
         self.end("connection lost")
 
-    def say(self, number: int, word: object) -> bool:
+    def send(self, number: int, word: object) -> bool:
         """Write a frame; False where the other side takes nothing, and it was dropped."""
         if self.over or self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_WAITING:
             self.dropped += 1
             return False
-        self.transport.write(frame(number, word))
+        self.transport.write(encode_frame(number, word))
         return True
 
     def abort(self) -> None:
@@ -158,7 +158,7 @@
         if self.over:
             return
         self.over = True
-        self.turn.timers.cancel(self._deadline)
+        self.driver.timers.cancel(self._deadline)
         if self._task is not None:
             self._task.cancel()
         if self.transport is not None:
@@ -167,7 +167,7 @@
 
     def refuse(self, reason: str) -> None:
         """Say why, and close."""
-        self.say(0, ConnectionRejected(reason))
+        self.send(0, ConnectionRejected(reason))
         self.over = True
         if self.transport is not None:
             self.transport.close()
--- a/cedarmill/net/health/grpc.py
+++ b/cedarmill/net/health/grpc.py
@@ -1,8 +1,8 @@
 """The listener for gRPC health: HTTP/2 sessions whose watches hear of a change. Off on the platform."""
 
 from cedarmill.health.codecs.grpc import HealthConnection, ProtocolError, Status
-from cedarmill.net.health.listener import Listener, Self, Session
-from cedarmill.net.loop import Turn, callback
+from cedarmill.net.health.listener import Listener, NodeHealth, Session
+from cedarmill.net.loop import EventLoopDriver, callback
 
 SERVICE = "cedarmill"  # beside "", which means the whole node
 LOOK_US = 250_000  # between two looks at what the watches were told; a drain is told at once
@@ -22,7 +22,7 @@
             self.abort()
             return
         if self.health.watches:  # it stays as long as it watches
-            self.turn.timers.cancel(self.deadline)
+            self.driver.timers.cancel(self.deadline)
         elif self.health.answered:
             self.rest()
 
@@ -35,9 +35,9 @@
 class GrpcListener(Listener):
     """Its sessions, told together."""
 
-    def __init__(self, turn: Turn, told: Self) -> None:
-        super().__init__(turn, told, GrpcSession)
-        turn.timers.add(turn.now() + LOOK_US, self._look)
+    def __init__(self, driver: EventLoopDriver, told: NodeHealth) -> None:
+        super().__init__(driver, told, GrpcSession)
+        driver.timers.add(driver.now() + LOOK_US, self._look)
 
     def statuses(self) -> dict[str, int]:
         """The node as a whole, and under its name: SERVING while it is ready."""
@@ -50,5 +50,5 @@
             session.changed()
 
     def _look(self, now: int) -> None:
-        self.turn.timers.add(now + LOOK_US, self._look)
+        self.driver.timers.add(now + LOOK_US, self._look)
         self.changed()
--- a/cedarmill/net/health/listener.py
+++ b/cedarmill/net/health/listener.py
@@ -6,10 +6,10 @@
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.http import Answer, Check, compose
-from cedarmill.net.clients.server import Clients
+from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.config import Address
 from cedarmill.net.listener import Acceptor, listening_socket
-from cedarmill.net.loop import Turn, callback
+from cedarmill.net.loop import EventLoopDriver, callback
 
 SESSIONS = 32  # open at once on each listener: a checker that connects by hundreds gets the rest closed
 ACCEPTS = 4  # in one turn: so many descriptors more are held for a moment
@@ -23,18 +23,20 @@
 DRAINING = "draining"
 
 
-class Self:
+class NodeHealth:
     """What the node says of itself, asked anew each time: a drain shows at once."""
 
-    def __init__(self, name: str, clients: Clients) -> None:
+    def __init__(self, name: str, clients: ClientServer) -> None:
         self.name, self.clients = name, clients
 
     def checks(self) -> list[Check]:
         """Whether requests can be served."""
         serves = bool(self.clients.dispatch.ready_executors)
         draining = self.clients.draining
-        return [Check("backends", serves, "" if serves else NO_BACKEND),
-                Check("draining", not draining, DRAINING if draining else "")]  # fmt: skip
+        return [
+            Check("backends", serves, "" if serves else NO_BACKEND),
+            Check("draining", not draining, DRAINING if draining else ""),
+        ]
 
     def reply(self) -> agent.AgentReply:
         """The agent's words: its weight follows the room that the module believes in."""
@@ -59,7 +61,7 @@
     """One connection of a checker; bounded in number, size and time."""
 
     def __init__(self, listener: "Listener") -> None:
-        self.listener, self.turn = listener, listener.turn
+        self.listener, self.driver = listener, listener.driver
         self.transport: asyncio.Transport | None = None
         self.deadline = None
         self.over = False  # all has been said: what still comes is not read
@@ -71,7 +73,7 @@
             transport.abort()
             return
         self.listener.sessions.add(self)
-        self.deadline = self.turn.timers.add(self.turn.now() + SESSION_US, lambda now: self.abort())
+        self.deadline = self.driver.timers.add(self.driver.now() + SESSION_US, lambda now: self.abort())
         self.opened()
 
     def opened(self) -> None:
@@ -79,14 +81,14 @@
 
     @callback
     def connection_lost(self, error) -> None:
-        self.turn.timers.cancel(self.deadline)
+        self.driver.timers.cancel(self.deadline)
         self.listener.sessions.discard(self)
         self.parser = None
 
     def rest(self) -> None:
         """It has asked something good: it may keep its connection for the next time."""
-        self.turn.timers.cancel(self.deadline)
-        self.deadline = self.turn.timers.add(self.turn.now() + IDLE_US, lambda now: self.abort())
+        self.driver.timers.cancel(self.deadline)
+        self.deadline = self.driver.timers.add(self.driver.now() + IDLE_US, lambda now: self.abort())
 
     def finish(self, text: bytes) -> None:
         """Say the last, and let the checker close: closed here, unread input would reset it away."""
@@ -154,9 +156,13 @@
         self.target, self.accept, self.size = b"", b"", 0
         answer = found or Answer(404, "text/plain", (), b"no check here\n")
         reason = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}[answer.status]
-        lines = [f"HTTP/1.1 {answer.status} {reason}", f"Content-Type: {answer.content_type}",
-                 f"Content-Length: {len(answer.body)}", "Cache-Control: no-store",
-                 *(f"{name}: {value}" for name, value in answer.headers)]  # fmt: skip
+        lines = [
+            f"HTTP/1.1 {answer.status} {reason}",
+            f"Content-Type: {answer.content_type}",
+            f"Content-Length: {len(answer.body)}",
+            "Cache-Control: no-store",
+            *(f"{name}: {value}" for name, value in answer.headers),
+        ]
         head = "\r\n".join([*lines, "", ""]).encode("latin-1")
         text = head + (b"" if self.parser.get_method() == b"HEAD" else answer.body)
         if self.parser.should_keep_alive():
@@ -169,8 +175,8 @@
 class Listener:
     """One listening socket for checkers."""
 
-    def __init__(self, turn: Turn, told: Self, kind: type[Session]) -> None:
-        self.turn, self.told, self.kind = turn, told, kind
+    def __init__(self, driver: EventLoopDriver, told: NodeHealth, kind: type[Session]) -> None:
+        self.driver, self.told, self.kind = driver, told, kind
         self.sessions: set[Session] = set()
         self.port = 0
         self._acceptor: Acceptor | None = None
@@ -181,7 +187,7 @@
     def listen(self, address: Address) -> None:
         """Bind and accept; raises OSError."""
         self._acceptor = Acceptor(
-            self.turn,
+            self.driver,
             listening_socket(address, BACKLOG),
             lambda: self.kind(self),
             listener="health",
--- a/cedarmill/net/listener.py
+++ b/cedarmill/net/listener.py
@@ -6,9 +6,9 @@
 import socket
 from collections.abc import Callable
 
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.config import Address
-from cedarmill.net.loop import Turn, callback
+from cedarmill.net.loop import EventLoopDriver, callback
 
 ACCEPT_AGAIN_US = 50_000  # after the system had no descriptor or memory for a connection
 # accept(2): these tell of the one connection, or of the call, and the next may be well
@@ -63,10 +63,18 @@
     `resume_later`. `exhausted` hears that the system had nothing: an owner may let something go.
     """
 
-    def __init__(self, turn: Turn, sock: socket.socket, session: Callable[[], asyncio.Protocol], *,
-                 listener: str, batch: int, has_room: Callable[[], bool] = lambda: True,
-                 exhausted: Callable[[], None] = lambda: None) -> None:  # fmt: skip
-        self.turn, self.listener, self.batch = turn, listener, batch
+    def __init__(
+        self,
+        driver: EventLoopDriver,
+        sock: socket.socket,
+        session: Callable[[], asyncio.Protocol],
+        *,
+        listener: str,
+        batch: int,
+        has_room: Callable[[], bool] = lambda: True,
+        exhausted: Callable[[], None] = lambda: None,
+    ) -> None:
+        self.driver, self.listener, self.batch = driver, listener, batch
         self.port: int = sock.getsockname()[1]
         self._socket: socket.socket | None = sock
         self._session, self._has_room, self._exhausted = session, has_room, exhausted
@@ -89,23 +97,23 @@
         """Take what comes; passed over once it is closed."""
         if self._socket is not None and not self._reads:
             self._reads = True
-            self.turn.loop.add_reader(self._socket.fileno(), self._readable)
+            self.driver.loop.add_reader(self._socket.fileno(), self._readable)
 
     def pause(self) -> None:
         """What comes waits in the backlog."""
         self._hold()
         if self._reads:
             self._reads = False
-            self.turn.loop.remove_reader(self._socket.fileno())
+            self.driver.loop.remove_reader(self._socket.fileno())
 
     def _hold(self) -> None:
         if self.held_since is None:
-            self.held_since = self.turn.now()
+            self.held_since = self.driver.now()
 
     def resume_later(self) -> None:
         """Pause, and resume after `ACCEPT_AGAIN_US`."""
         self.pause()
-        self.turn.timers.add(self.turn.now() + ACCEPT_AGAIN_US, self.resume)
+        self.driver.timers.add(self.driver.now() + ACCEPT_AGAIN_US, self.resume)
 
     def close(self) -> None:
         """End the listening; sessions stay. What still waits in the backlog is reset by the system."""
@@ -133,7 +141,7 @@
             except OSError as error:
                 if error.errno in ONE_CONNECTION:
                     continue
-                say("accept-failed", reason=error.strerror, listener=self.listener)
+                log_event("accept-failed", reason=error.strerror, listener=self.listener)
                 self._exhausted()
                 return Taken.EXHAUSTED
             self._open(sock)
@@ -142,8 +150,8 @@
     def _open(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         session = self._session()
-        opening = self.turn.loop.connect_accepted_socket(lambda: session, sock)
-        task = self.turn.loop.create_task(opening)
+        opening = self.driver.loop.connect_accepted_socket(lambda: session, sock)
+        task = self.driver.loop.create_task(opening)
         self._opening[task] = sock
         task.add_done_callback(self._opened)
 
@@ -153,7 +161,7 @@
         if task.cancelled() or task.exception() is not None:
             sock.close()  # no transport has taken it over
             reason = "cancelled" if task.cancelled() else task.exception()
-            say("session-not-opened", reason=reason, listener=self.listener)
+            log_event("session-not-opened", reason=reason, listener=self.listener)
             self.resume()  # its place is free again
 
     def abort(self) -> None:
--- a/cedarmill/net/loop.py
+++ b/cedarmill/net/loop.py
@@ -1,4 +1,4 @@
-"""One turn of the node: the clock, the timers due, the one loop timer, the net under callbacks."""
+"""The event loop's driver: the clock, the timers due, the one loop timer, the guard around callbacks."""
 
 import asyncio
 import functools
@@ -7,7 +7,7 @@
 
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.timers import Timers
-from cedarmill.log import say
+from cedarmill.log import log_event
 
 BOOT_ID = "/proc/sys/kernel/random/boot_id"  # random(4): a new one with each start of the kernel
 BOOT_ID_BYTES = 64
@@ -28,16 +28,16 @@
         finally:
             os.close(file)
     except OSError as error:
-        say("boot-unknown", reason=error)
+        log_event("boot-unknown", reason=error)
         return ""
 
 
 def clock_reading(clock_us: int) -> ClockReading:
-    """That time on the machine's clock (`Turn.now`), as other processes of this machine can read it."""
+    """That time of `EventLoopDriver.now`, as other processes of this machine can read it."""
     return ClockReading(unix_us(), clock_us, boot_id())
 
 
-class Turn:
+class EventLoopDriver:
     """Runs what the loop calls; after each call it runs the timers due and sets the loop timer anew."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers) -> None:
@@ -58,7 +58,7 @@
                 try:
                     call(now)
                 except Exception:
-                    say("defect", True, what="deadline")
+                    log_event("defect", True, what="deadline")
             first = self.timers.next_due
         if first is None or (self._armed is not None and self._armed <= first):
             return  # most are cancelled: to wake for one in vain costs less than a new timer
@@ -75,16 +75,16 @@
 
 
 def callback(method):
-    """Wrap what the loop calls on an object with `turn` and `abort`: an exception costs that object only."""
+    """Wrap a callback of an object with `driver` and `abort`: an exception costs that object only."""
 
     @functools.wraps(method)
     def run(self, *args):
         try:
             return method(self, *args)
         except Exception:
-            say("defect", True, what=f"callback {method.__qualname__}")
+            log_event("defect", True, what=f"callback {method.__qualname__}")
             self.abort()
         finally:
-            self.turn.end()
+            self.driver.end()
 
     return run
