--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -15,16 +15,16 @@
 from cedarmill.core.timers import Timers
 from cedarmill.deadlines.propagation import DeadlineTracker
 from cedarmill.decisions.balancer import Balancer
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.admin import server as door
-from cedarmill.net.admin.handlers import Hands
-from cedarmill.net.clients.server import Clients
+from cedarmill.net.admin.handlers import AdminHandlers
+from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.config import Address, Config, ConfigError, inherited_socket
 from cedarmill.net.discovery.client import DiscoveryClient
-from cedarmill.net.loop import Turn
-from cedarmill.net.upgrade.sibling import Beside
-from cedarmill.net.upgrade.warm_state import Keeper
-from cedarmill.net.upstream.pool import Backends
+from cedarmill.net.loop import EventLoopDriver
+from cedarmill.net.upgrade.sibling import SiblingProcess
+from cedarmill.net.upgrade.warm_state import WarmStateSaver
+from cedarmill.net.upstream.pool import UpstreamPools
 from cedarmill.values import Options
 
 OWN_DESCRIPTORS = 24  # the loop's, the log, the listening socket, discovery: 14 were counted
@@ -56,7 +56,7 @@
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
         self.timers = Timers()
-        self.turn = Turn(self.loop, self.timers)
+        self.driver = EventLoopDriver(self.loop, self.timers)
         sockets = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         health = options.health
         own = OWN_DESCRIPTORS + (door.DESCRIPTORS if config.mgmt else 0)
@@ -65,30 +65,34 @@
         self.limits = NodeLimits(sockets, own, config.limits.memory_mb, OWN_MEMORY_MB, SESSION_MB)
         room = split_limits(self.limits, [])
         self.deadline_tracker = DeadlineTracker(options.deadlines, len(settings.classes))
-        self.clients = Clients(self.turn, settings, room.sessions, options.deadlines)
-        self.backends = Backends(self.turn, settings, room.connections, options)
+        self.clients = ClientServer(self.driver, settings, room.sessions, options.deadlines)
+        self.backends = UpstreamPools(self.driver, settings, room.connections, options)
         self.discovery = DiscoveryClient(
-            self.turn, settings, config.discovery, self.backends, Random(config.seed)
+            self.driver, settings, config.discovery, self.backends, Random(config.seed)
         )
         brain = Balancer(settings, config.seed)
         self.dispatch = Dispatch(brain, self.timers, self.backends, self.discovery, self.deadline_tracker)
-        self.beside = Beside(self.turn, self.discovery, config.name, self._holds, self._share)
+        self.beside = SiblingProcess(self.driver, self.discovery, config.name, self._holds, self._share)
         for adapter in (self.clients, self.backends, self.discovery, self.beside):
             adapter.dispatch = self.dispatch
         self.draining = False
         self.term_at = 0  # when SIGTERM came
         self.checkers: list = []
-        self.hands = Hands(self.turn, self.clients, self.discovery, config.name, lambda: self.draining)
-        self.door = door.Door(self.turn, self.hands.obey)
+        self.hands = AdminHandlers(
+            self.driver, self.clients, self.discovery, config.name, lambda: self.draining
+        )
+        self.door = door.AdminServer(self.driver, self.hands.obey)
         self.inherited = inherited_socket()
-        self.keeper = Keeper(self.turn, brain, self.discovery, config.name, lambda: self.draining)
+        self.keeper = WarmStateSaver(self.driver, brain, self.discovery, config.name, lambda: self.draining)
         self.fleet = self._fleet() if options.fleet is not None else None
 
     def _fleet(self):
         """The node's part in the fleet; the platform's run has none, and loads nothing of it."""
-        from cedarmill.net.cluster.node_role import NodeFleet
+        from cedarmill.net.cluster.node_role import NodeRole
 
-        return NodeFleet(self.turn, self.config, self.options.fleet, self.clients, self.discovery, self.hands)
+        return NodeRole(
+            self.driver, self.config, self.options.fleet, self.clients, self.discovery, self.hands
+        )
 
     def _holds(self) -> ConnectionCounts:
         """What counts against the node's limits, for its other processes."""
@@ -105,20 +109,20 @@
             return
         from cedarmill.net.health import listener as health  # the platform's run has no use for it
 
-        told = health.Self(self.config.name, self.clients)
+        told = health.NodeHealth(self.config.name, self.clients)
         listeners = {}
         if options.agent:
-            listeners["agent"] = health.Listener(self.turn, told, health.AgentSession)
+            listeners["agent"] = health.Listener(self.driver, told, health.AgentSession)
         if options.http:
-            listeners["http"] = health.Listener(self.turn, told, health.HttpSession)
+            listeners["http"] = health.Listener(self.driver, told, health.HttpSession)
         if options.grpc:
             from cedarmill.net.health.grpc import GrpcListener
 
-            listeners["grpc"] = GrpcListener(self.turn, told)
+            listeners["grpc"] = GrpcListener(self.driver, told)
         for kind, listener in listeners.items():
             address = Address.parse(getattr(options, kind))
             listener.listen(address)
-            say("health", kind=kind, host=address.host, port=listener.port)
+            log_event("health", kind=kind, host=address.host, port=listener.port)
         self.checkers = list(listeners.values())
 
     def run(self) -> None:
@@ -128,10 +132,10 @@
             self.loop.add_signal_handler(number, obey.get(number, self._drain))
         self.clients.listen(self.config.listen, self.inherited)
         if self.inherited is not None:
-            say("inherited", fd=self.inherited.fileno())
+            log_event("inherited", fd=self.inherited.fileno())
         if (mgmt := self.config.mgmt) is not None:
             self.door.listen(mgmt)
-            say("door", host=mgmt.host, port=self.door.port)
+            log_event("admin-listening", host=mgmt.host, port=self.door.port)
         self._listen_for_checkers()
         self.hands.start()
         if self.inherited is not None:  # a second process can be started beside this one
@@ -141,19 +145,19 @@
             self.fleet.start()
         if self.inherited is not None:
             self.beside.start()
-        self.timers.add(self.turn.now() + self.options.ledger_every_us, self._account_again)
+        self.timers.add(self.driver.now() + self.options.ledger_every_us, self._account_again)
         self.loop.call_soon(self._started)
         gc.collect()
         gc.freeze()
-        self.turn.end()
+        self.driver.end()
         self.loop.run_forever()
         self.beside.end()
-        say("ended", name=self.config.name)
+        log_event("ended", name=self.config.name)
 
     def _started(self) -> None:
         """The loop runs: only now does it hear of signals, those that came before included."""
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-        say("serves", name=self.config.name, host=self.config.listen.host, port=self.clients.port)
+        log_event("serves", name=self.config.name, host=self.config.listen.host, port=self.clients.port)
 
     def _account_again(self, now: int) -> None:
         """Tell the ledger, and again after its time: only what happened since is told."""
@@ -165,10 +169,19 @@
         names = [spec.name for spec in self.config.settings.classes]
         spent = self.deadline_tracker.ledger.take()
         rows = [row._replace(job_class=names[row.job_class])._asdict() for row in spent]
-        summary = "; ".join(SPENT.format(**{**row, "before": row["before"] / 1e6, "after": row["after"] / 1e6,
-                                            "guessed": row["guessed"] / 1e6}) for row in rows)  # fmt: skip
+        summary = "; ".join(
+            SPENT.format(
+                **{
+                    **row,
+                    "before": row["before"] / 1e6,
+                    "after": row["after"] / 1e6,
+                    "guessed": row["guessed"] / 1e6,
+                }
+            )
+            for row in rows
+        )
         if rows or not quiet:
-            say("spent-for-nobody", summary=summary or "nothing", rows=rows)
+            log_event("wasted-work", summary=summary or "nothing", rows=rows)
 
     def _reload(self) -> None:
         """Take up a new configuration; one that cannot be used changes nothing."""
@@ -177,23 +190,23 @@
         try:
             config = Config.load(self.path)
         except (ConfigError, OSError) as error:
-            say("reload-failed", reason=error)
+            log_event("reload-failed", reason=error)
             return
         if fixed := self.config.fixed_changes(config):
-            say("reload-ignored", names=", ".join(fixed))
-        say("reloaded", host=config.discovery.host, port=config.discovery.port)
+            log_event("reload-ignored", names=", ".join(fixed))
+        log_event("reloaded", host=config.discovery.host, port=config.discovery.port)
         self.discovery.move(config.discovery)
-        self.turn.end()
+        self.driver.end()
 
     def _drain(self) -> None:
         if self.draining:
             return
         self.draining = True
-        say("draining", held=self.dispatch.unanswered)
+        log_event("draining", held=self.dispatch.unanswered)
         self.clients.drain()
         for listener in self.checkers:
             listener.changed()
-        self.term_at = self.turn.now()
+        self.term_at = self.driver.now()
         longest = max(spec.deadline_us for spec in self.config.settings.classes)
         kill = self.term_at + KILL_US + min(longest, KILL_DEADLINE_US)
         answer_by = self.clients.answer_by = kill - KILL_MARGIN_US
@@ -204,11 +217,11 @@
             soon = max(accept_until + ACCEPT_LEAST_US, answer_by - LAST_READ_US)
             accept_until = min(accept_until + ACCEPT_ON_US, soon)
         self.timers.add(accept_until, self._stop)
-        self.turn.end()
+        self.driver.end()
 
     def _stop(self, now: int) -> None:
         self.clients.stop_listening(take_backlog=self.inherited is None)
-        say("closed", held=self.dispatch.unanswered)
+        log_event("closed", held=self.dispatch.unanswered)
         self.timers.add(now + LAST_READ_US, self._end_if_done)
 
     def _end_if_done(self, now: int) -> None:
@@ -226,7 +239,7 @@
 
     @staticmethod
     def _exception(loop, context: dict) -> None:
-        say("loop", context.get("exception"), what=context.get("message"))
+        log_event("loop", context.get("exception"), what=context.get("message"))
 
 
 def main(log_format: str = "text", options: Options | None = None) -> int:
--- a/cedarmill/net/upgrade/sibling.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -15,10 +15,10 @@
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.decisions.snapshot import held_now
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.discovery.client import DiscoveryClient
-from cedarmill.net.loop import Turn, clock_reading
-from cedarmill.net.upgrade.state_file import KeptInPlace, kept_path
+from cedarmill.net.loop import EventLoopDriver, clock_reading
+from cedarmill.net.upgrade.state_file import InPlaceStateFile, state_file_path
 
 KIND = "out"
 ALONE_US = 100_000  # between two looks while no other process is seen
@@ -29,17 +29,17 @@
 Out = dict[str, tuple[float, float]]  # slots and memory by executor
 
 
-class Told(msgspec.Struct):
+class SiblingDocument(msgspec.Struct):
     """What a process tells of itself."""
 
     out: Out
     room: ConnectionCounts  # held
 
 
-_DECODE = msgspec.json.Decoder(Told)
+_DECODE = msgspec.json.Decoder(SiblingDocument)
 
 
-class Other:
+class SiblingView:
     """What another process's file has told, and when it last gave a sign of life.
 
     A change that this process sees is a sign of life now, whatever any clock says. Only what stood there at
@@ -48,10 +48,10 @@
     """
 
     def __init__(self, path: str) -> None:
-        self.kept = KeptInPlace(path)
+        self.kept = InPlaceStateFile(path)
         self.texts: list[bytes] = []
         self.alive_at: int | None = None  # in the brain's clock; None: nothing whole was read yet
-        self.told = Told({}, ConnectionCounts(0, 0))
+        self.told = SiblingDocument({}, ConnectionCounts(0, 0))
 
     def read(self, node: str, now: ClockReading) -> None:
         """Take up what is new; raises ValueError (what held goes on) or OSError."""
@@ -72,31 +72,31 @@
         return self.alive_at is not None and now_us - self.alive_at > span_us
 
 
-class Beside:
+class SiblingProcess:
     """This process's document, and what the others' tell."""
 
     def __init__(
         self,
-        turn: Turn,
+        driver: EventLoopDriver,
         discovery: DiscoveryClient,
         node: str,
         held: Callable[[], ConnectionCounts],
         shared: Callable[[list[ConnectionCounts]], None],
     ) -> None:
-        self.turn, self.discovery, self.node, self.held, self.shared = turn, discovery, node, held, shared
+        self.driver, self.discovery, self.node, self.held, self.shared = driver, discovery, node, held, shared
         self.dispatch: Dispatch | None = None
-        self.own = KeptInPlace(kept_path(node, f"{KIND}-{os.getpid()}"))
+        self.own = InPlaceStateFile(state_file_path(node, f"{KIND}-{os.getpid()}"))
         self.folder, name = os.path.split(self.own.path)
         self.prefix = name[: name.rindex(KIND)] + f"{KIND}-"
-        self.files: dict[str, Other] = {}  # all that there are, by name
-        self.others: dict[str, Other] = {}  # those of them that live
+        self.files: dict[str, SiblingView] = {}  # all that there are, by name
+        self.others: dict[str, SiblingView] = {}  # those of them that live
         self.told: Out = {}  # to the module
-        self.written: tuple[int, Told | None] = (0, None)
+        self.written: tuple[int, SiblingDocument | None] = (0, None)
         self.rooms: list[ConnectionCounts] = []  # held by the others, as last heard
 
     def start(self) -> None:
         """Look for other processes from now on."""
-        self._look(self.turn.now())
+        self._look(self.driver.now())
 
     def end(self) -> None:
         """Nothing is out any longer."""
@@ -104,29 +104,29 @@
 
     def _look(self, now: int) -> None:
         """The one chain of looks."""
-        self.turn.timers.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
+        self.driver.timers.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
         here = clock_reading(now)
         self._read(here)
         try:
             self._write(here)
         except OSError as error:  # the others' word counts all the same
-            say("beside-failed", reason=error)
+            log_event("sibling-exchange-failed", reason=error)
         self._count(now)
         self._tell(now)
         if (rooms := [other.told.room for other in self.others.values()]) != self.rooms:
             if len(rooms) != len(self.rooms):
-                say("beside", others=len(rooms))
+                log_event("sibling-processes", others=len(rooms))
             self.rooms = rooms
             self.shared(rooms)
 
     def _read(self, here: ClockReading) -> None:
         names = self._names()
         for name in names - {os.path.basename(self.own.path)}:
-            other = self.files.setdefault(name, Other(os.path.join(self.folder, name)))
+            other = self.files.setdefault(name, SiblingView(os.path.join(self.folder, name)))
             try:
                 other.read(self.node, here)
             except (OSError, ValueError) as error:  # msgspec's errors are ValueErrors too
-                say("beside-unread", reason=error)
+                log_event("sibling-unread", reason=error)
         for name in self.files.keys() - names:
             self.files.pop(name).kept.close()
 
@@ -135,14 +135,17 @@
         try:
             found = os.listdir(self.folder)
         except OSError as error:
-            say("beside-failed", reason=error)
+            log_event("sibling-exchange-failed", reason=error)
             return set(self.files)
         return {n for n in found if n.startswith(self.prefix) and n.endswith(".json")}
 
     def _count(self, now: int) -> None:
         """Those count that give signs of life; what is left of a dead one is removed in the end."""
-        self.others = {name: other for name, other in self.files.items()
-                       if other.alive_at is not None and not other.silent_for(now, SILENT_US)}  # fmt: skip
+        self.others = {
+            name: other
+            for name, other in self.files.items()
+            if other.alive_at is not None and not other.silent_for(now, SILENT_US)
+        }
         for name in self.files.keys() - self.others.keys():
             self.files[name].kept.close()  # opened anew at each look: its owner may have made it anew
             if self.files[name].silent_for(now, GONE_US):
@@ -151,7 +154,7 @@
     def _write(self, here: ClockReading) -> None:
         """Tell what is out: when it changed, for one that starts reads it at once; else now and then."""
         at, before = self.written
-        told = Told(held_now(self.dispatch.balancer, self.discovery.reader.names), self.held())
+        told = SiblingDocument(held_now(self.dispatch.balancer, self.discovery.reader.names), self.held())
         if told != before or here.monotonic_us - at >= BEAT_US:
             self.own.write(sealed_document.seal(KIND, self.node, here, msgspec.json.encode(told)))
             self.written = here.monotonic_us, told
--- a/cedarmill/net/upgrade/state_file.py
+++ b/cedarmill/net/upgrade/state_file.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 
 
-def kept_path(node: str, kind: str) -> str:
+def state_file_path(node: str, kind: str) -> str:
     """Of a node's document of that kind, in `$TMPDIR`: its processes share that, and an upgrade leaves it."""
     safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in node)
     return os.path.join(os.environ.get("TMPDIR") or "/tmp", f"cedarmill-{safe}-{kind}.json")
@@ -50,7 +50,7 @@
     return text
 
 
-class KeptFile:
+class StateFile:
     """One kept document; `read` gives it only when the file changed since this process last saw it."""
 
     MOST = 1024 * 1024  # bytes of a document: what is larger is none of ours, and is not read
@@ -112,7 +112,7 @@
     return found.st_ino, found.st_size, found.st_mtime_ns
 
 
-class KeptInPlace:
+class InPlaceStateFile:
     """A document that is written many times a second: in place, into two halves of its file in turn.
 
     A rename makes some file systems write out at once: measured 0.6 ms, and 76 ms for one in a hundred,
--- a/cedarmill/net/upgrade/warm_state.py
+++ b/cedarmill/net/upgrade/warm_state.py
@@ -10,11 +10,11 @@
 from cedarmill.admin import sealed_document
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.snapshot import Snapshot, restore, restore_executor, take_snapshot
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.config import Start
 from cedarmill.net.discovery.client import DiscoveryClient
-from cedarmill.net.loop import Turn, clock_reading
-from cedarmill.net.upgrade.state_file import KeptInPlace, kept_path
+from cedarmill.net.loop import EventLoopDriver, clock_reading
+from cedarmill.net.upgrade.state_file import InPlaceStateFile, state_file_path
 
 KIND = "memory"
 KEEP_US = 500_000  # between two writings: a replaced process hands over news that are at most that old
@@ -36,25 +36,37 @@
 _DECODE = msgspec.json.Decoder(_Kept)
 
 
-class Keeper:
+class WarmStateSaver:
     """Writes the document again and again, and lays one found at the start over a new brain."""
 
-    def __init__(self, turn: Turn, brain: Balancer, discovery: DiscoveryClient, node: str,
-                 ending: Callable[[], bool]) -> None:  # fmt: skip
-        self.turn, self.brain, self.discovery, self.node, self.ending = turn, brain, discovery, node, ending
-        self.kept = KeptInPlace(kept_path(node, KIND))
+    def __init__(
+        self,
+        driver: EventLoopDriver,
+        brain: Balancer,
+        discovery: DiscoveryClient,
+        node: str,
+        ending: Callable[[], bool],
+    ) -> None:
+        self.driver, self.brain, self.discovery, self.node, self.ending = (
+            driver,
+            brain,
+            discovery,
+            node,
+            ending,
+        )
+        self.kept = InPlaceStateFile(state_file_path(node, KIND))
         self.pending: Snapshot | None = None  # what of a document still waits for its executors to be listed
         self.pending_until = 0
 
     def start(self) -> None:
         """Take up what the process before this one left; from then on keep one's own."""
-        now = self.turn.now()
+        now = self.driver.now()
         try:
             if texts := self.kept.texts():
                 self._take_up(texts, now)
         except (OSError, ValueError) as error:
-            say("memory-unread", reason=error)
-        self.turn.timers.add(now + KEEP_US, self._keep)
+            log_event("warm-state-unread", reason=error)
+        self.driver.timers.add(now + KEEP_US, self._keep)
 
     def _take_up(self, texts: list[bytes], now: int) -> None:
         here = clock_reading(now)
@@ -68,7 +80,7 @@
         if not restore(self.brain, memory, written):
             raise ValueError("of other settings: classes or tenants differ")
         self.pending, self.pending_until = memory, now + LATE_US
-        say("recalled", workers=len(memory.executors), age=age / 1e6)
+        log_event("warm-state-restored", workers=len(memory.executors), age=age / 1e6)
         self.discovery.inherit(
             {name: Start(stamp, written - ago) for name, (stamp, ago) in memory.starts.items()},
             None if memory.list_age_us is None else written - memory.list_age_us,
@@ -80,18 +92,18 @@
         numbers, workers = self.discovery.reader.numbers, self.brain.executors
         for name in [name for name in self.pending.executors if numbers.get(name) in workers]:
             restore_executor(workers[numbers[name]], self.pending.executors.pop(name), written)
-        if not self.pending.executors or self.turn.now() > self.pending_until:
+        if not self.pending.executors or self.driver.now() > self.pending_until:
             self.discovery.heard = None
 
     def _keep(self, now: int) -> None:
         """The one chain of writings; a process that ends leaves the file to the one that replaces it."""
         if self.ending():
             return
-        self.turn.timers.add(now + KEEP_US, self._keep)
+        self.driver.timers.add(now + KEEP_US, self._keep)
         try:
             self.kept.write(sealed_document.seal(KIND, self.node, clock_reading(now), self._body(now)))
         except OSError as error:
-            say("memory-unkept", reason=error)
+            log_event("warm-state-not-saved", reason=error)
 
     def _body(self, now: int) -> bytes:
         discovery = self.discovery
--- a/cedarmill/net/upstream/exchange.py
+++ b/cedarmill/net/upstream/exchange.py
@@ -12,14 +12,14 @@
 from cedarmill.decisions.interface import Outcome
 
 if TYPE_CHECKING:
-    from cedarmill.net.upstream.pool import Backend, Backends, Connection
+    from cedarmill.net.upstream.pool import UpstreamConnection, UpstreamPool, UpstreamPools
 
 PROBE_WAIT = 2  # connect time-outs that a probe may take
 MAX_LINE = 256 * 1024
 PASSED_ON = (b"x-call-id", b"idempotency-key", b"content-type", b"x-call-class", b"x-caller", b"x-call-info")
 
 
-class JobLine(msgspec.Struct):
+class AttemptLine(msgspec.Struct):
     """One line of an executor's answer."""
 
     state: str
@@ -29,7 +29,7 @@
     load: dict[str, float] | None = None
 
 
-_LINE = msgspec.json.Decoder(JobLine)
+_LINE = msgspec.json.Decoder(AttemptLine)
 _LOAD = msgspec.json.Decoder(dict[str, float])
 _ENDS = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 
@@ -59,9 +59,9 @@
     unsafe = False  # whether it must not run twice
     guarded = False  # whether it may run twice only within bounds, or not at all
 
-    def __init__(self, backends: "Backends", backend: "Backend") -> None:
+    def __init__(self, backends: "UpstreamPools", backend: "UpstreamPool") -> None:
         self.backends, self.backend = backends, backend
-        self.connection: Connection | None = None
+        self.connection: UpstreamConnection | None = None
         self.status = 0
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
@@ -104,10 +104,10 @@
         return report_of(self.backends.settings.report_names, load)
 
 
-class Job(Exchange):
+class AttemptExchange(Exchange):
     """An attempt."""
 
-    def __init__(self, backends: "Backends", backend: "Backend", attempt: Attempt) -> None:
+    def __init__(self, backends: "UpstreamPools", backend: "UpstreamPool", attempt: Attempt) -> None:
         super().__init__(backends, backend)
         self.attempt = attempt
         self.id = attempt.request.payload.headers[b"x-call-id"].decode("latin-1")
@@ -122,11 +122,15 @@
         message = self.attempt.request.payload
         margins = self.backends.dispatch.deadline_tracker.margins
         rest = margins.remaining_for_executor(self.backend.number, self.attempt.request.due - now)
-        lines = [b"%s %s HTTP/1.1" % (message.method, message.target),
-                 b"Host: " + str(self.backend.address.host).encode()]  # fmt: skip
+        lines = [
+            b"%s %s HTTP/1.1" % (message.method, message.target),
+            b"Host: " + str(self.backend.address.host).encode(),
+        ]
         lines += [b"%s: %s" % (n, message.headers[n]) for n in PASSED_ON if n in message.headers]
-        lines += [b"X-Budget-Ms: %d" % max(1, rest // 1000),
-                  b"Content-Length: %d\r\n\r\n" % len(message.body)]  # fmt: skip
+        lines += [
+            b"X-Budget-Ms: %d" % max(1, rest // 1000),
+            b"Content-Length: %d\r\n\r\n" % len(message.body),
+        ]
         return b"\r\n".join(lines) + message.body
 
     def on_written(self, now: int) -> None:
@@ -147,7 +151,7 @@
         line = _LINE.decode(raw)
         if line.id and line.id != self.id:
             raise ValueError("a line names another job")
-        dispatch, now = self.backends.dispatch, self.backends.turn.now()
+        dispatch, now = self.backends.dispatch, self.backends.driver.now()
         if self.ending:
             return
         if line.state == "done":
@@ -175,7 +179,9 @@
 
     def _perhaps_late(self) -> bool:
         """Whether this answer, which names no job, may be a second one to the job before it here."""
-        return self.guarded and self.connection.kept and not self.connection.rested(self.backends.turn.now())
+        return (
+            self.guarded and self.connection.kept and not self.connection.rested(self.backends.driver.now())
+        )
 
     def on_complete(self) -> None:
         if not self.ending and self.body.strip():
@@ -187,7 +193,7 @@
         self.backends.dispatch.attempt_ended(now, self.attempt, outcome, *details)
 
 
-class NodeJob(Job):
+class RelayedAttemptExchange(AttemptExchange):
     """An attempt at a backend that is a node itself: it gives one final answer, and no lines."""
 
     def on_body(self, data: bytes) -> None:
@@ -206,14 +212,14 @@
         self.ending = self.ending or (Outcome.OK, None, bytes(self.body))
 
 
-class Check(Exchange):
+class ProbeExchange(Exchange):
     """A probe."""
 
-    def __init__(self, backends: "Backends", backend: "Backend", probe: Probe) -> None:
+    def __init__(self, backends: "UpstreamPools", backend: "UpstreamPool", probe: Probe) -> None:
         super().__init__(backends, backend)
         self.probe, probe.exchange = probe, self
         wait = PROBE_WAIT * backends.settings.connect_timeout_us
-        self.deadline = backends.turn.timers.add(backends.turn.now() + wait, self._late)
+        self.deadline = backends.driver.timers.add(backends.driver.now() + wait, self._late)
 
     def _late(self, now: int) -> None:
         """It has not come back in time."""
@@ -246,6 +252,6 @@
         self.ending = outcome, self.report(load)
 
     def tell(self, now: int, outcome: Outcome, *details: Any) -> None:
-        self.backends.turn.timers.cancel(self.deadline)
+        self.backends.driver.timers.cancel(self.deadline)
         self.probe.exchange = None  # or the cycle would wait for a full collection
         self.backends.dispatch.probe_ended(now, self.probe, outcome, *details)
--- a/cedarmill/net/upstream/pool.py
+++ b/cedarmill/net/upstream/pool.py
@@ -10,11 +10,11 @@
 from cedarmill.core.timers import Timer
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
-from cedarmill.log import say
+from cedarmill.log import log_event
 from cedarmill.net.config import Address, Endpoint
-from cedarmill.net.loop import Turn, callback
+from cedarmill.net.loop import EventLoopDriver, callback
 from cedarmill.net.socket_state import TRANSPORT_ERRORS, hung_up
-from cedarmill.net.upstream.exchange import Check, Exchange, Job, NodeJob
+from cedarmill.net.upstream.exchange import AttemptExchange, Exchange, ProbeExchange, RelayedAttemptExchange
 from cedarmill.values import KindOptions, Options
 
 IDLE_SHARE = 0.5  # of the time after which the executor's machine closes an idle connection
@@ -31,11 +31,11 @@
 TAIL_US = 1_000_000  # for an answer's message to end after its last line
 
 
-class Connection(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """One connection to a backend: opening, then busy with one exchange or idle in the pool."""
 
-    def __init__(self, backend: "Backend", exchange: Exchange) -> None:
-        self.backend, self.turn = backend, backend.backends.turn
+    def __init__(self, backend: "UpstreamPool", exchange: Exchange) -> None:
+        self.backend, self.driver = backend, backend.backends.driver
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.exchange: Exchange | None = exchange
@@ -58,16 +58,16 @@
 
         Where the fleet has no place for one more, it waits for that, as long as what it carries has time.
         """
-        turn = self.turn
-        self.opened_at = turn.now()
+        driver = self.driver
+        self.opened_at = driver.now()
         if not self.backend.backends.dispatch.may_connect(self.opened_at):
-            self.deadline = turn.timers.add(self.opened_at + PLACE_US, lambda now: self.open())
+            self.deadline = driver.timers.add(self.opened_at + PLACE_US, lambda now: self.open())
             return
         wait = self.backend.backends.settings.connect_timeout_us
-        self.deadline = turn.timers.add(turn.now() + wait, lambda now: self.abort())
+        self.deadline = driver.timers.add(driver.now() + wait, lambda now: self.abort())
         host, port = self.backend.address.host, self.backend.address.port
-        opening = turn.loop.create_connection(lambda: self, host, port)
-        self.task = turn.loop.create_task(opening)
+        opening = driver.loop.create_connection(lambda: self, host, port)
+        self.task = driver.loop.create_task(opening)
         self.task.add_done_callback(self._opened)
 
     @callback
@@ -80,7 +80,7 @@
 
     @callback
     def connection_made(self, transport) -> None:
-        self.turn.timers.cancel(self.deadline)
+        self.driver.timers.cancel(self.deadline)
         self.transport = transport
         if self.closed:
             self._abort_transport()
@@ -90,15 +90,15 @@
         except TRANSPORT_ERRORS:  # it has broken meanwhile
             self.abort()
             return
-        trip = self.turn.now() - self.opened_at
+        trip = self.driver.now() - self.opened_at
         self.backend.backends.dispatch.deadline_tracker.margins.record_round_trip(self.backend.number, trip)
         exchange, self.exchange = self.exchange, None
         self.carry(exchange)
 
     def carry(self, exchange: Exchange) -> None:
         """Send an exchange out, if it still may be sent."""
-        now = self.turn.now()
-        self.turn.timers.cancel(self.deadline)
+        now = self.driver.now()
+        self.driver.timers.cancel(self.deadline)
         outcome = exchange.barred(now)
         if outcome is not None:
             self._rest()
@@ -117,7 +117,7 @@
         self._write(text[:-1])
         if not self.closed:
             wait = COMMIT_US if exchange.unsafe else 0
-            self.deadline = self.turn.timers.add(now + wait, self._commit)
+            self.deadline = self.driver.timers.add(now + wait, self._commit)
 
     def _write(self, text: bytes) -> None:
         """Hand bytes to the transport, and give up what it does not let go of in time."""
@@ -131,15 +131,15 @@
             return
         self.handed = True
         if waiting:
-            self.leaving = self.turn.timers.add(self.text_at + LEAVE_US, lambda now: self.abort())
+            self.leaving = self.driver.timers.add(self.text_at + LEAVE_US, lambda now: self.abort())
         else:
             self._has_left()
 
     def _has_left(self) -> None:
-        self.turn.timers.cancel(self.leaving)
+        self.driver.timers.cancel(self.leaving)
         self.written = True
         if self.exchange is not None:
-            self.exchange.on_written(self.turn.now())
+            self.exchange.on_written(self.driver.now())
 
     def _commit(self, now: int) -> None:
         """Send the last byte once the rest has left, if the attempt still may be sent."""
@@ -149,7 +149,7 @@
             self.abort_quietly()
             exchange.finish(now, outcome)
         elif self.transport.get_write_buffer_size():
-            self.deadline = self.turn.timers.add(now + COMMIT_US, self._commit)
+            self.deadline = self.driver.timers.add(now + COMMIT_US, self._commit)
         else:
             last, self.last = self.last, b""
             self._write(last)
@@ -172,7 +172,7 @@
         self.answer_bytes += len(data)
         if self.answer_bytes > MAX_ANSWER:  # it need never end
             whole = False
-        now = self.turn.now()
+        now = self.driver.now()
         if not whole:
             self.abort_quietly()
         elif self.complete:  # free before the brain hears of it: it may send here at once
@@ -181,8 +181,8 @@
             else:
                 self.abort_quietly()
         elif exchange.ending and not exchange.told:  # the end of the message is all that may still come
-            self.turn.timers.cancel(self.deadline)
-            self.deadline = self.turn.timers.add(now + TAIL_US, lambda now: self.abort())
+            self.driver.timers.cancel(self.deadline)
+            self.deadline = self.driver.timers.add(now + TAIL_US, lambda now: self.abort())
         if exchange.ending or not whole:
             exchange.finish(now, *(exchange.ending or (Outcome.RESET,)))
 
@@ -227,7 +227,7 @@
         self.abort_quietly()
         if exchange is None:
             return
-        now = self.turn.now()
+        now = self.driver.now()
         if self.kept and not exchange.status:
             self.backend.backends.wary_until = now + WARY_US
         if self.transport is None:
@@ -246,14 +246,14 @@
             self._abort_transport()
 
     def _cancel_timers(self) -> None:
-        self.turn.timers.cancel(self.deadline)
-        self.turn.timers.cancel(self.leaving)
+        self.driver.timers.cancel(self.deadline)
+        self.driver.timers.cancel(self.leaving)
 
     def _abort_transport(self, now: int = 0) -> None:
         try:
             self.transport.abort()
         except TRANSPORT_ERRORS:  # its descriptor must not stay
-            self.turn.timers.add(self.turn.now() + ABORT_AGAIN_US, self._abort_transport)
+            self.driver.timers.add(self.driver.now() + ABORT_AGAIN_US, self._abort_transport)
 
     def abort(self) -> None:
         """End the connection, and what it carries with it."""
@@ -269,32 +269,32 @@
         except TRANSPORT_ERRORS:
             self.abort_quietly()
             return
-        self.deadline = self.turn.timers.add(self.turn.now() + TAIL_US, lambda now: self.abort())
+        self.deadline = self.driver.timers.add(self.driver.now() + TAIL_US, lambda now: self.abort())
 
     def _rest(self) -> None:
         """Into the pool."""
         self.exchange, self.kept = None, True
-        self.rested_at = self.turn.now()
+        self.rested_at = self.driver.now()
         self.backend.idle.append(self)
         wait = int(self.backend.backends.settings.conn_idle_us * IDLE_SHARE)
-        self.deadline = self.turn.timers.add(self.rested_at + wait, lambda now: self.abort())
+        self.deadline = self.driver.timers.add(self.rested_at + wait, lambda now: self.abort())
 
     def rested(self, now: int) -> bool:
         """Whether no second answer to its last request can come any more."""
         return now - self.rested_at >= LATE_ANSWER_US
 
 
-class Backend:
+class UpstreamPool:
     """One executor, with its pool: the connection used last is used first."""
 
-    def __init__(self, backends: "Backends", number: int, address: Address, kind: KindOptions) -> None:
+    def __init__(self, backends: "UpstreamPools", number: int, address: Address, kind: KindOptions) -> None:
         self.backends, self.number, self.address, self.kind = backends, number, address, kind
-        self.connections: set[Connection] = set()
-        self.idle: list[Connection] = []
+        self.connections: set[UpstreamConnection] = set()
+        self.idle: list[UpstreamConnection] = []
 
     def carry(self, exchange: Exchange) -> None:
         """Give an exchange to an idle connection, or to a new one."""
-        now = self.backends.turn.now()
+        now = self.backends.driver.now()
         wary = exchange.unsafe and now < self.backends.wary_until
         connection = None if wary else self._idle_for(exchange, now)
         if connection is not None:
@@ -302,15 +302,15 @@
             connection.carry(exchange)
             return
         if not self.backends.make_room():
-            say("backends-full", bound=self.backends.bound)
+            log_event("executor-connections-full", bound=self.backends.bound)
             exchange.finish(now, Outcome.DROPPED)
             return
-        connection = Connection(self, exchange)
+        connection = UpstreamConnection(self, exchange)
         self.connections.add(connection)
         self.backends.connections += 1
         connection.open()
 
-    def _idle_for(self, exchange: Exchange, now: int) -> Connection | None:
+    def _idle_for(self, exchange: Exchange, now: int) -> UpstreamConnection | None:
         """The one used last; for what must not run twice one that is past late answers, or none."""
         usable = [connection for connection in reversed(self.idle) if not connection.transport.is_closing()]
         if not exchange.guarded:
@@ -320,7 +320,7 @@
         # its close may have come and not be read yet; one call of the system for each that is asked
         return next((connection for connection in choice if not hung_up(connection.transport)), None)
 
-    def drop(self, connection: Connection) -> None:
+    def drop(self, connection: UpstreamConnection) -> None:
         """Forget a connection."""
         if connection in self.connections:
             self.connections.remove(connection)
@@ -333,13 +333,13 @@
             connection.abort()
 
 
-class Backends:
+class UpstreamPools:
     """All backends; the dispatch's port to them."""
 
-    def __init__(self, turn: Turn, settings: api.Settings, bound: int, options: Options) -> None:
-        self.turn, self.settings, self.bound, self.options = turn, settings, bound, options
+    def __init__(self, driver: EventLoopDriver, settings: api.Settings, bound: int, options: Options) -> None:
+        self.driver, self.settings, self.bound, self.options = driver, settings, bound, options
         self.dispatch: Dispatch | None = None
-        self.by_number: dict[int, Backend] = {}
+        self.by_number: dict[int, UpstreamPool] = {}
         self.connections = 0  # of all backends together: a sum over the fleet for each new one cost too much
         self.wary_until = 0
 
@@ -352,7 +352,7 @@
         address = Address.parse(endpoint.address)
         if (backend := self.by_number.get(number)) is None:
             kind = self.options.kind(endpoint.type)
-            backend = self.by_number[number] = Backend(self, number, address, kind)
+            backend = self.by_number[number] = UpstreamPool(self, number, address, kind)
         if backend.address != address:
             backend.address = address
             backend.close_idle()
@@ -371,9 +371,9 @@
     def send(self, attempt: Attempt) -> None:
         backend = self.by_number.get(attempt.executor)
         if backend is None:  # it was never listed with an address
-            self.dispatch.attempt_ended(self.turn.now(), attempt, Outcome.CONNECT_FAILED)
+            self.dispatch.attempt_ended(self.driver.now(), attempt, Outcome.CONNECT_FAILED)
             return
-        job = NodeJob if backend.kind.speaks == "node" else Job
+        job = RelayedAttemptExchange if backend.kind.speaks == "node" else AttemptExchange
         backend.carry(job(self, backend, attempt))
 
     def cancel(self, attempt: Attempt, now_or_never: bool = False) -> bool:
@@ -393,15 +393,15 @@
     def probe(self, probe: Probe) -> None:
         backend = self.by_number.get(probe.executor)
         if backend is None:
-            self.dispatch.probe_ended(self.turn.now(), probe, Outcome.CONNECT_FAILED)
+            self.dispatch.probe_ended(self.driver.now(), probe, Outcome.CONNECT_FAILED)
             return
-        backend.carry(Check(self, backend, probe))
+        backend.carry(ProbeExchange(self, backend, probe))
 
     def recall(self, probe: Probe) -> None:
         check, probe.exchange = probe.exchange, None
         if check is None:
             return
         check.told = True
-        self.turn.timers.cancel(check.deadline)
+        self.driver.timers.cancel(check.deadline)
         if check.connection is not None and check.connection.exchange is check:
             check.connection.abort_quietly()
--- a/cedarmill/values.py
+++ b/cedarmill/values.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetOptions:
+class ClusterOptions:
     """A node's part in a fleet; without it none of it is loaded."""
 
     cluster: str
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperOptions:
+class ReplicaOptions:
     """One keeper; `peers` are all keepers, this one too, as this one reaches them."""
 
     cluster: str
@@ -104,12 +104,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StewardOptions:
+class SupervisorOptions:
     """What one machine runs."""
 
     name: str
     data: str
-    fleet: FleetOptions
+    fleet: ClusterOptions
     units: tuple[UnitOptions, ...]
 
 
@@ -121,7 +121,7 @@
     health: HealthOptions = field(default_factory=HealthOptions)
     kinds: dict[str, KindOptions] = field(default_factory=dict)  # `*` stands for all that are not named
     ledger_every_us: int = 60_000_000  # between two events that tell what was spent for nobody
-    fleet: FleetOptions | None = None
+    fleet: ClusterOptions | None = None
 
     def kind(self, name: str) -> KindOptions:
         """What holds for a kind of backend."""
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -405,7 +405,7 @@
                 self.assertEqual(storm_bugs.breaches(play("fleet", name, 2), name), [])
 
     def test_each_planted_bug_is_seen(self):
-        for name in storm_bugs.BUGS:
+        for name in storm_bugs.MUTANTS:
             with self.subTest(name):
                 self.assertGreater(storm_bugs.hunt(name, (1, 2)).seed, 0)
 
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -14,7 +14,7 @@
 
 from cedarmill.conf.document import ConfError, duration, microseconds
 from cedarmill.conf.settings import Settings
-from cedarmill.log import EVENTS
+from cedarmill.log_events import EVENTS
 from cedarmill.values import Options
 from tests.support.node_case import ROOT, NodeCase
 
--- a/tests/conf/test_sites.py
+++ b/tests/conf/test_sites.py
@@ -11,7 +11,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.settings import from_operator
-from cedarmill.net.clients.server import Clients
+from cedarmill.net.clients.server import ClientServer
 from cedarmill.values import DeadlineOptions
 from tests.support.node_case import NodeCase
 
@@ -140,7 +140,7 @@
         sides = []
         for name in NAMES:
             settings = from_operator(operator_settings(name))
-            clients = Clients(mock.Mock(), settings, 8, DeadlineOptions())
+            clients = ClientServer(mock.Mock(), settings, 8, DeadlineOptions())
             dispatch = Dispatch(Balancer(settings, 1), Timers(), mock.Mock(), mock.Mock())
             sides.append((clients, dispatch))
         for name, (clients, dispatch) in zip(NAMES, sides, strict=True):
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -265,17 +265,17 @@
     """Types of JSON documents that are decoded with `msgspec.json.decode(text, type=...)`."""
     from cedarmill.lab.cluster.history import Event
     from cedarmill.lab.cluster.report import Verdict
-    from cedarmill.lab.history import Story
+    from cedarmill.lab.history import History
     from cedarmill.net.config import _File
 
-    return [_File, Event, Verdict, Story]
+    return [_File, Event, Verdict, History]
 
 
 def frame_codec() -> tuple[Callable[[int, Any], bytes], Callable[[bytes], list]]:
     """Writes one frame between processes; reads frames."""
-    from cedarmill.net.framing import Reader, frame
+    from cedarmill.net.framing import FrameReader, encode_frame
 
-    return frame, lambda data: Reader().feed(data)
+    return encode_frame, lambda data: FrameReader().feed(data)
 
 
 def documents() -> tuple[Callable, Callable, Callable[[str, str], str], type]:
@@ -284,7 +284,7 @@
     As 24d73c0 wrote them, without the machine's clock: programs of before it are still read.
     """
     from cedarmill.admin import sealed_document
-    from cedarmill.net.upgrade.state_file import KeptInPlace, kept_path
+    from cedarmill.net.upgrade.state_file import InPlaceStateFile, state_file_path
 
     def seal(kind: str, node: str, unix_us: int, body: bytes) -> bytes:
         return sealed_document.seal(kind, node, sealed_document.ClockReading(unix_us), body)
@@ -294,7 +294,7 @@
         assert (written.monotonic_us, written.boot_id) == (0, "")
         return written.unix_us, body
 
-    return seal, unseal, kept_path, KeptInPlace
+    return seal, unseal, state_file_path, InPlaceStateFile
 
 
 def exclusions(node: str):
@@ -373,10 +373,10 @@
 def play_fleet(seed: int) -> Played:
     """Play one seed of the fleet's virtual time to its end."""
     from cedarmill.cluster.state import encode_snapshot
-    from cedarmill.lab.simulation.cluster import Virtual
+    from cedarmill.lab.simulation.cluster import ClusterSimulation
     from cedarmill.lab.simulation.search import shape_of
 
-    run = Virtual(shape_of(seed), seed)
+    run = ClusterSimulation(shape_of(seed), seed)
     before = encode_snapshot(next(iter(run.keepers.values())).replica.state)
     run.run()
     keeper = max(run.keepers.values(), key=lambda one: one.replica.raft.commit_index)
@@ -414,10 +414,10 @@
     from cedarmill.cli import main
     from cedarmill.cluster.messages import ReadReply
     from cedarmill.cluster.state_views import render
-    from cedarmill.net.cluster.operator import Operator
+    from cedarmill.net.cluster.operator import OperatorClient
 
     with mock.patch.object(
-        Operator, "ask", lambda self, ask: ReadReply(render(played.replica, played.now, ask))
+        OperatorClient, "ask", lambda self, ask: ReadReply(render(played.replica, played.now, ask))
     ):
         found = CliRunner().invoke(main, ["fleet", "--keepers", "127.0.0.1:1", "--cluster", "lab", *words])
     if found.exception is not None and not isinstance(found.exception, SystemExit):
--- a/tests/lab/test_cluster_lab.py
+++ b/tests/lab/test_cluster_lab.py
@@ -9,7 +9,7 @@
 import numpy
 
 from cedarmill.conf.document import ConfError
-from cedarmill.lab.cluster.history import Event, History
+from cedarmill.lab.cluster.history import Event, EventHistory
 from cedarmill.lab.cluster.history import read as read_history
 from cedarmill.lab.cluster.invariants import Record, verdict
 from cedarmill.lab.cluster.links import LinkFault, Links
@@ -182,7 +182,7 @@
                 self.assertIn(word, str(caught.exception))
 
     def test_a_history_is_read_as_it_was_written(self):
-        history = History(lambda: 7)
+        history = EventHistory(lambda: 7)
         history.tell("operator-1", "taken", "box-0", epoch=3, note="n", number=0.5)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "history.jsonl"
--- a/tests/lab/test_cluster_simulation.py
+++ b/tests/lab/test_cluster_simulation.py
@@ -6,8 +6,8 @@
 import tempfile
 import unittest
 
-from cedarmill.lab.cluster.invariants import LAWS
-from cedarmill.lab.cluster.mutants import BUGS
+from cedarmill.lab.cluster.invariants import INVARIANTS
+from cedarmill.lab.cluster.mutants import MUTANTS
 from cedarmill.lab.simulation.raft_log import figure_eight
 from cedarmill.lab.simulation.search import digest, hunt, log_run, many
 from tests.support.node_case import ROOT
@@ -51,7 +51,7 @@
         self.assertGreaterEqual(found.seed, 0, f"{bug} was not seen in {MOST} seeds")
 
 
-for _bug in BUGS:
+for _bug in MUTANTS:
     setattr(Bugs, f"test_{_bug.replace('-', '_')}", lambda self, bug=_bug: self.seen(bug))
 
 
@@ -72,5 +72,5 @@
         """No law without a name in the design note, which says what trips it."""
         pages = [ROOT / f"docs/design/{page}.md" for page in ("drains", "zones", "overload")]
         text = "".join(page.read_text() for page in pages)
-        for law in LAWS:
+        for law in INVARIANTS:
             self.assertIn(law, text)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -10,15 +10,15 @@
 import numpy
 
 from cedarmill.conf.document import ConfError
-from cedarmill.lab.checker import judge
-from cedarmill.lab.executor import Box
+from cedarmill.lab.checker import check_history
+from cedarmill.lab.executor import EmulatedExecutor
 from cedarmill.lab.figures import figures
-from cedarmill.lab.history import Answer, Call, ClassRules, Drain, Story, Visit
+from cedarmill.lab.history import Answer, Call, ClassRules, Drain, History, Visit
 from cedarmill.lab.load import Load
 from cedarmill.lab.scenario import read, shipped
 from tests.conf.test_settings import command
 
-GOOD = Story(
+GOOD = History(
     "s", "on", 1, 10_000_000, {"pin": ClassRules("keyed", "zone", 1_000_000), "issue": ClassRules("unsafe")}
 )
 
@@ -33,15 +33,15 @@
     return dataclasses.replace(made, **changes)
 
 
-def story(calls, visits, **changes) -> Story:
+def story(calls, visits, **changes) -> History:
     return dataclasses.replace(GOOD, calls=calls, visits=visits, **changes)
 
 
 class JudgeTest(unittest.TestCase):
     """A check that cannot fail is worth nothing: each rule is broken on purpose, and it alone is named."""
 
-    def broken(self, told: Story) -> list[str]:
-        return [rule for rule, found in judge(told).items() if found]
+    def broken(self, told: History) -> list[str]:
+        return [rule for rule, found in check_history(told).items() if found]
 
     def test_a_good_run_is_good(self):
         """A repeat in the zone and window, a retry by the client, a leave, a break: all allowed."""
@@ -108,7 +108,7 @@
     def test_jobs_share_the_cores_and_a_stall_stops_them_all(self):
         """Three jobs on two cores: each gets two thirds of one; nothing is done in a stall."""
         now = 0
-        box = Box(
+        box = EmulatedExecutor(
             "b", "z", 2, 4, 1.0, 4, True, lambda body, _: 0.0, lambda: now, [], numpy.random.default_rng(1)
         )
         box._plan = lambda: None
@@ -216,7 +216,7 @@
     async def test_a_box_answers_rejects_and_stops_over_sockets(self):
         """What the judge believes of a visit is what went over the wire."""
         loop, visits = asyncio.get_running_loop(), []
-        box = Box("b", "z", 1, 1, 1.0, 1, True, lambda body, _: float(body),
+        box = EmulatedExecutor("b", "z", 1, 1, 1.0, 1, True, lambda body, _: float(body),
                   lambda: int(loop.time() * 1e6), visits, numpy.random.default_rng(1))  # fmt: skip
         await box.open()
         self.addCleanup(box.close)
--- a/tests/lab/test_zone_simulation.py
+++ b/tests/lab/test_zone_simulation.py
@@ -12,7 +12,7 @@
 from cedarmill.lab.cluster.scenario import read
 from cedarmill.lab.simulation.exhaustive import explore
 from cedarmill.lab.simulation.small_cases import Drains, Traffic
-from cedarmill.lab.simulation.zones.mutants import BUGS, hunt
+from cedarmill.lab.simulation.zones.mutants import MUTANTS, hunt
 from cedarmill.lab.simulation.zones.simulation import INCIDENTS, breaches, run
 from tests.support.replica_case import KeeperCase, cli
 
@@ -41,7 +41,7 @@
 
 for _name in SHORT:
     setattr(Incidents, f"test_{_name.replace('-', '_')}", lambda self, name=_name: self.kept(name))
-for _name in BUGS:
+for _name in MUTANTS:
     setattr(Bugs, f"test_{_name.replace('-', '_')}", lambda self, name=_name: self.seen(name))
 
 
--- a/tests/net/cluster/test_framing.py
+++ b/tests/net/cluster/test_framing.py
@@ -5,7 +5,7 @@
 
 from cedarmill.cluster.messages import ForwardRequest, HeartbeatReply, Hello, Orders, ReadRequest
 from cedarmill.cluster.raft.messages import AppendEntries, Entry, EntryKind
-from cedarmill.net.framing import HEAD, MAX_FRAME, Bad, Reader, frame
+from cedarmill.net.framing import HEAD, MAX_FRAME, FrameReader, InvalidFrame, encode_frame
 from tests.support.replica_case import LONG, KeeperCase
 
 WORDS = (
@@ -18,9 +18,9 @@
 
 class Frames(unittest.TestCase):
     def test_cut_at_any_byte_they_come_whole(self):
-        text = b"".join(frame(number, word) for number, word in enumerate(WORDS))
+        text = b"".join(encode_frame(number, word) for number, word in enumerate(WORDS))
         for cut in range(len(text) + 1):
-            reader = Reader()
+            reader = FrameReader()
             found = reader.feed(text[:cut]) + reader.feed(text[cut:])
             self.assertEqual(found, list(enumerate(WORDS)))
 
@@ -32,8 +32,8 @@
             (b"GET / HTTP/1.1\r\n\r\n", "version"),
         )
         for text, words in cases:
-            with self.assertRaisesRegex(Bad, words):
-                Reader().feed(text)
+            with self.assertRaisesRegex(InvalidFrame, words):
+                FrameReader().feed(text)
 
 
 class Silent(KeeperCase):
@@ -55,7 +55,7 @@
 
     def test_a_stranger_s_bytes_cost_it_its_connection_and_nobody_else(self):
         self.wait_for(lambda: self.look("status")["leader"])
-        for text in (b"\0" * 40, b"GET / HTTP/1.1\r\n\r\n", frame(1, ReadRequest("status"))):
+        for text in (b"\0" * 40, b"GET / HTTP/1.1\r\n\r\n", encode_frame(1, ReadRequest("status"))):
             with socket.create_connection(("127.0.0.1", self.ports["k0"]), LONG) as sock:
                 sock.sendall(text)
                 self.assertEqual(sock.recv(1), b"")
--- a/tests/net/cluster/test_gossip.py
+++ b/tests/net/cluster/test_gossip.py
@@ -43,7 +43,7 @@
         discovery = SimpleNamespace(dispatch=dispatch, entries=entries, reader=reader)
         self.gossip, self.executors, self.said = Gossip(clock, name, "c", discovery), workers, []
         link = self.gossip.links[peer] = Link(peer)
-        self.wire = link.wire = SimpleNamespace(name=peer, say=lambda number, word: self.said.append(word))
+        self.wire = link.wire = SimpleNamespace(name=peer, send=lambda number, word: self.said.append(word))
         self.link = link
 
     def _told(self, now: int, worker: int, report: tuple, age: int) -> None:
--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -25,10 +25,10 @@
 from cedarmill.cluster.raft.state import PersistentState
 from cedarmill.cluster.replica import Replica
 from cedarmill.cluster.state_machine.commands import RequestPermits
-from cedarmill.net.cluster.operator import NoKeeper, Operator, new_id
-from cedarmill.net.cluster.replica import DISK_REFUSAL, KeeperProcess, disk_name, first_snapshot
+from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_id
+from cedarmill.net.cluster.replica import DISK_REFUSAL, ReplicaProcess, disk_name, first_snapshot
 from cedarmill.store.replica_store import ReplicaStore
-from cedarmill.values import KeeperOptions
+from cedarmill.values import ReplicaOptions
 from tests.store.test_replica_store import FaultyDirectory
 from tests.support.node_case import ROOT
 from tests.support.replica_case import LONG, KeeperCase, Member
@@ -72,7 +72,7 @@
 
     def asked_alone(self, name: str, ask: ClientRequest, wait_s: float = 1) -> ClientReply:
         """The answer of this replica and no other."""
-        return Operator("main", [f"127.0.0.1:{self.ports[name]}"], "test").ask(ask, wait_s)
+        return OperatorClient("main", [f"127.0.0.1:{self.ports[name]}"], "test").ask(ask, wait_s)
 
     def permits(self) -> dict[str, int]:
         """How many permits there are of each target."""
@@ -92,7 +92,7 @@
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number}")
                 self.wait_for(lambda name=leader: FAILED in self.keeper_log(name))
                 self.assertNotEqual(self.leader(), leader)
-                with self.assertRaisesRegex(NoKeeper, DISK_REFUSAL):
+                with self.assertRaisesRegex(NoReplicaError, DISK_REFUSAL):
                     self.asked_alone(leader, ReadRequest("status"))
                 self.assertEqual(self.asked_alone(leader, Probe("test")).name, leader)
                 self.plans[leader].arm()
@@ -118,9 +118,9 @@
             with self.subTest(faults=faults):
                 before, ask = self.permits(), self.ask_for(f"b{number + 1}")
                 self.plans["k0"].arm(*faults)
-                with self.assertRaises(NoKeeper):
+                with self.assertRaises(NoReplicaError):
                     self.operator.ask(ask, 1.5)
-                with self.assertRaisesRegex(NoKeeper, DISK_REFUSAL):
+                with self.assertRaisesRegex(NoReplicaError, DISK_REFUSAL):
                     self.operator.ask(ReadRequest("permits"), 0.5)
                 self.assertEqual(self.operator.ask(Probe("test"), LONG).name, "k0")
                 self.plans["k0"].arm()
@@ -155,7 +155,7 @@
     def test_it_ends_by_a_signal_while_its_disk_fails(self):
         self.wait_for(lambda: self.leader() == "k0")
         self.plans["k0"].arm(*FULL)
-        with self.assertRaises(NoKeeper):
+        with self.assertRaises(NoReplicaError):
             self.operator.ask(self.ask_for("b0"), 1)
         self.wait_for(lambda: FAILED in self.keeper_log("k0"))
         self.running["k0"].terminate()
@@ -168,7 +168,7 @@
     def __init__(self, name: str = "") -> None:
         self.name, self.said, self.reason = name, [], ""
 
-    def say(self, number: int, message: object) -> None:
+    def send(self, number: int, message: object) -> None:
         self.said.append(message)
 
     def end(self, reason: str) -> None:
@@ -182,12 +182,12 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         peers = {name: "127.0.0.1:1" for name in ("k0", "k1", "k2")}
-        options = KeeperOptions("main", "k0", "127.0.0.1:0", folder.name, peers)
+        options = ReplicaOptions("main", "k0", "127.0.0.1:0", folder.name, peers)
         self.files = FaultyDirectory(folder.name)
         store = ReplicaStore(self.files, "main", "k0", disk_name("main", "k0"))
         store.write_snapshot(first_snapshot(options), [])
         store.close()
-        self.process = KeeperProcess(options, self.files)
+        self.process = ReplicaProcess(options, self.files)
         self.addCleanup(self.process.loop.close)
         self.addCleanup(lambda: self.process.store.close())
 
@@ -205,15 +205,15 @@
         self.carry_out(keeper.on_time(keeper.due))
         for pre in (True, False):
             term = keeper.raft.term + pre
-            self.carry_out(keeper.on_message(process.turn.now(), "k2", RequestVoteReply(term, True, pre)))
+            self.carry_out(keeper.on_message(process.driver.now(), "k2", RequestVoteReply(term, True, pre)))
         self.assertTrue(keeper.is_leader)
         answer = AppendEntriesReply(keeper.raft.term, True, keeper.raft.log.last_index, 1)
-        self.carry_out(keeper.on_message(process.turn.now(), "k2", answer))
+        self.carry_out(keeper.on_message(process.driver.now(), "k2", answer))
         self.break_disk()
         sent = len(process.wires["k2"].said)
         self.carry_out(
             keeper.on_request(
-                process.turn.now(), 1, SubmitRequest(RequestPermits(0, "o", "1", "executor", ("b",)))
+                process.driver.now(), 1, SubmitRequest(RequestPermits(0, "o", "1", "executor", ("b",)))
             )
         )
         self.assertTrue(process.recovering)
@@ -232,21 +232,21 @@
         process, wire = self.process, WireStub("k1")
         process.wires = {"k1": wire}
         ask = RequestVote(5, 9, 5, False)
-        self.carry_out(process.keeper.on_message(process.turn.now() + 10_000_000, "k1", ask))
+        self.carry_out(process.keeper.on_message(process.driver.now() + 10_000_000, "k1", ask))
         self.assertEqual(wire.said, [RequestVoteReply(5, True, False)])
         with open(self.files.path("log"), "rb+") as log:
             log.truncate(len(log.read()) - 1)  # the record of its vote
         self.break_disk()
         process._disk_failed(OSError("told"))
         self.files.failing = {}
-        process._recover(process.turn.now())
+        process._recover(process.driver.now())
         self.assertFalse(process.recovering)
         self.assertTrue(process.keeper.raft.needs_catch_up)
         process.wires = {"k2": WireStub("k2")}
-        self.carry_out(process.keeper.on_message(process.turn.now() + 10_000_000, "k2", ask))
+        self.carry_out(process.keeper.on_message(process.driver.now() + 10_000_000, "k2", ask))
         self.assertEqual([reply.vote_granted for reply in process.wires["k2"].said], [False])
         process._disk_failed(OSError("again"))
-        process._recover(process.turn.now())
+        process._recover(process.driver.now())
         self.assertTrue(process.keeper.raft.needs_catch_up, "no second failure ends the doubt")
 
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
--- a/tests/net/cluster/test_replicas.py
+++ b/tests/net/cluster/test_replicas.py
@@ -7,7 +7,7 @@
 from cedarmill.cluster.messages import ReadRequest, SubmitRequest
 from cedarmill.cluster.observations.digest import LocationObservation, ObservationDigest
 from cedarmill.cluster.state_machine import commands
-from cedarmill.net.cluster.operator import NoKeeper, Operator, new_id
+from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_id
 from tests.support.replica_case import LONG, KeeperCase, Member, cli
 
 
@@ -72,7 +72,7 @@
         Member(self, "n0").join()
         self.assertEqual(self.fleet("drain", "b0").returncode, 0)
         self.kill(*self.ports)
-        with self.assertRaises(NoKeeper):
+        with self.assertRaises(NoReplicaError):
             self.operator.ask(ReadRequest("status"), 0.5)
         self.assertEqual(self.fleet("status").returncode, 3)
         for name in self.ports:
@@ -102,8 +102,8 @@
         self.wait_for(lambda: self.leader() != target)
 
     def test_a_keeper_of_another_cluster_and_one_that_no_one_is_are_refused(self):
-        stranger = Operator("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
-        with self.assertRaisesRegex(NoKeeper, "this is cluster main, not other"):
+        stranger = OperatorClient("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
+        with self.assertRaisesRegex(NoReplicaError, "this is cluster main, not other"):
             stranger.ask(ReadRequest("status"), 1)
 
     def test_bad_files_are_refused_in_one_line(self):
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -18,11 +18,11 @@
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.timers import Timers
-from cedarmill.net.admin.handlers import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, Hands
+from cedarmill.net.admin.handlers import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, AdminHandlers
 from cedarmill.net.admin.server import SESSIONS
-from cedarmill.net.clients.server import Clients
+from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.clients.session import ClientSession
-from cedarmill.net.upgrade.state_file import KeptFile
+from cedarmill.net.upgrade.state_file import StateFile
 from cedarmill.values import DeadlineOptions
 from tests.support.builders import settings
 from tests.support.node_case import WAIT, NodeCase, call, read_answer
@@ -127,7 +127,7 @@
         self.assertEqual(marks.marked_us, {"s-1": 100, "s-2": 400})
 
 
-class CountedFile(KeptFile):
+class CountedFile(StateFile):
     """A kept file that counts how often it is looked at."""
 
     looks = 0
@@ -180,8 +180,8 @@
     def test_calls_add_no_chains_of_looks_at_the_kept_file(self):
         """Each mark reads the file once; the looks every 0.5 s stay one chain however many calls came."""
         with tempfile.TemporaryDirectory() as folder:
-            turn, kept = Ticking(), CountedFile(f"{folder}/kept.json")
-            hands = Hands(turn, object(), Listed(), "n0", lambda: False)
+            driver, kept = Ticking(), CountedFile(f"{folder}/kept.json")
+            hands = AdminHandlers(driver, object(), Listed(), "n0", lambda: False)
             hands.kept = kept
             hands.start()
             for number in range(10):
@@ -192,7 +192,7 @@
                     Told(),
                 )
             before = kept.looks
-            turn.run_till(20 * LOOK_US)
+            driver.run_till(20 * LOOK_US)
             self.assertEqual(kept.looks - before, 20)
 
 
@@ -205,9 +205,9 @@
         self.path = f"{folder.name}/kept.json"
         self.old, self.new = self.hands(), self.hands()
 
-    def hands(self) -> Hands:
-        hands = Hands(Running(), object(), Listed(), "n0", lambda: False)
-        hands.kept = KeptFile(self.path)
+    def hands(self) -> AdminHandlers:
+        hands = AdminHandlers(Running(), object(), Listed(), "n0", lambda: False)
+        hands.kept = StateFile(self.path)
         return hands
 
     def test_marks_made_at_the_same_time_are_both_kept(self):
@@ -224,25 +224,25 @@
         self.assertEqual(set(last.exclusions.since), {name for of in names.values() for name in of})
 
     @staticmethod
-    def mark(hands: Hands, names: list[str]) -> None:
+    def mark(hands: AdminHandlers, names: list[str]) -> None:
         for name in names:
             told = Told()
             hands.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, name), told)
-            hands.turn.run_until(lambda told=told: told.status)
+            hands.driver.run_until(lambda told=told: told.status)
             assert told.status == 200, told.status
 
     def test_a_process_that_stands_still_with_the_lock_holds_up_nothing_but_the_call(self):
         """Waited for on the loop's thread, a stopped process took this one with it, requests and all."""
         told, marked = Told(), Told()
-        with KeptFile(self.path).alone():
+        with StateFile(self.path).alone():
             self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
             self.assertEqual(told.status, 0)  # and the call has returned
-            began = self.old.turn.now()
-            self.old.turn.run_until(lambda: told.status)
-            self.assertLessEqual(LOCK_WAIT_US, self.old.turn.now() - began + LOCK_AGAIN_US)
+            began = self.old.driver.now()
+            self.old.driver.run_until(lambda: told.status)
+            self.assertLessEqual(LOCK_WAIT_US, self.old.driver.now() - began + LOCK_AGAIN_US)
             self.assertEqual((told.status, self.old.exclusions.since), (503, {}))
             self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), marked)
-        self.old.turn.run_until(lambda: marked.status)
+        self.old.driver.run_until(lambda: marked.status)
         self.assertEqual((marked.status, set(self.old.exclusions.since)), (200, {"s-1"}))
 
     def test_a_write_that_fails_takes_back_its_own_mark_only(self):
@@ -254,7 +254,7 @@
         self.assertEqual((told.status, set(self.old.exclusions.since)), (503, {"s-2"}))
 
     def test_a_mark_that_cannot_be_kept_is_not_made(self):
-        self.old.kept = KeptFile("/proc/none/kept.json")
+        self.old.kept = StateFile("/proc/none/kept.json")
         told = Told()
         self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
         self.assertEqual(told.status, 503)
@@ -471,7 +471,7 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         self.addCleanup(theirs.close)
-        clients = Clients(Ticking(), settings(), 8, DeadlineOptions())
+        clients = ClientServer(Ticking(), settings(), 8, DeadlineOptions())
         session = ClientSession(clients)
         session.transport = Wire(ours)
         clients.sessions.add(session)
@@ -487,7 +487,7 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         self.addCleanup(theirs.close)
-        clients = Clients(Ticking(), settings(), 1, DeadlineOptions())
+        clients = ClientServer(Ticking(), settings(), 1, DeadlineOptions())
         session = ClientSession(clients)
         session.transport = Wire(ours)
         clients.sessions.add(session)
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from cedarmill.lab.history import Call
-from cedarmill.lab.load import ClientWire
+from cedarmill.lab.load import ClientConnection
 from cedarmill.lab.run import Run
 from cedarmill.lab.scenario import read
 from tests.net.test_node import CutOff
@@ -82,8 +82,8 @@
             except Exception:
                 break
         self.process.send_signal(signal.SIGUSR1)
-        event = json.loads(self.wait_log("spent-for-nobody"))
-        self.assertEqual((event["event"], event["level"]), ("spent-for-nobody", "info"))
+        event = json.loads(self.wait_log("wasted-work"))
+        self.assertEqual((event["event"], event["level"]), ("wasted-work", "info"))
         charged = sum(row["attempts"] for row in event["rows"])
         self.assertLessEqual(whole, 3)  # a slow machine may take over 2 ms to see a close
         self.assertEqual(charged, whole)
@@ -338,28 +338,28 @@
             await run.close()
         return calm, crowd, seen
 
-    async def ask(self, run: Run, load, number: int, work: int) -> ClientWire:
+    async def ask(self, run: Run, load, number: int, work: int) -> ClientConnection:
         port = run.nodes[0].port.result()
         _, wire = await asyncio.get_running_loop().create_connection(
-            lambda: ClientWire(load), "127.0.0.1", port
+            lambda: ClientConnection(load), "127.0.0.1", port
         )
         self.write(run, wire, number, work)
         return wire
 
     @staticmethod
-    def write(run: Run, wire: ClientWire, number: int, work: int) -> None:
+    def write(run: Run, wire: ClientConnection, number: int, work: int) -> None:
         wire.call = Call(f"c{number}", "pin", number, run.clock())
         text = raw(number, "pin", 20_000).replace(b"acme", b"lab").replace(b"raw", b"c")
         body = b"%d" % work
         text = text.replace(b"Content-Length: 6", b"Content-Length: %d" % len(body)).replace(b"a body", body)
         wire.transport.write(text)
 
-    async def serve(self, run: Run, wires: list[ClientWire], number: int) -> list[float]:
+    async def serve(self, run: Run, wires: list[ClientConnection], number: int) -> list[float]:
         """What a second of usual calls takes, each."""
         loops = [self.again(run, wire, number + 100 * n) for n, wire in enumerate(wires)]
         return [took for times in await asyncio.gather(*loops) for took in times]
 
-    async def again(self, run: Run, wire: ClientWire, number: int) -> list[float]:
+    async def again(self, run: Run, wire: ClientConnection, number: int) -> list[float]:
         times = []
         for count in range(3):
             while wire.call is not None:  # the one before has its answer
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -9,9 +9,9 @@
 from unittest.mock import Mock
 
 from cedarmill.core.timers import Timers
-from cedarmill.net.clients.server import Clients
+from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.clients.session import ClientSession
-from cedarmill.net.loop import Turn
+from cedarmill.net.loop import EventLoopDriver
 from cedarmill.values import DeadlineOptions
 from tests.net.test_client_cancellation import raw
 from tests.support.builders import SAFE, settings
@@ -185,7 +185,7 @@
     def test_a_callback_that_raises_leaves_no_request_without_its_answer(self):
         """The session was reset, whatever it owed."""
         loop = SimpleNamespace(call_later=lambda delay, call: SimpleNamespace(cancel=lambda: None))
-        clients = Clients(Turn(loop, Timers()), settings(SAFE), 8, DeadlineOptions())
+        clients = ClientServer(EventLoopDriver(loop, Timers()), settings(SAFE), 8, DeadlineOptions())
         clients.dispatch, request = Mock(), Mock(answered=False)
         clients.dispatch.deadline_tracker.margins.for_answer.return_value = 0
         clients.dispatch.arrive.return_value = request
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -9,9 +9,9 @@
 
 from cedarmill.admin import sealed_document
 from cedarmill.admin.sealed_document import ClockReading
-from cedarmill.net.loop import Turn, boot_id
+from cedarmill.net.loop import EventLoopDriver, boot_id
 from cedarmill.net.upgrade.sibling import SILENT_US
-from cedarmill.net.upgrade.state_file import KeptInPlace
+from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.net import test_upgrade
 from tests.support.faulty_node_case import FaultyNodeCase
 from tests.support.node_case import WAIT, call
@@ -56,13 +56,13 @@
 
     def age_s(self, name: str, since: float = 0.0) -> float | None:
         """How old the module takes an executor for, in the document kept after that time; None: warm."""
-        kept = KeptInPlace(f"{self.tmpdir.name}/cedarmill-n0-memory.json")
+        kept = InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-memory.json")
         found = {}
 
         def told() -> bool:
             if not (texts := kept.texts()):
                 return False
-            now = ClockReading(0, Turn.now(), boot_id())
+            now = ClockReading(0, EventLoopDriver.now(), boot_id())
             sealed = sealed_document.unseal_newest(texts, "memory", "n0", now)
             found.update(json.loads(sealed.body)["workers"])
             return name in found and sealed.written_at.monotonic_us >= since * 1e6
@@ -156,7 +156,7 @@
         self.next_process()
         self.told(self.old, "that live: 1")
         self.assertTrue(any("that live: 1" in line for line in self.log), self.log)
-        self.files = [KeptInPlace(f"{self.tmpdir.name}/cedarmill-n0-out-{process.pid}.json")
+        self.files = [InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-out-{process.pid}.json")
                       for process in (self.old, self.process)]  # fmt: skip
         self.addCleanup(self.end_old)
 
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -16,14 +16,16 @@
     """A discovery that sends a good line and breaks, again and again."""
 
     def setUp(self) -> None:
-        self.turn, self.lines = mock.Mock(), []
-        self.turn.timers = Timers()
+        self.driver, self.lines = mock.Mock(), []
+        self.driver.timers = Timers()
         self.discovery = DiscoveryClient(
-            self.turn, settings(on_request_discovery=True), Address("127.0.0.1", 1), mock.Mock(), Random(1)
+            self.driver, settings(on_request_discovery=True), Address("127.0.0.1", 1), mock.Mock(), Random(1)
         )
         self.discovery.dispatch = mock.Mock()
         patches = (
-            mock.patch("cedarmill.net.discovery.client.say", lambda name, *_, **__: self.lines.append(name)),
+            mock.patch(
+                "cedarmill.net.discovery.client.log_event", lambda name, *_, **__: self.lines.append(name)
+            ),
             mock.patch("cedarmill.net.discovery.client.WatchConnection"),
         )
         for patch in patches:
@@ -33,16 +35,16 @@
 
     def lose(self, at: int) -> None:
         """The watch that is up, or that opens, breaks; then it is asked for anew, at its deadline."""
-        self.turn.now.return_value = at
+        self.driver.now.return_value = at
         self.discovery.happened(WatchEvent.CALL_FAILED, "silence")
-        due = self.turn.timers.next_due
-        self.turn.now.return_value = due
-        for call in self.turn.timers.sweep(due):
+        due = self.driver.timers.next_due
+        self.driver.now.return_value = due
+        for call in self.driver.timers.sweep(due):
             call(due)
         self.connections += self.discovery.connection is not None
 
     def flap(self, at: int) -> None:
-        self.turn.now.return_value = at
+        self.driver.now.return_value = at
         self.discovery.watch()
         self.discovery.happened(WatchEvent.CONNECTED)
         self.discovery.happened(WatchEvent.DATA_RECEIVED)
@@ -78,9 +80,9 @@
     TRUE_OFFSET = 1_700_000_000 * S  # of Unix time, as all other machines read it, against our clock
 
     def setUp(self) -> None:
-        self.turn, self.now, self.step_s = mock.Mock(), 10_000 * S, 0
-        self.turn.now.side_effect = lambda: self.now
-        for name, value in (("unix_us", self.unix_us), ("Turn", self.turn)):
+        self.driver, self.now, self.step_s = mock.Mock(), 10_000 * S, 0
+        self.driver.now.side_effect = lambda: self.now
+        for name, value in (("unix_us", self.unix_us), ("EventLoopDriver", self.driver)):
             patch = mock.patch(f"cedarmill.net.config.{name}", value)
             patch.start()
             self.addCleanup(patch.stop)
@@ -91,7 +93,7 @@
     def begin(self, step_s: int = 0) -> None:
         """A node that starts while its wall clock is so far off."""
         self.step_s = step_s
-        self.discovery = DiscoveryClient(self.turn, settings(), Address("127.0.0.1", 1), mock.Mock())
+        self.discovery = DiscoveryClient(self.driver, settings(), Address("127.0.0.1", 1), mock.Mock())
         self.discovery.dispatch = mock.Mock()
         self.discovery.told = True
         self.discovery.first(self.listing({"s-1": 0}))
@@ -192,10 +194,10 @@
     """What the module hears of an executor that operators took out and put back."""
 
     def setUp(self) -> None:
-        self.turn = mock.Mock()
-        self.turn.now.side_effect = lambda: self.now
+        self.driver = mock.Mock()
+        self.driver.now.side_effect = lambda: self.now
         self.now = 50_000_000
-        self.discovery = DiscoveryClient(self.turn, settings(), Address("127.0.0.1", 1), mock.Mock())
+        self.discovery = DiscoveryClient(self.driver, settings(), Address("127.0.0.1", 1), mock.Mock())
         self.discovery.dispatch = mock.Mock()
         self.discovery.reader._first_offset_us = 0  # Unix time counts from the clock's start
         self.discovery.told = True
--- a/tests/net/test_state_files.py
+++ b/tests/net/test_state_files.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from cedarmill.net.upgrade import state_file as kept
-from cedarmill.net.upgrade.state_file import KeptFile, KeptInPlace
+from cedarmill.net.upgrade.state_file import InPlaceStateFile, StateFile
 from tests.support.node_case import WAIT
 
 
@@ -62,36 +62,40 @@
     """Replaced by a rename."""
 
     def test_a_lock_that_another_holds_is_refused_at_once(self):
-        with KeptFile(self.path).alone():
+        with StateFile(self.path).alone():
             self.assertIsInstance(
-                self.at_once(lambda: KeptFile(self.path).alone().__enter__()), BlockingIOError
+                self.at_once(lambda: StateFile(self.path).alone().__enter__()), BlockingIOError
             )
-        with KeptFile(self.path).alone():
+        with StateFile(self.path).alone():
             pass
 
     def test_a_fifo_in_the_place_of_a_file_is_refused_at_once(self):
         os.mkfifo(self.path)
         os.mkfifo(f"{self.path}.lock")
-        for call in (KeptFile(self.path).read, KeptFile(self.path).alone().__enter__,
-                     KeptInPlace(self.path).texts, lambda: KeptInPlace(self.path).write(b"")):  # fmt: skip
+        for call in (
+            StateFile(self.path).read,
+            StateFile(self.path).alone().__enter__,
+            InPlaceStateFile(self.path).texts,
+            lambda: InPlaceStateFile(self.path).write(b""),
+        ):
             self.assertIsInstance(self.at_once(call), OSError)
 
     def test_a_huge_file_is_not_read(self):
         with open(self.path, "wb") as file:
             file.truncate(1 << 40)  # holds no room on the disk
         with self.assertRaises(OSError) as raised:
-            KeptFile(self.path).read()
+            StateFile(self.path).read()
         self.assertEqual(raised.exception.errno, errno.EFBIG)
-        self.assertEqual(KeptInPlace(self.path).texts(), [])
+        self.assertEqual(InPlaceStateFile(self.path).texts(), [])
 
     def test_short_writes_and_reads_are_carried_on(self):
         with mock.patch.object(os, "pwrite", cut_short(os.pwrite, 3)):
-            KeptFile(self.path).write(b"a document")
+            StateFile(self.path).write(b"a document")
         with mock.patch.object(os, "pread", cut_short(os.pread, 3)):
-            self.assertEqual(KeptFile(self.path).read(), b"a document")
+            self.assertEqual(StateFile(self.path).read(), b"a document")
 
     def test_a_disk_that_is_full_leaves_the_old_document_and_nothing_else(self):
-        file = KeptFile(self.path)
+        file = StateFile(self.path)
         file.write(b"old")
         for name, fault in (
             ("pwrite", full_after(os.pwrite, 2)),
@@ -99,14 +103,14 @@
         ):
             with mock.patch.object(os, name, fault), self.assertRaises(OSError):
                 file.write(b"new")
-            self.assertEqual(KeptFile(self.path).read(), b"old")
+            self.assertEqual(StateFile(self.path).read(), b"old")
             self.assertEqual(os.listdir(os.path.dirname(self.path)), [os.path.basename(self.path)])
 
     def test_once_replaced_the_write_does_not_fail_any_more(self):
         """Told as failed, the mark in it was taken back, and came again with the next look at the file."""
         with mock.patch.object(kept.os, "stat", side_effect=OSError(errno.EIO, "gone")):
-            KeptFile(self.path).write(b"new")
-        self.assertEqual(KeptFile(self.path).read(), b"new")
+            StateFile(self.path).write(b"new")
+        self.assertEqual(StateFile(self.path).read(), b"new")
 
 
 class InPlace(Folder):
@@ -114,7 +118,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.file = KeptInPlace(self.path)
+        self.file = InPlaceStateFile(self.path)
         self.addCleanup(self.file.close)
         self.file.write(b"first")
 
@@ -122,20 +126,20 @@
         with mock.patch.object(os, "pwrite", cut_short(os.pwrite, 3)):
             self.file.write(b"second")
         with mock.patch.object(os, "pread", cut_short(os.pread, 3)):
-            self.assertEqual(KeptInPlace(self.path).texts(), [b"first", b"second"])
+            self.assertEqual(InPlaceStateFile(self.path).texts(), [b"first", b"second"])
 
     def test_writes_that_fail_half_way_never_spoil_the_half_that_holds(self):
         for _ in range(3):
             with mock.patch.object(os, "pwrite", full_after(os.pwrite, 10)), self.assertRaises(OSError):
                 self.file.write(b"never whole")
-            self.assertEqual(KeptInPlace(self.path).texts()[0], b"first")
+            self.assertEqual(InPlaceStateFile(self.path).texts()[0], b"first")
         self.file.write(b"second")
-        self.assertEqual(KeptInPlace(self.path).texts(), [b"first", b"second"])
+        self.assertEqual(InPlaceStateFile(self.path).texts(), [b"first", b"second"])
 
     def test_a_file_that_was_removed_under_its_writer_is_made_anew(self):
         os.remove(self.path)
         self.file.write(b"second")
-        self.assertIn(b"second", KeptInPlace(self.path).texts())
+        self.assertIn(b"second", InPlaceStateFile(self.path).texts())
 
 
 if __name__ == "__main__":
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -8,8 +8,8 @@
 from cedarmill.admin import sealed_document
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
-from cedarmill.net.loop import Turn, boot_id
-from cedarmill.net.upgrade.state_file import KeptInPlace
+from cedarmill.net.loop import EventLoopDriver, boot_id
+from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.support.node_case import WAIT, Client, NodeCase, call
 
 
@@ -181,8 +181,8 @@
 class HandOver(HeldSocket):
     """What the old process learned, and what it still has out, is the new one's from its start."""
 
-    def kept(self, kind: str = "memory") -> KeptInPlace:
-        return KeptInPlace(f"{self.tmpdir.name}/cedarmill-n0-{kind}.json")
+    def kept(self, kind: str = "memory") -> InPlaceStateFile:
+        return InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-{kind}.json")
 
     def learn(self, free: int) -> None:
         """Two jobs, whose answers report so many free slots; then wait till that is kept."""
@@ -199,7 +199,9 @@
         """Of the one backend, as kept last."""
         texts = self.kept().texts()
         body = (
-            sealed_document.unseal_newest(texts, "memory", "n0", ClockReading(0, Turn.now(), boot_id()))[1]
+            sealed_document.unseal_newest(
+                texts, "memory", "n0", ClockReading(0, EventLoopDriver.now(), boot_id())
+            )[1]
             if texts
             else b'{"workers":{}}'
         )
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -11,9 +11,16 @@
 from cedarmill.core.timers import Timers
 from cedarmill.decisions.interface import Outcome
 from cedarmill.net.config import Address
-from cedarmill.net.loop import Turn
+from cedarmill.net.loop import EventLoopDriver
 from cedarmill.net.upstream.exchange import Exchange
-from cedarmill.net.upstream.pool import AT_ONCE, COMMIT_US, LEAVE_US, Backend, Backends, Connection
+from cedarmill.net.upstream.pool import (
+    AT_ONCE,
+    COMMIT_US,
+    LEAVE_US,
+    UpstreamConnection,
+    UpstreamPool,
+    UpstreamPools,
+)
 from cedarmill.values import KindOptions, Options
 from tests.support.builders import settings
 from tests.support.faulty_node_case import FaultyNodeCase
@@ -345,20 +352,20 @@
 
     def setUp(self) -> None:
         self.timers = Timers()
-        self.backends = Backends(Turn(Mock(), self.timers), settings(), 0, Options())
+        self.backends = UpstreamPools(EventLoopDriver(Mock(), self.timers), settings(), 0, Options())
         self.backends.dispatch = Mock()
 
     def send(self, taken: int, size: int, unsafe: bool = False, breaks: bool = False):
         """The connection and the exchange that it sent, of so many bytes."""
         exchange = Noted(self.backends, self.backend())
         exchange.text, exchange.unsafe, exchange.outcome = b"x" * size, unsafe, None
-        connection = Connection(exchange.backend, exchange)
+        connection = UpstreamConnection(exchange.backend, exchange)
         exchange.backend.connections.add(connection)
         connection.connection_made(SlowTransport(taken, breaks))
         return connection, exchange
 
-    def backend(self) -> Backend:
-        return Backend(self.backends, 1, Address("127.0.0.1", 1), KindOptions())
+    def backend(self) -> UpstreamPool:
+        return UpstreamPool(self.backends, 1, Address("127.0.0.1", 1), KindOptions())
 
     def sweep(self, at: int) -> None:
         for call in self.timers.sweep(at):
--- a/tests/support/replica_case.py
+++ b/tests/support/replica_case.py
@@ -11,7 +11,7 @@
 
 from cedarmill.cluster.messages import ExecutorObservation, Heartbeat, HeartbeatReply, Orders, ReadRequest
 from cedarmill.lab.cluster.process_group import free_port
-from cedarmill.net.cluster.operator import NoKeeper, Operator
+from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient
 from tests.support.node_case import ROOT, WAIT
 
 LONG = 3 * WAIT  # for elections and leases on a machine that runs many tests at once
@@ -37,7 +37,7 @@
             self.assertEqual(self.init(name).returncode, 0)
         for name in self.ports:
             self.start_keeper(name)
-        self.operator = Operator("main", [f"127.0.0.1:{port}" for port in self.ports.values()], "test")
+        self.operator = OperatorClient("main", [f"127.0.0.1:{port}" for port in self.ports.values()], "test")
         self.addCleanup(self.end_keepers)
 
     def write(self, name: str, cluster: str = "main") -> Path:
@@ -93,7 +93,7 @@
             try:
                 if found := condition():
                     return found
-            except (NoKeeper, KeyError, IndexError):
+            except (NoReplicaError, KeyError, IndexError):
                 pass
             self.assertLess(time.monotonic(), until, "the condition never came")
             time.sleep(0.05)
