--- a/cedarmill/net/discovery/client.py
+++ b/cedarmill/net/discovery/client.py
@@ -44,6 +44,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.lists = ListStream()
+        self.body = bytearray()  # of the bytes read at once: one chunk may hold one byte only
         self.listed = False  # whether a list has come: from then on an empty line says that it is the newest
         self.over = False
         self.task: asyncio.Task | None = None
@@ -81,6 +82,7 @@
             return
         try:
             self.parser.feed_data(data)
+            self._take_body()
         except Exception as error:
             self.broken(f"malformed answer: {error.__context__ or error}")
         if not self.over:
@@ -97,13 +99,19 @@
             self.broken(f"status {self.parser.get_status_code()}")
 
     def on_body(self, data: bytes) -> None:
-        self._take(self.lists.feed(data) if not self.over else [])
+        self.body += data
 
     def on_message_complete(self) -> None:
+        self._take_body()
         if not self.over:
             self._take(self.lists.finish())
             self.broken("ended by discovery")
 
+    def _take_body(self) -> None:
+        body, self.body = bytes(self.body), bytearray()
+        if body and not self.over:
+            self._take(self.lists.feed(body))
+
     def _take(self, listings: list[Listing]) -> None:
         for listing in listings:
             self.client.news(listing)
