--- a/cedarmill/decisions/selection.py
+++ b/cedarmill/decisions/selection.py
@@ -15,6 +15,7 @@
 from cedarmill.decisions.state import Attempt, BalancerState, Executor, ExecutorPools, ProbeTimeout, Request
 
 EXECUTORS_LOOKED_AT = 8  # of a pool for one request: the cost of an event must not grow with the fleet
+SUBSET = 128  # executors of a pool that requests go to first, so that connections and reports serve again
 EXECUTORS_PROBED = 2  # at once, for a request that sees no fresh idle slot
 PROBE_WAIT_CONNECTS = 0.06  # connect time-outs that it waits for their answers
 PROBE_WAITS_LEFT = 4  # such waits that have to be left of its time
@@ -105,7 +106,10 @@
     survey = Survey()
     recent = state.recently_used if len(pool) > EXECUTORS_LOOKED_AT else []
     looked_at = [one for one in recent if one.listed and state.pools.pools_of(one)[0] is pool]
-    looked_at += ExecutorPools.stretch(pool, EXECUTORS_LOOKED_AT, state.random.random())
+    # a pool is in random order and stays so, so its first executors are a sample that changes little
+    beyond = request.attempts or request.probe_rounds  # the sample has not served it
+    size = len(pool) if beyond else min(len(pool), SUBSET)
+    looked_at += ExecutorPools.stretch(pool, size, EXECUTORS_LOOKED_AT, state.random.random())
     fresh_us = FRESH_RUNS * state.learned.mean_run_us
     for executor in looked_at:
         trust = outliers.trust(state, executor, request)
--- a/cedarmill/decisions/state.py
+++ b/cedarmill/decisions/state.py
@@ -100,10 +100,10 @@
                 pool.remove(executor)
 
     @staticmethod
-    def stretch(pool: list[Executor], count: int, sample: float) -> list[Executor]:
-        """So many executors of a pool from a random place on; `sample` is uniform in 0 to 1."""
-        start = int(sample * len(pool))
-        found = pool[start : start + count]
+    def stretch(pool: list[Executor], size: int, count: int, sample: float) -> list[Executor]:
+        """So many of the first `size` of a pool, from a random place on; `sample` is uniform in 0 to 1."""
+        start = int(sample * size)
+        found = pool[start : min(size, start + count)]
         return found + pool[: min(start, count - len(found))]
 
 
