--- a/cedarmill/cli/__init__.py
+++ b/cedarmill/cli/__init__.py
@@ -5,6 +5,7 @@
 from cedarmill.cli import cluster, conf, health, lab, node, replica, sim
 from cedarmill.cli import cluster_load as cluster_load  # adds its commands to the group as it is imported
 from cedarmill.cli import cluster_zones as cluster_zones
+from cedarmill.cli import lab_scale as lab_scale
 
 EXIT_CODES = "Exit codes: 0 done; 1 a run found something wrong; 2 bad input or use, said in one line."
 
