--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -520,7 +520,7 @@
     with contextlib.ExitStack() as stack:
         stack.callback(case.doCleanups)
         case.setUp()
-        where = ("127.0.0.1", case.told_door())
+        where = ("127.0.0.1", case.admin_port())
         for request in ADMIN_REQUESTS:
             with socket.create_connection(where, WAIT) as sock:
                 sock.sendall(request.encode())
--- a/tests/net/cluster/test_node_role.py
+++ b/tests/net/cluster/test_node_role.py
@@ -27,7 +27,7 @@
         self.conf = (f'<fleet cluster="main" listen="127.0.0.1:{free_port()}" {self.part}>'
                      f'<keeper name="k0" address="127.0.0.1:{self.ports["k0"]}"/></fleet>')  # fmt: skip
         NodeCase.setUp(self)
-        self.door = self.told_door()
+        self.door = self.admin_port()
 
     def wait_for(self, condition, wait: float = LONG):
         return KeeperCase.wait_for(self, condition, wait)
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -269,7 +269,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.door = self.told_door()
+        self.door = self.admin_port()
 
 
 class Door(DoorCase):
@@ -327,7 +327,7 @@
 
 class OutByHand(DoorCase):
     def watch(self):
-        asked = self.director.next()
+        asked = self.discovery.next()
         asked.head()
         return asked
 
@@ -360,7 +360,7 @@
         self.log.clear()
         self.process = self.start(self.config())
         self.wait_log("serves on")
-        self.port = self.told_port()
+        self.port = self.logged_port()
         self.assertTrue(any("kept file: s-0" in line for line in self.log), self.log)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
 
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -214,7 +214,7 @@
 
     def test_what_still_connects_for_who_has_left_is_let_go(self):
         """The probe asked for its sake too: it would cost the backend work once the connect comes up."""
-        self.director.next()  # its connection counts among those that stay
+        self.discovery.next()  # its connection counts among those that stay
         client = self.client()
         client.connect()
         self.wait_for(lambda: self.descriptors())
@@ -243,7 +243,7 @@
         config["known"]["endpoints"] = [entry]
         self.process = self.start(config)
         self.wait_log("serves on")
-        self.port = self.told_port()
+        self.port = self.logged_port()
 
     def test_a_chain_serves_passes_a_leave_on_and_shortens_the_budget(self):
         """Leaving the front must reach the box; no hop may pass on more than it was given."""
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -49,7 +49,7 @@
 
     def lists(self, index: int, *endpoints: dict, snapshot: bool = True):
         """The next call for changes, answered with a list so far."""
-        watch = self.director.next()
+        watch = self.discovery.next()
         watch.head()
         watch.line({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
         return watch
@@ -177,7 +177,7 @@
 
     def counted_so_far(self) -> None:
         """Neither process's log has said up to now that it is alone."""
-        self.assertEqual(call(self.told_door(), "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call(self.admin_port(), "PUT", "/api/exclude/s-0")[0], 200)
         lines = [*self.told(self.old, "kept file: s-0"), *self.told(self.process, "out by hand")]
         self.assertNotIn("that live: 0", "".join(lines))
         self.assertTrue(all(Path(file.path).exists() for file in self.files))
@@ -226,14 +226,14 @@
 
     def told_after(self, *faults: Fault) -> None:
         """The watch breaks, then these faults hold; the next list is obeyed in time."""
-        watch = self.director.next()
+        watch = self.discovery.next()
         watch.head()
         watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
         self.wait_log("watching from index 8")
         self.plan.arm(*faults)
         began = time.monotonic()
         watch.wire.close()
-        watch = self.director.next()
+        watch = self.discovery.next()
         watch.head()
         watch.line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
         self.wait_log("watching from index 9")
@@ -250,7 +250,7 @@
 
 def _refused_connect(name: str):
     def test(self) -> None:
-        self.told_after(Fault("connect", name, match=self.director.address))
+        self.told_after(Fault("connect", name, match=self.discovery.address))
 
     return test
 
--- a/tests/net/test_discovery_faults.py
+++ b/tests/net/test_discovery_faults.py
@@ -14,7 +14,7 @@
 
     def answer(self, index: int, server: Server | None = None):
         """Take the next call, which has to ask from that version, and begin to answer it."""
-        call = (server or self.director).next()
+        call = (server or self.discovery).next()
         self.assertEqual(call.path, f"/v1/endpoints?watch=1&from={index}")
         call.head()
         return call
@@ -42,7 +42,7 @@
 
     def test_a_call_that_is_never_answered(self):
         began = time.monotonic()
-        self.director.next()
+        self.discovery.next()
         self.asked_anew_in_time(began, 7)
 
     def test_half_a_line_is_the_last_sign_of_life(self):
@@ -101,7 +101,7 @@
 
     def test_two_reloads_in_a_row_while_the_watch_reopens(self):
         """The first address is never served from, and the drain in the second's first list is obeyed."""
-        self.director.next().head("503 Service Unavailable")  # lost: it waits to ask again
+        self.discovery.next().head("503 Service Unavailable")  # lost: it waits to ask again
         self.wait_log("watch lost")
         first, second = Server(), Server()
         for server in (first, second):
@@ -129,7 +129,7 @@
 
     def test_the_agent_is_watched_from_the_start_and_again_after_a_reload(self):
         """Only a site whose list is asked for ever opened a watch: here no change was told, ever."""
-        call = self.director.next()
+        call = self.discovery.next()
         call.head()
         call.line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
         self.wait_log("watching from index 9")
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -443,12 +443,12 @@
     sockets = 64
 
     def test_the_watch_and_the_executors_still_get_theirs(self):
-        self.director.next().head("503 Service Unavailable")
+        self.discovery.next().head("503 Service Unavailable")
         for _ in range(100):
             sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
             self.addCleanup(sock.close)
             sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
-        call = self.director.next()
+        call = self.discovery.next()
         call.head()
         call.line({"index": 9, "snapshot": False, "endpoints": []})
         self.wait_log("watching from index 9")
@@ -479,13 +479,13 @@
         self.wait_for(lambda: statuses.append(client.ask("pin").answer()[0]) or statuses[-1] == 200)
 
     def test_a_watch_that_gets_none_is_asked_for_again_in_time(self):
-        call = self.director.next()
+        call = self.discovery.next()
         self.limit(4)
         call.wire.close()
         self.wait_log("watch lost")
         self.limit(256)
         began = time.monotonic()
-        self.director.next().head()
+        self.discovery.next().head()
         self.assertLess(time.monotonic() - began, 6)
 
 
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -127,7 +127,7 @@
 
     def warm_up(self, health: int) -> None:
         """The loop opens a descriptor of its own with its first connection, and the node its watch."""
-        self.director.next()
+        self.discovery.next()
         self.assertEqual(self.get(health, "/livez"), 200)
 
     def health_port(self) -> int:
@@ -138,7 +138,7 @@
         self.warm_up(health)
         before = self.descriptors()
         for name in ("ECONNABORTED", "EMFILE", "ENOBUFS"):
-            for port, path in ((self.told_door(), "/api/ready"), (health, "/livez")):
+            for port, path in ((self.admin_port(), "/api/ready"), (health, "/livez")):
                 with self.subTest(errno=name, path=path):
                     self.plan.arm(Fault("accept", name, times=2))
                     self.assertEqual(self.get(port, path), 200)
@@ -148,13 +148,13 @@
         health = self.health_port()
         self.warm_up(health)
         before = self.descriptors()
-        for port in (self.told_door(), health):
+        for port in (self.admin_port(), health):
             self.plan.arm(Fault("open_session", "ENOMEM"))
             with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), WAIT) as sock:
                 self.assertEqual(sock.recv(1), b"")
         self.assertEqual(self.plan.hits("open_session"), 2)
         self.wait_for(lambda: self.descriptors() <= before)
-        self.assertEqual(self.get(self.told_door(), "/api/ready"), 200)
+        self.assertEqual(self.get(self.admin_port(), "/api/ready"), 200)
 
 
 class AtTheEnd(AcceptingCase):
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -74,7 +74,7 @@
 class Unread(FaultyNodeCase):
     def test_a_log_that_nobody_reads_holds_up_no_request(self) -> None:
         """A line for each bad entry of a list: more than a pipe holds."""
-        watch = self.director.next()
+        watch = self.discovery.next()
         watch.head()
         bad = [self.entry(0, name=f"bad-{number}", address="nowhere") for number in range(1500)]
         watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), *bad]})
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -452,7 +452,7 @@
     backends = 2
 
     def watch(self, index: int):
-        asked = self.director.next()
+        asked = self.discovery.next()
         self.assertEqual(asked.path, f"/v1/endpoints?watch=1&from={index}")
         asked.head()
         return asked
@@ -482,7 +482,7 @@
 
     def test_a_failed_call_is_asked_anew(self):
         """Discovery that is overloaded answers 503, and may send rubbish: the last list holds."""
-        self.director.next().head("503 Service Unavailable")
+        self.discovery.next().head("503 Service Unavailable")
         self.wait_log("watch lost (status 503)")
         self.watch(7).line({"index": "x"})
         self.watch(7).line({"index": 8, "snapshot": False, "endpoints": []})
@@ -492,7 +492,7 @@
     def test_truncated_and_over_long_lists_change_nothing_and_are_told_once(self):
         """The last good list serves on, the node asks again by itself, and its log is not filled."""
         for text in ('7\r\n{"index\r\n0\r\n\r\n', f"{5 << 20:x}\r\n" + "x" * (5 << 20)):
-            call = self.director.next()
+            call = self.discovery.next()
             call.head()
             with contextlib.suppress(OSError):  # it hangs up before it has read them all
                 call.wire.send(text)
@@ -508,7 +508,7 @@
 
     def test_the_director_moves_and_nothing_is_lost(self):
         """SIGHUP once ended the process with all it held; the new address has to bring the whole list."""
-        old = self.director.next()
+        old = self.discovery.next()
         held = self.client().ask("issue")
         while self.servers[0].asked.empty():  # at the backend that will be gone: elsewhere others may cut it
             if not self.servers[1].asked.empty():
@@ -539,7 +539,7 @@
 
     def test_a_bad_file_keeps_the_old_configuration(self):
         """Staff may err: the node must serve on, say so in one line, and take the next good file."""
-        watch = self.director.next()
+        watch = self.discovery.next()
         for text in ("", "[]", json.dumps({**self.config(), "discovery": "nowhere"})):
             self.reload(text)
             self.wait_log("reload failed, the old configuration holds: ")
@@ -647,8 +647,8 @@
         client = self.client()
         client.request("GET", "/ready")
         self.assertEqual(client.answer()[0], 503)
-        watch = self.director.asked.get(timeout=WAIT)
-        watch = self.director.asked.get(timeout=WAIT) if watch.wire.ended.is_set() else watch
+        watch = self.discovery.asked.get(timeout=WAIT)
+        watch = self.discovery.asked.get(timeout=WAIT) if watch.wire.ended.is_set() else watch
         watch.head()
         watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0)]})
         self.wait_log("watching from index 8")
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -72,13 +72,13 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.old, self.old_door = self.process, self.told_door()
+        self.old, self.old_door = self.process, self.admin_port()
         self.addCleanup(self.end_old)
         self.kept_session = self.client()  # of the old process: the only one so far
         self.kept_session.request("GET", "/ready")
         self.assertEqual(self.kept_session.answer()[0], 200)
         self.next_process()
-        self.new_door = self.told_door()
+        self.new_door = self.admin_port()
 
     def end_old(self) -> None:
         if self.old.poll() is None:
@@ -133,7 +133,7 @@
         self.kept_session.ask()
         self.wait_for(lambda: any(server.asked.qsize() for server in self.servers))
         self.next_process()
-        third = self.told_door()
+        third = self.admin_port()
         both.terminate()
         self.assertEqual(both.wait(WAIT), 0)
         both.stderr.close()
--- a/tests/support/node_case.py
+++ b/tests/support/node_case.py
@@ -191,15 +191,15 @@
         self.process = self.start(self.config())
         self.addCleanup(self.end)
         self.wait_log("serves on")
-        self.port = self.told_port()
+        self.port = self.logged_port()
 
     def prepare(self) -> None:
         """All but the node: its `$TMPDIR`, its director and backends."""
         self.tmpdir = tempfile.TemporaryDirectory()  # the node's own `$TMPDIR`: marks kept there are its own
         self.addCleanup(self.tmpdir.cleanup)
-        self.director = Server()
+        self.discovery = Server()
         self.servers = [Server() for _ in range(self.backends)]
-        for server in (self.director, *self.servers):
+        for server in (self.discovery, *self.servers):
             self.addCleanup(server.close)
         self.log: list[str] = []
         self.path = ""
@@ -211,7 +211,7 @@
             settings[table][key] = value
         known = {"index": 7, "snapshot": True, "endpoints": [self.entry(n) for n in range(self.backends)]}
         limits = {"sockets": self.sockets, "memory_mb": self.memory_mb}
-        return {"name": "n0", "listen": "127.0.0.1:0", "discovery": self.director.address, "seed": "5eed",
+        return {"name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "5eed",
                 "limits": limits, "known": known, "settings": settings}  # fmt: skip
 
     def entry(self, number: int, **changes) -> dict:
@@ -274,11 +274,11 @@
         rest = self.process.communicate(timeout=WAIT)[1]
         self.assertNotIn("Traceback", "\n".join(self.log) + rest)
 
-    def told_port(self) -> int:
+    def logged_port(self) -> int:
         """The port in the log's last line, text or JSON."""
         return int(re.search(r"serves on \S+ port (\d+)", self.log[-1])[1])
 
-    def told_door(self) -> int:
+    def admin_port(self) -> int:
         """The port of the operators' door, as the log tells it."""
         line = next(line for line in self.log if "operators' door on" in line)
         return int(re.search(r"port (\d+)", line)[1])
