--- a/tests/conf/test_sites.py
+++ b/tests/conf/test_sites.py
@@ -162,10 +162,10 @@
     def test_each_class_is_served(self):
         for spec in operator_settings(self.site)["request_classes"]:
             client = self.client().ask(spec["name"], **{"X-Caller": "nobody"})
-            asked = self.servers[0].next()
+            asked = self.executors[0].next_request()
             while asked.method == "GET":
                 asked.wire.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-                asked = self.servers[0].next()
+                asked = self.executors[0].next_request()
             self.assertEqual(asked.headers["X-Call-Class"], spec["name"])
             asked.done(spec["name"])
             self.assertEqual(client.answer(), (200, spec["name"].encode()))
--- a/tests/net/cluster/test_node_role.py
+++ b/tests/net/cluster/test_node_role.py
@@ -15,7 +15,7 @@
     """One keeper, and a node with two executors in zones of their own."""
 
     keepers = 1
-    backends = 2
+    executor_count = 2
     part = ""  # more words of <fleet>
     limits = ('<limit kind="executor" per="fleet" most="1"/>', '<limit kind="node" per="fleet" most="1"/>')
     keeper_runs = True
@@ -44,10 +44,12 @@
     def refused(self) -> bool:
         """Whether a request is refused now; one that is not is served."""
         client = self.client().ask()
-        self.wait_for(lambda: client.answered(0) or any(not server.asked.empty() for server in self.servers))
-        for server in self.servers:
+        self.wait_for(
+            lambda: client.answered(0) or any(not server.asked.empty() for server in self.executors)
+        )
+        for server in self.executors:
             if not server.asked.empty():
-                server.next().done()
+                server.next_request().done()
         return client.answer()[0] == 503
 
 
@@ -71,12 +73,12 @@
     def test_drained_waits_for_the_job_that_is_out_there(self):
         self.joined()
         client = self.client().ask()
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.servers))
-        number = next(n for n, server in enumerate(self.servers) if not server.asked.empty())
+        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
+        number = next(n for n, server in enumerate(self.executors) if not server.asked.empty())
         self.assertEqual(call(self.door, "PUT", f"/api/exclude/s-{number}")[0], 200)
         self.wait_log(f"out: s-{number}")
         self.assertEqual([row["drained"] for row in self.look("permits")], [0])
-        self.servers[number].next().done()
+        self.executors[number].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.wait_for(lambda: self.look("permits")[0]["drained"])
 
@@ -126,10 +128,10 @@
         """The req comes while it stands still: what it does first must ask the lease, not a timer."""
         self.joined()
         client = self.client().ask()  # a first req is served: a session without one is ended after 2.8 s
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.servers))
-        for server in self.servers:
+        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
+        for server in self.executors:
             if not server.asked.empty():
-                server.next().done()
+                server.next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.process.send_signal(19)
         stat = Path(f"/proc/{self.process.pid}/stat")
@@ -140,7 +142,9 @@
         time.sleep(lease_s)  # its lease has to run out while it stands still: no condition tells that
         self.process.send_signal(18)
         self.assertEqual(client.answer()[0], 503)
-        self.assertEqual([server.next().path for server in self.servers if not server.asked.empty()], [])
+        self.assertEqual(
+            [server.next_request().path for server in self.executors if not server.asked.empty()], []
+        )
 
 
 class Alone(FleetNode):
@@ -179,10 +183,10 @@
         self.assertEqual((rows[0]["name"], rows[0]["rate"]), ("probes", 1))
         for _ in range(8):
             client = self.client().ask()
-            self.wait_for(lambda: any(not server.asked.empty() for server in self.servers))
-            for server in self.servers:
+            self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
+            for server in self.executors:
                 while not server.asked.empty():
-                    asked = server.next()
+                    asked = server.next_request()
                     self.assertEqual(asked.method, "POST", "no probe without a place in the budget")
                     asked.done()
             self.assertEqual(client.answer()[0], 200)
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -262,7 +262,7 @@
 
 
 class DoorCase(NodeCase):
-    backends = 2
+    executor_count = 2
 
     def config(self) -> dict:
         return {**super().config(), "mgmt": "127.0.0.1:0"}
@@ -302,7 +302,7 @@
         """Reqs held at a backend that does not answer leave the door's answers as they are."""
         for _ in range(20):
             self.client().ask()
-        self.wait_for(lambda: sum(server.asked.qsize() for server in self.servers) == 20)
+        self.wait_for(lambda: sum(server.asked.qsize() for server in self.executors) == 20)
         self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
 
 
@@ -316,8 +316,8 @@
         with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
             sock.sendall(b"PUT /api/exclude/s-1 HTTP/1.1\r\nHost: door\r\n\r\n")
             began, client = time.monotonic(), self.client().ask()
-            self.wait_for(lambda: any(server.asked.qsize() for server in self.servers))
-            next(server for server in self.servers if server.asked.qsize()).next().done()
+            self.wait_for(lambda: any(server.asked.qsize() for server in self.executors))
+            next(server for server in self.executors if server.asked.qsize()).next_request().done()
             self.assertEqual(client.answer()[0], 200)
             self.assertEqual(read_answer(sock)[0], 503)
         self.assertLess(time.monotonic() - began, 1.0)  # what the operators' page gives a call
@@ -327,7 +327,7 @@
 
 class OutByHand(DoorCase):
     def watch(self):
-        asked = self.discovery.next()
+        asked = self.discovery.next_request()
         asked.head()
         return asked
 
@@ -375,8 +375,8 @@
         idle, busy = self.client(), self.client().ask()
         idle.request("GET", "/ready")
         self.assertEqual(idle.answer()[0], 200)
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.servers))
-        asked = next(server for server in self.servers if not server.asked.empty()).next()
+        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
+        asked = next(server for server in self.executors if not server.asked.empty()).next_request()
         self.assertEqual(call(self.door, "PUT", "/api/evacuate"), (200, b"evacuating\n"))
         self.assertEqual(self.ready(), 503)
         self.assertEqual(call(self.door, "GET", "/api/ready")[0], 503)
@@ -403,11 +403,11 @@
 
     def test_evacuated_and_then_terminated_it_answers_what_it_holds(self):
         busy = self.client().ask()
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.servers))
+        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
         call(self.door, "PUT", "/api/evacuate")
         self.terminate()
         self.wait_log("no new sessions")
-        next(server for server in self.servers if not server.asked.empty()).next().done()
+        next(server for server in self.executors if not server.asked.empty()).next_request().done()
         self.assertEqual(busy.answer()[0], 200)
         self.assertEqual(self.process.wait(WAIT), 0)
 
@@ -439,7 +439,7 @@
 
     def answer_all(self, result: str) -> None:
         while self.process.poll() is None:
-            for server in self.servers:
+            for server in self.executors:
                 with contextlib.suppress(queue.Empty, OSError):
                     server.asked.get(timeout=0.01).done(result)
 
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -42,14 +42,14 @@
         """The reset lets a keyed request be sent again, the close forbids it: both orders."""
         for number in range(40):
             client = self.client().ask()
-            asked = self.servers[0].next()
+            asked = self.executors[0].next_request()
             both = [client.close, asked.wire.reset]
             for happening in both if number % 2 else reversed(both):
                 happening()
             left = time.monotonic()
             while time.monotonic() < left + 0.03:
-                if not self.servers[0].asked.empty():
-                    self.servers[0].next()
+                if not self.executors[0].asked.empty():
+                    self.executors[0].next_request()
                     self.assertLess(time.monotonic() - left, 0.025)  # a copy that was on its way
                 select.select([], [], [], 0.001)
         self.process.send_signal(signal.SIGUSR1)
@@ -59,11 +59,11 @@
         """Sent ahead on the same session, they wait there; its end is theirs."""
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2) + raw(3))
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         sock.close()
         self.assertTrue(asked.wire.ended.wait(WAIT))
         client = self.client().ask()
-        self.assertEqual(self.servers[0].next().headers["X-Call-Id"], f"{client.count:016x}")
+        self.assertEqual(self.executors[0].next_request().headers["X-Call-Id"], f"{client.count:016x}")
 
 
 class HeldByte(LeavingCase):
@@ -78,7 +78,7 @@
             sock.close()
         for _ in range(20):
             try:
-                whole += len(self.servers[0].asked.get(timeout=0.3).body) == 6
+                whole += len(self.executors[0].asked.get(timeout=0.3).body) == 6
             except Exception:
                 break
         self.process.send_signal(signal.SIGUSR1)
@@ -93,7 +93,7 @@
 class Kinds(LeavingCase):
     def left(self):
         client = self.client().ask()
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         client.close()
         return asked
 
@@ -106,7 +106,7 @@
         asked = self.left()
         self.assertTrue(asked.wire.ended.wait(WAIT))
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
 
@@ -116,20 +116,20 @@
     def test_what_cannot_be_cancelled_keeps_its_connection_till_it_ends(self):
         """Closed, it would run on unseen; kept, its end is seen and the connection serves again."""
         client = self.client().ask()
-        asked, held = self.servers[0].next(), self.descriptors()
+        asked, held = self.executors[0].next_request(), self.descriptors()
         client.close()
         self.wait_for(lambda: self.descriptors() < held)  # the leave has been seen
         asked.done()
         client = self.client().ask()
-        second = self.servers[0].next()
+        second = self.executors[0].next_request()
         if second.wire is not asked.wire:  # it came before that end was read: the next one will not
             second.done()
             self.assertEqual(client.answer()[0], 200)
             client.ask()
-            second = self.servers[0].next()
+            second = self.executors[0].next_request()
         second.done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertIn(second.wire, self.servers[0].wires[:2])
+        self.assertIn(second.wire, self.executors[0].wires[:2])
         self.assertFalse(asked.wire.ended.is_set())
         self.process.send_signal(signal.SIGUSR1)
         self.wait_log("pin left: 1 attempts")
@@ -140,7 +140,7 @@
         """The platform's clients never do it and read on; the attempt is given up."""
         sock = self.raw_client()
         sock.sendall(raw(1))
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         sock.shutdown(socket.SHUT_WR)
         self.assertTrue(asked.wire.ended.wait(WAIT))
 
@@ -154,7 +154,7 @@
         sock.sendall(raw(1) + raw(2))
         sock.shutdown(socket.SHUT_WR)
         for _ in range(2):
-            self.servers[0].next().done("fine")
+            self.executors[0].next_request().done("fine")
         self.assertEqual(sock.makefile("rb").read().count(b" 200 OK"), 2)
         idle = self.raw_client()
         idle.shutdown(socket.SHUT_WR)
@@ -168,7 +168,7 @@
         """The session goes on; only the caller's own open call is taken back."""
         first, second = self.client(), self.client()
         first.ask(**{"X-Call-Id": "abc"})
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         for call_id, caller, status in (("abc", "other", 404), ("abd", "acme", 404), ("abc", "acme", 200),
                                         ("abc", "acme", 404)):  # fmt: skip
             second.request("DELETE", f"/api/calls/{call_id}", headers={"X-Caller": caller})
@@ -176,7 +176,7 @@
         self.assertTrue(asked.wire.ended.wait(WAIT))
         self.assertEqual(first.answer(), (502, b"recalled by its client\n"))
         first.ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(first.answer()[0], 200)
 
 
@@ -198,7 +198,7 @@
                 client = self.client().ask(**headers)
                 self.assertIn(client.answer()[0], statuses)
                 self.assertLess(time.monotonic() - began, 0.4)
-        self.assertEqual(self.servers[0].asked.qsize(), 1)
+        self.assertEqual(self.executors[0].asked.qsize(), 1)
         self.wait_log("a client's deadline cannot be")
 
 
@@ -214,7 +214,7 @@
 
     def test_what_still_connects_for_who_has_left_is_let_go(self):
         """The probe asked for its sake too: it would cost the backend work once the connect comes up."""
-        self.discovery.next()  # its connection counts among those that stay
+        self.discovery.next_request()  # its connection counts among those that stay
         client = self.client()
         client.connect()
         self.wait_for(lambda: self.descriptors())
@@ -248,13 +248,13 @@
     def test_a_chain_serves_passes_a_leave_on_and_shortens_the_budget(self):
         """Leaving the front must reach the box; no hop may pass on more than it was given."""
         client = self.client().ask(budget=1000)
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         self.assertGreater(int(asked.headers["X-Budget-Ms"]), 900)
         self.assertLess(int(asked.headers["X-Budget-Ms"]), 1000)
         asked.done("from the box")
         self.assertEqual(client.answer(), (200, b"from the box"))
         client.ask()
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         client.close()
         self.assertTrue(asked.wire.ended.wait(WAIT))
 
@@ -262,7 +262,7 @@
         """Three parties each keep a margin: the client hears before its own time is up."""
         began = time.monotonic()
         client = self.client().ask("issue", budget=400)
-        self.servers[0].next()
+        self.executors[0].next_request()
         self.assertEqual(client.answer()[0], 502)
         took = time.monotonic() - began
         self.assertLess(took, 0.4 + 0.058)
@@ -271,11 +271,11 @@
     def test_a_node_killed_in_the_middle_ends_in_one_honest_answer(self):
         """A code-issue may have run: failed, never sent again; later ones are refused, nothing ran."""
         client = self.client().ask("issue")
-        self.servers[0].next()
+        self.executors[0].next_request()
         self.inner.kill()
         self.assertEqual(client.answer()[0], 502)
         self.assertEqual(client.ask("issue").answer()[0], 503)
-        self.assertTrue(self.servers[0].asked.empty())
+        self.assertTrue(self.executors[0].asked.empty())
 
 
 SCENARIO = """<?xml version="1.0"?>
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -44,15 +44,15 @@
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
         self.addCleanup(sock.close)
         sock.sendall(raw(1) + raw(2))
-        return sock, self.servers[0].next()
+        return sock, self.executors[0].next_request()
 
     def statuses(self, sock: socket.socket, most: int = 9) -> list[int]:
         """Of its answers, till the node ends the connection or so many have come; executors serve."""
         text, until = b"", time.monotonic() + WAIT
         while text.count(b"HTTP/1.1 ") < most:
-            if not self.servers[0].asked.empty():
+            if not self.executors[0].asked.empty():
                 with contextlib.suppress(OSError):
-                    self.servers[0].next().done()
+                    self.executors[0].next_request().done()
             self.assertLess(time.monotonic(), until, f"neither answers nor an end after {text!r}")
             if not select.select([sock], [], [], 0.01)[0]:
                 continue
@@ -89,7 +89,7 @@
                 self.arm("accepted.write", error)
                 asked.done()
                 self.assertEqual(self.statuses(sock), [])
-                self.assertTrue(self.servers[0].asked.empty())
+                self.assertTrue(self.executors[0].asked.empty())
                 self.serves_on()
 
     def test_an_end_of_sending_that_fails_keeps_the_answer(self):
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -40,7 +40,7 @@
 class Held(test_upgrade.HeldSocket, FaultyNodeCase):
     """A node whose clients' socket is held, so that two processes can run, and whose clock can be stepped."""
 
-    backends = 2
+    executor_count = 2
 
     def config(self) -> dict:
         config = {**super().config(), "mgmt": "127.0.0.1:0"}
@@ -49,7 +49,7 @@
 
     def lists(self, index: int, *endpoints: dict, snapshot: bool = True):
         """The next call for changes, answered with a list so far."""
-        watch = self.discovery.next()
+        watch = self.discovery.next_request()
         watch.head()
         watch.line({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
         return watch
@@ -210,7 +210,7 @@
     def each_step_with_a_job_out(self, step: int) -> None:
         """Its deadline and the drain's grace are spans: the job is answered, and the process ends well."""
         client = self.client().ask(budget=5000)
-        job = self.servers[0].next()
+        job = self.executors[0].next_request()
         self.plan.step_clock(step)
         self.terminate()
         self.wait_log("draining")
@@ -222,18 +222,18 @@
 class Discovery(FaultyNodeCase):
     """The watch is asked for again in time, whatever its system calls say."""
 
-    backends = 2
+    executor_count = 2
 
     def told_after(self, *faults: Fault) -> None:
         """The watch breaks, then these faults hold; the next list is obeyed in time."""
-        watch = self.discovery.next()
+        watch = self.discovery.next_request()
         watch.head()
         watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
         self.wait_log("watching from index 8")
         self.plan.arm(*faults)
         began = time.monotonic()
         watch.wire.close()
-        watch = self.discovery.next()
+        watch = self.discovery.next_request()
         watch.head()
         watch.line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
         self.wait_log("watching from index 9")
--- a/tests/net/test_discovery_faults.py
+++ b/tests/net/test_discovery_faults.py
@@ -10,11 +10,11 @@
 
 
 class Quiet(NodeCase):
-    backends = 2
+    executor_count = 2
 
     def answer(self, index: int, server: Server | None = None):
         """Take the next call, which has to ask from that version, and begin to answer it."""
-        call = (server or self.discovery).next()
+        call = (server or self.discovery).next_request()
         self.assertEqual(call.path, f"/v1/endpoints?watch=1&from={index}")
         call.head()
         return call
@@ -42,7 +42,7 @@
 
     def test_a_call_that_is_never_answered(self):
         began = time.monotonic()
-        self.discovery.next()
+        self.discovery.next_request()
         self.asked_anew_in_time(began, 7)
 
     def test_half_a_line_is_the_last_sign_of_life(self):
@@ -88,10 +88,10 @@
     def test_a_whole_list_without_an_executor_in_use(self):
         """What it holds is finished there, and nothing new goes to it."""
         held = self.client().ask("issue")
-        while all(server.asked.empty() for server in self.servers):
+        while all(server.asked.empty() for server in self.executors):
             self.assertFalse(held.answered(0.01))
-        lost = 0 if not self.servers[0].asked.empty() else 1
-        asked = self.servers[lost].next()
+        lost = 0 if not self.executors[0].asked.empty() else 1
+        asked = self.executors[lost].next_request()
         call = self.answer(7)
         call.line({"index": 8, "snapshot": True, "endpoints": [self.entry(1 - lost)]})
         self.wait_log("watching from index 8")
@@ -101,7 +101,7 @@
 
     def test_two_reloads_in_a_row_while_the_watch_reopens(self):
         """The first address is never served from, and the drain in the second's first list is obeyed."""
-        self.discovery.next().head("503 Service Unavailable")  # lost: it waits to ask again
+        self.discovery.next_request().head("503 Service Unavailable")  # lost: it waits to ask again
         self.wait_log("watch lost")
         first, second = Server(), Server()
         for server in (first, second):
@@ -120,7 +120,7 @@
 class Pushed(NodeCase):
     """A site whose agent pushes the list."""
 
-    backends = 2
+    executor_count = 2
 
     def config(self) -> dict:
         config = super().config()
@@ -129,7 +129,7 @@
 
     def test_the_agent_is_watched_from_the_start_and_again_after_a_reload(self):
         """Only a site whose list is asked for ever opened a watch: here no change was told, ever."""
-        call = self.discovery.next()
+        call = self.discovery.next_request()
         call.head()
         call.line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
         self.wait_log("watching from index 9")
@@ -137,7 +137,7 @@
         agent = Server()
         self.addCleanup(agent.close)
         self.reload(json.dumps({**self.config(), "discovery": agent.address}))
-        call = agent.next()
+        call = agent.next_request()
         call.head()
         whole = [self.entry(0), self.entry(1, status="DRAINING")]
         call.line({"index": 2, "snapshot": True, "endpoints": whole})
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -38,13 +38,13 @@
     def gone(self, leave) -> None:
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2) + raw(3))
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         began = time.monotonic()
         leave(sock)
         self.assertTrue(asked.wire.ended.wait(WAIT))
         self.assertLess(time.monotonic() - began, GONE)
         client = self.client().ask()  # what waited behind it does not start, before this or after
-        self.assertEqual(self.servers[0].next().headers["X-Call-Id"], f"{client.count:016x}")
+        self.assertEqual(self.executors[0].next_request().headers["X-Call-Id"], f"{client.count:016x}")
 
     def test_a_close(self):
         """Seen only when the time of the request in flight was up, 6 s later."""
@@ -67,14 +67,14 @@
         sock = self.raw_client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.sendall(raw(1))
-        self.servers[0].next().done("x" * 200_000)
+        self.executors[0].next_request().done("x" * 200_000)
         self.wait_for(lambda: select.select([sock], [], [], 0)[0])
         sock.sendall(raw(2))
         sock.shutdown(socket.SHUT_WR)
         with contextlib.suppress(Exception):
-            asked = self.servers[0].asked.get(timeout=GONE)  # on its way before the close came
+            asked = self.executors[0].asked.get(timeout=GONE)  # on its way before the close came
             self.assertTrue(asked.wire.ended.wait(GONE))
-        self.assertTrue(self.servers[0].asked.empty())
+        self.assertTrue(self.executors[0].asked.empty())
 
 
 class HeldUp(LeavingCase):
@@ -95,17 +95,17 @@
                     self.wait_for(lambda closed=closed: time.monotonic() > closed + 0.12)
                     self.process.send_signal(signal.SIGCONT)
                     client = self.client().ask("pin")
-                    asked = self.servers[0].next()
+                    asked = self.executors[0].next_request()
                     self.assertEqual(asked.headers["X-Call-Id"], f"{client.count:016x}")
                     asked.done()
                     self.assertEqual(client.answer()[0], 200)
-                    self.assertTrue(self.servers[0].asked.empty())
+                    self.assertTrue(self.executors[0].asked.empty())
 
     def test_no_retry_for_one_who_closed_while_the_node_was_held_up(self):
         """Its attempt and the client ended meanwhile: the retry was written before the close was read."""
         sock = self.raw_client()
         sock.sendall(raw(1))
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         self.process.send_signal(signal.SIGSTOP)
         asked.wire.send(NEVER_RAN)
         until = time.monotonic() + 0.12
@@ -114,8 +114,8 @@
         self.process.send_signal(signal.SIGCONT)
         client = self.client().ask("pin")
         while not client.answered(0.01):
-            if not self.servers[0].asked.empty():
-                asked = self.servers[0].next()
+            if not self.executors[0].asked.empty():
+                asked = self.executors[0].next_request()
                 self.assertEqual(asked.headers["X-Call-Id"], f"{client.count:016x}")
                 asked.done()
         self.assertIn(client.answer()[0], (200, 503))  # the module may wait for the executor to recover
@@ -132,10 +132,10 @@
         """It was read, and dropped with the session as soon as the first had its answer."""
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2))
-        first = self.servers[0].next()
+        first = self.executors[0].next_request()
         self.closing()
         first.done("first")
-        self.servers[0].next().done("second")
+        self.executors[0].next_request().done("second")
         text = read_all(sock)
         self.assertEqual(text.count(b"HTTP/1.1 200"), 2)
         self.assertEqual(text.count(b"Connection: close"), 1)
@@ -146,12 +146,12 @@
         """Half of it had come when the first was answered: closing then would lose what is nearly sent."""
         sock, second = self.raw_client(), raw(2)
         sock.sendall(raw(1) + second[:-3])
-        first = self.servers[0].next()
+        first = self.executors[0].next_request()
         self.closing()
         first.done("first")
         self.wait_for(lambda: select.select([sock], [], [], 0)[0])
         sock.sendall(second[-3:])
-        self.servers[0].next().done("second")
+        self.executors[0].next_request().done("second")
         self.assertEqual(read_all(sock).count(b"HTTP/1.1 200"), 2)
         self.assertEqual(self.process.wait(WAIT), 0)
 
@@ -159,7 +159,7 @@
         """A close over its bytes resets; read after the shutdown, it may not run here."""
         sock = self.raw_client()
         sock.sendall(raw(1))
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.wait_for(lambda: select.select([sock], [], [], 0)[0])
         self.assertIn(b" 200 ", sock.recv(65536))
         self.closing()
@@ -169,14 +169,14 @@
             self.assertEqual(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 0)
         sock.close()
         self.assertEqual(self.process.wait(WAIT), 0)
-        self.assertTrue(self.servers[0].asked.empty())
+        self.assertTrue(self.executors[0].asked.empty())
 
     def test_the_last_answer_is_not_lost_to_what_the_client_still_sends(self):
         """Closed over unread input, the connection is reset and takes the rest of the answer with it."""
         sock = self.raw_client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.sendall(raw(1, more="Connection: close\r\n"))
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         asked.done("x" * 150_000)
         self.wait_for(lambda: select.select([sock], [], [], 0)[0])
         sock.sendall(b"y" * 100_000)
@@ -196,7 +196,7 @@
         for number in range(60):
             sock.sendall(raw(f"{letter}{number}"))
             try:
-                self.servers[0].asked.get(timeout=0.5).done(letter * BIG)
+                self.executors[0].asked.get(timeout=0.5).done(letter * BIG)
             except queue.Empty:
                 return number
         raise AssertionError("the answers never got stuck")
@@ -214,8 +214,8 @@
         self.wait_log("draining")
         other = self.client().ask()
         while not other.answered(0.01):
-            if not self.servers[0].asked.empty():
-                asked = self.servers[0].next()
+            if not self.executors[0].asked.empty():
+                asked = self.executors[0].next_request()
                 letter = asked.headers["X-Call-Id"].removeprefix("raw")[0]
                 if letter in answers:  # the system took more
                     answers[letter] += 1
@@ -242,7 +242,7 @@
     def passed_on(self, number: int) -> float:
         """Seconds that the executor is told, once that request reaches it; others before it are answered."""
         while True:
-            asked = self.servers[0].next()
+            asked = self.executors[0].next_request()
             if asked.headers["X-Call-Id"] == f"raw{number}":
                 return int(asked.headers["X-Budget-Ms"]) / 1000
             asked.done()
@@ -254,7 +254,7 @@
     def test_in_the_socket_behind_others_of_its_client(self):
         sock = self.raw_client()
         sock.sendall(raw(1))
-        first = self.servers[0].next()
+        first = self.executors[0].next_request()
         sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
         other = self.client()
         other.request("GET", "/ready")
@@ -270,7 +270,7 @@
             for number in range(30):
                 held.append(self.raw_client())
                 held[-1].sendall(raw(number))
-                self.servers[0].asked.get(timeout=0.3)
+                self.executors[0].asked.get(timeout=0.3)
         late = self.raw_client()
         late.sendall(raw(100))
         self.wait_while_it_waits()
@@ -290,13 +290,13 @@
             for number in range(30):
                 held.append(self.raw_client())
                 held[-1].sendall(raw(number))
-                self.servers[0].asked.get(timeout=0.3).wire.sock.fileno()
+                self.executors[0].asked.get(timeout=0.3).wire.sock.fileno()
         for number in range(4):
             waiting.append(self.raw_client())
             waiting[-1].sendall(raw(100 + number))
         self.terminate()
         self.wait_log("no new sessions from now on")
-        self.servers[0].early = INSTANT
+        self.executors[0].early = INSTANT
         for sock in held[:10]:
             sock.close()
         for sock in waiting:
@@ -319,7 +319,7 @@
         """The last answers were due 0.15 s before the kill, and nothing at all for what came before 0.6 s."""
         clients = [self.client().ask("issue", budget=9000) for _ in range(2)]
         for _ in clients:
-            self.servers[0].next()
+            self.executors[0].next_request()
         self.terminate()
         began = time.monotonic()
         self.wait_log("draining")
@@ -347,7 +347,7 @@
 
     def first(self, job_class: str = "issue"):
         client = self.client().ask(job_class)
-        return client, self.servers[0].next()
+        return client, self.executors[0].next_request()
 
     def test_two_answers_at_once_are_one_and_the_first_counts(self):
         """The second, "never ran", overwrote the first before it was told: an unsafe job was sent twice."""
@@ -356,7 +356,7 @@
         asked.wire.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}{NEVER_RAN}")
         self.assertEqual(client.answer(), (200, b"1"))
         self.assertTrue(asked.wire.ended.wait(WAIT))
-        self.assertTrue(self.servers[0].asked.empty())
+        self.assertTrue(self.executors[0].asked.empty())
 
     def test_a_second_answer_that_meets_the_next_request_does_not_free_it(self):
         """It names no job: taken for the next one's, that one would run and be refused."""
@@ -364,12 +364,12 @@
         asked.done("first")
         self.assertEqual(client.answer(), (200, b"first"))
         client.ask("pin")
-        second = self.servers[0].next()
+        second = self.executors[0].next_request()
         self.assertIs(second.wire, asked.wire)
         second.wire.send(NEVER_RAN)
         while not client.answered(0.02):  # the module may send it again: executors of the zone drop repeats
-            if not self.servers[0].asked.empty():
-                self.servers[0].next().wire.reset()
+            if not self.executors[0].asked.empty():
+                self.executors[0].next_request().wire.reset()
         self.assertEqual(client.answer()[0], 502)  # it may have run
 
     def test_what_must_not_run_twice_does_not_meet_a_second_answer(self):
@@ -378,7 +378,7 @@
         asked.done("first")
         self.assertEqual(client.answer(), (200, b"first"))
         client.ask("issue")
-        second = self.servers[0].next()
+        second = self.executors[0].next_request()
         self.assertIsNot(second.wire, asked.wire)
         with contextlib.suppress(OSError):
             asked.wire.send(NEVER_RAN)
@@ -416,7 +416,7 @@
 
     def test_half_a_line_and_then_nothing_ends_with_the_time(self):
         client = self.client().ask("issue", budget=500)
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         asked.head()
         asked.wire.send('10\r\n{"state":"done",')
         began = time.monotonic()
@@ -431,7 +431,7 @@
         self.assertEqual(client.answer()[0], 200)
         asked.wire.close()
         client.ask("issue")
-        second = self.servers[0].next()
+        second = self.executors[0].next_request()
         second.done("again")
         self.assertEqual(client.answer(), (200, b"again"))
         self.assertIsNot(second.wire, asked.wire)
@@ -443,17 +443,17 @@
     sockets = 64
 
     def test_the_watch_and_the_executors_still_get_theirs(self):
-        self.discovery.next().head("503 Service Unavailable")
+        self.discovery.next_request().head("503 Service Unavailable")
         for _ in range(100):
             sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
             self.addCleanup(sock.close)
             sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
-        call = self.discovery.next()
+        call = self.discovery.next_request()
         call.head()
         call.line({"index": 9, "snapshot": False, "endpoints": []})
         self.wait_log("watching from index 9")
         client = self.client().ask("issue")
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.assertLessEqual(self.descriptors(), self.sockets)
 
@@ -473,19 +473,19 @@
         self.assertEqual(client.ask("issue").answer()[0], 503)  # a refusal: it may be sent again
         self.limit(256)
         statuses = [503]
-        self.servers[0].early = (
+        self.executors[0].early = (
             "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n" + '{"state":"done","result":1}'
         )
         self.wait_for(lambda: statuses.append(client.ask("pin").answer()[0]) or statuses[-1] == 200)
 
     def test_a_watch_that_gets_none_is_asked_for_again_in_time(self):
-        call = self.discovery.next()
+        call = self.discovery.next_request()
         self.limit(4)
         call.wire.close()
         self.wait_log("watch lost")
         self.limit(256)
         began = time.monotonic()
-        self.discovery.next().head()
+        self.discovery.next_request().head()
         self.assertLess(time.monotonic() - began, 6)
 
 
--- a/tests/net/test_health_listeners.py
+++ b/tests/net/test_health_listeners.py
@@ -48,7 +48,7 @@
         before = self.agent()
         self.assertEqual((before.status, before.admin, before.weight), (Status.UP, Admin.READY, 100))
         self.client().ask("issue")
-        self.servers[0].next()
+        self.executors[0].next_request()
         held = self.agent(b"agent-send string\n")
         self.assertEqual((held.status, held.weight), (Status.UP, 1))
         for path in ("/livez", "/readyz", "/healthz"):
@@ -64,7 +64,7 @@
     def test_a_drain_shows_at_once_on_both_and_the_node_is_still_alive(self):
         """While a held req keeps it, balancers must send it nothing new."""
         self.client().ask()
-        self.servers[0].next()
+        self.executors[0].next_request()
         self.terminate()
         self.wait_log("draining")
         self.assertEqual(self.agent().admin, Admin.DRAIN)
@@ -92,7 +92,7 @@
         for sock in crowd:
             self.addCleanup(sock.close)
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.assertEqual(self.agent().status, Status.UP)
         for sock in crowd:  # reset at the bound, or closed when their time is over
@@ -121,7 +121,7 @@
             watch = stub.Watch(ask(service="cedarmill"), timeout=WAIT)
             self.assertEqual(next(watch).status, Serving.SERVING)
             self.client().ask()
-            self.servers[0].next()
+            self.executors[0].next_request()
             self.terminate()
             self.assertEqual(next(watch).status, Serving.NOT_SERVING)
             self.assertEqual(stub.Check(ask(), timeout=WAIT).status, Serving.NOT_SERVING)
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -49,8 +49,8 @@
     def final(self, sock: socket.socket) -> int:
         """The status of its one answer, while executors serve what comes."""
         while not select.select([sock], [], [], 0.01)[0]:
-            if not self.servers[0].asked.empty():
-                self.servers[0].next().done()
+            if not self.executors[0].asked.empty():
+                self.executors[0].next_request().done()
         status = self.status(sock)
         self.assertEqual(select.select([sock], [], [], 0.02)[0], [])  # exactly one
         return status
@@ -61,7 +61,7 @@
         kept.request("GET", "/ready")
         self.assertEqual(kept.answer()[0], 200)
         kept.ask("issue")
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         before = self.descriptors()
         self.plan.arm(fault)
         new = self.raw_client(raw(fault.times, "issue"))
@@ -73,7 +73,7 @@
             with self.assertRaises(ConnectionResetError):
                 new.recv(1)
                 raise ConnectionResetError  # a plain close
-            self.assertTrue(self.servers[0].asked.empty())
+            self.assertTrue(self.executors[0].asked.empty())
         else:
             self.assertIn(self.final(new), (200, 503))  # the module may find the executor full
         new.close()
@@ -127,7 +127,7 @@
 
     def warm_up(self, health: int) -> None:
         """The loop opens a descriptor of its own with its first connection, and the node its watch."""
-        self.discovery.next()
+        self.discovery.next_request()
         self.assertEqual(self.get(health, "/livez"), 200)
 
     def health_port(self) -> int:
@@ -181,8 +181,8 @@
 
     def final_at_end(self, sock: socket.socket) -> int:
         while not select.select([sock], [], [], 0.01)[0]:
-            if not self.servers[0].asked.empty():
-                self.servers[0].next().done()
+            if not self.executors[0].asked.empty():
+                self.executors[0].next_request().done()
         return self.status(sock)
 
 
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -19,7 +19,7 @@
     def test_a_req_without_a_key_is_served(self):
         """At a site without keys the path is /api alone; taking only paths below it once refused all."""
         client = self.client().ask(path="/api?x=1", **{"Idempotency-Key": "k1"})
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         self.assertEqual((asked.method, asked.path, asked.body), ("POST", "/api?x=1", b"a body"))
         self.assertEqual(asked.headers["Idempotency-Key"], "k1")
         self.assertLess(int(asked.headers["X-Budget-Ms"]), 6000)
@@ -30,20 +30,20 @@
         """A new connection costs the backend work; only at a message's end is it known to be kept."""
         for _ in range(3):
             client = self.client().ask()
-            self.servers[0].next().done()
+            self.executors[0].next_request().done()
             self.assertEqual(client.answer()[0], 200)
-        self.assertEqual(len(self.servers[0].wires), 1)
+        self.assertEqual(len(self.executors[0].wires), 1)
 
     def test_a_connection_that_got_eof_is_not_used_again(self):
         """What is written to a closed connection ends as a reset, and an unsafe req is then lost."""
         client = self.client().ask()
-        first = self.servers[0].next()
+        first = self.executors[0].next_request()
         first.done()
         self.assertEqual(client.answer()[0], 200)
         first.wire.close()
         self.assertTrue(first.wire.ended.wait(WAIT))  # the node has closed its side, too
         client.ask("issue")
-        second = self.servers[0].next()
+        second = self.executors[0].next_request()
         second.done()
         self.assertEqual(client.answer()[0], 200)
         self.assertIsNot(first.wire, second.wire)
@@ -51,16 +51,16 @@
     def test_an_unsafe_req_whose_stream_breaks_off_fails_and_is_not_sent_again(self):
         """A 200 that ends without a last line is a reset: the job may have run."""
         client = self.client().ask("issue")
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         asked.head()
         asked.wire.send("0\r\n\r\n")
         self.assertEqual(client.answer()[0], 502)
-        self.assertTrue(self.servers[0].asked.empty())
+        self.assertTrue(self.executors[0].asked.empty())
 
     def test_a_line_of_another_job_is_not_passed_on(self):
         """A node that serves what no executor made for the req breaks a rule."""
         client = self.client().ask("issue")
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         asked.head()
         asked.line({"id": "another", "state": "done", "result": "not yours"})
         self.assertEqual(client.answer()[0], 502)
@@ -68,9 +68,9 @@
     def may_have_run(self, end) -> None:
         """No refusal and no second attempt for an unsafe req after such an end."""
         client = self.client().ask("issue")
-        end(self.servers[0].next())
+        end(self.executors[0].next_request())
         self.assertEqual(client.answer()[0], 502)
-        self.assertTrue(self.servers[0].asked.empty())
+        self.assertTrue(self.executors[0].asked.empty())
 
     def test_a_failed_job_may_have_run(self):
         """Its state says nothing of what it did before."""
@@ -96,8 +96,8 @@
                        lambda asked: (asked.head(), asked.job("returned"))):  # fmt: skip
             client = self.client().ask("issue")
             while not client.answered(0.02):  # the module may try again, as often as the settings allow
-                if not self.servers[0].asked.empty():
-                    refuse(self.servers[0].next())
+                if not self.executors[0].asked.empty():
+                    refuse(self.executors[0].next_request())
             self.assertEqual(client.answer()[0], 503)
             self.assertGreater(float(client.headers["Retry-After"]), 0)
 
@@ -105,7 +105,7 @@
         """A silent backend: the client must hear before it gives up, and the connection is let go."""
         began = time.monotonic()
         client = self.client().ask("issue", budget=400)
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         self.assertLessEqual(int(asked.headers["X-Budget-Ms"]), 380)  # what is left after its margin
         self.assertEqual(client.answer()[0], 502)
         self.assertLess(time.monotonic() - began, 0.4 + 0.058)  # the slack that the rule allows
@@ -114,14 +114,14 @@
     def test_a_client_that_leaves_gives_up_its_attempt(self):
         """Nobody reads that answer any more; to give up an attempt is to close its connection."""
         client = self.client().ask()
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         client.close()
         self.assertTrue(asked.wire.ended.wait(WAIT))
 
     def test_notes_of_a_start_and_of_progress_are_no_answer(self):
         """Lines before the last one, split anywhere, must neither end the req nor break it."""
         client = self.client().ask()
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         asked.head()
         asked.job("started")
         asked.job("running", share=0.5)
@@ -134,43 +134,43 @@
     def test_an_unsafe_req_goes_out_on_a_new_connection_once_a_kept_one_has_broken(self):
         """Some backends reset kept connections at the next request: an unsafe req is lost that way."""
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         client.ask()
-        self.servers[0].next().wire.reset()
-        first = self.servers[0].next()  # the module sends it again
+        self.executors[0].next_request().wire.reset()
+        first = self.executors[0].next_request()  # the module sends it again
         first.done()
         self.assertEqual(client.answer()[0], 200)
         client.ask("issue")
-        second = self.servers[0].next()
+        second = self.executors[0].next_request()
         second.done()
         self.assertEqual(client.answer()[0], 200)
         self.assertIsNot(first.wire, second.wire)
         client.ask()  # what may be repeated still uses the one used last
-        third = self.servers[0].next()
+        third = self.executors[0].next_request()
         third.done()
         self.assertEqual(client.answer()[0], 200)
         self.assertIs(second.wire, third.wire)
 
     def test_a_reset_while_an_unsafe_req_arrives_proves_that_it_never_ran(self):
         """Its last byte waits a moment: some backends reset a connection as soon as it brings something."""
-        self.servers[0].resets = True
+        self.executors[0].resets = True
         for asked in range(1, 21):  # the reset may also come too late, on a slow machine
             self.assertIn(self.client().ask("issue").answer()[0], (502, 503))
-            if len(self.servers[0].wires) > asked:
+            if len(self.executors[0].wires) > asked:
                 return
         self.fail("no unsafe req was sent again")
 
     def test_an_answer_before_the_last_byte_spoils_its_connection(self):
         """The rest of that req would be read as the head of the next one."""
-        self.servers[0].early = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+        self.executors[0].early = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         statuses = [502]
         while statuses[-1] == 502 and len(statuses) <= 20:  # it may also come too late, on a slow machine
             statuses.append(self.client().ask("issue").answer()[0])
         self.assertEqual(statuses[-1], 503)
-        self.servers[0].early = None
+        self.executors[0].early = None
         client = self.client().ask()
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         self.assertEqual(asked.method, "POST")  # a byte of the req before would stand in front of it
         asked.done()
         self.assertEqual(client.answer()[0], 200)
@@ -182,7 +182,7 @@
     def test_an_idle_connection_is_closed_well_before_its_backend_does(self):
         """What is written to one that its machine has closed ends as a reset."""
         client = self.client().ask()
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         asked.done()
         began = time.monotonic()
         self.assertEqual(client.answer()[0], 200)
@@ -191,18 +191,18 @@
 
 
 class Probing(NodeCase):
-    backends = 2
+    executor_count = 2
     changes = {"caps.probes": True}
 
     def test_a_probe_reads_the_load_and_the_job_goes_where_room_is(self):
         """Load comes by probe only: the job must reach the backend that reports a free slot."""
         client = self.client().ask()
         for number, free in ((0, 0), (1, 2)):
-            probe = self.servers[number].next()
+            probe = self.executors[number].next_request()
             self.assertEqual((probe.method, probe.path), ("GET", "/status/load"))
             body = json.dumps({"x0": free, "x1": free})
             probe.wire.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}")
-        self.servers[1].next().done()
+        self.executors[1].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
 
@@ -218,7 +218,7 @@
         while len(held) < 20:
             if len(clients) == len(held):
                 clients.append(self.client().ask("issue"))
-            asked = self.servers[0].next()
+            asked = self.executors[0].next_request()
             if asked.method == "POST":
                 held.append(asked)
             else:
@@ -231,29 +231,29 @@
 
 
 class Rude(NodeCase):
-    backends = 2
+    executor_count = 2
 
     def test_the_id_of_an_open_req_is_not_taken_twice(self):
         """Another's id made executors answer 400, and the node think ill of five of them in turn."""
         first = self.client().ask(**{"X-Call-Id": "abc"})
-        while all(server.asked.empty() for server in self.servers):
+        while all(server.asked.empty() for server in self.executors):
             self.assertFalse(first.answered(0.01))
         self.assertEqual(self.client().ask(**{"X-Call-Id": "abc"}).answer()[0], 409)
-        next(server for server in self.servers if not server.asked.empty()).next().done()
+        next(server for server in self.executors if not server.asked.empty()).next_request().done()
         self.assertEqual(first.answer()[0], 200)
         second = self.client().ask(**{"X-Call-Id": "abc"})
-        while all(server.asked.empty() for server in self.servers):
+        while all(server.asked.empty() for server in self.executors):
             self.assertFalse(second.answered(0.01))
 
     def test_what_an_executor_cannot_use_is_not_offered_to_the_next(self):
         """4xx blames the request: repeats would only hurt the health of backends that are well."""
         client = self.client().ask()
-        while all(server.asked.empty() for server in self.servers):
+        while all(server.asked.empty() for server in self.executors):
             self.assertFalse(client.answered(0.01))
-        bad = next(server for server in self.servers if not server.asked.empty())
-        bad.next().wire.send("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+        bad = next(server for server in self.executors if not server.asked.empty())
+        bad.next_request().wire.send("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual(client.answer()[0], 502)
-        self.assertTrue(all(server.asked.empty() for server in self.servers))
+        self.assertTrue(all(server.asked.empty() for server in self.executors))
 
     def test_a_header_means_one_thing(self):
         """One that came twice overwrote the first; a trailer did, too; blanks went on to the backend."""
@@ -264,9 +264,9 @@
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             chunks = b"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Call-Id: a3\r\n\r\n"
             sock.sendall(head + chunks)
-            while all(server.asked.empty() for server in self.servers):
+            while all(server.asked.empty() for server in self.executors):
                 self.assertFalse(select.select([sock], [], [], 0.01)[0])
-            asked = next(server for server in self.servers if not server.asked.empty()).next()
+            asked = next(server for server in self.executors if not server.asked.empty()).next_request()
             self.assertEqual((asked.headers["X-Call-Id"], asked.body), ("a1", b"x"))
 
     def test_a_body_of_unclear_length_goes_no_further(self):
@@ -282,7 +282,7 @@
                 sock.sendall(head + lines + b"\r\n0\r\n\r\n" + inner)
                 answers = sock.makefile("rb").read()
                 self.assertEqual(re.findall(rb"HTTP/1.1 (\d+)", answers), [b"400"])
-        self.assertTrue(all(server.asked.empty() for server in self.servers))
+        self.assertTrue(all(server.asked.empty() for server in self.executors))
 
     def test_who_sends_nothing_whole_is_let_go_in_time(self):
         """Silent and half-sent sessions held their places for 60 and 15 s; those that served may rest."""
@@ -333,7 +333,7 @@
                 sock.sendall(text)
         began = time.monotonic()
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.assertLess(time.monotonic() - began, 4)
 
@@ -356,7 +356,7 @@
             with contextlib.suppress(OSError):
                 sock.sendall(b"POST /api HTTP/1.1\r\nContent-Length: 65000\r\n\r\n" + b"x" * 64000)
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.assertLess(held() - before, 12_000)
 
@@ -364,7 +364,7 @@
 class Unreachable(NodeCase):
     def test_a_refused_connect_proves_that_the_req_never_ran(self):
         """So an unsafe req may be refused at once, not failed, and the node goes on."""
-        self.servers[0].close()
+        self.executors[0].close()
         client = self.client().ask("issue")
         self.assertEqual(client.answer()[0], 503)
 
@@ -444,15 +444,15 @@
         self.assertEqual(self.raw(b"GET /ready HTTP/1.1\r\n\r\n").split()[1], b"200")
         self.assertLessEqual(len(os.listdir(f"/proc/{self.process.pid}/fd")), self.sockets)
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
 
 class Watching(NodeCase):
-    backends = 2
+    executor_count = 2
 
     def watch(self, index: int):
-        asked = self.discovery.next()
+        asked = self.discovery.next_request()
         self.assertEqual(asked.path, f"/v1/endpoints?watch=1&from={index}")
         asked.head()
         return asked
@@ -482,7 +482,7 @@
 
     def test_a_failed_call_is_asked_anew(self):
         """Discovery that is overloaded answers 503, and may send rubbish: the last list holds."""
-        self.discovery.next().head("503 Service Unavailable")
+        self.discovery.next_request().head("503 Service Unavailable")
         self.wait_log("watch lost (status 503)")
         self.watch(7).line({"index": "x"})
         self.watch(7).line({"index": 8, "snapshot": False, "endpoints": []})
@@ -492,7 +492,7 @@
     def test_truncated_and_over_long_lists_change_nothing_and_are_told_once(self):
         """The last good list serves on, the node asks again by itself, and its log is not filled."""
         for text in ('7\r\n{"index\r\n0\r\n\r\n', f"{5 << 20:x}\r\n" + "x" * (5 << 20)):
-            call = self.discovery.next()
+            call = self.discovery.next_request()
             call.head()
             with contextlib.suppress(OSError):  # it hangs up before it has read them all
                 call.wire.send(text)
@@ -504,26 +504,28 @@
 
 
 class Reloading(NodeCase):
-    backends = 2
+    executor_count = 2
 
     def test_the_director_moves_and_nothing_is_lost(self):
         """SIGHUP once ended the process with all it held; the new address has to bring the whole list."""
-        old = self.discovery.next()
+        old = self.discovery.next_request()
         held = self.client().ask("issue")
-        while self.servers[0].asked.empty():  # at the backend that will be gone: elsewhere others may cut it
-            if not self.servers[1].asked.empty():
-                self.servers[1].next().done()
+        while self.executors[
+            0
+        ].asked.empty():  # at the backend that will be gone: elsewhere others may cut it
+            if not self.executors[1].asked.empty():
+                self.executors[1].next_request().done()
                 held.answer()
                 held = self.client().ask("issue")
             self.assertFalse(held.answered(0.01))
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         director = Server()
         self.addCleanup(director.close)
         self.reload(json.dumps({**self.config(), "discovery": director.address}))
         self.wait_log("reloaded: the director is at 127.0.0.1")
         self.assertTrue(old.wire.ended.wait(WAIT))
-        director.next().head("503 Service Unavailable")  # asked again soon
-        began, call = time.monotonic(), director.next()
+        director.next_request().head("503 Service Unavailable")  # asked again soon
+        began, call = time.monotonic(), director.next_request()
         self.assertLess(time.monotonic() - began, 1.5)
         self.assertEqual(call.path, "/v1/endpoints?watch=1&from=0")  # its versions may be others
         call.head()
@@ -531,22 +533,22 @@
         self.wait_log("watching from index 3")
         for _ in range(8):
             client = self.client().ask()
-            self.servers[1].next().done()
+            self.executors[1].next_request().done()
             self.assertEqual(client.answer()[0], 200)
-        self.assertTrue(self.servers[0].asked.empty())
+        self.assertTrue(self.executors[0].asked.empty())
         asked.done("kept")
         self.assertEqual(held.answer(), (200, b"kept"))
 
     def test_a_bad_file_keeps_the_old_configuration(self):
         """Staff may err: the node must serve on, say so in one line, and take the next good file."""
-        watch = self.discovery.next()
+        watch = self.discovery.next_request()
         for text in ("", "[]", json.dumps({**self.config(), "discovery": "nowhere"})):
             self.reload(text)
             self.wait_log("reload failed, the old configuration holds: ")
         client = self.client().ask()
-        while self.servers[0].asked.empty() and self.servers[1].asked.empty():
+        while self.executors[0].asked.empty() and self.executors[1].asked.empty():
             self.assertFalse(client.answered(0.01))
-        next(server for server in self.servers if not server.asked.empty()).next().done()
+        next(server for server in self.executors if not server.asked.empty()).next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.assertFalse(watch.wire.ended.is_set())
         changed = {**self.config(), "name": "n9", "limits": {"sockets": 300}}
@@ -559,7 +561,9 @@
         client = self.client().ask("issue")
         asked = None
         while asked is None:
-            asked = next((server.next() for server in self.servers if not server.asked.empty()), None)
+            asked = next(
+                (server.next_request() for server in self.executors if not server.asked.empty()), None
+            )
         self.terminate()
         self.wait_log("draining")
         self.reload("{")
@@ -577,11 +581,11 @@
             client.request("GET", "/ready")
             self.assertEqual(client.answer()[0], 200)
         early.ask()
-        held = self.servers[0].next()
+        held = self.executors[0].next_request()
         self.terminate()
         self.wait_log("draining: 1 reqs held")
         late.ask()
-        self.servers[0].next().done("late")
+        self.executors[0].next_request().done("late")
         self.assertEqual(late.answer(), (200, b"late"))
         self.assertNotIn("Connection", late.headers)  # sent away this early, it might find no other node
         kept.request("GET", "/ready")  # clients still use the sessions that they have
@@ -606,7 +610,7 @@
         self.wait_log("draining")
         self.wait_log("no new sessions from now on")
         sock.sendall(b"\r\n")
-        self.servers[0].next()
+        self.executors[0].next_request()
         self.assertIn(b" 502 ", sock.makefile("rb").readline())
         self.assertGreater(time.monotonic() - began, 3)
         self.assertLess(time.monotonic() - began, 3.7)
--- a/tests/net/test_small_limits.py
+++ b/tests/net/test_small_limits.py
@@ -18,6 +18,6 @@
                 sock.sendall(b"POST /api HTTP/1.1\r\nX-Call-Class: pi")  # half-written, and never more
         self.wait_log("client sessions at their bound")
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.assertLessEqual(self.descriptors(), self.nofile)
--- a/tests/net/test_stalled_clients.py
+++ b/tests/net/test_stalled_clients.py
@@ -51,7 +51,7 @@
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2)[:60])
         began = time.monotonic()
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         self.rest(0.5)
         asked.done("first")
         self.ended(sock, began)
@@ -59,7 +59,7 @@
     def test_half_a_request_is_told_at_once_where_the_one_before_took_long(self):
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2)[:60])
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         self.rest(3.0)
         asked.done("first")
         began = time.monotonic()
@@ -77,14 +77,14 @@
             sock.sendall(whole[start : start + 30])
             self.rest(1.2)
         sock.sendall(whole[120:])
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertIn(b" 200 ", sock.recv(4096))
 
     def test_a_resting_session_keeps_its_time(self):
         sock = self.proven()
         self.assertEqual(select.select([sock], [], [], OWED + 0.3)[0], [])
         sock.sendall(raw(1))
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertIn(b" 200 ", sock.recv(4096))
 
     def test_a_new_session_asks_again_in_pieces_after_an_error(self):
@@ -97,7 +97,7 @@
         for part in (raw(1)[:50], raw(1)[50:]):
             sock.sendall(part)
             self.rest(0.05)
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertIn(b" 200 ", sock.recv(4096))
 
 
@@ -114,7 +114,7 @@
         began = time.monotonic()
         self.wait_for(lambda: time.monotonic() > began + 0.4)
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.assertLess(time.monotonic() - began, 2)
         answers = [sock.recv(4096) for sock in socks]
@@ -132,7 +132,7 @@
             until = time.monotonic() + 0.05
             self.wait_for(lambda until=until: time.monotonic() > until)
         slow.sendall(whole[130:])
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertIn(b" 200 ", slow.recv(4096))
         self.assertEqual(len(socks + others), 39)
 
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -16,7 +16,7 @@
 class HeldSocket(NodeCase):
     """The platform holds the clients' socket; each process gets it by the number in `$LB_SOCKET_FD`."""
 
-    backends = 1
+    executor_count = 1
 
     def setUp(self) -> None:
         self.held = socket.create_server(("127.0.0.1", 0))  # the platform's
@@ -37,13 +37,13 @@
         self.assertTrue(any("inherited as descriptor" in line for line in self.log), self.log)
         self.assertEqual(self.port, self.held.getsockname()[1])
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
     def test_an_upgrade_with_reqs_in_flight_on_both_processes(self):
         """The new process serves while the old one still holds a request; the old answers it and ends."""
         old_client = self.client().ask()
-        old_asked = self.servers[0].next()  # held by the old process
+        old_asked = self.executors[0].next_request()  # held by the old process
         old, old_log = self.process, list(self.log)
         self.log.clear()
         self.process = new = self.start(self.config())
@@ -52,7 +52,7 @@
         new_client = Client(self)
         self.addCleanup(new_client.close)
         new_client.ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(new_client.answer()[0], 200)
         old_asked.done()
         self.assertEqual(old_client.answer()[0], 200)
@@ -65,7 +65,7 @@
 class TwoDoors(HeldSocket):
     """Two processes with a door each, as during an upgrade."""
 
-    backends = 2
+    executor_count = 2
 
     def config(self) -> dict:
         return {**super().config(), "mgmt": "127.0.0.1:0"}
@@ -93,9 +93,9 @@
     def old_sends_to(self) -> int:
         """Where the old process sends the next request of its kept session."""
         self.kept_session.ask()
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.servers))
-        number = next(n for n, server in enumerate(self.servers) if not server.asked.empty())
-        self.servers[number].next().done()
+        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
+        number = next(n for n, server in enumerate(self.executors) if not server.asked.empty())
+        self.executors[number].next_request().done()
         self.assertEqual(self.kept_session.answer()[0], 200)
         return number
 
@@ -131,14 +131,14 @@
         """The second ends before the first, which still holds a job; the third serves on."""
         both = self.process
         self.kept_session.ask()
-        self.wait_for(lambda: any(server.asked.qsize() for server in self.servers))
+        self.wait_for(lambda: any(server.asked.qsize() for server in self.executors))
         self.next_process()
         third = self.admin_port()
         both.terminate()
         self.assertEqual(both.wait(WAIT), 0)
         both.stderr.close()
         self.old.terminate()
-        next(server for server in self.servers if server.asked.qsize()).next().done()
+        next(server for server in self.executors if server.asked.qsize()).next_request().done()
         self.assertEqual(self.kept_session.answer()[0], 200)
         self.assertEqual(self.old.wait(WAIT), 0)
         self.assertEqual(call(third, "GET", "/api/ready"), (200, b"ready\n"))
@@ -188,7 +188,7 @@
         """Two jobs, whose answers report so many free slots; then wait till that is kept."""
         for _ in range(2):
             client = self.client().ask()
-            asked = self.servers[0].next()
+            asked = self.executors[0].next_request()
             asked.head()
             asked.job("done", result="fine", load={"x0": free, "x1": 100.0})
             asked.wire.send("0\r\n\r\n")
@@ -214,7 +214,7 @@
         """
         self.learn(free=5)
         held = [self.client().ask("issue", 12_000) for _ in range(5)]  # they outlast a slow start beside them
-        asked = [self.servers[0].next() for _ in held]
+        asked = [self.executors[0].next_request() for _ in held]
         old = self.process
         told = self.kept(f"out-{old.pid}")
         self.wait_for(lambda: any(b"[5.0," in text for text in told.texts()))
@@ -224,26 +224,26 @@
         while (line := old.stderr.readline()) and "no new sessions" not in line:
             pass  # from then on only the new process accepts
         more = [self.client().ask() for _ in range(5)]
-        server = self.servers[0]
+        server = self.executors[0]
         self.wait_for(lambda: server.asked.qsize() + sum(c.answered(0) for c in more) == 5)
         self.assertLess(server.asked.qsize(), 5)
         self.assertEqual({c.answer()[0] for c in more if c.answered(0)}, {503})
         for _ in range(server.asked.qsize()):
-            server.next().done()
+            server.next_request().done()
         for job in asked:
             job.done()
         self.assertEqual([client.answer()[0] for client in held], [200] * 5)
         self.assertEqual(old.wait(WAIT), 0)
         old.stderr.close()
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
     def test_the_old_process_killed_in_the_hand_over_holds_nothing_for_long(self):
         self.learn(free=5)
         for _ in range(5):
             self.client().ask()
-            self.servers[0].next()
+            self.executors[0].next_request()
         old = self.process
         self.next_process()
         old.kill()
@@ -252,10 +252,10 @@
 
         def served() -> bool:
             client = self.client().ask()
-            self.wait_for(lambda: client.answered(0) or not self.servers[0].asked.empty())
-            if self.servers[0].asked.empty():
+            self.wait_for(lambda: client.answered(0) or not self.executors[0].asked.empty())
+            if self.executors[0].asked.empty():
                 return False
-            self.servers[0].next().done()
+            self.executors[0].next_request().done()
             return client.answer()[0] == 200
 
         self.wait_for(served)
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -44,12 +44,12 @@
 
     def fault(self, call: str, name: str = "", **more) -> Fault:
         """A fault that meets the executor's connections only."""
-        return Fault(call, name, match=self.servers[0].address, **more)
+        return Fault(call, name, match=self.executors[0].address, **more)
 
     def out(self, job_class: str = "issue"):
         """A client whose attempt is at the executor, which holds it."""
         client = self.client().ask(job_class)
-        return client, self.servers[0].next()
+        return client, self.executors[0].next_request()
 
     def check_served(self, client, asked) -> None:
         asked.head()
@@ -58,7 +58,7 @@
         self.assertEqual(client.answer(), (200, b"fine"))
 
     def check_nothing_asked(self) -> None:
-        self.assertTrue(self.servers[0].asked.empty())
+        self.assertTrue(self.executors[0].asked.empty())
 
     def check_answered_soon(self, client, *statuses: int) -> None:
         began = time.monotonic()
@@ -67,7 +67,7 @@
 
     def close_all_but(self, busy) -> None:
         """No connection rests any longer: the next request needs a new one."""
-        for wire in self.servers[0].wires:
+        for wire in self.executors[0].wires:
             if wire is not busy and not wire.ended.is_set():
                 wire.close()
                 self.assertTrue(wire.ended.wait(WAIT))
@@ -106,13 +106,13 @@
                 first, asked = self.refuse_connects(name)
                 self.check_served(first, asked)
                 client, statuses = self.client(), []
-                self.servers[0].early = "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n" + (
+                self.executors[0].early = "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n" + (
                     '{"state":"done","result":1}'
                 )
                 self.wait_for(
                     lambda c=client, s=statuses: s.append(c.ask("issue").answer()[0]) or s[-1] == 200
                 )
-                self.servers[0].early = None
+                self.executors[0].early = None
 
 
 class Transports(ExecutorCase):
@@ -168,7 +168,7 @@
                 self.assertEqual(self.plan.hits("outgoing.abort"), 1 + BROKEN.index(name))
                 self.plan.arm()
                 self.check_served(*self.out())
-        for server in self.servers:
+        for server in self.executors:
             for wire in server.wires:
                 with contextlib.suppress(OSError):
                     wire.close()
@@ -193,7 +193,7 @@
                 client, asked = self.out("pin")
                 while asked.method == "GET":
                     asked.wire.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-                    asked = self.servers[0].next()
+                    asked = self.executors[0].next_request()
                 self.assertEqual(self.plan.hits() - hits, 1)
                 self.plan.arm()
                 self.check_served(client, asked)
@@ -224,8 +224,8 @@
         client = self.client().ask("issue")
         self.wait_for(lambda: self.plan.hits("outgoing.write"))
         client.close()
-        self.wait_for(lambda: self.servers[0].wires)
-        self.assertTrue(self.servers[0].wires[0].ended.wait(WAIT))
+        self.wait_for(lambda: self.executors[0].wires)
+        self.assertTrue(self.executors[0].wires[0].ended.wait(WAIT))
         self.check_served(*self.out())
         self.check_nothing_asked()
 
@@ -263,7 +263,7 @@
                 self.plan.arm(self.fault("outgoing.write", stall_s=self.stall_s))
                 sent = time.monotonic()
                 client = self.client().ask("issue", budget)
-                asked = self.servers[0].next()
+                asked = self.executors[0].next_request()
                 left = sent + budget / 1000 - time.monotonic()
                 self.assertLessEqual(int(asked.headers["X-Budget-Ms"]) / 1000, left + SLACK_S)
                 self.check_served(client, asked)
@@ -297,7 +297,7 @@
         self.past(came + 0.3)
         self.plan.arm(self.fault("outgoing.write", stall_s=SLACK_S))
         asked.wire.reset()
-        again = self.servers[0].next()
+        again = self.executors[0].next_request()
         self.assertLess(time.monotonic() - came, self.window_s)
         self.check_served(client, again)
 
@@ -450,7 +450,7 @@
                     self.check_answered_soon(client, 502, 503)
         while True:
             with contextlib.suppress(queue.Empty):
-                asked = self.servers[0].asked.get_nowait()
+                asked = self.executors[0].asked.get_nowait()
                 self.assertLessEqual(int(asked.headers["X-Budget-Ms"]), 20)
                 continue
             break
--- a/tests/support/node_case.py
+++ b/tests/support/node_case.py
@@ -123,7 +123,7 @@
         except OSError:
             pass
 
-    def next(self) -> Asked:
+    def next_request(self) -> Asked:
         return self.asked.get(timeout=WAIT)
 
     def close(self) -> None:
@@ -176,7 +176,7 @@
 class NodeCase(unittest.TestCase):
     """A node with its backends and a director; every test starts its own."""
 
-    backends = 1
+    executor_count = 1
     sockets = 256
     memory_mb = 192
     changes: dict = {}
@@ -198,8 +198,8 @@
         self.tmpdir = tempfile.TemporaryDirectory()  # the node's own `$TMPDIR`: marks kept there are its own
         self.addCleanup(self.tmpdir.cleanup)
         self.discovery = Server()
-        self.servers = [Server() for _ in range(self.backends)]
-        for server in (self.discovery, *self.servers):
+        self.executors = [Server() for _ in range(self.executor_count)]
+        for server in (self.discovery, *self.executors):
             self.addCleanup(server.close)
         self.log: list[str] = []
         self.path = ""
@@ -209,13 +209,17 @@
         for path, value in self.changes.items():
             table, _, key = path.partition(".")
             settings[table][key] = value
-        known = {"index": 7, "snapshot": True, "endpoints": [self.entry(n) for n in range(self.backends)]}
+        known = {
+            "index": 7,
+            "snapshot": True,
+            "endpoints": [self.entry(n) for n in range(self.executor_count)],
+        }
         limits = {"sockets": self.sockets, "memory_mb": self.memory_mb}
         return {"name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "5eed",
                 "limits": limits, "known": known, "settings": settings}  # fmt: skip
 
     def entry(self, number: int, **changes) -> dict:
-        return {"name": f"s-{number}", "address": self.servers[number].address, "zone": "here", "type": "box",
+        return {"name": f"s-{number}", "address": self.executors[number].address, "zone": "here", "type": "box",
                 "group": 0, "status": "SERVING", "weight": 1.0, "since_ms": 0, **changes}  # fmt: skip
 
     def start(self, config: dict) -> subprocess.Popen:
@@ -303,9 +307,9 @@
         """Where the next request goes."""
         client, found = self.client().ask(), -1
         while not client.answered(0.01):
-            for number, server in enumerate(self.servers):
+            for number, server in enumerate(self.executors):
                 if not server.asked.empty():
-                    server.next().done()
+                    server.next_request().done()
                     found = number
         self.assertEqual(client.answer()[0], 200)
         return found
--- a/tests/support/test_system_call_faults.py
+++ b/tests/support/test_system_call_faults.py
@@ -16,7 +16,7 @@
         self.wait_log("accept failed")
 
     def test_a_connect_fails_where_its_address_matches(self):
-        self.plan.arm(Fault("connect", "ENETUNREACH", match=self.servers[0].address, times=0))
+        self.plan.arm(Fault("connect", "ENETUNREACH", match=self.executors[0].address, times=0))
         client = self.client().ask()
         self.assertIn(client.answer()[0], (502, 503))
         self.assertGreater(self.plan.hits("connect"), 0)
