--- a/tests/conf/test_sites.py
+++ b/tests/conf/test_sites.py
@@ -164,7 +164,7 @@
             client = self.client().ask(spec["name"], **{"X-Caller": "nobody"})
             asked = self.executors[0].next_request()
             while asked.method == "GET":
-                asked.wire.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                asked.connection.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 asked = self.executors[0].next_request()
             self.assertEqual(asked.headers["X-Call-Class"], spec["name"])
             asked.done(spec["name"])
--- a/tests/net/cluster/test_node_role.py
+++ b/tests/net/cluster/test_node_role.py
@@ -45,10 +45,10 @@
         """Whether a request is refused now; one that is not is served."""
         client = self.client().ask()
         self.wait_for(
-            lambda: client.answered(0) or any(not server.asked.empty() for server in self.executors)
+            lambda: client.answered(0) or any(not server.received.empty() for server in self.executors)
         )
         for server in self.executors:
-            if not server.asked.empty():
+            if not server.received.empty():
                 server.next_request().done()
         return client.answer()[0] == 503
 
@@ -73,8 +73,8 @@
     def test_drained_waits_for_the_job_that_is_out_there(self):
         self.joined()
         client = self.client().ask()
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
-        number = next(n for n, server in enumerate(self.executors) if not server.asked.empty())
+        self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
+        number = next(n for n, server in enumerate(self.executors) if not server.received.empty())
         self.assertEqual(call(self.door, "PUT", f"/api/exclude/s-{number}")[0], 200)
         self.wait_log(f"out: s-{number}")
         self.assertEqual([row["drained"] for row in self.look("permits")], [0])
@@ -128,9 +128,9 @@
         """The req comes while it stands still: what it does first must ask the lease, not a timer."""
         self.joined()
         client = self.client().ask()  # a first req is served: a session without one is ended after 2.8 s
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
+        self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
         for server in self.executors:
-            if not server.asked.empty():
+            if not server.received.empty():
                 server.next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.process.send_signal(19)
@@ -143,7 +143,7 @@
         self.process.send_signal(18)
         self.assertEqual(client.answer()[0], 503)
         self.assertEqual(
-            [server.next_request().path for server in self.executors if not server.asked.empty()], []
+            [server.next_request().path for server in self.executors if not server.received.empty()], []
         )
 
 
@@ -183,9 +183,9 @@
         self.assertEqual((rows[0]["name"], rows[0]["rate"]), ("probes", 1))
         for _ in range(8):
             client = self.client().ask()
-            self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
+            self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
             for server in self.executors:
-                while not server.asked.empty():
+                while not server.received.empty():
                     asked = server.next_request()
                     self.assertEqual(asked.method, "POST", "no probe without a place in the budget")
                     asked.done()
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -302,7 +302,7 @@
         """Reqs held at a backend that does not answer leave the door's answers as they are."""
         for _ in range(20):
             self.client().ask()
-        self.wait_for(lambda: sum(server.asked.qsize() for server in self.executors) == 20)
+        self.wait_for(lambda: sum(server.received.qsize() for server in self.executors) == 20)
         self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
 
 
@@ -316,8 +316,8 @@
         with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
             sock.sendall(b"PUT /api/exclude/s-1 HTTP/1.1\r\nHost: door\r\n\r\n")
             began, client = time.monotonic(), self.client().ask()
-            self.wait_for(lambda: any(server.asked.qsize() for server in self.executors))
-            next(server for server in self.executors if server.asked.qsize()).next_request().done()
+            self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
+            next(server for server in self.executors if server.received.qsize()).next_request().done()
             self.assertEqual(client.answer()[0], 200)
             self.assertEqual(read_answer(sock)[0], 503)
         self.assertLess(time.monotonic() - began, 1.0)  # what the operators' page gives a call
@@ -328,7 +328,7 @@
 class OutByHand(DoorCase):
     def watch(self):
         asked = self.discovery.next_request()
-        asked.head()
+        asked.send_head()
         return asked
 
     def test_out_holds_against_the_list_and_two_outs_take_one_in(self):
@@ -336,7 +336,7 @@
         self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0")[0], 200)
         self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0")[0], 200)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
-        watch.line({"index": 9, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
+        watch.send_line({"index": 9, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
         self.wait_log("watching from index 9")
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
         self.assertEqual(call(self.door, "PUT", "/api/include/s-0")[0], 200)
@@ -346,11 +346,11 @@
     def test_one_that_discovery_no_longer_lists_can_be_put_back(self):
         watch = self.watch()
         self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0")[0], 200)
-        watch.line({"index": 9, "snapshot": True, "endpoints": [self.entry(1)]})
+        watch.send_line({"index": 9, "snapshot": True, "endpoints": [self.entry(1)]})
         self.wait_log("watching from index 9")
         self.assertEqual(call(self.door, "PUT", "/api/include/s-0"), (200, b"included\n"))
-        watch.line({"index": 10, "snapshot": True, "endpoints": [self.entry(0)]})
-        watch.line({"index": 11, "snapshot": False, "endpoints": [self.entry(1, status="DELETED")]})
+        watch.send_line({"index": 10, "snapshot": True, "endpoints": [self.entry(0)]})
+        watch.send_line({"index": 11, "snapshot": False, "endpoints": [self.entry(1, status="DELETED")]})
         self.wait_for(lambda: self.served_by() == 0)
 
     def test_the_marks_hold_for_the_next_process_of_the_node(self):
@@ -375,8 +375,8 @@
         idle, busy = self.client(), self.client().ask()
         idle.request("GET", "/ready")
         self.assertEqual(idle.answer()[0], 200)
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
-        asked = next(server for server in self.executors if not server.asked.empty()).next_request()
+        self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
+        asked = next(server for server in self.executors if not server.received.empty()).next_request()
         self.assertEqual(call(self.door, "PUT", "/api/evacuate"), (200, b"evacuating\n"))
         self.assertEqual(self.ready(), 503)
         self.assertEqual(call(self.door, "GET", "/api/ready")[0], 503)
@@ -403,11 +403,11 @@
 
     def test_evacuated_and_then_terminated_it_answers_what_it_holds(self):
         busy = self.client().ask()
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
+        self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
         call(self.door, "PUT", "/api/evacuate")
         self.terminate()
         self.wait_log("no new sessions")
-        next(server for server in self.executors if not server.asked.empty()).next_request().done()
+        next(server for server in self.executors if not server.received.empty()).next_request().done()
         self.assertEqual(busy.answer()[0], 200)
         self.assertEqual(self.process.wait(WAIT), 0)
 
@@ -441,7 +441,7 @@
         while self.process.poll() is None:
             for server in self.executors:
                 with contextlib.suppress(queue.Empty, OSError):
-                    server.asked.get(timeout=0.01).done(result)
+                    server.received.get(timeout=0.01).done(result)
 
 
 class Wire:
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -43,12 +43,12 @@
         for number in range(40):
             client = self.client().ask()
             asked = self.executors[0].next_request()
-            both = [client.close, asked.wire.reset]
+            both = [client.close, asked.connection.reset]
             for happening in both if number % 2 else reversed(both):
                 happening()
             left = time.monotonic()
             while time.monotonic() < left + 0.03:
-                if not self.executors[0].asked.empty():
+                if not self.executors[0].received.empty():
                     self.executors[0].next_request()
                     self.assertLess(time.monotonic() - left, 0.025)  # a copy that was on its way
                 select.select([], [], [], 0.001)
@@ -61,7 +61,7 @@
         sock.sendall(raw(1) + raw(2) + raw(3))
         asked = self.executors[0].next_request()
         sock.close()
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
         client = self.client().ask()
         self.assertEqual(self.executors[0].next_request().headers["X-Call-Id"], f"{client.count:016x}")
 
@@ -78,7 +78,7 @@
             sock.close()
         for _ in range(20):
             try:
-                whole += len(self.executors[0].asked.get(timeout=0.3).body) == 6
+                whole += len(self.executors[0].received.get(timeout=0.3).body) == 6
             except Exception:
                 break
         self.process.send_signal(signal.SIGUSR1)
@@ -104,7 +104,7 @@
     def test_an_attempt_is_given_up_by_ending_the_sending(self):
         """A backend that honours a half-close may still write; what it says is read by nobody."""
         asked = self.left()
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
@@ -122,15 +122,16 @@
         asked.done()
         client = self.client().ask()
         second = self.executors[0].next_request()
-        if second.wire is not asked.wire:  # it came before that end was read: the next one will not
+        # Where the second came before that end was read, the next one will not.
+        if second.connection is not asked.connection:
             second.done()
             self.assertEqual(client.answer()[0], 200)
             client.ask()
             second = self.executors[0].next_request()
         second.done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertIn(second.wire, self.executors[0].wires[:2])
-        self.assertFalse(asked.wire.ended.is_set())
+        self.assertIn(second.connection, self.executors[0].connections[:2])
+        self.assertFalse(asked.connection.ended.is_set())
         self.process.send_signal(signal.SIGUSR1)
         self.wait_log("pin left: 1 attempts")
 
@@ -142,7 +143,7 @@
         sock.sendall(raw(1))
         asked = self.executors[0].next_request()
         sock.shutdown(socket.SHUT_WR)
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
 
 
 class HalfCloseStays(LeavingCase):
@@ -173,7 +174,7 @@
                                         ("abc", "acme", 404)):  # fmt: skip
             second.request("DELETE", f"/api/calls/{call_id}", headers={"X-Caller": caller})
             self.assertEqual(second.answer()[0], status)
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
         self.assertEqual(first.answer(), (502, b"recalled by its client\n"))
         first.ask()
         self.executors[0].next_request().done()
@@ -198,7 +199,7 @@
                 client = self.client().ask(**headers)
                 self.assertIn(client.answer()[0], statuses)
                 self.assertLess(time.monotonic() - began, 0.4)
-        self.assertEqual(self.executors[0].asked.qsize(), 1)
+        self.assertEqual(self.executors[0].received.qsize(), 1)
         self.wait_log("a client's deadline cannot be")
 
 
@@ -256,7 +257,7 @@
         client.ask()
         asked = self.executors[0].next_request()
         client.close()
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
 
     def test_the_answer_is_in_time_where_the_box_ignores_all(self):
         """Three parties each keep a margin: the client hears before its own time is up."""
@@ -275,7 +276,7 @@
         self.inner.kill()
         self.assertEqual(client.answer()[0], 502)
         self.assertEqual(client.ask("issue").answer()[0], 503)
-        self.assertTrue(self.executors[0].asked.empty())
+        self.assertTrue(self.executors[0].received.empty())
 
 
 SCENARIO = """<?xml version="1.0"?>
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -50,7 +50,7 @@
         """Of its answers, till the node ends the connection or so many have come; executors serve."""
         text, until = b"", time.monotonic() + WAIT
         while text.count(b"HTTP/1.1 ") < most:
-            if not self.executors[0].asked.empty():
+            if not self.executors[0].received.empty():
                 with contextlib.suppress(OSError):
                     self.executors[0].next_request().done()
             self.assertLess(time.monotonic(), until, f"neither answers nor an end after {text!r}")
@@ -89,7 +89,7 @@
                 self.arm("accepted.write", error)
                 asked.done()
                 self.assertEqual(self.statuses(sock), [])
-                self.assertTrue(self.executors[0].asked.empty())
+                self.assertTrue(self.executors[0].received.empty())
                 self.serves_on()
 
     def test_an_end_of_sending_that_fails_keeps_the_answer(self):
@@ -120,7 +120,7 @@
         self.arm("accepted.abort", "EIO", times=2)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.close()
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
         self.serves_on()
 
     def test_a_system_that_does_not_say_whether_the_client_is_there(self):
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -50,8 +50,8 @@
     def lists(self, index: int, *endpoints: dict, snapshot: bool = True):
         """The next call for changes, answered with a list so far."""
         watch = self.discovery.next_request()
-        watch.head()
-        watch.line({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
+        watch.send_head()
+        watch.send_line({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
         return watch
 
     def age_s(self, name: str, since: float = 0.0) -> float | None:
@@ -96,7 +96,7 @@
 
     def is_young(self, watch, began: float) -> None:
         """s-1 starts now, on a watch that has held since `began`."""
-        watch.line({"index": 9, "snapshot": False, "endpoints": [self.entry(1, since_ms=self.stamp())]})
+        watch.send_line({"index": 9, "snapshot": False, "endpoints": [self.entry(1, since_ms=self.stamp())]})
         age = self.age_s("s-1")
         self.assertIsNotNone(age)
         self.assertTrue(0 <= age <= time.monotonic() - began + 1.0, age)
@@ -121,7 +121,7 @@
         self.assertIsNotNone(self.age_s("s-0"))  # the line comes before its stamp is read
         began = time.monotonic()
         self.plan.step_clock(step)
-        watch.line({"index": 8, "snapshot": False, "endpoints": [self.entry(0, since_ms=started)]})
+        watch.send_line({"index": 8, "snapshot": False, "endpoints": [self.entry(0, since_ms=started)]})
         self.is_young(watch, began)
         self.assertAlmostEqual(self.age_s("s-0", time.monotonic()), time.time() - started / 1000, delta=1.5)
 
@@ -227,15 +227,15 @@
     def told_after(self, *faults: Fault) -> None:
         """The watch breaks, then these faults hold; the next list is obeyed in time."""
         watch = self.discovery.next_request()
-        watch.head()
-        watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
+        watch.send_head()
+        watch.send_line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
         self.wait_log("watching from index 8")
         self.plan.arm(*faults)
         began = time.monotonic()
-        watch.wire.close()
+        watch.connection.close()
         watch = self.discovery.next_request()
-        watch.head()
-        watch.line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
+        watch.send_head()
+        watch.send_line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
         self.wait_log("watching from index 9")
         self.assertLess(time.monotonic() - began, TOLD_S)
         self.assertEqual(self.plan.hits(), sum(fault.times for fault in faults))
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -41,7 +41,7 @@
         asked = self.executors[0].next_request()
         began = time.monotonic()
         leave(sock)
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
         self.assertLess(time.monotonic() - began, GONE)
         client = self.client().ask()  # what waited behind it does not start, before this or after
         self.assertEqual(self.executors[0].next_request().headers["X-Call-Id"], f"{client.count:016x}")
@@ -72,9 +72,9 @@
         sock.sendall(raw(2))
         sock.shutdown(socket.SHUT_WR)
         with contextlib.suppress(Exception):
-            asked = self.executors[0].asked.get(timeout=GONE)  # on its way before the close came
-            self.assertTrue(asked.wire.ended.wait(GONE))
-        self.assertTrue(self.executors[0].asked.empty())
+            asked = self.executors[0].received.get(timeout=GONE)  # on its way before the close came
+            self.assertTrue(asked.connection.ended.wait(GONE))
+        self.assertTrue(self.executors[0].received.empty())
 
 
 class HeldUp(LeavingCase):
@@ -99,7 +99,7 @@
                     self.assertEqual(asked.headers["X-Call-Id"], f"{client.count:016x}")
                     asked.done()
                     self.assertEqual(client.answer()[0], 200)
-                    self.assertTrue(self.executors[0].asked.empty())
+                    self.assertTrue(self.executors[0].received.empty())
 
     def test_no_retry_for_one_who_closed_while_the_node_was_held_up(self):
         """Its attempt and the client ended meanwhile: the retry was written before the close was read."""
@@ -107,14 +107,14 @@
         sock.sendall(raw(1))
         asked = self.executors[0].next_request()
         self.process.send_signal(signal.SIGSTOP)
-        asked.wire.send(NEVER_RAN)
+        asked.connection.send(NEVER_RAN)
         until = time.monotonic() + 0.12
         sock.close()
         self.wait_for(lambda: time.monotonic() > until)
         self.process.send_signal(signal.SIGCONT)
         client = self.client().ask("pin")
         while not client.answered(0.01):
-            if not self.executors[0].asked.empty():
+            if not self.executors[0].received.empty():
                 asked = self.executors[0].next_request()
                 self.assertEqual(asked.headers["X-Call-Id"], f"{client.count:016x}")
                 asked.done()
@@ -169,7 +169,7 @@
             self.assertEqual(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 0)
         sock.close()
         self.assertEqual(self.process.wait(WAIT), 0)
-        self.assertTrue(self.executors[0].asked.empty())
+        self.assertTrue(self.executors[0].received.empty())
 
     def test_the_last_answer_is_not_lost_to_what_the_client_still_sends(self):
         """Closed over unread input, the connection is reset and takes the rest of the answer with it."""
@@ -196,7 +196,7 @@
         for number in range(60):
             sock.sendall(raw(f"{letter}{number}"))
             try:
-                self.executors[0].asked.get(timeout=0.5).done(letter * BIG)
+                self.executors[0].received.get(timeout=0.5).done(letter * BIG)
             except queue.Empty:
                 return number
         raise AssertionError("the answers never got stuck")
@@ -214,7 +214,7 @@
         self.wait_log("draining")
         other = self.client().ask()
         while not other.answered(0.01):
-            if not self.executors[0].asked.empty():
+            if not self.executors[0].received.empty():
                 asked = self.executors[0].next_request()
                 letter = asked.headers["X-Call-Id"].removeprefix("raw")[0]
                 if letter in answers:  # the system took more
@@ -270,7 +270,7 @@
             for number in range(30):
                 held.append(self.raw_client())
                 held[-1].sendall(raw(number))
-                self.executors[0].asked.get(timeout=0.3)
+                self.executors[0].received.get(timeout=0.3)
         late = self.raw_client()
         late.sendall(raw(100))
         self.wait_while_it_waits()
@@ -290,7 +290,7 @@
             for number in range(30):
                 held.append(self.raw_client())
                 held[-1].sendall(raw(number))
-                self.executors[0].asked.get(timeout=0.3).wire.sock.fileno()
+                self.executors[0].received.get(timeout=0.3).connection.sock.fileno()
         for number in range(4):
             waiting.append(self.raw_client())
             waiting[-1].sendall(raw(100 + number))
@@ -353,10 +353,10 @@
         """The second, "never ran", overwrote the first before it was told: an unsafe job was sent twice."""
         client, asked = self.first()
         body = '{"state":"done","result":1}'
-        asked.wire.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}{NEVER_RAN}")
+        asked.connection.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}{NEVER_RAN}")
         self.assertEqual(client.answer(), (200, b"1"))
-        self.assertTrue(asked.wire.ended.wait(WAIT))
-        self.assertTrue(self.executors[0].asked.empty())
+        self.assertTrue(asked.connection.ended.wait(WAIT))
+        self.assertTrue(self.executors[0].received.empty())
 
     def test_a_second_answer_that_meets_the_next_request_does_not_free_it(self):
         """It names no job: taken for the next one's, that one would run and be refused."""
@@ -365,11 +365,11 @@
         self.assertEqual(client.answer(), (200, b"first"))
         client.ask("pin")
         second = self.executors[0].next_request()
-        self.assertIs(second.wire, asked.wire)
-        second.wire.send(NEVER_RAN)
+        self.assertIs(second.connection, asked.connection)
+        second.connection.send(NEVER_RAN)
         while not client.answered(0.02):  # the module may send it again: executors of the zone drop repeats
-            if not self.executors[0].asked.empty():
-                self.executors[0].next_request().wire.reset()
+            if not self.executors[0].received.empty():
+                self.executors[0].next_request().connection.reset()
         self.assertEqual(client.answer()[0], 502)  # it may have run
 
     def test_what_must_not_run_twice_does_not_meet_a_second_answer(self):
@@ -379,9 +379,9 @@
         self.assertEqual(client.answer(), (200, b"first"))
         client.ask("issue")
         second = self.executors[0].next_request()
-        self.assertIsNot(second.wire, asked.wire)
+        self.assertIsNot(second.connection, asked.connection)
         with contextlib.suppress(OSError):
-            asked.wire.send(NEVER_RAN)
+            asked.connection.send(NEVER_RAN)
         second.done("second")
         self.assertEqual(client.answer(), (200, b"second"))
 
@@ -390,51 +390,51 @@
         for client, asked in pairs:
             asked.done()
             self.assertEqual(client.answer()[0], 200)
-        old = pairs[0][1].wire
+        old = pairs[0][1].connection
         until = time.monotonic() + 0.06
         self.wait_for(lambda: time.monotonic() > until)
         client, asked = self.first()
         asked.done()
         self.assertEqual(client.answer()[0], 200)
         third = self.first()[1]
-        self.assertIsNot(third.wire, asked.wire)
-        self.assertIn(old, (third.wire, asked.wire))
+        self.assertIsNot(third.connection, asked.connection)
+        self.assertIn(old, (third.connection, asked.connection))
 
     def test_an_answer_without_end_is_given_up(self):
         """Headers, trailers and lines that go on for ever filled the memory until the time was up."""
         for text in ("HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"):
             client, asked = self.first()
             began = time.monotonic()
-            asked.wire.send(text)
+            asked.connection.send(text)
             more = "X-A: " + "y" * 8000 + "\r\n" if "chunked" not in text else "1\r\n\n\r\n" * 1000
             with contextlib.suppress(OSError):
                 for _ in range(2_000):
-                    asked.wire.send(more)
+                    asked.connection.send(more)
             self.assertEqual(client.answer()[0], 502)
             self.assertLess(time.monotonic() - began, 4)
-            self.assertTrue(asked.wire.ended.wait(WAIT))
+            self.assertTrue(asked.connection.ended.wait(WAIT))
 
     def test_half_a_line_and_then_nothing_ends_with_the_time(self):
         client = self.client().ask("issue", budget=500)
         asked = self.executors[0].next_request()
-        asked.head()
-        asked.wire.send('10\r\n{"state":"done",')
+        asked.send_head()
+        asked.connection.send('10\r\n{"state":"done",')
         began = time.monotonic()
         self.assertEqual(client.answer()[0], 502)
         self.assertLess(time.monotonic() - began, 0.6)
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
 
     def test_a_kept_connection_that_was_closed_meanwhile_is_not_written_to(self):
         """Its close may wait unread: what must not run twice would be lost on it."""
         client, asked = self.first()
         asked.done()
         self.assertEqual(client.answer()[0], 200)
-        asked.wire.close()
+        asked.connection.close()
         client.ask("issue")
         second = self.executors[0].next_request()
         second.done("again")
         self.assertEqual(client.answer(), (200, b"again"))
-        self.assertIsNot(second.wire, asked.wire)
+        self.assertIsNot(second.connection, asked.connection)
 
 
 class Full(NodeCase):
@@ -443,14 +443,14 @@
     sockets = 64
 
     def test_the_watch_and_the_executors_still_get_theirs(self):
-        self.discovery.next_request().head("503 Service Unavailable")
+        self.discovery.next_request().send_head("503 Service Unavailable")
         for _ in range(100):
             sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
             self.addCleanup(sock.close)
             sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
         call = self.discovery.next_request()
-        call.head()
-        call.line({"index": 9, "snapshot": False, "endpoints": []})
+        call.send_head()
+        call.send_line({"index": 9, "snapshot": False, "endpoints": []})
         self.wait_log("watching from index 9")
         client = self.client().ask("issue")
         self.executors[0].next_request().done()
@@ -481,11 +481,11 @@
     def test_a_watch_that_gets_none_is_asked_for_again_in_time(self):
         call = self.discovery.next_request()
         self.limit(4)
-        call.wire.close()
+        call.connection.close()
         self.wait_log("watch lost")
         self.limit(256)
         began = time.monotonic()
-        self.discovery.next_request().head()
+        self.discovery.next_request().send_head()
         self.assertLess(time.monotonic() - began, 6)
 
 
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -49,7 +49,7 @@
     def final(self, sock: socket.socket) -> int:
         """The status of its one answer, while executors serve what comes."""
         while not select.select([sock], [], [], 0.01)[0]:
-            if not self.executors[0].asked.empty():
+            if not self.executors[0].received.empty():
                 self.executors[0].next_request().done()
         status = self.status(sock)
         self.assertEqual(select.select([sock], [], [], 0.02)[0], [])  # exactly one
@@ -73,7 +73,7 @@
             with self.assertRaises(ConnectionResetError):
                 new.recv(1)
                 raise ConnectionResetError  # a plain close
-            self.assertTrue(self.executors[0].asked.empty())
+            self.assertTrue(self.executors[0].received.empty())
         else:
             self.assertIn(self.final(new), (200, 503))  # the module may find the executor full
         new.close()
@@ -181,7 +181,7 @@
 
     def final_at_end(self, sock: socket.socket) -> int:
         while not select.select([sock], [], [], 0.01)[0]:
-            if not self.executors[0].asked.empty():
+            if not self.executors[0].received.empty():
                 self.executors[0].next_request().done()
         return self.status(sock)
 
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -75,10 +75,10 @@
     def test_a_log_that_nobody_reads_holds_up_no_request(self) -> None:
         """A line for each bad entry of a list: more than a pipe holds."""
         watch = self.discovery.next_request()
-        watch.head()
+        watch.send_head()
         bad = [self.entry(0, name=f"bad-{number}", address="nowhere") for number in range(1500)]
-        watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), *bad]})
-        watch.line({"index": 9, "snapshot": False, "endpoints": [self.entry(0)]})
+        watch.send_line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), *bad]})
+        watch.send_line({"index": 9, "snapshot": False, "endpoints": [self.entry(0)]})
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -32,7 +32,7 @@
             client = self.client().ask()
             self.executors[0].next_request().done()
             self.assertEqual(client.answer()[0], 200)
-        self.assertEqual(len(self.executors[0].wires), 1)
+        self.assertEqual(len(self.executors[0].connections), 1)
 
     def test_a_connection_that_got_eof_is_not_used_again(self):
         """What is written to a closed connection ends as a reset, and an unsafe req is then lost."""
@@ -40,29 +40,29 @@
         first = self.executors[0].next_request()
         first.done()
         self.assertEqual(client.answer()[0], 200)
-        first.wire.close()
-        self.assertTrue(first.wire.ended.wait(WAIT))  # the node has closed its side, too
+        first.connection.close()
+        self.assertTrue(first.connection.ended.wait(WAIT))  # the node has closed its side, too
         client.ask("issue")
         second = self.executors[0].next_request()
         second.done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertIsNot(first.wire, second.wire)
+        self.assertIsNot(first.connection, second.connection)
 
     def test_an_unsafe_req_whose_stream_breaks_off_fails_and_is_not_sent_again(self):
         """A 200 that ends without a last line is a reset: the job may have run."""
         client = self.client().ask("issue")
         asked = self.executors[0].next_request()
-        asked.head()
-        asked.wire.send("0\r\n\r\n")
+        asked.send_head()
+        asked.connection.send("0\r\n\r\n")
         self.assertEqual(client.answer()[0], 502)
-        self.assertTrue(self.executors[0].asked.empty())
+        self.assertTrue(self.executors[0].received.empty())
 
     def test_a_line_of_another_job_is_not_passed_on(self):
         """A node that serves what no executor made for the req breaks a rule."""
         client = self.client().ask("issue")
         asked = self.executors[0].next_request()
-        asked.head()
-        asked.line({"id": "another", "state": "done", "result": "not yours"})
+        asked.send_head()
+        asked.send_line({"id": "another", "state": "done", "result": "not yours"})
         self.assertEqual(client.answer()[0], 502)
 
     def may_have_run(self, end) -> None:
@@ -70,33 +70,37 @@
         client = self.client().ask("issue")
         end(self.executors[0].next_request())
         self.assertEqual(client.answer()[0], 502)
-        self.assertTrue(self.executors[0].asked.empty())
+        self.assertTrue(self.executors[0].received.empty())
 
     def test_a_failed_job_may_have_run(self):
         """Its state says nothing of what it did before."""
-        self.may_have_run(lambda asked: (asked.head(), asked.job("failed")))
+        self.may_have_run(lambda asked: (asked.send_head(), asked.send_state("failed")))
 
     def test_a_lost_job_may_have_run(self):
         """It was killed at an unknown point."""
-        self.may_have_run(lambda asked: (asked.head(), asked.job("lost")))
+        self.may_have_run(lambda asked: (asked.send_head(), asked.send_state("lost")))
 
     def test_a_connection_that_breaks_after_the_last_byte_may_have_run(self):
         """Only what breaks before it is a failed connect."""
-        self.may_have_run(lambda asked: asked.wire.close())
+        self.may_have_run(lambda asked: asked.connection.close())
 
     def test_503_without_its_mark_may_have_run(self):
         """Only X-Rejected proves that the executor did not look at it."""
-        self.may_have_run(lambda asked: asked.wire.send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"))
+        self.may_have_run(lambda asked: asked.connection.send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"))
 
     def test_a_req_turned_away_unseen_is_refused_with_advice(self):
         """503 with X-Rejected, and `returned`, prove that it never ran: the synthetic answer is harmless."""
         status = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         endless = "HTTP/1.1 504 x\r\nX-Rejected: 1\r\nConnection: close\r\n\r\n"  # the head says it all
-        for refuse in (lambda asked: asked.wire.send(status), lambda asked: asked.wire.send(endless),
-                       lambda asked: (asked.head(), asked.job("returned"))):  # fmt: skip
+        refusals = (
+            lambda asked: asked.connection.send(status),
+            lambda asked: asked.connection.send(endless),
+            lambda asked: (asked.send_head(), asked.send_state("returned")),
+        )
+        for refuse in refusals:
             client = self.client().ask("issue")
             while not client.answered(0.02):  # the module may try again, as often as the settings allow
-                if not self.executors[0].asked.empty():
+                if not self.executors[0].received.empty():
                     refuse(self.executors[0].next_request())
             self.assertEqual(client.answer()[0], 503)
             self.assertGreater(float(client.headers["Retry-After"]), 0)
@@ -109,24 +113,24 @@
         self.assertLessEqual(int(asked.headers["X-Budget-Ms"]), 380)  # what is left after its margin
         self.assertEqual(client.answer()[0], 502)
         self.assertLess(time.monotonic() - began, 0.4 + 0.058)  # the slack that the rule allows
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
 
     def test_a_client_that_leaves_gives_up_its_attempt(self):
         """Nobody reads that answer any more; to give up an attempt is to close its connection."""
         client = self.client().ask()
         asked = self.executors[0].next_request()
         client.close()
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
 
     def test_notes_of_a_start_and_of_progress_are_no_answer(self):
         """Lines before the last one, split anywhere, must neither end the req nor break it."""
         client = self.client().ask()
         asked = self.executors[0].next_request()
-        asked.head()
-        asked.job("started")
-        asked.job("running", share=0.5)
-        asked.wire.send('5\r\n{"sta\r\n')
-        asked.wire.send('1e\r\nte":"done","result":{"a": 1}}\n\r\n0\r\n\r\n')
+        asked.send_head()
+        asked.send_state("started")
+        asked.send_state("running", share=0.5)
+        asked.connection.send('5\r\n{"sta\r\n')
+        asked.connection.send('1e\r\nte":"done","result":{"a": 1}}\n\r\n0\r\n\r\n')
         self.assertEqual(client.answer(), (200, b'{"a": 1}'))
 
 
@@ -137,7 +141,7 @@
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         client.ask()
-        self.executors[0].next_request().wire.reset()
+        self.executors[0].next_request().connection.reset()
         first = self.executors[0].next_request()  # the module sends it again
         first.done()
         self.assertEqual(client.answer()[0], 200)
@@ -145,19 +149,19 @@
         second = self.executors[0].next_request()
         second.done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertIsNot(first.wire, second.wire)
+        self.assertIsNot(first.connection, second.connection)
         client.ask()  # what may be repeated still uses the one used last
         third = self.executors[0].next_request()
         third.done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertIs(second.wire, third.wire)
+        self.assertIs(second.connection, third.connection)
 
     def test_a_reset_while_an_unsafe_req_arrives_proves_that_it_never_ran(self):
         """Its last byte waits a moment: some backends reset a connection as soon as it brings something."""
         self.executors[0].resets = True
         for asked in range(1, 21):  # the reset may also come too late, on a slow machine
             self.assertIn(self.client().ask("issue").answer()[0], (502, 503))
-            if len(self.executors[0].wires) > asked:
+            if len(self.executors[0].connections) > asked:
                 return
         self.fail("no unsafe req was sent again")
 
@@ -186,7 +190,7 @@
         asked.done()
         began = time.monotonic()
         self.assertEqual(client.answer()[0], 200)
-        self.assertTrue(asked.wire.ended.wait(WAIT))
+        self.assertTrue(asked.connection.ended.wait(WAIT))
         self.assertLess(time.monotonic() - began, 1.9)
 
 
@@ -201,7 +205,7 @@
             probe = self.executors[number].next_request()
             self.assertEqual((probe.method, probe.path), ("GET", "/status/load"))
             body = json.dumps({"x0": free, "x1": free})
-            probe.wire.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}")
+            probe.connection.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}")
         self.executors[1].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
@@ -223,7 +227,7 @@
                 held.append(asked)
             else:
                 load = '{"x0": 50, "x1": 50}'
-                asked.wire.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(load)}\r\n\r\n{load}")
+                asked.connection.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(load)}\r\n\r\n{load}")
         self.assertLessEqual(len(os.listdir(f"/proc/{self.process.pid}/fd")), self.sockets)
         for asked in held:
             asked.done()
@@ -236,24 +240,24 @@
     def test_the_id_of_an_open_req_is_not_taken_twice(self):
         """Another's id made executors answer 400, and the node think ill of five of them in turn."""
         first = self.client().ask(**{"X-Call-Id": "abc"})
-        while all(server.asked.empty() for server in self.executors):
+        while all(server.received.empty() for server in self.executors):
             self.assertFalse(first.answered(0.01))
         self.assertEqual(self.client().ask(**{"X-Call-Id": "abc"}).answer()[0], 409)
-        next(server for server in self.executors if not server.asked.empty()).next_request().done()
+        next(server for server in self.executors if not server.received.empty()).next_request().done()
         self.assertEqual(first.answer()[0], 200)
         second = self.client().ask(**{"X-Call-Id": "abc"})
-        while all(server.asked.empty() for server in self.executors):
+        while all(server.received.empty() for server in self.executors):
             self.assertFalse(second.answered(0.01))
 
     def test_what_an_executor_cannot_use_is_not_offered_to_the_next(self):
         """4xx blames the request: repeats would only hurt the health of backends that are well."""
         client = self.client().ask()
-        while all(server.asked.empty() for server in self.executors):
+        while all(server.received.empty() for server in self.executors):
             self.assertFalse(client.answered(0.01))
-        bad = next(server for server in self.executors if not server.asked.empty())
-        bad.next_request().wire.send("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+        bad = next(server for server in self.executors if not server.received.empty())
+        bad.next_request().connection.send("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual(client.answer()[0], 502)
-        self.assertTrue(all(server.asked.empty() for server in self.executors))
+        self.assertTrue(all(server.received.empty() for server in self.executors))
 
     def test_a_header_means_one_thing(self):
         """One that came twice overwrote the first; a trailer did, too; blanks went on to the backend."""
@@ -264,9 +268,9 @@
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             chunks = b"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Call-Id: a3\r\n\r\n"
             sock.sendall(head + chunks)
-            while all(server.asked.empty() for server in self.executors):
+            while all(server.received.empty() for server in self.executors):
                 self.assertFalse(select.select([sock], [], [], 0.01)[0])
-            asked = next(server for server in self.executors if not server.asked.empty()).next_request()
+            asked = next(server for server in self.executors if not server.received.empty()).next_request()
             self.assertEqual((asked.headers["X-Call-Id"], asked.body), ("a1", b"x"))
 
     def test_a_body_of_unclear_length_goes_no_further(self):
@@ -282,7 +286,7 @@
                 sock.sendall(head + lines + b"\r\n0\r\n\r\n" + inner)
                 answers = sock.makefile("rb").read()
                 self.assertEqual(re.findall(rb"HTTP/1.1 (\d+)", answers), [b"400"])
-        self.assertTrue(all(server.asked.empty() for server in self.executors))
+        self.assertTrue(all(server.received.empty() for server in self.executors))
 
     def test_who_sends_nothing_whole_is_let_go_in_time(self):
         """Silent and half-sent sessions held their places for 60 and 15 s; those that served may rest."""
@@ -454,38 +458,38 @@
     def watch(self, index: int):
         asked = self.discovery.next_request()
         self.assertEqual(asked.path, f"/v1/endpoints?watch=1&from={index}")
-        asked.head()
+        asked.send_head()
         return asked
 
     def test_a_drained_backend_sees_nothing_new(self):
         """Rule 3; the next call asks from the version that the last line held."""
         watch = self.watch(7)
         change = self.entry(0, status="DRAINING", address="")  # without an address it must count all the same
-        watch.line({"index": 9, "snapshot": False, "endpoints": [change]})
+        watch.send_line({"index": 9, "snapshot": False, "endpoints": [change]})
         self.wait_log("watching from index 9")
         self.assertEqual({self.served_by() for _ in range(12)}, {1})
-        watch.wire.close()
+        watch.connection.close()
         watch = self.watch(9)
         strange = self.entry(1, status="RESTING")  # a status of its own: nothing new goes there
-        watch.line({"index": 12, "snapshot": True, "endpoints": [self.entry(0), strange]})
+        watch.send_line({"index": 12, "snapshot": True, "endpoints": [self.entry(0), strange]})
         self.wait_log("watching from index 12")
         self.assertEqual({self.served_by() for _ in range(12)}, {0})
 
     def test_a_silent_watch_is_given_up_and_asked_anew(self):
         """A cut connection stays open without a word: an empty line is missing, so the watch is dead."""
         watch = self.watch(7)
-        watch.line({"index": 8, "snapshot": False, "endpoints": []})
-        watch.line(None)
+        watch.send_line({"index": 8, "snapshot": False, "endpoints": []})
+        watch.send_line(None)
         self.wait_log("watch lost (silence)")
-        self.assertTrue(watch.wire.ended.wait(WAIT))
+        self.assertTrue(watch.connection.ended.wait(WAIT))
         self.watch(8)
 
     def test_a_failed_call_is_asked_anew(self):
         """Discovery that is overloaded answers 503, and may send rubbish: the last list holds."""
-        self.discovery.next_request().head("503 Service Unavailable")
+        self.discovery.next_request().send_head("503 Service Unavailable")
         self.wait_log("watch lost (status 503)")
-        self.watch(7).line({"index": "x"})
-        self.watch(7).line({"index": 8, "snapshot": False, "endpoints": []})
+        self.watch(7).send_line({"index": "x"})
+        self.watch(7).send_line({"index": 8, "snapshot": False, "endpoints": []})
         self.wait_log("watching from index 8")
         self.assertIn(self.served_by(), (0, 1))
 
@@ -493,12 +497,12 @@
         """The last good list serves on, the node asks again by itself, and its log is not filled."""
         for text in ('7\r\n{"index\r\n0\r\n\r\n', f"{5 << 20:x}\r\n" + "x" * (5 << 20)):
             call = self.discovery.next_request()
-            call.head()
+            call.send_head()
             with contextlib.suppress(OSError):  # it hangs up before it has read them all
-                call.wire.send(text)
-            self.assertTrue(call.wire.ended.wait(WAIT))
+                call.connection.send(text)
+            self.assertTrue(call.connection.ended.wait(WAIT))
             self.assertIn(self.served_by(), (0, 1))
-        self.watch(7).line({"index": 8, "snapshot": False, "endpoints": []})
+        self.watch(7).send_line({"index": 8, "snapshot": False, "endpoints": []})
         self.wait_log("watching from index 8")
         self.assertEqual("".join(self.log).count("watch lost"), 1)
 
@@ -512,8 +516,8 @@
         held = self.client().ask("issue")
         while self.executors[
             0
-        ].asked.empty():  # at the backend that will be gone: elsewhere others may cut it
-            if not self.executors[1].asked.empty():
+        ].received.empty():  # at the backend that will be gone: elsewhere others may cut it
+            if not self.executors[1].received.empty():
                 self.executors[1].next_request().done()
                 held.answer()
                 held = self.client().ask("issue")
@@ -523,19 +527,19 @@
         self.addCleanup(director.close)
         self.reload(json.dumps({**self.config(), "discovery": director.address}))
         self.wait_log("reloaded: the director is at 127.0.0.1")
-        self.assertTrue(old.wire.ended.wait(WAIT))
-        director.next_request().head("503 Service Unavailable")  # asked again soon
+        self.assertTrue(old.connection.ended.wait(WAIT))
+        director.next_request().send_head("503 Service Unavailable")  # asked again soon
         began, call = time.monotonic(), director.next_request()
         self.assertLess(time.monotonic() - began, 1.5)
         self.assertEqual(call.path, "/v1/endpoints?watch=1&from=0")  # its versions may be others
-        call.head()
-        call.line({"index": 3, "snapshot": True, "endpoints": [self.entry(1)]})
+        call.send_head()
+        call.send_line({"index": 3, "snapshot": True, "endpoints": [self.entry(1)]})
         self.wait_log("watching from index 3")
         for _ in range(8):
             client = self.client().ask()
             self.executors[1].next_request().done()
             self.assertEqual(client.answer()[0], 200)
-        self.assertTrue(self.executors[0].asked.empty())
+        self.assertTrue(self.executors[0].received.empty())
         asked.done("kept")
         self.assertEqual(held.answer(), (200, b"kept"))
 
@@ -546,15 +550,15 @@
             self.reload(text)
             self.wait_log("reload failed, the old configuration holds: ")
         client = self.client().ask()
-        while self.executors[0].asked.empty() and self.executors[1].asked.empty():
+        while self.executors[0].received.empty() and self.executors[1].received.empty():
             self.assertFalse(client.answered(0.01))
-        next(server for server in self.executors if not server.asked.empty()).next_request().done()
+        next(server for server in self.executors if not server.received.empty()).next_request().done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertFalse(watch.wire.ended.is_set())
+        self.assertFalse(watch.connection.ended.is_set())
         changed = {**self.config(), "name": "n9", "limits": {"sockets": 300}}
         self.reload(json.dumps(changed))
         self.wait_log("a change of name, limits takes a restart")
-        self.assertTrue(watch.wire.ended.wait(WAIT))
+        self.assertTrue(watch.connection.ended.wait(WAIT))
 
     def test_a_drain_goes_on_under_a_reload(self):
         """Both signals may come on one day: what is held is answered, and the program ends with 0."""
@@ -562,7 +566,7 @@
         asked = None
         while asked is None:
             asked = next(
-                (server.next_request() for server in self.executors if not server.asked.empty()), None
+                (server.next_request() for server in self.executors if not server.received.empty()), None
             )
         self.terminate()
         self.wait_log("draining")
@@ -651,10 +655,10 @@
         client = self.client()
         client.request("GET", "/ready")
         self.assertEqual(client.answer()[0], 503)
-        watch = self.discovery.asked.get(timeout=WAIT)
-        watch = self.discovery.asked.get(timeout=WAIT) if watch.wire.ended.is_set() else watch
-        watch.head()
-        watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0)]})
+        watch = self.discovery.received.get(timeout=WAIT)
+        watch = self.discovery.received.get(timeout=WAIT) if watch.connection.ended.is_set() else watch
+        watch.send_head()
+        watch.send_line({"index": 8, "snapshot": True, "endpoints": [self.entry(0)]})
         self.wait_log("watching from index 8")
         client.request("GET", "/ready")
         self.assertEqual(client.answer()[0], 200)
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -93,8 +93,8 @@
     def old_sends_to(self) -> int:
         """Where the old process sends the next request of its kept session."""
         self.kept_session.ask()
-        self.wait_for(lambda: any(not server.asked.empty() for server in self.executors))
-        number = next(n for n, server in enumerate(self.executors) if not server.asked.empty())
+        self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
+        number = next(n for n, server in enumerate(self.executors) if not server.received.empty())
         self.executors[number].next_request().done()
         self.assertEqual(self.kept_session.answer()[0], 200)
         return number
@@ -131,14 +131,14 @@
         """The second ends before the first, which still holds a job; the third serves on."""
         both = self.process
         self.kept_session.ask()
-        self.wait_for(lambda: any(server.asked.qsize() for server in self.executors))
+        self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
         self.next_process()
         third = self.admin_port()
         both.terminate()
         self.assertEqual(both.wait(WAIT), 0)
         both.stderr.close()
         self.old.terminate()
-        next(server for server in self.executors if server.asked.qsize()).next_request().done()
+        next(server for server in self.executors if server.received.qsize()).next_request().done()
         self.assertEqual(self.kept_session.answer()[0], 200)
         self.assertEqual(self.old.wait(WAIT), 0)
         self.assertEqual(call(third, "GET", "/api/ready"), (200, b"ready\n"))
@@ -189,9 +189,9 @@
         for _ in range(2):
             client = self.client().ask()
             asked = self.executors[0].next_request()
-            asked.head()
-            asked.job("done", result="fine", load={"x0": free, "x1": 100.0})
-            asked.wire.send("0\r\n\r\n")
+            asked.send_head()
+            asked.send_state("done", result="fine", load={"x0": free, "x1": 100.0})
+            asked.connection.send("0\r\n\r\n")
             self.assertEqual(client.answer()[0], 200)
         self.wait_for(lambda: self.slots() >= free)
 
@@ -225,10 +225,10 @@
             pass  # from then on only the new process accepts
         more = [self.client().ask() for _ in range(5)]
         server = self.executors[0]
-        self.wait_for(lambda: server.asked.qsize() + sum(c.answered(0) for c in more) == 5)
-        self.assertLess(server.asked.qsize(), 5)
+        self.wait_for(lambda: server.received.qsize() + sum(c.answered(0) for c in more) == 5)
+        self.assertLess(server.received.qsize(), 5)
         self.assertEqual({c.answer()[0] for c in more if c.answered(0)}, {503})
-        for _ in range(server.asked.qsize()):
+        for _ in range(server.received.qsize()):
             server.next_request().done()
         for job in asked:
             job.done()
@@ -252,8 +252,8 @@
 
         def served() -> bool:
             client = self.client().ask()
-            self.wait_for(lambda: client.answered(0) or not self.executors[0].asked.empty())
-            if self.executors[0].asked.empty():
+            self.wait_for(lambda: client.answered(0) or not self.executors[0].received.empty())
+            if self.executors[0].received.empty():
                 return False
             self.executors[0].next_request().done()
             return client.answer()[0] == 200
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -52,13 +52,13 @@
         return client, self.executors[0].next_request()
 
     def check_served(self, client, asked) -> None:
-        asked.head()
-        asked.job("done", result="fine", load=LOAD)
-        asked.wire.send("0\r\n\r\n")
+        asked.send_head()
+        asked.send_state("done", result="fine", load=LOAD)
+        asked.connection.send("0\r\n\r\n")
         self.assertEqual(client.answer(), (200, b"fine"))
 
     def check_nothing_asked(self) -> None:
-        self.assertTrue(self.executors[0].asked.empty())
+        self.assertTrue(self.executors[0].received.empty())
 
     def check_answered_soon(self, client, *statuses: int) -> None:
         began = time.monotonic()
@@ -67,7 +67,7 @@
 
     def close_all_but(self, busy) -> None:
         """No connection rests any longer: the next request needs a new one."""
-        for wire in self.executors[0].wires:
+        for wire in self.executors[0].connections:
             if wire is not busy and not wire.ended.is_set():
                 wire.close()
                 self.assertTrue(wire.ended.wait(WAIT))
@@ -81,7 +81,7 @@
     def refuse_connects(self, name: str):
         """A request in flight, and one whose connects fail; the first, its exchange, and the descriptors."""
         first, asked = self.out()
-        self.close_all_but(asked.wire)
+        self.close_all_but(asked.connection)
         before = self.descriptors()
         self.plan.arm(self.fault("connect", name, times=0))
         second = self.client().ask("issue")
@@ -131,7 +131,7 @@
     def check_beside_another(self, job_class: str, fault: Fault) -> None:
         """The same, with a request in flight."""
         client, asked = self.out()
-        self.close_all_but(asked.wire)
+        self.close_all_but(asked.connection)
         self.check_second_try(job_class, fault)
         self.check_served(client, asked)
 
@@ -164,12 +164,12 @@
                 client, asked = self.out()
                 self.plan.arm(self.fault("outgoing.abort", name))
                 client.close()
-                self.assertTrue(asked.wire.ended.wait(WAIT))
+                self.assertTrue(asked.connection.ended.wait(WAIT))
                 self.assertEqual(self.plan.hits("outgoing.abort"), 1 + BROKEN.index(name))
                 self.plan.arm()
                 self.check_served(*self.out())
         for server in self.executors:
-            for wire in server.wires:
+            for wire in server.connections:
                 with contextlib.suppress(OSError):
                     wire.close()
         self.wait_for(lambda: self.descriptors() <= before + 1 + len(BROKEN))  # clients that still rest
@@ -192,7 +192,7 @@
                 self.plan.arm(self.fault("outgoing.write", name))
                 client, asked = self.out("pin")
                 while asked.method == "GET":
-                    asked.wire.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    asked.connection.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                     asked = self.executors[0].next_request()
                 self.assertEqual(self.plan.hits() - hits, 1)
                 self.plan.arm()
@@ -208,7 +208,7 @@
                 client, asked = self.out()
                 self.plan.arm(self.fault("outgoing.write_eof", name))
                 client.close()
-                self.assertTrue(asked.wire.ended.wait(WAIT))
+                self.assertTrue(asked.connection.ended.wait(WAIT))
                 self.plan.arm()
                 self.check_served(*self.out())
 
@@ -224,8 +224,8 @@
         client = self.client().ask("issue")
         self.wait_for(lambda: self.plan.hits("outgoing.write"))
         client.close()
-        self.wait_for(lambda: self.executors[0].wires)
-        self.assertTrue(self.executors[0].wires[0].ended.wait(WAIT))
+        self.wait_for(lambda: self.executors[0].connections)
+        self.assertTrue(self.executors[0].connections[0].ended.wait(WAIT))
         self.check_served(*self.out())
         self.check_nothing_asked()
 
@@ -246,9 +246,9 @@
         self.addCleanup(self.process.send_signal, signal.SIGCONT)
         stat = Path(f"/proc/{self.process.pid}/stat")
         self.wait_for(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
-        asked.head()
-        asked.job("returned", load=LOAD)
-        asked.wire.send("0\r\n\r\n")
+        asked.send_head()
+        asked.send_state("returned", load=LOAD)
+        asked.connection.send("0\r\n\r\n")
         client.close()
         self.process.send_signal(signal.SIGCONT)
         client, asked = self.out("issue")
@@ -283,7 +283,7 @@
         """The first attempt is lost so long after it came; its client."""
         client, asked = self.out("pin")
         self.past(time.monotonic() + after_s)
-        asked.wire.reset()
+        asked.connection.reset()
         return client
 
     def test_a_repeat_that_could_be_held_up_past_the_window_is_not_made(self):
@@ -296,7 +296,7 @@
         came = time.monotonic()
         self.past(came + 0.3)
         self.plan.arm(self.fault("outgoing.write", stall_s=SLACK_S))
-        asked.wire.reset()
+        asked.connection.reset()
         again = self.executors[0].next_request()
         self.assertLess(time.monotonic() - came, self.window_s)
         self.check_served(client, again)
@@ -450,7 +450,7 @@
                     self.check_answered_soon(client, 502, 503)
         while True:
             with contextlib.suppress(queue.Empty):
-                asked = self.executors[0].asked.get_nowait()
+                asked = self.executors[0].received.get_nowait()
                 self.assertLessEqual(int(asked.headers["X-Budget-Ms"]), 20)
                 continue
             break
--- a/tests/support/node_case.py
+++ b/tests/support/node_case.py
@@ -39,7 +39,7 @@
 }  # fmt: skip
 
 
-class Wire:
+class ServerConnection:
     """One accepted connection, read by its own thread; each request goes into the owner's queue."""
 
     def __init__(self, owner: "Server", sock: socket.socket) -> None:
@@ -60,7 +60,7 @@
                     headers = http.client.parse_headers(file)
                     body = file.read(length := int(headers.get("Content-Length", 0)))
                     if not early and len(body) == length:  # else it has its answer, or never came whole
-                        owner.asked.put(Asked(self, line.decode().split(), headers, body))
+                        owner.received.put(ReceivedRequest(self, line.decode().split(), headers, body))
                     early = None
         except OSError:
             pass
@@ -83,34 +83,36 @@
             self.sock.shutdown(socket.SHUT_RD)
 
 
-class Asked:
+class ReceivedRequest:
     """One request that a server got, for the test to answer."""
 
-    def __init__(self, wire: Wire, first: list[str], headers, body: bytes) -> None:
-        self.wire, (self.method, self.path, _), self.headers, self.body = wire, first, headers, body
+    def __init__(self, wire: ServerConnection, first: list[str], headers, body: bytes) -> None:
+        self.connection, (self.method, self.path, _), self.headers, self.body = wire, first, headers, body
 
-    def head(self, status: str = "200 OK", *headers: str) -> None:
-        self.wire.send("\r\n".join([f"HTTP/1.1 {status}", "Transfer-Encoding: chunked", *headers, "", ""]))
+    def send_head(self, status: str = "200 OK", *headers: str) -> None:
+        self.connection.send(
+            "\r\n".join([f"HTTP/1.1 {status}", "Transfer-Encoding: chunked", *headers, "", ""])
+        )
 
-    def line(self, value: dict | None) -> None:
+    def send_line(self, value: dict | None) -> None:
         text = json.dumps(value) + "\n" if value is not None else "\n"
-        self.wire.send(f"{len(text):x}\r\n{text}\r\n")
+        self.connection.send(f"{len(text):x}\r\n{text}\r\n")
 
-    def job(self, state: str, **more) -> None:
-        self.line({"id": self.headers["X-Call-Id"], "from": "s-1", "state": state, **more})
+    def send_state(self, state: str, **more) -> None:
+        self.send_line({"id": self.headers["X-Call-Id"], "from": "s-1", "state": state, **more})
 
     def done(self, result: str = "fine") -> None:
-        self.head()
-        self.job("done", result=result)
-        self.wire.send("0\r\n\r\n")
+        self.send_head()
+        self.send_state("done", result=result)
+        self.connection.send("0\r\n\r\n")
 
 
 class Server:
     """A listening socket of a backend or of the director."""
 
     def __init__(self) -> None:
-        self.asked: queue.Queue[Asked] = queue.Queue()
-        self.wires: list[Wire] = []
+        self.received: queue.Queue[ReceivedRequest] = queue.Queue()
+        self.connections: list[ServerConnection] = []
         self.resets, self.early = False, None  # at a connection's first byte: reset it, or answer
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
@@ -119,12 +121,12 @@
     def _accept(self) -> None:
         try:
             while True:
-                self.wires.append(Wire(self, self.sock.accept()[0]))
+                self.connections.append(ServerConnection(self, self.sock.accept()[0]))
         except OSError:
             pass
 
-    def next_request(self) -> Asked:
-        return self.asked.get(timeout=WAIT)
+    def next_request(self) -> ReceivedRequest:
+        return self.received.get(timeout=WAIT)
 
     def close(self) -> None:
         with contextlib.suppress(OSError):
@@ -219,8 +221,9 @@
                 "limits": limits, "known": known, "settings": settings}  # fmt: skip
 
     def entry(self, number: int, **changes) -> dict:
-        return {"name": f"s-{number}", "address": self.executors[number].address, "zone": "here", "type": "box",
-                "group": 0, "status": "SERVING", "weight": 1.0, "since_ms": 0, **changes}  # fmt: skip
+        return {"name": f"s-{number}", "address": self.executors[number].address,
+                "zone": "here", "type": "box", "group": 0,
+                "status": "SERVING", "weight": 1.0, "since_ms": 0, **changes}  # fmt: skip
 
     def start(self, config: dict) -> subprocess.Popen:
         with tempfile.NamedTemporaryFile("w", suffix=".json", delete=False) as file:
@@ -308,7 +311,7 @@
         client, found = self.client().ask(), -1
         while not client.answered(0.01):
             for number, server in enumerate(self.executors):
-                if not server.asked.empty():
+                if not server.received.empty():
                     server.next_request().done()
                     found = number
         self.assertEqual(client.answer()[0], 200)
