--- a/tests/net/cluster/test_node_role.py
+++ b/tests/net/cluster/test_node_role.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from cedarmill.lab.cluster.process_group import free_port
-from tests.support.node_case import NodeCase, call
+from tests.support.node_case import NodeCase, call_admin_api
 from tests.support.replica_case import LONG, KeeperCase
 
 
@@ -24,7 +24,7 @@
         KeeperCase.setUp(self)
         if not self.keeper_runs:
             self.kill("k0")
-        self.conf = (f'<fleet cluster="main" listen="127.0.0.1:{free_port()}" {self.part}>'
+        self.xml_settings = (f'<fleet cluster="main" listen="127.0.0.1:{free_port()}" {self.part}>'
                      f'<keeper name="k0" address="127.0.0.1:{self.ports["k0"]}"/></fleet>')  # fmt: skip
         NodeCase.setUp(self)
         self.door = self.admin_port()
@@ -56,26 +56,28 @@
 class Joined(FleetNode):
     def test_a_call_at_the_door_is_granted_waits_or_is_refused_by_the_fleet(self):
         self.joined()
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0"), (200, b"granted\n"))
-        status, text = call(self.door, "PUT", "/api/exclude/s-1")
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0"), (200, b"granted\n"))
+        status, text = call_admin_api(self.door, "PUT", "/api/exclude/s-1")
         self.assertEqual(status, 202)
         self.assertIn(b"waiting: executor per fleet: at most 1", text)
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0")[0], 200, "two calls out are one")
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-9")[0], 404)
+        self.assertEqual(
+            call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200, "two calls out are one"
+        )
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-9")[0], 404)
         self.wait_log("out: s-0")
         self.assertEqual({self.served_by() for _ in range(4)}, {1})
         self.wait_for(lambda: self.look("permits")[0]["drained"])
-        self.assertEqual(call(self.door, "PUT", "/api/include/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/include/s-0")[0], 200)
         self.wait_log("out: s-1")
-        self.assertEqual(call(self.door, "PUT", "/api/include/s-1")[0], 200)
-        self.assertEqual(call(self.door, "PUT", "/api/include/s-1")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/include/s-1")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/include/s-1")[0], 200)
 
     def test_drained_waits_for_the_job_that_is_out_there(self):
         self.joined()
         client = self.client().ask()
         self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
         number = next(n for n, server in enumerate(self.executors) if not server.received.empty())
-        self.assertEqual(call(self.door, "PUT", f"/api/exclude/s-{number}")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", f"/api/exclude/s-{number}")[0], 200)
         self.wait_log(f"out: s-{number}")
         self.assertEqual([row["drained"] for row in self.look("permits")], [0])
         self.executors[number].next_request().done()
@@ -84,13 +86,13 @@
 
     def test_the_node_itself_is_drained_by_the_fleet_and_takes_clients_again(self):
         self.joined()
-        self.assertEqual(call(self.door, "PUT", "/api/evacuate")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/evacuate")[0], 200)
         self.wait_log("clients away: yes")
-        self.wait_for(lambda: call(self.door, "GET", "/api/ready")[0] == 503)
+        self.wait_for(lambda: call_admin_api(self.door, "GET", "/api/ready")[0] == 503)
         self.wait_for(lambda: self.look("permits")[0]["drained"])
-        self.assertEqual(call(self.door, "PUT", "/api/rejoin")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/rejoin")[0], 200)
         self.wait_log("clients away: no")
-        self.wait_for(lambda: call(self.door, "GET", "/api/ready")[0] == 200)
+        self.wait_for(lambda: call_admin_api(self.door, "GET", "/api/ready")[0] == 200)
 
     def test_with_all_keepers_dead_it_serves_on_and_the_door_says_that_it_cannot_know(self):
         self.joined()
@@ -98,12 +100,12 @@
         self.wait_log("the lease has run out")
         self.assertFalse(any(self.refused() for _ in range(4)))
         began = time.monotonic()
-        status, text = call(self.door, "PUT", "/api/exclude/s-0")
+        status, text = call_admin_api(self.door, "PUT", "/api/exclude/s-0")
         self.assertEqual(status, 503)
         self.assertIn(b"no keeper answered in time", text)
         self.assertLess(time.monotonic() - began, 5, "the page owes an answer within 1 s")
         self.start_keeper("k0")
-        self.wait_for(lambda: call(self.door, "PUT", "/api/exclude/s-0")[0] == 200)
+        self.wait_for(lambda: call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0] == 200)
         self.assertEqual(len([p for p in self.look("permits") if p["state"] == "granted"]), 1)
 
     def test_a_node_that_ends_says_so(self):
@@ -151,7 +153,7 @@
     keeper_runs = False
 
     def test_it_sends_nothing_before_it_has_heard_what_is_out(self):
-        self.assertEqual(call(self.door, "GET", "/api/ready")[0], 503)
+        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready")[0], 503)
         self.assertTrue(self.refused())
         self.start_keeper("k0")
         self.wait_log("the lease holds")
@@ -173,7 +175,7 @@
 class Budgeted(FleetNode):
     """A node that spends by the fleet's budgets."""
 
-    changes = {"caps.probes": True}
+    settings_changes = {"caps.probes": True}
     limits = (*FleetNode.limits, '<budget name="probes" per-second="0.001" nodes="1"/>')
 
     def test_a_node_probes_no_more_than_the_fleet_lets_it(self):
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -25,7 +25,7 @@
 from cedarmill.net.upgrade.state_file import StateFile
 from cedarmill.values import DeadlineOptions
 from tests.support.builders import settings
-from tests.support.node_case import WAIT, NodeCase, call, read_answer
+from tests.support.node_case import WAIT, NodeCase, call_admin_api, read_answer
 
 
 def at(us: int) -> ClockReading:
@@ -274,10 +274,10 @@
 
 class Door(DoorCase):
     def test_the_calls_answer_and_bad_ones_get_a_no(self):
-        self.assertEqual(call(self.door, "GET", "/api/ready"), (200, b"ready\n"))
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/nobody")[0], 404)
-        self.assertEqual(call(self.door, "DELETE", "/api/rejoin")[0], 405)
-        self.assertEqual(call(self.door, "GET", "/metrics")[0], 404)
+        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready"), (200, b"ready\n"))
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/nobody")[0], 404)
+        self.assertEqual(call_admin_api(self.door, "DELETE", "/api/rejoin")[0], 405)
+        self.assertEqual(call_admin_api(self.door, "GET", "/metrics")[0], 404)
         with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
             sock.sendall(b"PUT /api/evacuate HTTP/1.1\r\nContent-Length: zz\r\n\r\n")
             self.assertEqual(read_answer(sock)[0], 400)
@@ -296,14 +296,14 @@
         for sock in slow:
             self.addCleanup(sock.close)
             sock.sendall(b"PUT /api/evac")
-        self.assertEqual(call(self.door, "GET", "/api/ready"), (200, b"ready\n"))
+        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready"), (200, b"ready\n"))
 
     def test_a_call_while_the_data_path_is_full(self):
         """Reqs held at a backend that does not answer leave the door's answers as they are."""
         for _ in range(20):
             self.client().ask()
         self.wait_for(lambda: sum(server.received.qsize() for server in self.executors) == 20)
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
 
 
 class Locked(DoorCase):
@@ -322,7 +322,7 @@
             self.assertEqual(read_answer(sock)[0], 503)
         self.assertLess(time.monotonic() - began, 1.0)  # what the operators' page gives a call
         fcntl.flock(lock, fcntl.LOCK_UN)
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
 
 
 class OutByHand(DoorCase):
@@ -333,28 +333,28 @@
 
     def test_out_holds_against_the_list_and_two_outs_take_one_in(self):
         watch = self.watch()
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0")[0], 200)
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
         watch.send_line({"index": 9, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
         self.wait_log("watching from index 9")
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
-        self.assertEqual(call(self.door, "PUT", "/api/include/s-0")[0], 200)
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/include/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-1")[0], 200)
         self.assertEqual(self.served_by(), 0)
 
     def test_one_that_discovery_no_longer_lists_can_be_put_back(self):
         watch = self.watch()
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200)
         watch.send_line({"index": 9, "snapshot": True, "endpoints": [self.entry(1)]})
         self.wait_log("watching from index 9")
-        self.assertEqual(call(self.door, "PUT", "/api/include/s-0"), (200, b"included\n"))
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/include/s-0"), (200, b"included\n"))
         watch.send_line({"index": 10, "snapshot": True, "endpoints": [self.entry(0)]})
         watch.send_line({"index": 11, "snapshot": False, "endpoints": [self.entry(1, status="DELETED")]})
         self.wait_for(lambda: self.served_by() == 0)
 
     def test_the_marks_hold_for_the_next_process_of_the_node(self):
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200)
         self.process.kill()
         self.process.wait(WAIT)
         self.log.clear()
@@ -377,14 +377,14 @@
         self.assertEqual(idle.answer()[0], 200)
         self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
         asked = next(server for server in self.executors if not server.received.empty()).next_request()
-        self.assertEqual(call(self.door, "PUT", "/api/evacuate"), (200, b"evacuating\n"))
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/evacuate"), (200, b"evacuating\n"))
         self.assertEqual(self.ready(), 503)
-        self.assertEqual(call(self.door, "GET", "/api/ready")[0], 503)
+        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready")[0], 503)
         self.assertEqual(idle.sock.recv(1), b"")  # the idle kept connection is closed
         asked.done()
         self.assertEqual(busy.answer()[0], 200)  # the job held is answered, and its connection then ends
         self.assertEqual(busy.headers["Connection"], "close")
-        self.assertEqual(call(self.door, "PUT", "/api/rejoin")[0], 200)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/rejoin")[0], 200)
         self.assertEqual(self.ready(), 200)
 
     def test_rejoined_while_idle_connections_are_being_closed(self):
@@ -392,9 +392,9 @@
         gone = self.client()
         gone.request("GET", "/ready")
         self.assertEqual(gone.answer()[0], 200)
-        call(self.door, "PUT", "/api/evacuate")
+        call_admin_api(self.door, "PUT", "/api/evacuate")
         self.assertEqual(gone.sock.recv(1), b"")  # the closing has begun
-        call(self.door, "PUT", "/api/rejoin")
+        call_admin_api(self.door, "PUT", "/api/rejoin")
         kept = self.client()
         for _ in range(3):
             kept.request("GET", "/ready")
@@ -404,7 +404,7 @@
     def test_evacuated_and_then_terminated_it_answers_what_it_holds(self):
         busy = self.client().ask()
         self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
-        call(self.door, "PUT", "/api/evacuate")
+        call_admin_api(self.door, "PUT", "/api/evacuate")
         self.terminate()
         self.wait_log("no new sessions")
         next(server for server in self.executors if not server.received.empty()).next_request().done()
@@ -423,7 +423,7 @@
         deaf.setblocking(False)
         answered = threading.Thread(target=self.answer_all, args=("x" * 200_000,), daemon=True)
         answered.start()
-        call(self.door, "PUT", "/api/evacuate")
+        call_admin_api(self.door, "PUT", "/api/evacuate")
         self.wait_for(lambda: self.was_reset(deaf))
         self.assertEqual(self.ready(), 503)
 
@@ -501,7 +501,7 @@
     """Descriptors at the node's least: the clients' sessions full of half-written requests."""
 
     sockets = 64  # the least that the configuration takes
-    nofile = 64  # and the process may hold no more
+    descriptor_limit = 64  # and the process may hold no more
 
     def test_a_door_call_is_answered_while_client_sessions_are_at_their_bound(self):
         crowd = [socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) for _ in range(120)]
@@ -509,16 +509,18 @@
             self.addCleanup(sock.close)
             sock.sendall(b"POST /api HTTP/1.1\r\nX-Call-")
         self.wait_log("client sessions at their bound")
-        self.assertLessEqual(self.descriptors(), self.nofile)
-        self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
-        self.assertEqual(call(self.door, "GET", "/api/ready"), (200, b"ready\n"))
+        self.assertLessEqual(self.descriptors(), self.descriptor_limit)
+        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
+        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready"), (200, b"ready\n"))
 
     def test_a_call_waits_while_no_descriptor_is_left_and_is_then_answered(self):
         """An accept that fails leaves the call in the backlog; closing it there would lose it."""
         taken = sorted(map(int, os.listdir(f"/proc/{self.process.pid}/fd")))[-1] + 1
-        resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (taken, self.nofile))
+        resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (taken, self.descriptor_limit))
         with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
             sock.sendall(b"PUT /api/exclude/s-1 HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
             self.wait_log("accept failed")
-            resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self.nofile, self.nofile))
+            resource.prlimit(
+                self.process.pid, resource.RLIMIT_NOFILE, (self.descriptor_limit, self.descriptor_limit)
+            )
             self.assertEqual(read_answer(sock), (200, b"excluded\n"))
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -99,7 +99,7 @@
 
 
 class EndsSending(Kinds):
-    conf = '<backends><kind name="box" cancel="end"/></backends>'
+    xml_settings = '<backends><kind name="box" cancel="end"/></backends>'
 
     def test_an_attempt_is_given_up_by_ending_the_sending(self):
         """A backend that honours a half-close may still write; what it says is read by nobody."""
@@ -111,7 +111,7 @@
 
 
 class CannotCancel(Kinds):
-    conf = '<backends><kind name="box" cancel="none"/></backends>'
+    xml_settings = '<backends><kind name="box" cancel="none"/></backends>'
 
     def test_what_cannot_be_cancelled_keeps_its_connection_till_it_ends(self):
         """Closed, it would run on unseen; kept, its end is seen and the connection serves again."""
@@ -147,7 +147,7 @@
 
 
 class HalfCloseStays(LeavingCase):
-    conf = '<deadlines half-close="stays"/>'
+    xml_settings = '<deadlines half-close="stays"/>'
 
     def test_a_half_closed_client_reads_its_answers_and_is_then_closed(self):
         """Where fronts end their sending early, the work is wanted; but nobody may hold a session so."""
@@ -163,7 +163,7 @@
 
 
 class ByWord(LeavingCase):
-    conf = '<deadlines cancel-calls="on"/>'
+    xml_settings = '<deadlines cancel-calls="on"/>'
 
     def test_a_front_that_cannot_close_says_that_the_client_left(self):
         """The session goes on; only the caller's own open call is taken back."""
@@ -182,7 +182,7 @@
 
 
 class Sources(LeavingCase):
-    conf = ('<deadlines><source header="grpc-timeout"/><source header="x-deadline-unix-ms"/>'
+    xml_settings = ('<deadlines><source header="grpc-timeout"/><source header="x-deadline-unix-ms"/>'
             '<skew bound="50ms"/></deadlines>')  # fmt: skip
 
     def test_other_deadlines_are_obeyed_and_malformed_ones_told(self):
@@ -204,7 +204,7 @@
 
 
 class ShortOfAConnect(CutOff):
-    changes = {"caps.connect_timeout": 5_000_000, "caps.probes": True}
+    settings_changes = {"caps.connect_timeout": 5_000_000, "caps.probes": True}
     test_a_connect_that_never_comes_up_ends_in_its_time = None  # it holds for another time-out
 
     def test_a_deadline_shorter_than_one_connect_is_kept(self):
@@ -231,7 +231,7 @@
 class Chain(LeavingCase):
     """client -> front -> inner -> box."""
 
-    conf = ('<deadlines><margin kind="learned"/></deadlines>'
+    xml_settings = ('<deadlines><margin kind="learned"/></deadlines>'
             '<backends><kind name="node" speaks="node"/></backends>')  # fmt: skip
 
     def setUp(self) -> None:
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -14,7 +14,7 @@
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.net import test_upgrade
 from tests.support.faulty_node_case import FaultyNodeCase
-from tests.support.node_case import WAIT, call
+from tests.support.node_case import WAIT, call_admin_api
 from tests.support.system_call_faults import Fault
 
 STEPS_S = {"an_hour_back": -3600, "5_s_back": -5, "5_s_ahead": 5, "an_hour_ahead": 3600}
@@ -177,7 +177,7 @@
 
     def counted_so_far(self) -> None:
         """Neither process's log has said up to now that it is alone."""
-        self.assertEqual(call(self.admin_port(), "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.admin_port(), "PUT", "/api/exclude/s-0")[0], 200)
         lines = [*self.told(self.old, "kept file: s-0"), *self.told(self.process, "out by hand")]
         self.assertNotIn("that live: 0", "".join(lines))
         self.assertTrue(all(Path(file.path).exists() for file in self.files))
--- a/tests/net/test_discovery_faults.py
+++ b/tests/net/test_discovery_faults.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from tests.support.node_case import WAIT, NodeCase, Server
+from tests.support.node_case import WAIT, NodeCase, StandInServer
 
 LATEST = 6.0  # seconds: a change counts as told so long after discovery had it and could be reached
 
@@ -12,7 +12,7 @@
 class Quiet(NodeCase):
     executor_count = 2
 
-    def answer(self, index: int, server: Server | None = None):
+    def answer(self, index: int, server: StandInServer | None = None):
         """Take the next call, which has to ask from that version, and begin to answer it."""
         call = (server or self.discovery).next_request()
         self.assertEqual(call.path, f"/v1/endpoints?watch=1&from={index}")
@@ -103,7 +103,7 @@
         """The first address is never served from, and the drain in the second's first list is obeyed."""
         self.discovery.next_request().send_head("503 Service Unavailable")  # lost: it waits to ask again
         self.wait_log("watch lost")
-        first, second = Server(), Server()
+        first, second = StandInServer(), StandInServer()
         for server in (first, second):
             self.addCleanup(server.close)
             self.reload(json.dumps({**self.config(), "discovery": server.address}))
@@ -134,7 +134,7 @@
         call.send_line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
         self.wait_log("watching from index 9")
         self.assertEqual({self.served_by() for _ in range(8)}, {1})
-        agent = Server()
+        agent = StandInServer()
         self.addCleanup(agent.close)
         self.reload(json.dumps({**self.config(), "discovery": agent.address}))
         call = agent.next_request()
--- a/tests/net/test_health_listeners.py
+++ b/tests/net/test_health_listeners.py
@@ -20,7 +20,7 @@
 
 
 class Checked(NodeCase):
-    conf = ('<health><agent listen="127.0.0.1:0"/><http listen="127.0.0.1:0"/>'
+    xml_settings = ('<health><agent listen="127.0.0.1:0"/><http listen="127.0.0.1:0"/>'
             '<grpc listen="127.0.0.1:0"/></health>')  # fmt: skip
 
     def setUp(self) -> None:
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -113,11 +113,11 @@
 class OtherListeners(AcceptingCase):
     """The door and the checkers' listener take connections by the same loop."""
 
-    conf = '<health><http listen="127.0.0.1:0"/></health>'
+    xml_settings = '<health><http listen="127.0.0.1:0"/></health>'
 
     def prepare(self) -> None:
         super().prepare()
-        self.env = {"LB_MGMT": "127.0.0.1:0"}
+        self.environment = {"LB_MGMT": "127.0.0.1:0"}
 
     def get(self, port: int, path: str) -> int:
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=WAIT)
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -12,7 +12,7 @@
 import unittest
 from pathlib import Path
 
-from tests.support.node_case import ROOT, WAIT, NodeCase, Server
+from tests.support.node_case import ROOT, WAIT, NodeCase, StandInServer
 
 
 class Serving(NodeCase):
@@ -181,7 +181,7 @@
 
 
 class Resting(NodeCase):
-    changes = {"caps.conn_idle": 2000000}
+    settings_changes = {"caps.conn_idle": 2000000}
 
     def test_an_idle_connection_is_closed_well_before_its_backend_does(self):
         """What is written to one that its machine has closed ends as a reset."""
@@ -196,7 +196,7 @@
 
 class Probing(NodeCase):
     executor_count = 2
-    changes = {"caps.probes": True}
+    settings_changes = {"caps.probes": True}
 
     def test_a_probe_reads_the_load_and_the_job_goes_where_room_is(self):
         """Load comes by probe only: the job must reach the backend that reports a free slot."""
@@ -212,7 +212,7 @@
 
 class Crowded(NodeCase):
     sockets = 64
-    changes = {"caps.probes": True}
+    settings_changes = {"caps.probes": True}
 
     def test_descriptors_suffice_when_each_session_has_an_attempt_out(self):
         """The node's own descriptors count too: two bounds that left them out once went over the limit."""
@@ -523,7 +523,7 @@
                 held = self.client().ask("issue")
             self.assertFalse(held.answered(0.01))
         asked = self.executors[0].next_request()
-        director = Server()
+        director = StandInServer()
         self.addCleanup(director.close)
         self.reload(json.dumps({**self.config(), "discovery": director.address}))
         self.wait_log("reloaded: the director is at 127.0.0.1")
--- a/tests/net/test_small_limits.py
+++ b/tests/net/test_small_limits.py
@@ -7,7 +7,7 @@
 
 class LessRoom(NodeCase):
     sockets = 64  # half of 128, the least that the configuration takes
-    nofile = 64
+    descriptor_limit = 64
     memory_mb = 32  # the least a node is given
 
     def test_a_job_on_a_new_connection_is_served_behind_a_crowd(self):
@@ -20,4 +20,4 @@
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertLessEqual(self.descriptors(), self.nofile)
+        self.assertLessEqual(self.descriptors(), self.descriptor_limit)
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -10,7 +10,7 @@
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import EventLoopDriver, boot_id
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
-from tests.support.node_case import WAIT, Client, NodeCase, call
+from tests.support.node_case import WAIT, Client, NodeCase, call_admin_api
 
 
 class HeldSocket(NodeCase):
@@ -22,7 +22,7 @@
         self.held = socket.create_server(("127.0.0.1", 0))  # the platform's
         self.addCleanup(self.held.close)
         self.pass_fds = (self.held.fileno(),)
-        self.env = {"LB_SOCKET_FD": str(self.held.fileno())}
+        self.environment = {"LB_SOCKET_FD": str(self.held.fileno())}
         super().setUp()
 
     def next_process(self) -> None:
@@ -108,21 +108,21 @@
         self.wait_log("other processes of this node that live: 0")
 
     def test_a_mark_made_at_the_new_door_holds_in_the_old_process(self):
-        self.assertEqual(call(self.new_door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.new_door, "PUT", "/api/exclude/s-0")[0], 200)
         self.told(self.old, "kept file: s-0")
         self.assertEqual({self.old_sends_to() for _ in range(6)}, {1})
 
     def test_a_mark_made_at_the_old_door_holds_in_the_new_process_after_the_old_one(self):
-        self.assertEqual(call(self.old_door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.old_door, "PUT", "/api/exclude/s-0")[0], 200)
         self.wait_log("kept file: s-0")
         self.old.terminate()
         self.assertEqual(self.old.wait(WAIT), 0)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
 
     def test_marks_made_at_both_doors_one_after_the_other_both_hold(self):
-        self.assertEqual(call(self.new_door, "PUT", "/api/exclude/s-0")[0], 200)
-        self.assertEqual(call(self.old_door, "PUT", "/api/exclude/s-1")[0], 200)
-        self.assertEqual(call(self.new_door, "PUT", "/api/include/s-1")[0], 200)
+        self.assertEqual(call_admin_api(self.new_door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.old_door, "PUT", "/api/exclude/s-1")[0], 200)
+        self.assertEqual(call_admin_api(self.new_door, "PUT", "/api/include/s-1")[0], 200)
         marks = Exclusions("n0")
         marks.adopt(Path(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json").read_bytes(), ClockReading(0))
         self.assertEqual(set(marks.since), {"s-0"})
@@ -141,7 +141,7 @@
         next(server for server in self.executors if server.received.qsize()).next_request().done()
         self.assertEqual(self.kept_session.answer()[0], 200)
         self.assertEqual(self.old.wait(WAIT), 0)
-        self.assertEqual(call(third, "GET", "/api/ready"), (200, b"ready\n"))
+        self.assertEqual(call_admin_api(third, "GET", "/api/ready"), (200, b"ready\n"))
         self.served_by()
 
 
@@ -152,7 +152,7 @@
         self.prepare()
 
     def refused(self, fd: int, pass_fds: tuple = ()) -> str:
-        self.env, self.pass_fds = {"LB_SOCKET_FD": str(fd)}, pass_fds
+        self.environment, self.pass_fds = {"LB_SOCKET_FD": str(fd)}, pass_fds
         process = self.start(self.config())
         error = process.communicate(timeout=WAIT)[1]
         self.assertEqual(process.returncode, 2)
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -182,7 +182,7 @@
 
 
 class Probes(ExecutorCase):
-    changes = {"caps.probes": True}
+    settings_changes = {"caps.probes": True}
 
     def test_a_probe_whose_write_fails_holds_up_no_request(self):
         """The module holds the request for its answer."""
@@ -200,7 +200,7 @@
 
 
 class EndOfSending(ExecutorCase):
-    conf = '<backends><kind name="box" cancel="end"/></backends>'
+    xml_settings = '<backends><kind name="box" cancel="end"/></backends>'
 
     def test_one_that_breaks_as_its_sending_is_ended(self):
         for name in BROKEN:
--- a/tests/support/node_case.py
+++ b/tests/support/node_case.py
@@ -42,12 +42,12 @@
 class ServerConnection:
     """One accepted connection, read by its own thread; each request goes into the owner's queue."""
 
-    def __init__(self, owner: "Server", sock: socket.socket) -> None:
+    def __init__(self, owner: "StandInServer", sock: socket.socket) -> None:
         self.sock, self.ended, self.broken = sock, threading.Event(), False
         self.thread = threading.Thread(target=self._read, args=(owner,), daemon=True)
         self.thread.start()
 
-    def _read(self, owner: "Server") -> None:
+    def _read(self, owner: "StandInServer") -> None:
         try:
             with self.sock.makefile("rb") as file:
                 if owner.resets:
@@ -107,7 +107,7 @@
         self.connection.send("0\r\n\r\n")
 
 
-class Server:
+class StandInServer:
     """A listening socket of a backend or of the director."""
 
     def __init__(self) -> None:
@@ -159,7 +159,7 @@
         return answer.status, answer.read()
 
 
-def call(port: int, method: str, path: str) -> tuple[int, bytes]:
+def call_admin_api(port: int, method: str, path: str) -> tuple[int, bytes]:
     """One call on a connection of its own, as the operators' tools make it."""
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT) as sock:
         sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n".encode())
@@ -181,12 +181,12 @@
     executor_count = 1
     sockets = 256
     memory_mb = 192
-    changes: dict = {}
-    conf = ""  # our own settings, the inside of <cedarmill>
+    settings_changes: dict = {}
+    xml_settings = ""  # our own settings, the inside of <cedarmill>
     log_format = "text"
-    env: dict = {}  # more of the environment that the platform sets
+    environment: dict = {}  # more of the environment that the platform sets
     pass_fds: tuple = ()
-    nofile = 0  # where not 0, the process may hold no more descriptors
+    descriptor_limit = 0  # where not 0, the process may hold no more descriptors
 
     def setUp(self) -> None:
         self.prepare()
@@ -199,8 +199,8 @@
         """All but the node: its `$TMPDIR`, its director and backends."""
         self.tmpdir = tempfile.TemporaryDirectory()  # the node's own `$TMPDIR`: marks kept there are its own
         self.addCleanup(self.tmpdir.cleanup)
-        self.discovery = Server()
-        self.executors = [Server() for _ in range(self.executor_count)]
+        self.discovery = StandInServer()
+        self.executors = [StandInServer() for _ in range(self.executor_count)]
         for server in (self.discovery, *self.executors):
             self.addCleanup(server.close)
         self.log: list[str] = []
@@ -208,7 +208,7 @@
 
     def config(self) -> dict:
         settings = json.loads(json.dumps(SETTINGS))
-        for path, value in self.changes.items():
+        for path, value in self.settings_changes.items():
             table, _, key = path.partition(".")
             settings[table][key] = value
         known = {
@@ -230,14 +230,14 @@
             json.dump(config, file)
         self.addCleanup(os.unlink, file.name)
         self.path = file.name
-        env = {**os.environ, "LB_CONFIG": file.name, "TMPDIR": self.tmpdir.name, **self.env}
+        env = {**os.environ, "LB_CONFIG": file.name, "TMPDIR": self.tmpdir.name, **self.environment}
         command = self.command("cedarmill")
-        if self.conf or self.log_format != "text":
-            Path(f"{file.name}.xml").write_text(f'<cedarmill version="1">{self.conf}</cedarmill>')
+        if self.xml_settings or self.log_format != "text":
+            Path(f"{file.name}.xml").write_text(f'<cedarmill version="1">{self.xml_settings}</cedarmill>')
             self.addCleanup(os.unlink, f"{file.name}.xml")
             own = ["node", "-c", f"{file.name}.xml", "--log-format", self.log_format]
             command = self.command("cedarmill.cli", *own)
-        limit = self.nofile
+        limit = self.descriptor_limit
         bounded = (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))) if limit else None
         return subprocess.Popen(
             command,
