--- a/cedarmill/cli/health.py
+++ b/cedarmill/cli/health.py
@@ -85,7 +85,7 @@
 def _http(sock: socket.socket, host: str, path: str, proxy: bool, till: float) -> tuple[bool, list[str]]:
     import http.client
 
-    from cedarmill.health.codecs.http import FAIL_AT_ONCE, Expected, judge
+    from cedarmill.health.codecs.http import FAIL_AT_ONCE, Expected, evaluate
     from cedarmill.health.codecs.proxy import ProxyHeader, compose_1
 
     if proxy:
@@ -99,7 +99,7 @@
     except http.client.HTTPException as error:
         raise ValueError(f"not HTTP: {error!r}") from None
     headers = {name.lower(): value for name, value in answer.getheaders()}
-    check = judge(Expected(), answer.status, headers, body)
+    check = evaluate(Expected(), answer.status, headers, body)
     lines = [f"status: {answer.status}", *body.decode("utf-8", "replace").splitlines()[:20]]
     lines += [f"{FAIL_AT_ONCE}: take it out without waiting for more"] if FAIL_AT_ONCE in headers else []
     return check.passed, lines + ([] if check.passed else [f"why: {check.reason}"])
--- a/cedarmill/health/__init__.py
+++ b/cedarmill/health/__init__.py
@@ -1,1 +1,1 @@
-"""Membership from health: verdicts on backends by checks, agents and traffic, and what probes may cost."""
+"""Health of executors without I/O: verdicts by checks, agents and attempts; the cost of probes; codecs."""
--- a/cedarmill/health/codecs/agent.py
+++ b/cedarmill/health/codecs/agent.py
@@ -8,6 +8,7 @@
 import re
 from dataclasses import dataclass, field
 from enum import StrEnum
+from typing import Any
 
 MAX_REPLY = 1024  # bytes of the first line: HAProxy keeps one buffer, agents send some tens
 MAX_REASON = 256  # characters that are kept of the text after `#`
@@ -63,6 +64,7 @@
 
     @property
     def says_something(self) -> bool:
+        """Whether any state, weight or limit is named."""
         return any(value is not None for value in (self.status, self.admin, self.weight, self.maxconn))
 
 
@@ -71,7 +73,7 @@
     if len(line) > MAX_REPLY:
         raise AgentError(f"over {MAX_REPLY} bytes")
     text, _, reason = line.decode("latin-1").partition("#")
-    found: dict = {}
+    found: dict[str, Any] = {}
     unknown = []
     for word in filter(None, _DIVIDERS.split(text.strip(" \t,"))):
         if (known := WORDS.get(word.lower())) is not None:
--- a/cedarmill/health/codecs/grpc.py
+++ b/cedarmill/health/codecs/grpc.py
@@ -6,8 +6,9 @@
 
 import struct
 from collections.abc import Callable
+from typing import Any
 
-from grpc_health.v1 import health_pb2 as pb
+from grpc_health.v1 import health_pb2 as pb  # type: ignore[import-untyped]
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.events import DataReceived, RequestReceived, StreamEnded, StreamReset
@@ -17,7 +18,7 @@
 Status = pb.HealthCheckResponse.ServingStatus
 SERVICE = "/grpc.health.v1.Health/"
 OK, INVALID, NOT_FOUND, UNIMPLEMENTED, EXHAUSTED = 0, 3, 5, 12, 8  # gRPC status codes
-MAX_MESSAGE = 4096  # of a request: the name of a service
+MAX_MESSAGE = 4096  # bytes of a request: the name of a service
 MAX_STREAMS = 64  # watches and checks at once on one connection
 _PREFIX = struct.Struct("!BI")  # compressed or not, and the message's length
 
@@ -31,22 +32,27 @@
 
 
 class HealthConnection:
-    """The server's side of one HTTP/2 connection. `statuses` gives the status of each service by name."""
+    """The server's side of one HTTP/2 connection. `statuses` gives the status of each service by name.
+
+    `watches` holds for each stream of a Watch its service and the status sent last; `answered` counts good
+    calls.
+    """
 
     def __init__(self, statuses: Callable[[], dict[str, int]]) -> None:
         self.statuses = statuses
         self._h2 = H2Connection(H2Configuration(client_side=False, header_encoding="utf-8"))
         self._calls: dict[int, tuple[str, bytearray]] = {}  # that still arrive: method and body
-        self.watches: dict[int, tuple[str, int]] = {}  # stream to service and the status told last
-        self.answered = 0  # calls that were good
+        self.watches: dict[int, tuple[str, int]] = {}
+        self.answered = 0
         self._h2.initiate_connection()
         self._h2.update_settings({SettingCodes.MAX_CONCURRENT_STREAMS: MAX_STREAMS})
 
     def receive(self, data: bytes) -> bytes:
-        """Take what has come; what is to be sent. Raises h2's ProtocolError for what is no HTTP/2."""
+        """Take what has come, return what is to be sent. Raises h2's ProtocolError for what is no HTTP/2."""
         for event in self._h2.receive_data(data):
             if isinstance(event, RequestReceived):
-                self._calls[event.stream_id] = dict(event.headers).get(":path", ""), bytearray()
+                headers: dict[Any, Any] = dict(event.headers)  # text, by the configuration
+                self._calls[event.stream_id] = headers.get(":path", ""), bytearray()
             elif isinstance(event, DataReceived):
                 self._h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
                 self._body(event.stream_id, event.data)
@@ -58,11 +64,11 @@
         return self._h2.data_to_send()
 
     def changed(self) -> bytes:
-        """Statuses may have changed: what the watches are to be sent."""
+        """Statuses may have changed: the bytes for the watches whose status has."""
         statuses = self.statuses()
-        for stream, (service, told) in list(self.watches.items()):
+        for stream, (service, sent) in list(self.watches.items()):
             status = statuses.get(service, Status.SERVICE_UNKNOWN)
-            if status != told:
+            if status != sent:
                 self._message(stream, pb.HealthCheckResponse(status=status))
                 self.watches[stream] = service, status
         return self._h2.data_to_send()
@@ -109,18 +115,22 @@
         self._message(stream, pb.HealthCheckResponse(status=status))
         self.watches[stream] = service, status
 
-    def _whole(self, stream: int, message) -> None:
+    def _whole(self, stream: int, message: Any) -> None:
         self._h2.send_headers(stream, [(":status", "200"), ("content-type", "application/grpc")])
         self._message(stream, message)
         self._h2.send_headers(stream, [("grpc-status", str(OK))], end_stream=True)
 
-    def _message(self, stream: int, message) -> None:
+    def _message(self, stream: int, message: Any) -> None:
         text = message.SerializeToString()
         self._h2.send_data(stream, _PREFIX.pack(0, len(text)) + text)
 
     def _fail(self, stream: int, error: GrpcError) -> None:
-        headers = [(":status", "200"), ("content-type", "application/grpc"),
-                   ("grpc-status", str(error.status)), ("grpc-message", str(error))]  # fmt: skip
+        headers = [
+            (":status", "200"),
+            ("content-type", "application/grpc"),
+            ("grpc-status", str(error.status)),
+            ("grpc-message", str(error)),
+        ]
         self._h2.send_headers(stream, headers, end_stream=True)
 
 
@@ -138,7 +148,7 @@
 
 def _service(body: bytes) -> str:
     try:
-        return pb.HealthCheckRequest.FromString(body).service
+        return str(pb.HealthCheckRequest.FromString(body).service)
     except Exception:  # protobuf's DecodeError differs between its implementations
         raise GrpcError(INVALID, "no HealthCheckRequest") from None
 
--- a/cedarmill/health/codecs/http.py
+++ b/cedarmill/health/codecs/http.py
@@ -12,9 +12,8 @@
 
 JSON = "application/health+json"
 TEXT = "text/plain; charset=utf-8"
-FAIL_AT_ONCE = (
-    "x-envoy-immediate-health-check-fail"  # the balancer takes the host out without waiting for more
-)
+# The balancer takes the host out without waiting for more failures.
+FAIL_AT_ONCE = "x-envoy-immediate-health-check-fail"
 DEGRADED = "x-envoy-degraded"  # it is used where no healthy host is left
 CLUSTER = "x-envoy-upstream-healthchecked-cluster"  # who answers: a wrong host at the address shows
 
@@ -38,8 +37,15 @@
     body: bytes
 
 
-def compose(path: str, checks: Sequence[Check], verbose: bool, json: bool, cluster: str = "",
-            degraded: bool = False, leaving: bool = False) -> Answer:  # fmt: skip
+def compose(
+    path: str,
+    checks: Sequence[Check],
+    verbose: bool,
+    json: bool,
+    cluster: str = "",
+    degraded: bool = False,
+    leaving: bool = False,
+) -> Answer:
     """Answer for these checks: 200 where all pass, else 503. `leaving`: do not wait for a second failure."""
     passed = all(check.passed for check in checks)
     headers = [(FAIL_AT_ONCE, "true")] if leaving else []
@@ -47,14 +53,20 @@
     headers += [(CLUSTER, cluster)] if cluster else []
     status = 200 if passed else 503
     if json:
-        found = {check.name: [_entry(check)] for check in checks}
         state = "fail" if not passed else "warn" if degraded else "pass"
-        body = msgspec.json.encode({"status": state, "checks": found})
-        return Answer(status, JSON, tuple(headers), body)
-    name = path.strip("/")
-    lines = [_line(check) for check in checks] if verbose or not passed else []
-    lines += [f"{name} check {'passed' if passed else 'failed'}"] if lines else ["ok"]
-    return Answer(status, TEXT, tuple(headers), "\n".join(lines).encode() + b"\n")
+        return Answer(status, JSON, tuple(headers), _json_body(state, checks))
+    return Answer(status, TEXT, tuple(headers), _text_body(path, checks, verbose, passed))
+
+
+def _json_body(state: str, checks: Sequence[Check]) -> bytes:
+    return msgspec.json.encode({"status": state, "checks": {check.name: [_entry(check)] for check in checks}})
+
+
+def _text_body(path: str, checks: Sequence[Check], verbose: bool, passed: bool) -> bytes:
+    if passed and not (verbose and checks):
+        return b"ok\n"
+    verdict = f"{path.strip('/')} check {'passed' if passed else 'failed'}"
+    return "\n".join([*map(_line, checks), verdict]).encode() + b"\n"
 
 
 def _entry(check: Check) -> dict[str, str]:
@@ -63,11 +75,9 @@
 
 
 def _line(check: Check) -> str:
-    return (
-        f"[+]{check.name} ok"
-        if check.passed
-        else f"[-]{check.name} failed: {check.reason or 'no reason given'}"
-    )
+    if check.passed:
+        return f"[+]{check.name} ok"
+    return f"[-]{check.name} failed: {check.reason or 'no reason given'}"
 
 
 class _Document(msgspec.Struct):
@@ -83,8 +93,8 @@
     part: bytes = b""
 
 
-def judge(expected: Expected, status: int, headers: dict[str, str], body: bytes) -> Check:
-    """Read an answer to a check of ours; header names in small letters."""
+def evaluate(expected: Expected, status: int, headers: dict[str, str], body: bytes) -> Check:
+    """Whether an answer to a check of ours counts as passed; header names in small letters."""
     if headers.get(FAIL_AT_ONCE) is not None:
         return Check("http", False, f"{FAIL_AT_ONCE} is set")
     if not expected.low <= status <= expected.high:
--- a/cedarmill/health/codecs/load.py
+++ b/cedarmill/health/codecs/load.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-MAX_HEADER = 4096  # bytes: a checker's or backend's header is some tens; more is no header of these
+MAX_HEADER = 4096  # bytes: a checker's or executor's header is some tens; more is no header of these
 MAX_METRICS = 64  # named metrics that are kept of one report
 
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a backend says of its load; utilisations are fractions (1.0 is all), None where not named."""
+    """What an executor reports of its load; utilisations are fractions (1.0 is all), None where not named."""
 
     cpu_utilization: float | None = None
     mem_utilization: float | None = None
--- a/cedarmill/health/codecs/state.py
+++ b/cedarmill/health/codecs/state.py
@@ -3,7 +3,7 @@
 Sources: the HAProxy configuration manual, `http-check send-state`: the header that a checker adds to an
 HTTP check, `STATE [RISE/FALL]; name=BACKEND/SERVER; node=NODE; weight=W/TOTAL; scur=CUR/TOTAL; qcur=N`,
 where STATE is UP, DOWN, NOLB or MAINT and `a/b` after it counts checks of a change under way. The xDS
-ORCA load report (`xds.data.orca.v3.OrcaLoadReport`), sent by a backend in the header
+ORCA load report (`xds.data.orca.v3.OrcaLoadReport`), sent by an executor in the header
 `endpoint-load-metrics` as `TEXT name=value, ...`, `JSON {...}` or `BIN base64`; the binary form, which also
 comes in `endpoint-load-metrics-bin`, is `orca.py`'s, loaded when one comes.
 """
@@ -13,6 +13,7 @@
 import re
 from dataclasses import dataclass
 from enum import StrEnum
+from typing import Any
 
 from cedarmill.health.codecs.load import MAX_HEADER, MAX_METRICS, LoadReport, StateError
 
@@ -28,8 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckerView:
-    """One `X-Haproxy-Server-State`; `going` is the count of checks of a change under way and of those
-    that it needs, where the header says so. Fractions are (value, total); None where not named."""
+    """One `X-Haproxy-Server-State`. Fractions are (value, total); None where not named.
+
+    `going` counts the checks of a change under way, and those that it needs, where the header says so.
+    """
 
     state: ServerState
     going: tuple[int, int] | None = None
@@ -54,7 +57,7 @@
     if not words or words[0].upper() not in ServerState.__members__:
         raise StateError(f"no known state in {first[:40]!r}")
     going = _fraction(words[1], _GOING, "state") if len(words) > 1 else None
-    found: dict = {"state": ServerState(words[0].upper()), "going": going}
+    found: dict[str, Any] = {"state": ServerState(words[0].upper()), "going": going}
     for part in filter(None, rest):
         key, equals, text = part.partition("=")
         key = key.strip().lower()
@@ -69,7 +72,7 @@
     return CheckerView(**found)  # fields not known here are passed over: later versions add some
 
 
-def _fraction(text: str, pattern: re.Pattern, key: str) -> tuple[int, int]:
+def _fraction(text: str, pattern: re.Pattern[str], key: str) -> tuple[int, int]:
     match = pattern.fullmatch(text)
     if match is None:
         raise StateError(f"{key}: {text[:40]!r} is not N/M")
@@ -96,12 +99,12 @@
     elif form.upper() == "JSON":
         pairs = _json_pairs(body)
     elif form.upper() == "BIN":
-        from cedarmill.health.codecs.orca import parse_binary  # protobuf: only where a backend sends it
+        from cedarmill.health.codecs.orca import parse_binary  # protobuf: only where an executor sends it
 
         return parse_binary(body.strip())
     else:
         raise StateError(f"form {form[:10]!r} is none of TEXT, JSON and BIN")
-    found: dict = {name: {} for name in _MAPS}
+    found: dict[str, Any] = {name: {} for name in _MAPS}
     for key, number in pairs:
         if key in _TOP:
             found[key] = number
@@ -136,7 +139,7 @@
     return pairs
 
 
-def _number(value: object, key: str) -> float:
+def _number(value: Any, key: str) -> float:
     try:
         number = float(value) if not isinstance(value, bool) else math.nan
     except (TypeError, ValueError):
--- a/cedarmill/health/probe_budget.py
+++ b/cedarmill/health/probe_budget.py
@@ -1,180 +1,142 @@
-"""What probes may cost: token buckets, one a box and one for the node, shared probes, spread moments.
+"""What probes may cost: a token bucket for each executor and one for the node, shared probes, spread times.
 
-Pure: `Probes.step(now, event) -> actions`, all times in microseconds.
+Pure: `ProbeBudget.step(now, event) -> actions`, all times in microseconds.
 """
 
 import math
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
+from typing import Any
 
-JITTER = 0.25  # of an interval, either way: a thousand boxes learned at once must not be probed at once
+from cedarmill.health.events import (
+    EvidenceReceived,
+    ExecutorRemoved,
+    ProbeAction,
+    ProbeEvent,
+    ProbeFailed,
+    ProbeRequested,
+    SendProbe,
+    TimeAdvanced,
+    WakeAt,
+)
+
+JITTER = 0.25  # of an interval, either way: a thousand executors listed at once must not be probed at once
+EXECUTOR_BURST = 1.0  # probes of one executor that may follow each other at once
+US_PER_S = 1e6
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """Tokens that come evenly up to a bound; one is taken for each probe."""
 
     per_s: float
     bound: float
     tokens: float = field(default=math.inf)
-    counted: int = 0
+    counted_at: int = 0
 
     def ready_in(self, now: int) -> int:
-        """Microseconds till a token is there."""
-        self.tokens = min(self.bound, self.tokens + (now - self.counted) * self.per_s / 1e6)
-        self.counted = now
-        return 0 if self.tokens >= 1 else math.ceil((1 - self.tokens) / self.per_s * 1e6)
+        """Microseconds until a token is there."""
+        gained = (now - self.counted_at) * self.per_s / US_PER_S
+        self.tokens = min(self.bound, self.tokens + gained)
+        self.counted_at = now
+        return 0 if self.tokens >= 1 else math.ceil((1 - self.tokens) / self.per_s * US_PER_S)
 
     def take(self) -> None:
         """Take the token that `ready_in` showed."""
         self.tokens -= 1
 
 
-# Events.
-
-
-@dataclass(slots=True)
-class Wanted:
-    """A source wants news of a box by then; `fresh_us`: how old news may be to serve it."""
-
-    box: int
-    source: str
-    fresh_us: int
-
-
-@dataclass(slots=True)
-class Heard:
-    """Traffic or a probe told of a box; it answers all who wait."""
-
-    box: int
-    probe: bool = False
-
-
-@dataclass(slots=True)
-class Missed:
-    """A probe has brought no news: it is no longer on its way, and who waited for it has its answer."""
-
-    box: int
-
-
-@dataclass(slots=True)
-class Gone:
-    """A box has left the list."""
-
-    box: int
-
-
 @dataclass(slots=True)
-class Passed:
-    """Time has passed."""
-
-
-Event = Wanted | Heard | Missed | Gone | Passed
-
-
-# Actions.
-
-
-@dataclass(slots=True)
-class Ask:
-    """Send one probe, on behalf of these sources."""
-
-    box: int
-    sources: tuple[str, ...]
-
-
-@dataclass(slots=True)
-class Wake:
-    """Step again at this time: a probe waits for a token."""
-
-    at: int
-
-
-Action = Ask | Wake
-
-
-@dataclass(slots=True)
-class _Box:
-    bucket: Bucket
-    heard: int = -1  # when news of it came last
-    out: bool = False  # whether a probe is on its way
+class _ProbedExecutor:
+    bucket: TokenBucket
+    evidence_at: int = -1  # when traffic or a probe showed how it is; -1: never
+    in_flight: bool = False  # a probe is on its way
     waiting: dict[str, None] = field(default_factory=dict)  # the sources that want one, in order
 
 
-class Probes:
-    """The probes of one node: who may be asked when."""
+class ProbeBudget:
+    """The probes of one node: which executor may be probed when.
 
-    def __init__(self, box_per_s: float, node_per_s: float, burst: float, seed: int) -> None:
-        self._box_per_s, self._burst = box_per_s, burst
-        self._node = Bucket(node_per_s, burst)
-        self._boxes: dict[int, _Box] = {}
-        self._queue: dict[int, None] = {}  # boxes that wait for a token, the one that waits longest first
-        self._random = Random(seed)
-        self.spent = self.shared = self.spared = 0  # sent; joined to one on its way; answered by fresh news
-        self._handlers = {
-            Wanted: self._wanted, Heard: self._heard, Missed: self._missed, Gone: self._gone,
-            Passed: lambda *_: None,
-        }  # fmt: skip
+    `sent`, `shared` and `spared` count probes sent, requests that joined a probe on its way, and requests
+    that recent evidence answered.
+    """
 
-    def step(self, now: int, event: Event) -> list[Action]:
+    def __init__(self, executor_per_s: float, node_per_s: float, burst: float, seed: int) -> None:
+        self._executor_per_s = executor_per_s
+        self._node = TokenBucket(node_per_s, burst)
+        self._executors: dict[int, _ProbedExecutor] = {}
+        self._queue: dict[int, None] = {}  # executors that wait for a token, in order
+        self._random = Random(seed)
+        self.sent = self.shared = self.spared = 0
+        self._handlers: dict[type, Callable[[int, Any], None]] = {
+            ProbeRequested: self._on_requested,
+            EvidenceReceived: self._on_evidence,
+            ProbeFailed: self._on_failed,
+            ExecutorRemoved: self._on_removed,
+            TimeAdvanced: lambda now, event: None,
+        }
+
+    def step(self, now: int, event: ProbeEvent) -> list[ProbeAction]:
         """Take one event at its time and return what to do."""
         self._handlers[type(event)](now, event)
-        return self._flush(now)
+        return self._send_queued(now)
 
-    def moment(self, now: int, interval: int) -> int:
+    def next_request_at(self, now: int, interval_us: int) -> int:
         """When a source that asks at intervals asks next: apart from all others."""
-        return now + int(interval * (1 + JITTER * self._random.uniform(-1, 1)))
+        return now + int(interval_us * (1 + JITTER * self._random.uniform(-1, 1)))
 
-    def _of(self, box: int) -> _Box:
-        if (found := self._boxes.get(box)) is None:
-            found = self._boxes[box] = _Box(Bucket(self._box_per_s, 1.0))
-        return found
+    def _executor(self, number: int) -> _ProbedExecutor:
+        if (executor := self._executors.get(number)) is None:
+            bucket = TokenBucket(self._executor_per_s, EXECUTOR_BURST)
+            executor = self._executors[number] = _ProbedExecutor(bucket)
+        return executor
 
-    def _wanted(self, now: int, event: Wanted) -> None:
-        box = self._of(event.box)
-        if box.heard >= 0 and now - box.heard <= event.fresh_us:
+    def _on_requested(self, now: int, event: ProbeRequested) -> None:
+        executor = self._executor(event.executor)
+        if executor.evidence_at >= 0 and now - executor.evidence_at <= event.max_age_us:
             self.spared += 1
             return
-        if box.out or box.waiting:
-            self.shared += event.source not in box.waiting
-        box.waiting[event.source] = None
-        if not box.out:
-            self._queue[event.box] = None
-
-    def _heard(self, now: int, event: Heard) -> None:
-        box = self._of(event.box)
-        box.heard = now
-        box.out = box.out and not event.probe
-        if box.waiting:
-            self.spared += not event.probe and event.box in self._queue
-            box.waiting.clear()
-            self._queue.pop(event.box, None)
-
-    def _missed(self, now: int, event: Missed) -> None:
-        box = self._of(event.box)
-        box.out = False
-        box.waiting.clear()
-
-    def _gone(self, now: int, event: Gone) -> None:
-        self._boxes.pop(event.box, None)
-        self._queue.pop(event.box, None)
-
-    def _flush(self, now: int) -> list[Action]:
-        """Send what has a token of its box and of the node; tell when the next may go."""
-        actions: list[Action] = []
-        later = math.inf
+        if executor.in_flight or executor.waiting:
+            self.shared += event.source not in executor.waiting
+        executor.waiting[event.source] = None
+        if not executor.in_flight:
+            self._queue[event.executor] = None
+
+    def _on_evidence(self, now: int, event: EvidenceReceived) -> None:
+        executor = self._executor(event.executor)
+        executor.evidence_at = now
+        executor.in_flight = executor.in_flight and not event.from_probe
+        if executor.waiting:
+            self.spared += not event.from_probe and event.executor in self._queue
+            executor.waiting.clear()
+            self._queue.pop(event.executor, None)
+
+    def _on_failed(self, now: int, event: ProbeFailed) -> None:
+        executor = self._executor(event.executor)
+        executor.in_flight = False
+        executor.waiting.clear()
+
+    def _on_removed(self, now: int, event: ExecutorRemoved) -> None:
+        self._executors.pop(event.executor, None)
+        self._queue.pop(event.executor, None)
+
+    def _send_queued(self, now: int) -> list[ProbeAction]:
+        """Send what has a token of its executor and of the node; ask to be woken when the next may go."""
+        actions: list[ProbeAction] = []
+        next_at = math.inf
         for number in list(self._queue):
-            box = self._boxes[number]
-            wait = max(box.bucket.ready_in(now), self._node.ready_in(now))
-            if wait:
-                later = min(later, now + wait)
+            executor = self._executors[number]
+            wait_us = max(executor.bucket.ready_in(now), self._node.ready_in(now))
+            if wait_us:
+                next_at = min(next_at, now + wait_us)
                 if self._node.tokens < 1:
                     break
                 continue
-            box.bucket.take()
+            executor.bucket.take()
             self._node.take()
-            box.out = True
-            self.spent += 1
+            executor.in_flight = True
+            self.sent += 1
             del self._queue[number]
-            actions.append(Ask(number, tuple(box.waiting)))
-        return [*actions, Wake(int(later))] if later < math.inf else actions
+            actions.append(SendProbe(number, tuple(executor.waiting)))
+        return [*actions, WakeAt(int(next_at))] if next_at < math.inf else actions
--- a/tests/net/test_health_listeners.py
+++ b/tests/net/test_health_listeners.py
@@ -12,7 +12,7 @@
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.agent import Admin, Status
-from cedarmill.health.codecs.http import FAIL_AT_ONCE, JSON, Expected, judge
+from cedarmill.health.codecs.http import FAIL_AT_ONCE, JSON, Expected, evaluate
 from tests.conf.test_settings import command
 from tests.support.node_case import WAIT, NodeCase
 
@@ -58,7 +58,7 @@
         document = self.get("/healthz", Accept=JSON)
         self.assertEqual(json.loads(document.text)["status"], "pass")
         self.assertEqual(document.headers["x-envoy-upstream-healthchecked-cluster"], "n0")
-        self.assertTrue(judge(Expected(), 200, {"content-type": JSON}, document.text).passed)
+        self.assertTrue(evaluate(Expected(), 200, {"content-type": JSON}, document.text).passed)
         self.assertEqual(self.get("/other").status, 404)
 
     def test_a_drain_shows_at_once_on_both_and_the_node_is_still_alive(self):
@@ -71,7 +71,7 @@
         answer = self.get("/readyz")
         self.assertEqual((answer.status, answer.headers[FAIL_AT_ONCE]), (503, "true"))
         self.assertIn(b"[-]draining failed: draining", answer.text)
-        self.assertFalse(judge(Expected(), 200, {FAIL_AT_ONCE: "true"}, b"").passed)
+        self.assertFalse(evaluate(Expected(), 200, {FAIL_AT_ONCE: "true"}, b"").passed)
         self.assertEqual(self.get("/livez").status, 200)
 
     def test_a_proxy_header_may_come_before_a_check(self):
