--- a/tests/support/node_case.py
+++ b/tests/support/node_case.py
@@ -39,15 +39,15 @@
 }  # fmt: skip
 
 
-class Wire:
+class ServerConnection:
     """One accepted connection, read by its own thread; each request goes into the owner's queue."""
 
-    def __init__(self, owner: "Server", sock: socket.socket) -> None:
+    def __init__(self, owner: "StandInServer", sock: socket.socket) -> None:
         self.sock, self.ended, self.broken = sock, threading.Event(), False
         self.thread = threading.Thread(target=self._read, args=(owner,), daemon=True)
         self.thread.start()
 
-    def _read(self, owner: "Server") -> None:
+    def _read(self, owner: "StandInServer") -> None:
         try:
             with self.sock.makefile("rb") as file:
                 if owner.resets:
@@ -60,7 +60,7 @@
                     headers = http.client.parse_headers(file)
                     body = file.read(length := int(headers.get("Content-Length", 0)))
                     if not early and len(body) == length:  # else it has its answer, or never came whole
-                        owner.asked.put(Asked(self, line.decode().split(), headers, body))
+                        owner.received.put(ReceivedRequest(self, line.decode().split(), headers, body))
                     early = None
         except OSError:
             pass
@@ -83,34 +83,36 @@
             self.sock.shutdown(socket.SHUT_RD)
 
 
-class Asked:
+class ReceivedRequest:
     """One request that a server got, for the test to answer."""
 
-    def __init__(self, wire: Wire, first: list[str], headers, body: bytes) -> None:
-        self.wire, (self.method, self.path, _), self.headers, self.body = wire, first, headers, body
+    def __init__(self, wire: ServerConnection, first: list[str], headers, body: bytes) -> None:
+        self.connection, (self.method, self.path, _), self.headers, self.body = wire, first, headers, body
 
-    def head(self, status: str = "200 OK", *headers: str) -> None:
-        self.wire.send("\r\n".join([f"HTTP/1.1 {status}", "Transfer-Encoding: chunked", *headers, "", ""]))
+    def send_head(self, status: str = "200 OK", *headers: str) -> None:
+        self.connection.send(
+            "\r\n".join([f"HTTP/1.1 {status}", "Transfer-Encoding: chunked", *headers, "", ""])
+        )
 
-    def line(self, value: dict | None) -> None:
+    def send_line(self, value: dict | None) -> None:
         text = json.dumps(value) + "\n" if value is not None else "\n"
-        self.wire.send(f"{len(text):x}\r\n{text}\r\n")
+        self.connection.send(f"{len(text):x}\r\n{text}\r\n")
 
-    def job(self, state: str, **more) -> None:
-        self.line({"id": self.headers["X-Call-Id"], "from": "s-1", "state": state, **more})
+    def send_state(self, state: str, **more) -> None:
+        self.send_line({"id": self.headers["X-Call-Id"], "from": "s-1", "state": state, **more})
 
     def done(self, result: str = "fine") -> None:
-        self.head()
-        self.job("done", result=result)
-        self.wire.send("0\r\n\r\n")
+        self.send_head()
+        self.send_state("done", result=result)
+        self.connection.send("0\r\n\r\n")
 
 
-class Server:
+class StandInServer:
     """A listening socket of a backend or of the director."""
 
     def __init__(self) -> None:
-        self.asked: queue.Queue[Asked] = queue.Queue()
-        self.wires: list[Wire] = []
+        self.received: queue.Queue[ReceivedRequest] = queue.Queue()
+        self.connections: list[ServerConnection] = []
         self.resets, self.early = False, None  # at a connection's first byte: reset it, or answer
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
@@ -119,12 +121,12 @@
     def _accept(self) -> None:
         try:
             while True:
-                self.wires.append(Wire(self, self.sock.accept()[0]))
+                self.connections.append(ServerConnection(self, self.sock.accept()[0]))
         except OSError:
             pass
 
-    def next(self) -> Asked:
-        return self.asked.get(timeout=WAIT)
+    def next_request(self) -> ReceivedRequest:
+        return self.received.get(timeout=WAIT)
 
     def close(self) -> None:
         with contextlib.suppress(OSError):
@@ -157,7 +159,7 @@
         return answer.status, answer.read()
 
 
-def call(port: int, method: str, path: str) -> tuple[int, bytes]:
+def call_admin_api(port: int, method: str, path: str) -> tuple[int, bytes]:
     """One call on a connection of its own, as the operators' tools make it."""
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT) as sock:
         sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n".encode())
@@ -176,61 +178,66 @@
 class NodeCase(unittest.TestCase):
     """A node with its backends and a director; every test starts its own."""
 
-    backends = 1
+    executor_count = 1
     sockets = 256
     memory_mb = 192
-    changes: dict = {}
-    conf = ""  # our own settings, the inside of <cedarmill>
+    settings_changes: dict = {}
+    xml_settings = ""  # our own settings, the inside of <cedarmill>
     log_format = "text"
-    env: dict = {}  # more of the environment that the platform sets
+    environment: dict = {}  # more of the environment that the platform sets
     pass_fds: tuple = ()
-    nofile = 0  # where not 0, the process may hold no more descriptors
+    descriptor_limit = 0  # where not 0, the process may hold no more descriptors
 
     def setUp(self) -> None:
         self.prepare()
         self.process = self.start(self.config())
         self.addCleanup(self.end)
         self.wait_log("serves on")
-        self.port = self.told_port()
+        self.port = self.logged_port()
 
     def prepare(self) -> None:
         """All but the node: its `$TMPDIR`, its director and backends."""
         self.tmpdir = tempfile.TemporaryDirectory()  # the node's own `$TMPDIR`: marks kept there are its own
         self.addCleanup(self.tmpdir.cleanup)
-        self.director = Server()
-        self.servers = [Server() for _ in range(self.backends)]
-        for server in (self.director, *self.servers):
+        self.discovery = StandInServer()
+        self.executors = [StandInServer() for _ in range(self.executor_count)]
+        for server in (self.discovery, *self.executors):
             self.addCleanup(server.close)
         self.log: list[str] = []
         self.path = ""
 
     def config(self) -> dict:
         settings = json.loads(json.dumps(SETTINGS))
-        for path, value in self.changes.items():
+        for path, value in self.settings_changes.items():
             table, _, key = path.partition(".")
             settings[table][key] = value
-        known = {"index": 7, "snapshot": True, "endpoints": [self.entry(n) for n in range(self.backends)]}
+        known = {
+            "index": 7,
+            "snapshot": True,
+            "endpoints": [self.entry(n) for n in range(self.executor_count)],
+        }
         limits = {"sockets": self.sockets, "memory_mb": self.memory_mb}
-        return {"name": "n0", "listen": "127.0.0.1:0", "discovery": self.director.address, "seed": "5eed",
+        return {"name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "5eed",
                 "limits": limits, "known": known, "settings": settings}  # fmt: skip
 
     def entry(self, number: int, **changes) -> dict:
-        return {"name": f"s-{number}", "address": self.servers[number].address, "zone": "here", "type": "box",
-                "group": 0, "status": "SERVING", "weight": 1.0, "since_ms": 0, **changes}  # fmt: skip
+        return {"name": f"s-{number}", "address": self.executors[number].address,
+                "zone": "here", "type": "box", "group": 0,
+                "status": "SERVING", "weight": 1.0, "since_ms": 0, **changes}  # fmt: skip
 
     def start(self, config: dict) -> subprocess.Popen:
         with tempfile.NamedTemporaryFile("w", suffix=".json", delete=False) as file:
             json.dump(config, file)
         self.addCleanup(os.unlink, file.name)
         self.path = file.name
-        env = {**os.environ, "LB_CONFIG": file.name, "TMPDIR": self.tmpdir.name, **self.env}
+        env = {**os.environ, "LB_CONFIG": file.name, "TMPDIR": self.tmpdir.name, **self.environment}
         command = self.command("cedarmill")
-        if self.conf or self.log_format != "text":
-            Path(f"{file.name}.xml").write_text(f'<cedarmill version="1">{self.conf}</cedarmill>')
+        if self.xml_settings or self.log_format != "text":
+            Path(f"{file.name}.xml").write_text(f'<cedarmill version="1">{self.xml_settings}</cedarmill>')
             self.addCleanup(os.unlink, f"{file.name}.xml")
             own = ["node", "-c", f"{file.name}.xml", "--log-format", self.log_format]
             command = self.command("cedarmill.cli", *own)
-        limit = self.nofile
+        limit = self.descriptor_limit
         bounded = (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))) if limit else None
         return subprocess.Popen(
             command,
@@ -274,11 +281,11 @@
         rest = self.process.communicate(timeout=WAIT)[1]
         self.assertNotIn("Traceback", "\n".join(self.log) + rest)
 
-    def told_port(self) -> int:
+    def logged_port(self) -> int:
         """The port in the log's last line, text or JSON."""
         return int(re.search(r"serves on \S+ port (\d+)", self.log[-1])[1])
 
-    def told_door(self) -> int:
+    def admin_port(self) -> int:
         """The port of the operators' door, as the log tells it."""
         line = next(line for line in self.log if "operators' door on" in line)
         return int(re.search(r"port (\d+)", line)[1])
@@ -303,9 +310,9 @@
         """Where the next request goes."""
         client, found = self.client().ask(), -1
         while not client.answered(0.01):
-            for number, server in enumerate(self.servers):
-                if not server.asked.empty():
-                    server.next().done()
+            for number, server in enumerate(self.executors):
+                if not server.received.empty():
+                    server.next_request().done()
                     found = number
         self.assertEqual(client.answer()[0], 200)
         return found
