--- a/cedarmill/cli/cluster.py
+++ b/cedarmill/cli/cluster.py
@@ -42,10 +42,10 @@
         if (self.conf is None) == (self.keepers is None):
             raise ConfError("give -c FILE, or --keepers and --cluster")
         if self.conf is not None:
-            part = Settings(self.conf).options.fleet
+            part = Settings(self.conf).options.cluster
             if part is None:
                 raise ConfError(f"{self.conf}: no <fleet>")
-            return OperatorClient(part.cluster, list(part.keepers.values()), self.who)
+            return OperatorClient(part.cluster, list(part.replicas.values()), self.who)
         if not self.cluster:
             raise ConfError("--keepers takes --cluster")
         return OperatorClient(self.cluster, [place for place in self.keepers.split(",") if place], self.who)
@@ -216,10 +216,11 @@
     from cedarmill.cluster.state_machine import commands
 
     if path is not None:
-        from cedarmill.conf.cluster import keeper
+        from cedarmill.conf.cluster import read_replica_settings
 
         wanted = tuple(
-            Limit(one.kind, one.per, one.most, one.share, one.capacity_left) for one in keeper(path).limits
+            Limit(one.kind, one.per, one.most, one.share, one.capacity_left)
+            for one in read_replica_settings(path).limits
         )
         did = asker.do(lambda who, number: commands.SetLimits(0, who, number, wanted))
         asker.show({"ok": did.ok, "text": did.text}, lambda: iter([did.text]))
--- a/cedarmill/cli/cluster_load.py
+++ b/cedarmill/cli/cluster_load.py
@@ -101,7 +101,7 @@
     """Set what the fleet may spend; a smaller budget takes slices back as their holders follow."""
     from cedarmill.cluster.budget_grants import Budget
     from cedarmill.cluster.state_machine import commands
-    from cedarmill.conf.cluster import keeper
+    from cedarmill.conf.cluster import read_replica_settings
 
-    wanted = tuple(Budget(*one) for one in keeper(path).budgets)
+    wanted = tuple(Budget(*one) for one in read_replica_settings(path).budgets)
     _tell(asker, asker.do(lambda who, number: commands.SetBudgets(0, who, number, wanted)))
--- a/cedarmill/cli/cluster_zones.py
+++ b/cedarmill/cli/cluster_zones.py
@@ -65,14 +65,14 @@
     if path is not None:
         from cedarmill.cluster.state_machine import commands
         from cedarmill.cluster.traffic_plan.layout import ZoneLayout
-        from cedarmill.conf.cluster import keeper
+        from cedarmill.conf.cluster import read_replica_settings
         from cedarmill.conf.document import ConfError
 
-        read = keeper(path)
+        read = read_replica_settings(path)
         if not read.regions:
             raise ConfError(f"{path}: no <zones>")
         regions = {name: list(zones) for name, zones in read.regions.items()}
-        layout = ZoneLayout(regions, read.costs, read.safe, read.sheds, read.news)
+        layout = ZoneLayout(regions, read.costs, read.safe_share, read.sheds_load, read.gossip)
         _tell(asker, asker.do(lambda who, number: commands.SetZones(0, who, number, layout)))
     found = asker.look("zones")
     asker.show(found, lambda: _zone_lines(found))
--- a/cedarmill/cli/conf.py
+++ b/cedarmill/cli/conf.py
@@ -35,7 +35,7 @@
     """
     from cedarmill.conf.settings import Settings
 
-    held = Settings(path).held
+    held = Settings(path).effective
     names, values = (max(len(row[column]) for row in held) for column in (0, 1))
     for name, value, origin in held:
         click.echo(f"{name:<{names}}  {value:<{values}}  {origin}")
--- a/cedarmill/cli/replica.py
+++ b/cedarmill/cli/replica.py
@@ -31,7 +31,7 @@
       cedarmill keeper -c keeper-0.xml --log-format json
       cedarmill keeper -c keeper-0.xml --init --restore fleet.backup
     """
-    from cedarmill.conf.cluster import keeper as read
+    from cedarmill.conf.cluster import read_replica_settings as read
     from cedarmill.conf.document import ConfError
     from cedarmill.net.cluster.replica import initialise, main
 
@@ -58,7 +58,7 @@
     Example:
       cedarmill steward -c steward-0.xml
     """
-    from cedarmill.conf.cluster import steward as read
+    from cedarmill.conf.cluster import read_supervisor_settings as read
     from cedarmill.net.cluster.supervisor import main
 
     sys.exit(main(read(path), log_format))
--- a/cedarmill/conf/document.py
+++ b/cedarmill/conf/document.py
@@ -2,8 +2,9 @@
 
 import re
 from pathlib import Path
+from typing import Any
 
-from lxml import etree
+from lxml import etree  # type: ignore[import-untyped]
 
 SCHEMAS = Path(__file__).parent / "schema"
 MAX_BYTES = 1024 * 1024  # a file of settings is some KB: more is a mistake
@@ -14,11 +15,11 @@
 
 
 class ConfError(ValueError):
-    """What is wrong with a file, with its name, line and element."""
+    """What is wrong with a file: its name, line and element, or with a setting that a command was given."""
 
 
 def microseconds(text: str) -> int:
-    """A duration such as `20ms`; raises ValueError."""
+    """A duration such as `20ms`, `6s` or `1min` as whole microseconds; raises ValueError."""
     if (match := _DURATION.fullmatch(text)) is None:
         raise ValueError(f"{text!r} is no duration: give a number and us, ms, s or min")
     return round(float(match[1]) * _UNITS[match[2]])
@@ -31,7 +32,7 @@
 
 
 def share(text: str) -> float:
-    """A percentage such as `95%` as a share."""
+    """A percentage such as `95%` as a share from 0 to 1; raises ValueError."""
     return float(text.removesuffix("%")) / 100
 
 
@@ -51,7 +52,7 @@
 
 
 def schema(name: str) -> etree.XMLSchema:
-    """A schema that the package ships."""
+    """A schema that the package ships, by its name without the ending."""
     return etree.XMLSchema(etree.parse(SCHEMAS / f"{name}.xsd", _parser()))
 
 
@@ -60,8 +61,8 @@
                            remove_comments=True, remove_pis=True)  # fmt: skip
 
 
-def load(path: str | Path, name: str) -> etree._Element:
-    """Parse a file and hold it against a schema; raises ConfError or OSError, and then uses none of it."""
+def load(path: str | Path, name: str) -> Any:
+    """The root of a file that is good by a schema (see `elements.Element`); raises ConfError or OSError."""
     with open(path, "rb") as file:
         text = file.read(MAX_BYTES + 1)
     if len(text) > MAX_BYTES:
--- a/cedarmill/lab/cluster/disks.py
+++ b/cedarmill/lab/cluster/disks.py
@@ -72,10 +72,10 @@
 
 def main(conf: str, control: str) -> int:
     """Run a keeper on a disk whose faults the control file names; its exit code."""
-    from cedarmill.conf.cluster import keeper
+    from cedarmill.conf.cluster import read_replica_settings
     from cedarmill.net.cluster.replica import main as run
 
-    options = keeper(conf)
+    options = read_replica_settings(conf)
     FaultyFile.control = Path(control)
     return run(options, "json", FaultyDirectory(options.data))
 
--- a/cedarmill/lab/cluster/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -5,7 +5,7 @@
 
 from lxml import etree
 
-from cedarmill.conf.cluster import budget, limit
+from cedarmill.conf.cluster import read_budget, read_limit
 from cedarmill.conf.document import ConfError, load, microseconds
 from cedarmill.lab import scenario as lab
 from cedarmill.lab.history import ClassRules
@@ -91,9 +91,9 @@
         float(root.find("load").get("rate")), tuple(map(class_habits, classes)),
         {element.get("name"): class_rules(element) for element in classes},
         {element.get("name"): float(element.get("worth")) for element in classes},
-        tuple(limit(path, element) for element in root.findall("limit")), timeline,
+        tuple(read_limit(path, element) for element in root.findall("limit")), timeline,
         {element.get("class"): element.get("within") for element in root.findall("stay")},
-        tuple(map(budget, root.findall("budget"))),
+        tuple(map(read_budget, root.findall("budget"))),
     )  # fmt: skip
 
 
--- a/cedarmill/log.py
+++ b/cedarmill/log.py
@@ -1,4 +1,4 @@
-"""The node's log: each event with fixed words and fields, as text or as JSON, a line an event.
+"""The log of all programs: each event with a fixed line and fields, as text or as JSON, a line an event.
 
 `docs/on-call.md` lists every event with its fields. The text form needs the standard library only; the JSON
 form is rendered by structlog, which is loaded when it is asked for.
@@ -11,10 +11,14 @@
 import stat
 import sys
 import time
-from typing import Any
+from collections.abc import MutableMapping
+from typing import TYPE_CHECKING, Any
 
 from cedarmill.log_events import EVENTS
 
+if TYPE_CHECKING:
+    from structlog.typing import Processor
+
 log = logging.getLogger("cedarmill")
 FORMATS = ("text", "json")
 TEXT_FORM = "%(asctime)s %(levelname)s %(message)s"
@@ -28,20 +32,21 @@
         log.log(kind.level, kind.line.format(**fields), exc_info=error, extra=extra)
 
 
-class Sparing(logging.Filter):
-    """Lets the same line through once in ten seconds: what goes wrong for every req must not fill the log."""
+class RepeatFilter(logging.Filter):
+    """Lets the same line through once in ten seconds: what fails for every request must not fill the log."""
 
     SECONDS = 10
 
     def __init__(self) -> None:
         super().__init__()
-        self._said: dict[str, float] = {}
+        self._last_logged: dict[str, float] = {}  # by line, seconds of the monotonic clock; the oldest first
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether the line goes through."""
         text, now = record.getMessage(), time.monotonic()  # a step back of Unix time would silence it
-        while self._said and now - next(iter(self._said.values())) >= self.SECONDS:
-            del self._said[next(iter(self._said))]  # the oldest stands first: a burst costs no look at all
-        return self._said.setdefault(text, now) == now
+        while self._last_logged and now - next(iter(self._last_logged.values())) >= self.SECONDS:
+            del self._last_logged[next(iter(self._last_logged))]  # a burst of new lines costs no look at all
+        return self._last_logged.setdefault(text, now) == now
 
 
 class StderrHandler(logging.Handler):
@@ -77,8 +82,9 @@
 
     def _lost_line(self) -> str:
         kind, fields = EVENTS["log-lost"], {"lines": self.lost}
-        record = log.makeRecord(log.name, kind.level, "", 0, kind.line.format(**fields), (), None,
-                                extra={"event_name": "log-lost", "event_fields": fields})  # fmt: skip
+        extra = {"event_name": "log-lost", "event_fields": fields}
+        line = kind.line.format(**fields)
+        record = log.makeRecord(log.name, kind.level, "", 0, line, (), None, extra=extra)
         return self.format(record)
 
     def _write(self, line: str) -> bool:
@@ -93,25 +99,32 @@
         return not rest
 
 
-def _json() -> logging.Formatter:
+def _json_formatter() -> logging.Formatter:
     import structlog  # here alone: the platform's run renders text and must not load it
 
-    def fields(_logger: Any, _method: str, entry: dict[str, Any]) -> dict[str, Any]:
+    def fields(_logger: Any, _method: str, entry: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         record = entry["_record"]
         words, name = entry.pop("event"), getattr(record, "event_name", "other")
         return {**entry, "event": name, **getattr(record, "event_fields", {}), "words": words}
 
-    shared = [structlog.stdlib.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True), fields]
-    ends = [structlog.processors.format_exc_info, structlog.stdlib.ProcessorFormatter.remove_processors_meta,
-            structlog.processors.JSONRenderer()]  # fmt: skip
+    shared: list[Processor] = [
+        structlog.stdlib.add_log_level,
+        structlog.processors.TimeStamper(fmt="iso", utc=True),
+        fields,
+    ]
+    ends: list[Processor] = [
+        structlog.processors.format_exc_info,
+        structlog.stdlib.ProcessorFormatter.remove_processors_meta,
+        structlog.processors.JSONRenderer(),
+    ]
     return structlog.stdlib.ProcessorFormatter(foreign_pre_chain=shared, processors=ends)
 
 
 def begin(form: str = "text") -> None:
-    """Send the log to standard error in one of FORMATS."""
+    """Send the log to standard error from now on, in one of FORMATS."""
     handler: logging.Handler = logging.StreamHandler(sys.stderr)
     with contextlib.suppress(OSError, ValueError, AttributeError):  # closed, or none of the system's
         handler = StderrHandler(sys.stderr.fileno())
-    handler.addFilter(Sparing())
-    handler.setFormatter(_json() if form == "json" else logging.Formatter(TEXT_FORM))
+    handler.addFilter(RepeatFilter())
+    handler.setFormatter(_json_formatter() if form == "json" else logging.Formatter(TEXT_FORM))
     logging.basicConfig(handlers=[handler], level=logging.INFO)
--- a/cedarmill/net/cluster/node_role.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -84,7 +84,7 @@
             os.environ.get("CEDARMILL_VERSION", ""),
             stops_at_lease_expiry=options.cut_off == "stop",
         )
-        keepers = {name: Address.parse(address) for name, address in options.keepers.items()}
+        keepers = {name: Address.parse(address) for name, address in options.replicas.items()}
         self.membership = Membership(
             driver, options.cluster, who, keepers, self.facts, self.follow, self._lapsed, self._resumed
         )
--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -75,14 +75,18 @@
         world = ClusterState(
             options.cluster,
             limits=limits,
-            slow_start_us=options.cold_us,
-            slow_start_share=options.cold_share,
+            slow_start_us=options.slow_start_us,
+            slow_start_share=options.slow_start_share,
         )
         budget_grants.set_budgets(world, [Budget(*one) for one in options.budgets])
         if options.regions:
             regions = {name: list(zones) for name, zones in sorted(options.regions.items())}
             layout = ZoneLayout(
-                regions, dict(sorted(options.costs.items())), options.safe, options.sheds, options.news
+                regions,
+                dict(sorted(options.costs.items())),
+                options.safe_share,
+                options.sheds_load,
+                options.gossip,
             )
             with contextlib.suppress(InvalidLayoutError):  # no zones are planned then
                 intake.set_layout(world, layout)
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -93,9 +93,9 @@
         )
         self.waiting: dict[str, StartProcess] = {}  # starts that wait for their socket, by unit
         self.orders: Orders | None = None
-        part = options.fleet
+        part = options.cluster
         who = MemberIdentity("steward", options.name, secrets.token_hex(6), address=part.listen)
-        keepers = {name: Address.parse(address) for name, address in part.keepers.items()}
+        keepers = {name: Address.parse(address) for name, address in part.replicas.items()}
         self.membership = Membership(self.driver, part.cluster, who, keepers, self._facts, self._follow)
         self._carry_out = {
             StartProcess: self._start,
@@ -109,8 +109,8 @@
         """Serve until a signal; units go on. The exit code."""
         for number in SIGNALS:
             self.loop.add_signal_handler(number, self.loop.stop)
-        if self.options.fleet.listen:
-            self.membership.listen(Address.parse(self.options.fleet.listen))
+        if self.options.cluster.listen:
+            self.membership.listen(Address.parse(self.options.cluster.listen))
         self.loop.call_soon(self._started)
         self.loop.run_forever()
         log_event("ended", name=self.options.name)
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -60,7 +60,7 @@
         sockets = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         health = options.health
         own = OWN_DESCRIPTORS + (door.DESCRIPTORS if config.mgmt else 0)
-        own += FLEET_DESCRIPTORS if options.fleet is not None else 0
+        own += FLEET_DESCRIPTORS if options.cluster is not None else 0
         own += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
         self.limits = NodeLimits(sockets, own, config.limits.memory_mb, OWN_MEMORY_MB, SESSION_MB)
         room = split_limits(self.limits, [])
@@ -84,14 +84,14 @@
         self.door = door.AdminServer(self.driver, self.hands.obey)
         self.inherited = inherited_socket()
         self.keeper = WarmStateSaver(self.driver, brain, self.discovery, config.name, lambda: self.draining)
-        self.fleet = self._fleet() if options.fleet is not None else None
+        self.fleet = self._fleet() if options.cluster is not None else None
 
     def _fleet(self):
         """The node's part in the fleet; the platform's run has none, and loads nothing of it."""
         from cedarmill.net.cluster.node_role import NodeRole
 
         return NodeRole(
-            self.driver, self.config, self.options.fleet, self.clients, self.discovery, self.hands
+            self.driver, self.config, self.options.cluster, self.clients, self.discovery, self.hands
         )
 
     def _holds(self) -> ConnectionCounts:
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -86,7 +86,7 @@
         self.assertEqual(shipped.options.deadlines, Options().deadlines)
         self.assertEqual(shipped.options.kind("any"), Options().kind("any"))
         self.assertEqual(shipped.options.ledger_every_us, Options().ledger_every_us)
-        unset = [held.name for held in shipped.held if held.origin == "default"]
+        unset = [row.name for row in shipped.effective if row.origin == "default"]
         off = [f"health.{kind}.listen" for kind in ("agent", "http", "grpc")]
         self.assertEqual(unset, [*off, "fleet"])  # no words in the file say it
 
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -453,25 +453,25 @@
 
 def xml_files() -> dict[str, Any]:
     """Each XML file that the repository ships, as the values that its reader makes of it."""
-    from cedarmill.conf import cluster as fleet
+    from cedarmill.conf.cluster import read_replica_settings, read_supervisor_settings
     from cedarmill.conf.settings import Settings
     from cedarmill.lab import scenario
     from cedarmill.lab.cluster import scenario as fleet_scenario
 
-    found = {}
+    found, readers = {}, {"keeper": read_replica_settings, "steward": read_supervisor_settings}
     for path in sorted([*ROOT.glob("deploy/**/*.xml"), *ROOT.glob("cedarmill/**/*.xml")]):
         name = path.stem
         if path.parent.name == "scenarios":
             lab = fleet_scenario if path.parent.parent.name != "lab" else scenario
             found[f"scenario {name}"] = plain(lab.read(name))
-        elif name in ("keeper", "steward"):
+        elif name in readers:
             with _without_comments(path) as bare:
-                found[f"deploy {name}"] = plain(getattr(fleet, name)(bare))
+                found[f"deploy {name}"] = plain(readers[name](bare))
         else:
             read = Settings(path)
-            rows = [[row.name, row.value, row.origin.removeprefix(f"{path}:")] for row in read.held]
+            rows = [[row.name, row.value, row.origin.removeprefix(f"{path}:")] for row in read.effective]
             found[f"deploy {name}"] = [plain(read.options), rows]
-    found["no file"] = [plain(Settings(None).options), plain(Settings(None).held)]
+    found["no file"] = [plain(Settings(None).options), plain(Settings(None).effective)]
     return found
 
 
@@ -496,10 +496,11 @@
 
 def refused_xml() -> dict[str, str]:
     """Of the files that the repository ships, those that their own readers refuse, and why."""
-    from cedarmill.conf import cluster as fleet
+    from cedarmill.conf.cluster import read_replica_settings, read_supervisor_settings
     from cedarmill.conf.settings import Settings
 
-    found, readers = {}, {"keeper": fleet.keeper, "steward": fleet.steward, "cedarmill": Settings}
+    found: dict[str, str] = {}
+    readers = {"keeper": read_replica_settings, "steward": read_supervisor_settings, "cedarmill": Settings}
     for path in sorted(ROOT.glob("deploy/**/*.xml")):
         try:
             readers[path.stem](path)
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -361,7 +361,8 @@
         self.process = self.start(self.config())
         self.wait_log("serves on")
         self.port = self.told_port()
-        self.assertTrue(any("exclusions of executors taken from the state file: s-0" in line for line in self.log), self.log)
+        taken = "exclusions of executors taken from the state file: s-0"
+        self.assertTrue(any(taken in line for line in self.log), self.log)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
 
 
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -59,11 +59,11 @@
 
     def test_a_step_back_of_the_wall_clock_silences_no_line(self):
         """Told once in ten seconds; an hour back, the line that is repeated was silent for an hour."""
-        sparing, record = log.Sparing(), logging.makeLogRecord({"msg": "repeated"})
+        repeats, record = log.RepeatFilter(), logging.makeLogRecord({"msg": "repeated"})
         later = logging.makeLogRecord({"msg": "repeated"})
         later.created = record.created - 3600
         with mock.patch.object(time, "monotonic", side_effect=[5.0, 6.0, 16.0]):
-            self.assertEqual([bool(sparing.filter(r)) for r in (record, later, later)], [True, False, True])
+            self.assertEqual([bool(repeats.filter(r)) for r in (record, later, later)], [True, False, True])
 
 
 def select_bytes() -> int:
