--- a/cedarmill/cli/conf.py
+++ b/cedarmill/cli/conf.py
@@ -5,13 +5,15 @@
 
 @click.group()
 def conf() -> None:
-    """Our own settings: check a file, show what holds, print the schema."""
+    """Check and show settings in XML (cedarmill.xml)."""
 
 
 @conf.command(epilog="Exit codes: 0 the file is good; 2 it is not, said in one line.")
 @click.argument("path", type=click.Path(dir_okay=False))
 def check(path: str) -> None:
-    """Check a file whole; name file, line, element and fault of the first mistake.
+    """Check the file PATH whole.
+
+    The first mistake is named with its file, line and element.
 
     \b
     Example:
@@ -26,7 +28,9 @@
 @conf.command(epilog="Exit codes: 0 shown; 2 the file is not good, said in one line.")
 @click.argument("path", type=click.Path(dir_okay=False), required=False)
 def show(path: str | None) -> None:
-    """Print each setting that holds, and where its value came from; without a file the defaults.
+    """Print each setting that holds, and where it comes from.
+
+    Without PATH all defaults.
 
     \b
     Examples:
@@ -42,9 +46,13 @@
 
 
 @conf.command(epilog="Exit codes: 0 printed.")
-@click.argument("name", type=click.Choice(["cedarmill", "scenario", "types"]), default="cedarmill")
+@click.argument(
+    "name", metavar="[NAME]", type=click.Choice(["cedarmill", "scenario", "types"]), default="cedarmill"
+)
 def schema(name: str) -> None:
-    """Print a schema, for an editor that checks while one types.
+    """Print a schema, for editors that check while one types.
+
+    NAME is cedarmill (settings of a node), scenario (of the laboratory) or types (what both use).
 
     \b
     Example:
--- a/cedarmill/cli/health.py
+++ b/cedarmill/cli/health.py
@@ -6,23 +6,33 @@
 
 import click
 
-READ = 64 * 1024  # bytes of an answer, at most
+MAX_ANSWER = 64 * 1024  # bytes
+MAX_PORT = 65_535
+MAX_BODY_LINES = 20  # of an HTTP answer, that are printed
 
 
 @click.group()
 def health() -> None:
-    """Balancers' health protocols: ask once and explain the answer."""
+    """Ask for health as load balancers do, and explain the answer."""
 
 
 @health.command(epilog="Exit codes: 0 healthy; 1 not healthy, or no answer; 2 bad use.")
 @click.argument("address")
-@click.option("--kind", type=click.Choice(["agent", "http"]), default="http", show_default=True)
-@click.option("--path", default="/readyz?verbose", show_default=True, help="For http.")
+@click.option(
+    "--kind",
+    type=click.Choice(["agent", "http"]),
+    default="http",
+    show_default=True,
+    help="How to ask: HAProxy's agent-check, or an HTTP request.",
+)
+@click.option("--path", default="/readyz?verbose", show_default=True, help="For http: what to ask for.")
 @click.option("--send", default="", help="For agent: the words of agent-send.")
 @click.option("--proxy", is_flag=True, help="For http: send a PROXY header first, as send-proxy does.")
-@click.option("--wait", type=click.FloatRange(0.01, 60), default=3.0, show_default=True, help="Seconds.")
+@click.option(
+    "--wait", type=click.FloatRange(0.01, 60), default=3.0, show_default=True, help="For an answer, seconds."
+)
 def probe(address: str, kind: str, path: str, send: str, proxy: bool, wait: float) -> None:
-    """Ask ADDRESS (HOST:PORT) once, and say what the answer means.
+    """Ask ADDRESS (HOST:PORT) once, and explain the answer.
 
     \b
     Examples:
@@ -30,7 +40,7 @@
       cedarmill health probe 127.0.0.1:9101 --path /healthz --proxy
     """
     host, _, port = address.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65536:
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise click.BadParameter(f"{address!r} is not HOST:PORT", param_hint="ADDRESS")
     began = time.monotonic()
     try:
@@ -51,9 +61,9 @@
 def _read(sock: socket.socket, till: float) -> bytes:
     """All that comes till the other side closes, within the time and the bound."""
     found = b""
-    while len(found) < READ:
+    while len(found) < MAX_ANSWER:
         sock.settimeout(max(0.001, till - time.monotonic()))
-        if not (data := sock.recv(READ - len(found))):
+        if not (data := sock.recv(MAX_ANSWER - len(found))):
             break
         found += data
     return found
@@ -95,11 +105,11 @@
     answer = http.client.HTTPResponse(sock)
     try:
         answer.begin()
-        body = answer.read(READ)
+        body = answer.read(MAX_ANSWER)
     except http.client.HTTPException as error:
         raise ValueError(f"not HTTP: {error!r}") from None
     headers = {name.lower(): value for name, value in answer.getheaders()}
     check = judge(Expected(), answer.status, headers, body)
-    lines = [f"status: {answer.status}", *body.decode("utf-8", "replace").splitlines()[:20]]
+    lines = [f"status: {answer.status}", *body.decode("utf-8", "replace").splitlines()[:MAX_BODY_LINES]]
     lines += [f"{FAIL_AT_ONCE}: take it out without waiting for more"] if FAIL_AT_ONCE in headers else []
     return check.passed, lines + ([] if check.passed else [f"why: {check.reason}"])
--- a/cedarmill/cli/node.py
+++ b/cedarmill/cli/node.py
@@ -4,14 +4,22 @@
 
 import click
 
-from cedarmill.log import FORMATS
+from cedarmill.cli.options import LOG_FORMAT
 
 
 @click.command(epilog="Exit codes: 0 ended by a signal; 2 it could not start, said in one line.")
-@click.option("-c", "--conf", "path", type=click.Path(dir_okay=False), help="Our own settings (XML).")
-@click.option("--log-format", type=click.Choice(FORMATS), default="text", show_default=True)
+@click.option(
+    "-c",
+    "--conf",
+    "path",
+    type=click.Path(dir_okay=False),
+    help="Further settings, an XML file (see `conf`).",
+)
+@LOG_FORMAT
 def node(path: str | None, log_format: str) -> None:
-    """Start one node; LB_CONFIG names the platform's configuration (JSON).
+    """Run one node: it takes clients' requests and sends each to an executor.
+
+    The environment variable LB_CONFIG names the node's configuration (JSON).
 
     \b
     Examples:
--- a/cedarmill/cli/replica.py
+++ b/cedarmill/cli/replica.py
@@ -1,64 +1,47 @@
-"""`cedarmill keeper` and `cedarmill steward`."""
+"""`cedarmill replica`."""
 
 import sys
 from pathlib import Path
 
 import click
 
-from cedarmill.log import FORMATS
+from cedarmill.cli.options import LOG_FORMAT, SETTINGS_FILE
 
-EXITS = "Exit codes: 0 ended by a signal; 2 bad input, or it could not start."
-SUPERVISOR_EXITS = EXITS.removesuffix(".") + "; 3 its disk failed."
-_CONF = click.option(
-    "-c", "--conf", "path", required=True, type=click.Path(dir_okay=False), help="Its XML file."
-)
-_FORM = click.option("--log-format", type=click.Choice(FORMATS), default="text", show_default=True)
+EXIT_CODES = "Exit codes: 0 ended by a signal, or formatted; 2 bad input, or it could not start."
 
 
-@click.command(epilog=EXITS)
-@_CONF
-@click.option("--init", is_flag=True, help="Format the disk for a new cluster, and end.")
+@click.command(epilog=EXIT_CODES)
+@SETTINGS_FILE
+@click.option("--init", is_flag=True, help="Format its data folder for a new cluster, and end.")
 @click.option(
-    "--restore", type=click.Path(dir_okay=False, path_type=Path), help="With --init: begin from a backup."
+    "--restore",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="With --init: begin with the state in a file that `cluster backup` wrote.",
 )
-@_FORM
-def keeper(path: str, init: bool, restore: Path | None, log_format: str) -> None:
-    """Run a keeper of the fleet's agreed log. It carries no reqs.
+@LOG_FORMAT
+def replica(path: str, init: bool, restore: Path | None, log_format: str) -> None:
+    """Run one replica of the cluster's replicated log.
+
+    Replicas agree on what all nodes of the cluster follow: permits, releases, traffic between zones,
+    budgets. A cluster has one, three or five; clients' requests never pass through them.
 
     \b
     Examples:
-      cedarmill keeper -c keeper-0.xml --init
-      cedarmill keeper -c keeper-0.xml --log-format json
-      cedarmill keeper -c keeper-0.xml --init --restore fleet.backup
+      cedarmill replica -c replica-0.xml --init
+      cedarmill replica -c replica-0.xml --log-format json
+      cedarmill replica -c replica-0.xml --init --restore cluster.backup
     """
-    from cedarmill.conf.cluster import read_replica_settings as read
+    from cedarmill.conf.cluster import read_replica_settings
     from cedarmill.conf.document import ConfError
     from cedarmill.net.cluster.replica import initialise, main
 
-    options = read(path)
+    options = read_replica_settings(path)
     if restore is not None and not init:
-        raise ConfError("--restore goes with --init: a keeper begins from a backup on an empty disk")
-    if init:
-        try:
-            initialise(options, restore.read_bytes() if restore is not None else b"")
-        except ValueError as error:
-            raise ConfError(f"{restore or options.data}: {error}") from None
-        click.echo(f"{options.data}: formatted for keeper {options.name} of cluster {options.cluster}")
-        return
-    sys.exit(main(options, log_format))
-
-
-@click.command(epilog=SUPERVISOR_EXITS)
-@_CONF
-@_FORM
-def steward(path: str, log_format: str) -> None:
-    """Run the steward of one machine: it starts, replaces and stops its units by the fleet's word.
-
-    \b
-    Example:
-      cedarmill steward -c steward-0.xml
-    """
-    from cedarmill.conf.cluster import read_supervisor_settings as read
-    from cedarmill.net.cluster.supervisor import main
-
-    sys.exit(main(read(path), log_format))
+        raise ConfError("--restore goes with --init: a replica begins with a backup on an empty disk")
+    if not init:
+        sys.exit(main(options, log_format))
+    try:
+        initialise(options, restore.read_bytes() if restore is not None else b"")
+    except ValueError as error:
+        raise ConfError(f"{restore or options.data}: {error}") from None
+    click.echo(f"{options.data}: formatted for keeper {options.name} of cluster {options.cluster}")
--- a/tests/cli/test_release_screen.py
+++ b/tests/cli/test_release_screen.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from cedarmill.cli.cluster import RELEASE_ENDS, release_lines
-from cedarmill.cli.release_screen import ReleaseScreen
+from cedarmill.cli.cluster.release_screen import ReleaseScreen
+from cedarmill.cli.cluster.releases import END_STATES, release_lines
 
 
 def release(state: str) -> dict:
@@ -17,7 +17,7 @@
 class Screen(unittest.IsolatedAsyncioTestCase):
     async def test_it_shows_the_steps_and_leaves_at_the_end(self):
         rows = [release("running")]
-        app = ReleaseScreen(lambda: rows, release_lines, RELEASE_ENDS)
+        app = ReleaseScreen(lambda: rows, release_lines, END_STATES)
         async with app.run_test() as pilot:
             await pilot.pause()
             text = str(app.body.render())
@@ -25,11 +25,11 @@
                 self.assertIn(words, text)
             self.assertTrue(app.is_running)
             rows[0] = release("done")
-            app.look()
+            app.show_releases()
             self.assertIsNotNone(app._exit)
 
     async def test_a_key_leaves_it(self):
-        app = ReleaseScreen(lambda: [release("running")], release_lines, RELEASE_ENDS)
+        app = ReleaseScreen(lambda: [release("running")], release_lines, END_STATES)
         async with app.run_test() as pilot:
             await pilot.press("q")
             await pilot.pause()
