--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -526,7 +526,7 @@
         director = StandInServer()
         self.addCleanup(director.close)
         self.reload(json.dumps({**self.config(), "discovery": director.address}))
-        self.wait_log("reloaded: the director is at 127.0.0.1")
+        self.wait_log("reloaded: discovery is at 127.0.0.1")
         self.assertTrue(old.connection.ended.wait(WAIT))
         director.next_request().send_head("503 Service Unavailable")  # asked again soon
         began, call = time.monotonic(), director.next_request()
@@ -587,7 +587,7 @@
         early.ask()
         held = self.executors[0].next_request()
         self.terminate()
-        self.wait_log("draining: 1 reqs held")
+        self.wait_log("draining: 1 requests held")
         late.ask()
         self.executors[0].next_request().done("late")
         self.assertEqual(late.answer(), (200, b"late"))
@@ -638,7 +638,7 @@
                 self.assertNotEqual(process.returncode, 0)
                 self.assertEqual(text.count("\n"), 1, text)
                 self.assertIn(words, text)
-        env = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
+        environment = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
         command = [sys.executable, "-m", "cedarmill"]
         run = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True)
         self.assertEqual((run.returncode, run.stderr), (2, "cedarmill: LB_CONFIG is not set\n"))
