--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -128,9 +128,13 @@
 
     def test_completion_works(self):
         """click's own, by the name that the package installs."""
-        for words, completed in (("cedarmill conf s", ["schema", "show"]),
-                                 ("cedarmill cluster re", ["release", "replicas", "return-zone"]),
-                                 ("cedarmill fleet ke", ["keepers"]), ("cedarmill st", ["steward"])):  # fmt: skip
+        cases = (
+            ("cedarmill conf s", ["schema", "show"]),
+            ("cedarmill cluster re", ["release", "replicas", "return-zone"]),
+            ("cedarmill fleet ke", ["keepers"]),
+            ("cedarmill st", ["steward"]),
+        )
+        for words, completed in cases:
             count = str(len(words.split()) - 1)
             ran = command(_CEDARMILL_COMPLETE="bash_complete", COMP_WORDS=words, COMP_CWORD=count)
             self.assertEqual(ran.stdout.split(), [f"plain,{word}" for word in completed])
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -638,7 +638,7 @@
                 self.assertNotEqual(process.returncode, 0)
                 self.assertEqual(text.count("\n"), 1, text)
                 self.assertIn(words, text)
-        environment = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
+        env = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
         command = [sys.executable, "-m", "cedarmill"]
         run = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True)
         self.assertEqual((run.returncode, run.stderr), (2, "cedarmill: LB_CONFIG is not set\n"))
