--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -26,11 +26,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from cedarmill.lab.simulation.cluster import ClusterSimulation, S, Shape  # noqa: E402
+from cedarmill.lab.simulation.clock import SECOND  # noqa: E402
+from cedarmill.lab.simulation.cluster import ClusterSimulation  # noqa: E402
+from cedarmill.lab.simulation.cluster_setup import ClusterSetup  # noqa: E402
+from cedarmill.lab.simulation.network import START_PHASE  # noqa: E402
 
 SEEDS = 200
 GRANTS_S = 4.0  # of asking
 ASKERS = 32  # operators at once
+KILL_AT = 8 * SECOND  # us, of the leader; up to 0.1 s later by the seed
 
 
 def percentiles(values: list[float]) -> str:
@@ -45,43 +49,49 @@
     """Messages a second."""
     for members in (12, 100, 1000):
         nodes = members // 2
-        shape = Shape(nodes=nodes, executors=24, faults=0, drains=0, length=8 * S, works=False)
-        run = ClusterSimulation(shape, 1)
+        setup = ClusterSetup(
+            nodes=nodes, executors=24, faults=0, drains=0, length=8 * SECOND, sends_work=False
+        )
+        run = ClusterSimulation(setup, 1)
         run.run()
-        marks, between = run.counted, run.between
-        seconds = shape.length / S - 4
-        print(f"at rest, {members} members: {marks / seconds:.0f} messages a second in all, "
-              f"{between / seconds:.0f} of them between the keepers")  # fmt: skip
+        seconds = (setup.length - START_PHASE) / SECOND
+        every, between = run.network.messages_at_rest, run.network.replica_messages_at_rest
+        print(
+            f"at rest, {members} members: {every / seconds:.0f} messages a second in all, "
+            f"{between / seconds:.0f} of them between the replicas"
+        )
 
 
-def _without(seed: int) -> float | None:
+def _time_without_leader(seed: int) -> float | None:
     """Kill the leader once; how long till another leads (s)."""
-    run = ClusterSimulation(Shape(faults=0, drains=0, length=16 * S, nodes=2), seed)
-    run.after(8 * S + seed * 7919 % 100_000, lambda: run.leader().kill())
+    run = ClusterSimulation(ClusterSetup(faults=0, drains=0, length=16 * SECOND, nodes=2), seed)
+    killed_at = KILL_AT + seed * 7919 % 100_000
+    run.scheduler.after(killed_at, lambda: run.faults.leader().kill())
     run.run()
-    leads = [event.at for event in run.history.events if event.what == "leads" and event.at > 8 * S]
-    return (leads[0] - 8 * S - seed * 7919 % 100_000) / S if leads else None
+    leads = [event.at for event in run.history.events if event.what == "leads" and event.at > KILL_AT]
+    return (leads[0] - killed_at) / SECOND if leads else None
 
 
 def leader() -> None:
     """Without a leader."""
     with multiprocessing.get_context("spawn").Pool() as pool:
-        found = pool.map(_without, range(SEEDS))
+        found = pool.map(_time_without_leader, range(SEEDS))
     values = [value for value in found if value is not None]
     print(f"without a leader after a kill: {percentiles(values)}; never again in {found.count(None)} runs")
 
 
 def _release(job: tuple[str, int]) -> tuple[str, float, int, int]:
-    """A release: its end, the time from its first job to the last start (s), nodes reached, jobs it got."""
+    """A release: its end, from its first request to the last start (s), nodes reached, requests it got."""
     version, seed = job
-    run = ClusterSimulation(Shape(release=version, faults=0, drains=0, nodes=12, length=60 * S), seed)
+    setup = ClusterSetup(release=version, faults=0, drains=0, nodes=12, length=60 * SECOND)
+    run = ClusterSimulation(setup, seed)
     run.run()
     starts = [e.at for e in run.history.events if e.what == "starts" and e.note == version]
     ends = [e.what.removeprefix("release ") for e in run.history.events if e.who == "driver"]
     halted = "halted" in ends
     touched = len({e.target for e in run.history.events if e.what == "starts" and e.note == version})
-    last = (max(starts) - min(starts)) / S if starts else 0.0
-    return ("halted" if halted else ends[-1] if ends else "nothing"), last, touched, run.jobs_of(version)
+    last = (max(starts) - min(starts)) / SECOND if starts else 0.0
+    return ("halted" if halted else ends[-1] if ends else "nothing"), last, touched, run.requests_of(version)
 
 
 def halt() -> None:
@@ -95,7 +105,7 @@
             print(
                 f"{version}: halted in {len(halted)} of {len(found)}; first to last start "
                 f"{percentiles([one[1] for one in found])}; nodes reached {reached:.2f} of 12 in the mean, "
-                f"at the most {max(one[2] for one in found)}; jobs got {100 * share / 1e4:.2f} %"
+                f"at the most {max(one[2] for one in found)}; requests got {100 * share / 1e4:.2f} %"
             )
         good = pool.map(_release, [("good", seed) for seed in range(SEEDS)])
         print(
@@ -173,7 +183,7 @@
     from cedarmill.lab.cluster.scenario import ScenarioEvent, read
 
     plain = dataclasses.replace(read("drains"), timeline=())
-    gone = ScenarioEvent("process", 3 * S, 0, {"name": "keeper-*", "fault": "kill"})
+    gone = ScenarioEvent("process", 3 * SECOND, 0, {"name": "keeper-*", "fault": "kill"})
     none = dataclasses.replace(plain, fleet=dataclasses.replace(plain.fleet, keepers=0))
     killed = dataclasses.replace(plain, timeline=(gone,))
     for name, scenario in (
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -123,14 +123,14 @@
 
     began, spent, broken = time.monotonic(), 0, []
     with multiprocessing.get_context("spawn").Pool(WORKERS) as pool:
-        for one in pool.imap_unordered(search.spend, [(seed, "") for seed in range(rounds)], 16):
-            spent += one.count
+        for one in pool.imap_unordered(search.play_spending, [(seed, "") for seed in range(rounds)], 16):
+            spent += one.spent_count
             broken += [f"seed {one.seed}: {law}: {texts[0]}" for law, texts in one.broken.items()]
     took = time.monotonic() - began
     print(f"budgets: {rounds} rounds in {took:.0f} s, {spent} spent, laws broken in {len(broken)}")
     print(*broken, sep="\n")
-    for bug in search.BUDGET_BUGS:
-        seeds = (seed for seed in range(200) if search.spend((seed, bug)).broken)
+    for bug in search.BUDGET_MUTANTS:
+        seeds = (seed for seed in range(200) if search.play_spending((seed, bug)).broken)
         print(f"{bug}: seen with seed {next(seeds, 'none of 200')}", flush=True)
 
 
--- a/cedarmill/lab/cluster/mutants.py
+++ b/cedarmill/lab/cluster/mutants.py
@@ -39,8 +39,9 @@
 )
 from cedarmill.cluster.state_machine.commands import ConfirmDrained, ExpireSessions
 from cedarmill.cluster.supervision import ProcessSupervisor
-from cedarmill.lab.simulation.cluster import Disk, SimulatedNode
-from cedarmill.lab.simulation.raft_log import Node
+from cedarmill.lab.simulation.disk import Disk
+from cedarmill.lab.simulation.node import SimulatedNode
+from cedarmill.lab.simulation.raft_log_replica import LogReplica
 
 Patch = tuple[object, str, Any]  # where, the name, what stands there instead
 
@@ -180,10 +181,10 @@
             if self.port.sync() and last >= 0:
                 self.pending += self.keeper.on_synced(now, last)
 
-    def promise(self: Node, action: SendMessage) -> None:
-        self.run.send(self.name, action)
+    def promise(self: LogReplica, action: SendMessage) -> None:
+        self.send_now(action)
 
-    return [(Host, "flush", flush), (Node, "promise", promise)]
+    return [(Host, "flush", flush), (LogReplica, "send_after_sync", promise)]
 
 
 def drained_before_the_last_ack() -> list[Patch]:
--- a/cedarmill/lab/simulation/raft_log.py
+++ b/cedarmill/lab/simulation/raft_log.py
@@ -1,302 +1,178 @@
-"""The agreed log alone, under many more faults a second than a fleet would meet: random orders of everything.
+"""The replicated log alone, under many more faults a second than a cluster would meet.
 
-Any message on its way may be the next to arrive, or be lost; any keeper may be the next whose time passes,
-that syncs, that dies or comes back. Its laws: one leader a term, what is agreed stays agreed and is the
-same for all, and what was agreed when a read was asked is seen by it.
+Any message on its way may be the next to arrive, or be lost; any replica may be the next whose time passes,
+that syncs, that dies or comes back. Its invariants: one leader a term, what is committed stays committed and
+is the same for all, and what was committed when a read was asked is seen by it.
 """
 
-import random
-
-from cedarmill.cluster.raft.actions import (
-    Action,
-    ApplyEntries,
-    LeadershipConfirmed,
-    PersistEntries,
-    PersistTermAndVote,
-    RestoreSnapshot,
-    RoleChanged,
-    SendMessage,
-)
 from cedarmill.cluster.raft.events import (
     ChangeMembership,
     ConfirmLeadership,
-    Event,
     MessageReceived,
-    PersistenceCompleted,
     ProposeCommand,
     SnapshotPersisted,
     TimeAdvanced,
 )
-from cedarmill.cluster.raft.messages import AppendEntries, Entry, Message, Peer, Snapshot
-from cedarmill.cluster.raft.node import RaftNode
+from cedarmill.cluster.raft.messages import Peer, Snapshot
 from cedarmill.cluster.raft.roles import Role
 from cedarmill.cluster.raft.state import PersistentState, Timing
-from cedarmill.lab.simulation.cluster import Disk
-
-STEP = 3_000  # us that pass at the most between two events
-CRASH, LOSE, CUT, SNAP, CHANGE = 0.006, 0.02, 0.004, 0.002, 0.002  # chances at each event
-
-
-class Node:
-    """A keeper: its core, what is on its disk, and what is not yet."""
-
-    def __init__(self, run: "LogSimulation", name: str, saved: PersistentState) -> None:
-        self.run, self.name, self.disk = run, name, Disk(saved)
-        self.starts = 0
-        self.start()
-
-    def start(self) -> None:
-        self.starts += 1
-        self.alive = True
-        self.after: list[SendMessage] = []  # to be sent when that is synced
-        self.skew = self.run.dice.randrange(50_000)
-        seed = self.run.seed * 100 + self.starts
-        self.core = RaftNode(self.name, self.disk.load(), self.now(), seed, self.run.timing)
+from cedarmill.lab.simulation.raft_log_checks import LogChecks
+from cedarmill.lab.simulation.raft_log_replica import LogReplica, MessagePool
+from cedarmill.lab.simulation.seeds import text_generator
 
-    def now(self) -> int:
-        return self.run.time + self.skew
+MAX_STEP = 3_000  # us that pass between two events
+MIN_REPLICAS = 3  # below which the leader takes another one in
+HEARTBEAT_PERIOD, ELECTION_TIMEOUT = 30_000, 150_000  # us
+DOOMED_EVENTS = (10, 120)  # that a leader still lives, where leaders die soon
 
-    def step(self, event: Event) -> None:
-        """Let the core take an event, and take its actions."""
-        for action in self.core.step(self.now(), event):
-            self._take(action)
+# Chances at each event.
+CRASH_CHANCE, SNAPSHOT_CHANCE, CHANGE_CHANCE = 0.006, 0.002, 0.002
+PARTITION_CHANCE = 0.004
+HEAL_CHANCE = 3 * PARTITION_CHANCE
+LOSS_CHANCE = 0.02  # of a message
+RESTART_CHANCE, START_CHANCE = 0.5, 0.2  # at once after a crash; later, whenever it is the next
 
-    def _take(self, action: Action) -> None:
-        run = self.run
-        if isinstance(action, PersistTermAndVote | PersistEntries):
-            self.disk.save(action)
-        elif isinstance(action, SendMessage):
-            self.promise(action)
-        elif isinstance(action, RestoreSnapshot):
-            self.disk.put_snapshot(action.snapshot, list(self.core.log.entries))
-        elif isinstance(action, ApplyEntries):
-            for entry in action.entries:
-                run.agreed(self.name, entry)
-        elif isinstance(action, RoleChanged) and action.leads:
-            run.leads(self.name, action.term)
-        elif isinstance(action, LeadershipConfirmed):
-            run.confirmed(action)
-
-    def promise(self, action: SendMessage) -> None:
-        """It leaves when what it rests on is on the disk."""
-        self.after.append(action)
-
-    def sync(self) -> None:
-        """What waits is on the disk; then what was promised by it leaves."""
-        puts = [
-            action.entries[-1].index for action in self.disk.waiting if isinstance(action, PersistEntries)
-        ]
-        self.disk.sync()
-        sends, self.after = self.after, []
-        for send in sends:
-            self.run.send(self.name, send)
-        if puts:
-            self.step(PersistenceCompleted(puts[-1]))
-
-    def kill(self) -> None:
-        self.alive, self.after = False, []
+# What the next event is, by one sample from 0 to 1: upper bounds.
+ARRIVAL, TIME_ADVANCES, SYNC, PROPOSAL = 0.6, 0.75, 0.9, 0.97
 
 
 class LogSimulation:
     """One run of some thousand events."""
 
-    def __init__(self, seed: int, keepers: int = 3, events: int = 8000, churn: bool = False,
-                 changes: bool = False) -> None:  # fmt: skip
-        """`churn`: each new leader reaches few others, and dies soon; `changes`: keepers come and go for
+    def __init__(
+        self, seed: int, replicas: int = 3, events: int = 8000, churn: bool = False, changes: bool = False
+    ) -> None:
+        """`churn`: each new leader reaches few others, and dies soon; `changes`: replicas come and go for
         good.
         """
         self.seed, self.events = seed, events
-        self.dice = random.Random(f"log/{seed}")
-        self.timing = Timing(30_000, 150_000)
+        self.generator = text_generator("log", seed)
+        self.timing = Timing(HEARTBEAT_PERIOD, ELECTION_TIMEOUT)
         self.time = 0
-        self.found: list[str] = []
-        self.by_index: dict[int, tuple[int, bytes]] = {}
-        self.highest = 0  # that any keeper has called agreed
-        self.by_term: dict[int, str] = {}
-        self.reads: dict[int, int] = {}
-        self.churn, self.changes = churn, changes
-        self.came = 0  # keepers that came later
-        self.doomed: tuple[str, int] | None = None  # a leader, and the events that it still lives
-        self.on_the_way: list[tuple[str, str, Message]] = []
-        self.cuts: set[tuple[str, str]] = set()
-        self.tokens = 0
-        names = [f"k{n}" for n in range(keepers)]
+        self.checks = LogChecks(self._on_new_leader)
+        self.messages = MessagePool()
+        self._churn, self._changes = churn, changes
+        self._added = 0  # replicas that came later
+        self._doomed: tuple[str, int] | None = None  # a leader, and the events that it still lives
+        self._tokens = 0
+        names = [f"k{number}" for number in range(replicas)]
         config = {name: Peer("") for name in names}
-        first = Snapshot(1, 1, config, b"")
-        self.nodes = {name: Node(self, name, PersistentState(1, "", first)) for name in names}
-
-    def agreed(self, name: str, entry: Entry) -> None:
-        """A keeper calls an entry agreed."""
-        known = self.by_index.setdefault(entry.index, (entry.term, entry.data))
-        if known != (entry.term, entry.data):
-            self.found.append(f"{name} agrees on another entry {entry.index} than was agreed")
-        self.highest = max(self.highest, entry.index)
-
-    def leads(self, name: str, term: int) -> None:
-        if self.by_term.setdefault(term, name) != name:
-            self.found.append(f"{name} and {self.by_term[term]} both lead in term {term}")
-        if self.churn:
-            others = [other for other in self.nodes if other != name]
-            self.cuts = {
-                (name, other) for other in self.dice.sample(others, self.dice.randint(1, len(others)))
-            }
-            self.doomed = name, self.dice.randrange(10, 120)
-
-    def confirmed(self, action: LeadershipConfirmed) -> None:
-        asked = self.reads.pop(action.token, 0)
-        if action.index < asked:
-            self.found.append(f"a read sees {action.index}, and {asked} was agreed when it was asked")
-
-    def send(self, source: str, send: SendMessage) -> None:
-        if (source, send.target) not in self.cuts and send.target in self.nodes:
-            self.on_the_way.append((source, send.target, send.message))
+        saved = PersistentState(1, "", Snapshot(1, 1, config, b""))
+        self.replicas: dict[str, LogReplica] = {}
+        for name in names:
+            self.replicas[name] = LogReplica(self, name, saved)
+
+    def _on_new_leader(self, name: str) -> None:
+        if self._churn:
+            others = [other for other in self.replicas if other != name]
+            reached = self.generator.sample(others, self.generator.randint(1, len(others)))
+            self.messages.partitions = {(name, other) for other in reached}
+            self._doomed = name, self.generator.randrange(*DOOMED_EVENTS)
 
     def run(self) -> list[str]:
         """Play it; what was found wrong."""
         for _ in range(self.events):
-            self.time += self.dice.randrange(STEP)
-            self._event()
-            if self.found:
+            self.time += self.generator.randrange(MAX_STEP)
+            self._next_event()
+            if self.checks.violations:
                 break
-        return self.found
+        return self.checks.violations
+
+    def _leader(self) -> LogReplica | None:
+        leading = (one for one in self.replicas.values() if one.alive and one.core.role is Role.LEADER)
+        return next(leading, None)
+
+    def _some_replica(self) -> LogReplica:
+        return self.replicas[self.generator.choice(list(self.replicas))]
+
+    def _next_token(self) -> int:
+        self._tokens += 1
+        return self._tokens
+
+    def _next_event(self) -> None:
+        self._strike()
+        replica = self._some_replica()
+        sample = self.generator.random()
+        if sample < ARRIVAL and self.messages.waiting:
+            self._deliver_one()
+        elif not replica.alive:
+            if self.generator.random() < START_CHANCE:
+                replica.start()
+        elif sample < TIME_ADVANCES:
+            replica.step(TimeAdvanced())
+        elif sample < SYNC:
+            replica.sync()
+        elif sample < PROPOSAL:
+            token = self._next_token()
+            replica.step(ProposeCommand(b"%d" % token, token))
+        else:
+            token = self._next_token()
+            self.checks.begin_read(token)
+            replica.step(ConfirmLeadership(token))
 
-    def _change(self) -> None:
-        """The leader takes a keeper in, on an empty disk, or one out; one that is out never comes back."""
-        leader = next((n for n in self.nodes.values() if n.alive and n.core.role is Role.LEADER), None)
+    def _deliver_one(self) -> None:
+        """Any message may be the next, but those of one link keep their order."""
+        source, target, message = self.messages.take_first_of_link(
+            self.generator.randrange(len(self.messages.waiting))
+        )
+        replica = self.replicas[target]
+        if (
+            replica.alive
+            and self.generator.random() >= LOSS_CHANCE
+            and (source, target) not in self.messages.partitions
+        ):
+            replica.step(MessageReceived(source, message))
+
+    # Faults.
+
+    def _strike(self) -> None:
+        self._kill_doomed_leader()
+        if self.generator.random() < CRASH_CHANCE:
+            replica = self._some_replica()
+            replica.kill()
+            if self.generator.random() < RESTART_CHANCE:
+                replica.start()
+        if self.generator.random() < PARTITION_CHANCE:
+            source, target = self.generator.sample(list(self.replicas), 2)
+            self.messages.partitions.add((source, target))
+        if self.messages.partitions and self.generator.random() < HEAL_CHANCE:
+            self.messages.partitions.clear()
+        if self.generator.random() < CHANGE_CHANCE and self._changes:
+            self._change_membership()
+        if self.generator.random() < SNAPSHOT_CHANCE:
+            self._make_snapshot()
+
+    def _kill_doomed_leader(self) -> None:
+        if self._doomed is None:
+            return
+        name, events_left = self._doomed
+        self._doomed = (name, events_left - 1) if events_left else None
+        if not events_left:
+            self.replicas[name].kill()
+            self.messages.partitions.clear()
+
+    def _change_membership(self) -> None:
+        """The leader takes a replica in, on an empty disk, or one out; one that is out never comes back."""
+        leader = self._leader()
         if leader is None:
             return
-        names = list(leader.core.config)
-        self.tokens += 1
-        if len(names) <= 3:
-            self.came += 1
-            name = f"s{self.came}"
+        names, token = list(leader.core.config), self._next_token()
+        if len(names) <= MIN_REPLICAS:
+            self._added += 1
+            name = f"s{self._added}"
             empty = PersistentState(0, "", Snapshot(0, 0, {}, b""), needs_catch_up=True)
-            self.nodes[name] = Node(self, name, empty)
-            leader.step(ChangeMembership(name, Peer("", False), self.tokens))
+            self.replicas[name] = LogReplica(self, name, empty)
+            leader.step(ChangeMembership(name, Peer("", False), token))
         else:
-            leader.step(ChangeMembership(self.dice.choice(names), None, self.tokens))
-
-    def _event(self) -> None:
-        dice = self.dice
-        self._faults()
-        node = self.nodes[dice.choice(list(self.nodes))]
-        roll = dice.random()
-        if roll < 0.6 and self.on_the_way:
-            self._arrive()
-        elif not node.alive:
-            if dice.random() < 0.2:
-                node.start()
-        elif roll < 0.75:
-            node.step(TimeAdvanced())
-        elif roll < 0.9:
-            node.sync()
-        elif roll < 0.97:
-            self.tokens += 1
-            node.step(ProposeCommand(b"%d" % self.tokens, self.tokens))
-        else:
-            self.tokens += 1
-            self.reads[self.tokens] = self.highest
-            node.step(ConfirmLeadership(self.tokens))
-
-    def _arrive(self) -> None:
-        """Any message may be the next, but those of one link keep their order."""
-        source, target, message = self.on_the_way[self.dice.randrange(len(self.on_the_way))]
-        first = next(n for n, one in enumerate(self.on_the_way) if one[:2] == (source, target))
-        source, target, message = self.on_the_way.pop(first)
-        node = self.nodes[target]
-        if node.alive and self.dice.random() >= LOSE and (source, target) not in self.cuts:
-            node.step(MessageReceived(source, message))
+            leader.step(ChangeMembership(self.generator.choice(names), None, token))
 
-    def _faults(self) -> None:
-        dice = self.dice
-        if self.doomed is not None:
-            name, left = self.doomed
-            self.doomed = (name, left - 1) if left else None
-            if not left:
-                self.nodes[name].kill()
-                self.cuts.clear()
-        if dice.random() < CRASH:
-            node = self.nodes[dice.choice(list(self.nodes))]
-            node.kill()
-            if dice.random() < 0.5:
-                node.start()
-        if dice.random() < CUT:
-            a, b = dice.sample(list(self.nodes), 2)
-            self.cuts.add((a, b))
-        if self.cuts and dice.random() < 3 * CUT:
-            self.cuts.clear()
-        if dice.random() < CHANGE and self.changes:
-            self._change()
-        if dice.random() < SNAP:
-            leader = next((n for n in self.nodes.values() if n.alive and n.core.role is Role.LEADER), None)
-            if leader is not None and leader.core.commit_index > leader.core.log.snapshot.index:
-                index = leader.core.commit_index
-                snapshot = Snapshot(index, leader.core.log.term(index), leader.core.config, b"%d" % index)
-                leader.sync()
-                if leader.core.config_index <= index:
-                    leader.step(SnapshotPersisted(snapshot))
-                    leader.disk.put_snapshot(snapshot, list(leader.core.log.entries))
-
-
-def figure_eight() -> list[str]:
-    """The schedule of figure 8 of the Raft paper, step by step; what was found wrong.
-
-    An entry of an old term comes to stand with a majority, and is replaced all the same: who calls it
-    agreed by count alone is wrong. Chance hardly finds it, since a new leader's own entry follows at once.
-    """
-    run = LogSimulation(8, 5)
-    k0, k1, k2, k3, k4 = (run.nodes[name] for name in sorted(run.nodes))
-
-    def settle(*there: Node, rounds: int = 60, upto: int = 1 << 30) -> None:
-        """Messages among these pass, all others are lost, and entries beyond an index too."""
-        names = {node.name for node in there}
-        for _ in range(rounds):
-            for node in there:
-                node.sync()
-            for source, target, message in run.on_the_way[:]:
-                run.on_the_way.remove((source, target, message))
-                if (
-                    isinstance(message, AppendEntries)
-                    and message.entries
-                    and message.entries[-1].index > upto
-                ):
-                    continue
-                if source in names and target in names:
-                    run.nodes[target].step(MessageReceived(source, message))
-
-    def elect(node: Node, *voters: Node) -> None:
-        for _ in range(40):
-            run.time += 40_000
-            if run.time >= node.core.deadline - node.skew:
-                node.step(TimeAdvanced())
-            settle(node, *voters, rounds=4, upto=0)
-            if node.core.role is Role.LEADER:
-                return
-
-    elect(k0, k1, k2)
-    settle(k0, k1, k2, k3, k4)
-    k0.step(ProposeCommand(b"old", 1))
-    old = k0.core.log.last_index
-    settle(k0, k1)  # stands with two of five
-    k0.kill()
-    run.time += 400_000
-    elect(k4, k2, k3)
-    k4.sync()  # its own entry stands with it alone
-    k4.kill()
-    run.on_the_way.clear()
-    run.time += 400_000
-    k0.start()
-    elect(k0, k1, k2)
-    for _ in range(4):
-        run.time += 40_000
-        k0.step(TimeAdvanced())
-        settle(k0, k1, k2, upto=old)  # the old entry comes to a third, nothing newer does
-    k0.kill()
-    run.on_the_way.clear()
-    run.time += 400_000
-    k4.start()
-    elect(k4, k2, k3)
-    run.time += 40_000
-    k4.step(TimeAdvanced())
-    settle(k4, k2, k3)
-    return run.found
+    def _make_snapshot(self) -> None:
+        leader = self._leader()
+        if leader is None or leader.core.commit_index <= leader.core.log.snapshot.index:
+            return
+        index = leader.core.commit_index
+        snapshot = Snapshot(index, leader.core.log.term(index), leader.core.config, b"%d" % index)
+        leader.sync()
+        if leader.core.config_index <= index:
+            leader.step(SnapshotPersisted(snapshot))
+            leader.disk.put_snapshot(snapshot, list(leader.core.log.entries))
--- a/cedarmill/lab/simulation/search.py
+++ b/cedarmill/lab/simulation/search.py
@@ -1,144 +1,162 @@
-"""Many seeds in virtual time, on all cores: which broke a law, and one hash over all timelines."""
+"""Many seeds of the cluster's simulation, on all cores: which broke an invariant, and one hash over all."""
 
-import hashlib
 import multiprocessing
-import time
 from collections import Counter
-from collections.abc import Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from cedarmill.lab.cluster.invariants import verdict
-from cedarmill.lab.cluster.mutants import planted
-from cedarmill.lab.simulation.cluster import ClusterSimulation, S, Shape
-from cedarmill.lab.simulation.raft_log import LogSimulation, figure_eight
+from cedarmill.lab.cluster.invariants import Record, verdict
+from cedarmill.lab.cluster.mutants import MUTANTS, planted
+from cedarmill.lab.simulation.clock import SECOND
+from cedarmill.lab.simulation.cluster import ClusterSimulation
+from cedarmill.lab.simulation.cluster_setup import ClusterSetup
+from cedarmill.lab.simulation.figure_eight import figure_eight
+from cedarmill.lab.simulation.hunting import Sighting, Trial, hunt_mutant
+from cedarmill.lab.simulation.raft_log import LogSimulation
+from cedarmill.lab.simulation.seeds import timeline_hash
 
 RELEASES = ("", "good", "late", "failing", "exiting")
-
-
-class Found(NamedTuple):
-    """Of one seed: the laws broken, with their texts, the timeline's hash, and its counts."""
+SPENDING_FAULTS = (
+    "kill",
+    "pause",
+    "cut",
+    "one-way",
+    "isolate",
+    "all-keepers",
+    "node-kill",
+    "node-pause",
+    "sleeper",
+    "cut-spender",
+    "crash",
+)
+LOG_MUTANTS = (
+    "stale-leader-grants",
+    "vote-twice",
+    "vote-not-kept",
+    "commit-of-an-older-term",
+    "votes-for-who-knows-less",
+    "sent-before-synced",
+    "reads-without-a-majority",
+)
+BUDGET_MUTANTS = (
+    "slice-spent-after-a-pause",
+    "smaller-slice-counts-at-once",
+    "floors-add-up",
+    "spends-before-it-was-told",
+    "returned-twice",
+)
+SEEDS_PER_TASK = 4  # that a worker takes at once
+
+Violations = dict[str, list[str]]  # texts, by the invariant that is broken
+
+
+class SeedResult(NamedTuple):
+    """Of one seed: the invariants broken, with their texts, the timeline's hash, and its events by kind."""
 
     seed: int
-    broken: dict[str, list[str]]
+    broken: Violations
     digest: str
     counts: dict[str, int]
 
 
-def shape_of(seed: int) -> Shape:
-    """Every seed draws another fleet: a release of some kind or none, nodes that stop by their lease or
-    not.
-    """
-    release, keepers = RELEASES[seed % len(RELEASES)], 5 if seed % 7 == 0 else 3
-    zones, plans = 2 + seed % 2, seed % 4 == 1
-    return Shape(release=release, stops=seed % 3 == 0, keepers=keepers, zones=zones, plans=plans,
-                 spends=seed % 4 == 3)  # fmt: skip
-
-
-SPEND_FAULTS = ("kill", "pause", "cut", "one-way", "isolate", "all-keepers", "node-kill", "node-pause",
-                "sleeper", "cut-spender", "crash")  # fmt: skip
-
-
-def spending(seed: int) -> Shape:
-    """A short run of three to six nodes that spend of a budget as much as they may, and a fault every 2 s."""
-    return Shape(nodes=3 + seed % 4, executors=4, spends=True, length=12 * S, faults=6, drains=1, works=False,
-                 stops=seed % 2 == 0, kinds=SPEND_FAULTS)  # fmt: skip
-
-
-class Spent(NamedTuple):
-    """Of one seed: the laws broken, and how much was spent."""
+class SpendingResult(NamedTuple):
+    """Of one seed of spending: the invariants broken, and how much was spent."""
 
     seed: int
-    broken: dict[str, list[str]]
-    count: int
+    broken: Violations
+    spent_count: int
 
 
-def spend(job: tuple[int, str]) -> Spent:
-    """Play one seed of spending, with a bug planted or none."""
-    seed, bug = job
-    with planted(bug):
-        record = ClusterSimulation(spending(seed), seed).run()
-    return Spent(seed, {law: texts for law, texts in verdict(record).items() if texts}, len(record.spent))
+def setup_of(seed: int) -> ClusterSetup:
+    """Every seed draws another cluster: a release of some kind or none, nodes that stop by their lease or
+    not.
+    """
+    return ClusterSetup(
+        replicas=5 if seed % 7 == 0 else 3,
+        zones=2 + seed % 2,
+        release=RELEASES[seed % len(RELEASES)],
+        stops_at_lease_expiry=seed % 3 == 0,
+        plans_traffic=seed % 4 == 1,
+        spends_budget=seed % 4 == 3,
+    )
 
 
-def one(job: tuple[int, str]) -> Found:
-    """Play one seed, with a bug planted or none."""
-    seed, bug = job
-    with planted(bug):
-        run = ClusterSimulation(shape_of(seed), seed)
+def spending_setup(seed: int) -> ClusterSetup:
+    """A short run of three to six nodes that spend of a budget as much as they may, and a fault every 2 s."""
+    return ClusterSetup(
+        nodes=3 + seed % 4,
+        executors=4,
+        length=12 * SECOND,
+        faults=6,
+        drains=1,
+        sends_work=False,
+        stops_at_lease_expiry=seed % 2 == 0,
+        spends_budget=True,
+        fault_kinds=SPENDING_FAULTS,
+    )
+
+
+def _broken(record: Record) -> Violations:
+    return {invariant: texts for invariant, texts in verdict(record).items() if texts}
+
+
+def play_spending(task: tuple[int, str]) -> SpendingResult:
+    """Play one seed of spending, with a mutant planted or none (an empty name)."""
+    seed, mutant = task
+    with planted(mutant):
+        record = ClusterSimulation(spending_setup(seed), seed).run()
+    return SpendingResult(seed, _broken(record), len(record.spent))
+
+
+def play_seed(task: tuple[int, str]) -> SeedResult:
+    """Play one seed, with a mutant planted or none (an empty name)."""
+    seed, mutant = task
+    with planted(mutant):
+        run = ClusterSimulation(setup_of(seed), seed)
         record = run.run()
-        broken = {law: texts for law, texts in verdict(record).items() if texts}
+        broken = _broken(record)
     counts = Counter(event.what for event in record.events)
-    return Found(seed, broken, run.digest(), dict(counts))
+    return SeedResult(seed, broken, run.digest(), dict(counts))
 
 
-def many(seeds: Iterable[int], bug: str = "", workers: int = 1) -> Iterator[Found]:
+def play_seeds(seeds: Iterable[int], mutant: str = "", workers: int = 1) -> Iterator[SeedResult]:
     """Play them; in the order of the seeds, whatever the number of workers."""
-    jobs = [(seed, bug) for seed in seeds]
+    tasks = [(seed, mutant) for seed in seeds]
     if workers == 1:
-        yield from map(one, jobs)
+        yield from map(play_seed, tasks)
         return
     with multiprocessing.get_context("spawn").Pool(workers) as pool:
-        yield from pool.imap(one, jobs, 4)
+        yield from pool.imap(play_seed, tasks, SEEDS_PER_TASK)
 
 
-class Hunt(NamedTuple):
-    """Whether a planted bug was found: by which law first, at which seed, and after how long (s)."""
+def log_run(seed: int) -> LogSimulation:
+    """Three replicas or five; leaders that die soon in each fourth run, changes of replicas in each third."""
+    return LogSimulation(seed, 3 if seed % 2 else 5, churn=seed % 4 == 2, changes=seed % 3 == 0)
 
-    bug: str
-    law: str
-    seed: int
-    seconds: float
-    laws: dict[str, int]
 
+def _log_violations(trial: Trial) -> list[str]:
+    return figure_eight() if trial.incident else log_run(trial.seed).run()
 
-LOG_BUGS = ("stale-leader-grants", "vote-twice", "vote-not-kept", "commit-of-an-older-term",
-            "votes-for-who-knows-less", "sent-before-synced", "reads-without-a-majority")  # fmt: skip
 
+def _cluster_violations(mutant: str) -> Callable[[Trial], list[str]]:
+    return lambda trial: list(play_seed((trial.seed, mutant)).broken)
 
-BUDGET_BUGS = ("slice-spent-after-a-pause", "smaller-slice-counts-at-once", "floors-add-up",
-               "spends-before-it-was-told", "returned-twice")  # fmt: skip
 
+def hunt(mutant: str, count: int, first: int = 0) -> Sighting:
+    """Play up to so many seeds from the first on till an invariant sees the mutant.
 
-def log_run(seed: int) -> LogSimulation:
-    """Three keepers or five; each fourth with leaders that die soon, each third with keepers that change."""
-    return LogSimulation(seed, 3 if seed % 2 else 5, churn=seed % 4 == 2, changes=seed % 3 == 0)
+    A mutant of the log is hunted in runs of the log alone, one of budgets in the runs that spend of a budget,
+    which are each fourth.
+    """
+    if mutant in LOG_MUTANTS:
+        trials = [Trial("figure 8", first), *(Trial("", seed) for seed in range(first, first + count))]
+        return hunt_mutant(mutant, MUTANTS[mutant](), trials, _log_violations)
+    seeds = range(first, first + count)
+    if mutant in BUDGET_MUTANTS:
+        seeds = range(first - first % 4 + 3, first + 4 * count, 4)
+    return hunt_mutant(mutant, [], (Trial("", seed) for seed in seeds), _cluster_violations(mutant))
 
 
-def hunt_log(bug: str, most: int, first: int = 0) -> Hunt:
-    """The same in runs of the agreed log alone, for bugs of the log."""
-    began = time.monotonic()
-    with planted(bug):
-        if found := figure_eight():
-            return Hunt(bug, found[0], first, round(time.monotonic() - began, 2), {"figure 8": 1})
-        for seed in range(first, first + most):
-            found = log_run(seed).run()
-            if found:
-                return Hunt(bug, found[0], seed, round(time.monotonic() - began, 2), {})
-    return Hunt(bug, "", -1, round(time.monotonic() - began, 2), {})
-
-
-def hunt(bug: str, most: int, first: int = 0) -> Hunt:
-    """Play seeds till a law sees the bug, and then ten more to see which laws do; seed -1: never."""
-    if bug in LOG_BUGS:
-        return hunt_log(bug, most, first)
-    began, seed, law, laws = time.monotonic(), -1, "", Counter()
-    spent = 0.0
-    numbers = range(first, first + most)
-    if bug in BUDGET_BUGS:  # every fourth fleet spends of a budget
-        numbers = range(first - first % 4 + 3, first + 4 * most, 4)
-    for number in numbers:
-        found = one((number, bug))
-        laws.update(found.broken.keys())
-        if found.broken and seed < 0:
-            seed, law, spent = number, next(iter(found.broken)), time.monotonic() - began
-        if seed >= 0 and number >= seed + 10:
-            break
-    return Hunt(bug, law, seed, round(spent or time.monotonic() - began, 2), dict(laws))
-
-
-def digest(found: Iterable[Found]) -> str:
+def digest(results: Iterable[SeedResult]) -> str:
     """One hash over the timelines of many seeds."""
-    whole = hashlib.blake2b(digest_size=16)
-    for one_ in found:
-        whole.update(one_.digest.encode())
-    return whole.hexdigest()
+    return timeline_hash(*(one.digest.encode() for one in results))
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -374,15 +374,16 @@
     """Play one seed of the fleet's virtual time to its end."""
     from cedarmill.cluster.state import encode_snapshot
     from cedarmill.lab.simulation.cluster import ClusterSimulation
-    from cedarmill.lab.simulation.search import shape_of
+    from cedarmill.lab.simulation.search import setup_of
 
-    run = ClusterSimulation(shape_of(seed), seed)
-    before = encode_snapshot(next(iter(run.keepers.values())).replica.state)
+    run = ClusterSimulation(setup_of(seed), seed)
+    before = encode_snapshot(next(iter(run.replicas.values())).replica.state)
     run.run()
-    keeper = max(run.keepers.values(), key=lambda one: one.replica.raft.commit_index)
-    last = keeper.replica.raft.commit_index
-    entries = [(index, term, data) for index, (term, data) in sorted(run.agreed.items()) if index <= last]
-    return Played(before, encode_snapshot(keeper.replica.state), entries, keeper.replica, keeper.clock.now())
+    newest = max(run.replicas.values(), key=lambda one: one.replica.raft.commit_index)
+    last = newest.replica.raft.commit_index
+    applied = run.environment.applied.by_index
+    entries = [(index, term, data) for index, (term, data) in sorted(applied.items()) if index <= last]
+    return Played(before, encode_snapshot(newest.replica.state), entries, newest.replica, newest.clock.now())
 
 
 def replay(before: bytes, entries: list[tuple[int, int, bytes]]) -> bytes:
@@ -567,12 +568,12 @@
     from cedarmill.lab.simulation.zones import simulation as regions
 
     if kind == "fleet":
-        return search.one((seed, "")).digest
+        return search.play_seed((seed, "")).digest
     if kind == "log":
         run = search.log_run(seed)
         broken = run.run()
-        agreed = [[index, term, data.hex()] for index, (term, data) in sorted(run.by_index.items())]
-        return hash_of([broken, run.time, agreed, sorted(run.by_term.items())])
+        agreed = [[index, term, data.hex()] for index, (term, data) in sorted(run.checks.entries.items())]
+        return hash_of([broken, run.time, agreed, sorted(run.checks.leaders.items())])
     if kind == "zones":
         return regions.run("zone-dies", seed, "agreed").digest
     return hash_of(storms.play("fleet", "burst", seed))
--- a/tests/lab/test_cluster_simulation.py
+++ b/tests/lab/test_cluster_simulation.py
@@ -1,76 +1,67 @@
-"""The fleet's cores on one seeded clock: laws hold, planted bugs are seen, one seed is one timeline."""
+"""The cluster's cores on one seeded clock: invariants hold, mutants are seen, one seed is one timeline."""
 
 import os
 import subprocess
 import sys
-import tempfile
-import unittest
+
+import pytest
 
 from cedarmill.lab.cluster.invariants import INVARIANTS
 from cedarmill.lab.cluster.mutants import MUTANTS
-from cedarmill.lab.simulation.raft_log import figure_eight
-from cedarmill.lab.simulation.search import digest, hunt, log_run, many
+from cedarmill.lab.simulation.figure_eight import figure_eight
+from cedarmill.lab.simulation.search import digest, hunt, log_run, play_seeds
 from tests.support.node_case import ROOT
 
-MOST = 300  # seeds in which a planted bug has to be seen
-
-
-class Laws(unittest.TestCase):
-    """Each class of seeds runs in a test of its own, so that they run side by side."""
-
-    def kept(self, first: int) -> None:
-        for found in many(range(first, first + 20)):
-            with self.subTest(seed=found.seed):
-                self.assertEqual(found.broken, {})
-                self.assertGreater(found.counts["taken"], 0)
+SEEDS_PER_MUTANT = 300  # in which a mutant has to be seen
+SEEDS_PER_CLASS = 20
+DIGEST_PROGRAM = (
+    "from cedarmill.lab.simulation.search import digest, play_seeds\n"
+    "if __name__ == '__main__': print(digest(play_seeds(range(6), '', {workers})))\n"
+)
 
-    def test_seeds_from_0(self):
-        self.kept(0)
 
-    def test_seeds_from_100(self):
-        self.kept(100)
+@pytest.fixture(scope="module")
+def digest_here() -> str:
+    """The hash over six timelines, made in this process."""
+    return digest(play_seeds(range(6)))
 
-    def test_seeds_from_200(self):
-        self.kept(200)
 
-    def test_the_agreed_log_alone(self):
-        for seed in range(120):
-            self.assertEqual(log_run(seed).run(), [], seed)
+@pytest.mark.parametrize("first", [0, 100, 200])
+def test_invariants_hold(first):
+    results = list(play_seeds(range(first, first + SEEDS_PER_CLASS)))
+    assert len(results) == SEEDS_PER_CLASS
+    assert {result.seed: result.broken for result in results if result.broken} == {}
+    assert [result.seed for result in results if result.counts["taken"] <= 0] == []
 
-    def test_an_entry_of_an_older_term_is_not_agreed_by_count(self):
-        self.assertEqual(figure_eight(), [])
 
+def test_invariants_of_the_replicated_log_alone():
+    for seed in range(120):
+        assert log_run(seed).run() == [], seed
 
-class Bugs(unittest.TestCase):
-    """Every planted bug is seen by a law; the methods are made below, one a bug."""
 
-    laws: set[str] = set()
+def test_an_entry_of_an_older_term_is_not_committed_by_count():
+    assert figure_eight() == []
 
-    def seen(self, bug: str) -> None:
-        found = hunt(bug, MOST)
-        self.assertGreaterEqual(found.seed, 0, f"{bug} was not seen in {MOST} seeds")
 
+@pytest.mark.parametrize("mutant", MUTANTS)
+def test_mutant_is_seen(mutant):
+    found = hunt(mutant, SEEDS_PER_MUTANT)
+    assert found.seed >= 0, f"{mutant} was not seen in {SEEDS_PER_MUTANT} seeds"
 
-for _bug in MUTANTS:
-    setattr(Bugs, f"test_{_bug.replace('-', '_')}", lambda self, bug=_bug: self.seen(bug))
 
+@pytest.mark.parametrize(("hash_seed", "workers"), [("1", 1), ("77", 3)])
+def test_timelines_are_equal_for_other_hash_seeds_and_numbers_of_workers(
+    hash_seed, workers, tmp_path, digest_here
+):
+    program = tmp_path / "digest.py"  # spawned workers read the main file
+    program.write_text(DIGEST_PROGRAM.format(workers=workers))
+    env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
+    run = subprocess.run([sys.executable, str(program)], env=env, capture_output=True, text=True)
+    assert (run.stdout.strip(), run.stderr) == (digest_here, "")
 
-class OneTimeline(unittest.TestCase):
-    def test_equal_for_other_hash_seeds_and_numbers_of_workers(self):
-        here = digest(many(range(6)))
-        code = ("from cedarmill.lab.simulation.search import digest, many\n"
-                "if __name__ == '__main__': print(digest(many(range(6), '', WORKERS)))")  # fmt: skip
-        for hash_seed, workers in (("1", 1), ("77", 3)):
-            with tempfile.NamedTemporaryFile("w", suffix=".py") as file:  # spawned workers read the main file
-                file.write(code.replace("WORKERS", str(workers)))
-                file.flush()
-                env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
-                told = subprocess.run([sys.executable, file.name], env=env, capture_output=True, text=True)
-            self.assertEqual((told.stdout.strip(), told.stderr), (here, ""))
 
-    def test_every_law_is_there_for_a_reason(self):
-        """No law without a name in the design note, which says what trips it."""
-        pages = [ROOT / f"docs/design/{page}.md" for page in ("drains", "zones", "overload")]
-        text = "".join(page.read_text() for page in pages)
-        for law in INVARIANTS:
-            self.assertIn(law, text)
+@pytest.mark.parametrize("invariant", INVARIANTS)
+def test_every_invariant_is_there_for_a_reason(invariant):
+    """No invariant without a name in the design notes, which say what trips it."""
+    pages = [ROOT / f"docs/design/{page}.md" for page in ("drains", "zones", "overload")]
+    assert invariant in "".join(page.read_text() for page in pages)
