--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -191,6 +191,8 @@
             return
         try:
             self.host.flush(self.driver.now())
+            if not self.keeper.raft.needs_catch_up:
+                self.store.end_doubt()
         except OSError as error:  # of the disk: `send`, `reply` and `tell` raise none
             self._disk_failed(error)
             return
@@ -226,14 +228,14 @@
         acknowledged = self.store.acknowledged
         self.store.close()
         try:
-            store = ReplicaStore(self.files, self.options.cluster, self.options.name)
+            store = ReplicaStore(
+                self.files, self.options.cluster, self.options.name, acknowledged=acknowledged
+            )
         except (StoreError, OSError) as error:
             log_event("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
             self.timers.add(now + self.retry_us, self._recover)
             return
-        if self.keeper.raft.needs_catch_up or store.may_lack(acknowledged):
-            store.persistent_state.needs_catch_up = True
         self.store, self.recovering = store, False
         self._start_replica()
         for wire in list(self.wires.values()):
@@ -419,11 +421,8 @@
         )
         if recovery.torn_bytes:
             log_event("replica-log-truncated", bytes=recovery.torn_bytes)
-        if saved.needs_catch_up:
-            reason = "its disk is empty" if self.store.was_empty else "its disk has lost what was synced"
-            if recovery.last_record_damaged:
-                reason = "its last record is damaged"
-            log_event("replica-needs-catch-up", reason=reason)
+        if self.store.doubt:
+            log_event("replica-needs-catch-up", reason=self.store.doubt)
 
     def _terminate(self) -> None:
         """Hand the lead over first, so that nobody has to miss a leader."""
--- a/cedarmill/store/files.py
+++ b/cedarmill/store/files.py
@@ -41,6 +41,13 @@
         self.close()
 
 
+def _read_all(descriptor: int) -> bytes:
+    content = bytearray()
+    while piece := os.pread(descriptor, READ_BYTES, len(content)):
+        content += piece
+    return bytes(content)
+
+
 class AppendFile(_Descriptor):
     """A file that grows at its end; created if it does not exist."""
 
@@ -50,10 +57,7 @@
 
     def read(self) -> bytes:
         """Read the whole file."""
-        content = bytearray()
-        while piece := os.pread(self._descriptor, READ_BYTES, len(content)):
-            content += piece
-        return bytes(content)
+        return _read_all(self._descriptor)
 
     def write(self, data: bytes) -> None:
         """Append; the data is durable after `sync`. After an OSError a part of it may have been written."""
@@ -103,6 +107,17 @@
             return False
         return True
 
+    def read(self, name: str) -> bytes:
+        """Read a whole file of the directory; raises FileNotFoundError where there is none."""
+        with _Descriptor(os.open(self.path(name), os.O_RDONLY | os.O_CLOEXEC)) as opened:
+            return _read_all(opened.fileno())
+
+    def remove(self, name: str) -> None:
+        """Delete a file of the directory durably, if there is one."""
+        with contextlib.suppress(FileNotFoundError):
+            os.remove(self.path(name))
+        self.sync()
+
     def replace(self, name: str, content: bytes) -> None:
         """Replace a file atomically.
 
--- a/cedarmill/store/replica_store.py
+++ b/cedarmill/store/replica_store.py
@@ -29,6 +29,10 @@
 from cedarmill.store.snapshots import SnapshotDatabase
 
 RANDOM_NAME_BYTES = 6  # of a disk that is not named by its caller
+DOUBT_NAME = "needs-catch-up"  # the file that is there from a doubt until the replica was brought up to date
+EMPTY_DISK = "its disk is empty"
+DAMAGED_RECORD = "its last record is damaged"
+LOST_RECORDS = "its disk has lost what was synced"
 
 
 class RecoveryReport(NamedTuple):
@@ -79,15 +83,23 @@
 class ReplicaStore:
     """The disk of one replica, locked for this process.
 
-    `persistent_state` is what the replica starts from, `identity` the disk's, with this start counted.
+    `persistent_state` is what the replica starts from, `identity` the disk's, with this start counted, `doubt`
+    why the disk may lack what the replica had acknowledged; empty: it lacks nothing.
     """
 
-    def __init__(self, directory: Directory, cluster: str, replica: str, new_disk: str = "") -> None:
+    def __init__(
+        self,
+        directory: Directory,
+        cluster: str,
+        replica: str,
+        new_disk: str = "",
+        acknowledged: AcknowledgedState | None = None,
+    ) -> None:
         """Open the store, recover its content, and count this start.
 
         `new_disk` names a disk to be formatted, and a directory that holds another one is refused; without
-        it an empty directory gets a disk with a random name. Raises StoreError or OSError, and nothing is
-        left open then.
+        it an empty directory gets a disk with a random name. `acknowledged` is what this process has
+        acknowledged on this disk before. Raises StoreError or OSError, and nothing is left open then.
         """
         self.directory = directory
         with contextlib.ExitStack() as opened:
@@ -98,6 +110,7 @@
             self._lock = opened.enter_context(self._locked())
             self._recover()
             self._check_owner(cluster, replica, new_disk)
+            self._keep_doubt(new_disk, acknowledged)
             self._start(cluster, replica, new_disk)
             opened.pop_all()
 
@@ -135,8 +148,7 @@
         term, vote = content.term, content.vote
         if snapshot.term > term:
             term, vote = snapshot.term, ""
-        needs_catch_up = found.last_record_damaged or self.was_empty
-        self.persistent_state = PersistentState(term, vote, snapshot, entries, needs_catch_up)
+        self.persistent_state = PersistentState(term, vote, snapshot, entries)
         self._term_and_vote = term, vote
         last = entries[-1] if entries else snapshot
         self._last_entry = last.term, last.index
@@ -168,6 +180,30 @@
         if new_disk and not formatting_interrupted:
             raise DiskInUseError(f"{root}: holds the disk {found.disk} already")
 
+    def _keep_doubt(self, new_disk: str, acknowledged: AcknowledgedState | None) -> None:
+        """Find out whether the disk may lack something, and keep that before the log is rewritten.
+
+        The rewritten log shows no damage any longer; a restart before the replica has caught up has to know.
+        Raises OSError.
+        """
+        self.doubt = ""
+        if self.was_empty and new_disk:  # to be formatted: it has promised nothing
+            self.directory.remove(DOUBT_NAME)
+        elif self.directory.exists(DOUBT_NAME):
+            self.doubt = self.directory.read(DOUBT_NAME).decode(errors="replace")
+        elif reason := self._find_doubt(acknowledged):
+            self.directory.replace(DOUBT_NAME, reason.encode())
+            self.doubt = reason
+        self.persistent_state.needs_catch_up = bool(self.doubt)
+
+    def _find_doubt(self, acknowledged: AcknowledgedState | None) -> str:
+        """Why the disk as it was read may lack something; empty: it does not."""
+        if self.recovery.last_record_damaged:
+            return DAMAGED_RECORD
+        if self.was_empty:
+            return EMPTY_DISK
+        return LOST_RECORDS if acknowledged is not None and self._may_lack(acknowledged) else ""
+
     def _start(self, cluster: str, replica: str, new_disk: str) -> None:
         """Write all that was recovered anew, with this start counted; raises OSError."""
         found = self._found_identity
@@ -230,13 +266,18 @@
         self._last_entry = last.term, last.index
         self._rewrite_log(tuple(entries))
 
-    def may_lack(self, acknowledged: AcknowledgedState) -> bool:
+    def end_doubt(self) -> None:
+        """The replica was brought up to date, and that is synced; raises OSError."""
+        if self.doubt:
+            self.directory.remove(DOUBT_NAME)
+            self.doubt = ""
+
+    def _may_lack(self, acknowledged: AcknowledgedState) -> bool:
         """Whether the disk as it was read may have lost something that was synced before."""
-        here = self.acknowledged
-        vote_lost = here.term == acknowledged.term and acknowledged.vote not in ("", here.vote)
-        last_here = here.last_term, here.last_index
-        entries_lost = last_here < (acknowledged.last_term, acknowledged.last_index)
-        return here.term < acknowledged.term or vote_lost or entries_lost
+        term, vote = self._term_and_vote
+        vote_lost = term == acknowledged.term and acknowledged.vote not in ("", vote)
+        entries_lost = self._last_entry < (acknowledged.last_term, acknowledged.last_index)
+        return term < acknowledged.term or vote_lost or entries_lost
 
     def close(self) -> None:
         """Close all files and release the lock; what was not synced may be lost. Raises OSError."""
--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -187,9 +187,18 @@
         store = ReplicaStore(self.files, "main", "k0", disk_name("main", "k0"))
         store.write_snapshot(first_snapshot(options), [])
         store.close()
+        self.options = options
         self.process = ReplicaProcess(options, self.files)
-        self.addCleanup(self.process.loop.close)
-        self.addCleanup(lambda: self.process.store.close())
+        self.addCleanup(self.end)
+
+    def end(self) -> None:
+        self.process.store.close()
+        self.process.loop.close()
+
+    def restart(self) -> None:
+        """The next process on the same disk."""
+        self.end()
+        self.process = ReplicaProcess(self.options, self.files)
 
     def carry_out(self, actions: list) -> None:
         """A whole turn of the loop."""
@@ -248,6 +257,18 @@
         process._disk_failed(OSError("again"))
         process._recover(process.driver.now())
         self.assertTrue(process.keeper.raft.needs_catch_up, "no second failure ends the doubt")
+        self.restart()
+        process = self.process
+        self.assertTrue(process.keeper.raft.needs_catch_up, "no restart ends the doubt")
+        process.wires = {"k2": WireStub("k2")}
+        self.carry_out(process.keeper.on_message(process.driver.now() + 10_000_000, "k2", ask))
+        self.assertEqual([reply.vote_granted for reply in process.wires["k2"].said], [False])
+        self.carry_out(
+            process.keeper.on_message(process.driver.now(), "k1", AppendEntries(9, 1, 1, (), 1, 1))
+        )
+        self.assertFalse(process.keeper.raft.needs_catch_up, "a leader has brought it up to date")
+        self.restart()
+        self.assertFalse(self.process.keeper.raft.needs_catch_up)
 
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
         self.process._disk_failed(OSError("told"))
--- a/tests/store/test_replica_store.py
+++ b/tests/store/test_replica_store.py
@@ -84,8 +84,10 @@
     def entries(self, first: int, count: int, term: int = 1) -> tuple[Entry, ...]:
         return tuple(Entry(n, term, EntryKind.COMMAND, b"%d" % n) for n in range(first, first + count))
 
-    def formatted(self) -> replica_store.ReplicaStore:
-        store = self.store()
+    def formatted(self, files: Directory | None = None) -> replica_store.ReplicaStore:
+        """As `--init` formats it: a disk with a name, which has promised nothing."""
+        store = replica_store.ReplicaStore(files or Directory(self.folder), "c", "k0", "c/k0/1")
+        self.addCleanup(store.close)
         store.write_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
         return store
 
@@ -137,9 +139,17 @@
         self.assertEqual([e.index for e in again.persistent_state.entries], [5])
 
     def test_an_empty_disk_and_a_damaged_last_record_doubt_themselves(self):
-        empty = self.store()
-        self.assertTrue(empty.persistent_state.needs_catch_up)
-        empty.close()
+        with tempfile.TemporaryDirectory() as folder:
+            empty = self.store(Directory(folder))
+            self.assertTrue(empty.persistent_state.needs_catch_up)
+            empty.close()
+        self.damage_last_record()
+        again = self.store()
+        self.assertTrue(again.recovery.last_record_damaged and again.persistent_state.needs_catch_up)
+        self.assertEqual(again.persistent_state.entries, ())
+
+    def damage_last_record(self) -> None:
+        """Flip a bit of the last record that was synced."""
         store = self.formatted()
         store.append(PersistEntries(self.entries(2, 1)))
         store.sync()
@@ -148,9 +158,50 @@
         text = bytearray(path.read_bytes())
         text[-1] ^= 1
         path.write_bytes(bytes(text))
-        again = self.store()
-        self.assertTrue(again.recovery.last_record_damaged and again.persistent_state.needs_catch_up)
-        self.assertEqual(again.persistent_state.entries, ())
+
+    def restarted(self) -> replica_store.ReplicaStore:
+        """The store of the next start, closed again."""
+        store = self.store()
+        store.close()
+        return store
+
+    def test_a_doubt_outlives_restarts_until_the_replica_was_brought_up_to_date(self):
+        for doubt, begin in (
+            (replica_store.DAMAGED_RECORD, self.damage_last_record),
+            (replica_store.EMPTY_DISK, lambda: None),
+        ):
+            with self.subTest(doubt), tempfile.TemporaryDirectory() as self.folder:
+                begin()
+                for start in range(3):
+                    store = self.restarted()
+                    self.assertEqual(
+                        (store.doubt, store.persistent_state.needs_catch_up), (doubt, True), start
+                    )
+                store = self.store()
+                store.end_doubt()
+                store.end_doubt()
+                store.close()
+                store = self.restarted()
+                self.assertEqual((store.doubt, store.persistent_state.needs_catch_up), ("", False))
+
+    def test_a_kill_at_any_step_of_an_opening_in_doubt_leaves_the_doubt(self):
+        steps = ("rename", "write", "sync", "sync_directory")
+        for step in steps:
+            for passing in range(2):  # the file of the doubt, then the log
+                with self.subTest(step, passing=passing), tempfile.TemporaryDirectory() as self.folder:
+                    self.damage_last_record()
+                    files = FaultyDirectory(self.folder)
+                    files.failing, files.passing = {step: errno.EIO}, passing
+                    with self.assertRaises(OSError):
+                        replica_store.ReplicaStore(files, "c", "k0")
+                    self.assertTrue(self.restarted().persistent_state.needs_catch_up)
+
+    def test_a_disk_that_is_formatted_is_in_no_doubt(self):
+        Directory(self.folder).replace(replica_store.DOUBT_NAME, b"of an empty start that was killed")
+        store = replica_store.ReplicaStore(Directory(self.folder), "c", "k0", "c/k0/1")
+        store.write_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
+        store.close()
+        self.assertFalse(self.restarted().persistent_state.needs_catch_up)
 
     def test_another_keeper_s_disk_and_a_newer_format_are_refused(self):
         self.formatted().close()
@@ -227,11 +278,12 @@
 
 
 class FaultyDirectory(Directory):
-    """A folder whose calls `failing` fail with that errno, a write after `short` bytes."""
+    """A folder whose calls `failing` fail with that errno after `passing` calls, a write after `short` bytes."""
 
     def __init__(self, folder: str) -> None:
         super().__init__(folder)
         self.failing: dict[str, int] = {}
+        self.passing = 0  # calls that would fail and are carried out first
         self.short = 0
         self.images: dict[int, bytearray] = {}
 
@@ -240,6 +292,9 @@
 
     def check(self, call: str) -> None:
         if call in self.failing:
+            if self.passing:
+                self.passing -= 1
+                return
             raise OSError(self.failing[call], os.strerror(self.failing[call]))
 
     def image(self, number: int) -> bytearray:
@@ -346,8 +401,7 @@
 
     def test_what_is_recovered_after_a_failed_sync_is_on_the_disk_when_power_is_cut(self):
         """A reader sees what was written, the disk never had it, and a later sync does not bring it there."""
-        store = self.store(self.files)
-        store.write_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
+        store = self.formatted(self.files)
         store.append(PersistTermAndVote(4, "k2"))
         store.sync()
         self.files.failing = {"sync": errno.EIO}
@@ -447,10 +501,24 @@
         store.append(PersistEntries(self.entries(2, 2, term=4)))
         store.sync()
         kept = store.acknowledged
-        self.assertFalse(store.may_lack(kept))
-        for change in ({"term": 5}, {"vote": "k1"}, {"last_index": 4}, {"last_term": 5}):
-            self.assertTrue(store.may_lack(kept._replace(**change)), change)
-        self.assertFalse(store.may_lack(kept._replace(last_index=1, vote="")))
+        cases = (
+            ({}, False),
+            ({"term": 5}, True),
+            ({"vote": "k1"}, True),
+            ({"last_index": 4}, True),
+            ({"last_term": 5}, True),
+            ({"last_index": 1, "vote": ""}, False),
+        )
+        for change, in_doubt in cases:
+            with self.subTest(change):
+                store.close()
+                store = replica_store.ReplicaStore(
+                    self.files, "c", "k0", acknowledged=kept._replace(**change)
+                )
+                self.addCleanup(store.close)
+                self.assertEqual(store.doubt, replica_store.LOST_RECORDS if in_doubt else "")
+                self.assertEqual(store.persistent_state.needs_catch_up, in_doubt)
+                store.end_doubt()
         store.append(PersistEntries(self.entries(4, 1, term=4)))
         self.assertEqual(store.acknowledged, kept, "not before it was synced")
 
