--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -38,7 +38,7 @@
 from cedarmill.net.framing import HELLO_US, SILENT_US, FramedConnection
 from cedarmill.net.listener import Acceptor, listening_socket
 from cedarmill.net.loop import EventLoopDriver, callback
-from cedarmill.store.errors import StoreError
+from cedarmill.store.errors import StoreError, may_pass
 from cedarmill.store.files import Directory
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.store.snapshots import decode_backup
@@ -104,18 +104,20 @@
     """One keeper on one loop."""
 
     def __init__(self, options: ReplicaOptions, files: Directory | None = None) -> None:
-        """Open the store; raises StoreError or OSError."""
+        """Open the store, or leave that to the loop where the disk fails; raises StoreError or OSError."""
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
         self.timers = Timers()
         self.driver = EventLoopDriver(self.loop, self.timers)
-        self.files = files or Directory(options.data)
-        self.store = ReplicaStore(self.files, options.cluster, options.name)
-        self._start_replica()
+        self.files = files
+        self.store: ReplicaStore | None = None  # none before the first opening
+        self.keeper: Replica | None = None
+        self.host: Host | None = None
         self.recovering = False  # the disk has failed, and was not opened anew yet
         self.failed_at = 0
         self.retry_us = RETRY_FIRST_US
+        self.failure: StoreError | OSError | None = None  # ends a start that cannot succeed
         self.wires: dict[str, FramedConnection] = {}  # to other keepers, one each
         self.dialling: dict[str, FramedConnection] = {}
         self.askers: dict[FramedConnection, str] = {}
@@ -126,6 +128,22 @@
         self._soon = False
         self._timer = None
         self._words = {Hello: self._hello, ConnectionRejected: self._refused}
+        try:
+            self._open_store()
+        except OSError as error:
+            if not may_pass(error):
+                raise
+            self._disk_failed(error)
+
+    def _open_store(self) -> None:
+        """Open the store and start from what it holds; raises StoreError or OSError."""
+        acknowledged = None if self.store is None else self.store.acknowledged
+        if self.files is None:
+            self.files = Directory(self.options.data)
+        self.store = ReplicaStore(
+            self.files, self.options.cluster, self.options.name, acknowledged=acknowledged
+        )
+        self._start_replica()
 
     def _start_replica(self) -> None:
         """The core as the store tells it."""
@@ -204,9 +222,10 @@
             return
         log_event("replica-disk-failed", reason=error.strerror or error)
         self.recovering, self.failed_at, self.retry_us = True, self.driver.now(), RETRY_FIRST_US
-        self.host.pending.clear()
+        if self.host is not None:
+            self.host.pending.clear()
+            self._let_another_lead()
         self.timers.cancel(self._timer)
-        self._let_another_lead()
         waiting, self.tokens = self.tokens, {}
         for wire, number in waiting.values():
             self._say(wire, number, Unavailable(DISK_REFUSAL))
@@ -225,19 +244,20 @@
 
     def _recover(self, now: int) -> None:
         """Open the store anew and start from what it holds, as after a restart; else try again later."""
-        acknowledged = self.store.acknowledged
-        self.store.close()
         try:
-            store = ReplicaStore(
-                self.files, self.options.cluster, self.options.name, acknowledged=acknowledged
-            )
+            if self.store is not None:
+                self.store.close()
+            self._open_store()
         except (StoreError, OSError) as error:
+            if self.store is None and not may_pass(error):
+                self.failure = error
+                self.loop.stop()
+                return
             log_event("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
             self.timers.add(now + self.retry_us, self._recover)
             return
-        self.store, self.recovering = store, False
-        self._start_replica()
+        self.recovering = False
         for wire in list(self.wires.values()):
             wire.end("started anew")  # what the others sent was for the replica before
         log_event("replica-disk-recovered", seconds=(self.driver.now() - self.failed_at) / 1e6)
@@ -386,7 +406,10 @@
         """Nothing to end: `callback` asks for it."""
 
     def run(self) -> int:
-        """Serve until a signal; the exit code. Raises OSError where the address cannot be had."""
+        """Serve until a signal; the exit code.
+
+        Raises OSError where the address cannot be had, and what ends a start on a disk that failed at first.
+        """
         for number in SIGNALS:
             self.loop.add_signal_handler(number, self._terminate)
         listen = Address.parse(self.options.listen)
@@ -394,9 +417,10 @@
         self.acceptor = Acceptor(self.driver, sock, self._incoming, listener="keeper", batch=ACCEPTS)
         self.port = self.acceptor.port
         self.acceptor.resume()
-        self._tell_store()
+        if not self.recovering:
+            self._tell_store()
+            self._arm()
         self._dial_again(self.driver.now())
-        self._arm()
         self.driver.end()
         log_event(
             "replica-serves",
@@ -407,7 +431,10 @@
         )
         self.loop.call_soon(signal.pthread_sigmask, signal.SIG_UNBLOCK, SIGNALS)  # it hears of them only now
         self.loop.run_forever()
-        self.store.close()
+        if self.failure is not None:
+            raise self.failure
+        if self.store is not None:
+            self.store.close()
         log_event("ended", name=self.options.name)
         return 0
 
@@ -457,7 +484,7 @@
 def main(options: ReplicaOptions, log_format: str = "text", files: Directory | None = None) -> int:
     """Run a keeper; the exit code: 0 ended by a signal, 2 it could not start.
 
-    A disk that fails while it runs does not end it.
+    A disk that fails for a while does not end it, neither while it starts nor while it runs.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # till the loop runs
     log.begin(log_format)
--- a/cedarmill/store/errors.py
+++ b/cedarmill/store/errors.py
@@ -3,6 +3,26 @@
 Failed system calls are no StoreError but OSError.
 """
 
+import errno
+
+# open(2), mkdir(2): of the path or its rights, which a change of the configuration mends and no waiting
+CONFIGURATION_ERRNOS = frozenset(
+    (
+        errno.EACCES,
+        errno.EEXIST,
+        errno.EISDIR,
+        errno.ELOOP,
+        errno.ENAMETOOLONG,
+        errno.ENOTDIR,
+        errno.EPERM,
+    )
+)
+
+
+def may_pass(error: Exception) -> bool:
+    """Whether what failed may succeed later by itself: a full or failing disk, a lack of descriptors."""
+    return isinstance(error, OSError) and error.errno not in CONFIGURATION_ERRNOS
+
 
 class StoreError(ValueError):
     """What is stored cannot be used; base of this module's errors."""
--- a/cedarmill/store/files.py
+++ b/cedarmill/store/files.py
@@ -107,6 +107,13 @@
             return False
         return True
 
+    def size(self, name: str) -> int:
+        """The bytes of a file; 0 where there is none."""
+        try:
+            return os.stat(self.path(name)).st_size
+        except FileNotFoundError:
+            return 0
+
     def read(self, name: str) -> bytes:
         """Read a whole file of the directory; raises FileNotFoundError where there is none."""
         with _Descriptor(os.open(self.path(name), os.O_RDONLY | os.O_CLOEXEC)) as opened:
--- a/cedarmill/store/replica_store.py
+++ b/cedarmill/store/replica_store.py
@@ -26,7 +26,7 @@
     Record,
     TermRecord,
 )
-from cedarmill.store.snapshots import SnapshotDatabase
+from cedarmill.store.snapshots import SnapshotDatabase, discard_unfinished_database
 
 RANDOM_NAME_BYTES = 6  # of a disk that is not named by its caller
 DOUBT_NAME = "needs-catch-up"  # the file that is there from a doubt until the replica was brought up to date
@@ -83,8 +83,8 @@
 class ReplicaStore:
     """The disk of one replica, locked for this process.
 
-    `persistent_state` is what the replica starts from, `identity` the disk's, with this start counted, `doubt`
-    why the disk may lack what the replica had acknowledged; empty: it lacks nothing.
+    `persistent_state` is what the replica starts from, `identity` the disk's, with this start counted.
+    `doubt` says why the disk may lack what the replica had acknowledged; empty: it lacks nothing.
     """
 
     def __init__(
@@ -103,6 +103,8 @@
         """
         self.directory = directory
         with contextlib.ExitStack() as opened:
+            if not directory.size(LOG_NAME):
+                discard_unfinished_database(directory)
             self.snapshots = SnapshotDatabase(directory)
             opened.callback(self.snapshots.close)
             self.log = LogFile(directory)
--- a/cedarmill/store/snapshots.py
+++ b/cedarmill/store/snapshots.py
@@ -5,6 +5,7 @@
 
 import contextlib
 import errno
+import mmap
 from collections.abc import Iterator
 
 import lmdb
@@ -16,6 +17,8 @@
 from cedarmill.store.files import Directory
 
 DATABASE_NAME = "snapshots"
+DATABASE_FILE = f"{DATABASE_NAME}/data.mdb"
+CREATED_BYTES = 2 * mmap.PAGESIZE  # of a database: its two meta pages, which LMDB writes first
 MAP_BYTES = 1 << 28  # of address space for LMDB; the file grows as needed
 SNAPSHOTS_KEPT = 2
 CHECKSUM_BYTES = 8
@@ -43,12 +46,23 @@
     return _DECODER.decode(data[CHECKSUM_BYTES:])
 
 
+def discard_unfinished_database(directory: Directory) -> None:
+    """Delete a database whose creation was cut short, by a full disk or a kill; raises OSError.
+
+    LMDB would refuse it for ever. Only to be called where the replica's log is not there or empty: the log
+    is created after the database, so nothing can have been stored.
+    """
+    if 0 < directory.size(DATABASE_FILE) < CREATED_BYTES:
+        directory.remove(DATABASE_FILE)
+
+
 class SnapshotDatabase:
     """Snapshots by the index up to which they go. Raises OSError where LMDB fails."""
 
     def __init__(self, directory: Directory, map_bytes: int = MAP_BYTES) -> None:
+        """Open or create it; raises OSError, DamagedError or UnknownFormatError."""
         self.path = directory.path(DATABASE_NAME)
-        with self._lmdb_errors():
+        with self._lmdb_errors(), self._unreadable():
             self._environment = lmdb.open(self.path, map_size=map_bytes, subdir=True, max_dbs=0)
 
     def write(self, snapshot: Snapshot) -> None:
@@ -65,7 +79,7 @@
         Raises OSError, DamagedError where all are damaged, UnknownFormatError for the newest.
         """
         damaged = 0
-        with self._lmdb_errors(), self._environment.begin() as transaction:
+        with self._lmdb_errors(), self._unreadable(), self._environment.begin() as transaction:
             for _, data in reversed(list(transaction.cursor())):
                 if is_intact(data):
                     return self._decode(data[CHECKSUM_BYTES:])
@@ -86,7 +100,18 @@
         try:
             yield
         except lmdb.Error as error:
-            raise OSError(errno.EIO, str(error), self.path) from None
+            code = getattr(error, "code", 0) or 0  # errno(3) where it is above 0, else one of LMDB's own
+            raise OSError(max(code, 0) or errno.EIO, str(error), self.path) from None
+
+    @contextlib.contextmanager
+    def _unreadable(self) -> Iterator[None]:
+        """LMDB's word that the file is none of its own, or damaged: no later try reads it."""
+        try:
+            yield
+        except lmdb.VersionMismatchError as error:
+            raise UnknownFormatError(str(error)) from None
+        except (lmdb.InvalidError, lmdb.CorruptedError, lmdb.PageNotFoundError) as error:
+            raise DamagedError(str(error)) from None
 
     def close(self) -> None:
         """Close the database."""
--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -1,9 +1,14 @@
 """Replicas whose disks fail for a while: they stop promising, refuse with the reason, and come back alone."""
 
 import errno
+import os
+import shutil
 import subprocess
 import tempfile
 import unittest
+from dataclasses import replace
+from pathlib import Path
+from unittest import mock
 
 from cedarmill.cluster.messages import (
     ChangeReplicas,
@@ -27,11 +32,12 @@
 from cedarmill.cluster.state_machine.commands import RequestPermits
 from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_id
 from cedarmill.net.cluster.replica import DISK_REFUSAL, ReplicaProcess, disk_name, first_snapshot
+from cedarmill.store.errors import ForeignDiskError
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import ReplicaOptions
 from tests.store.test_replica_store import FaultyDirectory
 from tests.support.node_case import ROOT
-from tests.support.replica_case import LONG, KeeperCase, Member
+from tests.support.replica_case import LONG, KeeperCase, Member, cli
 from tests.support.system_call_faults import Fault, FaultPlan
 
 LOG_FILE = "/log"  # of the replica's data, and what replaces it; not the text log on standard error
@@ -47,8 +53,12 @@
 NO_LOCK = (Fault("fdatasync", "EIO"), Fault("flock", "ENOLCK", times=4))
 LASTING = (FULL, FULL_IN_A_RECORD, FULL_AND_NOT_CUT, SYNC_FAILS)
 PASSING = (SYNC_FAILS_ONCE, NO_DESCRIPTORS, NO_RENAME, NO_FOLDER_SYNC, NO_READ, NO_LOCK)
+NO_READ_FROM_THE_START = (Fault("pread", "EIO", times=0),)
+NO_DESCRIPTORS_AT_THE_START = (Fault("open", "EMFILE", match=LOG_FILE, times=0),)
+AT_THE_START = (FULL, SYNC_FAILS, NO_READ_FROM_THE_START, NO_DESCRIPTORS_AT_THE_START)
 BOXES = 12
 FAILED, RECOVERED = "store: the disk failed", "store: the disk works again"
+RETRIED = "store: the disk still fails"
 
 
 class DiskCase(KeeperCase):
@@ -133,6 +143,60 @@
         self.start_keeper("k0")
         self.assertEqual(self.permits(), granted)
 
+    def test_it_starts_on_a_disk_that_fails_promises_nothing_and_comes_up_by_itself(self):
+        Member(self, "n0", BOXES).join()
+        self.operator.ask(self.ask_for("b0"), LONG)
+        for number, faults in enumerate(AT_THE_START):
+            with self.subTest(faults=faults):
+                before, ask, told = self.permits(), self.ask_for(f"b{number + 1}"), self.keeper_log("k0")
+                self.kill("k0")
+                self.plans["k0"].arm(*faults)
+                self.start_keeper("k0")
+                self.wait_for(lambda told=told: self.keeper_log("k0").count(RETRIED) > told.count(RETRIED))
+                for refused in (ask, ReadRequest("permits")):
+                    with self.assertRaisesRegex(NoReplicaError, DISK_REFUSAL):
+                        self.operator.ask(refused, 0.5)
+                self.assertEqual(self.operator.ask(Probe("test"), LONG).name, "k0")
+                self.assertIn(FAILED, self.keeper_log("k0")[len(told) :])
+                self.plans["k0"].arm()
+                self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number + 1}")
+                self.assertEqual(self.permits(), before | {f"b{number + 1}": 1})
+                self.assertIsNone(self.running["k0"].poll())
+
+    def test_it_ends_by_a_signal_while_its_disk_fails_from_the_start(self):
+        self.kill("k0")
+        self.plans["k0"].arm(*FULL)
+        self.start_keeper("k0")
+        self.wait_for(lambda: FAILED in self.keeper_log("k0"))
+        self.operator.ask(Probe("test"), LONG)
+        self.running["k0"].terminate()
+        self.assertEqual(self.running["k0"].wait(LONG), 0)
+
+    def test_a_folder_that_is_none_or_foreign_ends_the_start_in_one_line(self):
+        self.kill("k0")
+        data = self.folder / "k0"
+        kept = data.rename(self.folder / "kept")
+        cases = (
+            ("Not a directory|File exists", ""),
+            ("not an LMDB file", "snapshots/data.mdb"),
+            ("no log of this program", "log"),
+        )
+        for words, spoiled in cases:
+            with self.subTest(words):
+                if spoiled:
+                    shutil.copytree(kept, data)
+                    self.spoil(data / spoiled)
+                else:
+                    data.write_text("a file")
+                done = cli("keeper", "-c", str(self.folder / "k0.xml"))
+                self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
+                self.assertRegex(done.stderr, words)
+                data.unlink() if data.is_file() else shutil.rmtree(data)
+
+    def spoil(self, path: Path) -> None:
+        """Overwrite the beginning of a file."""
+        path.write_bytes(b"spoiled!" * 8 + path.read_bytes()[64:])
+
     def test_it_tries_again_whatever_fails_on_the_way_back(self):
         Member(self, "n0", BOXES).join()
         for number, faults in enumerate(PASSING):
@@ -270,6 +334,33 @@
         self.restart()
         self.assertFalse(self.process.keeper.raft.needs_catch_up)
 
+    def test_a_disk_that_turns_out_to_be_foreign_ends_the_start(self):
+        self.end()
+        self.break_disk("open")
+        process = ReplicaProcess(replace(self.options, cluster="other"), self.files)
+        self.addCleanup(process.loop.close)
+        self.assertTrue(process.recovering)
+        self.files.failing = {}
+        process._recover(process.driver.now())
+        self.assertIsInstance(process.failure, ForeignDiskError)
+        self.restart()
+
+    def test_a_close_that_fails_is_tried_over_like_all_else(self):
+        """close(2) may report EIO; the descriptor is free then."""
+        self.process._disk_failed(OSError("told"))
+        real = os.close
+
+        def close(descriptor: int) -> None:
+            real(descriptor)
+            raise OSError(errno.EIO, os.strerror(errno.EIO))
+
+        with mock.patch("os.close", close):
+            self.process._recover(0)
+        self.assertTrue(self.process.recovering)
+        self.assertIsNotNone(self.process.timers.next_due)
+        self.process._recover(0)
+        self.assertFalse(self.process.recovering)
+
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
         self.process._disk_failed(OSError("told"))
         self.break_disk("open")
--- a/tests/store/test_replica_store.py
+++ b/tests/store/test_replica_store.py
@@ -3,6 +3,7 @@
 import contextlib
 import errno
 import os
+import shutil
 import subprocess
 import sys
 import tempfile
@@ -17,7 +18,7 @@
 from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote
 from cedarmill.cluster.raft.messages import Entry, EntryKind, Peer, Snapshot
 from cedarmill.store import records, replica_store, snapshots
-from cedarmill.store.errors import StoreError
+from cedarmill.store.errors import DamagedError, StoreError
 from cedarmill.store.files import AppendFile, Directory
 from cedarmill.store.log import MAGIC, LogFile, encode_record, read_records
 from tests.support.node_case import ROOT
@@ -91,6 +92,12 @@
         store.write_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
         return store
 
+    def restarted(self) -> replica_store.ReplicaStore:
+        """The store of the next start, closed again."""
+        store = self.store()
+        store.close()
+        return store
+
 
 class Keeping(Folder):
     def test_what_was_synced_is_there_after_a_start_and_starts_are_counted(self):
@@ -159,12 +166,6 @@
         text[-1] ^= 1
         path.write_bytes(bytes(text))
 
-    def restarted(self) -> replica_store.ReplicaStore:
-        """The store of the next start, closed again."""
-        store = self.store()
-        store.close()
-        return store
-
     def test_a_doubt_outlives_restarts_until_the_replica_was_brought_up_to_date(self):
         for doubt, begin in (
             (replica_store.DAMAGED_RECORD, self.damage_last_record),
@@ -278,7 +279,7 @@
 
 
 class FaultyDirectory(Directory):
-    """A folder whose calls `failing` fail with that errno after `passing` calls, a write after `short` bytes."""
+    """A folder whose calls `failing` fail so after `passing` of them, a write after `short` bytes."""
 
     def __init__(self, folder: str) -> None:
         super().__init__(folder)
@@ -591,6 +592,28 @@
             self.assertEqual(found, states[sum(end <= size for end in ends)], size)
             self.assertFalse(saved.needs_catch_up)
 
+    def test_a_database_whose_creation_was_cut_short_is_created_anew(self):
+        path = Path(self.folder, snapshots.DATABASE_FILE)
+        for size in (1, snapshots.CREATED_BYTES // 2, snapshots.CREATED_BYTES - 1):
+            for log in (None, b""):
+                with self.subTest(size=size, log=log):
+                    shutil.rmtree(self.folder)
+                    path.parent.mkdir(parents=True)
+                    path.write_bytes(bytes(size))
+                    if log is not None:
+                        Path(self.folder, "log").write_bytes(log)
+                    self.formatted().close()
+                    self.assertEqual(self.restarted().persistent_state.snapshot.index, 1)
+
+    def test_a_database_that_is_cut_or_spoiled_beside_its_log_is_damaged(self):
+        self.formatted().close()
+        path = Path(self.folder, snapshots.DATABASE_FILE)
+        whole = path.read_bytes()
+        for content in (whole[:1], b"spoiled!" * 8 + whole[64:]):
+            path.write_bytes(content)
+            with self.assertRaisesRegex(DamagedError, "not an LMDB file"):
+                self.store()
+
     def test_a_log_that_is_gone_beside_its_snapshots_is_doubted(self):
         self.formatted().close()
         os.remove(Path(self.folder) / "log")
