--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -166,20 +166,13 @@
     def send(self, target: str, message: object) -> None:
         wire = self.wires.get(target)
         if wire is not None:
-            self._say(wire, 0, message)
+            wire.send(0, message)
 
     def reply(self, token: int, answer: object) -> None:
         found = self.tokens.pop(token, None)
         if found is not None:
-            self._say(*found, answer)
-
-    @staticmethod
-    def _say(wire: FramedConnection, number: int, message: object) -> None:
-        """Write a frame; a connection that breaks meanwhile costs itself only."""
-        try:
-            wire.send(number, message)
-        except OSError as error:
-            wire.end(f"write failed: {error.strerror or error}")
+            wire, number = found
+            wire.send(number, answer)
 
     def tell(self, action: RoleChanged | RaiseAlarm) -> None:
         if isinstance(action, RoleChanged):
@@ -228,7 +221,7 @@
         self.timers.cancel(self._timer)
         waiting, self.tokens = self.tokens, {}
         for wire, number in waiting.values():
-            self._say(wire, number, Unavailable(DISK_REFUSAL))
+            wire.send(number, Unavailable(DISK_REFUSAL))
         self.timers.add(self.failed_at + self.retry_us, self._recover)
 
     def _let_another_lead(self) -> None:
@@ -376,7 +369,7 @@
         if self.recovering:
             name = self.options.name
             answer = ProbeReply(name, "") if isinstance(word, Probe) else Unavailable(DISK_REFUSAL)
-            self._say(wire, number, answer)
+            wire.send(number, answer)
             return
         self._count += 1
         self.tokens[self._count] = wire, number
--- a/cedarmill/net/framing.py
+++ b/cedarmill/net/framing.py
@@ -141,13 +141,17 @@
         self.end("connection lost")
 
     def send(self, number: int, word: object) -> bool:
-        """Write a frame; False where the other side takes nothing, and it was dropped."""
+        """Write a frame; False where it was dropped: the other side takes nothing, or the transport broke."""
         if self.over or self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_WAITING:
             self.dropped += 1
             return False
-        self.transport.write(encode_frame(number, word))
+        try:
+            self.transport.write(encode_frame(number, word))
+        except OSError as error:  # it costs this connection only, never the timer or turn that writes
+            self.end(f"write failed: {error.strerror or error}")
+            return False
         return True
 
     def abort(self) -> None:
@@ -167,7 +171,9 @@
 
     def refuse(self, reason: str) -> None:
         """Say why, and close."""
-        self.send(0, ConnectionRejected(reason))
+        if not self.send(0, ConnectionRejected(reason)):
+            self.end(reason)
+            return
         self.over = True
         if self.transport is not None:
             self.transport.close()
--- a/tests/net/cluster/test_framing.py
+++ b/tests/net/cluster/test_framing.py
@@ -1,11 +1,20 @@
 """Frames between our processes: cut anywhere, of another version, too long; and peers that are silent."""
 
+import asyncio
+import errno
+import os
 import socket
 import unittest
+from unittest import mock
 
 from cedarmill.cluster.messages import ForwardRequest, HeartbeatReply, Hello, Orders, ReadRequest
 from cedarmill.cluster.raft.messages import AppendEntries, Entry, EntryKind
-from cedarmill.net.framing import HEAD, MAX_FRAME, FrameReader, InvalidFrame, encode_frame
+from cedarmill.cluster.session import MemberIdentity, MemberReport, SendRequest
+from cedarmill.core.timers import Timers
+from cedarmill.net.cluster.member import Membership
+from cedarmill.net.config import Address
+from cedarmill.net.framing import HEAD, MAX_FRAME, FramedConnection, FrameReader, InvalidFrame, encode_frame
+from cedarmill.net.loop import EventLoopDriver
 from tests.support.replica_case import LONG, KeeperCase
 
 WORDS = (
@@ -36,6 +45,62 @@
                 FrameReader().feed(text)
 
 
+class BrokenTransport:
+    """A transport whose writes fail as send(2) does."""
+
+    def __init__(self, number: int) -> None:
+        self.number, self.aborted = number, 0
+
+    def is_closing(self) -> bool:
+        return False
+
+    def get_write_buffer_size(self) -> int:
+        return 0
+
+    def write(self, data: bytes) -> None:
+        raise OSError(self.number, os.strerror(self.number))
+
+    def abort(self) -> None:
+        self.aborted += 1
+
+
+class BrokenWrites(unittest.TestCase):
+    """A write that fails ends its connection, once, and nothing that its owner does at that time."""
+
+    def setUp(self) -> None:
+        self.loop = asyncio.new_event_loop()
+        self.addCleanup(self.loop.close)
+        self.driver = EventLoopDriver(self.loop, Timers())
+
+    def test_each_way_to_write_ends_the_connection_once(self):
+        for number in (errno.EPIPE, errno.ECONNRESET, errno.ENOBUFS):
+            for write in (
+                lambda wire: wire.send(0, ReadRequest("status")),
+                lambda wire: wire.refuse("not here"),
+            ):
+                with self.subTest(number=number):
+                    on_end = mock.Mock()
+                    wire = FramedConnection(self.driver, None, on_end)
+                    wire.transport = BrokenTransport(number)
+                    self.assertFalse(write(wire))
+                    on_end.assert_called_once_with(wire, f"write failed: {os.strerror(number)}")
+                    self.assertEqual(wire.transport.aborted, 1)
+                    self.assertFalse(wire.send(0, ReadRequest("status")))
+
+    def test_a_member_s_session_goes_on(self):
+        """Its timer stands behind the write: without it there would be no beat ever again."""
+        member = Membership(
+            self.driver, "main", MemberIdentity("node", "n0", "1"), {"k0": Address("127.0.0.1", 1)},
+            MemberReport, lambda orders: None,
+        )  # fmt: skip
+        wire = member.wire = FramedConnection(self.driver, member._heard, member._ended)
+        wire.transport = BrokenTransport(errno.EPIPE)
+        member._do([SendRequest(ReadRequest("status"))])
+        self.assertTrue(wire.over)
+        self.assertIsNone(member.wire)
+        self.assertIsNotNone(self.driver.timers.next_due)
+
+
 class Silent(KeeperCase):
     """A keeper whose peer accepts and says nothing dials it anew when it is back."""
 
