--- a/cedarmill/log_events.py
+++ b/cedarmill/log_events.py
@@ -53,7 +53,13 @@
     "replica-needs-catch-up": Event(
         logging.WARNING, "store: {reason}: no vote till it is brought up to date"
     ),
-    "supervisor-disk-failed": Event(logging.ERROR, "store: the disk failed, this keeper ends: {reason}"),
+    "supervisor-disk-failed": Event(
+        logging.ERROR, "store: the disk failed, units stay as they are till it works again: {reason}"
+    ),
+    "supervisor-disk-retry": Event(
+        logging.WARNING, "store: the disk still fails, tried again soon: {reason}"
+    ),
+    "supervisor-disk-recovered": Event(logging.INFO, "store: the disk works again after {seconds:.1f} s"),
     "replica-disk-failed": Event(
         logging.ERROR, "store: the disk failed, nothing is promised till it works again: {reason}"
     ),
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -3,9 +3,13 @@
 It holds each unit's listening socket and hands it to every process of the unit, as in an upgrade, so that no
 connection is refused. Processes outlive their steward; the next one takes them over by id and start time. It
 cannot take a socket over from a dead steward: the next change of such a unit stops the old process first.
+
+What it is about to do is stored before it is done. Where the disk fails, nothing is done till it was stored:
+the units run on, the session goes on, and storing is tried again.
 """
 
 import contextlib
+import errno
 import http.client
 import os
 import secrets
@@ -34,6 +38,7 @@
 from cedarmill.net.config import Address
 from cedarmill.net.listener import listening_socket
 from cedarmill.net.loop import EventLoopDriver
+from cedarmill.store.errors import may_pass
 from cedarmill.store.files import Directory
 from cedarmill.values import SupervisorOptions, UnitOptions
 
@@ -43,18 +48,38 @@
 KEPT = "units.json"
 BACKLOG = 1024
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
+RETRY_FIRST_US = 100_000  # from a failure of the disk to the first try to store again
+RETRY_MOST_US = 2_000_000  # between two tries; each wait is twice the one before
 
 
 def start_ticks(pid: int) -> str:
-    """When a process began, as the system counts; empty where there is none, or it has only to be reaped."""
+    """When a process began, as the system counts; empty where there is none, or it has only to be reaped.
+
+    Raises OSError where that cannot be found out: no descriptor or memory is no end of a process.
+    """
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
-    except OSError:
+    except (FileNotFoundError, ProcessLookupError):
         return ""
     fields = text[text.rindex(")") + 2 :].split()
     return "" if fields[0] == "Z" else fields[19]
 
 
+def runs_as(pid: int, incarnation: str) -> bool:
+    """Whether that process was started as this incarnation; raises OSError where nobody can tell."""
+    try:
+        environment = Path(f"/proc/{pid}/environ").read_bytes().split(b"\0")
+        return f"CEDARMILL_LIFE={incarnation}".encode() in environment and os.getsid(pid) == pid
+    except (FileNotFoundError, ProcessLookupError, PermissionError):  # ended, or another user's
+        return False
+
+
+def find_process(incarnation: str) -> int:
+    """The id of the process that was started as this incarnation; 0: there is none. Raises OSError."""
+    pids = (int(name) for name in os.listdir("/proc") if name.isdecimal())
+    return next((pid for pid in pids if runs_as(pid, incarnation)), 0)
+
+
 class Unit:
     """A unit's settings, its listening socket, and the processes that are this steward's children."""
 
@@ -63,6 +88,7 @@
         self.socket: socket.socket | None = None
         self.children: dict[str, subprocess.Popen] = {}
         self.ticks: dict[str, str] = {}  # by life
+        self.in_use = False  # another process had the address when it was tried last
 
     def hold(self) -> str:
         """Hold the listening socket; why not, where that cannot be yet."""
@@ -71,6 +97,7 @@
         try:
             self.socket = listening_socket(Address.parse(self.options.listen), BACKLOG)
         except OSError as error:
+            self.in_use = error.errno == errno.EADDRINUSE
             return f"{self.options.listen}: {error.strerror}"
         return ""
 
@@ -86,7 +113,7 @@
         self.driver = EventLoopDriver(self.loop, self.timers)
         self.files = Directory(options.data)
         self.units = {one.name: Unit(one) for one in options.units}
-        kept = Path(self.files.path(KEPT)).read_bytes() if self.files.exists(KEPT) else b""
+        kept = self.files.read(KEPT) if self.files.exists(KEPT) else b""
         self.core = ProcessSupervisor(
             {one.name: one.version for one in options.units}, lambda: secrets.token_hex(6), kept
         )
@@ -102,7 +129,9 @@
             StoreUnits: self._keep,
             OrderApplied: self._acted,
         }
-        self.code = 0
+        self.pending: list = []  # actions that are not carried out yet
+        self.failed_at: int | None = None  # since when the disk fails, and `pending` waits
+        self.retry_us = RETRY_FIRST_US
 
     def run(self) -> int:
         """Serve until a signal; units go on. The exit code."""
@@ -113,7 +142,7 @@
         self.loop.call_soon(self._started)
         self.loop.run_forever()
         log_event("ended", name=self.options.name)
-        return self.code
+        return 0
 
     def _started(self) -> None:
         """The loop runs: only now does it hear of signals, those that came before included.
@@ -121,11 +150,22 @@
         Units are started after that, or they would inherit that signals are blocked.
         """
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-        self._do(self.core.begin(self.driver.now(), self._adopt))
-        self._look(self.driver.now())
+        self._begin(self.driver.now())
+        self.driver.end()
+
+    def _begin(self, now: int) -> None:
+        """Take the units over, once it is known which of their processes live."""
+        processes = [process for unit in self.core.units.values() for process in unit.processes.values()]
+        try:
+            adopted = {process.incarnation for process in processes if self._adopt(process)}
+        except OSError as error:  # one that is said to have ended may serve still
+            log_event("supervisor-waits", unit=", ".join(self.units), reason=error.strerror or error)
+            self.timers.add(now + LOOK_US, self._begin)
+            return
+        self._do(self.core.begin(now, lambda process: process.incarnation in adopted))
+        self._look(now)
         self.membership.start()
         log_event("supervisor-serves", name=self.options.name, units=", ".join(self.units))
-        self.driver.end()
 
     # The fleet.
 
@@ -137,8 +177,8 @@
         self._obey()
 
     def _obey(self) -> None:
-        """What is ordered and not done yet, while the lease holds at this moment."""
-        if self.orders is None:
+        """What is ordered and not done yet, while the lease holds at this moment and the disk works."""
+        if self.orders is None or self.failed_at is not None:
             return
         now = self.driver.now()
         known = {
@@ -158,29 +198,51 @@
     # Processes.
 
     def _do(self, actions: list) -> None:
-        for action in actions:
+        """Carry these out, and what follows of each before the next; nothing passes a document to store."""
+        self.pending = [*actions, *self.pending]
+        while self.pending and self.failed_at is None:
+            action = self.pending.pop(0)
             self._carry_out[type(action)](action)
 
     def _acted(self, action: OrderApplied) -> None:
         log_event("supervisor-acts", unit=action.unit, epoch=action.epoch, left=action.lease_left_s)
 
     def _keep(self, action: StoreUnits) -> None:
-        """Before what follows of it; a steward that cannot keep it must not go on."""
+        """Before what follows of it; where that fails, all of it waits."""
         try:
             self.files.replace(KEPT, action.document)
         except OSError as error:
             log_event("supervisor-disk-failed", reason=error.strerror or error)
-            self.code = 3
-            self.loop.stop()
-            raise
+            self.pending.insert(0, action)
+            self.failed_at, self.retry_us = self.driver.now(), RETRY_FIRST_US
+            self.timers.add(self.failed_at + self.retry_us, self._keep_again)
+
+    def _keep_again(self, now: int) -> None:
+        """Store what could not be stored, then do what waits for it; else try again later."""
+        since, action = self.failed_at, self.pending[0]
+        try:
+            self.files.replace(KEPT, action.document)
+        except OSError as error:
+            log_event("supervisor-disk-retry", reason=error.strerror or error)
+            self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
+            self.timers.add(now + self.retry_us, self._keep_again)
+            return
+        log_event("supervisor-disk-recovered", seconds=(now - since) / 1e6)
+        for held in self.pending:
+            if isinstance(held, StopProcess):  # its time to stop begins when it is told to
+                self.core.units[held.unit].processes[held.incarnation].kill_at += now - since
+        self.failed_at = None
+        self.pending.pop(0)
+        self._do([])
 
     def _start(self, action: StartProcess) -> None:
         unit = self.units[action.unit]
         reason = unit.hold()
-        if reason:  # the process before still has it, and its steward has died
+        if reason:  # most often the process before still has it, and its steward has died
             log_event("supervisor-waits", unit=action.unit, reason=reason)
             self.waiting[action.unit] = action
-            self._stop_others(action)
+            if unit.in_use:
+                self._stop_others(action)
             return
         self.waiting.pop(action.unit, None)
         env = {
@@ -200,7 +262,6 @@
             self._do(self.core.on_exited(self.driver.now(), action.unit, action.incarnation))
             return
         unit.children[action.incarnation] = child
-        unit.ticks[action.incarnation] = start_ticks(child.pid)
         log_event(
             "supervisor-starts",
             unit=action.unit,
@@ -237,27 +298,27 @@
     def _signal(self, unit: str, process: Process, number: int) -> None:
         """Only to a process that is ours still: its id may have become another's."""
         if process.pid and self._alive(unit, process):
-            with contextlib.suppress(ProcessLookupError):
+            with contextlib.suppress(ProcessLookupError, PermissionError):
                 os.kill(process.pid, number)
 
     def _alive(self, unit: str, process: Process) -> bool:
         child = self.units[unit].children.get(process.incarnation)
         if child is not None:
             return child.poll() is None
-        ticks = start_ticks(process.pid) if process.pid else ""
+        try:
+            ticks = start_ticks(process.pid) if process.pid else ""
+        except OSError:
+            return True  # nobody has seen it end: drains and new processes wait for that
         return ticks != "" and ticks == self.units[unit].ticks.get(process.incarnation, ticks)
 
     def _adopt(self, process: Process) -> bool:
-        """Whether a process that the steward before started lives: by its id, and its life in its
-        environment.
+        """Whether a process that an earlier steward started lives: by its id, and its environment.
+
+        That steward may have ended before it could store the id. Raises OSError where nobody can tell.
         """
-        if not process.pid or not start_ticks(process.pid):
-            return False
-        try:
-            env = Path(f"/proc/{process.pid}/environ").read_bytes().split(b"\0")
-        except OSError:
-            return False
-        if f"CEDARMILL_LIFE={process.incarnation}".encode() not in env:
+        if not process.pid:
+            process.pid = find_process(process.incarnation)
+        if not process.pid or not start_ticks(process.pid) or not runs_as(process.pid, process.incarnation):
             return False
         for name, unit in self.core.units.items():
             if process.incarnation in unit.processes:
@@ -268,6 +329,8 @@
     def _look(self, now: int) -> None:
         """Ten times a second: who has ended, who is ready, what is to be started anew."""
         self.timers.add(now + LOOK_US, self._look)
+        if self.failed_at is not None:
+            return  # whatever is seen, what follows has to be stored first
         for name, unit in self.core.units.items():
             for life, process in list(unit.processes.items()):
                 if process.pid and not self._alive(name, process):
@@ -326,11 +389,30 @@
 
 
 def main(options: SupervisorOptions, log_format: str = "text") -> int:
-    """Run a steward; the exit code: 0 ended by a signal, 2 it could not start, 3 its disk failed."""
+    """Run a steward; the exit code: 0 ended by a signal, 2 it could not start.
+
+    A disk that fails for a while does not end it, neither while it starts nor while it runs.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # till the loop runs
     log.begin(log_format)
+    wait_us = RETRY_FIRST_US
     try:
-        return SupervisorProcess(options).run()
+        while (process := _take_up(options)) is None:
+            if signal.sigtimedwait(SIGNALS, wait_us / 1e6) is not None:
+                return 0
+            wait_us = min(2 * wait_us, RETRY_MOST_US)
+        return process.run()
     except (ValueError, OSError) as error:
         print(f"cedarmill: {options.data}: {error}", file=sys.stderr)
         return 2
+
+
+def _take_up(options: SupervisorOptions) -> SupervisorProcess | None:
+    """The process with what the one before has left; None where the disk fails, and may work again."""
+    try:
+        return SupervisorProcess(options)
+    except OSError as error:
+        if not may_pass(error):
+            raise
+        log_event("supervisor-disk-failed", reason=error.strerror or error)
+        return None
