--- a/cedarmill/cli/replica.py
+++ b/cedarmill/cli/replica.py
@@ -8,7 +8,6 @@
 from cedarmill.log import FORMATS
 
 EXITS = "Exit codes: 0 ended by a signal; 2 bad input, or it could not start."
-SUPERVISOR_EXITS = EXITS.removesuffix(".") + "; 3 its disk failed."
 _CONF = click.option(
     "-c", "--conf", "path", required=True, type=click.Path(dir_okay=False), help="Its XML file."
 )
@@ -48,7 +47,7 @@
     sys.exit(main(options, log_format))
 
 
-@click.command(epilog=SUPERVISOR_EXITS)
+@click.command(epilog=EXITS)
 @_CONF
 @_FORM
 def steward(path: str, log_format: str) -> None:
