--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -2,15 +2,21 @@
 
 import json
 import os
+import signal
 import socket
+import subprocess
 from pathlib import Path
 
 from cedarmill.admin import sealed_document
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import EventLoopDriver, boot_id
+from cedarmill.net.node import CHECK_END_US
+from cedarmill.net.upgrade.sibling import ALONE_US, TOGETHER_US
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
-from tests.support.node_case import WAIT, Client, NodeCase, call
+from cedarmill.net.upgrade.warm_state import KEEP_US
+from tests.support.node_case import WAIT, Asked, Client, NodeCase, call
+from tests.support.slow_clock import SlowClock
 
 
 class HeldSocket(NodeCase):
@@ -178,8 +184,8 @@
         self.assertIn("not a listening TCP socket", self.refused(sock.fileno(), (sock.fileno(),)))
 
 
-class HandOver(HeldSocket):
-    """What the old process learned, and what it still has out, is the new one's from its start."""
+class LearnedSlots(HeldSocket):
+    """A node that has learned how many slots its one executor has, and can be replaced."""
 
     def kept(self, kind: str = "memory") -> InPlaceStateFile:
         return InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-{kind}.json")
@@ -193,8 +199,12 @@
             asked.job("done", result="fine", load={"x0": free, "x1": 100.0})
             asked.wire.send("0\r\n\r\n")
             self.assertEqual(client.answer()[0], 200)
+        self.let_pass(KEEP_US)
         self.wait_for(lambda: self.slots() >= free)
 
+    def let_pass(self, span_us: int) -> None:
+        """So much time is to pass for the node; here it passes by itself."""
+
     def slots(self) -> float:
         """Of the one backend, as kept last."""
         texts = self.kept().texts()
@@ -207,22 +217,27 @@
         )
         return json.loads(body)["workers"].get("s-0", {}).get("slots", 0)
 
-    def test_jobs_out_at_the_old_process_hold_their_slots_in_the_new_one_till_they_end(self):
-        """Without the hand-over the new process sends five jobs more to the five slots, to wait there.
-
-        How many it may try as news fade is `test_memory`'s to say, on a clock of its own.
-        """
-        self.learn(free=5)
+    def hold_all_slots(self) -> tuple[list[Client], list[Asked]]:
+        """Five clients whose jobs hold the executor's five slots, as the process's document tells."""
         held = [self.client().ask("issue", 12_000) for _ in range(5)]  # they outlast a slow start beside them
         asked = [self.servers[0].next() for _ in held]
-        old = self.process
-        told = self.kept(f"out-{old.pid}")
+        told = self.kept(f"out-{self.process.pid}")
+        self.let_pass(ALONE_US)
         self.wait_for(lambda: any(b"[5.0," in text for text in told.texts()))
-        self.next_process()
-        self.assertTrue(any("took up what" in line for line in self.log), self.log)
-        old.send_signal(15)
+        told.close()
+        return held, asked
+
+    def drain(self, old: subprocess.Popen) -> None:
+        """From then on only the new process accepts."""
+        old.send_signal(signal.SIGTERM)
         while (line := old.stderr.readline()) and "no new sessions" not in line:
-            pass  # from then on only the new process accepts
+            pass
+
+    def check_slots_are_held(self) -> None:
+        """Of five jobs more the new process sends fewer than five, and refuses the others.
+
+        How many it may try as the last report grows old is for `tests/decisions/test_snapshot.py` to say.
+        """
         more = [self.client().ask() for _ in range(5)]
         server = self.servers[0]
         self.wait_for(lambda: server.asked.qsize() + sum(c.answered(0) for c in more) == 5)
@@ -230,15 +245,59 @@
         self.assertEqual({c.answer()[0] for c in more if c.answered(0)}, {503})
         for _ in range(server.asked.qsize()):
             server.next().done()
+
+    def check_jobs_end(self, held: list[Client], asked: list[Asked], old: subprocess.Popen) -> None:
+        """The old process answers what it holds and ends; then the slots are free."""
         for job in asked:
             job.done()
         self.assertEqual([client.answer()[0] for client in held], [200] * 5)
-        self.assertEqual(old.wait(WAIT), 0)
+
+        def ended() -> bool:
+            self.let_pass(CHECK_END_US)
+            return old.poll() is not None
+
+        self.wait_for(ended)
+        self.assertEqual(old.returncode, 0)
         old.stderr.close()
+        self.let_pass(TOGETHER_US)
+        self.wait_log("that live: 0")
         client = self.client().ask()
         self.servers[0].next().done()
         self.assertEqual(client.answer()[0], 200)
 
+
+class SlowHandOver(LearnedSlots):
+    """The hand-over on a clock that hardly moves by itself.
+
+    The old process answers all that is open 3.53 s after SIGTERM, and the new one tries more and more as the
+    executor's last report grows old: on a busy machine either came before the test was done.
+    """
+
+    def prepare(self) -> None:
+        super().prepare()
+        self.clock = SlowClock(f"{self.tmpdir.name}/clock")
+
+    def command(self, module: str, *arguments: str) -> list[str]:
+        return self.clock.command(module, *arguments)
+
+    def let_pass(self, span_us: int) -> None:
+        self.clock.move_on(span_us)
+
+    def test_jobs_out_at_the_old_process_hold_their_slots_in_the_new_one_till_they_end(self):
+        """Without the hand-over the new process sends five jobs more to the five slots, to wait there."""
+        self.learn(free=5)
+        held, asked = self.hold_all_slots()
+        old = self.process
+        self.next_process()
+        self.assertTrue(any("took up what" in line for line in self.log), self.log)
+        self.drain(old)
+        self.check_slots_are_held()
+        self.check_jobs_end(held, asked, old)
+
+
+class HandOver(LearnedSlots):
+    """What the old process learned, and what it still has out, is the new one's from its start."""
+
     def test_the_old_process_killed_in_the_hand_over_holds_nothing_for_long(self):
         self.learn(free=5)
         for _ in range(5):
