--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -310,11 +310,17 @@
         old.stderr.close()
 
         def served() -> bool:
+            """Whether a new request is; one that the old process had sent again may still be queued."""
             client = self.client().ask()
-            self.wait_for(lambda: client.answered(0) or not self.servers[0].asked.empty())
-            if self.servers[0].asked.empty():
-                return False
-            self.servers[0].next().done()
+            call_id = f"{Client.count:016x}"
+
+            def answered() -> bool:
+                while not client.answered(0) and self.servers[0].asked.qsize():
+                    if (asked := self.servers[0].next()).headers["X-Call-Id"] == call_id:
+                        asked.done()
+                return client.answered(0)
+
+            self.wait_for(answered)
             return client.answer()[0] == 200
 
         self.wait_for(served)
