--- a/cedarmill/net/upgrade/sibling.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -2,7 +2,9 @@
 
 An upgrade runs both for seconds, and an executor's report is a second old: without this, the new process
 takes the old one's jobs for other nodes' and learns late that they have ended. Each process keeps a small
-document of its own in `$TMPDIR` and reads the others'; one that has fallen silent counts for nothing.
+document of its own in `$TMPDIR`, claims it with a lock as long as it lives, and reads the others'. One that
+is silent because it cannot write (a full disk) goes on to count with what it told last. One that is silent
+without a claim (it died; an older program; a file system without locks) counts for nothing.
 """
 
 import os
@@ -24,8 +26,8 @@
 ALONE_US = 100_000  # between two looks while no other process is seen
 TOGETHER_US = 30_000  # while one is: a job's end should be known well within the time of the next decision
 BEAT_US = 500_000  # between two writings without a change: a sign of life
-SILENT_US = 2_000_000  # without one, its process is dead, and its jobs no longer answered for
-GONE_US = 20_000_000  # then its file is removed
+SILENT_US = 2_000_000  # without one and without a claim its process is dead, its jobs no longer answered for
+GONE_US = 20_000_000  # then a dead one's file is removed
 Out = dict[str, tuple[float, float]]  # slots and memory by executor
 
 
@@ -67,6 +69,12 @@
         else:
             self.alive_at = now.monotonic_us
 
+    def lives(self, now_us: int) -> bool:
+        """Whether it has told anything, and has given a sign of life lately or still claims its document."""
+        if self.alive_at is None:
+            return False
+        return not self.silent_for(now_us, SILENT_US) or self.kept.is_claimed()
+
     def silent_for(self, now_us: int, span_us: int) -> bool:
         """Whether it has given no sign of life for that long; a file that was only just made is none yet."""
         return self.alive_at is not None and now_us - self.alive_at > span_us
@@ -107,6 +115,7 @@
         self.driver.timers.add(now + (TOGETHER_US if self.others else ALONE_US), self._look)
         here = clock_reading(now)
         self._read(here)
+        self._claim()
         try:
             self._write(here)
         except OSError as error:  # the others' word counts all the same
@@ -140,17 +149,22 @@
         return {n for n in found if n.startswith(self.prefix) and n.endswith(".json")}
 
     def _count(self, now: int) -> None:
-        """Those count that give signs of life; what is left of a dead one is removed in the end."""
-        self.others = {
-            name: other
-            for name, other in self.files.items()
-            if other.alive_at is not None and not other.silent_for(now, SILENT_US)
-        }
+        """Those count that live; what is left of a dead one is removed in the end."""
+        self.others = {name: other for name, other in self.files.items() if other.lives(now)}
         for name in self.files.keys() - self.others.keys():
             self.files[name].kept.close()  # opened anew at each look: its owner may have made it anew
             if self.files[name].silent_for(now, GONE_US):
                 self.files.pop(name).kept.remove()
 
+    def _claim(self) -> None:
+        """Claim this process's document, at the next look where it cannot be done now."""
+        try:
+            self.own.claim()
+        except BlockingIOError:  # another process asks just now whether it is claimed
+            pass
+        except OSError as error:  # then this process lives for the others as long as it writes
+            log_event("sibling-exchange-failed", reason=error)
+
     def _write(self, here: ClockReading) -> None:
         """Tell what is out: when it changed, for one that starts reads it at once; else now and then."""
         at, before = self.written
--- a/cedarmill/net/upgrade/state_file.py
+++ b/cedarmill/net/upgrade/state_file.py
@@ -126,6 +126,7 @@
         self.path = path
         self._file = -1
         self._turn = 0
+        self._claimed = False
 
     def texts(self) -> list[bytes]:
         """What the halves hold, torn or not; none if there is no file. Raises OSError."""
@@ -153,15 +154,42 @@
         _write_all(self._file, b"%07d\n" % len(text) + text, self._turn * self.HALF)
         self._turn = 1 - self._turn
 
+    def claim(self) -> None:
+        """Show that this process lives, whatever it can write, by a lock that ends with it.
+
+        It holds till `close`. Raises BlockingIOError while another process asks, OSError where it fails.
+        """
+        if not self._claimed:
+            self._open(os.O_RDWR | os.O_CREAT)
+            fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self._claimed = True
+
+    def is_claimed(self) -> bool:
+        """Whether the process that claimed the file read last lives; False also where nothing tells."""
+        if self._file < 0:
+            return False
+        try:  # shared: those who ask do not see each other
+            fcntl.flock(self._file, fcntl.LOCK_SH | fcntl.LOCK_NB)
+        except BlockingIOError:
+            return True
+        except OSError:
+            return False
+        try:
+            fcntl.flock(self._file, fcntl.LOCK_UN)
+        except OSError:
+            self.close()  # or its owner could never claim it
+        return False
+
     def _open(self, flags: int) -> None:
         if self._file < 0:
             self._file = _open(self.path, flags)
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Let go of the file, and of the claim to it."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
+        self._claimed = False
 
     def remove(self) -> None:
         """Nothing is kept any longer."""
