--- a/cedarmill/net/discovery/list_stream.py
+++ b/cedarmill/net/discovery/list_stream.py
@@ -76,21 +76,26 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._line_start = 0  # in the buffer, of the line that is not whole yet
+        self._searched = 0  # in the buffer: no line ends between its start and there
+        self._blank = True  # whether the line that is not whole yet holds only white space so far
         self._begun = False  # whether a line of a document has come
 
     @property
     def partial(self) -> bool:
         """Whether a list has begun that is not whole yet."""
-        return self._begun or bool(self._buffer[self._line_start :].strip())
+        return self._begun or not self._blank
 
     def feed(self, data: bytes) -> list[Listing]:
         """Take some bytes; raises ValueError for what is no list."""
         self._buffer += data
         found = []
-        while (end := self._buffer.find(b"\n", self._line_start)) >= 0:
+        while (end := self._buffer.find(b"\n", self._searched)) >= 0:
             listing = self._line(end)
             if listing is not None:
                 found.append(listing)
+        # only what is new is looked at: a long list may come in pieces of a byte
+        self._blank = self._blank and not self._buffer[self._searched :].strip()
+        self._searched = len(self._buffer)
         if len(self._buffer) > MAX_LIST:
             raise ValueError("a list is too long")
         return found
@@ -103,7 +108,8 @@
     def _line(self, end: int) -> Listing | None:
         """Take the line that ends there; the list, if its document is whole now."""
         line = self._buffer[self._line_start : end].strip()
-        self._line_start = end + 1
+        self._line_start = self._searched = end + 1
+        self._blank = True
         if not self._begun and not line:
             self._drop()
             return None
@@ -122,4 +128,4 @@
     def _drop(self) -> None:
         """Forget the lines of a document that is whole."""
         del self._buffer[: self._line_start]
-        self._line_start, self._begun = 0, False
+        self._line_start, self._searched, self._begun = 0, 0, False
