--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -69,14 +69,14 @@
         room = split_limits(self.limits, [])
         self.deadline_tracker = DeadlineTracker(options.deadlines, len(settings.classes))
         self.clients = ClientServer(self.driver, settings, room.sessions, options.deadlines)
-        self.backends = UpstreamPools(self.driver, settings, room.connections, options)
+        self.pools = UpstreamPools(self.driver, settings, room.connections, options)
         self.discovery = DiscoveryClient(
-            self.driver, settings, config.discovery, self.backends, Random(config.seed)
+            self.driver, settings, config.discovery, self.pools, Random(config.seed)
         )
         brain = Balancer(settings, config.seed)
-        self.dispatch = Dispatch(brain, self.timers, self.backends, self.discovery, self.deadline_tracker)
+        self.dispatch = Dispatch(brain, self.timers, self.pools, self.discovery, self.deadline_tracker)
         self.beside = SiblingProcess(self.driver, self.discovery, config.name, self._holds, self._share)
-        for adapter in (self.clients, self.backends, self.discovery, self.beside):
+        for adapter in (self.clients, self.pools, self.discovery, self.beside):
             adapter.dispatch = self.dispatch
         self.draining = False
         self.term_at = 0  # when SIGTERM came
@@ -100,11 +100,11 @@
 
     def _holds(self) -> ConnectionCounts:
         """What counts against the node's limits, for its other processes."""
-        return ConnectionCounts(len(self.clients.sessions), self.backends.connections)
+        return ConnectionCounts(len(self.clients.sessions), self.pools.connections)
 
     def _share(self, others: list[ConnectionCounts]) -> None:
         """The node's other processes hold so much: take what they leave."""
-        self.clients.bound, self.backends.bound = split_limits(self.limits, others)
+        self.clients.bound, self.pools.bound = split_limits(self.limits, others)
 
     def _listen_for_checkers(self) -> None:
         """The listeners of other installations; raises OSError."""
--- a/cedarmill/net/upstream/exchange.py
+++ b/cedarmill/net/upstream/exchange.py
@@ -1,9 +1,10 @@
-"""Exchanges: what a connection to a backend carries, an attempt or a probe, from its request to its one end.
+"""Exchanges: what a connection to an executor carries, an attempt or a probe, from its request to its end.
 
-They read answers and hold the state of an attempt; the sockets are in net/upstream/pool.py.
+They read answers and hold the state of an attempt; the sockets are in `net/upstream/connection.py`. The forms
+are those of the platform's protocol: an answer of JSON lines, or a load report.
 """
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, NamedTuple
 
 import msgspec
 
@@ -12,11 +13,19 @@
 from cedarmill.decisions.interface import Outcome
 
 if TYPE_CHECKING:
-    from cedarmill.net.upstream.pool import UpstreamConnection, UpstreamPool, UpstreamPools
+    from cedarmill.net.upstream.connection import UpstreamConnection
+    from cedarmill.net.upstream.pool import UpstreamPool, UpstreamPools
 
-PROBE_WAIT = 2  # connect time-outs that a probe may take
-MAX_LINE = 256 * 1024
-PASSED_ON = (b"x-call-id", b"idempotency-key", b"content-type", b"x-call-class", b"x-caller", b"x-call-info")
+PROBE_TIMEOUTS = 2  # connect time-outs that a probe may take
+MAX_LINE_BYTES = 256 * 1024
+FORWARDED_HEADERS = (
+    b"x-call-id",
+    b"idempotency-key",
+    b"content-type",
+    b"x-call-class",
+    b"x-caller",
+    b"x-call-info",
+)
 
 
 class AttemptLine(msgspec.Struct):
@@ -31,18 +40,26 @@
 
 _LINE = msgspec.json.Decoder(AttemptLine)
 _LOAD = msgspec.json.Decoder(dict[str, float])
-_ENDS = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
+_END_STATES = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 
 
-def report_of(names: tuple[str, ...], load: dict[str, float] | None) -> api.LoadReport | None:
+class ExchangeEnd(NamedTuple):
+    """How an exchange has ended, with what the executor said of its load, and the result of an attempt."""
+
+    outcome: Outcome
+    report: api.LoadReport | None = None
+    result: bytes | None = None
+
+
+def ordered_report(names: tuple[str, ...], load: dict[str, float] | None) -> api.LoadReport | None:
     """A load report in the order of the settings, or None unless it is whole."""
     if not names or load is None or not all(name in load for name in names):
         return None
     return tuple(load[name] for name in names)
 
 
-def load_header(text: bytes) -> dict[str, float] | None:
-    """The load report of a header: `TEXT inflight=7, queue=2`."""
+def parse_load_header(text: bytes) -> dict[str, float] | None:
+    """The load report of a header, `TEXT inflight=7, queue=2`; None where a value is no number."""
     load = {}
     for pair in text.decode("latin-1").removeprefix("TEXT ").split(","):
         name, _, value = pair.strip().partition("=")
@@ -59,14 +76,14 @@
     unsafe = False  # whether it must not run twice
     guarded = False  # whether it may run twice only within bounds, or not at all
 
-    def __init__(self, backends: "UpstreamPools", backend: "UpstreamPool") -> None:
-        self.backends, self.backend = backends, backend
+    def __init__(self, pools: "UpstreamPools", pool: "UpstreamPool") -> None:
+        self.pools, self.pool = pools, pool
         self.connection: UpstreamConnection | None = None
-        self.status = 0
+        self.status = 0  # of the answer; 0: none has come
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
-        self.ending: tuple | None = None  # what the answer has told
-        self.told = False  # whether the end has been reported
+        self.ending: ExchangeEnd | None = None  # as the answer says
+        self.ended = False  # whether the end has been reported
 
     def barred(self, now: int) -> Outcome | None:
         """The outcome where it may not be sent any longer, or None."""
@@ -83,61 +100,67 @@
         """The status and the headers have come."""
 
     def on_body(self, data: bytes) -> None:
-        """A part of the answer's body."""
+        """A part of the answer's body; raises ValueError for what is no answer."""
         raise NotImplementedError
 
     def on_complete(self) -> None:
-        """The whole answer has come."""
+        """The whole answer has come; raises ValueError for what is no answer."""
         raise NotImplementedError
 
-    def tell(self, now: int, outcome: Outcome, *details: Any) -> None:
+    def report_end(self, now: int, end: ExchangeEnd) -> None:
         """Report the end to the dispatch."""
         raise NotImplementedError
 
-    def finish(self, now: int, outcome: Outcome, *details: Any) -> None:
+    def finish(self, now: int, end: ExchangeEnd) -> None:
         """The one end: later ones are passed over."""
-        if not self.told:
-            self.told = True
-            self.tell(now, outcome, *details)
+        if not self.ended:
+            self.ended = True
+            self.report_end(now, end)
 
-    def report(self, load: dict[str, float] | None) -> api.LoadReport | None:
-        return report_of(self.backends.settings.report_names, load)
+    def load_report(self, load: dict[str, float] | None) -> api.LoadReport | None:
+        """What an executor says of its load, in the order of the settings; None unless it is whole."""
+        return ordered_report(self.pools.settings.report_names, load)
 
 
 class AttemptExchange(Exchange):
     """An attempt."""
 
-    def __init__(self, backends: "UpstreamPools", backend: "UpstreamPool", attempt: Attempt) -> None:
-        super().__init__(backends, backend)
+    def __init__(self, pools: "UpstreamPools", pool: "UpstreamPool", attempt: Attempt) -> None:
+        super().__init__(pools, pool)
         self.attempt = attempt
         self.id = attempt.request.payload.headers[b"x-call-id"].decode("latin-1")
         self.unsafe = attempt.request.spec.effect == api.Effect.UNSAFE
         self.guarded = attempt.request.spec.effect != api.Effect.SAFE
-        attempt.exchange, attempt.end_unobserved = self, backend.kind.cancel not in ("close", "end")
+        attempt.exchange, attempt.end_unobserved = self, pool.kind.cancel not in ("close", "end")
 
     def barred(self, now: int) -> Outcome | None:
-        return self.backends.dispatch.blocking_outcome(now, self.attempt)
+        """As the dispatch says: a drain, a deadline, a window for repeats, a client that left."""
+        return self.pools.dispatch.blocking_outcome(now, self.attempt)
 
     def request(self, now: int) -> bytes:
+        """The client's request, with the time that is left to the executor."""
         message = self.attempt.request.payload
-        margins = self.backends.dispatch.deadline_tracker.margins
-        rest = margins.remaining_for_executor(self.backend.number, self.attempt.request.due - now)
+        margins = self.pools.dispatch.deadline_tracker.margins
+        left_us = margins.remaining_for_executor(self.pool.number, self.attempt.request.due - now)
         lines = [
             b"%s %s HTTP/1.1" % (message.method, message.target),
-            b"Host: " + str(self.backend.address.host).encode(),
+            b"Host: " + str(self.pool.address.host).encode(),
         ]
-        lines += [b"%s: %s" % (n, message.headers[n]) for n in PASSED_ON if n in message.headers]
+        lines += [b"%s: %s" % (n, message.headers[n]) for n in FORWARDED_HEADERS if n in message.headers]
         lines += [
-            b"X-Budget-Ms: %d" % max(1, rest // 1000),
+            b"X-Budget-Ms: %d" % max(1, left_us // 1000),
             b"Content-Length: %d\r\n\r\n" % len(message.body),
         ]
-        return b"\r\n".join(lines) + message.body
+        text: bytes = b"\r\n".join(lines) + message.body
+        return text
 
     def on_written(self, now: int) -> None:
-        self.backends.dispatch.attempt_written(now, self.attempt)
+        """From now on it may run."""
+        self.pools.dispatch.attempt_written(now, self.attempt)
 
     def on_body(self, data: bytes) -> None:
-        if self.status != 200 or self.ending:
+        """Read the lines that are whole."""
+        if self.status != 200 or self.ending is not None:
             return
         self.body += data
         if b"\n" in data:  # searched alone: an answer may come in many small pieces
@@ -145,23 +168,23 @@
             self.body = bytearray(rest)
             for line in lines:
                 if line.strip():
-                    self._line(line)
-        if len(self.body) > MAX_LINE:
+                    self._read_line(line)
+        if len(self.body) > MAX_LINE_BYTES:
             raise ValueError("a line is too long")
 
-    def _line(self, raw: bytes) -> None:
+    def _read_line(self, raw: bytes) -> None:
         line = _LINE.decode(raw)
         if line.id and line.id != self.id:
-            raise ValueError("a line names another job")
-        dispatch, now = self.backends.dispatch, self.backends.driver.now()
-        if self.ending:
+            raise ValueError("a line names another request")
+        dispatch, now = self.pools.dispatch, self.pools.driver.now()
+        if self.ending is not None:
             return
         if line.state == "done":
             text = bytes(line.result)
             result = msgspec.json.decode(text, type=str).encode() if text[:1] == b'"' else text
-            self.ending = Outcome.OK, self.report(line.load), result
-        elif line.state in _ENDS:
-            self.ending = _ENDS[line.state], self.report(line.load)
+            self.ending = ExchangeEnd(Outcome.OK, self.load_report(line.load), result)
+        elif line.state in _END_STATES:
+            self.ending = ExchangeEnd(_END_STATES[line.state], self.load_report(line.load))
         elif line.state == "started":
             dispatch.attempt_started(now, self.attempt)
         elif line.state == "running":
@@ -172,88 +195,97 @@
         if self.status == 200:
             return
         text = self.headers.get(b"x-load-report")
-        report = self.report(load_header(text)) if text else None
+        report = self.load_report(parse_load_header(text)) if text else None
         if self.status in (503, 504) and self.headers.get(b"x-rejected") == b"1":
             outcome = Outcome.RESET if self._perhaps_late() else Outcome.FULL
         else:
             outcome = Outcome.UNUSABLE if 400 <= self.status < 500 else Outcome.ERROR
-        self.ending = outcome, report
+        self.ending = ExchangeEnd(outcome, report)
 
     def _perhaps_late(self) -> bool:
-        """Whether this answer, which names no job, may be a second one to the job before it here."""
-        return (
-            self.guarded and self.connection.kept and not self.connection.rested(self.backends.driver.now())
-        )
+        """Whether this answer, which names no request, may be a second one to the request before it here."""
+        if not self.guarded or self.connection is None or not self.connection.reused:
+            return False
+        return not self.connection.past_late_answers(self.pools.driver.now())
 
     def on_complete(self) -> None:
-        if not self.ending and self.body.strip():
-            self._line(bytes(self.body))
-        self.ending = self.ending or (Outcome.RESET,)  # a stream without a last line
+        """A last line may come without its end; a stream without a line that ends it was cut."""
+        if self.ending is None and self.body.strip():
+            self._read_line(bytes(self.body))
+        self.ending = self.ending or ExchangeEnd(Outcome.RESET)
 
-    def tell(self, now: int, outcome: Outcome, *details: Any) -> None:
+    def report_end(self, now: int, end: ExchangeEnd) -> None:
+        """Tell the dispatch how the attempt ended."""
         self.attempt.exchange = None  # or the cycle would wait for a full collection
-        self.backends.dispatch.attempt_ended(now, self.attempt, outcome, *details)
+        self.pools.dispatch.attempt_ended(now, self.attempt, end.outcome, end.report, end.result)
 
 
 class RelayedAttemptExchange(AttemptExchange):
-    """An attempt at a backend that is a node itself: it gives one final answer, and no lines."""
+    """An attempt at an executor that is a node itself: it gives one final answer, and no lines."""
 
     def on_body(self, data: bytes) -> None:
+        """Collect the answer."""
         self.body += data
-        if len(self.body) > MAX_LINE:
+        if len(self.body) > MAX_LINE_BYTES:
             raise ValueError("an answer is too long")
 
     def on_head(self) -> None:
         """429 and 503 are refusals: that node promises that nothing ran. 502 is a failed request."""
         if self.status in (429, 503):
-            self.ending = (Outcome.FULL,)
+            self.ending = ExchangeEnd(Outcome.FULL)
         elif self.status != 200:
-            self.ending = (Outcome.UNUSABLE if self.status == 400 else Outcome.ERROR,)
+            self.ending = ExchangeEnd(Outcome.UNUSABLE if self.status == 400 else Outcome.ERROR)
 
     def on_complete(self) -> None:
-        self.ending = self.ending or (Outcome.OK, None, bytes(self.body))
+        """The body is the result."""
+        self.ending = self.ending or ExchangeEnd(Outcome.OK, None, bytes(self.body))
 
 
 class ProbeExchange(Exchange):
     """A probe."""
 
-    def __init__(self, backends: "UpstreamPools", backend: "UpstreamPool", probe: Probe) -> None:
-        super().__init__(backends, backend)
+    def __init__(self, pools: "UpstreamPools", pool: "UpstreamPool", probe: Probe) -> None:
+        super().__init__(pools, pool)
         self.probe, probe.exchange = probe, self
-        wait = PROBE_WAIT * backends.settings.connect_timeout_us
-        self.deadline = backends.driver.timers.add(backends.driver.now() + wait, self._late)
+        due = pools.driver.now() + PROBE_TIMEOUTS * pools.settings.connect_timeout_us
+        self.deadline = pools.driver.timers.add(due, self._on_deadline)
 
-    def _late(self, now: int) -> None:
-        """It has not come back in time."""
+    def _on_deadline(self, now: int) -> None:
         if self.connection is not None and self.connection.exchange is self:
             self.connection.abort_quietly()
-        self.finish(now, Outcome.TIMEOUT)
+        self.finish(now, ExchangeEnd(Outcome.TIMEOUT))
 
     def barred(self, now: int) -> Outcome | None:
-        wanted = self.probe.exchange is not None and self.backends.dispatch.may_probe(self.probe)
+        """MOOT where it was taken back, or nobody wants it any longer."""
+        wanted = self.probe.exchange is not None and self.pools.dispatch.may_probe(self.probe)
         return None if wanted else Outcome.MOOT
 
     def request(self, now: int) -> bytes:
-        return b"GET /status/load HTTP/1.1\r\nHost: %s\r\n\r\n" % str(self.backend.address.host).encode()
+        """The call for a load report."""
+        return b"GET /status/load HTTP/1.1\r\nHost: %s\r\n\r\n" % str(self.pool.address.host).encode()
 
     def on_written(self, now: int) -> None:
+        """It cannot be taken back any more."""
         self.probe.written = True
 
     def on_body(self, data: bytes) -> None:
+        """Collect the report."""
         self.body += data
-        if len(self.body) > MAX_LINE:
+        if len(self.body) > MAX_LINE_BYTES:
             raise ValueError("a load report is too long")
 
     def on_complete(self) -> None:
+        """Read the report, as JSON or as the text of a header."""
         load = None
         if self.body.lstrip()[:1] == b"{":
             load = _LOAD.decode(self.body)
         elif self.body:
-            load = load_header(bytes(self.body))
+            load = parse_load_header(bytes(self.body))
         outcome = {200: Outcome.OK, 503: Outcome.FULL}.get(self.status, Outcome.ERROR)
-        self.ending = outcome, self.report(load)
+        self.ending = ExchangeEnd(outcome, self.load_report(load))
 
-    def tell(self, now: int, outcome: Outcome, *details: Any) -> None:
-        self.backends.driver.timers.cancel(self.deadline)
+    def report_end(self, now: int, end: ExchangeEnd) -> None:
+        """Tell the dispatch how the probe ended."""
+        self.pools.driver.timers.cancel(self.deadline)
         self.probe.exchange = None  # or the cycle would wait for a full collection
-        self.backends.dispatch.probe_ended(now, self.probe, outcome, *details)
+        self.pools.dispatch.probe_ended(now, self.probe, end.outcome, end.report)
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -13,15 +13,14 @@
 from cedarmill.decisions.interface import Outcome
 from cedarmill.net.config import Address
 from cedarmill.net.loop import EventLoopDriver
-from cedarmill.net.upstream.exchange import Exchange
-from cedarmill.net.upstream.pool import (
-    AT_ONCE,
-    COMMIT_US,
-    LEAVE_US,
+from cedarmill.net.upstream.connection import (
+    LAST_BYTE_DELAY_US,
+    SEND_TIMEOUT_US,
+    WRITE_AT_ONCE_BYTES,
     UpstreamConnection,
-    UpstreamPool,
-    UpstreamPools,
 )
+from cedarmill.net.upstream.exchange import Exchange, ExchangeEnd
+from cedarmill.net.upstream.pool import UpstreamPool, UpstreamPools
 from cedarmill.values import KindOptions, Options
 from tests.support.builders import settings
 from tests.support.faulty_node_case import FaultyNodeCase
@@ -367,8 +366,8 @@
     def request(self, now: int) -> bytes:
         return self.text
 
-    def tell(self, now: int, outcome: Outcome, *details) -> None:
-        self.outcome = outcome
+    def report_end(self, now: int, end: ExchangeEnd) -> None:
+        self.outcome = end.outcome
 
 
 class SlowWrites(unittest.TestCase):
@@ -376,20 +375,20 @@
 
     def setUp(self) -> None:
         self.timers = Timers()
-        self.backends = UpstreamPools(EventLoopDriver(Mock(), self.timers), settings(), 0, Options())
-        self.backends.dispatch = Mock()
+        self.pools = UpstreamPools(EventLoopDriver(Mock(), self.timers), settings(), 0, Options())
+        self.pools.dispatch = Mock()
 
     def send(self, taken: int, size: int, unsafe: bool = False, breaks: bool = False):
         """The connection and the exchange that it sent, of so many bytes."""
-        exchange = Noted(self.backends, self.backend())
+        exchange = Noted(self.pools, self.executor_pool())
         exchange.text, exchange.unsafe, exchange.outcome = b"x" * size, unsafe, None
-        connection = UpstreamConnection(exchange.backend, exchange)
-        exchange.backend.connections.add(connection)
+        connection = UpstreamConnection(exchange.pool, exchange)
+        exchange.pool.connections.add(connection)
         connection.connection_made(SlowTransport(taken, breaks))
         return connection, exchange
 
-    def backend(self) -> UpstreamPool:
-        return UpstreamPool(self.backends, 1, Address("127.0.0.1", 1), KindOptions())
+    def executor_pool(self) -> UpstreamPool:
+        return UpstreamPool(self.pools, 1, Address("127.0.0.1", 1), KindOptions())
 
     def sweep(self, at: int) -> None:
         for call in self.timers.sweep(at):
@@ -397,28 +396,28 @@
 
     def test_the_last_byte_waits_for_all_others(self):
         """It went behind them into the buffer, and left whenever the executor read: it may have run then."""
-        for size, unsafe in ((AT_ONCE + 1, False), (100, True)):
+        for size, unsafe in ((WRITE_AT_ONCE_BYTES + 1, False), (100, True)):
             with self.subTest(size):
                 connection, exchange = self.send(50, size, unsafe)
-                at = connection.text_at
-                self.sweep(at + COMMIT_US)
+                at = connection.sent_at
+                self.sweep(at + LAST_BYTE_DELAY_US)
                 self.assertEqual(len(connection.transport.writes), 1)
                 connection.transport.waiting, connection.transport.taken = 0, size
-                self.sweep(at + 2 * COMMIT_US)
+                self.sweep(at + 2 * LAST_BYTE_DELAY_US)
                 self.assertEqual(b"".join(connection.transport.writes), exchange.text)
                 self.assertTrue(connection.written)
-                self.sweep(at + 2 * LEAVE_US)
+                self.sweep(at + 2 * SEND_TIMEOUT_US)
                 self.assertIsNone(exchange.outcome)
 
     def test_what_does_not_leave_in_time_ends_at_once(self):
         """Its last byte held back, it never ran; handed over whole, nothing proves that."""
-        for size, outcome in ((AT_ONCE + 1, Outcome.DROPPED), (100, Outcome.RESET)):
+        for size, outcome in ((WRITE_AT_ONCE_BYTES + 1, Outcome.DROPPED), (100, Outcome.RESET)):
             with self.subTest(size):
                 connection, exchange = self.send(50, size)
-                for step in range(LEAVE_US // COMMIT_US + 2):
-                    self.sweep(connection.text_at + step * COMMIT_US)
+                for step in range(SEND_TIMEOUT_US // LAST_BYTE_DELAY_US + 2):
+                    self.sweep(connection.sent_at + step * LAST_BYTE_DELAY_US)
                 self.assertEqual((exchange.outcome, connection.transport.aborted), (outcome, True))
-                self.assertEqual(exchange.backend.connections, set())
+                self.assertEqual(exchange.pool.connections, set())
 
     def test_what_the_socket_refused_never_ran(self):
         """The loop closes a transport whose write fails, and its buffer is empty: that looked like sent."""
@@ -429,38 +428,38 @@
     def test_the_right_to_send_is_asked_for_again_before_the_last_byte(self):
         connection, exchange = self.send(10_000, 100, unsafe=True)
         exchange.bar = Outcome.MOOT
-        self.sweep(connection.text_at + COMMIT_US)
+        self.sweep(connection.sent_at + LAST_BYTE_DELAY_US)
         self.assertEqual(b"".join(connection.transport.writes), exchange.text[:-1])
         self.assertEqual((exchange.outcome, connection.transport.aborted), (Outcome.MOOT, True))
 
     def test_an_executor_that_ends_its_sending_gets_nothing_more(self):
         """The loop would first have let all leave that it still held."""
-        connection, exchange = self.send(50, AT_ONCE + 1)
+        connection, exchange = self.send(50, WRITE_AT_ONCE_BYTES + 1)
         connection.eof_received()
         self.assertEqual((exchange.outcome, connection.transport.aborted), (Outcome.DROPPED, True))
 
     def test_an_early_answer_leaves_no_connection_that_still_sends(self):
         """The next request would have followed what was still held of this one."""
         connection, exchange = self.send(50, 100)
-        exchange.ending = (Outcome.ERROR,)
+        exchange.ending = ExchangeEnd(Outcome.ERROR)
         exchange.on_body = exchange.on_head = exchange.on_complete = Mock()
         connection.data_received(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-        self.assertEqual((exchange.backend.idle, connection.transport.aborted), ([], True))
+        self.assertEqual((exchange.pool.idle, connection.transport.aborted), ([], True))
 
     def test_no_room_is_no_error_where_no_executor_is_known(self):
         """Beside a sibling the bound may be 0."""
-        self.assertFalse(self.backends.make_room())
-        exchange = Noted(self.backends, self.backend())
-        exchange.backend.carry(exchange)
+        self.assertFalse(self.pools.make_room())
+        exchange = Noted(self.pools, self.executor_pool())
+        exchange.pool.carry(exchange)
         self.assertIs(exchange.outcome, Outcome.DROPPED)  # the bound is this node's: it blames no executor
         attempt = Mock(executor=7)
-        self.backends.send(attempt)  # listed, and never with an address
+        self.pools.send(attempt)  # listed, and never with an address
         self.assertEqual(
-            self.backends.dispatch.attempt_ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED)
+            self.pools.dispatch.attempt_ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED)
         )
-        self.backends.probe(attempt)
+        self.pools.probe(attempt)
         self.assertEqual(
-            self.backends.dispatch.probe_ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED)
+            self.pools.dispatch.probe_ended.call_args.args[1:], (attempt, Outcome.CONNECT_FAILED)
         )
 
 
