--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -135,23 +135,23 @@
         return AdminResponse(HTTPStatus.OK, done)
 
     def _evacuate(self, request: AdminRequest) -> AdminResponse:
-        if not self.clients.sending_away:
+        if not self.clients.draining_clients:
             self._away += 1
-            self.clients.send_away(True)
+            self.clients.drain_clients(True)
             log_event("evacuated", held=len(self.clients.sessions))
             away = self._away
             self.driver.timers.add(self.driver.now() + AWAY_IDLE_US, lambda now: self._sweep(now, away))
         return AdminResponse(HTTPStatus.OK, b"evacuating\n")
 
     def _sweep(self, now: int, away: int) -> None:
-        if self.clients.sending_away and away == self._away:
+        if self.clients.draining_clients and away == self._away:
             self.clients.close_idle()
             self.driver.timers.add(now + SWEEP_US, lambda now: self._sweep(now, away))
 
     def _rejoin(self, request: AdminRequest) -> AdminResponse:
         if self.ending():
             return AdminResponse(HTTPStatus.CONFLICT, b"the process is ending\n")
-        if self.clients.sending_away:
-            self.clients.send_away(False)
+        if self.clients.draining_clients:
+            self.clients.drain_clients(False)
             log_event("rejoined")
         return AdminResponse(HTTPStatus.OK, b"rejoined\n")
--- a/cedarmill/net/clients/limits.py
+++ b/cedarmill/net/clients/limits.py
@@ -1,16 +1,24 @@
 """What one client connection may hold up or leave half sent: bytes, requests and times (us)."""
 
+from cedarmill.core.client_session_events import SessionTimes
+
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
 MAX_PIPELINED = 8
-MAX_UNREAD = 1024 * 1024  # of what comes after the last answer is read and dropped
-FIRST_US = 2_800_000  # for a session's first good request to arrive whole, however its bytes come
-IDLE_US = 60_000_000  # afterwards, between requests
-SLOW_US = 15_000_000  # afterwards, for a request to arrive whole while its bytes keep coming
-# since the last byte of half a request: 3 s, less twice 0.15 s (read late, and ended late)
-STOPPED_US = 2_700_000
-UNREAD_US = 20_000  # for the loop to read what already waits at the socket, before a client counts as late
-LINGER_US = 1_000_000  # for a client to read the last answer and close, though it may still be sending
-ROOM_ERROR_LINGER_US = 20_000  # for the error to leave that a stopped client gets as it makes room
-ABORT_AGAIN_US = 50_000  # after a connection could not be aborted
-HANGUP_US = 50_000  # between two looks whether a client has gone from whom nothing is read for now
+MAX_UNREAD = 1024 * 1024  # bytes after the last answer that are read and dropped
+GRACE_US = 150_000  # a session younger than that makes no room for others
+STOPPED_US = 2_700_000  # since the last byte of half a request: 3 s, less twice 0.15 s (read and ended late)
+TIMES = SessionTimes(
+    first_request=2_800_000,
+    idle=60_000_000,
+    slow_request=15_000_000,
+    stopped=STOPPED_US,
+    unread=20_000,
+    linger=1_000_000,
+    slow_reader=15_000_000,
+    room_linger=200_000,
+    room_error_linger=20_000,
+    room_grace=GRACE_US,
+    abort_again=50_000,
+    hang_up_check=50_000,
+)
--- a/cedarmill/net/clients/request.py
+++ b/cedarmill/net/clients/request.py
@@ -2,20 +2,6 @@
 
 import math
 
-REASONS = {
-    200: "OK",
-    400: "Bad Request",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    409: "Conflict",
-    413: "Content Too Large",
-    431: "Request Header Fields Too Large",
-    500: "Internal Server Error",
-    502: "Bad Gateway",
-    503: "Service Unavailable",
-}
-
 
 class MalformedRequest(Exception):
     """A message that gets an error answer and goes no further."""
@@ -28,18 +14,20 @@
 class ClientRequest:
     """One HTTP request as it arrives."""
 
-    __slots__ = ("began_at", "sent_at", "method", "target", "headers", "body", "head", "keep_alive", "fault")
+    __slots__ = ("began_at", "body", "fault", "head", "headers", "keep_alive", "method", "sent_at", "target")
 
     def __init__(self, now: int, unread_since: int | None = None) -> None:
         """`unread_since`: from when on (us) it may have waited unread; the client's time ran meanwhile."""
         self.began_at = now
         self.sent_at = now if unread_since is None else unread_since
-        self.method, self.target, self.headers, self.body = b"", b"", {}, bytearray()
+        self.method = self.target = b""
+        self.headers: dict[bytes, bytes] = {}
+        self.body = bytearray()
         self.head = self.keep_alive = True  # the head arrives first
         self.fault: MalformedRequest | None = None
 
     def number(self, name: bytes) -> int | None:
-        """A header that holds a whole number."""
+        """Return a header that holds a whole number; raises MalformedRequest."""
         text = self.headers.get(name)
         if text is None:
             return None
@@ -48,7 +36,7 @@
         return int(text)
 
     def figures(self) -> dict[str, float]:
-        """The pairs of X-Call-Info."""
+        """Return the pairs of X-Call-Info; raises MalformedRequest."""
         found = {}
         for pair in filter(None, self.headers.get(b"x-call-info", b"").decode("latin-1").split(",")):
             name, _, value = pair.partition("=")
--- a/cedarmill/net/clients/server.py
+++ b/cedarmill/net/clients/server.py
@@ -6,14 +6,13 @@
 from cedarmill.core.dispatch import Dispatch
 from cedarmill.decisions import interface as api
 from cedarmill.log import log_event
+from cedarmill.net.clients import limits
 from cedarmill.net.clients.session import ClientSession
 from cedarmill.net.config import Address
 from cedarmill.net.listener import Acceptor, Taken, listening_socket
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.values import DeadlineOptions
 
-GRACE_US = 150_000  # a session younger than that makes no room for others
-ROOM_LINGER_US = 200_000  # for a client to close whose session makes room for others
 BACKLOG_US = 500_000  # for the backlog to be taken at the end, where sessions are at their bound
 BACKLOG_AGAIN_US = 20_000
 BACKLOG_READ_US = 50_000  # before all has to be answered: for what was taken last to be read
@@ -38,24 +37,25 @@
 class ClientServer:
     """The listening socket and its sessions."""
 
+    dispatch: Dispatch  # set before `listen`
+    _acceptor: Acceptor  # from `listen` on
+
     def __init__(
         self, driver: EventLoopDriver, settings: api.Settings, bound: int, options: DeadlineOptions
     ) -> None:
         self.driver, self.bound, self.options = driver, bound, options
         self.once = ONCE.union(name.encode() for name in options.sources)
-        self.dispatch: Dispatch | None = None
         self.classes = {spec.name: n for n, spec in enumerate(settings.classes)}
         self.deadlines = [spec.deadline_us for spec in settings.classes]
         self.tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         self.sessions: set[ClientSession] = set()
         self.unproven: dict[ClientSession, None] = {}  # no good request yet, the oldest first
-        self.resting: dict[ClientSession, None] = {}  # between requests, the one that rests longest first
+        self.idle_sessions: dict[ClientSession, None] = {}  # the one that is idle longest first
         self.open_ids: dict[bytes, ClientSession] = {}
         self.draining = self.closing = False
-        self.sending_away = False  # evacuated: each answer ends its connection, idle ones are closed
+        self.draining_clients = False  # each answer ends its connection, idle ones are closed
         self.answer_by = 0  # once the node is told to end: when all that was read has its answer
         self.port = 0
-        self._acceptor: Acceptor | None = None
 
     def listen(self, address: Address, inherited: socket.socket | None = None) -> None:
         """Bind and accept, or accept on a listening socket that the platform holds; raises OSError."""
@@ -85,49 +85,48 @@
         return True
 
     def _make_room(self) -> None:
-        """At the bound those that never sent a good request go first, then those that rest longest.
+        """At the bound those that never sent a good request go first, then those that are idle longest.
 
         Until they have gone, or where none can go, the backlog holds what is new.
         """
         now = self.driver.now()
-        old = [session for session in islice(self.unproven, ACCEPTS) if session.born <= now - GRACE_US]
-        going = [session for session in old if session.give_way(now, GRACE_US)]
+        old = [session for session in islice(self.unproven, ACCEPTS) if session.born <= now - limits.GRACE_US]
+        going = [session for session in old if session.give_way()]
         if not going:
-            going = [session for session in islice(self.resting, ACCEPTS) if not session.unread()]
+            going = [session for session in islice(self.idle_sessions, ACCEPTS) if not session.unread()]
             for session in going:
-                session.close(ROOM_LINGER_US)
-                self.resting.pop(session, None)
+                session.end_if_idle(for_room=True)
+                self.idle_sessions.pop(session, None)
         if going:
-            self._acceptor.pause()  # `left` resumes
+            self._acceptor.pause()  # `remove` resumes
         else:
             log_event("sessions-full", bound=self.bound)
             self._acceptor.resume_later()
 
-    def came(self, session: ClientSession) -> None:
+    def add(self, session: ClientSession) -> None:
         """A session is new: nothing is known of its client."""
         self.sessions.add(session)
         self.unproven[session] = None
 
     def prove(self, session: ClientSession) -> None:
         """It has sent a good request."""
-        session.proven = True
+        session.lifecycle.proven = True
         self.unproven.pop(session, None)
 
-    def rested(self, session: ClientSession) -> None:
-        """It is between requests and can make room, those that rest longer before it."""
-        self.resting[session] = None
+    def list_idle(self, session: ClientSession) -> None:
+        """It is between requests and can make room, those that are idle longer before it."""
+        self.idle_sessions[session] = None
 
-    def stirred(self, session: ClientSession) -> None:
+    def unlist_idle(self, session: ClientSession) -> None:
         """A request begins to arrive."""
-        self.resting.pop(session, None)
+        self.idle_sessions.pop(session, None)
 
-    def left(self, session: ClientSession) -> None:
+    def remove(self, session: ClientSession) -> None:
         """It has ended: there is room for another."""
         self.sessions.discard(session)
         self.unproven.pop(session, None)
-        self.resting.pop(session, None)
-        if self._acceptor is not None:
-            self._acceptor.resume()
+        self.idle_sessions.pop(session, None)
+        self._acceptor.resume()
 
     # The end of the node.
 
@@ -135,9 +134,9 @@
         """`/ready` says no; sessions serve on, as a client sent away now may find no other node."""
         self.draining = True
 
-    def send_away(self, away: bool) -> None:
-        """Evacuated or back: `/ready` says so, and while away each answer ends its connection."""
-        self.draining = self.sending_away = away
+    def drain_clients(self, away: bool) -> None:
+        """Send the clients away or take them again: `/ready` says so, and each answer ends its connection."""
+        self.draining = self.draining_clients = away
 
     def stop_listening(self, take_backlog: bool = True) -> None:
         """Take what the backlog still holds, then no more; from now on an answer closes its session.
@@ -171,7 +170,7 @@
     def close_idle(self) -> None:
         """End the sessions that hold no request, nor one that has come and is not read yet."""
         for session in [session for session in self.sessions if session.idle and not session.unread()]:
-            session.close()
+            session.end_if_idle()
 
     def all_gone(self) -> bool:
         """Whether no session is left, nor one that opens or waits: whatever was answered has also left."""
--- a/cedarmill/net/loop.py
+++ b/cedarmill/net/loop.py
@@ -4,6 +4,8 @@
 import functools
 import os
 import time
+from collections.abc import Callable
+from typing import Concatenate, ParamSpec, Protocol, TypeVar, cast
 
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.timers import Timers
@@ -47,7 +49,7 @@
 
     @staticmethod
     def now() -> int:
-        """The brain's clock: monotonic microseconds, the same for all processes of this machine."""
+        """Return the balancer's clock: monotonic microseconds, the same for all processes of this machine."""
         return time.monotonic_ns() // 1000
 
     def end(self) -> None:
@@ -74,17 +76,36 @@
         self.end()
 
 
-def callback(method):
-    """Wrap a callback of an object with `driver` and `abort`: an exception costs that object only."""
+class Guarded(Protocol):
+    """An object whose callbacks are guarded."""
+
+    @property
+    def driver(self) -> EventLoopDriver:
+        """Runs the timers due after each callback."""
+
+    def abort(self) -> object:
+        """Give up: one of its callbacks has raised."""
+
+
+Owner = TypeVar("Owner", bound=Guarded)
+Arguments = ParamSpec("Arguments")
+Result = TypeVar("Result")
+
+
+def callback(
+    method: Callable[Concatenate[Owner, Arguments], Result],
+) -> Callable[Concatenate[Owner, Arguments], Result | None]:
+    """Wrap a callback that the loop makes: an exception costs its object only; what is due runs after it."""
 
     @functools.wraps(method)
-    def run(self, *args):
+    def run(self: Owner, *args: Arguments.args, **keywords: Arguments.kwargs) -> Result | None:
         try:
-            return method(self, *args)
+            return method(self, *args, **keywords)
         except Exception:
             log_event("defect", True, what=f"callback {method.__qualname__}")
             self.abort()
+            return None
         finally:
             self.driver.end()
 
-    return run
+    return cast(Callable[Concatenate[Owner, Arguments], Result | None], run)
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -473,7 +473,7 @@
         self.addCleanup(theirs.close)
         clients = ClientServer(Ticking(), settings(), 8, DeadlineOptions())
         session = ClientSession(clients)
-        session.transport = Wire(ours)
+        session.transport, session.connected = Wire(ours), True
         clients.sessions.add(session)
         theirs.send(b"POST /api HTTP/1.1\r\n")
         clients.close_idle()
@@ -489,12 +489,12 @@
         self.addCleanup(theirs.close)
         clients = ClientServer(Ticking(), settings(), 1, DeadlineOptions())
         session = ClientSession(clients)
-        session.transport = Wire(ours)
+        session.transport, session.connected = Wire(ours), True
         clients.sessions.add(session)
-        clients.rested(session)
+        clients.list_idle(session)
         session.transport.closed = True
-        session.close()
-        self.assertTrue(session.ending)
+        session.end_if_idle(for_room=True)
+        self.assertFalse(session.lifecycle.open)
 
 
 class NoRoom(DoorCase):
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -191,13 +191,13 @@
         clients.dispatch.arrive.return_value = request
         clients.classes = {"pin": 0}
         session, transport = ClientSession(clients), FakeTransport()
-        clients.came, clients.left = Mock(), Mock()
+        clients.add, clients.remove = Mock(), Mock()
         with socket.socket() as sock, self.assertLogs("cedarmill", "ERROR"):
             transport.sock = sock
             sock.bind(("127.0.0.1", 0))
-            session._left = lambda: False
+            session.client_left = lambda: False
             session.connection_made(transport)
-            session._pause = Mock(side_effect=KeyError)
+            session.pause = Mock(side_effect=KeyError)
             session.data_received(raw(1) + raw(2) + raw(3)[:20])
         self.assertEqual(transport.text.count(b"HTTP/1.1 500"), 3)
         self.assertEqual(transport.text.count(b"Connection: close"), 1)
