--- a/cedarmill/net/health/grpc.py
+++ b/cedarmill/net/health/grpc.py
@@ -1,51 +1,54 @@
 """The listener for gRPC health: HTTP/2 sessions whose watches hear of a change. Off on the platform."""
 
 from cedarmill.health.codecs.grpc import HealthConnection, ProtocolError, Status
-from cedarmill.net.health.listener import Listener, NodeHealth, Session
+from cedarmill.net.health.listener import HealthListener, HealthSession, NodeHealth
 from cedarmill.net.loop import EventLoopDriver, callback
 
-SERVICE = "cedarmill"  # beside "", which means the whole node
+SERVICE = "cedarmill"  # besides "", which means the whole node
 LOOK_US = 250_000  # between two looks at what the watches were told; a drain is told at once
 
 
-class GrpcSession(Session):
+class GrpcSession(HealthSession):
     """One HTTP/2 connection; it may stay as long as it watches."""
 
-    def opened(self) -> None:
-        self.health = HealthConnection(self.listener.statuses)
+    def __init__(self, listener: "GrpcListener") -> None:
+        super().__init__(listener)
+        self._connection = HealthConnection(listener.statuses)
 
     @callback
     def data_received(self, data: bytes) -> None:
+        """Answer what was asked."""
         try:
-            self.transport.write(self.health.receive(data))
+            self.transport.write(self._connection.receive(data))
         except ProtocolError:
             self.abort()
             return
-        if self.health.watches:  # it stays as long as it watches
-            self.driver.timers.cancel(self.deadline)
-        elif self.health.answered:
-            self.rest()
+        if self._connection.watches:  # it stays as long as it watches
+            self.stay()
+        elif self._connection.answered:
+            self.idle()
 
     def changed(self) -> None:
         """Tell the watches."""
-        if text := self.health.changed():
+        if text := self._connection.changed():
             self.transport.write(text)
 
 
-class GrpcListener(Listener):
+class GrpcListener(HealthListener[GrpcSession]):
     """Its sessions, told together."""
 
-    def __init__(self, driver: EventLoopDriver, told: NodeHealth) -> None:
-        super().__init__(driver, told, GrpcSession)
+    def __init__(self, driver: EventLoopDriver, health: NodeHealth) -> None:
+        super().__init__(driver, health, lambda listener: GrpcSession(self))
         driver.timers.add(driver.now() + LOOK_US, self._look)
 
     def statuses(self) -> dict[str, int]:
-        """The node as a whole, and under its name: SERVING while it is ready."""
-        ready = all(check.passed for check in self.told.checks())
+        """Return the state of the node as a whole, and under its name: SERVING while it is ready."""
+        ready = all(check.passed for check in self.health.checks())
         status = Status.SERVING if ready else Status.NOT_SERVING
         return {"": status, SERVICE: status}
 
     def changed(self) -> None:
+        """Tell all watches."""
         for session in list(self.sessions):
             session.changed()
 
--- a/cedarmill/net/health/listener.py
+++ b/cedarmill/net/health/listener.py
@@ -1,25 +1,28 @@
 """Listeners on which a node tells balancers of its own health: agent-check and HTTP. Off on the platform."""
 
-import asyncio
+from collections.abc import Callable
+from typing import Any, TypeVar
 
 import httptools
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.http import Answer, Check, compose
+from cedarmill.net.bounded_sessions import BoundedListener, BoundedSession, Overflow, SessionBounds
 from cedarmill.net.clients.server import ClientServer
-from cedarmill.net.config import Address
-from cedarmill.net.listener import Acceptor, listening_socket
 from cedarmill.net.loop import EventLoopDriver, callback
 
 SESSIONS = 32  # open at once on each listener: a checker that connects by hundreds gets the rest closed
-ACCEPTS = 4  # in one turn: so many descriptors more are held for a moment
+ACCEPTS = 4
 BACKLOG = 100
 SESSION_US = 3_000_000  # for a session to ask, and to read what it gets
+BOUNDS = SessionBounds(SESSIONS, ACCEPTS, BACKLOG, Overflow.NEWEST, SESSION_US)
 IDLE_US = 60_000_000  # afterwards, between two checks on one connection
 MAX_HEAD = 8 * 1024
 PATHS = ("/livez", "/readyz", "/healthz")
 BAD = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-NO_BACKEND = "no backend serves"
+NO_CHECK = Answer(404, "text/plain", (), b"no check here\n")
+REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
+NO_EXECUTOR = "no backend serves"
 DRAINING = "draining"
 
 
@@ -34,16 +37,16 @@
         serves = bool(self.clients.dispatch.ready_executors)
         draining = self.clients.draining
         return [
-            Check("backends", serves, "" if serves else NO_BACKEND),
+            Check("backends", serves, "" if serves else NO_EXECUTOR),
             Check("draining", not draining, DRAINING if draining else ""),
         ]
 
     def reply(self) -> agent.AgentReply:
-        """The agent's words: its weight follows the room that the module believes in."""
+        """Return the agent's words: its weight follows the room that the balancer believes in."""
         if self.clients.draining:
             return agent.AgentReply(admin=agent.Admin.DRAIN, reason=DRAINING)
         if not self.clients.dispatch.ready_executors:
-            return agent.AgentReply(agent.Status.DOWN, agent.Admin.READY, reason=NO_BACKEND)
+            return agent.AgentReply(agent.Status.DOWN, agent.Admin.READY, reason=NO_EXECUTOR)
         weight = max(1, round(100 * self.clients.dispatch.free_share()))  # 0% would say drain
         return agent.AgentReply(agent.Status.UP, agent.Admin.READY, weight)
 
@@ -57,78 +60,52 @@
         return compose(path, checks, "verbose" in query.split("&"), json, self.name, leaving=leaving)
 
 
-class Session(asyncio.Protocol):
+class HealthSession(BoundedSession):
     """One connection of a checker; bounded in number, size and time."""
 
-    def __init__(self, listener: "Listener") -> None:
-        self.listener, self.driver = listener, listener.driver
-        self.transport: asyncio.Transport | None = None
-        self.deadline = None
-        self.over = False  # all has been said: what still comes is not read
-
-    @callback
-    def connection_made(self, transport) -> None:
-        self.transport = transport
-        if len(self.listener.sessions) >= SESSIONS:
-            transport.abort()
-            return
-        self.listener.sessions.add(self)
-        self.deadline = self.driver.timers.add(self.driver.now() + SESSION_US, lambda now: self.abort())
-        self.opened()
-
-    def opened(self) -> None:
-        """The checker has connected."""
-
-    @callback
-    def connection_lost(self, error) -> None:
-        self.driver.timers.cancel(self.deadline)
-        self.listener.sessions.discard(self)
-        self.parser = None
-
-    def rest(self) -> None:
-        """It has asked something good: it may keep its connection for the next time."""
-        self.driver.timers.cancel(self.deadline)
-        self.deadline = self.driver.timers.add(self.driver.now() + IDLE_US, lambda now: self.abort())
-
-    def finish(self, text: bytes) -> None:
-        """Say the last, and let the checker close: closed here, unread input would reset it away."""
-        self.over = True
-        self.transport.write(text)
-        self.transport.write_eof()
+    def __init__(self, listener: "HealthListener[Any]") -> None:
+        super().__init__(listener)
+        self.listener = listener
 
-    def abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
+    def idle(self) -> None:
+        """Let it keep its connection for the next time: it has asked something good."""
+        self.end_in(IDLE_US)
 
 
-class AgentSession(Session):
+class AgentSession(HealthSession):
     """Says its line at once, whatever `agent-send` may bring, and closes."""
 
     def opened(self) -> None:
-        self.finish(agent.compose(self.listener.told.reply()))
+        """Say the line."""
+        self.finish(agent.compose(self.listener.health.reply()))
 
 
-class HttpSession(Session):
+class HttpSession(HealthSession):
     """One HTTP check after the other, after a PROXY header where one comes."""
 
-    def __init__(self, listener: "Listener") -> None:
+    def __init__(self, listener: "HealthListener[Any]") -> None:
         super().__init__(listener)
-        self.parser = httptools.HttpRequestParser(self)
-        self.start: bytes | None = b""  # till it is known whether a PROXY header comes first
-        self.target, self.accept, self.size = b"", b"", 0
+        self._parser = httptools.HttpRequestParser(self)
+        self._start: bytes | None = b""  # till it is known whether a PROXY header comes first
+        self._target, self._accept, self._size = b"", b"", 0
+
+    def closed(self) -> None:
+        """Let go of the parser, which refers back."""
+        del self._parser
 
     @callback
     def data_received(self, data: bytes) -> None:
+        """Read the check; one that cannot be read is answered as bad."""
         if self.over:
             return
-        self.size += len(data)
+        self._size += len(data)
         try:
-            if self.size > MAX_HEAD:
+            if self._size > MAX_HEAD:
                 raise ValueError("too much for a check")
-            if self.start is not None:
-                data = self._after_proxy(self.start + data)
+            if self._start is not None:
+                data = self._after_proxy(self._start + data)
             if data:
-                self.parser.feed_data(data)
+                self._parser.feed_data(data)
         except (ValueError, httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.finish(BAD)
 
@@ -136,62 +113,61 @@
         """What follows a PROXY header; whose connection it is changes nothing here."""
         starts = (b"PROXY ", proxy.SIGNATURE)
         if not any(start.startswith(data[: len(start)]) for start in starts):
-            self.start = None
+            self._start = None
             return data
         found = proxy.parse(data)
-        self.start = data if found is None else None
+        self._start = data if found is None else None
         return b"" if found is None else data[found[1] :]
 
     def on_url(self, url: bytes) -> None:
-        self.target += url
+        """Take a part of the target."""
+        self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take the one header that counts."""
         if name.lower() == b"accept":
-            self.accept = value
+            self._accept = value
 
     def on_message_complete(self) -> None:
-        target, json = self.target.decode("latin-1"), b"health+json" in self.accept
-        asks = self.parser.get_method() in (b"GET", b"HEAD")
-        found = self.listener.told.answer(target, json) if asks else None
-        self.target, self.accept, self.size = b"", b"", 0
-        answer = found or Answer(404, "text/plain", (), b"no check here\n")
-        reason = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}[answer.status]
-        lines = [
-            f"HTTP/1.1 {answer.status} {reason}",
-            f"Content-Type: {answer.content_type}",
-            f"Content-Length: {len(answer.body)}",
-            "Cache-Control: no-store",
-            *(f"{name}: {value}" for name, value in answer.headers),
-        ]
-        head = "\r\n".join([*lines, "", ""]).encode("latin-1")
-        text = head + (b"" if self.parser.get_method() == b"HEAD" else answer.body)
-        if self.parser.should_keep_alive():
+        """Answer the check; the connection may stay for the next one."""
+        target, json = self._target.decode("latin-1"), b"health+json" in self._accept
+        method = self._parser.get_method()
+        found = self.listener.health.answer(target, json) if method in (b"GET", b"HEAD") else None
+        self._target, self._accept, self._size = b"", b"", 0
+        text = _compose(found or NO_CHECK, head_only=method == b"HEAD")
+        if self._parser.should_keep_alive():
             self.transport.write(text)
-            self.rest()
+            self.idle()
         else:
             self.finish(text)
 
 
-class Listener:
+def _compose(answer: Answer, head_only: bool) -> bytes:
+    lines = [
+        f"HTTP/1.1 {answer.status} {REASONS[answer.status]}",
+        f"Content-Type: {answer.content_type}",
+        f"Content-Length: {len(answer.body)}",
+        "Cache-Control: no-store",
+        *(f"{name}: {value}" for name, value in answer.headers),
+    ]
+    head = "\r\n".join([*lines, "", ""]).encode("latin-1")
+    return head if head_only else head + answer.body
+
+
+AnySession = TypeVar("AnySession", bound=HealthSession)
+
+
+class HealthListener(BoundedListener[AnySession]):
     """One listening socket for checkers."""
 
-    def __init__(self, driver: EventLoopDriver, told: NodeHealth, kind: type[Session]) -> None:
-        self.driver, self.told, self.kind = driver, told, kind
-        self.sessions: set[Session] = set()
-        self.port = 0
-        self._acceptor: Acceptor | None = None
+    def __init__(
+        self,
+        driver: EventLoopDriver,
+        health: NodeHealth,
+        session: Callable[["HealthListener[AnySession]"], AnySession],
+    ) -> None:
+        super().__init__(driver, "health", BOUNDS, lambda: session(self))
+        self.health = health
 
     def changed(self) -> None:
-        """The node's health may have changed: for listeners whose checkers watch."""
-
-    def listen(self, address: Address) -> None:
-        """Bind and accept; raises OSError."""
-        self._acceptor = Acceptor(
-            self.driver,
-            listening_socket(address, BACKLOG),
-            lambda: self.kind(self),
-            listener="health",
-            batch=ACCEPTS,
-        )
-        self.port = self._acceptor.port
-        self._acceptor.resume()
+        """Take note that the node's health may have changed: for listeners whose checkers watch."""
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -112,9 +112,9 @@
         told = health.NodeHealth(self.config.name, self.clients)
         listeners = {}
         if options.agent:
-            listeners["agent"] = health.Listener(self.driver, told, health.AgentSession)
+            listeners["agent"] = health.HealthListener(self.driver, told, health.AgentSession)
         if options.http:
-            listeners["http"] = health.Listener(self.driver, told, health.HttpSession)
+            listeners["http"] = health.HealthListener(self.driver, told, health.HttpSession)
         if options.grpc:
             from cedarmill.net.health.grpc import GrpcListener
 
