--- a/cedarmill/admin/routes.py
+++ b/cedarmill/admin/routes.py
@@ -19,7 +19,7 @@
     READY = "ready"
     EXCLUDE = "exclude"
     INCLUDE = "include"
-    EVACUATE = "evacuate"
+    DRAIN_CLIENTS = "evacuate"  # the name on the wire
     REJOIN = "rejoin"
 
 
@@ -50,7 +50,7 @@
 READY_PATH = b"/api/ready"
 FIXED_ROUTES = {
     READY_PATH: Route(b"GET", AdminAction.READY),
-    b"/api/evacuate": Route(b"PUT", AdminAction.EVACUATE),
+    b"/api/evacuate": Route(b"PUT", AdminAction.DRAIN_CLIENTS),
     b"/api/rejoin": Route(b"PUT", AdminAction.REJOIN),
 }
 EXECUTOR_ROUTES = {  # by the part of the path before the executor's id
--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -1,8 +1,8 @@
-"""What operators ask at the door, done on the node: readiness, executors out by hand, sending clients away.
+"""What operators ask of the admin API, done on the node: readiness, excluded executors, draining clients.
 
-The door only reports and marks: an executor out by hand reaches the module as a draining one, through the
-discovery client, and what follows of that is the module's. The marks are kept in a file that the node's next
-process finds, so that they hold across an upgrade.
+The handlers only report and mark: an executor excluded by hand reaches the balancer as a draining one,
+through the discovery client, and what follows of that is the balancer's. The marks are kept in a state file
+that the node's next process finds, so that they hold across an upgrade. Times are whole microseconds.
 """
 
 from collections.abc import Callable
@@ -17,15 +17,15 @@
 from cedarmill.net.loop import EventLoopDriver, clock_reading
 from cedarmill.net.upgrade.state_file import StateFile, state_file_path
 
-LOOK_US = 500_000  # between two looks at the kept file: the node's other process may have changed it
+LOOK_US = 500_000  # between two looks at the state file: the node's other process may have changed it
 LOCK_WAIT_US = 500_000  # for the node's other process to leave that file: a call is answered within 1 s
 LOCK_AGAIN_US = 10_000  # between two tries
-AWAY_IDLE_US = 1_000_000  # after an evacuation, before idle connections close: new ones stop 0.2 s after a no
-SWEEP_US = 100_000  # then between two closings of what has become idle
+IDLE_CLOSE_US = 1_000_000  # till idle connections close: new ones stop 0.2 s after `/ready` says no
+CLOSE_IDLE_AGAIN_US = 100_000  # then between two closings of what has become idle
 
 
 class AdminHandlers:
-    """Carries out the door's calls."""
+    """Carries out the admin API's requests."""
 
     def __init__(
         self,
@@ -35,15 +35,16 @@
         node: str,
         ending: Callable[[], bool],
     ) -> None:
+        """`ending`: whether the process is told to end."""
         self.driver, self.clients, self.discovery, self.ending = driver, clients, discovery, ending
-        self.kept = StateFile(state_file_path(node, KIND))
+        self.state_file = StateFile(state_file_path(node, KIND))
         self.exclusions = Exclusions(node)
-        self.agreed: Callable[[AdminRequest, Answer], None] | None = None  # where a fleet decides
-        self.by_fleet: dict[str, int] = {}  # executors out by the fleet's word
-        self._away = 0  # grows with each evacuation: an old sweep ends when it sees a newer one
-        self._acts = {
+        self.ask_cluster: Callable[[AdminRequest, Answer], None] | None = None  # where a cluster decides
+        self.excluded_by_cluster: dict[str, int] = {}  # executors, and since when
+        self._drains = 0  # grows each time clients are drained: an old sweep ends when it sees a newer one
+        self._actions = {
             AdminAction.READY: self._ready,
-            AdminAction.EVACUATE: self._evacuate,
+            AdminAction.DRAIN_CLIENTS: self._drain_clients,
             AdminAction.REJOIN: self._rejoin,
         }
 
@@ -52,14 +53,14 @@
         self._look_again(self.driver.now())
 
     def _look_again(self, now: int) -> None:
-        """The one chain of looks at the kept file, every `LOOK_US`."""
+        """Look at the state file every `LOOK_US`: the one chain that does."""
         self.driver.timers.add(now + LOOK_US, self._look_again)
         self._take_up()
 
     def _take_up(self) -> None:
         """Take up what the node's other process kept, if it changed."""
         try:
-            text = self.kept.read()
+            text = self.state_file.read()
             changed = (
                 self.exclusions.adopt(text, clock_reading(self.driver.now())) if text is not None else set()
             )
@@ -71,28 +72,30 @@
             self._tell()
 
     def _tell(self) -> None:
-        """Lay the marks as they now stand over what the module hears of these executors."""
-        self.discovery.mark({**self.by_fleet, **self.exclusions.marked_us})
+        """Lay the marks as they now stand over what the balancer is told of these executors."""
+        self.discovery.mark({**self.excluded_by_cluster, **self.exclusions.marked_us})
 
-    def obey(self, request: AdminRequest, answer: Answer) -> None:
-        """Answer a call understood: at once, or when the fleet has been asked, where there is one."""
-        if self.agreed is not None and request.action != AdminAction.READY:
-            self.agreed(request, answer)
+    def carry_out(self, request: AdminRequest, answer: Answer) -> None:
+        """Answer a valid request: at once, or when the cluster has been asked, where there is one."""
+        if self.ask_cluster is not None and request.action != AdminAction.READY:
+            self.ask_cluster(request, answer)
         elif request.action in (AdminAction.EXCLUDE, AdminAction.INCLUDE):
             now = self.driver.now()
             self._mark(request, answer, now, now + LOCK_WAIT_US)
         else:
-            answer(self._acts[request.action](request))
+            answer(self._actions[request.action](request))
 
-    def out_by_fleet(self, marks: dict[str, int]) -> None:
-        """These are out by the fleet's word now, beside those by this door's; times in the brain's clock."""
-        self.by_fleet = {name: self.by_fleet.get(name, at) for name, at in marks.items()}
+    def set_cluster_exclusions(self, marks: dict[str, int]) -> None:
+        """Exclude these for the cluster, besides those by this API; times in the balancer's clock."""
+        self.excluded_by_cluster = {
+            name: self.excluded_by_cluster.get(name, at) for name, at in marks.items()
+        }
         self._tell()
 
-    def send_away(self, away: bool) -> None:
-        """The fleet has this node send its clients away, or take them again."""
-        if away:
-            self._evacuate(AdminRequest(AdminAction.EVACUATE))
+    def drain_clients(self, drain: bool) -> None:
+        """Send the clients away for the cluster, or take them again."""
+        if drain:
+            self._drain_clients(AdminRequest(AdminAction.DRAIN_CLIENTS))
         else:
             self._rejoin(AdminRequest(AdminAction.REJOIN))
 
@@ -104,7 +107,7 @@
     def _mark(self, request: AdminRequest, answer: Answer, now: int, until: int) -> None:
         """Make the mark as soon as the node's other process leaves the file; a no if it has not by then."""
         try:
-            with self.kept.alone():  # the node's other process may mark at the same time
+            with self.state_file.alone():  # the node's other process may mark at the same time
                 done = self._mark_alone(request.executor, request.action == AdminAction.EXCLUDE)
         except OSError as error:  # nothing half done: `_mark_alone` takes the mark back
             if not isinstance(error, BlockingIOError) or now >= until:
@@ -118,7 +121,7 @@
         answer(done)
 
     def _mark_alone(self, name: str, out: bool) -> AdminResponse:
-        """Make the mark on the newest word of both processes; raises OSError where it cannot be kept."""
+        """Make the mark on the newest document of both processes; raises OSError where it cannot be kept."""
         self._take_up()
         if not (self.discovery.knows(name) or name in self.exclusions.since):
             return AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n")
@@ -126,7 +129,7 @@
         before = self.exclusions.copy()
         if self.exclusions.exclude(name, now) if out else self.exclusions.include(name):
             try:
-                self.kept.write(self.exclusions.encode(now))
+                self.state_file.write(self.exclusions.encode(now))
             except OSError:
                 self.exclusions = before
                 raise
@@ -134,19 +137,21 @@
             self._tell()
         return AdminResponse(HTTPStatus.OK, done)
 
-    def _evacuate(self, request: AdminRequest) -> AdminResponse:
+    def _drain_clients(self, request: AdminRequest) -> AdminResponse:
         if not self.clients.draining_clients:
-            self._away += 1
+            self._drains += 1
             self.clients.drain_clients(True)
             log_event("evacuated", held=len(self.clients.sessions))
-            away = self._away
-            self.driver.timers.add(self.driver.now() + AWAY_IDLE_US, lambda now: self._sweep(now, away))
+            drain = self._drains
+            self.driver.timers.add(
+                self.driver.now() + IDLE_CLOSE_US, lambda now: self._close_idle(now, drain)
+            )
         return AdminResponse(HTTPStatus.OK, b"evacuating\n")
 
-    def _sweep(self, now: int, away: int) -> None:
-        if self.clients.draining_clients and away == self._away:
+    def _close_idle(self, now: int, drain: int) -> None:
+        if self.clients.draining_clients and drain == self._drains:
             self.clients.close_idle()
-            self.driver.timers.add(now + SWEEP_US, lambda now: self._sweep(now, away))
+            self.driver.timers.add(now + CLOSE_IDLE_AGAIN_US, lambda now: self._close_idle(now, drain))
 
     def _rejoin(self, request: AdminRequest) -> AdminResponse:
         if self.ending():
--- a/cedarmill/net/clients/request_reader.py
+++ b/cedarmill/net/clients/request_reader.py
@@ -114,7 +114,7 @@
         message.headers[name] = value.strip()
 
     def on_headers_complete(self) -> None:
-        """Judge the head before the body comes; raises MalformedRequest."""
+        """Check the head before the body comes; raises MalformedRequest."""
         message = self.arriving
         assert message is not None
         message.method, message.head = self._parser.get_method(), False
--- a/cedarmill/net/cluster/node_role.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -90,7 +90,7 @@
         )
         self.listen = listen
         self.purses, self.tries = BudgetLeases(known=options.start == "alone"), RetryBudget()
-        hands.agreed = self.obey
+        hands.ask_cluster = self.obey
         holds = self.membership.agent.holds
         self.lanes = None
         if zone:
@@ -139,7 +139,7 @@
             away="yes" if orders.drain_clients_epoch else "no",
         )
         if before is None or before.excluded_executors.keys() != orders.excluded_executors.keys():
-            self.hands.out_by_fleet(dict.fromkeys(orders.excluded_executors, self.driver.now()))
+            self.hands.set_cluster_exclusions(dict.fromkeys(orders.excluded_executors, self.driver.now()))
         if self.may_send(self.driver.now()) or self.options.cut_off == "serve":
             self.discovery.hold(False)
         self.purses.set_rates(
@@ -150,7 +150,7 @@
             self._cut(orders)
             self.lanes.follow(orders.routes)
         if bool(orders.drain_clients_epoch) != bool(before is not None and before.drain_clients_epoch):
-            self.hands.send_away(bool(orders.drain_clients_epoch))
+            self.hands.drain_clients(bool(orders.drain_clients_epoch))
 
     def _cut(self, orders: Orders) -> None:
         gate = self.lanes.gate
@@ -270,7 +270,7 @@
         if request.action == AdminAction.EXCLUDE and not self.discovery.knows(name):
             answer(AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n"))
             return
-        takes = request.action in (AdminAction.EXCLUDE, AdminAction.EVACUATE)
+        takes = request.action in (AdminAction.EXCLUDE, AdminAction.DRAIN_CLIENTS)
         who, key = f"door:{self.name}", (request.action.value, name)
         number = self.pending.setdefault(
             key, self._new_id()
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -81,7 +81,7 @@
         self.hands = AdminHandlers(
             self.driver, self.clients, self.discovery, config.name, lambda: self.draining
         )
-        self.door = door.AdminServer(self.driver, self.hands.obey)
+        self.door = door.AdminServer(self.driver, self.hands.carry_out)
         self.inherited = inherited_socket()
         self.keeper = WarmStateSaver(self.driver, brain, self.discovery, config.name, lambda: self.draining)
         self.fleet = self._fleet() if options.fleet is not None else None
--- a/cedarmill/net/socket_state.py
+++ b/cedarmill/net/socket_state.py
@@ -40,7 +40,7 @@
 
 
 def hung_up(transport: asyncio.Transport, half_counts: bool = True) -> bool:
-    """`peer_closed`, for a caller that uses no doubtful connection: unknown counts as closed."""
+    """`peer_closed`, for a caller that uses no connection in doubt: unknown counts as closed."""
     return peer_closed(transport, half_counts) is not False
 
 
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -57,7 +57,9 @@
             routes.parse_request(b"PUT", b"/api/include/s-1?x"),
             routes.AdminRequest(routes.AdminAction.INCLUDE, "s-1"),
         )
-        self.assertEqual(routes.parse_request(b"PUT", b"/api/evacuate").action, routes.AdminAction.EVACUATE)
+        self.assertEqual(
+            routes.parse_request(b"PUT", b"/api/evacuate").action, routes.AdminAction.DRAIN_CLIENTS
+        )
         self.assertEqual(routes.parse_request(b"PUT", b"/api/rejoin").action, routes.AdminAction.REJOIN)
 
     def test_wrong_paths_methods_and_ids_are_refused(self):
@@ -182,10 +184,10 @@
         with tempfile.TemporaryDirectory() as folder:
             driver, kept = Ticking(), CountedFile(f"{folder}/kept.json")
             hands = AdminHandlers(driver, object(), Listed(), "n0", lambda: False)
-            hands.kept = kept
+            hands.state_file = kept
             hands.start()
             for number in range(10):
-                hands.obey(
+                hands.carry_out(
                     routes.AdminRequest(
                         routes.AdminAction.EXCLUDE if number % 2 else routes.AdminAction.INCLUDE, "s-1"
                     ),
@@ -207,7 +209,7 @@
 
     def hands(self) -> AdminHandlers:
         hands = AdminHandlers(Running(), object(), Listed(), "n0", lambda: False)
-        hands.kept = StateFile(self.path)
+        hands.state_file = StateFile(self.path)
         return hands
 
     def test_marks_made_at_the_same_time_are_both_kept(self):
@@ -227,7 +229,7 @@
     def mark(hands: AdminHandlers, names: list[str]) -> None:
         for name in names:
             told = Told()
-            hands.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, name), told)
+            hands.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, name), told)
             hands.driver.run_until(lambda told=told: told.status)
             assert told.status == 200, told.status
 
@@ -235,28 +237,28 @@
         """Waited for on the loop's thread, a stopped process took this one with it, requests and all."""
         told, marked = Told(), Told()
         with StateFile(self.path).alone():
-            self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
+            self.old.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
             self.assertEqual(told.status, 0)  # and the call has returned
             began = self.old.driver.now()
             self.old.driver.run_until(lambda: told.status)
             self.assertLessEqual(LOCK_WAIT_US, self.old.driver.now() - began + LOCK_AGAIN_US)
             self.assertEqual((told.status, self.old.exclusions.since), (503, {}))
-            self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), marked)
+            self.old.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), marked)
         self.old.driver.run_until(lambda: marked.status)
         self.assertEqual((marked.status, set(self.old.exclusions.since)), (200, {"s-1"}))
 
     def test_a_write_that_fails_takes_back_its_own_mark_only(self):
         """The other process's mark was read just before, and would not have been read again."""
-        self.new.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-2"), Told())
+        self.new.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-2"), Told())
         told = Told()
-        with mock.patch.object(self.old.kept, "write", side_effect=OSError(errno.ENOSPC, "full")):
-            self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
+        with mock.patch.object(self.old.state_file, "write", side_effect=OSError(errno.ENOSPC, "full")):
+            self.old.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
         self.assertEqual((told.status, set(self.old.exclusions.since)), (503, {"s-2"}))
 
     def test_a_mark_that_cannot_be_kept_is_not_made(self):
-        self.old.kept = StateFile("/proc/none/kept.json")
+        self.old.state_file = StateFile("/proc/none/kept.json")
         told = Told()
-        self.old.obey(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
+        self.old.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
         self.assertEqual(told.status, 503)
         self.assertEqual(self.old.exclusions.since, {})
 
