--- a/cedarmill/core/client_session.py
+++ b/cedarmill/core/client_session.py
@@ -10,49 +10,47 @@
 """
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from cedarmill.core.client_session_events import SessionAction, SessionEvent, SessionState, SessionTimes
 
+# bound once: looking a member up in its class takes ten times as long, and this runs for each request
+_IDLE = SessionState.IDLE
+_RECEIVING = SessionState.RECEIVING
+_ANSWERING = SessionState.ANSWERING
+_CLOSING = SessionState.CLOSING
+_SERVE_IF_PRESENT = SessionAction.SERVE_IF_PRESENT
+_SERVE = SessionAction.SERVE
+_LIST_AS_IDLE = SessionAction.LIST_AS_IDLE
 
+
+@dataclass(slots=True, eq=False)
 class SessionLifecycle:
     """One connection's state; `deadline` and `hang_up_check_at` are when their events have to come (us)."""
 
-    __slots__ = (
-        "arriving",
-        "asked_since",
-        "began_at",
-        "blocked",
-        "deadline",
-        "ends_by",
-        "granted_unread",
-        "half_close_leaves",
-        "half_closed",
-        "hang_up_check_at",
-        "heard_at",
-        "in_service",
-        "paused",
-        "proven",
-        "queued",
-        "state",
-        "times",
-    )
-
-    def __init__(self, now: int, times: SessionTimes, half_close_leaves: bool = True) -> None:
-        """`half_close_leaves`: a client that ends its sending has gone, whatever it is owed."""
-        self.times, self.half_close_leaves = times, half_close_leaves
-        self.state = SessionState.IDLE
-        self.deadline: int | None = now + times.first_request
-        self.hang_up_check_at: int | None = None
-        self.proven = False  # it has sent a good request
-        self.queued = 0  # requests that were read and wait for the one in service
-        self.in_service = self.arriving = False
-        self.began_at = now  # the request that arrives
-        self.asked_since = now  # from when on it may send, unless proven: its birth or its last answer
-        self.heard_at = now  # its last byte; the adapter sets it
-        self.granted_unread = False  # what waited unread at its deadline was given time
-        self.blocked = self.paused = False  # it does not read its answers; it is not read for now
-        self.half_closed = False  # it sends no more, but still reads
-        self.ends_by = now  # how long a slow reader may take while it closes
+    born_at: int
+    times: SessionTimes
+    half_close_leaves: bool = True  # a client that ends its sending has gone, whatever it is owed
+    state: SessionState = SessionState.IDLE
+    deadline: int | None = None
+    hang_up_check_at: int | None = None
+    proven: bool = False  # it has sent a good request
+    queued: int = 0  # requests that were read and wait for the one in service
+    in_service: bool = False
+    arriving: bool = False  # a part of a request has come
+    began_at: int = 0  # the request that arrives
+    asked_since: int = 0  # from when on it may send, unless proven: its birth or its last answer
+    heard_at: int = 0  # its last byte; the adapter sets it
+    granted_unread: bool = False  # what waited unread at its deadline was given time
+    blocked: bool = False  # it does not read its answers
+    paused: bool = False  # it is not read for now
+    half_closed: bool = False  # it sends no more, but still reads
+    ends_by: int = 0  # how long a slow reader may take while it closes
+
+    def __post_init__(self) -> None:
+        """Have a first request arrive in time."""
+        self.began_at = self.asked_since = self.heard_at = self.ends_by = self.born_at
+        self.deadline = self.born_at + self.times.first_request
 
     def step(self, now: int, event: SessionEvent) -> SessionAction | None:
         """Take one event at its time and return what has to be done, if anything."""
@@ -62,7 +60,7 @@
     @property
     def open(self) -> bool:
         """Whether what is read is still served."""
-        return self.state < SessionState.CLOSING
+        return self.state < _CLOSING
 
     @property
     def owes(self) -> bool:
@@ -82,14 +80,14 @@
 
     def _request_begun(self, now: int) -> SessionAction | None:
         self.arriving, self.began_at = True, now
-        if self.state is SessionState.IDLE:
-            self.state = SessionState.RECEIVING
+        if self.state is _IDLE:
+            self.state = _RECEIVING
         return None
 
     def _request_read(self, now: int) -> SessionAction | None:
         self.arriving = False
         self.queued += 1
-        self.state = SessionState.ANSWERING
+        self.state = _ANSWERING
         return None
 
     def _next(self, now: int) -> SessionAction | None:
@@ -97,7 +95,7 @@
             if self.queued and not self.blocked:
                 self.queued -= 1
                 self.in_service, self.deadline = True, None
-                return SessionAction.SERVE_IF_PRESENT if self.paused else SessionAction.SERVE
+                return _SERVE_IF_PRESENT if self.paused else _SERVE
             if self.arriving:
                 self._wait_for_client(now)
         if bool(self.queued) == self.paused:
@@ -109,7 +107,7 @@
         self.in_service = False
         self.asked_since = now
         if not self.queued:
-            self.state = SessionState.RECEIVING if self.arriving else SessionState.IDLE
+            self.state = _RECEIVING if self.arriving else _IDLE
         self._wait_for_client(now)
         return self._listed_as_idle()
 
@@ -118,8 +116,8 @@
         return self._end(now)
 
     def _listed_as_idle(self) -> SessionAction | None:
-        idle = self.proven and self.state is SessionState.IDLE and not self.blocked
-        return SessionAction.LIST_AS_IDLE if idle else None
+        idle = self.proven and self.state is _IDLE and not self.blocked
+        return _LIST_AS_IDLE if idle else None
 
     def _wait_for_client(self, now: int) -> None:
         """Give it its time for what it sends next."""
@@ -219,7 +217,7 @@
     # The end: `_end`, `_leave` and `_closed` are the only ways to the last three states.
 
     def _end(self, now: int) -> SessionAction | None:
-        self.state = SessionState.CLOSING
+        self.state = _CLOSING
         self.deadline, self.ends_by = now + self.times.linger, now + self.times.slow_reader
         return SessionAction.END_SENDING
 
@@ -261,21 +259,21 @@
 
 
 Handler = Callable[[SessionLifecycle, int], SessionAction | None]
-_OPEN = (SessionState.IDLE, SessionState.RECEIVING, SessionState.ANSWERING)
-_ENDING = (SessionState.CLOSING, SessionState.GONE)
-_OWING_NOTHING = (SessionState.IDLE, SessionState.RECEIVING)
+_OPEN = (_IDLE, _RECEIVING, _ANSWERING)
+_ENDING = (_CLOSING, SessionState.GONE)
+_OWING_NOTHING = (_IDLE, _RECEIVING)
 _ROWS: tuple[tuple[tuple[SessionState, ...], SessionEvent, Handler], ...] = (
     (_OPEN, SessionEvent.REQUEST_BEGUN, SessionLifecycle._request_begun),
     (_OPEN, SessionEvent.REQUEST_READ, SessionLifecycle._request_read),
     (_OPEN, SessionEvent.SERVICE_WANTED, SessionLifecycle._next),
-    ((SessionState.ANSWERING,), SessionEvent.ANSWER_WRITTEN, SessionLifecycle._answer_written),
-    ((SessionState.ANSWERING,), SessionEvent.LAST_ANSWER_WRITTEN, SessionLifecycle._last_answer_written),
+    ((_ANSWERING,), SessionEvent.ANSWER_WRITTEN, SessionLifecycle._answer_written),
+    ((_ANSWERING,), SessionEvent.LAST_ANSWER_WRITTEN, SessionLifecycle._last_answer_written),
     (_OPEN, SessionEvent.WRITING_BLOCKED, SessionLifecycle._block),
     (_OPEN, SessionEvent.WRITING_RESUMED, SessionLifecycle._unblock),
-    ((*_OPEN, SessionState.CLOSING), SessionEvent.READING_PAUSED, SessionLifecycle._paused),
-    ((*_OPEN, SessionState.CLOSING), SessionEvent.READING_RESUMED, SessionLifecycle._resumed),
-    ((*_OPEN, SessionState.CLOSING), SessionEvent.READING_BROKEN, SessionLifecycle._reading_broken),
-    ((*_OPEN, SessionState.CLOSING), SessionEvent.HANG_UP_CHECK_DUE, SessionLifecycle._check_client),
+    ((*_OPEN, _CLOSING), SessionEvent.READING_PAUSED, SessionLifecycle._paused),
+    ((*_OPEN, _CLOSING), SessionEvent.READING_RESUMED, SessionLifecycle._resumed),
+    ((*_OPEN, _CLOSING), SessionEvent.READING_BROKEN, SessionLifecycle._reading_broken),
+    ((*_OPEN, _CLOSING), SessionEvent.HANG_UP_CHECK_DUE, SessionLifecycle._check_client),
     ((*_OPEN, *_ENDING), SessionEvent.CLIENT_ENDED_SENDING, SessionLifecycle._client_ended_sending),
     ((*_OPEN, *_ENDING), SessionEvent.CLIENT_LEFT, SessionLifecycle._abort),
     ((*_OPEN, *_ENDING), SessionEvent.CONNECTION_LOST, SessionLifecycle._closed),
@@ -286,8 +284,8 @@
     (_ENDING, SessionEvent.DEADLINE_PASSED, SessionLifecycle._late_to_close),
     (_ENDING, SessionEvent.READER_PROGRESSED, SessionLifecycle._reader_progressed),
     (_ENDING, SessionEvent.READER_STALLED, SessionLifecycle._abort),
-    ((SessionState.IDLE,), SessionEvent.END_IF_IDLE, SessionLifecycle._end),
-    ((SessionState.IDLE,), SessionEvent.END_IDLE_FOR_ROOM, SessionLifecycle._end_idle_for_room),
+    ((_IDLE,), SessionEvent.END_IF_IDLE, SessionLifecycle._end),
+    ((_IDLE,), SessionEvent.END_IDLE_FOR_ROOM, SessionLifecycle._end_idle_for_room),
     (_OWING_NOTHING, SessionEvent.ROOM_WANTED, SessionLifecycle._check_room),
     (_OWING_NOTHING, SessionEvent.ROOM_CONFIRMED, SessionLifecycle._make_room),
     (_ENDING, SessionEvent.ROOM_WANTED, SessionLifecycle._end_sooner),
--- a/cedarmill/net/clients/connection.py
+++ b/cedarmill/net/clients/connection.py
@@ -58,8 +58,10 @@
 
     def step(self, event: SessionEvent) -> SessionAction | None:
         """Take an event whose action the caller carries out."""
-        action = self.lifecycle.step(self.driver.now(), event)
-        self.set_timers()
+        lifecycle = self.lifecycle
+        action = lifecycle.step(self.driver.now(), event)
+        if lifecycle.deadline != self._deadline_at or lifecycle.hang_up_check_at != self._hang_up_check_at:
+            self.set_timers()
         return action
 
     def set_timers(self) -> None:
--- a/cedarmill/net/clients/routes.py
+++ b/cedarmill/net/clients/routes.py
@@ -64,7 +64,7 @@
     if request_class is None:
         raise MalformedRequest(400, "unknown x-call-class")
     figures = message.figures()
-    due = _due(clients, message, clients.deadlines[request_class])
+    due = _due(clients, message, clients.deadlines[request_class], now)
     arrival = api.RequestArrived(
         0,
         request_class,
@@ -100,9 +100,9 @@
         raise MalformedRequest(400, "bad x-budget-ms")
 
 
-def _due(clients: "ClientServer", message: ClientRequest, longest: int) -> int:
+def _due(clients: "ClientServer", message: ClientRequest, longest: int, now: int) -> int:
     """Return when the answer has to leave (us): the client's deadline, less this node's margin."""
-    unix = time.time_ns() // 1000 - (clients.driver.now() - message.sent_at)
+    unix = time.time_ns() // 1000 - (now - message.sent_at)
     try:
         budget = granted_budget(message.headers, clients.options, longest, unix)
     except InvalidDeadline as error:
--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -16,6 +16,15 @@
 if TYPE_CHECKING:
     from cedarmill.net.clients.server import ClientServer
 
+# bound once: looking a member up in its class takes ten times as long, and these come with each request
+_REQUEST_BEGUN = SessionEvent.REQUEST_BEGUN
+_REQUEST_READ = SessionEvent.REQUEST_READ
+_SERVICE_WANTED = SessionEvent.SERVICE_WANTED
+_LAST_ANSWER_WRITTEN = SessionEvent.LAST_ANSWER_WRITTEN
+_ANSWER_WRITTEN = SessionEvent.ANSWER_WRITTEN
+_SERVE_IF_PRESENT = SessionAction.SERVE_IF_PRESENT
+_SERVE = SessionAction.SERVE
+
 
 class ClientSession(ClientConnection):
     """One connection of a client: a port of the dispatch, and what the transport calls."""
@@ -84,12 +93,14 @@
 
     def request_begun(self) -> None:
         """The first byte of a request has come."""
-        self.lifecycle.step(self.driver.now(), SessionEvent.REQUEST_BEGUN)
+        lifecycle = self.lifecycle
+        lifecycle.step(lifecycle.heard_at, _REQUEST_BEGUN)
         self.clients.unlist_idle(self)
 
     def request_read(self) -> None:
         """One more request has to be answered."""
-        self.lifecycle.step(self.driver.now(), SessionEvent.REQUEST_READ)
+        lifecycle = self.lifecycle
+        lifecycle.step(lifecycle.heard_at, _REQUEST_READ)
 
     def continue_wanted(self) -> None:
         """Say that the body may come, where no answer is to come before it."""
@@ -168,7 +179,7 @@
         status = in_flight
         while self.lifecycle.open and (self.answering is not None or requests):
             if self.answering is None:
-                self.step(SessionEvent.SERVICE_WANTED)
+                self.step(_SERVICE_WANTED)
                 self.answering, status = requests.popleft(), unsent
             self.answer(status, response.error_body(status))
         if self.lifecycle.open:
@@ -179,11 +190,11 @@
     def advance(self) -> None:
         """Serve what waits, as long as the client takes its answers."""
         while True:
-            action = self.step(SessionEvent.SERVICE_WANTED)
-            if action is SessionAction.SERVE_IF_PRESENT:
+            action = self.step(_SERVICE_WANTED)
+            if action is _SERVE_IF_PRESENT:
                 if self.drop_if_left():
                     return
-            elif action is not SessionAction.SERVE:
+            elif action is not _SERVE:
                 break
             self._serve_next()
         if action is not None:
@@ -259,4 +270,4 @@
             return
         last = lifecycle.is_last_answer(message.keep_alive, clients.closing or clients.draining_clients)
         if self.send(response.compose(message, status, body, headers, last)):
-            self.handle(SessionEvent.LAST_ANSWER_WRITTEN if last else SessionEvent.ANSWER_WRITTEN)
+            self.handle(_LAST_ANSWER_WRITTEN if last else _ANSWER_WRITTEN)
