--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -85,7 +85,7 @@
         self.hands = AdminHandlers(
             self.driver, self.clients, self.discovery, config.name, lambda: self.draining
         )
-        self.door = door.AdminServer(self.driver, self.hands.obey)
+        self.door = door.AdminServer(self.driver, self.hands.carry_out)
         self.inherited = inherited_socket()
         self.keeper = WarmStateSaver(self.driver, brain, self.discovery, config.name, lambda: self.draining)
         self.fleet = self._fleet() if options.cluster is not None else None
@@ -116,9 +116,9 @@
         told = health.NodeHealth(self.config.name, self.clients)
         listeners = {}
         if options.agent:
-            listeners["agent"] = health.Listener(self.driver, told, health.AgentSession)
+            listeners["agent"] = health.HealthListener(self.driver, told, health.AgentSession)
         if options.http:
-            listeners["http"] = health.Listener(self.driver, told, health.HttpSession)
+            listeners["http"] = health.HealthListener(self.driver, told, health.HttpSession)
         if options.grpc:
             from cedarmill.net.health.grpc import GrpcListener
 
