--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -290,7 +290,7 @@
         self.wait_log("reload failed")
         self.reload(self.move(second))
         self.check_obeyed(second)
-        self.assertEqual(first.wires, [])
+        self.assertEqual(first.connections, [])
 
     def test_a_file_that_is_wrong_is_not_read_again(self) -> None:
         self.reload("no configuration")
@@ -301,7 +301,7 @@
         self.addCleanup(server.close)
         until = time.monotonic() + 0.5
         self.wait_for(lambda: time.monotonic() > until)
-        self.assertEqual(server.wires, [])
+        self.assertEqual(server.connections, [])
 
 
 def _refused_connect(name: str):
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -196,7 +196,7 @@
         """Each line copied all that was left: the node stood still for over a second at a time."""
         client, asked = self.out()
         before = self.cpu_s()
-        asked.head()
+        asked.send_head()
         with contextlib.suppress(OSError):  # the node gives it up before the end
             asked.wire.send(f"{len(EMPTY_LINES):x}\r\n{EMPTY_LINES}")
         self.assertIn(client.answer()[0], (502, 503))
