--- a/cedarmill/cli/cluster/drains.py
+++ b/cedarmill/cli/cluster/drains.py
@@ -81,10 +81,15 @@
     if watch:
         rows = watch_permits(console, rows)
     console.show(rows, map(_permit_line, rows))
+    sys.exit(_exit_code(rows))
+
+
+def _exit_code(rows: list[View]) -> ExitCode:
+    """The code that says the worst of what became of permits."""
     states = {row["state"] for row in rows}
     if states & {"refused", "expired"}:
-        sys.exit(ExitCode.REFUSED)
-    sys.exit(ExitCode.WAITING if "waiting" in states else ExitCode.DONE)
+        return ExitCode.REFUSED
+    return ExitCode.WAITING if "waiting" in states else ExitCode.DONE
 
 
 def permit_rows(permits: list[Any]) -> list[View]:
--- a/cedarmill/cli/cluster/zones.py
+++ b/cedarmill/cli/cluster/zones.py
@@ -133,7 +133,7 @@
 
     \b
     Example:
-      cedarmill cluster -c cedarmill.xml evacuate-zone a --over 5min --reason "power works" --watch
+      cedarmill cluster -c cedarmill.xml what-if --lose a
     """
     reply = _control(console, "leave", zone, read_duration(over), reason)
     rows = [
--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -180,11 +180,7 @@
       cedarmill lab cluster doors
       cedarmill lab cluster drains --nodes 12 --replicas 3 --seed 1 --seed 2 --out found/drains
     """
-    import dataclasses
-
     from cedarmill.conf.document import ConfError
-    from cedarmill.lab.cluster import report as reports
-    from cedarmill.lab.cluster.run import play
     from cedarmill.lab.cluster.scenario import read, shipped
 
     if listed:
@@ -193,17 +189,30 @@
         return
     if scenario is None:
         raise ConfError("name a scenario, or ask with --list")
-    read_in = read(scenario)
     given = (("nodes", nodes), ("keepers", replicas))
-    changes: dict[str, Any] = {name: int(value) for name, value in given if value is not None}
+    changes = {name: int(value) for name, value in given if value is not None}
+    sys.exit(_print_verdicts(_play_clusters(scenario, changes, seed, out), out))
+
+
+def _play_clusters(
+    scenario: str, changes: dict[str, Any], seeds: Sequence[int], out: Path
+) -> "list[Verdict]":
+    """Play the scenario with each seed, with other numbers of processes where `changes` names them."""
+    import dataclasses
+
+    from cedarmill.lab.cluster import report as reports
+    from cedarmill.lab.cluster.run import play
+    from cedarmill.lab.cluster.scenario import read
+
+    read_in = read(scenario)
     read_in = dataclasses.replace(read_in, fleet=dataclasses.replace(read_in.fleet, **changes))
     verdicts = []
-    for number in seed:
-        folder = out / f"{read_in.name}-{number}"
-        with _progress(f"{read_in.name} seed {number}") as progress:
-            record = play(read_in, number, folder, progress)
+    for seed in seeds:
+        folder = out / f"{read_in.name}-{seed}"
+        with _progress(f"{read_in.name} seed {seed}") as progress:
+            record = play(read_in, seed, folder, progress)
         verdicts.append(reports.write(record, folder))
-    sys.exit(_print_verdicts(verdicts, out))
+    return verdicts
 
 
 add_with_old_name(lab, cluster, "fleet")
--- a/cedarmill/conf/cluster.py
+++ b/cedarmill/conf/cluster.py
@@ -1,4 +1,4 @@
-"""The XML files of a replica (`<keeper>`) and of a process supervisor (`<steward>`) to the value types."""
+"""The XML files of a replica and of a process supervisor to the value types."""
 
 import shlex
 from pathlib import Path
@@ -8,6 +8,7 @@
 from cedarmill.conf.elements import (
     Element,
     attribute,
+    attribute_or,
     place,
     read_address,
     read_cluster_settings,
@@ -57,7 +58,9 @@
 def read_budget(element: Element) -> BudgetOptions:
     """A `<budget>`."""
     rate = round(float(attribute(element, "per-second")) * 1000)
-    return BudgetOptions(attribute(element, "name"), rate, int(element.get("nodes", DEFAULT_FLOORS)))
+    return BudgetOptions(
+        attribute(element, "name"), rate, int(attribute_or(element, "nodes", DEFAULT_FLOORS))
+    )
 
 
 def read_replica_settings(path: str | Path) -> ReplicaOptions:
@@ -112,7 +115,7 @@
     return ZoneSettings(
         regions,
         _read_costs(path, element, names),
-        _thousandths(element.get("safe", DEFAULT_SAFE_SHARE)),
+        _thousandths(attribute_or(element, "safe", DEFAULT_SAFE_SHARE)),
         element.get("sheds") == "on",
         element.get("news") == "on",
     )
--- a/cedarmill/conf/document.py
+++ b/cedarmill/conf/document.py
@@ -57,8 +57,14 @@
 
 
 def _parser() -> etree.XMLParser:
-    return etree.XMLParser(resolve_entities=False, no_network=True, huge_tree=False, load_dtd=False,
-                           remove_comments=True, remove_pis=True)  # fmt: skip
+    return etree.XMLParser(
+        resolve_entities=False,
+        no_network=True,
+        huge_tree=False,
+        load_dtd=False,
+        remove_comments=True,
+        remove_pis=True,
+    )
 
 
 def load(path: str | Path, name: str) -> Any:
--- a/cedarmill/conf/elements.py
+++ b/cedarmill/conf/elements.py
@@ -3,7 +3,7 @@
 import ipaddress
 from collections.abc import Iterable
 from pathlib import Path
-from typing import Protocol, overload
+from typing import Protocol
 
 from cedarmill.conf.document import ConfError
 from cedarmill.values import ClusterOptions
@@ -17,11 +17,8 @@
     tag: str
     sourceline: int
 
-    @overload
-    def get(self, name: str) -> str | None: ...
-
-    @overload
-    def get(self, name: str, default: str) -> str: ...
+    def get(self, name: str) -> str | None:
+        """An attribute, or None where it is left out."""
 
     def find(self, path: str) -> "Element | None":
         """The first element there."""
@@ -42,6 +39,12 @@
     return text
 
 
+def attribute_or(element: Element, name: str, default: str) -> str:
+    """An attribute, or the default where it is left out."""
+    text = element.get(name)
+    return default if text is None else text
+
+
 def is_address(text: str) -> bool:
     """Whether it is HOST:PORT with a numeric host: nothing of ours looks names up."""
     host, _, port = text.rpartition(":")
@@ -78,8 +81,8 @@
         attribute(element, "cluster"),
         read_named_addresses(path, element.findall("keeper")),
         read_address(path, element, "listen") if element.get("listen") else "",
-        element.get("cut-off", defaults.cut_off),
-        element.get("start", defaults.start),
+        attribute_or(element, "cut-off", defaults.cut_off),
+        attribute_or(element, "start", defaults.start),
         _read_stays(path, element),
     )
 
--- a/cedarmill/conf/settings.py
+++ b/cedarmill/conf/settings.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from cedarmill.conf.document import ConfError, duration, load, microseconds, share
-from cedarmill.conf.elements import Element, attribute, is_address, place, read_cluster_settings
+from cedarmill.conf.elements import Element, attribute, attribute_or, is_address, place, read_cluster_settings
 from cedarmill.values import ClusterOptions, DeadlineOptions, HealthOptions, KindOptions, Options
 
 LEAST_LEDGER_EVERY_US = 1_000_000
@@ -114,7 +114,8 @@
             if name in kinds:
                 raise self._error(element, f"<kind> name: {name!r} is named twice")
             kind = kinds[name] = KindOptions(
-                element.get("cancel", default.cancel), element.get("speaks", default.speaks)
+                attribute_or(element, "cancel", default.cancel),
+                attribute_or(element, "speaks", default.speaks),
             )
             for field, value in (("cancel", kind.cancel), ("speaks", kind.speaks)):
                 self._list(f"backends.kind[{name}].{field}", value, element if element.get(field) else None)
--- a/cedarmill/log.py
+++ b/cedarmill/log.py
@@ -99,25 +99,23 @@
         return not rest
 
 
+def _add_event_fields(
+    _logger: Any, _method: str, entry: MutableMapping[str, Any]
+) -> MutableMapping[str, Any]:
+    """The event's id and fields, with the line as `words`."""
+    record, line = entry["_record"], entry.pop("event")
+    name = getattr(record, "event_name", "other")
+    return {**entry, "event": name, **getattr(record, "event_fields", {}), "words": line}
+
+
 def _json_formatter() -> logging.Formatter:
-    import structlog  # here alone: the platform's run renders text and must not load it
-
-    def fields(_logger: Any, _method: str, entry: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        record = entry["_record"]
-        words, name = entry.pop("event"), getattr(record, "event_name", "other")
-        return {**entry, "event": name, **getattr(record, "event_fields", {}), "words": words}
-
-    shared: list[Processor] = [
-        structlog.stdlib.add_log_level,
-        structlog.processors.TimeStamper(fmt="iso", utc=True),
-        fields,
-    ]
-    ends: list[Processor] = [
-        structlog.processors.format_exc_info,
-        structlog.stdlib.ProcessorFormatter.remove_processors_meta,
-        structlog.processors.JSONRenderer(),
-    ]
-    return structlog.stdlib.ProcessorFormatter(foreign_pre_chain=shared, processors=ends)
+    # Here alone: the platform's run renders text and must not load it.
+    from structlog.processors import JSONRenderer, TimeStamper, format_exc_info
+    from structlog.stdlib import ProcessorFormatter, add_log_level
+
+    shared: list[Processor] = [add_log_level, TimeStamper(fmt="iso", utc=True), _add_event_fields]
+    ends: list[Processor] = [format_exc_info, ProcessorFormatter.remove_processors_meta, JSONRenderer()]
+    return ProcessorFormatter(foreign_pre_chain=shared, processors=ends)
 
 
 def begin(form: str = "text") -> None:
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -130,7 +130,8 @@
         """click's own, by the name that the package installs."""
         for words, completed in (("cedarmill conf s", ["schema", "show"]),
                                  ("cedarmill cluster re", ["release", "replicas", "return-zone"]),
-                                 ("cedarmill fleet ke", ["keepers"]), ("cedarmill st", ["steward"])):  # fmt: skip
+                                 ("cedarmill fleet ke", ["keepers"]),
+                                 ("cedarmill st", ["steward"])):  # fmt: skip
             count = str(len(words.split()) - 1)
             ran = command(_CEDARMILL_COMPLETE="bash_complete", COMP_WORDS=words, COMP_CWORD=count)
             self.assertEqual(ran.stdout.split(), [f"plain,{word}" for word in completed])
