--- a/cedarmill/cli/__init__.py
+++ b/cedarmill/cli/__init__.py
@@ -3,6 +3,7 @@
 import click
 
 from cedarmill.cli import conf, health, lab, node, replica, sim, supervisor
+from cedarmill.cli import lab_scale as lab_scale  # adds its command to the group as it is imported
 from cedarmill.cli.cluster import cluster
 from cedarmill.cli.groups import OneLineErrors, add_with_old_name
 
--- a/tests/net/test_small_limits.py
+++ b/tests/net/test_small_limits.py
@@ -7,7 +7,7 @@
 
 class LessRoom(NodeCase):
     sockets = 64  # half of 128, the least that the configuration takes
-    nofile = 64
+    descriptor_limit = 64
     memory_mb = 32  # the least a node is given
 
     def test_a_job_on_a_new_connection_is_served_behind_a_crowd(self):
@@ -18,6 +18,6 @@
                 sock.sendall(b"POST /api HTTP/1.1\r\nX-Call-Class: pi")  # half-written, and never more
         self.wait_log("client sessions at their bound")
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertLessEqual(self.descriptors(), self.nofile)
+        self.assertLessEqual(self.descriptors(), self.descriptor_limit)
