--- a/cedarmill/cli/lab_scale.py
+++ b/cedarmill/cli/lab_scale.py
@@ -18,7 +18,7 @@
 USUAL, LARGEST = 200, 3200
 
 
-@lab.command()
+@lab.command(epilog="Exit codes: 0 all bounds hold; 1 one does not; 2 bad input or use.")
 @click.option(
     "--executors",
     "sizes",
@@ -30,7 +30,9 @@
 )
 @click.option("--scenario", "names", multiple=True, help="A scenario by its name; all, where none is given.")
 @click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Runs of each.")
-@click.option("--seconds", type=click.FloatRange(1), default=15.0, show_default=True, help="Of traffic.")
+@click.option(
+    "--seconds", type=click.FloatRange(1), default=15.0, show_default=True, help="Seconds of traffic."
+)
 @click.option("--at-once", type=click.IntRange(1), default=1, show_default=True, help="Runs side by side.")
 @click.option("--out", type=click.Path(path_type=Path, file_okay=False), help="Folder for table and plot.")
 @click.option("--json", "as_json", is_flag=True, help="Print rows as JSON lines instead of a table.")
@@ -43,11 +45,16 @@
     out: Path | None,
     as_json: bool,
 ) -> None:
-    """Measure a real node with few and with many executors, under the same traffic.
+    """Measure one node with few and with many executors.
 
-    Each run starts one node, emulated executors on loopback, discovery and clients, and plays one scenario.
+    The traffic is the same. Each run starts one node, emulated executors on loopback, discovery and clients, and plays one scenario.
     CPU time, peak memory, descriptors, connections, bytes of lists and the share served are compared with
-    those at 200 executors. Exit code 1: a bound does not hold.
+    those at 200 executors.
+
+    \b
+    Examples:
+      cedarmill lab scale
+      cedarmill lab scale --executors 800 --seeds 3 --out found/scale
     """
     from cedarmill.lab.scale import report
     from cedarmill.lab.scale.run import ScalePlan, play
