--- a/cedarmill/cli/lab_scale.py
+++ b/cedarmill/cli/lab_scale.py
@@ -47,9 +47,8 @@
 ) -> None:
     """Measure one node with few and with many executors.
 
-    The traffic is the same. Each run starts one node, emulated executors on loopback, discovery and clients, and plays one scenario.
-    CPU time, peak memory, descriptors, connections, bytes of lists and the share served are compared with
-    those at 200 executors.
+    Each run starts one node between emulated executors, discovery and clients, and plays one scenario. CPU
+    time, memory, connections, bytes of lists and the share served are compared with those at 200 executors.
 
     \b
     Examples:
