--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -296,7 +296,7 @@
             waiting[-1].sendall(raw(100 + number))
         self.terminate()
         self.wait_log("no new sessions from now on")
-        self.executors[0].early = INSTANT
+        self.executors[0].early_answer = INSTANT
         for sock in held[:10]:
             sock.close()
         for sock in waiting:
@@ -473,7 +473,7 @@
         self.assertEqual(client.ask("issue").answer()[0], 503)  # a refusal: it may be sent again
         self.limit(256)
         statuses = [503]
-        self.executors[0].early = (
+        self.executors[0].early_answer = (
             "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n" + '{"state":"done","result":1}'
         )
         self.wait_for(lambda: statuses.append(client.ask("pin").answer()[0]) or statuses[-1] == 200)
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -158,7 +158,7 @@
 
     def test_a_reset_while_an_unsafe_req_arrives_proves_that_it_never_ran(self):
         """Its last byte waits a moment: some backends reset a connection as soon as it brings something."""
-        self.executors[0].resets = True
+        self.executors[0].resets_at_first_byte = True
         for asked in range(1, 21):  # the reset may also come too late, on a slow machine
             self.assertIn(self.client().ask("issue").answer()[0], (502, 503))
             if len(self.executors[0].connections) > asked:
@@ -167,12 +167,12 @@
 
     def test_an_answer_before_the_last_byte_spoils_its_connection(self):
         """The rest of that req would be read as the head of the next one."""
-        self.executors[0].early = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+        self.executors[0].early_answer = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         statuses = [502]
         while statuses[-1] == 502 and len(statuses) <= 20:  # it may also come too late, on a slow machine
             statuses.append(self.client().ask("issue").answer()[0])
         self.assertEqual(statuses[-1], 503)
-        self.executors[0].early = None
+        self.executors[0].early_answer = None
         client = self.client().ask()
         asked = self.executors[0].next_request()
         self.assertEqual(asked.method, "POST")  # a byte of the req before would stand in front of it
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -49,7 +49,7 @@
         self.process = new = self.start(self.config())
         self.wait_log("serves on")
         old.send_signal(15)
-        new_client = Client(self)
+        new_client = Client(self.port)
         self.addCleanup(new_client.close)
         new_client.ask()
         self.executors[0].next_request().done()
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -106,13 +106,13 @@
                 first, asked = self.refuse_connects(name)
                 self.check_served(first, asked)
                 client, statuses = self.client(), []
-                self.executors[0].early = "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n" + (
+                self.executors[0].early_answer = "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n" + (
                     '{"state":"done","result":1}'
                 )
                 self.wait_for(
                     lambda c=client, s=statuses: s.append(c.ask("issue").answer()[0]) or s[-1] == 200
                 )
-                self.executors[0].early = None
+                self.executors[0].early_answer = None
 
 
 class Transports(ExecutorCase):
--- a/tests/support/faulty_node_case.py
+++ b/tests/support/faulty_node_case.py
@@ -1,4 +1,4 @@
-"""A node under faults below the program: see `faults`."""
+"""A test's node under faults below the program: see `system_call_faults`."""
 
 import tempfile
 
@@ -10,6 +10,7 @@
     """A node whose system calls and wall clock the test can break, by `self.plan`, from its start on."""
 
     def prepare(self) -> None:
+        """As for every node, and the plan of its faults."""
         super().prepare()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -20,4 +21,5 @@
         """Faults that hold before the node starts."""
 
     def command(self, module: str, *arguments: str) -> list[str]:
+        """The command line that runs a module of the program under the plan."""
         return self.plan.command(module, *arguments)
--- /dev/null
+++ b/tests/support/node_client.py
@@ -0,0 +1,58 @@
+"""The clients of a test's node: of its requests, and of its admin API."""
+
+import http.client
+import select
+import socket
+
+from tests.support.stand_in_server import WAIT
+
+
+class Client(http.client.HTTPConnection):
+    """One client connection to a node; `count` numbers the requests of all."""
+
+    count = 0
+
+    def __init__(self, port: int) -> None:
+        super().__init__("127.0.0.1", port, timeout=WAIT)
+        self.headers = http.client.HTTPMessage()  # of the last answer
+
+    def ask(
+        self, job_class: str = "pin", budget: object = 6000, path: str = "/api", **headers: str
+    ) -> "Client":
+        """Send a request; `budget`: its X-Budget-Ms."""
+        Client.count += 1
+        fixed = {
+            "X-Call-Id": f"{Client.count:016x}",
+            "X-Call-Class": job_class,
+            "X-Caller": "acme",
+            "X-Budget-Ms": str(budget),
+            "X-Call-Info": "slots=1,memory=0.500",
+        }
+        self.request("POST", path, b"a body", {**fixed, **headers})
+        return self
+
+    def answered(self, wait_s: float) -> bool:
+        """Whether an answer begins to arrive within that time."""
+        return bool(select.select([self.sock], [], [], wait_s)[0])
+
+    def answer(self) -> tuple[int, bytes]:
+        """Wait for the answer: its status and body."""
+        answer = self.getresponse()
+        self.headers = answer.headers
+        return answer.status, answer.read()
+
+
+def call_admin_api(port: int, method: str, path: str) -> tuple[int, bytes]:
+    """One call on a connection of its own, as the operators' tools make it: status and body."""
+    with socket.create_connection(("127.0.0.1", port), timeout=WAIT) as sock:
+        sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n".encode())
+        return read_answer(sock)
+
+
+def read_answer(sock: socket.socket) -> tuple[int, bytes]:
+    """Status and body of an answer that ends its connection."""
+    text = b""
+    while chunk := sock.recv(4096):
+        text += chunk
+    head, _, body = text.partition(b"\r\n\r\n")
+    return int(head.split()[1]), body
--- a/tests/support/system_call_faults.py
+++ b/tests/support/system_call_faults.py
@@ -12,6 +12,7 @@
   opened (matched by HOST:PORT) or accepted.
 """
 
+import asyncio
 import builtins
 import errno
 import fcntl
@@ -22,8 +23,10 @@
 import socket
 import sys
 import time
+from collections.abc import Callable
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
+from typing import Any
 
 ROOT = Path(__file__).parents[2]
 PLAN, HITS = "plan.json", "hits"
@@ -38,24 +41,27 @@
         "abort",
     )
 )
+NS_PER_S = 1e9
+
+ProtocolFactory = Callable[[], asyncio.Protocol]
 
 
 @dataclass
 class Fault:
-    """One fault: of the calls that match, `after` pass, then `times` fail (0: all until it is disarmed)."""
+    """One fault: of the calls that match, `after` pass, then `times` fail."""
 
     call: str
     errno: str = ""  # the name of an error, such as "ENOSPC"; empty: the call is carried out
     match: str = ""  # a part of the path or of HOST:PORT; empty: any
     after: int = 0
-    times: int = 1
+    times: int = 1  # 0: until it is disarmed
     short: int = 0  # bytes that a write or read does at most, where not 0
     stall_s: float = 0.0  # seconds that the call takes longer
 
 
 @dataclass
 class FaultPlan:
-    """The test's side: a folder through which a running process is told of its faults."""
+    """The test's side: a folder through which a running process learns its faults."""
 
     folder: str
     offset_s: float = 0.0
@@ -74,7 +80,7 @@
         self._publish()
 
     def step_clock(self, seconds: float) -> None:
-        """The wall clock is so far off from now on (0: right); the monotonic one runs on."""
+        """Set the wall clock off by so much from now on (0: right); the monotonic one runs on."""
         self.offset_s = seconds
         self._publish()
 
@@ -98,14 +104,14 @@
         self.path, self.hits_path = os.path.join(folder, PLAN), os.path.join(folder, HITS)
         self.stat, self.open, self.os_open, self.os_write = os.stat, builtins.open, os.open, os.write
         self.os_close, self.readlink, self.sleep = os.close, os.readlink, time.sleep
-        self.seen: tuple | None = None
+        self.seen: tuple[int, int] | None = None  # inode and time of change of the plan that was read
         self.offset_s = 0.0
         self.faults: list[Fault] = []
         self.counts: list[int] = []
-        self.inside = False
+        self.inside = False  # while the layer itself makes system calls
 
     def refresh(self) -> None:
-        """Take up the plan, if it is a new one."""
+        """Read the plan again where it has changed."""
         stat = self.stat(self.path)
         seen = (stat.st_ino, stat.st_mtime_ns)
         if seen == self.seen:
@@ -137,7 +143,7 @@
                 return fault
             return None
         finally:
-            self.inside = False
+            self.inside = False  # while the layer itself makes system calls
 
     def _hit(self, call: str) -> None:
         number = self.os_open(self.hits_path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
@@ -156,7 +162,7 @@
         """Lay this layer over a function of a module or class."""
         real = getattr(owner, name)
 
-        def wrapped(*args, **keywords):
+        def wrapped(*args: Any, **keywords: Any) -> Any:
             fault = self.check(call, self._about(args[0]) if named and args else "")
             if fault is not None and fault.short:
                 args = _shortened(args, fault.short)
@@ -186,7 +192,7 @@
         for name in ("accept", "setsockopt", "getsockopt"):
             self.wrap(socket.socket, name, name)
         real_ns, real = time.time_ns, time.time
-        time.time_ns = lambda: real_ns() + int(self._offset() * 1e9)
+        time.time_ns = lambda: real_ns() + int(self._offset() * NS_PER_S)
         time.time = lambda: real() + self._offset()
         self._install_loop()
 
@@ -203,13 +209,21 @@
         class Loop(uvloop.Loop):
             """The program's loop, whose connections this layer can break."""
 
-            async def create_connection(self, factory, host=None, port=None, **more):
+            async def create_connection(
+                self,
+                factory: ProtocolFactory,
+                host: str | None = None,
+                port: int | None = None,
+                **more: Any,
+            ) -> tuple[asyncio.Transport, asyncio.Protocol]:
                 layer.check("connect", f"{host}:{port}")
                 return await super().create_connection(
                     lambda: _watched(layer, factory(), "outgoing", f"{host}:{port}"), host, port, **more
                 )
 
-            async def connect_accepted_socket(self, factory, sock, **more):
+            async def connect_accepted_socket(
+                self, factory: ProtocolFactory, sock: socket.socket, **more: Any
+            ) -> tuple[asyncio.Transport, asyncio.Protocol]:
                 layer.check("open_session")
                 return await super().connect_accepted_socket(
                     lambda: _watched(layer, factory(), "accepted"), sock, **more
@@ -218,33 +232,37 @@
         uvloop.new_event_loop = Loop
 
 
-def _shortened(args: tuple, most: int) -> tuple:
-    """The arguments of a write, with so many bytes at most; of a read, likewise."""
+def _shortened(args: tuple[Any, ...], most: int) -> tuple[Any, ...]:
+    """The arguments of a write or read (descriptor, then bytes or a size), with so many bytes at most."""
     first, second, *rest = args
     return (first, second[:most] if not isinstance(second, int) else min(second, most), *rest)
 
 
-def _watched(layer: FaultLayer, protocol, side: str, about: str = ""):
+def _watched(layer: FaultLayer, protocol: asyncio.Protocol, side: str, about: str = "") -> asyncio.Protocol:
     """The protocol, which is given a transport that this layer can break."""
-    made = protocol.connection_made
-    protocol.connection_made = lambda transport: made(FaultyTransport(layer, transport, side, about))
+    connection_made = protocol.connection_made
+
+    def made(transport: asyncio.Transport) -> None:
+        connection_made(FaultyTransport(layer, transport, side, about))
+
+    protocol.connection_made = made
     return protocol
 
 
 class FaultyTransport:
     """A transport whose methods raise when the plan says so."""
 
-    def __init__(self, layer: FaultLayer, transport, side: str, about: str) -> None:
+    def __init__(self, layer: FaultLayer, transport: asyncio.Transport, side: str, about: str) -> None:
         self._layer, self._transport, self._side, self._about = layer, transport, side, about
 
-    def __getattr__(self, name: str):
-        found = getattr(self._transport, name)
+    def __getattr__(self, name: str) -> Any:
+        method = getattr(self._transport, name)
         if name not in TRANSPORT_CALLS:
-            return found
+            return method
 
-        def call(*args, **keywords):
+        def call(*args: Any, **keywords: Any) -> Any:
             self._layer.check(f"{self._side}.{name}", self._about)
-            return found(*args, **keywords)
+            return method(*args, **keywords)
 
         return call
 
