--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -1,8 +1,8 @@
-"""What usual calls take while a thousand clients leave in one turn of the loop, against calm, in one run.
+"""How long requests take while a thousand clients leave in one iteration of the event loop, against calm.
 
     python benchmarks/leaving.py --rounds 5
 
-Of 75 calls each the longest is the p99. It was a test once, and failed where tests run side by side.
+Of 75 requests each the longest counts as the p99. It is no test: its figure depends on the machine's load.
 """
 
 import argparse
@@ -17,14 +17,14 @@
 
 
 def main() -> None:
-    """Print the ratio of the longest calls, round by round."""
+    """Print the ratio of the longest requests, round by round."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--rounds", type=int, default=3)
     ratios = []
     for _ in range(parser.parse_args().rounds):
-        calm, crowd, seen = Thousand().thousand()
-        ratios.append(max(crowd) / max(calm))
-        print(f"calm {max(calm):.3f} s, while {seen} leave {max(crowd):.3f} s: {ratios[-1]:.2f}x")
+        calm_s, leaving_s, left = Thousand().thousand()
+        ratios.append(max(leaving_s) / max(calm_s))
+        print(f"calm {max(calm_s):.3f} s, while {left} leave {max(leaving_s):.3f} s: {ratios[-1]:.2f}x")
     print(f"median {statistics.median(ratios):.2f}x ({min(ratios):.2f} to {max(ratios):.2f})")
 
 
