--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -361,7 +361,8 @@
         self.process = self.start(self.config())
         self.wait_log("serves on")
         self.port = self.logged_port()
-        self.assertTrue(any("kept file: s-0" in line for line in self.log), self.log)
+        taken = "exclusions of executors taken from the state file: s-0"
+        self.assertTrue(any(taken in line for line in self.log), self.log)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
 
 
@@ -444,7 +445,7 @@
                     server.received.get(timeout=0.01).done(result)
 
 
-class Wire:
+class ServerConnection:
     """A transport over a real socket, which the test does not read."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -473,7 +474,7 @@
         self.addCleanup(theirs.close)
         clients = ClientServer(Ticking(), settings(), 8, DeadlineOptions())
         session = ClientSession(clients)
-        session.transport = Wire(ours)
+        session.transport = ServerConnection(ours)
         clients.sessions.add(session)
         theirs.send(b"POST /api HTTP/1.1\r\n")
         clients.close_idle()
@@ -489,7 +490,7 @@
         self.addCleanup(theirs.close)
         clients = ClientServer(Ticking(), settings(), 1, DeadlineOptions())
         session = ClientSession(clients)
-        session.transport = Wire(ours)
+        session.transport = ServerConnection(ours)
         clients.sessions.add(session)
         clients.rested(session)
         session.transport.closed = True
