--- a/cedarmill/cli/supervisor.py
+++ b/cedarmill/cli/supervisor.py
@@ -6,7 +6,7 @@
 
 from cedarmill.cli.options import LOG_FORMAT, SETTINGS_FILE
 
-EXIT_CODES = "Exit codes: 0 ended by a signal; 2 bad input, or it could not start; 3 its disk failed."
+EXIT_CODES = "Exit codes: 0 ended by a signal; 2 bad input, or it could not start."
 
 
 @click.command(epilog=EXIT_CODES)
--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -38,7 +38,7 @@
 from cedarmill.net.framing import HELLO_US, SILENT_US, FramedConnection
 from cedarmill.net.listener import Acceptor, listening_socket
 from cedarmill.net.loop import EventLoopDriver, callback
-from cedarmill.store.errors import StoreError
+from cedarmill.store.errors import StoreError, may_pass
 from cedarmill.store.files import Directory
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.store.snapshots import decode_backup
@@ -108,18 +108,20 @@
     """One keeper on one loop."""
 
     def __init__(self, options: ReplicaOptions, files: Directory | None = None) -> None:
-        """Open the store; raises StoreError or OSError."""
+        """Open the store, or leave that to the loop where the disk fails; raises StoreError or OSError."""
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(self._exception)
         self.timers = Timers()
         self.driver = EventLoopDriver(self.loop, self.timers)
-        self.files = files or Directory(options.data)
-        self.store = ReplicaStore(self.files, options.cluster, options.name)
-        self._start_replica()
+        self.files = files
+        self.store: ReplicaStore | None = None  # none before the first opening
+        self.keeper: Replica | None = None
+        self.host: Host | None = None
         self.recovering = False  # the disk has failed, and was not opened anew yet
         self.failed_at = 0
         self.retry_us = RETRY_FIRST_US
+        self.failure: StoreError | OSError | None = None  # ends a start that cannot succeed
         self.wires: dict[str, FramedConnection] = {}  # to other keepers, one each
         self.dialling: dict[str, FramedConnection] = {}
         self.askers: dict[FramedConnection, str] = {}
@@ -130,6 +132,22 @@
         self._soon = False
         self._timer = None
         self._words = {Hello: self._hello, ConnectionRejected: self._refused}
+        try:
+            self._open_store()
+        except OSError as error:
+            if not may_pass(error):
+                raise
+            self._disk_failed(error)
+
+    def _open_store(self) -> None:
+        """Open the store and start from what it holds; raises StoreError or OSError."""
+        acknowledged = None if self.store is None else self.store.acknowledged
+        if self.files is None:
+            self.files = Directory(self.options.data)
+        self.store = ReplicaStore(
+            self.files, self.options.cluster, self.options.name, acknowledged=acknowledged
+        )
+        self._start_replica()
 
     def _start_replica(self) -> None:
         """The core as the store tells it."""
@@ -152,20 +170,13 @@
     def send(self, target: str, message: object) -> None:
         wire = self.wires.get(target)
         if wire is not None:
-            self._say(wire, 0, message)
+            wire.send(0, message)
 
     def reply(self, token: int, answer: object) -> None:
         found = self.tokens.pop(token, None)
         if found is not None:
-            self._say(*found, answer)
-
-    @staticmethod
-    def _say(wire: FramedConnection, number: int, message: object) -> None:
-        """Write a frame; a connection that breaks meanwhile costs itself only."""
-        try:
-            wire.send(number, message)
-        except OSError as error:
-            wire.end(f"write failed: {error.strerror or error}")
+            wire, number = found
+            wire.send(number, answer)
 
     def tell(self, action: RoleChanged | RaiseAlarm) -> None:
         if isinstance(action, RoleChanged):
@@ -195,6 +206,8 @@
             return
         try:
             self.host.flush(self.driver.now())
+            if not self.keeper.raft.needs_catch_up:
+                self.store.end_doubt()
         except OSError as error:  # of the disk: `send`, `reply` and `tell` raise none
             self._disk_failed(error)
             return
@@ -206,12 +219,13 @@
             return
         log_event("replica-disk-failed", reason=error.strerror or error)
         self.recovering, self.failed_at, self.retry_us = True, self.driver.now(), RETRY_FIRST_US
-        self.host.pending.clear()
+        if self.host is not None:
+            self.host.pending.clear()
+            self._let_another_lead()
         self.timers.cancel(self._timer)
-        self._let_another_lead()
         waiting, self.tokens = self.tokens, {}
         for wire, number in waiting.values():
-            self._say(wire, number, Unavailable(DISK_REFUSAL))
+            wire.send(number, Unavailable(DISK_REFUSAL))
         self.timers.add(self.failed_at + self.retry_us, self._recover)
 
     def _let_another_lead(self) -> None:
@@ -227,19 +241,20 @@
 
     def _recover(self, now: int) -> None:
         """Open the store anew and start from what it holds, as after a restart; else try again later."""
-        acknowledged = self.store.acknowledged
-        self.store.close()
         try:
-            store = ReplicaStore(self.files, self.options.cluster, self.options.name)
+            if self.store is not None:
+                self.store.close()
+            self._open_store()
         except (StoreError, OSError) as error:
+            if self.store is None and not may_pass(error):
+                self.failure = error
+                self.loop.stop()
+                return
             log_event("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
             self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
             self.timers.add(now + self.retry_us, self._recover)
             return
-        if self.keeper.raft.needs_catch_up or store.may_lack(acknowledged):
-            store.persistent_state.needs_catch_up = True
-        self.store, self.recovering = store, False
-        self._start_replica()
+        self.recovering = False
         for wire in list(self.wires.values()):
             wire.end("started anew")  # what the others sent was for the replica before
         log_event("replica-disk-recovered", seconds=(self.driver.now() - self.failed_at) / 1e6)
@@ -358,7 +373,7 @@
         if self.recovering:
             name = self.options.name
             answer = ProbeReply(name, "") if isinstance(word, Probe) else Unavailable(DISK_REFUSAL)
-            self._say(wire, number, answer)
+            wire.send(number, answer)
             return
         self._count += 1
         self.tokens[self._count] = wire, number
@@ -388,7 +403,10 @@
         """Nothing to end: `callback` asks for it."""
 
     def run(self) -> int:
-        """Serve until a signal; the exit code. Raises OSError where the address cannot be had."""
+        """Serve until a signal; the exit code.
+
+        Raises OSError where the address cannot be had, and what ends a start on a disk that failed at first.
+        """
         for number in SIGNALS:
             self.loop.add_signal_handler(number, self._terminate)
         listen = Address.parse(self.options.listen)
@@ -396,9 +414,10 @@
         self.acceptor = Acceptor(self.driver, sock, self._incoming, listener="replica", batch=ACCEPTS)
         self.port = self.acceptor.port
         self.acceptor.resume()
-        self._tell_store()
+        if not self.recovering:
+            self._tell_store()
+            self._arm()
         self._dial_again(self.driver.now())
-        self._arm()
         self.driver.end()
         log_event(
             "replica-serves",
@@ -409,7 +428,10 @@
         )
         self.loop.call_soon(signal.pthread_sigmask, signal.SIG_UNBLOCK, SIGNALS)  # it hears of them only now
         self.loop.run_forever()
-        self.store.close()
+        if self.failure is not None:
+            raise self.failure
+        if self.store is not None:
+            self.store.close()
         log_event("ended", name=self.options.name)
         return 0
 
@@ -423,11 +445,8 @@
         )
         if recovery.torn_bytes:
             log_event("replica-log-truncated", bytes=recovery.torn_bytes)
-        if saved.needs_catch_up:
-            reason = "its disk is empty" if self.store.was_empty else "its disk has lost what was synced"
-            if recovery.last_record_damaged:
-                reason = "its last record is damaged"
-            log_event("replica-needs-catch-up", reason=reason)
+        if self.store.doubt:
+            log_event("replica-needs-catch-up", reason=self.store.doubt)
 
     def _terminate(self) -> None:
         """Hand the lead over first, so that nobody has to miss a leader."""
@@ -462,7 +481,7 @@
 def main(options: ReplicaOptions, log_format: str = "text", files: Directory | None = None) -> int:
     """Run a keeper; the exit code: 0 ended by a signal, 2 it could not start.
 
-    A disk that fails while it runs does not end it.
+    A disk that fails for a while does not end it, neither while it starts nor while it runs.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # till the loop runs
     log.begin(log_format)
--- a/cedarmill/net/discovery/list_stream.py
+++ b/cedarmill/net/discovery/list_stream.py
@@ -76,8 +76,8 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._line_start = 0  # in the buffer, of the line that is not whole yet
-        self._searched = 0  # bytes of the buffer known to hold no further end of line: each is looked at once
-        self._blank = True  # whether the line that is not whole yet holds white space only
+        self._searched = 0  # in the buffer: no line ends between its start and there
+        self._blank = True  # whether the line that is not whole yet holds only white space so far
         self._begun = False  # whether a line of a document has come
 
     @property
@@ -93,6 +93,7 @@
             listing = self._line(end)
             if listing is not None:
                 found.append(listing)
+        # only what is new is looked at: a long list may come in pieces of a byte
         self._blank = self._blank and not self._buffer[self._searched :].strip()
         self._searched = len(self._buffer)
         if len(self._buffer) > MAX_LIST:
