--- a/cedarmill/sim/wire.py
+++ b/cedarmill/sim/wire.py
@@ -67,7 +67,7 @@
     """An instance was killed."""
 
 
-# Records of the host itself, beside the balancer's events.
+# Records of the host itself, and the balancer's events.
 Record = api.Event | Provision | Down
 
 
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -1,4 +1,4 @@
-"""What was written and answered before the renames of issue 36 is read and answered in the same way now.
+"""What was written and answered before the renames is read and answered in the same way now.
 
 The data in `tests/golden/` were made by the code of 24d73c0 with `tests/golden/make.py`. Types are found by
 what they are on the wire (`tests/golden/reach.py`): a rename that keeps tags, keys and shapes passes.
@@ -21,10 +21,11 @@
 
 
 def rows(name: str) -> list[dict]:
+    """The lines of one file of the golden data."""
     return [json.loads(line) for line in (reach.DATA / f"{name}.jsonl").read_text().splitlines()]
 
 
-class Now:
+class CurrentForms:
     """What the code as it stands decodes."""
 
     def __init__(self) -> None:
@@ -44,32 +45,33 @@
             len(wanted & self.marks[one]) - len(wanted ^ self.marks[one])))]  # fmt: skip
 
 
-now = functools.cache(Now)
+current_forms = functools.cache(CurrentForms)
 play = functools.cache(reach.play_fleet)
 
 
 @functools.cache
 def golden_shapes() -> dict[str, dict]:
+    """The shapes that the golden data name, by number."""
     return {row["number"]: row for row in rows("wire_shapes") if "number" in row}
 
 
-def again(root: reach.Root, text: bytes) -> bytes:
-    """Decoded and encoded."""
+def round_trip(root: reach.Root, text: bytes) -> bytes:
+    """Decode the text and encode it again."""
     codec = reach.CODECS[root.codec]
     return codec.encode(codec.decode(text, type=root.type))
 
 
 def innermost(shapes: dict[str, dict]) -> list[dict]:
-    """Those that hold none of the others: where a change began."""
+    """The shapes that hold none of the others: where a change began."""
     return [row for row in shapes.values() if not any(other in str(row["fields"]) for other in shapes)]
 
 
-class Wire(unittest.TestCase):
+class WireForms(unittest.TestCase):
     maxDiff = None
 
     def test_no_shape_has_changed_and_none_is_new(self):
         """Tags, keys, order, types and defaults of all that is decoded."""
-        before, here = golden_shapes(), now().shapes
+        before, here = golden_shapes(), current_forms().shapes
         gone = {number: row for number, row in before.items() if number not in here.shapes}
         new = {number: row for number, row in here.shapes.items() if number not in before}
         was = [f"{row['was']} {row['tag']} {row['fields']}" for row in innermost(gone)]
@@ -77,24 +79,24 @@
         self.assertEqual(was, instead, "what was read before, and what is read now")
         self.assertEqual((gone, new), ({}, {}))
         roots = {row["root"] for row in rows("wire_shapes") if "root" in row}
-        self.assertEqual(roots - now().roots.keys(), set())
+        self.assertEqual(roots - current_forms().roots.keys(), set())
 
     def test_each_sample_comes_back_to_the_same_bytes(self):
         shapes = golden_shapes()
         for row in rows("wire_samples"):
-            root = now().root(row["root"], shapes)
+            root = current_forms().root(row["root"], shapes)
             text = row["text"].encode() if root.codec == "json" else bytes.fromhex(row["text"])
             with self.subTest(row["text"][:80]):
-                self.assertEqual(again(root, text), text)
+                self.assertEqual(round_trip(root, text), text)
 
     def test_each_struct_that_is_decoded_has_a_sample(self):
         """A message that was forgotten, or is new, has to enter the data."""
         found: set[type] = set()
         for row in rows("wire_samples"):
-            root = now().root(row["root"], golden_shapes())
+            root = current_forms().root(row["root"], golden_shapes())
             text = row["text"].encode() if root.codec == "json" else bytes.fromhex(row["text"])
             reach.met(reach.CODECS[root.codec].decode(text, type=root.type), found)
-        known = set().union(*now().shapes.structs.values())
+        known = set().union(*current_forms().shapes.structs.values())
         self.assertGreater(len(known), 80)
         self.assertEqual(sorted(str(one) for one in known - found), [])
 
@@ -108,7 +110,7 @@
                 self.assertEqual(write(number, message), one)
 
 
-class Stored(unittest.TestCase):
+class StoredData(unittest.TestCase):
     maxDiff = None
 
     def setUp(self) -> None:
@@ -150,7 +152,7 @@
         for text in self.bytes_of(self.written["written"], "entries"):
             _, _, kind, data = msgspec.msgpack.decode(text)
             if kind == 1:
-                self.assertEqual(again(now().root(key, shapes), data), data)
+                self.assertEqual(round_trip(current_forms().root(key, shapes), data), data)
                 kinds.add(msgspec.msgpack.decode(data)[0])
         tags = {shapes[number]["tag"] for number in key.split()[1].split("|")}
         self.assertEqual(kinds, tags)
@@ -164,7 +166,7 @@
                 text = row["text"].encode()
                 at_us, body = unseal(text, row["kind"], row["node"])
                 self.assertEqual(at_us, row["at_us"])
-                body = again(now().root(row["root"], golden_shapes()), body)
+                body = round_trip(current_forms().root(row["root"], golden_shapes()), body)
                 self.assertEqual(seal(row["kind"], row["node"], at_us, body), text)
                 self.assertEqual(Path(path(row["node"], row["kind"])).name, row["name"])
                 file = in_place(f"{self.folder}/{number}")
@@ -172,7 +174,7 @@
                 file.close()
                 self.assertEqual(Path(file.path).read_bytes(), b"%07d\n" % len(text) + text)
 
-    def test_marks_by_hand_and_their_older_forms(self):
+    def test_exclusions_and_their_older_forms(self):
         found = [row for row in rows("documents") if "exclusions" in row]
         self.assertEqual(len(found), 3)
         for row in found:
@@ -181,7 +183,7 @@
             self.assertEqual((marks.since, marks.encode(20).decode()), (row["since"], row["again"]))
 
 
-class Agreed(unittest.TestCase):
+class AgreedState(unittest.TestCase):
     def test_the_same_commands_lead_to_the_same_state(self):
         for row in rows("agreed_log"):
             entries = msgspec.msgpack.decode(zlib.decompress(base64.b64decode(row["entries"])))
@@ -211,7 +213,7 @@
         self.answers(3)
 
 
-class Faces(unittest.TestCase):
+class Interfaces(unittest.TestCase):
     maxDiff = None
 
     def test_the_admin_listener_answers_the_same_bytes(self):
@@ -237,7 +239,7 @@
             self.assertEqual(values, row["values"])
 
     def test_sub_commands_and_options_keep_their_names_and_defaults(self):
-        """New names may come beside the old ones."""
+        """New names may come, the old ones stay."""
         found = json.loads(json.dumps(reach.command_line()))
         for row in rows("command_line"):
             with self.subTest(row["command"]):
--- a/tests/sim/test_wire.py
+++ b/tests/sim/test_wire.py
@@ -172,7 +172,7 @@
     assert output == wire.reply([])
 
 
-def test_a_failing_brain_is_reported_as_bug():
+def test_a_failing_balancer_is_reported_as_bug():
     bad_class = bytes.fromhex(ACCEPT[:66] + "0009" + ACCEPT[70:])
     output, error = run_host(batch(5, provision(3)) + batch(6, bad_class))
     assert error is None and struct.pack(">H", 1010) in output[16:]
