--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -8,6 +8,8 @@
 
 import pytest
 
+from tools import readability
+
 ROOT = Path(__file__).parent.parent
 DECISIONS = ROOT / "cedarmill/decisions"
 POLICY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
@@ -106,6 +108,22 @@
     assert run.returncode == 0, run.stdout
 
 
+def test_old_words_and_long_helpers_of_tests_are_measured(tmp_path):
+    """A planted helper and word are counted; tests themselves may be long, and strings are data."""
+    body = "    pass\n" * 30
+    text = f'def test_long():\n{body}{body}\n\ndef ask_the_box():\n{body}\n\nDATA = "a box"\n'
+    (tmp_path / "test_planted.py").write_text(text)
+    figures = readability.measure_tests(frozenset(["box"]), tmp_path)
+    assert (figures.longest_helper, figures.longest_helper_name) == (31, "test_planted.py: ask_the_box")
+    assert figures.withdrawn == {"box": 1}
+    assert readability.breaches_of_tests(figures, {"longest_helper": 31, "withdrawn": 1}) == []
+    over = [
+        "tests: longest_helper is 31, at most 30 is allowed",
+        "tests: withdrawn is 1, at most 0 is allowed",
+    ]
+    assert readability.breaches_of_tests(figures, {"longest_helper": 30, "withdrawn": 0}) == over
+
+
 def test_packages_stay_as_readable_as_they_are():
     """Old words, long modules, undocumented items: no more than the bounds that were reached."""
     command = [sys.executable, "-B", "tools/readability.py", "--check"]
--- a/tools/readability.py
+++ b/tools/readability.py
@@ -1,8 +1,9 @@
-"""Measure how the packages read, and hold them to the bounds that they have reached.
+"""Measure how the packages and the tests read, and hold them to the bounds that they have reached.
 
 `python tools/readability.py` prints a table by package: lines, longest module, longest function, public
-items with a docstring, withdrawn words left (`docs/glossary.md` explains them). With `--check` it exits with
-1 where a package is over its bound in `tools/readability.toml`; a bound may only be lowered.
+items with a docstring, withdrawn words left (`docs/glossary.md` explains them). Of the tests it measures
+lines, the longest helper (a function that is no test) and withdrawn words. With `--check` it exits with 1
+where a package or the tests are over a bound in `tools/readability.toml`; a bound may only be lowered.
 """
 
 import argparse
@@ -19,6 +20,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "cedarmill"
+TESTS = ROOT / "tests"
 BOUNDS = Path(__file__).with_suffix(".toml")
 NAME_PART = re.compile(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+")
 PROSE_WORD = re.compile(r"[A-Za-z]+")
@@ -42,6 +44,16 @@
         return self.public_items - self.documented
 
 
+@dataclass
+class TestFigures:
+    """What was measured of the tests."""
+
+    lines: int = 0
+    longest_helper: int = 0  # lines
+    longest_helper_name: str = ""
+    withdrawn: Counter[str] = field(default_factory=Counter)
+
+
 def count_withdrawn(text: str, words: frozenset[str]) -> Counter[str]:
     """Withdrawn words among the names, comments and docstrings of a module; other strings are data."""
     found: Counter[str] = Counter()
@@ -114,6 +126,32 @@
     return result
 
 
+def measure_tests(words: frozenset[str], folder: Path = TESTS) -> TestFigures:
+    """The figures of all modules under the tests' folder."""
+    figures = TestFigures()
+    for path in sorted(folder.rglob("*.py")):
+        text = path.read_text()
+        figures.lines += text.count("\n")
+        figures.withdrawn += count_withdrawn(text, words)
+        for node in ast.walk(ast.parse(text)):
+            if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef) and not node.name.startswith("test_"):
+                length = (node.end_lineno or node.lineno) - node.lineno + 1
+                if length > figures.longest_helper:
+                    figures.longest_helper = length
+                    figures.longest_helper_name = f"{path.relative_to(folder)}: {node.name}"
+    return figures
+
+
+def breaches_of_tests(figures: TestFigures, bounds: dict[str, int]) -> list[str]:
+    """One line for each bound that the tests are over."""
+    values = {"longest_helper": figures.longest_helper, "withdrawn": figures.withdrawn.total()}
+    return [
+        f"tests: {key} is {value}, at most {bounds[key]} is allowed"
+        for key, value in values.items()
+        if value > bounds[key]
+    ]
+
+
 def breaches(measured: dict[str, PackageFigures], bounds: dict[str, dict[str, int]]) -> list[str]:
     """One line for each bound that a package is over, and for each package without bounds."""
     lines = []
@@ -137,21 +175,26 @@
     """Print the table; the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true", help="exit with 1 where a package is over a bound")
-    parser.add_argument("--words", metavar="PACKAGE", help="also print the withdrawn words of this package")
+    parser.add_argument(
+        "--words", metavar="PACKAGE", help="also print the withdrawn words of this package, or of `tests`"
+    )
     options = parser.parse_args()
     settings = tomllib.loads(BOUNDS.read_text())
-    measured = measure(frozenset(settings["withdrawn_words"]))
+    words = frozenset(settings["withdrawn_words"])
+    measured = measure(words)
     print("| package | lines | longest module | longest function | documented | withdrawn words |")
     print("| --- | --- | --- | --- | --- | --- |")
     for name, figures in measured.items():
         documented = f"{figures.documented} of {figures.public_items}"
         cells = (name, figures.lines, figures.longest_module, figures.longest_function, documented)
         print(f"| {' | '.join(map(str, cells))} | {figures.withdrawn.total()} |")
-    if options.words in measured:
-        print(
-            *(f"{word}: {count}" for word, count in measured[options.words].withdrawn.most_common()), sep="\n"
-        )
-    found = breaches(measured, settings["bounds"])
+    tests = measure_tests(words)
+    helper = f"longest helper {tests.longest_helper} lines ({tests.longest_helper_name})"
+    print(f"\ntests: {tests.lines} lines, {helper}, {tests.withdrawn.total()} withdrawn words")
+    withdrawn = {name: figures.withdrawn for name, figures in measured.items()} | {"tests": tests.withdrawn}
+    if options.words in withdrawn:
+        print(*(f"{word}: {count}" for word, count in withdrawn[options.words].most_common()), sep="\n")
+    found = breaches(measured, settings["bounds"]) + breaches_of_tests(tests, settings["tests"])
     print(*found, sep="\n", end="\n" if found else "")
     return 1 if options.check and found else 0
 
