--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -2,6 +2,7 @@
 
 import ast
 import re
+import tomllib
 from functools import cache
 from pathlib import Path
 
@@ -105,6 +106,17 @@
     assert missing(page.read_text()) == []
 
 
+ENGINEERS_PAGES = [page for page in PAGES if page.parent.name != "operators"]  # tests/cli holds those
+
+
+@pytest.mark.parametrize("page", ENGINEERS_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_a_page_uses_no_withdrawn_word_but_in_quotations(page):
+    """Names of files, calls and XML stand between backticks; what the words meant is the glossary's."""
+    words = set(tomllib.loads((ROOT / "tools/readability.toml").read_text())["withdrawn_words"])
+    text = re.sub(r"```.*?```|`[^`]*`|\]\([^)]*\)", " ", page.read_text(), flags=re.DOTALL)
+    assert sorted(words & set(re.findall(r"[a-z]+", text.lower()))) == []
+
+
 def test_a_planted_path_or_member_is_found():
     """The check itself: what stands is passed over, what does not is named."""
     good = (
