--- a/tests/health/test_check_codecs.py
+++ b/tests/health/test_check_codecs.py
@@ -30,6 +30,8 @@
 
 
 class AgentTest(unittest.TestCase):
+    """Replies of agent-check: reading, writing, and what is no reply."""
+
     @given(REPLIES, st.sampled_from((b"\n", b"\r", b"\r\n")), st.data())
     def test_every_reply_of_the_grammar_is_read_back_however_it_is_cut(self, reply, end, data):
         """TCP keeps no borders: a reply may come a byte at a time, and more may follow its line."""
@@ -66,6 +68,8 @@
 
 
 class ProxyTest(unittest.TestCase):
+    """Headers of the PROXY protocol, versions 1 and 2."""
+
     @given(st.booleans(), st.ip_addresses(v=4), st.ip_addresses(v=6), st.integers(0, 65535), st.booleans())
     def test_both_versions_are_read_back_and_wait_till_they_are_whole(self, six, four_ip, six_ip, port,
                                                                       second):  # fmt: skip
--- a/tests/health/test_probe_budget.py
+++ b/tests/health/test_probe_budget.py
@@ -17,6 +17,8 @@
 
 
 class ProbeBudgetTest(unittest.TestCase):
+    """Rates, sharing and spreading."""
+
     def test_two_sources_share_one_probe_and_recent_evidence_spares_it(self):
         """Each probe costs the executor work: one answer serves all that ask."""
         budget = ProbeBudget(1.0, 100.0, 10.0, 1)
--- a/tests/health/test_verdict.py
+++ b/tests/health/test_verdict.py
@@ -22,6 +22,8 @@
 
 
 class VerdictCase(unittest.TestCase):
+    """Ten executors, and the verdicts on them as the caller has them."""
+
     options = VerdictOptions()
 
     def setUp(self) -> None:
@@ -52,6 +54,8 @@
 
 
 class VerdictTest(VerdictCase):
+    """Each rule of the order of evidence."""
+
     def test_an_executor_that_loses_attempts_is_out_though_its_checks_pass_and_comes_back(self):
         """A fifth of all at once: out within 3 attempts each, back by one probation attempt."""
         for executor in (0, 1):
@@ -70,7 +74,7 @@
         self.feed(AttemptEnded(1, True))
         self.assertEqual(self.out(), {0})
         self.feed(TimeAdvanced(), 2 * S)
-        self.assertEqual(self.out(), {0})  # the second hold is longer
+        self.assertEqual(self.out(), {0})  # the second ejection is longer
         self.feed(TimeAdvanced(), 2 * S)
         self.feed(AttemptEnded(0, True))
         self.assertEqual(self.out(), set())
