--- a/cedarmill/core/client_session.py
+++ b/cedarmill/core/client_session.py
@@ -48,7 +48,6 @@
     ends_by: int = 0  # how long a slow reader may take while it closes
 
     def __post_init__(self) -> None:
-        """Have a first request arrive in time."""
         self.began_at = self.asked_since = self.heard_at = self.ends_by = self.born_at
         self.deadline = self.born_at + self.times.first_request
 
@@ -173,6 +172,9 @@
         return None
 
     def _late(self, now: int) -> SessionAction | None:
+        self.blocked = False  # what is owed is written now, whether the client reads it or not
+        if self.owes:
+            return SessionAction.ANSWER_OWED
         return SessionAction.ANSWER_LATE if self.arriving else self._end(now)
 
     def _late_to_close(self, now: int) -> SessionAction | None:
--- a/cedarmill/core/client_session_events.py
+++ b/cedarmill/core/client_session_events.py
@@ -72,7 +72,7 @@
     SERVE = auto()  # the next request that was read
     SERVE_IF_PRESENT = auto()  # the same, if the system does not say that its client has gone
     ANSWER_LATE = auto()  # the half request: its error is an answer that is owed, then SERVICE_WANTED
-    ANSWER_OWED = auto()  # write an error for all that is owed, in order, the half request included
+    ANSWER_OWED = auto()  # write an error for all that was read, in order, half a request included
     END_SENDING = auto()  # once all that was written has left; the connection closes when the client does
     WITHDRAW = auto()  # the open request and those that wait: their client has left
     ABORT = auto()  # the same, and abort the connection, whatever is not written
--- a/cedarmill/net/clients/connection.py
+++ b/cedarmill/net/clients/connection.py
@@ -44,6 +44,10 @@
         """The request that arrives has taken too long."""
         raise NotImplementedError
 
+    def answer_owed(self) -> None:
+        """The client has not read its answers for too long: what waits has an error, then the end."""
+        raise NotImplementedError
+
     def list_as_idle(self) -> None:
         """The connection can make room for others from now on."""
         raise NotImplementedError
@@ -173,7 +177,7 @@
 
 ACTIONS: dict[SessionAction, Callable[[ClientConnection], object]] = {
     SessionAction.ANSWER_LATE: methodcaller("answer_late"),
-    SessionAction.ANSWER_OWED: lambda connection: None,  # `answer_all` does it: it knows the statuses
+    SessionAction.ANSWER_OWED: methodcaller("answer_owed"),
     SessionAction.END_SENDING: methodcaller("_end_sending"),
     SessionAction.WITHDRAW: methodcaller("withdraw"),
     SessionAction.ABORT: methodcaller("_abort"),
--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -26,6 +26,10 @@
 _SERVE = SessionAction.SERVE
 
 
+def _too_late() -> MalformedRequest:
+    return MalformedRequest(408, "the request did not arrive in time")
+
+
 class ClientSession(ClientConnection):
     """One connection of a client: a port of the dispatch, and what the transport calls."""
 
@@ -118,7 +122,7 @@
 
     def answer_late(self) -> None:
         """Answer the half request, behind all that is owed before it."""
-        self.reader.reject(MalformedRequest(408, "the request did not arrive in time"))
+        self.reader.reject(_too_late())
         self.advance()
 
     def list_as_idle(self) -> None:
@@ -165,23 +169,38 @@
         """Answer all that is owed now, in order, and end; nothing more is forwarded.
 
         The statuses are for the request that may have been forwarded, and for those that were not, half a
-        one included.
+        one included; one that has a fault is told of it.
         """
         if not self.lifecycle.open:
             return
         self._withdraw_request()
-        requests = self.reader.requests
         self.reader.take_all()
+        action = self.step(SessionEvent.ANSWER_ALL)
+        if action is SessionAction.ANSWER_OWED:
+            self._answer_owed(in_flight, unsent)
+        elif action is not None:
+            ACTIONS[action](self)
+
+    def answer_owed(self) -> None:
+        """Refuse what waits behind answers that the client does not read; half a request is late."""
+        if self.reader.arriving is not None:
+            self.reader.reject(_too_late())
+        self._answer_owed(503, 503)
+
+    def _answer_owed(self, in_flight: int, unsent: int) -> None:
+        requests, status = self.reader.requests, in_flight
         last = requests[-1] if requests else self.answering
         if last is not None:
             last.keep_alive = False
-        self.handle(SessionEvent.ANSWER_ALL)
-        status = in_flight
         while self.lifecycle.open and (self.answering is not None or requests):
             if self.answering is None:
                 self.step(_SERVICE_WANTED)
                 self.answering, status = requests.popleft(), unsent
-            self.answer(status, response.error_body(status))
+            fault = self.answering.fault
+            if fault is None:
+                self.answer(status, response.error_body(status))
+            else:
+                self.answer(fault.status, str(fault).encode() + b"\n")
         if self.lifecycle.open:
             self.drop()
 
--- a/tests/net/test_stalled_clients.py
+++ b/tests/net/test_stalled_clients.py
@@ -1,12 +1,16 @@
 """Clients that stop in the middle of a request and stay, and those that are only slow."""
 
 import select
+import socket
 import time
 import unittest
+from pathlib import Path
 
 from tests.net.test_client_cancellation import LeavingCase, raw
+from tests.support.node_case import WAIT
 
 OWED = 3.0  # seconds within which a client that has stopped gets its error or the close
+BIG = 200_000  # bytes of an answer
 SOON = 2.0  # a client that is slow is not taken for one that has stopped
 
 
@@ -101,6 +105,51 @@
         self.assertIn(b" 200 ", sock.recv(4096))
 
 
+class NotReading(LeavingCase):
+    """Clients that leave half a request behind answers that they do not read."""
+
+    def stuck(self) -> socket.socket:
+        """A client whose first answer is stuck at the node, one whole request and a half behind it."""
+        sock, half = socket.socket(), 60
+        self.addCleanup(sock.close)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 500)  # so the system holds little for it
+        sock.connect(("127.0.0.1", self.port))
+        sock.settimeout(WAIT)
+        sock.sendall(raw(1) + raw(2)[:half])
+        self.servers[0].next().done("x" * BIG)
+        self.wait_for(lambda: select.select([sock], [], [], 0)[0])
+        sock.sendall(raw(2)[half:] + raw(3)[:half])
+        return sock
+
+    def test_half_a_request_behind_them_is_told_too(self):
+        """Nothing ever ended such a session: its error waited for the client to read, without a bound."""
+        sock = self.stuck()
+        stopped = time.monotonic()
+        self.wait_for(lambda: time.monotonic() > stopped + OWED)
+        text = b""
+        while chunk := sock.recv(1 << 20):
+            text += chunk
+        statuses = [int(part[:3]) for part in text.split(b"HTTP/1.1 ")[1:]]
+        self.assertEqual(statuses, [200, 503, 408])
+        self.assertNotIn(b"Retry-After", text)  # it is not the balancer that refuses
+        self.assertEqual(text.count(b"x"), BIG)
+        self.assertTrue(self.servers[0].asked.empty())  # no work for a client that does not read
+
+    def test_one_that_never_reads_holds_no_place(self):
+        sock = self.stuck()
+        stopped = time.monotonic()
+        self.assertTrue(self.held_by_node(sock))
+        self.wait_for(lambda: not self.held_by_node(sock))
+        self.assertLess(time.monotonic() - stopped, OWED + 1.5)  # the error has 1 s to leave
+
+    def held_by_node(self, sock: socket.socket) -> bool:
+        """Whether the node still holds its end: the system lists one without an owner with no inode."""
+        ends = [f"0100007F:{port:04X}" for port in (self.port, sock.getsockname()[1])]
+        rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()]
+        return any(row[1:3] == ends and row[9] != "0" for row in rows)
+
+
 class MakingRoom(LeavingCase):
     """At the bound, new sessions in the middle of their first request make room, if they have stopped."""
 
