--- a/cedarmill/net/clients/connection.py
+++ b/cedarmill/net/clients/connection.py
@@ -11,6 +11,7 @@
 from cedarmill.core.client_session import SessionLifecycle
 from cedarmill.core.client_session_events import SessionAction, SessionEvent
 from cedarmill.core.timers import Timer
+from cedarmill.log import log_event
 from cedarmill.net.clients import limits
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.net.socket_state import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
@@ -48,6 +49,10 @@
         """The client has not read its answers for too long: what waits has an error, then the end."""
         raise NotImplementedError
 
+    def abort(self) -> None:
+        """Something raised: what was read has an error, then the end."""
+        raise NotImplementedError
+
     def list_as_idle(self) -> None:
         """The connection can make room for others from now on."""
         raise NotImplementedError
@@ -82,11 +87,19 @@
 
     def _deadline_passed(self, now: int) -> None:
         self._deadline_at = None
-        self.handle(SessionEvent.DEADLINE_PASSED)
+        self.guarded(lambda: self.handle(SessionEvent.DEADLINE_PASSED))
 
     def _hang_up_check_due(self, now: int) -> None:
         self._hang_up_check_at = None
-        self.handle(SessionEvent.HANG_UP_CHECK_DUE)
+        self.guarded(lambda: self.handle(SessionEvent.HANG_UP_CHECK_DUE))
+
+    def guarded(self, call: Callable[[], object]) -> None:
+        """Make a call that the transport did not ask for: an exception costs this connection only."""
+        try:
+            call()
+        except Exception:
+            log_event("defect", True, what="a turn of a session")
+            self.abort()
 
     def _check_unread(self) -> None:
         self.handle(SessionEvent.BYTES_UNREAD if self.unread() else SessionEvent.NOTHING_UNREAD)
--- a/cedarmill/net/clients/server.py
+++ b/cedarmill/net/clients/server.py
@@ -162,7 +162,7 @@
     def answer_all(self, now: int) -> None:
         """The process may be killed soon: whoever still waits is answered now."""
         for session in list(self.sessions):
-            session.answer_before_kill()
+            session.guarded(session.answer_before_kill)
 
     def _full(self) -> bool:
         return len(self.sessions) + self._acceptor.opening >= self.bound
@@ -170,7 +170,7 @@
     def close_idle(self) -> None:
         """End the sessions that hold no request, nor one that has come and is not read yet."""
         for session in [session for session in self.sessions if session.idle and not session.unread()]:
-            session.end_if_idle()
+            session.guarded(session.end_if_idle)
 
     def all_gone(self) -> bool:
         """Whether no session is left, nor one that opens or waits: whatever was answered has also left."""
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -182,26 +182,62 @@
 
 
 class Defect(unittest.TestCase):
-    def test_a_callback_that_raises_leaves_no_request_without_its_answer(self):
-        """The session was reset, whatever it owed."""
+    """What raises in one session costs that session only."""
+
+    def setUp(self) -> None:
         loop = SimpleNamespace(call_later=lambda delay, call: SimpleNamespace(cancel=lambda: None))
-        clients = ClientServer(EventLoopDriver(loop, Timers()), settings(SAFE), 8, DeadlineOptions())
-        clients.dispatch, request = Mock(), Mock(answered=False)
+        self.timers, self.sock = Timers(), socket.socket()
+        self.addCleanup(self.sock.close)
+        self.sock.bind(("127.0.0.1", 0))
+        self.clients = clients = ClientServer(
+            EventLoopDriver(loop, self.timers), settings(SAFE), 8, DeadlineOptions()
+        )
+        clients.dispatch, request = Mock(), Mock(answered=False, attempts=[])
         clients.dispatch.deadline_tracker.margins.for_answer.return_value = 0
         clients.dispatch.arrive.return_value = request
         clients.classes = {"pin": 0}
-        session, transport = ClientSession(clients), FakeTransport()
-        clients.add, clients.remove = Mock(), Mock()
-        with socket.socket() as sock, self.assertLogs("cedarmill", "ERROR"):
-            transport.sock = sock
-            sock.bind(("127.0.0.1", 0))
-            session.client_left = lambda: False
-            session.connection_made(transport)
+        clients._acceptor = Mock()
+
+    def opened(self) -> tuple[ClientSession, FakeTransport]:
+        session, transport = ClientSession(self.clients), FakeTransport()
+        transport.sock = self.sock
+        session.client_left = lambda: False
+        session.connection_made(transport)
+        return session, transport
+
+    def test_a_callback_that_raises_leaves_no_request_without_its_answer(self):
+        """The session was reset, whatever it owed."""
+        session, transport = self.opened()
+        with self.assertLogs("cedarmill", "ERROR"):
             session.pause = Mock(side_effect=KeyError)
             session.data_received(raw(1) + raw(2) + raw(3)[:20])
         self.assertEqual(transport.text.count(b"HTTP/1.1 500"), 3)
         self.assertEqual(transport.text.count(b"Connection: close"), 1)
-        clients.dispatch.withdraw.assert_called_once()
+        self.clients.dispatch.withdraw.assert_called_once()
+
+    def test_before_the_kill_one_that_raises_leaves_no_other_without_its_answer(self):
+        """Sessions are answered one after the other: the rest were left to the kill."""
+        sessions = [self.opened() for _ in range(3)]
+        for number, (session, _) in enumerate(sessions):
+            session.data_received(raw(number))
+            session.answer_before_kill = Mock(side_effect=KeyError, wraps=session.answer_before_kill)
+        whole = sessions[0][0]
+        del whole.answer_before_kill
+        self.clients.sessions = [sessions[1][0], sessions[2][0], whole]  # in this order
+        with self.assertLogs("cedarmill", "ERROR"):
+            self.clients.answer_all(self.clients.driver.now())
+        for _, transport in sessions:
+            self.assertRegex(transport.text, rb"HTTP/1.1 50[03] ")
+
+    def test_a_timer_that_raises_leaves_no_session_without_an_end(self):
+        """Its deadline had fired: nothing would have ended it."""
+        session, transport = self.opened()
+        session.data_received(raw(1)[:20])
+        session.unread = Mock(side_effect=KeyError)
+        with self.assertLogs("cedarmill", "ERROR"):
+            for due in self.timers.sweep(session.lifecycle.deadline):
+                due(session.lifecycle.deadline)
+        self.assertIn(b"HTTP/1.1 500", transport.text)
 
 
 if __name__ == "__main__":
