--- a/cedarmill/net/discovery/list_stream.py
+++ b/cedarmill/net/discovery/list_stream.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cedarmill.net.config import Endpoint, Listing
+from cedarmill.net.discovery.endpoints import Endpoint, Listing
 
 MAX_LIST = 4 * 1024 * 1024  # bytes of one list
 _LISTING = msgspec.json.Decoder(Listing)
@@ -41,14 +41,15 @@
 def decode_listing(text: bytes) -> Listing:
     """One list; an entry that cannot be read spoils itself only. Raises ValueError or Incomplete."""
     try:
-        return _decode(_LISTING, text)
+        listing: Listing = _decode(_LISTING, text)
+        return listing
     except _WrongShape:
         loose = _decode(_LOOSE, text)
     entries = [_decode_entry(bytes(raw)) for raw in loose.endpoints]
     return Listing(loose.index, loose.snapshot, [entry for entry in entries if entry is not None])
 
 
-def _decode(decoder: msgspec.json.Decoder, text: bytes) -> Any:
+def _decode(decoder: msgspec.json.Decoder[Any], text: bytes) -> Any:
     try:
         return decoder.decode(text)
     except msgspec.ValidationError as error:
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -144,7 +144,7 @@
         self.hands.start()
         if self.inherited is not None:  # a second process can be started beside this one
             self.keeper.start()  # before the list: an heir asks discovery at once
-        self.discovery.first(self.config.known)
+        self.discovery.start(self.config.known)
         if self.fleet is not None:
             self.fleet.start()
         if self.inherited is not None:
--- a/cedarmill/net/upgrade/warm_state.py
+++ b/cedarmill/net/upgrade/warm_state.py
@@ -11,8 +11,8 @@
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.snapshot import Snapshot, restore, restore_executor, take_snapshot
 from cedarmill.log import log_event
-from cedarmill.net.config import Start
 from cedarmill.net.discovery.client import DiscoveryClient
+from cedarmill.net.discovery.endpoints import ExecutorStart
 from cedarmill.net.loop import EventLoopDriver, clock_reading
 from cedarmill.net.upgrade.state_file import InPlaceStateFile, state_file_path
 
@@ -82,10 +82,10 @@
         self.pending, self.pending_until = memory, now + LATE_US
         log_event("warm-state-restored", workers=len(memory.executors), age=age / 1e6)
         self.discovery.inherit(
-            {name: Start(stamp, written - ago) for name, (stamp, ago) in memory.starts.items()},
+            {name: ExecutorStart(stamp, written - ago) for name, (stamp, ago) in memory.starts.items()},
             None if memory.list_age_us is None else written - memory.list_age_us,
         )
-        self.discovery.heard = lambda: self._lay(written)
+        self.discovery.on_change = lambda: self._lay(written)
 
     def _lay(self, written: int) -> None:
         """Lay over each executor that is listed by now; the rest waits a little for the next list."""
@@ -93,7 +93,7 @@
         for name in [name for name in self.pending.executors if numbers.get(name) in workers]:
             restore_executor(workers[numbers[name]], self.pending.executors.pop(name), written)
         if not self.pending.executors or self.driver.now() > self.pending_until:
-            self.discovery.heard = None
+            self.discovery.on_change = None
 
     def _keep(self, now: int) -> None:
         """The one chain of writings; a process that ends leaves the file to the one that replaces it."""
--- a/cedarmill/net/upstream/pool.py
+++ b/cedarmill/net/upstream/pool.py
@@ -7,7 +7,8 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import Outcome
 from cedarmill.log import log_event
-from cedarmill.net.config import Address, Endpoint
+from cedarmill.net.config import Address
+from cedarmill.net.discovery.endpoints import Endpoint
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.net.upstream.connection import UpstreamConnection
 from cedarmill.net.upstream.exchange import (
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -10,7 +10,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import DeduplicationScope, Outcome
-from cedarmill.net.config import Endpoint, ListReader
+from cedarmill.net.discovery.endpoints import Endpoint, EndpointReader
 from tests.support.builders import entry, keyed, settings
 
 
@@ -244,10 +244,10 @@
         self.assertEqual(timers.next_due, 40)
 
 
-class ListReaderTest(unittest.TestCase):
+class EndpointReaderTest(unittest.TestCase):
     def test_starts_are_told_on_the_clock_of_the_brain(self):
         """0 stays 0 (long ago), and the same start is the same number in each list: no false restart."""
-        reader = ListReader(settings())
+        reader = EndpointReader(settings())
         unix_ms = time.time_ns() // 1_000_000
         endpoint = Endpoint("s-1", "SERVING", since_ms=unix_ms)
         now = time.monotonic_ns() // 1000
@@ -258,7 +258,7 @@
 
     def test_each_zone_that_the_settings_do_not_name_is_one_of_its_own(self):
         """Repeats of a keyed job are dropped within a zone only: two zones must not look like one."""
-        reader = ListReader(settings(zones=("here",)))
+        reader = EndpointReader(settings(zones=("here",)))
         zones = [
             reader.entry(Endpoint("s", "SERVING", zone=zone), 1).zone for zone in ("here", "x", "y", "x")
         ]
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -7,8 +7,9 @@
 from cedarmill.core.discovery_watch import WatchEvent, WatchState
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
-from cedarmill.net.config import Address, Endpoint, Listing
-from cedarmill.net.discovery.client import QUIET_US, DiscoveryClient
+from cedarmill.net.config import Address
+from cedarmill.net.discovery.client import WATCH_LOST_QUIET_US, DiscoveryClient
+from cedarmill.net.discovery.endpoints import Endpoint, Listing
 from tests.support.builders import settings
 
 
@@ -36,7 +37,7 @@
     def lose(self, at: int) -> None:
         """The watch that is up, or that opens, breaks; then it is asked for anew, at its deadline."""
         self.driver.now.return_value = at
-        self.discovery.happened(WatchEvent.CALL_FAILED, "silence")
+        self.discovery.on_watch_event(WatchEvent.CALL_FAILED, "silence")
         due = self.driver.timers.next_due
         self.driver.now.return_value = due
         for call in self.driver.timers.sweep(due):
@@ -46,9 +47,9 @@
     def flap(self, at: int) -> None:
         self.driver.now.return_value = at
         self.discovery.watch()
-        self.discovery.happened(WatchEvent.CONNECTED)
-        self.discovery.happened(WatchEvent.DATA_RECEIVED)
-        self.discovery.news(Listing(1, False, []))
+        self.discovery.on_watch_event(WatchEvent.CONNECTED)
+        self.discovery.on_watch_event(WatchEvent.DATA_RECEIVED)
+        self.discovery.on_listing(Listing(1, False, []))
         self.lose(at)
 
     def test_the_log_has_one_line_and_not_two_a_second(self) -> None:
@@ -60,14 +61,14 @@
     def test_a_loss_that_lasts_is_told_in_the_end(self) -> None:
         self.flap(1)
         self.flap(2)
-        self.lose(QUIET_US + 2)
+        self.lose(WATCH_LOST_QUIET_US + 2)
         self.assertEqual(self.lines, ["watching", "watch-lost", "watching", "watch-lost"])
 
     def test_a_call_that_the_fleet_has_no_budget_for_waits_as_a_failed_one(self) -> None:
         self.discovery.dispatch.may_call_discovery.return_value = False
         self.flap(1)
         self.assertIsNone(self.discovery.connection)
-        self.assertIs(self.discovery.watching.state, WatchState.WAITING)
+        self.assertIs(self.discovery.watch_machine.state, WatchState.WAITING)
 
 
 S = 1_000_000
@@ -83,7 +84,7 @@
         self.driver, self.now, self.step_s = mock.Mock(), 10_000 * S, 0
         self.driver.now.side_effect = lambda: self.now
         for name, value in (("unix_us", self.unix_us), ("EventLoopDriver", self.driver)):
-            patch = mock.patch(f"cedarmill.net.config.{name}", value)
+            patch = mock.patch(f"cedarmill.net.discovery.endpoints.{name}", value)
             patch.start()
             self.addCleanup(patch.stop)
 
@@ -95,8 +96,8 @@
         self.step_s = step_s
         self.discovery = DiscoveryClient(self.driver, settings(), Address("127.0.0.1", 1), mock.Mock())
         self.discovery.dispatch = mock.Mock()
-        self.discovery.told = True
-        self.discovery.first(self.listing({"s-1": 0}))
+        self.discovery.logged_watching = True
+        self.discovery.start(self.listing({"s-1": 0}))
 
     def listing(self, starts: dict[str, int], snapshot: bool = True) -> Listing:
         """By name, how long ago in truth each has started (us); 0: long ago."""
@@ -107,7 +108,7 @@
 
     def ages(self, starts: dict[str, int], snapshot: bool = True) -> dict[str, int]:
         """Discovery tells this list; how old (us) the module then takes each for."""
-        self.discovery.news(self.listing(starts, snapshot))
+        self.discovery.on_listing(self.listing(starts, snapshot))
         entries, names = (
             self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries,
             self.discovery.reader.names,
@@ -200,12 +201,12 @@
         self.discovery = DiscoveryClient(self.driver, settings(), Address("127.0.0.1", 1), mock.Mock())
         self.discovery.dispatch = mock.Mock()
         self.discovery.reader._first_offset_us = 0  # Unix time counts from the clock's start
-        self.discovery.told = True
+        self.discovery.logged_watching = True
         self.list(since_ms=1_000)
 
     def list(self, **fields) -> None:
         entry = Endpoint("s-1", "SERVING", "127.0.0.1:1", **fields)
-        self.discovery.news(Listing(1, True, [entry]))
+        self.discovery.on_listing(Listing(1, True, [entry]))
 
     def heard(self) -> api.EndpointEntry:
         return self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries[-1]
@@ -235,7 +236,7 @@
 
     def test_back_in_after_the_list_dropped_it_nothing_is_told(self) -> None:
         self.discovery.mark({"s-1": 50_000_000})
-        self.discovery.news(Listing(2, True, []))
+        self.discovery.on_listing(Listing(2, True, []))
         before = self.discovery.dispatch.on_endpoint_list.call_count
         self.discovery.mark({})
         self.assertEqual(self.discovery.dispatch.on_endpoint_list.call_count, before)
