--- a/cedarmill/net/upgrade/state_file.py
+++ b/cedarmill/net/upgrade/state_file.py
@@ -1,7 +1,7 @@
-"""A small document kept in a file that outlives the process: written whole or not at all, read when changed.
+"""A small document in a file that outlives the process: written whole or not at all, read when changed.
 
 Two processes of one node (an old one and its replacement) share the folder; each writes its own temporary
-file and renames it over the kept one, so neither ever reads the other's half-written bytes.
+file and renames it over the document, so neither ever reads the other's half-written bytes.
 
 All of it runs on the loop's thread, so nothing here waits for another process, and only regular files of a
 bounded size are read. `$TMPDIR` is taken for a local file system: the calls themselves cannot be bounded.
@@ -17,7 +17,7 @@
 
 def state_file_path(node: str, kind: str) -> str:
     """Of a node's document of that kind, in `$TMPDIR`: its processes share that, and an upgrade leaves it."""
-    safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in node)
+    safe = "".join(char if char.isalnum() or char in "-_." else "_" for char in node)
     return os.path.join(os.environ.get("TMPDIR") or "/tmp", f"cedarmill-{safe}-{kind}.json")
 
 
@@ -51,9 +51,9 @@
 
 
 class StateFile:
-    """One kept document; `read` gives it only when the file changed since this process last saw it."""
+    """One document; `read` gives it only when the file changed since this process last saw it."""
 
-    MOST = 1024 * 1024  # bytes of a document: what is larger is none of ours, and is not read
+    MAX_BYTES = 1024 * 1024  # of a document: what is larger is none of ours, and is not read
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -69,9 +69,9 @@
             return None
         try:
             seen = os.fstat(file)
-            if seen.st_size > self.MOST:
+            if seen.st_size > self.MAX_BYTES:
                 raise OSError(errno.EFBIG, os.strerror(errno.EFBIG), self.path)
-            text = _read_all(file, self.MOST, 0)
+            text = _read_all(file, self.MAX_BYTES, 0)
         finally:
             os.close(file)
         self._seen = _identity(seen)
@@ -108,8 +108,8 @@
         self._seen = seen
 
 
-def _identity(found: os.stat_result) -> tuple[int, int, int]:
-    return found.st_ino, found.st_size, found.st_mtime_ns
+def _identity(stat_result: os.stat_result) -> tuple[int, int, int]:
+    return stat_result.st_ino, stat_result.st_size, stat_result.st_mtime_ns
 
 
 class InPlaceStateFile:
@@ -119,13 +119,13 @@
     against 0.03 ms and 0.08 ms in place. A half may be found torn: its checksum tells, and the other holds.
     """
 
-    HALF = 512 * 1024  # bytes of the file for each half; only what is written takes room
-    HEAD = 8  # bytes: the length, and a line's end
+    HALF_BYTES = 512 * 1024  # of the file for each half; only what is written takes room
+    HEADER_BYTES = 8  # the length, and a line's end
 
     def __init__(self, path: str) -> None:
         self.path = path
         self._file = -1
-        self._turn = 0
+        self._next_half = 0
         self._claimed = False
 
     def texts(self) -> list[bytes]:
@@ -134,25 +134,25 @@
             self._open(os.O_RDWR)
         except FileNotFoundError:
             return []
-        return [text for half in range(2) if (text := self._half(half * self.HALF))]
+        return [text for half in range(2) if (text := self._half(half * self.HALF_BYTES))]
 
     def _half(self, at: int) -> bytes:
-        head = _read_all(self._file, self.HEAD, at)
+        head = _read_all(self._file, self.HEADER_BYTES, at)
         length = int(head) if head.strip().isdigit() else 0
-        return _read_all(self._file, min(length, self.HALF - self.HEAD), at + self.HEAD)
+        return _read_all(self._file, min(length, self.HALF_BYTES - self.HEADER_BYTES), at + self.HEADER_BYTES)
 
     def write(self, text: bytes) -> None:
         """Put the document into the half not written last; raises OSError, and that half is then torn.
 
         The next document goes there again, so that the other half holds till one is whole.
         """
-        if len(text) > self.HALF - self.HEAD:
+        if len(text) > self.HALF_BYTES - self.HEADER_BYTES:
             raise OSError(errno.EFBIG, os.strerror(errno.EFBIG), self.path)
         if self._file >= 0 and not os.fstat(self._file).st_nlink:
             self.close()  # removed under us: what is written there nobody would read
         self._open(os.O_RDWR | os.O_CREAT)
-        _write_all(self._file, b"%07d\n" % len(text) + text, self._turn * self.HALF)
-        self._turn = 1 - self._turn
+        _write_all(self._file, b"%07d\n" % len(text) + text, self._next_half * self.HALF_BYTES)
+        self._next_half = 1 - self._next_half
 
     def claim(self) -> None:
         """Show that this process lives, whatever it can write, by a lock that ends with it.
@@ -192,7 +192,7 @@
         self._claimed = False
 
     def remove(self) -> None:
-        """Nothing is kept any longer."""
+        """Close the file and take it away."""
         self.close()
         _remove(self.path)
 
--- a/cedarmill/net/upgrade/warm_state.py
+++ b/cedarmill/net/upgrade/warm_state.py
@@ -1,6 +1,6 @@
-"""Keeps what the module learned where the node's next process finds it, and takes it up at the start.
+"""Saves what the balancer learned where the node's next process finds it, and takes it up at the start.
 
-Only where the platform holds the clients' socket: there a second process can be started beside this one.
+Only where the platform holds the clients' socket: a second process can be started there next to the first.
 """
 
 from collections.abc import Callable
@@ -17,100 +17,96 @@
 from cedarmill.net.upgrade.state_file import InPlaceStateFile, state_file_path
 
 KIND = "memory"
-KEEP_US = 500_000  # between two writings: a replaced process hands over news that are at most that old
-MOST_US = 30_000_000  # an older document is not believed: in that time a fleet can be another one
-LATE_US = 3_000_000  # for the first lists to name the executors that the document tells of
+SAVE_INTERVAL_US = 500_000  # what a replaced process hands over is at most that old
+MAX_AGE_US = 30_000_000  # an older document is not believed: executors may all be others by then
+LISTING_GRACE_US = 3_000_000  # for the first lists to name the executors that the document tells of
 
 
-class _Kept(Snapshot, omit_defaults=True):
-    """The module's memory, and what this process knows of the executors' starts.
+class WarmState(Snapshot, omit_defaults=True):
+    """What the balancer learned, and what this process knows of the executors' starts.
 
-    Kept apart from the module's: a stamp of discovery that the next process reads by a wall clock stepped
-    meanwhile would make an executor younger or older. Older programs pass over these fields.
+    The starts stand apart from the balancer's: a stamp of discovery that the next process reads by a wall
+    clock stepped meanwhile would make an executor younger or older. Older programs pass over these fields.
     """
 
     starts: dict[str, tuple[int, int]] = {}  # discovery's stamp (Unix ms) and the start's age, by name
     list_age_us: int | None = None  # since discovery's list was last known to be the newest
 
 
-_DECODE = msgspec.json.Decoder(_Kept)
+_DECODER = msgspec.json.Decoder(WarmState)
 
 
 class WarmStateSaver:
-    """Writes the document again and again, and lays one found at the start over a new brain."""
+    """Writes the document again and again, and lays one found at the start over a new balancer."""
 
     def __init__(
         self,
         driver: EventLoopDriver,
-        brain: Balancer,
+        balancer: Balancer,
         discovery: DiscoveryClient,
         node: str,
-        ending: Callable[[], bool],
+        is_ending: Callable[[], bool],
     ) -> None:
-        self.driver, self.brain, self.discovery, self.node, self.ending = (
-            driver,
-            brain,
-            discovery,
-            node,
-            ending,
-        )
-        self.kept = InPlaceStateFile(state_file_path(node, KIND))
-        self.pending: Snapshot | None = None  # what of a document still waits for its executors to be listed
+        self.driver, self.balancer, self.discovery, self.node = driver, balancer, discovery, node
+        self.is_ending = is_ending
+        self.file = InPlaceStateFile(state_file_path(node, KIND))
+        self.pending: Snapshot | None = None  # what still waits for its executors to be listed
         self.pending_until = 0
 
     def start(self) -> None:
-        """Take up what the process before this one left; from then on keep one's own."""
+        """Take up what the process before this one left; from then on save one's own."""
         now = self.driver.now()
         try:
-            if texts := self.kept.texts():
+            if texts := self.file.texts():
                 self._take_up(texts, now)
         except (OSError, ValueError) as error:
             log_event("warm-state-unread", reason=error)
-        self.driver.timers.add(now + KEEP_US, self._keep)
+        self.driver.timers.add(now + SAVE_INTERVAL_US, self._save)
 
     def _take_up(self, texts: list[bytes], now: int) -> None:
-        here = clock_reading(now)
-        written_at, body = sealed_document.unseal_newest(texts, KIND, self.node, here)
-        age = sealed_document.age_us(written_at, here, MOST_US)
+        clock = clock_reading(now)
+        written_at, body = sealed_document.unseal_newest(texts, KIND, self.node, clock)
+        age = sealed_document.age_us(written_at, clock, MAX_AGE_US)
         try:
-            memory = _DECODE.decode(body)
+            state = _DECODER.decode(body)
         except msgspec.MsgspecError as error:
             raise ValueError(str(error)) from None
         written = now - age
-        if not restore(self.brain, memory, written):
+        if not restore(self.balancer, state, written):
             raise ValueError("of other settings: classes or tenants differ")
-        self.pending, self.pending_until = memory, now + LATE_US
-        log_event("warm-state-restored", workers=len(memory.executors), age=age / 1e6)
+        self.pending, self.pending_until = state, now + LISTING_GRACE_US
+        log_event("warm-state-restored", workers=len(state.executors), age=age / 1e6)
         self.discovery.inherit(
-            {name: ExecutorStart(stamp, written - ago) for name, (stamp, ago) in memory.starts.items()},
-            None if memory.list_age_us is None else written - memory.list_age_us,
+            {name: ExecutorStart(stamp, written - ago) for name, (stamp, ago) in state.starts.items()},
+            None if state.list_age_us is None else written - state.list_age_us,
         )
-        self.discovery.on_change = lambda: self._lay(written)
+        self.discovery.on_change = lambda: self._restore_listed(written)
 
-    def _lay(self, written: int) -> None:
+    def _restore_listed(self, written: int) -> None:
         """Lay over each executor that is listed by now; the rest waits a little for the next list."""
-        numbers, workers = self.discovery.reader.numbers, self.brain.executors
-        for name in [name for name in self.pending.executors if numbers.get(name) in workers]:
-            restore_executor(workers[numbers[name]], self.pending.executors.pop(name), written)
-        if not self.pending.executors or self.driver.now() > self.pending_until:
+        numbers, executors = self.discovery.reader.numbers, self.balancer.executors
+        pending = self.pending.executors if self.pending is not None else {}
+        for name in [name for name in pending if numbers.get(name) in executors]:
+            restore_executor(executors[numbers[name]], pending.pop(name), written)
+        if not pending or self.driver.now() > self.pending_until:
             self.discovery.on_change = None
 
-    def _keep(self, now: int) -> None:
+    def _save(self, now: int) -> None:
         """The one chain of writings; a process that ends leaves the file to the one that replaces it."""
-        if self.ending():
+        if self.is_ending():
             return
-        self.driver.timers.add(now + KEEP_US, self._keep)
+        self.driver.timers.add(now + SAVE_INTERVAL_US, self._save)
         try:
-            self.kept.write(sealed_document.seal(KIND, self.node, clock_reading(now), self._body(now)))
+            self.file.write(sealed_document.seal(KIND, self.node, clock_reading(now), self._body(now)))
         except OSError as error:
             log_event("warm-state-not-saved", reason=error)
 
     def _body(self, now: int) -> bytes:
         discovery = self.discovery
-        memory = take_snapshot(self.brain, discovery.reader.names, now)
+        snapshot = take_snapshot(self.balancer, discovery.reader.names, now)
         listed = (discovery.reader.names[number] for number in discovery.entries)
         known = ((name, start) for name in listed if (start := discovery.reader.starts.get(name)))
         starts = {name: (start.since_ms, now - start.at_us) for name, start in known}
         list_age = None if discovery.current_at is None else now - discovery.current_at
-        fields = {name: getattr(memory, name) for name in Snapshot.__struct_fields__}
-        return msgspec.json.encode(_Kept(**fields, starts=starts, list_age_us=list_age))
+        fields = {name: getattr(snapshot, name) for name in Snapshot.__struct_fields__}
+        return msgspec.json.encode(WarmState(**fields, starts=starts, list_age_us=list_age))
--- a/tests/net/test_sibling_faults.py
+++ b/tests/net/test_sibling_faults.py
@@ -14,7 +14,7 @@
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.timers import Timers
 from cedarmill.net.loop import EventLoopDriver, boot_id
-from cedarmill.net.upgrade.sibling import ALONE_US, GONE_US, SILENT_US, SiblingProcess
+from cedarmill.net.upgrade.sibling import GONE_US, LOOK_ALONE_US, SILENT_US, SiblingProcess
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.net.test_upgrade import LearnedSlots
 from tests.support.faulty_node_case import FaultyNodeCase
@@ -180,7 +180,7 @@
     def pass_by(self, span_us: int) -> None:
         until = self.now + span_us
         while self.now < until:
-            self.now += ALONE_US
+            self.now += LOOK_ALONE_US
             for call in self.timers.sweep(self.now):
                 call(self.now)
 
@@ -192,7 +192,7 @@
         self.assertEqual(self.usage(), [(4, 5.0, 1.0)])
         self.assertEqual(self.shared, [[ConnectionCounts(3, 5)]])
         os.close(self.owner)
-        self.pass_by(ALONE_US * 2)
+        self.pass_by(LOOK_ALONE_US * 2)
         self.assertEqual(self.usage()[1:], [(4, 0.0, 0.0)])
         self.assertEqual(self.shared[1:], [[]])
         self.assertFalse(os.path.exists(self.document))
@@ -200,14 +200,14 @@
     def test_what_it_tells_anew_counts_at_once(self):
         self.pass_by(GONE_US)
         write_document(self.document, self.now, slots=2.0)
-        self.pass_by(ALONE_US * 2)
+        self.pass_by(LOOK_ALONE_US * 2)
         self.assertEqual(self.usage(), [(4, 5.0, 1.0), (4, 2.0, 1.0)])
         os.close(self.owner)
 
     def test_a_lock_that_cannot_be_asked_for_counts_as_none(self):
         """A process that nothing shows to live is judged by its signs of life alone."""
         with mock.patch("fcntl.flock", side_effect=OSError(37, "No locks available")):
-            self.pass_by(SILENT_US + ALONE_US * 2)
+            self.pass_by(SILENT_US + LOOK_ALONE_US * 2)
         self.assertEqual(self.usage(), [(4, 5.0, 1.0), (4, 0.0, 0.0)])
         os.close(self.owner)
 
@@ -215,14 +215,14 @@
         os.close(self.owner)
         looker = os.open(self.document, os.O_RDWR)
         fcntl.flock(looker, fcntl.LOCK_SH)
-        self.pass_by(SILENT_US + ALONE_US * 2)
+        self.pass_by(SILENT_US + LOOK_ALONE_US * 2)
         self.assertEqual(self.usage()[1:], [(4, 0.0, 0.0)])
         os.close(looker)
 
     def test_a_document_that_was_removed_is_claimed_anew(self):
-        own = self.process.own.path
+        own = self.process.own_file.path
         os.remove(own)
-        self.pass_by(ALONE_US * 10)
+        self.pass_by(LOOK_ALONE_US * 10)
         with self.assertRaises(BlockingIOError):
             claim(own)
         os.close(self.owner)
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -12,9 +12,9 @@
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import EventLoopDriver, boot_id
 from cedarmill.net.node import CHECK_END_US
-from cedarmill.net.upgrade.sibling import ALONE_US, TOGETHER_US
+from cedarmill.net.upgrade.sibling import LOOK_ALONE_US, LOOK_TOGETHER_US
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
-from cedarmill.net.upgrade.warm_state import KEEP_US
+from cedarmill.net.upgrade.warm_state import SAVE_INTERVAL_US
 from tests.support.node_case import WAIT, Asked, Client, NodeCase, call
 from tests.support.slow_clock import SlowClock
 
@@ -199,7 +199,7 @@
             asked.job("done", result="fine", load={"x0": free, "x1": 100.0})
             asked.wire.send("0\r\n\r\n")
             self.assertEqual(client.answer()[0], 200)
-        self.let_pass(KEEP_US)
+        self.let_pass(SAVE_INTERVAL_US)
         self.wait_for(lambda: self.slots() >= free)
 
     def let_pass(self, span_us: int) -> None:
@@ -222,7 +222,7 @@
         held = [self.client().ask("issue", 12_000) for _ in range(5)]  # they outlast a slow start beside them
         asked = [self.servers[0].next() for _ in held]
         told = self.kept(f"out-{self.process.pid}")
-        self.let_pass(ALONE_US)
+        self.let_pass(LOOK_ALONE_US)
         self.wait_for(lambda: any(b"[5.0," in text for text in told.texts()))
         told.close()
         return held, asked
@@ -259,7 +259,7 @@
         self.wait_for(ended)
         self.assertEqual(old.returncode, 0)
         old.stderr.close()
-        self.let_pass(TOGETHER_US)
+        self.let_pass(LOOK_TOGETHER_US)
         self.wait_log("that live: 0")
         client = self.client().ask()
         self.servers[0].next().done()
