--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -112,8 +112,8 @@
         self.process.communicate()
         for left in Path(self.tmpdir.name).iterdir():
             left.unlink()
-        self.director = Server()  # calls of the process killed wait at the first one
-        self.addCleanup(self.director.close)
+        self.discovery = StandInServer()  # calls of the process killed wait at the first one
+        self.addCleanup(self.discovery.close)
         self.plan.step_clock(step)
         self.next_process()
 
