--- a/cedarmill/lab/simulation/exhaustive.py
+++ b/cedarmill/lab/simulation/exhaustive.py
@@ -1,26 +1,37 @@
-"""Every order of small cases: a few happenings, each once, in all orders, and what has to hold after each.
+"""Every order of small cases: a few events, each once, in all orders, and what has to hold after each.
 
-The cases run the real cores, entry by entry. Two happenings are taken in both orders wherever both may
-happen; a state that was reached before with the same happenings left is not gone through again.
+The cases run the real cores, entry by entry. Two events are taken in both orders wherever both may happen; a
+state that was reached before with the same events left is not gone through again.
 """
 
-import hashlib
 from collections.abc import Hashable, Iterator, Sequence
-from typing import NamedTuple, Protocol
+from typing import NamedTuple, Protocol, Self
 
 
 class Case(Protocol):
     """A small world: it is copied at each branch."""
 
-    def copy(self) -> "Case": ...
-    def may(self, name: str) -> bool: ...
-    def do(self, name: str) -> None: ...
-    def key(self) -> Hashable: ...
-    def broken(self) -> list[str]: ...
+    def copy(self) -> Self:
+        """The same, to be changed by itself."""
 
+    def is_possible(self, event: str) -> bool:
+        """Whether this event may happen next."""
 
-class Explored(NamedTuple):
-    """What was gone through: states, steps, orders that came to their end; the shortest breach, if any."""
+    def happen(self, event: str) -> None:
+        """Let an event happen."""
+
+    def key(self) -> Hashable:
+        """Equal for states from which the same follows."""
+
+    def violations(self) -> list[str]:
+        """What does not hold of this state."""
+
+
+class Exploration(NamedTuple):
+    """What was gone through: states, steps, orders that came to their end; the shortest breach, if any.
+
+    A breach is the events that led there, and the first violation.
+    """
 
     states: int
     steps: int
@@ -28,37 +39,41 @@
     breach: tuple[tuple[str, ...], str] | None
 
 
-def explore(case: Case, names: Sequence[str]) -> Explored:
-    """All orders of these happenings, breadth first: the first breach found is a shortest one."""
-    level: list[tuple[Case, frozenset[int], tuple[str, ...]]] = [(case, frozenset(range(len(names))), ())]
+class _Branch(NamedTuple):
+    """A state on the way, the events that have not happened yet, and those that have."""
+
+    case: Case
+    left: frozenset[int]
+    trail: tuple[str, ...]
+
+
+def explore(case: Case, events: Sequence[str]) -> Exploration:
+    """All orders of these events, breadth first: the first breach found is a shortest one."""
+    level = [_Branch(case, frozenset(range(len(events))), ())]
     states = steps = ends = 0
     while level:
-        after: dict[Hashable, tuple[Case, frozenset[int], tuple[str, ...]]] = {}
-        for world, left, trail in level:
+        reached: dict[Hashable, _Branch] = {}
+        for branch in level:
             states += 1
-            ways = list(_ways(world, names, left))
-            ends += not ways
-            for number, name in ways:
-                then = world.copy()
-                then.do(name)
+            possible = list(_possible_events(branch, events))
+            ends += not possible
+            for number, event in possible:
+                after = branch.case.copy()
+                after.happen(event)
                 steps += 1
-                rest = left - {number}
-                if found := then.broken():
-                    return Explored(states, steps, ends, ((*trail, name), found[0]))
-                after.setdefault((rest, then.key()), (then, rest, (*trail, name)))
-        level = list(after.values())
-    return Explored(states, steps, ends, None)
+                left, trail = branch.left - {number}, (*branch.trail, event)
+                if violations := after.violations():
+                    return Exploration(states, steps, ends, (trail, violations[0]))
+                reached.setdefault((left, after.key()), _Branch(after, left, trail))
+        level = list(reached.values())
+    return Exploration(states, steps, ends, None)
 
 
-def _ways(world: Case, names: Sequence[str], left: frozenset[int]) -> Iterator[tuple[int, str]]:
-    """What may happen next; of happenings of one name the first only, they are alike."""
+def _possible_events(branch: _Branch, events: Sequence[str]) -> Iterator[tuple[int, str]]:
+    """What may happen next; of events of one name the first only, they are alike."""
     seen = set()
-    for number in sorted(left):
-        if names[number] not in seen and world.may(names[number]):
-            seen.add(names[number])
-            yield number, names[number]
-
-
-def hashed(text: bytes) -> bytes:
-    """A short key of a long state."""
-    return hashlib.blake2b(text, digest_size=12).digest()
+    for number in sorted(branch.left):
+        event = events[number]
+        if event not in seen and branch.case.is_possible(event):
+            seen.add(event)
+            yield number, event
--- a/cedarmill/lab/simulation/seeds.py
+++ b/cedarmill/lab/simulation/seeds.py
@@ -7,6 +7,7 @@
 
 DIGEST_BYTES = 16  # of a timeline's hash
 NUMBER_BYTES = 6  # of a stable number
+KEY_BYTES = 12  # of a state in a search
 
 
 def text_generator(*names: object) -> random.Random:
@@ -31,3 +32,8 @@
     for text in texts:
         whole.update(text)
     return whole.hexdigest()
+
+
+def short_hash(text: bytes) -> bytes:
+    """A short key of a long state."""
+    return hashlib.blake2b(text, digest_size=KEY_BYTES).digest()
--- a/cedarmill/lab/simulation/zones/mutants.py
+++ b/cedarmill/lab/simulation/zones/mutants.py
@@ -1,28 +1,34 @@
-"""Planted bugs in evidence, plan and following, each with the incidents in which it shows.
+"""Mutants of evidence, plan and following, each with the incidents in which it shows.
 
-They are here so that the laws of `regions.py` and the small cases are known to bite.
+They are here so that the invariants of zones and the small cases are known to bite.
 """
 
-import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
+from cedarmill.cluster.messages import RouteWeights
 from cedarmill.cluster.observations import assessment, verdicts
-from cedarmill.cluster.observations.digest import WHOLE, share_of
+from cedarmill.cluster.observations.assessment import ClusterAssessment
+from cedarmill.cluster.observations.digest import WHOLE, LocationObservation, share_of
 from cedarmill.cluster.observations.verdicts import GroupFindings, Verdict, ZoneVerdict
 from cedarmill.cluster.plan_follower import PlanFollower
+from cedarmill.cluster.state import ClusterState
 from cedarmill.cluster.traffic_control import ramps, rollout, trust, zone_status
 from cedarmill.cluster.traffic_plan import planner
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.cluster.traffic_plan.planner import Room
+from cedarmill.cluster.traffic_plan.state import WeightRow, WeightTable, ZoneState
 from cedarmill.cluster.traffic_plan.weights import normalized
-from cedarmill.lab.cluster.mutants import Patch, planted_patches
-from cedarmill.lab.simulation.zones import simulation as regions
-from cedarmill.lab.simulation.zones.simulation import breaches
+from cedarmill.lab.cluster.mutants import Patch
+from cedarmill.lab.simulation.hunting import Sighting, Trial, hunt_mutant
+from cedarmill.lab.simulation.zones import leader
+from cedarmill.lab.simulation.zones.incidents import INCIDENTS
+from cedarmill.lab.simulation.zones.results import violations
+from cedarmill.lab.simulation.zones.simulation import play
 
 
-class Bug(NamedTuple):
-    """What stands instead, and the incidents that are played till a law sees it."""
+class Mutant(NamedTuple):
+    """What stands instead, and the incidents that are played till an invariant sees it."""
 
     patches: Callable[[], list[Patch]]
     incidents: tuple[str, ...]
@@ -31,7 +37,7 @@
 def loud_observers_outvote() -> list[Patch]:
     """All tries of a zone's observers in one sum: who sends most decides."""
 
-    def combine(observations):
+    def combine(observations: Sequence[LocationObservation]) -> GroupFindings | None:
         attempts = sum(one.attempts for one in observations)
         unreached = sum(one.unreached for one in observations)
         if not attempts:
@@ -46,10 +52,10 @@
 
 
 def silence_is_loss() -> list[Patch]:
-    """A zone of which nobody tells counts as lost."""
+    """A zone of which nobody reports counts as lost."""
     plain = verdicts.verdict_on
 
-    def verdict_on(zone, findings):
+    def verdict_on(zone: str, findings: dict[str, GroupFindings]) -> ZoneVerdict:
         found = plain(zone, findings)
         return ZoneVerdict(Verdict.LOST, "silent") if found.verdict == Verdict.UNKNOWN else found
 
@@ -60,7 +66,7 @@
     """How old a digest is says nothing."""
     return [
         (assessment, "DIGEST_LIFETIME_US", 90_000_000),
-        (regions, "DIGEST_LIFETIME_US", 90_000_000),
+        (leader, "DIGEST_LIFETIME_US", 90_000_000),
     ]
 
 
@@ -73,7 +79,9 @@
     """A receiver is sent whatever there is, as if it had three times its slots."""
     plain = planner.available_room
 
-    def available_room(layout, zones, found, without=""):
+    def available_room(
+        layout: ZoneLayout, zones: Mapping[str, ZoneState], found: ClusterAssessment, without: str = ""
+    ) -> Room:
         room = plain(layout, zones, found, without)
         return Room({name: 3 * slots for name, slots in room.planned.items()}, room.last_resort)
 
@@ -103,7 +111,7 @@
 def standing_plans_need_all() -> list[Patch]:
     """The plan for a loss is made as if all zones followed it, not only those that notice."""
 
-    def fallbacks(state, plan, found):
+    def fallbacks(state: ClusterState, plan: planner.TrafficPlan, found: ClusterAssessment) -> dict[str, WeightTable]:
         return {
             name: planner.make_plan(state.zoning, state.zones, found, name).weights
             for name in state.zoning.zones
@@ -115,7 +123,7 @@
 def older_plans_followed() -> list[Patch]:
     """A node follows what came last, whatever its epoch."""
 
-    def accept_plan(self, plan):
+    def accept_plan(self: PlanFollower, plan: RouteWeights | None) -> bool:
         self.plan = plan or self.plan
         return plan is not None
 
@@ -126,7 +134,8 @@
     """A zone that operators have emptied is used when others are not reached."""
     plain = PlanFollower.row_without
 
-    def row_without(self, scope, left_out):
+    def row_without(self: PlanFollower, scope: str, left_out: Iterable[str]) -> WeightRow:
+        assert self.plan is not None
         found = plain(self, scope, set(left_out) - self.plan.closed_zones.keys())
         names = [*self.plan.closed_zones] if scope == "any" else []
         return normalized(found | dict.fromkeys(names, WHOLE // 2)) if names else found
@@ -140,40 +149,28 @@
 
 
 MUTANTS = {
-    "loud-observers-outvote": Bug(loud_observers_outvote, ("loud",)),
-    "silence-is-loss": Bug(silence_is_loss, ("blind", "late-10")),
-    "late-news-are-new": Bug(late_news_are_new, ("late-30",)),
-    "masses-are-believed": Bug(masses_are_believed, ("lying",)),
-    "room-not-kept": Bug(room_not_kept, ("doubles", "zone-dies")),
-    "residency-forgotten": Bug(residency_forgotten, ("zone-dies",)),
-    "no-dwell": Bug(no_dwell, ("flaps",)),
-    "back-at-once": Bug(back_at_once, ("returns",)),
-    "moves-at-once": Bug(moves_at_once, ("doubles", "gray")),
-    "standing-plans-need-all": Bug(standing_plans_need_all, ("keepers-gone-full",)),
-    "older-plans-followed": Bug(older_plans_followed, ("returns", "flaps")),
-    "shut-zones-in-need": Bug(shut_zones_in_need, ("zone-dies-drained",)),
-    "slots-believed-as-claimed": Bug(slots_believed_as_claimed, ("lies",)),
+    "loud-observers-outvote": Mutant(loud_observers_outvote, ("loud",)),
+    "silence-is-loss": Mutant(silence_is_loss, ("blind", "late-10")),
+    "late-news-are-new": Mutant(late_news_are_new, ("late-30",)),
+    "masses-are-believed": Mutant(masses_are_believed, ("lying",)),
+    "room-not-kept": Mutant(room_not_kept, ("doubles", "zone-dies")),
+    "residency-forgotten": Mutant(residency_forgotten, ("zone-dies",)),
+    "no-dwell": Mutant(no_dwell, ("flaps",)),
+    "back-at-once": Mutant(back_at_once, ("returns",)),
+    "moves-at-once": Mutant(moves_at_once, ("doubles", "gray")),
+    "standing-plans-need-all": Mutant(standing_plans_need_all, ("keepers-gone-full",)),
+    "older-plans-followed": Mutant(older_plans_followed, ("returns", "flaps")),
+    "shut-zones-in-need": Mutant(shut_zones_in_need, ("zone-dies-drained",)),
+    "slots-believed-as-claimed": Mutant(slots_believed_as_claimed, ("lies",)),
 }
 
 
-class Found(NamedTuple):
-    """By which law a bug was seen first, in which incident, with which seed, after how long (s); seed -1:
-    never.
-    """
+def _violations(trial: Trial) -> list[str]:
+    return violations(play(trial.incident, trial.seed, "agreed"), INCIDENTS[trial.incident])
 
-    bug: str
-    law: str
-    incident: str
-    seed: int
-    seconds: float
 
-
-def hunt(name: str, seeds: Sequence[int]) -> Found:
-    """Play the bug's incidents till a law sees it."""
-    bug, began = MUTANTS[name], time.monotonic()
-    with planted_patches(bug.patches()):
-        for seed in seeds:
-            for incident in bug.incidents:
-                if found := breaches(regions.run(incident, seed, "agreed"), incident):
-                    return Found(name, found[0], incident, seed, round(time.monotonic() - began, 2))
-    return Found(name, "", "", -1, round(time.monotonic() - began, 2))
+def hunt(name: str, seeds: Sequence[int]) -> Sighting:
+    """Play the mutant's incidents till an invariant sees it."""
+    mutant = MUTANTS[name]
+    trials = [Trial(incident, seed) for seed in seeds for incident in mutant.incidents]
+    return hunt_mutant(name, mutant.patches(), trials, _violations)
--- a/tests/cluster/test_traffic_plan.py
+++ b/tests/cluster/test_traffic_plan.py
@@ -29,7 +29,7 @@
 from cedarmill.cluster.traffic_plan.planner import PROBE_WEIGHT
 from cedarmill.cluster.traffic_plan.weights import expected_load
 from cedarmill.decisions import interface as api
-from cedarmill.lab.simulation.small_cases import Entries
+from cedarmill.lab.simulation.applied_commands import AppliedCommands
 
 S = 1_000_000
 ZONING = ZoneLayout({"east": ["a", "b"], "west": ["c"]})
@@ -179,13 +179,13 @@
             self.assertLess(abs(before.get(key, 0) - after.get(key, 0)), 600, key)
 
 
-class Planned(unittest.TestCase, Entries):
+class Planned(unittest.TestCase, AppliedCommands):
     """Entries are applied to a world, as every keeper does."""
 
     limits: tuple[Limit, ...] = (Limit("zone", "fleet", most=1),)
 
     def setUp(self):
-        Entries.__init__(self, ClusterState("c", limits=list(self.limits)))
+        AppliedCommands.__init__(self, ClusterState("c", limits=list(self.limits)))
         self.ids = 0
         self.request(commands.SetZones, ZONING)
         self.news()
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -562,10 +562,10 @@
 
 
 def timeline(kind: str, seed: int) -> str:
-    """The hash of one seed's timeline: of the fleet, of the log alone, of a storm or of zones."""
+    """The hash of one seed's timeline: of the cluster, of the log alone, of overload or of zones."""
     from cedarmill.lab.simulation import search
     from cedarmill.lab.simulation.overload import simulation as storms
-    from cedarmill.lab.simulation.zones import simulation as regions
+    from cedarmill.lab.simulation.zones import simulation as zones
 
     if kind == "fleet":
         return search.play_seed((seed, "")).digest
@@ -575,5 +575,5 @@
         agreed = [[index, term, data.hex()] for index, (term, data) in sorted(run.checks.entries.items())]
         return hash_of([broken, run.time, agreed, sorted(run.checks.leaders.items())])
     if kind == "zones":
-        return regions.run("zone-dies", seed, "agreed").digest
+        return zones.play("zone-dies", seed, "agreed").digest
     return hash_of(storms.play("fleet", "burst", seed))
