--- a/cedarmill/lab/scale/discovery.py
+++ b/cedarmill/lab/scale/discovery.py
@@ -112,7 +112,7 @@
     def whole_list(self) -> bytes:
         """The whole list as a line's text.
 
-        An entry's text is made once: this process plays the executors too, and must not hold their answers up.
+        An entry's text is made once: this process plays the executors too and must not hold them up.
         """
         entries = b",".join(self._text(entry) for entry in self.entries.values())
         return b'{"index":%d,"snapshot":true,"endpoints":[%s]}' % (self.index, entries)
