--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -112,8 +112,14 @@
             self.send(response.CONTINUE)
 
     def present(self) -> bool:
-        """Whether the client is still there, as the system knows it; one that has left is withdrawn here."""
-        return not self.drop_if_left()
+        """Whether the client is known to be still there; one that has left is withdrawn here.
+
+        Where the system does not say, nothing is begun: its close may lie too long ago.
+        """
+        left = self.client_left()
+        if left:
+            self.drop()
+        return left is False
 
     def withdraw(self) -> None:
         """Give up what is open and what waits: the client has left."""
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -19,6 +19,7 @@
 from tests.support.node_case import WAIT
 from tests.support.system_call_faults import Fault
 
+NEVER_RAN = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 ERRORS = ("EPIPE", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS")
 
 
@@ -154,6 +155,29 @@
             self.serves_on()
 
 
+class PresenceUnknown(FaultyNodeCase):
+    """A system that fails to say whether a client is there, once its request is in flight."""
+
+    backends = 2
+
+    def test_no_retry_where_the_system_does_not_say_whether_the_client_is_there(self):
+        """A first attempt is not sent then; a retry was, though its client may have left long ago."""
+        sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
+        self.addCleanup(sock.close)
+        sock.sendall(raw(1, more="Connection: close\r\n"))
+        self.wait_for(lambda: any(server.asked.qsize() for server in self.servers))
+        asked = next(server for server in self.servers if server.asked.qsize()).next()
+        self.plan.arm(Fault("poll", "ENOMEM", times=0))
+        began = time.monotonic()
+        asked.wire.send(NEVER_RAN)
+        text = b""
+        while chunk := sock.recv(4096):
+            text += chunk
+        self.assertRegex(text, rb"^HTTP/1.1 50[23] ")  # which of them is the balancer's choice
+        self.assertLess(time.monotonic() - began, 1)  # at once, not when its time is up
+        self.assertFalse(any(server.asked.qsize() for server in self.servers))
+
+
 class FakeTransport:
     """A transport that keeps what is written."""
 
