--- a/cedarmill/net/admin/server.py
+++ b/cedarmill/net/admin/server.py
@@ -102,8 +102,8 @@
             return
         status, body = response.status, response.body
         text = HEAD % (status, status.phrase.encode(), len(body), headers)
-        self.finish(text if method == b"HEAD" else text + body)
         self.end_in(LINGER_US)
+        self.finish(text if method == b"HEAD" else text + body)
 
     def late(self) -> None:
         """Say that the request took too long; an answer that is not read is given up."""
--- a/cedarmill/net/bounded_sessions.py
+++ b/cedarmill/net/bounded_sessions.py
@@ -13,6 +13,9 @@
 from cedarmill.net.config import Address
 from cedarmill.net.listener import Acceptor, listening_socket
 from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.socket_state import TRANSPORT_ERRORS
+
+ABORT_AGAIN_US = 50_000  # after a connection could not be aborted
 
 
 class Overflow(enum.Enum):
@@ -95,13 +98,34 @@
     def finish(self, text: bytes) -> None:
         """Say the last, and let the caller close: closed here, unread input would reset it away."""
         self.over = True
-        self.transport.write(text)
-        self.transport.write_eof()
+        if not self.send(text):
+            return
+        try:
+            self.transport.write_eof()
+        except TRANSPORT_ERRORS:
+            self.transport.close()  # what was written still leaves
+
+    def send(self, text: bytes) -> bool:
+        """Whether it could be written: a connection that has just broken ends here, at once."""
+        try:
+            self.transport.write(text)
+        except TRANSPORT_ERRORS:
+            self.abort()
+            return False
+        return True
 
     def abort(self) -> None:
-        """End the connection at once."""
-        if self._connected:
+        """End the connection at once; what fails is tried again."""
+        if not self._connected:
+            return
+        try:
             self.transport.abort()
+        except TRANSPORT_ERRORS:
+            self.over = True
+            self.stay()
+            self._deadline = self.driver.timers.add(
+                self.driver.now() + ABORT_AGAIN_US, lambda now: self.abort()
+            )
 
 
 AnySession = TypeVar("AnySession", bound=BoundedSession)
--- a/cedarmill/net/health/grpc.py
+++ b/cedarmill/net/health/grpc.py
@@ -19,10 +19,12 @@
     def data_received(self, data: bytes) -> None:
         """Answer what was asked."""
         try:
-            self.transport.write(self._connection.receive(data))
+            text = self._connection.receive(data)
         except ProtocolError:
             self.abort()
             return
+        if not self.send(text):
+            return
         if self._connection.watches:  # it stays as long as it watches
             self.stay()
         elif self._connection.answered:
@@ -31,7 +33,7 @@
     def changed(self) -> None:
         """Tell the watches."""
         if text := self._connection.changed():
-            self.transport.write(text)
+            self.send(text)
 
 
 class GrpcListener(HealthListener[GrpcSession]):
--- a/cedarmill/net/health/listener.py
+++ b/cedarmill/net/health/listener.py
@@ -136,8 +136,8 @@
         self._target, self._accept, self._size = b"", b"", 0
         text = _compose(found or NO_CHECK, head_only=method == b"HEAD")
         if self._parser.should_keep_alive():
-            self.transport.write(text)
             self.idle()
+            self.send(text)
         else:
             self.finish(text)
 
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -25,7 +25,9 @@
 from cedarmill.net.upgrade.state_file import StateFile
 from cedarmill.values import DeadlineOptions
 from tests.support.builders import settings
+from tests.support.faulty_node_case import FaultyNodeCase
 from tests.support.node_case import WAIT, NodeCase, call, read_answer
+from tests.support.system_call_faults import Fault
 
 
 def at(us: int) -> ClockReading:
@@ -308,6 +310,38 @@
         self.assertEqual(call(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
 
 
+class FailingCalls(FaultyNodeCase):
+    """System calls on callers' sockets that fail: the answer leaves where it can, and no place is kept."""
+
+    def config(self) -> dict:
+        return {**super().config(), "mgmt": "127.0.0.1:0"}
+
+    def late(self) -> tuple[bytes, float]:
+        """What a caller gets that never sends its request whole, and after how long the end comes."""
+        began = time.monotonic()
+        with socket.create_connection(("127.0.0.1", self.told_door()), timeout=WAIT) as sock:
+            sock.sendall(b"GET /api/rea")
+            text = b""
+            with contextlib.suppress(ConnectionResetError):
+                while chunk := sock.recv(4096):
+                    text += chunk
+        return text, time.monotonic() - began
+
+    def test_a_late_caller_is_ended_whatever_fails_at_its_end(self):
+        """What raised in the session's timer left it without one: it was held till its caller left."""
+        for call_name, answered in (("write", False), ("write_eof", True)):
+            with self.subTest(call=call_name):
+                self.plan.arm(Fault(f"accepted.{call_name}", "EPIPE"))
+                text, took = self.late()
+                self.assertEqual(b" 408 " in text, answered)
+                self.assertLess(took, 3.5)  # 2 s for the request, 1 s for the answer
+
+    def test_an_abort_that_fails_is_made_again(self):
+        self.plan.arm(Fault("accepted.write", "EPIPE"), Fault("accepted.abort", "EIO", times=3))
+        self.assertLess(self.late()[1], 3.5)
+        self.assertEqual(call(self.told_door(), "GET", "/api/ready")[0], 200)
+
+
 class Locked(DoorCase):
     """Another process stands still with the lock of the kept file."""
 
