--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -141,7 +141,7 @@
         if not self.clients.draining_clients:
             self._drains += 1
             self.clients.drain_clients(True)
-            log_event("evacuated", held=len(self.clients.sessions))
+            log_event("clients-draining", sessions=len(self.clients.sessions))
             drain = self._drains
             self.driver.timers.add(
                 self.driver.now() + IDLE_CLOSE_US, lambda now: self._close_idle(now, drain)
--- a/cedarmill/net/admin/server.py
+++ b/cedarmill/net/admin/server.py
@@ -71,7 +71,7 @@
         except httptools.HttpParserCallbackError as error:
             fault = error.__context__
             if not isinstance(fault, RequestRejectedError):
-                log_event("defect", fault, what="a call at the door")
+                log_event("defect", fault, what="a call of the admin API")
                 fault = RequestRejectedError(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error")
             self.answer(_rejection(fault))
         except httptools.HttpParserError:
@@ -117,5 +117,5 @@
     """The listening socket of the admin API; `carry_out` is given each request and where its answer goes."""
 
     def __init__(self, driver: EventLoopDriver, carry_out: Callable[[AdminRequest, Answer], None]) -> None:
-        super().__init__(driver, "door", BOUNDS, lambda: AdminSession(self))
+        super().__init__(driver, "admin", BOUNDS, lambda: AdminSession(self))
         self.carry_out = carry_out
--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -235,7 +235,7 @@
         except MalformedRequest as fault:
             self.answer(fault.status, str(fault).encode() + b"\n")
         except Exception:
-            log_event("defect", True, what="callback on a req")
+            log_event("defect", True, what="callback on a request")
             self._release()
             self.answer(500, b"internal error\n")
 
