--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -24,6 +24,7 @@
 from cedarmill.net.clients.session import ClientSession
 from cedarmill.net.upgrade.state_file import StateFile
 from cedarmill.values import DeadlineOptions
+from tests.net.test_client_cancellation import raw
 from tests.support.builders import settings
 from tests.support.faulty_node_case import FaultyNodeCase
 from tests.support.node_case import WAIT, NodeCase, call_admin_api, read_answer
@@ -424,6 +425,25 @@
         self.assertEqual(call_admin_api(self.door, "PUT", "/api/rejoin")[0], 200)
         self.assertEqual(self.ready(), 200)
 
+    def test_a_request_behind_one_in_flight_and_half_a_one_are_answered_before_the_end(self):
+        """What was read has its answer, and half a request may become whole, as at the end of the process."""
+        with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
+            sock.sendall(raw(1) + raw(2) + raw(3)[:60])
+            self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
+            self.assertEqual(call_admin_api(self.door, "PUT", "/api/evacuate")[0], 200)
+            for number in (1, 2, 3):
+                self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
+                if number == 2:
+                    sock.sendall(raw(3)[60:])
+                server = next(server for server in self.executors if server.received.qsize())
+                server.next_request().done(f"answer {number}")
+            text = b""
+            while chunk := sock.recv(4096):
+                text += chunk
+        self.assertEqual(text.count(b"HTTP/1.1 200"), 3)
+        self.assertEqual(text.count(b"Connection: close"), 1)
+        self.assertIn(b"answer 3", text.rpartition(b"Connection: close")[2])
+
     def test_rejoined_while_idle_connections_are_being_closed(self):
         """What is open then stays, and the closing does not come back."""
         gone = self.client()
