--- a/cedarmill/core/client_session.py
+++ b/cedarmill/core/client_session.py
@@ -138,8 +138,6 @@
         self.blocked = False
         return self._listed_as_idle()
 
-    # Reading that rests, and clients of whom nothing is read.
-
     def _paused(self, now: int) -> SessionAction | None:
         self.paused = True
         self.hang_up_check_at = now + self.times.hang_up_check
@@ -161,8 +159,6 @@
         self.hang_up_check_at = now + self.times.hang_up_check
         return SessionAction.CHECK_CLIENT
 
-    # Lateness.
-
     def _deadline_passed(self, now: int) -> SessionAction | None:
         self.deadline = None
         return self._late(now) if self.granted_unread else SessionAction.CHECK_UNREAD
@@ -187,8 +183,6 @@
         self.deadline = now + self.times.linger
         return None
 
-    # Making room.
-
     def _check_room(self, now: int) -> SessionAction | None:
         return SessionAction.CHECK_ROOM
 
--- a/tests/net/test_stalled_clients.py
+++ b/tests/net/test_stalled_clients.py
@@ -117,7 +117,7 @@
         sock.connect(("127.0.0.1", self.port))
         sock.settimeout(WAIT)
         sock.sendall(raw(1) + raw(2)[:half])
-        self.servers[0].next().done("x" * BIG)
+        self.executors[0].next_request().done("x" * BIG)
         self.wait_for(lambda: select.select([sock], [], [], 0)[0])
         sock.sendall(raw(2)[half:] + raw(3)[:half])
         return sock
@@ -134,7 +134,7 @@
         self.assertEqual(statuses, [200, 503, 408])
         self.assertNotIn(b"Retry-After", text)  # it is not the balancer that refuses
         self.assertEqual(text.count(b"x"), BIG)
-        self.assertTrue(self.servers[0].asked.empty())  # no work for a client that does not read
+        self.assertTrue(self.executors[0].received.empty())  # no work for a client that does not read
 
     def test_one_that_never_reads_holds_no_place(self):
         sock = self.stuck()
