--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -63,7 +63,7 @@
         sockets = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         health = options.health
         own = OWN_DESCRIPTORS + (door.DESCRIPTORS if config.mgmt else 0)
-        own += FLEET_DESCRIPTORS if options.fleet is not None else 0
+        own += FLEET_DESCRIPTORS if options.cluster is not None else 0
         own += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
         self.limits = NodeLimits(sockets, own, config.limits.memory_mb, OWN_MEMORY_MB, SESSION_MB)
         room = split_limits(self.limits, [])
@@ -85,17 +85,17 @@
         self.hands = AdminHandlers(
             self.driver, self.clients, self.discovery, config.name, lambda: self.draining
         )
-        self.door = door.AdminServer(self.driver, self.hands.obey)
+        self.door = door.AdminServer(self.driver, self.hands.carry_out)
         self.inherited = inherited_socket()
         self.keeper = WarmStateSaver(self.driver, brain, self.discovery, config.name, lambda: self.draining)
-        self.fleet = self._fleet() if options.fleet is not None else None
+        self.fleet = self._fleet() if options.cluster is not None else None
 
     def _fleet(self):
         """The node's part in the fleet; the platform's run has none, and loads nothing of it."""
         from cedarmill.net.cluster.node_role import NodeRole
 
         return NodeRole(
-            self.driver, self.config, self.options.fleet, self.clients, self.discovery, self.hands
+            self.driver, self.config, self.options.cluster, self.clients, self.discovery, self.hands
         )
 
     def _holds(self) -> ConnectionCounts:
@@ -116,9 +116,9 @@
         told = health.NodeHealth(self.config.name, self.clients)
         listeners = {}
         if options.agent:
-            listeners["agent"] = health.Listener(self.driver, told, health.AgentSession)
+            listeners["agent"] = health.HealthListener(self.driver, told, health.AgentSession)
         if options.http:
-            listeners["http"] = health.Listener(self.driver, told, health.HttpSession)
+            listeners["http"] = health.HealthListener(self.driver, told, health.HttpSession)
         if options.grpc:
             from cedarmill.net.health.grpc import GrpcListener
 
--- a/cedarmill/net/upgrade/sibling.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -128,7 +128,7 @@
         counts = [sibling.document.connections for sibling in self.siblings.values()]
         if counts != self.sibling_counts:
             if len(counts) != len(self.sibling_counts):
-                log_event("sibling-processes", others=len(counts))
+                log_event("sibling-processes", siblings=len(counts))
             self.sibling_counts = counts
             self.share_limits(counts)
 
--- a/cedarmill/net/upgrade/warm_state.py
+++ b/cedarmill/net/upgrade/warm_state.py
@@ -75,7 +75,7 @@
         if not restore(self.balancer, state, written):
             raise ValueError("of other settings: classes or tenants differ")
         self.pending, self.pending_until = state, now + LISTING_GRACE_US
-        log_event("warm-state-restored", workers=len(state.executors), age=age / 1e6)
+        log_event("warm-state-restored", executors=len(state.executors), age_s=age / 1e6)
         self.discovery.inherit(
             {name: ExecutorStart(stamp, written - ago) for name, (stamp, ago) in state.starts.items()},
             None if state.list_age_us is None else written - state.list_age_us,
