--- a/cedarmill/net/upgrade/warm_state.py
+++ b/cedarmill/net/upgrade/warm_state.py
@@ -17,7 +17,7 @@
 from cedarmill.net.upgrade.state_file import InPlaceStateFile, state_file_path
 
 KIND = "memory"
-SAVE_INTERVAL_US = 500_000  # what a replaced process hands over is at most that old
+SAVE_INTERVAL_US = 500_000  # what a replaced process leaves is at most that old
 MAX_AGE_US = 30_000_000  # an older document is not believed: executors may all be others by then
 LISTING_GRACE_US = 3_000_000  # for the first lists to name the executors that the document tells of
 
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -11,7 +11,7 @@
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import EventLoopDriver, boot_id
-from cedarmill.net.node import CHECK_END_US
+from cedarmill.net.shutdown import CHECK_END_US
 from cedarmill.net.upgrade.sibling import LOOK_ALONE_US, LOOK_TOGETHER_US
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from cedarmill.net.upgrade.warm_state import SAVE_INTERVAL_US
