--- a/cedarmill/net/discovery/watch_connection.py
+++ b/cedarmill/net/discovery/watch_connection.py
@@ -91,7 +91,7 @@
             self.broken(f"status {self.parser.get_status_code()}")
 
     def on_body(self, data: bytes) -> None:
-        """Collect the body, which is taken when all that was read has been parsed."""
+        """Keep it until all that was read at once has been parsed."""
         self.body += data
 
     def on_message_complete(self) -> None:
@@ -102,6 +102,7 @@
             self.broken("ended by discovery")
 
     def _take_body(self) -> None:
+        """Pass the lists on that are whole."""
         body, self.body = bytes(self.body), bytearray()
         if body and not self.over:
             self._take(self.lists.feed(body))
