--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -14,7 +14,7 @@
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.net import test_upgrade
 from tests.support.faulty_node_case import FaultyNodeCase
-from tests.support.node_case import WAIT, call
+from tests.support.node_case import WAIT, StandInServer, call_admin_api
 from tests.support.system_call_faults import Fault
 
 STEPS_S = {"an_hour_back": -3600, "5_s_back": -5, "5_s_ahead": 5, "an_hour_ahead": 3600}
@@ -40,7 +40,7 @@
 class Held(test_upgrade.HeldSocket, FaultyNodeCase):
     """A node whose clients' socket is held, so that two processes can run, and whose clock can be stepped."""
 
-    backends = 2
+    executor_count = 2
 
     def config(self) -> dict:
         config = {**super().config(), "mgmt": "127.0.0.1:0"}
@@ -49,9 +49,9 @@
 
     def lists(self, index: int, *endpoints: dict, snapshot: bool = True):
         """The next call for changes, answered with a list so far."""
-        watch = self.director.next()
-        watch.head()
-        watch.line({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
+        watch = self.discovery.next_request()
+        watch.send_head()
+        watch.send_line({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
         return watch
 
     def age_s(self, name: str, since: float = 0.0) -> float | None:
@@ -96,7 +96,7 @@
 
     def is_young(self, watch, began: float) -> None:
         """s-1 starts now, on a watch that has held since `began`."""
-        watch.line({"index": 9, "snapshot": False, "endpoints": [self.entry(1, since_ms=self.stamp())]})
+        watch.send_line({"index": 9, "snapshot": False, "endpoints": [self.entry(1, since_ms=self.stamp())]})
         age = self.age_s("s-1")
         self.assertIsNotNone(age)
         self.assertTrue(0 <= age <= time.monotonic() - began + 1.0, age)
@@ -112,6 +112,8 @@
         self.process.communicate()
         for left in Path(self.tmpdir.name).iterdir():
             left.unlink()
+        self.discovery = StandInServer()  # calls of the process killed wait at the first one
+        self.addCleanup(self.discovery.close)
         self.plan.step_clock(step)
         self.next_process()
 
@@ -121,7 +123,7 @@
         self.assertIsNotNone(self.age_s("s-0"))  # the line comes before its stamp is read
         began = time.monotonic()
         self.plan.step_clock(step)
-        watch.line({"index": 8, "snapshot": False, "endpoints": [self.entry(0, since_ms=started)]})
+        watch.send_line({"index": 8, "snapshot": False, "endpoints": [self.entry(0, since_ms=started)]})
         self.is_young(watch, began)
         self.assertAlmostEqual(self.age_s("s-0", time.monotonic()), time.time() - started / 1000, delta=1.5)
 
@@ -177,8 +179,8 @@
 
     def counted_so_far(self) -> None:
         """Neither process's log has said up to now that it is alone."""
-        self.assertEqual(call(self.told_door(), "PUT", "/api/exclude/s-0")[0], 200)
-        lines = [*self.told(self.old, "kept file: s-0"), *self.told(self.process, "out by hand")]
+        self.assertEqual(call_admin_api(self.admin_port(), "PUT", "/api/exclude/s-0")[0], 200)
+        lines = [*self.told(self.old, "state file: s-0"), *self.told(self.process, "excluded by hand")]
         self.assertNotIn("that live: 0", "".join(lines))
         self.assertTrue(all(Path(file.path).exists() for file in self.files))
 
@@ -210,7 +212,7 @@
     def each_step_with_a_job_out(self, step: int) -> None:
         """Its deadline and the drain's grace are spans: the job is answered, and the process ends well."""
         client = self.client().ask(budget=5000)
-        job = self.servers[0].next()
+        job = self.executors[0].next_request()
         self.plan.step_clock(step)
         self.terminate()
         self.wait_log("draining")
@@ -222,20 +224,20 @@
 class Discovery(FaultyNodeCase):
     """The watch is asked for again in time, whatever its system calls say."""
 
-    backends = 2
+    executor_count = 2
 
     def told_after(self, *faults: Fault) -> None:
         """The watch breaks, then these faults hold; the next list is obeyed in time."""
-        watch = self.director.next()
-        watch.head()
-        watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
+        watch = self.discovery.next_request()
+        watch.send_head()
+        watch.send_line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
         self.wait_log("watching from index 8")
         self.plan.arm(*faults)
         began = time.monotonic()
-        watch.wire.close()
-        watch = self.director.next()
-        watch.head()
-        watch.line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
+        watch.connection.close()
+        watch = self.discovery.next_request()
+        watch.send_head()
+        watch.send_line({"index": 9, "snapshot": False, "endpoints": [self.entry(0, status="DRAINING")]})
         self.wait_log("watching from index 9")
         self.assertLess(time.monotonic() - began, TOLD_S)
         self.assertEqual(self.plan.hits(), sum(fault.times for fault in faults))
@@ -248,9 +250,65 @@
         self.told_after(Fault("outgoing.abort", "EBADF"))
 
 
+class Reload(FaultyNodeCase):
+    """A new configuration whose file cannot be read at once is read soon after."""
+
+    executor_count = 2
+    counts_after_s = 4.0  # SIGHUP: from then on what the new discovery told counts
+
+    def move(self, server: StandInServer) -> str:
+        return json.dumps({**self.config(), "discovery": server.address})
+
+    def check_obeyed(self, server: StandInServer) -> None:
+        """The node asks there, and the drain that it is told is obeyed."""
+        watch = server.next_request()
+        watch.send_head()
+        whole = [self.entry(0, status="DRAINING"), self.entry(1)]
+        watch.send_line({"index": 3, "snapshot": True, "endpoints": whole})
+        self.wait_log("watching from index 3")
+        self.assertEqual({self.served_by() for _ in range(4)}, {1})
+
+    def test_a_file_that_cannot_be_opened_for_a_moment(self) -> None:
+        """The reload was lost: the node stayed at the old discovery till the next signal."""
+        for name in ("EMFILE", "EIO", "ENFILE", "ENOMEM"):
+            with self.subTest(name):
+                server = StandInServer()
+                self.addCleanup(server.close)
+                hits = self.plan.hits("open")
+                self.plan.arm(Fault("open", name, match=self.path, times=3))
+                began = time.monotonic()
+                self.reload(self.move(server))
+                self.check_obeyed(server)
+                self.assertLess(time.monotonic() - began, self.counts_after_s)
+                self.assertEqual(self.plan.hits("open") - hits, 3)
+
+    def test_the_last_of_two_signals_counts(self) -> None:
+        """The second comes while the first still waits to be read."""
+        first, second = StandInServer(), StandInServer()
+        for server in (first, second):
+            self.addCleanup(server.close)
+        self.plan.arm(Fault("open", "EMFILE", match=self.path, times=2))
+        self.reload(self.move(first))
+        self.wait_log("reload failed")
+        self.reload(self.move(second))
+        self.check_obeyed(second)
+        self.assertEqual(first.connections, [])
+
+    def test_a_file_that_is_wrong_is_not_read_again(self) -> None:
+        self.reload("no configuration")
+        self.wait_log("reload failed")
+        Path(self.path).write_text(
+            self.move(server := StandInServer())
+        )  # nobody has said that it is to be read
+        self.addCleanup(server.close)
+        until = time.monotonic() + 0.5
+        self.wait_for(lambda: time.monotonic() > until)
+        self.assertEqual(server.connections, [])
+
+
 def _refused_connect(name: str):
     def test(self) -> None:
-        self.told_after(Fault("connect", name, match=self.director.address))
+        self.told_after(Fault("connect", name, match=self.discovery.address))
 
     return test
 
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -59,11 +59,11 @@
 
     def test_a_step_back_of_the_wall_clock_silences_no_line(self):
         """Told once in ten seconds; an hour back, the line that is repeated was silent for an hour."""
-        sparing, record = log.Sparing(), logging.makeLogRecord({"msg": "repeated"})
+        repeats, record = log.RepeatFilter(), logging.makeLogRecord({"msg": "repeated"})
         later = logging.makeLogRecord({"msg": "repeated"})
         later.created = record.created - 3600
         with mock.patch.object(time, "monotonic", side_effect=[5.0, 6.0, 16.0]):
-            self.assertEqual([bool(sparing.filter(r)) for r in (record, later, later)], [True, False, True])
+            self.assertEqual([bool(repeats.filter(r)) for r in (record, later, later)], [True, False, True])
 
 
 def select_bytes() -> int:
@@ -74,13 +74,13 @@
 class Unread(FaultyNodeCase):
     def test_a_log_that_nobody_reads_holds_up_no_request(self) -> None:
         """A line for each bad entry of a list: more than a pipe holds."""
-        watch = self.director.next()
-        watch.head()
+        watch = self.discovery.next_request()
+        watch.send_head()
         bad = [self.entry(0, name=f"bad-{number}", address="nowhere") for number in range(1500)]
-        watch.line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), *bad]})
-        watch.line({"index": 9, "snapshot": False, "endpoints": [self.entry(0)]})
+        watch.send_line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), *bad]})
+        watch.send_line({"index": 9, "snapshot": False, "endpoints": [self.entry(0)]})
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
 
