--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -1,14 +1,16 @@
-"""What agreement costs and how fast it is: in virtual time, and over real keepers on this machine's disk.
+"""What agreement costs and how fast it is: in virtual time, and over real replicas on this machine's disk.
 
     python benchmarks/agree.py               # all, some minutes
     python benchmarks/agree.py --only rest grants
 
-- `rest`: messages a second with nothing going on, for 12, 100 and 1,000 members (virtual time). - `leader`:
-the time without a leader after one is killed (virtual time, by the keepers' own time-outs). - `grants`:
-agreed requests a second over 1, 3 and 5 real keepers, against one sync after the other on this disk. -
-`halt`: from a bad version's first job to the last node started with it; the nodes that it reached; and how
-many good releases were halted for nothing (virtual time). - `keepers-gone`: what is served with all keepers
-killed, against the same without, in one run of real processes.
+- `rest`: messages a second with nothing going on, for 12, 100 and 1,000 members (virtual time).
+- `leader`: the time without a leader after one is killed (virtual time, by the replicas' own time-outs).
+- `grants`: agreed requests a second over 1, 3 and 5 real replicas, against one sync after the other on this
+  disk.
+- `halt`: from a bad version's first request to the last node started with it; the nodes that it reached; and
+  how many good releases were halted for nothing (virtual time).
+- `keepers-gone`: what is served with all replicas killed, against the same without, in one run of real
+  processes.
 """
 
 import argparse
@@ -124,12 +126,12 @@
     return count / seconds
 
 
-def _asker(keepers: list[str], until: float, done: list[int]) -> None:
+def _asker(replicas: list[str], until: float, done: list[int]) -> None:
     from cedarmill.cluster.messages import SubmitRequest
     from cedarmill.cluster.state_machine import commands
     from cedarmill.net.cluster.operator import OperatorClient, new_id
 
-    operator = OperatorClient("bench", keepers, "bench")
+    operator = OperatorClient("bench", replicas, "bench")
     while time.monotonic() < until:
         operator.ask(SubmitRequest(commands.ReturnPermit(0, "bench", new_id(), "executor", "nobody")))
         done.append(1)
@@ -153,13 +155,13 @@
                 command = [sys.executable, "-m", "cedarmill.cli", "keeper", "-c", str(path)]
                 subprocess.run([*command, "--init"], cwd=ROOT, check=True, stdout=subprocess.DEVNULL)
                 running.append(subprocess.Popen(command, cwd=ROOT, stderr=subprocess.DEVNULL))
-            keepers = [f"127.0.0.1:{port}" for port in ports.values()]
-            _asker(keepers, time.monotonic() + 0.1, [])  # till there is a leader
+            replicas = [f"127.0.0.1:{port}" for port in ports.values()]
+            _asker(replicas, time.monotonic() + 0.1, [])  # till there is a leader
             for askers in (1, ASKERS):
                 done: list[int] = []
                 until = time.monotonic() + GRANTS_S
                 threads = [
-                    threading.Thread(target=_asker, args=(keepers, until, done)) for _ in range(askers)
+                    threading.Thread(target=_asker, args=(replicas, until, done)) for _ in range(askers)
                 ]
                 for thread in threads:
                     thread.start()
@@ -176,8 +178,8 @@
                 process.wait()
 
 
-def keepers_gone() -> None:
-    """Two runs of the same load, one with all keepers killed in the middle."""
+def replicas_gone() -> None:
+    """Two runs of the same load, one with all replicas killed in the middle."""
     from cedarmill.lab.cluster.report import verdict_of
     from cedarmill.lab.cluster.run import play
     from cedarmill.lab.cluster.scenario import ScenarioEvent, read
@@ -192,11 +194,13 @@
         ("all keepers killed at 3 s", killed),
     ):
         found = verdict_of(play(scenario, 1))
-        print(f"{name}: {found.served} of {found.calls} served ({found.served / found.calls:.2%}), "
-              f"{found.refused} refused, {found.failed} failed, {found.broken} broken")  # fmt: skip
+        print(
+            f"{name}: {found.served} of {found.calls} served ({found.served / found.calls:.2%}), "
+            f"{found.refused} refused, {found.failed} failed, {found.broken} broken"
+        )
 
 
-ALL = {"rest": rest, "leader": leader, "grants": grants, "halt": halt, "keepers-gone": keepers_gone}
+ALL = {"rest": rest, "leader": leader, "grants": grants, "halt": halt, "keepers-gone": replicas_gone}
 
 
 def main() -> None:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -182,18 +182,24 @@
         )
         orders_bytes = len(framing.encode_frame(0, HeartbeatReply(1, 1, 1, orders)))
         sent, most = mean * low * len(still) / 1024, mean * high * len(full) / 1024
-        print(f"{nodes} nodes, {executors} executors: {mean:.0f} links a node, {max(links)} at the most; "
-              f"on one {low:.0f} to {high:.0f} frames a second each way, {len(still)} bytes without facts, "
-              f"{len(full)} with four; a node sends {sent:.1f} to {most:.1f} KiB a second; a frame costs "
-              f"{cost * 1e6:.0f} us to write and read, together {mean * high * cost * 100:.2f} % of a core "
-              f"at the most; orders {orders_bytes} bytes")  # fmt: skip
+        print(
+            f"{nodes} nodes, {executors} executors: {mean:.0f} links a node, {max(links)} at the most; "
+            f"on one {low:.0f} to {high:.0f} frames a second each way, {len(still)} bytes without facts, "
+            f"{len(full)} with four; a node sends {sent:.1f} to {most:.1f} KiB a second; a frame costs "
+            f"{cost * 1e6:.0f} us to write and read, together {mean * high * cost * 100:.2f} % of a core "
+            f"at the most; orders {orders_bytes} bytes"
+        )
 
 
 def main() -> None:
     plain = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
-    parser.add_argument("--only", nargs="+", choices=["ways", "incidents", "outlives", "budgets", "size"],
-                        default=["ways", "incidents", "outlives"])  # fmt: skip
+    parser.add_argument(
+        "--only",
+        nargs="+",
+        choices=["ways", "incidents", "outlives", "budgets", "size"],
+        default=["ways", "incidents", "outlives"],
+    )
     parser.add_argument("--nodes", nargs="+", type=int, default=[12, 48])
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--rounds", type=int, default=10_000)
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -166,8 +166,10 @@
         planned = _timed(functools.partial(planner.make_plan, layout, states, assessment))
         stands = _timed(functools.partial(planner.fallback_plans, layout, plan, assessment.links), 2)
         merged = _timed(functools.partial(collector.assess, 0, layout.zones))
-        print(f"{count} zones: plan {planned}, what stands for each loss {stands}, evidence of {2 * count} "
-              f"nodes {merged}")  # fmt: skip
+        print(
+            f"{count} zones: plan {planned}, what stands for each loss {stands}, evidence of {2 * count} "
+            f"nodes {merged}"
+        )
         log, places = ObservationLog(0), {z: LocationEstimate(9, 40_000, 9000) for z in layout.zones}
         seen = log.observations(10**6, places)
         text = msgspec.msgpack.encode(log.make_digest(10**6, layout.zones[0], seen, 1 << 41, (), False))
@@ -191,8 +193,11 @@
             name: generator.choice((0, 1, 1, 1)) * generator.randrange(20_000, 60_000)
             for name in layout.zones
         }
-        demand = {(name, bound): generator.randrange(25_000 if bound == "any" else 6_000)
-                  for name in layout.zones for bound in SCOPES}  # fmt: skip
+        demand = {
+            (name, bound): generator.randrange(25_000 if bound == "any" else 6_000)
+            for name in layout.zones
+            for bound in SCOPES
+        }
 
         def linear(want, layout=layout, room=room):
             keys = [(s, b, t) for s, b in want for t in layout.reachable_zones(s, b)]
--- a/cedarmill/lab/simulation/faults.py
+++ b/cedarmill/lab/simulation/faults.py
@@ -20,7 +20,7 @@
 
 
 class FaultInjector:
-    """Strikes the actors of one run; a fault is named as in the history."""
+    """Injects faults into the actors of one run; a fault is named as in the history."""
 
     def __init__(self, environment: ClusterEnvironment, executors: ExecutorPool) -> None:
         self.environment, self.executors = environment, executors
@@ -39,7 +39,7 @@
             "old-lease": self._pause_supervisor,
             "snap": self._make_snapshot,
             "crash": self._kill_replica_at_sync,
-            "mid-change": self._strike_supervisor_after_start,
+            "mid-change": self._disturb_supervisor_after_start,
             "trap": self._pause_supervisor_at_orders,
             "flicker": self._restart_replicas_during_election,
             "cut-node": self._partition_node,
@@ -53,9 +53,9 @@
         setup = self.environment.setup
         for _ in range(setup.faults):
             at = self.generator.randrange(FIRST_FAULT, setup.length - QUIET_END)
-            self.environment.scheduler.after(at, self.strike, self.generator.choice(setup.fault_kinds))
+            self.environment.scheduler.after(at, self.inject, self.generator.choice(setup.fault_kinds))
 
-    def strike(self, kind: str) -> None:
+    def inject(self, kind: str) -> None:
         """Let a fault of this kind happen now."""
         length = self.generator.randrange(*LENGTHS)
         self.environment.history.tell("lab", kind, number=length / SECOND)
@@ -181,7 +181,7 @@
         supervisors = self.environment.supervisors
         supervisors[self.generator.randrange(len(supervisors))].die(length)
 
-    def _strike_supervisor_after_start(self, length: int) -> None:
+    def _disturb_supervisor_after_start(self, length: int) -> None:
         number = self.generator.randrange(len(self.environment.supervisors))
         self.environment.pending_faults.supervisors_after_start.add(number)
 
--- a/cedarmill/lab/simulation/hunting.py
+++ b/cedarmill/lab/simulation/hunting.py
@@ -16,7 +16,7 @@
     seed: int
 
 
-class Sighting(NamedTuple):
+class Detection(NamedTuple):
     """Which invariant saw a mutant first, in which trial, and after how long (s); seed `NEVER`: none."""
 
     mutant: str
@@ -31,12 +31,12 @@
     patches: list[Patch],
     trials: Iterable[Trial],
     violations_of: Callable[[Trial], list[str]],
-) -> Sighting:
+) -> Detection:
     """Play the trials with the mutant planted, up to the first that violates an invariant."""
     began = time.monotonic()
     with planted_patches(patches):
         for trial in trials:
             if violations := violations_of(trial):
                 seconds = round(time.monotonic() - began, 2)
-                return Sighting(mutant, violations[0], trial.incident, trial.seed, seconds)
-    return Sighting(mutant, "", "", NEVER, round(time.monotonic() - began, 2))
+                return Detection(mutant, violations[0], trial.incident, trial.seed, seconds)
+    return Detection(mutant, "", "", NEVER, round(time.monotonic() - began, 2))
--- a/cedarmill/lab/simulation/node.py
+++ b/cedarmill/lab/simulation/node.py
@@ -46,9 +46,15 @@
         self.budget_leases = BudgetLeases()
         self._request_counts = [0, 0, 0, 0]
         self._next_digest_at = 0
-        stops = setup.stops_at_lease_expiry
-        identity = MemberIdentity("node", name, incarnation, self.zone, f"v:{name}:{incarnation}", version,
-                                  stops_at_lease_expiry=stops)  # fmt: skip
+        identity = MemberIdentity(
+            "node",
+            name,
+            incarnation,
+            self.zone,
+            f"v:{name}:{incarnation}",
+            version,
+            stops_at_lease_expiry=setup.stops_at_lease_expiry,
+        )
         super().__init__(environment, name, identity)
         if setup.sends_work:
             self._send_often()
--- a/cedarmill/lab/simulation/overload/mutants.py
+++ b/cedarmill/lab/simulation/overload/mutants.py
@@ -9,7 +9,7 @@
 from cedarmill.cluster.budget_lease import QUOTA_PREFIX, BudgetLeases
 from cedarmill.cluster.gossip_plan import ReportBoard
 from cedarmill.lab.cluster.mutants import Patch
-from cedarmill.lab.simulation.hunting import Sighting, Trial, hunt_mutant
+from cedarmill.lab.simulation.hunting import Detection, Trial, hunt_mutant
 from cedarmill.lab.simulation.overload.results import violations
 from cedarmill.lab.simulation.overload.simulation import play
 
@@ -100,7 +100,7 @@
     return violations(play("fleet", trial.incident, trial.seed), trial.incident)
 
 
-def hunt(name: str, seeds: Sequence[int]) -> Sighting:
+def hunt(name: str, seeds: Sequence[int]) -> Detection:
     """Play the mutant's incident till an invariant sees it."""
     mutant = MUTANTS[name]
     trials = [Trial(mutant.incident, seed) for seed in seeds]
--- a/cedarmill/lab/simulation/raft_log.py
+++ b/cedarmill/lab/simulation/raft_log.py
@@ -90,7 +90,7 @@
         return self._tokens
 
     def _next_event(self) -> None:
-        self._strike()
+        self._inject_faults()
         replica = self._some_replica()
         sample = self.generator.random()
         if sample < ARRIVAL and self.messages.waiting:
@@ -125,7 +125,7 @@
 
     # Faults.
 
-    def _strike(self) -> None:
+    def _inject_faults(self) -> None:
         self._kill_doomed_leader()
         if self.generator.random() < CRASH_CHANCE:
             replica = self._some_replica()
--- a/cedarmill/lab/simulation/search.py
+++ b/cedarmill/lab/simulation/search.py
@@ -11,7 +11,7 @@
 from cedarmill.lab.simulation.cluster import ClusterSimulation
 from cedarmill.lab.simulation.cluster_setup import ClusterSetup
 from cedarmill.lab.simulation.figure_eight import figure_eight
-from cedarmill.lab.simulation.hunting import Sighting, Trial, hunt_mutant
+from cedarmill.lab.simulation.hunting import Detection, Trial, hunt_mutant
 from cedarmill.lab.simulation.raft_log import LogSimulation
 from cedarmill.lab.simulation.seeds import timeline_hash
 
@@ -142,7 +142,7 @@
     return lambda trial: list(play_seed((trial.seed, mutant)).broken)
 
 
-def hunt(mutant: str, count: int, first: int = 0) -> Sighting:
+def hunt(mutant: str, count: int, first: int = 0) -> Detection:
     """Play up to so many seeds from the first on till an invariant sees the mutant.
 
     A mutant of the log is hunted in runs of the log alone, one of budgets in the runs that spend of a budget,
--- a/cedarmill/lab/simulation/zones/mutants.py
+++ b/cedarmill/lab/simulation/zones/mutants.py
@@ -20,7 +20,7 @@
 from cedarmill.cluster.traffic_plan.state import WeightRow, WeightTable, ZoneState
 from cedarmill.cluster.traffic_plan.weights import normalized
 from cedarmill.lab.cluster.mutants import Patch
-from cedarmill.lab.simulation.hunting import Sighting, Trial, hunt_mutant
+from cedarmill.lab.simulation.hunting import Detection, Trial, hunt_mutant
 from cedarmill.lab.simulation.zones import leader
 from cedarmill.lab.simulation.zones.incidents import INCIDENTS
 from cedarmill.lab.simulation.zones.results import violations
@@ -171,7 +171,7 @@
     return violations(play(trial.incident, trial.seed, "agreed"), INCIDENTS[trial.incident])
 
 
-def hunt(name: str, seeds: Sequence[int]) -> Sighting:
+def hunt(name: str, seeds: Sequence[int]) -> Detection:
     """Play the mutant's incidents till an invariant sees it."""
     mutant = MUTANTS[name]
     trials = [Trial(incident, seed) for seed in seeds for incident in mutant.incidents]
