--- a/cedarmill/cli/replica.py
+++ b/cedarmill/cli/replica.py
@@ -33,7 +33,8 @@
     """
     from cedarmill.conf.cluster import read_replica_settings
     from cedarmill.conf.document import ConfError
-    from cedarmill.net.cluster.replica import initialise, main
+    from cedarmill.net.cluster.replica import main
+    from cedarmill.net.cluster.replica_format import initialise
 
     options = read_replica_settings(path)
     if restore is not None and not init:
--- a/cedarmill/cluster/messages.py
+++ b/cedarmill/cluster/messages.py
@@ -21,6 +21,8 @@
 from cedarmill.cluster.state_machine.commands import AnyRequest
 
 __all__ = [
+    "MEMBER_ROLE",
+    "REPLICA_ROLE",
     "ChangeReplicas",
     "ClientReply",
     "ClientRequest",
@@ -171,13 +173,16 @@
 
 # The beginning of a connection.
 
+REPLICA_ROLE = "keeper"  # the role of a replica in a Hello
+MEMBER_ROLE = "client"  # that of a member or an operator
+
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
     """The first frame of a connection: who connects, as what, to which cluster."""
 
     cluster: str
     name: str
-    role: str  # keeper (a replica), or client (a member or an operator)
+    role: str  # REPLICA_ROLE or MEMBER_ROLE
     disk: str = ""  # of a replica: the disk that has made its promises,
     boot: int = 0  # and how often it has started on it
 
--- a/cedarmill/net/cluster/__init__.py
+++ b/cedarmill/net/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""The cluster on sockets: replicas, members, process supervisors, gossip. Not loaded without `<fleet>`.
+"""The cluster on sockets: replicas, members, process supervisors, gossip. Not loaded without a cluster.
 
 What is agreed, and who may do what, is decided without I/O in `cluster/`.
 """
--- a/cedarmill/net/cluster/gossip.py
+++ b/cedarmill/net/cluster/gossip.py
@@ -1,16 +1,17 @@
-"""News of executors between nodes, on sockets: one connection a pair, where the fleet shares news.
+"""Gossip of load reports between nodes, on sockets: one connection a pair, where the cluster shares them.
 
-A node tells what it heard itself to those that use the same executor (`fleet/gossip_plan.py`), at most five
-times a second a link, and never what it was told: so a fact makes one message to each user and no more. How
-old a fact can be is bounded by stamps that come back, not by clocks: on a link that is late, or lost one
-way, the bound grows, and what is too old is not followed. Each link carries two small frames a second at
-the least.
+A node sends the reports that it received itself to those that use the same executor
+(`cluster/gossip_plan.py`), at most five times a second a link, and never those of others: so a report makes
+one message to each user and no more. How old a report can be is bounded by timestamps that come back, not by
+clocks: on a link that is late, or lost one way, the bound grows, and what is too old is not followed. Each
+link carries two small frames a second at the least.
 """
 
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from cedarmill.cluster import gossip_plan
 from cedarmill.cluster.messages import GossipSubscription, GossipUpdate
+from cedarmill.core.timers import Timer
 from cedarmill.decisions import interface as api
 from cedarmill.log import log_event
 from cedarmill.net.config import Address
@@ -18,15 +19,15 @@
 from cedarmill.net.framing import FramedConnection
 from cedarmill.net.loop import EventLoopDriver
 
-TELL_US = 200_000  # between two frames with facts on a link
-STILL_US = 500_000  # between two frames without any: the other side needs a stamp
-AGAIN_US = 1_000_000  # till a link that broke is dialled again
-OLD_US = 1_000_000  # the age beyond which a fact is not followed
-LOST_US = 5_000_000  # without a frame: the link is given up
+SEND_US = 200_000  # between two frames with reports on a link
+IDLE_SEND_US = 500_000  # between two frames without any: the other side needs a timestamp
+REDIAL_US = 1_000_000  # until a link that broke is dialled again
+MAX_AGE_US = 1_000_000  # beyond it a report is not followed
+LINK_SILENT_US = 5_000_000  # without a frame: the link is given up
 
 
-class Report(NamedTuple):
-    """What this node heard itself."""
+class ReceivedReport(NamedTuple):
+    """A report that this node received from an executor, and when."""
 
     at: int
     report: api.LoadReport
@@ -37,166 +38,174 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.wire: FramedConnection | None = None
+        self.connection: FramedConnection | None = None
         self.uses: frozenset[str] = frozenset()
-        self.told: dict[str, int] = {}  # by executor: when the fact was heard that was told last
-        self.said = 0  # when a frame went out last
-        self.stamp, self.stamped = -1, 0  # the newest of the other side, and when it came
+        self.sent_reports: dict[str, int] = {}  # by executor: when the newest that was sent had been received
+        self.sent_at = 0  # when a frame was sent last
+        self.timestamp, self.received_at = -1, 0  # the newest of the other side, and when it came
         self.dial_at = 0
 
-    def age(self, now: int, word: GossipUpdate) -> int:
-        """At most so long ago was it written: since the stamp that it answers (us)."""
-        return (
-            OLD_US + 1
-            if word.echoed_timestamp < 0
-            else max(0, now - word.echoed_timestamp - word.echo_age_us)
-        )
+    @staticmethod
+    def age(now: int, update: GossipUpdate) -> int:
+        """At most so long ago was it written: since the timestamp that it answers (us)."""
+        if update.echoed_timestamp < 0:
+            return MAX_AGE_US + 1
+        return max(0, now - update.echoed_timestamp - update.echo_age_us)
 
 
 class Gossip:
-    """A node's links to those that use the same executors; made where a fleet is set, idle without peers."""
+    """A node's links to those that use the same executors; idle without peers."""
 
     def __init__(self, driver: EventLoopDriver, name: str, cluster: str, discovery: DiscoveryClient) -> None:
         self.driver, self.name, self.cluster, self.discovery = driver, name, cluster, discovery
         self.dispatch = discovery.dispatch
-        self.peers: dict[str, str] = {}
+        self.peers: dict[str, str] = {}  # addresses by name
         self.links: dict[str, Link] = {}
-        self.mine: frozenset[str] = frozenset()  # executors that this node uses
-        self.near: frozenset[str] = frozenset()  # peers that use one of these as well
-        self.draw = gossip_plan.GossipPlan()
-        self.facts: dict[str, Report] = {}
-        self.followed = self.passed_over = 0
-        self._due = None
+        self.used_here: frozenset[str] = frozenset()  # executors that this node uses
+        self.sharing_peers: frozenset[str] = frozenset()  # those that use one of these as well
+        self.plan = gossip_plan.GossipPlan()
+        self.reports: dict[str, ReceivedReport] = {}  # by executor
+        self.followed = self.passed_over = 0  # reports of peers
+        self._timer: Timer | None = None
 
     # Who is there, and who uses what.
 
-    def follow(self, peers: dict[str, str]) -> None:
-        """Orders have come: the nodes that are there; none: nothing is shared."""
+    def set_peers(self, peers: dict[str, str]) -> None:
+        """Orders have come: the addresses of the nodes that are there; none: nothing is shared."""
         self.peers = {name: address for name, address in peers.items() if name != self.name}
         for name in [name for name in self.links if name not in self.peers]:
             self._drop(self.links.pop(name), "not a peer any longer")
-        if self.peers and self._due is None:
-            self._again(self.driver.now())
+        if self.peers and self._timer is None:
+            self._on_time(self.driver.now())
 
-    def _again(self, now: int) -> None:
+    def _on_time(self, now: int) -> None:
         """Every so often, while there are peers."""
         if not self.peers:
-            self._due = None
+            self._timer = None
             return
-        self._due = self.driver.timers.add(now + TELL_US, self._again)
-        self._choose()
-        for name in sorted(self.near | self.links.keys()):
+        self._timer = self.driver.timers.add(now + SEND_US, self._on_time)
+        self._choose_executors()
+        for name in sorted(self.sharing_peers | self.links.keys()):
             link = self.links.get(name)
-            if link is None or link.wire is None:
+            if link is None or link.connection is None:
                 self._dial(now, name)
-            elif now - link.stamped > LOST_US:
+            elif now - link.received_at > LINK_SILENT_US:
                 self._drop(link, "nothing comes")
             else:
-                self._tell(now, link)
+                self._send_reports(now, link)
 
-    def _choose(self) -> None:
-        """Executors that this node uses, over all zones: drawn by zone, nearly all nodes would share one."""
+    def _choose_executors(self) -> None:
+        """Executors that this node uses, over all zones: chosen by zone, nearly all nodes would share one."""
         names, entries = self.discovery.reader.names, self.discovery.entries.items()
         listed = [names[number] for number, entry in entries if entry.state == api.ExecutorState.READY]
-        if not self.draw.update([self.name, *self.peers], listed):
+        if not self.plan.update([self.name, *self.peers], listed):
             return
-        mine = frozenset(self.draw.executors_of(self.name))
-        self.near = frozenset(
-            name for name in self.peers if not mine.isdisjoint(self.draw.executors_of(name))
+        used = frozenset(self.plan.executors_of(self.name))
+        self.sharing_peers = frozenset(
+            name for name in self.peers if not used.isdisjoint(self.plan.executors_of(name))
         )
-        for name in self.links.keys() - self.near:
+        for name in self.links.keys() - self.sharing_peers:
             self._drop(self.links.pop(name), "uses nothing in common any longer")
-        if mine != self.mine:
-            self.mine = mine
+        if used != self.used_here:
+            self.used_here = used
             for link in self.links.values():
-                self._say_uses(link)
+                self._send_subscription(link)
 
-    def _say_uses(self, link: Link) -> None:
-        if link.wire is not None:
-            link.wire.send(0, GossipSubscription(self.cluster, self.name, sorted(self.mine)))
+    def _send_subscription(self, link: Link) -> None:
+        if link.connection is not None:
+            link.connection.send(0, GossipSubscription(self.cluster, self.name, sorted(self.used_here)))
 
     # Links: of a pair the one whose name comes first dials.
 
     def _dial(self, now: int, name: str) -> None:
         link = self.links.setdefault(name, Link(name))
-        if self.name > name or now < link.dial_at or name not in self.near:
+        if self.name > name or now < link.dial_at or name not in self.sharing_peers:
             return
-        link.dial_at = now + AGAIN_US
-        wire = FramedConnection(self.driver, self._heard, self._ended, lambda wire: self._up(link, wire))
-        wire.name = name
+        link.dial_at = now + REDIAL_US
+        connection = FramedConnection(
+            self.driver, self._on_message, self._on_end, lambda opened: self._begin(link)
+        )
+        connection.name = name
         try:
             address = Address.parse(self.peers[name])
         except ValueError:
             return
-        link.wire = wire
-        wire.dial(address)
-
-    def _up(self, link: Link, wire: FramedConnection) -> None:
-        link.stamp, link.stamped, link.told = -1, self.driver.now(), {}
-        self._say_uses(link)
-
-    def take(self, wire: FramedConnection, word: GossipSubscription) -> bool:
-        """A peer has dialled, and tells what it uses; False: it is nobody to share with."""
-        if word.cluster != self.cluster or word.name not in self.peers:
+        link.connection = connection
+        connection.dial(address)
+
+    def _begin(self, link: Link) -> None:
+        """A link's connection is open."""
+        link.timestamp, link.received_at, link.sent_reports = -1, self.driver.now(), {}
+        self._send_subscription(link)
+
+    def accept_peer(self, connection: FramedConnection, subscription: GossipSubscription) -> bool:
+        """A peer has dialled, and says what it uses; False: it is nobody to share with."""
+        name = subscription.name
+        if subscription.cluster != self.cluster or name not in self.peers:
             return False
-        link = self.links.setdefault(word.name, Link(word.name))
-        before, link.wire = link.wire, wire
-        if before is not None and before is not wire:
+        link = self.links.setdefault(name, Link(name))
+        before, link.connection = link.connection, connection
+        if before is not None and before is not connection:
             before.end("the peer dialled anew")
-        wire.name, wire.heard, wire.ended = word.name, self._heard, self._ended
-        self._up(link, wire)
-        self._heard(wire, 0, word)
+        connection.name = name
+        connection.on_message, connection.on_end = self._on_message, self._on_end
+        self._begin(link)
+        self._on_message(connection, 0, subscription)
         return True
 
     def _drop(self, link: Link, reason: str) -> None:
-        wire, link.wire = link.wire, None
-        if wire is not None:
-            wire.end(reason)
+        connection, link.connection = link.connection, None
+        if connection is not None:
+            connection.end(reason)
 
-    def _ended(self, wire: FramedConnection, reason: str) -> None:
-        link = self.links.get(wire.name)
-        if link is not None and link.wire is wire:
-            link.wire, link.uses = None, frozenset()
+    def _on_end(self, connection: FramedConnection, reason: str) -> None:
+        link = self.links.get(connection.name)
+        if link is not None and link.connection is connection:
+            link.connection, link.uses = None, frozenset()
 
-    # What is heard and told.
+    # Reports.
 
-    def on_report(self, now: int, worker: int, report: api.LoadReport) -> None:
+    def on_report(self, now: int, executor: int, report: api.LoadReport) -> None:
         """A report has come here, with an answer or a probe."""
-        if self.peers and worker in self.discovery.reader.names:
-            self.facts[self.discovery.reader.names[worker]] = Report(now, report)
-
-    def _tell(self, now: int, link: Link) -> None:
-        facts = []
-        for name in sorted(link.uses & self.facts.keys()):
-            fact = self.facts[name]
-            if now - fact.at > OLD_US:
-                continue
-            if fact.at > link.told.get(name, -1):
-                link.told[name] = fact.at
-                facts.append((name, now - fact.at, fact.report))
-        if facts or now - link.said >= STILL_US:
-            link.said = now
-            since = now - link.stamped if link.stamp >= 0 else 0
-            link.wire.send(0, GossipUpdate(facts, now, link.stamp, since))
-
-    def _heard(self, wire: FramedConnection, number: int, word: object) -> None:
-        link = self.links.get(wire.name)
-        if link is None or link.wire is not wire:
+        if self.peers and executor in self.discovery.reader.names:
+            self.reports[self.discovery.reader.names[executor]] = ReceivedReport(now, report)
+
+    def _send_reports(self, now: int, link: Link) -> None:
+        reports = []
+        for name in sorted(link.uses & self.reports.keys()):
+            received = self.reports[name]
+            if now - received.at <= MAX_AGE_US and received.at > link.sent_reports.get(name, -1):
+                link.sent_reports[name] = received.at
+                reports.append((name, now - received.at, received.report))
+        if link.connection is not None and (reports or now - link.sent_at >= IDLE_SEND_US):
+            link.sent_at = now
+            echo_age = now - link.received_at if link.timestamp >= 0 else 0
+            link.connection.send(0, GossipUpdate(reports, now, link.timestamp, echo_age))
+
+    def _on_message(self, connection: FramedConnection, number: int, message: Any) -> None:
+        link = self.links.get(connection.name)
+        if link is None or link.connection is not connection:
             return
         now = self.driver.now()
-        if isinstance(word, GossipSubscription):
-            link.uses = frozenset(word.executors)
-        elif isinstance(word, GossipUpdate):
-            age = link.age(now, word)
-            link.stamp, link.stamped = word.timestamp, now
-            for name, old, report in word.reports:
-                self._take(now, name, old + age, report)
-
-    def _take(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
-        """A fact of another's: followed where it is newer than what is known here, and not too old."""
+        if isinstance(message, GossipSubscription):
+            link.uses = frozenset(message.executors)
+        elif isinstance(message, GossipUpdate):
+            age = link.age(now, message)
+            link.timestamp, link.received_at = message.timestamp, now
+            for name, age_at_peer, report in message.reports:
+                self._follow(now, name, age_at_peer + age, report)
+
+    def _follow(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
+        """A peer's report: followed where it is newer than what is known here, and not too old."""
         number = self.discovery.reader.numbers.get(name)
-        worker = self.dispatch.balancer.executors.get(number) if number is not None else None
-        if worker is None or age > OLD_US or worker.consecutive_failures or now - age <= worker.heard_at:
+        executor = self.dispatch.balancer.executors.get(number) if number is not None else None
+        if (
+            number is None
+            or executor is None
+            or age > MAX_AGE_US
+            or executor.consecutive_failures
+            or now - age <= executor.heard_at
+        ):
             self.passed_over += 1
             return
         self.followed += 1
@@ -208,4 +217,4 @@
             log_event(
                 "gossip-summary", followed=self.followed, passed_over=self.passed_over, peers=len(self.links)
             )
-        self.follow({})
+        self.set_peers({})
--- a/cedarmill/net/cluster/member.py
+++ b/cedarmill/net/cluster/member.py
@@ -1,15 +1,15 @@
-"""A member's session on sockets: one connection to a keeper at a time, and an ear for members that look."""
+"""A member's session on sockets: one connection to a replica at a time."""
 
+import dataclasses
 from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from cedarmill.cluster.messages import (
+    MEMBER_ROLE,
     ClientRequest,
     ConnectionRejected,
-    GossipSubscription,
     Hello,
     Orders,
-    Probe,
-    ProbeReply,
     Unavailable,
 )
 from cedarmill.cluster.session import (
@@ -23,199 +23,160 @@
     ProbeMember,
     SendRequest,
 )
+from cedarmill.core.timers import Timer
 from cedarmill.log import log_event
+from cedarmill.net.cluster.member_probes import MemberProbes
 from cedarmill.net.config import Address
 from cedarmill.net.framing import FramedConnection
-from cedarmill.net.listener import Acceptor, listening_socket
 from cedarmill.net.loop import EventLoopDriver
 
-GLANCE_US = 800_000  # for a member that is looked at to answer
-PINGERS = 64  # connections of members that look, at once
-LEAVE_US = 300_000  # for a keeper to hear that this life ends
+LEAVE_US = 300_000  # for a replica to hear that this incarnation ends
+MIN_TIMER_US = 1000  # to the next call of the core, which may be due at once again
+
+
+def _ignore() -> None:
+    """What an owner does that has no use for an event."""
+
+
+class OpenRequest(NamedTuple):
+    """Who waits for an answer, and the timer that ends the wait."""
+
+    on_answer: Callable[[Any], None]
+    timer: Timer
 
 
 class Membership:
-    """Keeps the session of this process; `follow`, `lapsed` and `resumed` are its owner's."""
+    """Keeps the session of this process.
+
+    `report` is asked at each heartbeat; `on_orders`, `on_lease_expired` and `on_lease_holds` are its owner's.
+    """
 
     def __init__(
         self,
         driver: EventLoopDriver,
         cluster: str,
-        who: MemberIdentity,
-        keepers: dict[str, Address],
-        facts: Callable[[], MemberReport],
-        follow: Callable[[Orders], None],
-        lapsed: Callable[[], None] = lambda: None,
-        resumed: Callable[[], None] = lambda: None,
+        identity: MemberIdentity,
+        replicas: dict[str, Address],
+        report: Callable[[], MemberReport],
+        on_orders: Callable[[Orders], None],
+        on_lease_expired: Callable[[], None] = _ignore,
+        on_lease_holds: Callable[[], None] = _ignore,
     ) -> None:
-        self.driver, self.cluster, self.who, self.keepers = driver, cluster, who, keepers
-        first = sum(who.name.encode())
-        self.agent = MemberSession(who, sorted(keepers), facts, driver.now(), first)
-        self.follow, self.lapsed, self.resumed = follow, lapsed, resumed
-        self.wire: FramedConnection | None = None
-        self.port = 0
-        self._asked: dict[
-            int, tuple[Callable[[object], None], object]
-        ] = {}  # answer's taker, and its deadline
-        self._count = 0
-        self._timer = None
-        self._pings: set[FramedConnection] = set()
-        # A node that would share news.
-        self.taken: Callable[[FramedConnection, GossipSubscription], bool] = lambda wire, word: False
-        self._carry_out = {
-            Connect: self._dial,
-            SendRequest: self._say,
-            FollowOrders: self._follow,
-            ProbeMember: self._glance,
-            LeaseExpired: lambda action: self._lapsed(),
-            LeaseHolds: lambda action: self._resumed(),
-        }
-
-    def listen(self, address: Address) -> None:
-        """Where members look; raises OSError."""
-        sock = listening_socket(address, PINGERS)
-        self.acceptor = Acceptor(
-            self.driver, sock, self._incoming, listener="member", batch=PINGERS, has_room=self._has_room
+        self.driver, self.cluster, self.replicas = driver, cluster, replicas
+        first = sum(identity.name.encode())
+        self.session = MemberSession(identity, sorted(replicas), report, driver.now(), first)
+        self.probes = MemberProbes(driver, identity)
+        self._on_orders = on_orders
+        self._on_lease_expired, self._on_lease_holds = on_lease_expired, on_lease_holds
+        self._connection: FramedConnection | None = None  # to a replica
+        self._open: dict[int, OpenRequest] = {}
+        self._last_number = 0
+        self._timer: Timer | None = None
+
+    def listen(self, address: Address) -> int:
+        """Answer members that probe this one; the port. Raises OSError."""
+        return self.probes.listen(address)
+
+    def set_address(self, address: str) -> None:
+        """Where others can probe this process, where that is known only once it listens."""
+        self.session.identity = self.probes.identity = dataclasses.replace(
+            self.session.identity, address=address
         )
-        self.port = self.acceptor.port
-        self.acceptor.resume()
 
     def start(self) -> None:
-        """Begin to beat."""
-        self._passed(self.driver.now())
+        """Begin to send heartbeats."""
+        self._on_time(self.driver.now())
 
     def holds(self) -> bool:
         """Whether the lease holds at this moment."""
-        return self.agent.holds(self.driver.now())
-
-    def _passed(self, now: int) -> None:
-        self._do(self.agent.on_time(now))
+        return self.session.holds(self.driver.now())
 
-    def _do(self, actions: list) -> None:
-        for action in actions:
-            self._carry_out[type(action)](action)
-        self.driver.timers.cancel(self._timer)
-        at = max(self.agent.due, self.driver.now() + 1000)
-        self._timer = self.driver.timers.add(at, self._passed)
+    def leave(self) -> None:
+        """This incarnation ends and has nothing out: say so once more."""
+        self._carry_out(self.session.leave(self.driver.now()))
 
-    def _lapsed(self) -> None:
-        log_event("lease-expired")
-        self.lapsed()
+    # The session.
 
-    def _resumed(self) -> None:
-        log_event("lease-holds", epoch=self.agent.epoch)
-        self.resumed()
+    def _on_time(self, now: int) -> None:
+        self._carry_out(self.session.on_time(now))
 
-    def _follow(self, action: FollowOrders) -> None:
-        self.follow(action.orders)
+    def _carry_out(self, actions: list[Any]) -> None:
+        for action in actions:
+            self._carry_out_one(action)
+        self.driver.timers.cancel(self._timer)
+        due = max(self.session.due, self.driver.now() + MIN_TIMER_US)
+        self._timer = self.driver.timers.add(due, self._on_time)
+
+    def _carry_out_one(self, action: object) -> None:
+        match action:
+            case Connect():
+                self._dial(action.replica)
+            case SendRequest():
+                if self._connection is not None:
+                    # Lost where the connection is not up yet: the next heartbeat tells it.
+                    self._connection.send(0, action.request)
+            case FollowOrders():
+                self._on_orders(action.orders)
+            case ProbeMember():
+                self._probe(action)
+            case LeaseExpired():
+                log_event("lease-expired")
+                self._on_lease_expired()
+            case LeaseHolds():
+                log_event("lease-holds", epoch=self.session.epoch)
+                self._on_lease_holds()
+
+    def _probe(self, action: ProbeMember) -> None:
+        _, _, incarnation = action.key.rpartition(":")
+        self.probes.probe(
+            action.address, incarnation, lambda alive: self.session.on_probed(action.key, alive)
+        )
 
-    # The keeper.
+    # The connection to a replica.
 
-    def _dial(self, action: Connect) -> None:
-        if self.wire is not None:
-            before, self.wire = self.wire, None
+    def _dial(self, replica: str) -> None:
+        if self._connection is not None:
+            before, self._connection = self._connection, None
             before.end("another keeper is tried")
-        self.wire = FramedConnection(self.driver, self._heard, self._ended, self._greet)
-        self.wire.name = action.replica
-        self.wire.dial(self.keepers[action.replica])
+        self._connection = FramedConnection(self.driver, self._on_message, self._on_end, self._greet)
+        self._connection.name = replica
+        self._connection.dial(self.replicas[replica])
 
-    def _greet(self, wire: FramedConnection) -> None:
-        wire.send(0, Hello(self.cluster, self.who.name, "client"))
+    def _greet(self, connection: FramedConnection) -> None:
+        connection.send(0, Hello(self.cluster, self.session.identity.name, MEMBER_ROLE))
 
-    def _say(self, action: SendRequest) -> None:
-        if self.wire is not None:
-            # Lost where the connection is not up yet: the next beat tells it.
-            self.wire.send(0, action.request)
-
-    def _heard(self, wire: FramedConnection, number: int, word: object) -> None:
-        if wire is not self.wire:
-            return
-        if isinstance(word, ConnectionRejected):
-            log_event("replica-refuses", replica=wire.name, reason=word.reason)
-            wire.end(word.reason)
-            return
-        taker = self._asked.pop(number, None) if number else None
-        if taker is not None:
-            self.driver.timers.cancel(taker[1])
-            taker[0](word)
-        elif not number:
-            self._do(self.agent.on_reply(self.driver.now(), word))
-
-    def _ended(self, wire: FramedConnection, reason: str) -> None:
-        if wire is self.wire:
-            self.wire = None
-            self._do(self.agent.on_disconnected(self.driver.now()))
-
-    def ask(self, ask: ClientRequest, wait_us: int, taker: Callable[[object], None]) -> None:
-        """Ask the keeper dialled; the taker gets its answer, or NotHere after `wait_us`."""
-        self._count += 1
-        number = self._count
-        late = self.driver.timers.add(self.driver.now() + wait_us, lambda now: self._late(number))
-        self._asked[number] = taker, late
-        if self.wire is None or not self.wire.send(number, ask):
-            self._late(number)
-
-    def _late(self, number: int) -> None:
-        taker = self._asked.pop(number, None)
-        if taker is not None:
-            self.driver.timers.cancel(taker[1])
-            taker[0](Unavailable("no keeper answered in time"))
-
-    def leave(self) -> None:
-        """This life ends and has nothing out: say so once more."""
-        self._do(self.agent.leave(self.driver.now()))
-
-    # Looking at others, and being looked at.
-
-    def _glance(self, action: ProbeMember) -> None:
-        _, _, life = action.key.rpartition(":")
-
-        def heard(wire: FramedConnection, number: int, word: object) -> None:
-            done(wire, isinstance(word, ProbeReply) and word.incarnation == life)
-
-        def done(wire: FramedConnection, there: bool) -> None:
-            if wire in self._pings:
-                self._pings.discard(wire)
-                self.agent.on_probed(action.key, there)
-                wire.end("looked")
-
-        wire = FramedConnection(
-            self.driver,
-            heard,
-            lambda wire, reason: done(wire, False),
-            lambda wire: wire.send(1, Probe(self.who.name)),
-        )
-        self._pings.add(wire)
-        try:
-            wire.dial(Address.parse(action.address))
-        except ValueError:
-            done(wire, False)
-            return
-        self.driver.timers.add(self.driver.now() + GLANCE_US, lambda now: done(wire, False))
-
-    def _incoming(self) -> FramedConnection:
-        """The connection of one who looks whether this process lives."""
-        wire = FramedConnection(self.driver, self._pinged, lambda wire, reason: self._pings.discard(wire))
-        self._pings.add(wire)
-        self.driver.timers.add(self.driver.now() + GLANCE_US, lambda now: self._late_ping(wire))
-        return wire
-
-    def _has_room(self) -> bool:
-        """Whether one more may look; at the bound they wait in the backlog."""
-        if len(self._pings) < PINGERS:
-            return True
-        self.acceptor.resume_later()
-        return False
-
-    def _late_ping(self, wire: FramedConnection) -> None:
-        if wire in self._pings:
-            wire.end("late")
-
-    def _pinged(self, wire: FramedConnection, number: int, word: object) -> None:
-        if isinstance(word, GossipSubscription):
-            self._pings.discard(wire)
-            if not self.taken(wire, word):
-                wire.end("nobody to share news with")
+    def _on_message(self, connection: FramedConnection, number: int, message: Any) -> None:
+        if connection is not self._connection:
             return
-        if isinstance(word, Probe):
-            wire.send(number, ProbeReply(self.who.name, self.who.incarnation))
+        if isinstance(message, ConnectionRejected):
+            log_event("replica-refuses", replica=connection.name, reason=message.reason)
+            connection.end(message.reason)
+        elif number:
+            self._answer(number, message)
+        else:
+            self._carry_out(self.session.on_reply(self.driver.now(), message))
+
+    def _on_end(self, connection: FramedConnection, reason: str) -> None:
+        if connection is self._connection:
+            self._connection = None
+            self._carry_out(self.session.on_disconnected(self.driver.now()))
+
+    # Requests.
+
+    def ask(self, request: ClientRequest, wait_us: int, on_answer: Callable[[Any], None]) -> None:
+        """Ask the replica that is connected; its answer comes, or Unavailable after `wait_us`."""
+        self._last_number += 1
+        number = self._last_number
+        timer = self.driver.timers.add(self.driver.now() + wait_us, lambda now: self._answer_late(number))
+        self._open[number] = OpenRequest(on_answer, timer)
+        if self._connection is None or not self._connection.send(number, request):
+            self._answer_late(number)
+
+    def _answer(self, number: int, message: object) -> None:
+        request = self._open.pop(number, None)
+        if request is not None:
+            self.driver.timers.cancel(request.timer)
+            request.on_answer(message)
+
+    def _answer_late(self, number: int) -> None:
+        self._answer(number, Unavailable("no keeper answered in time"))
--- a/cedarmill/net/cluster/node_role.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -1,39 +1,32 @@
-"""A node's part in the fleet: what it tells of itself and of executors, and what it follows. Off on the
-platform.
+"""A node's part in the cluster: what it reports, and the orders that it follows. Off on the platform.
 
-Orders reach the module as what it knows already: executors that drain. Whether anything may be sent at all is
-asked when an attempt is written (`DispatchObserver.may_send`): before the first orders nothing may, and with
-`cut-off="stop"` nothing once the lease has run out.
+Orders reach the balancer as what it knows already: executors that drain. Whether anything may be sent at all
+is asked when an attempt is written (`DispatchObserver.may_send`): before the first orders nothing may, and
+with `cut-off="stop"` nothing once the lease has run out.
 """
 
-import dataclasses
 import os
 import secrets
 from collections.abc import Callable
+from dataclasses import dataclass
 from http import HTTPStatus
+from typing import Any
 
 import msgspec
 
 from cedarmill.admin.routes import AdminAction, AdminRequest, AdminResponse
 from cedarmill.cluster.budget_lease import BudgetLeases, RetryBudget
-from cedarmill.cluster.messages import (
-    ExecutorObservation,
-    Orders,
-    ReadReply,
-    ReadRequest,
-    SubmitReply,
-    SubmitRequest,
-    Unavailable,
-)
+from cedarmill.cluster.messages import Orders, ReadReply, ReadRequest
 from cedarmill.cluster.session import MemberIdentity, MemberReport
-from cedarmill.cluster.state_machine.commands import RequestPermits, ReturnPermit
 from cedarmill.core.requests import Failed, FinalAnswer, Refused, Request
-from cedarmill.decisions import interface as api
 from cedarmill.log import log_event
-from cedarmill.net.admin.handlers import AdminHandlers, Answer
+from cedarmill.net.admin.handlers import AdminHandlers
+from cedarmill.net.admin.server import Answer
 from cedarmill.net.clients.server import ClientServer
+from cedarmill.net.cluster.admin_requests import AdminRequests
 from cedarmill.net.cluster.gossip import Gossip
 from cedarmill.net.cluster.member import LEAVE_US, Membership
+from cedarmill.net.cluster.node_reports import NodeReports
 from cedarmill.net.cluster.observer import ClusterObserver
 from cedarmill.net.cluster.routing import ClusterRouting
 from cedarmill.net.config import Address, Config
@@ -41,19 +34,28 @@
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.values import ClusterOptions
 
-STRIKES = 1  # signs that an executor is dead or unreachable, and none since that it serves
-FRESH_US = 3_000_000  # since an executor last answered here: older, this node says nothing of its health
-PEERS_US = 1_000_000  # after an answer, till the peers are asked for again if they have changed
-DOOR_US = 900_000  # for a keeper's answer to a call at the door: the page owes one within 1 s
-STATES = {
-    api.ExecutorState.READY: "ready",
-    api.ExecutorState.DRAINING: "draining",
-    api.ExecutorState.GONE: "gone",
-}
+PEERS_ANSWER_US = 900_000  # for a replica to say which peers there are
+PEERS_US = 1_000_000  # after an answer, until the peers are asked for again if they have changed
+RETRIES = "retries"  # the budget of attempts beyond the first
+INCARNATION_BYTES = 6  # of a random name
+
+
+@dataclass(slots=True)
+class RequestCounts:
+    """Requests with a final answer, by what it was."""
+
+    answered: int = 0
+    failed: int = 0
+    late: int = 0  # beyond the class's objective
+    refused: int = 0
+
+    def as_reported(self) -> tuple[int, int, int, int]:
+        """In the order of a heartbeat."""
+        return self.answered, self.failed, self.late, self.refused
 
 
 class NodeRole:
-    """What ties a node to the fleet."""
+    """What ties a node to the cluster."""
 
     def __init__(
         self,
@@ -62,260 +64,170 @@
         options: ClusterOptions,
         clients: ClientServer,
         discovery: DiscoveryClient,
-        hands: AdminHandlers,
+        handlers: AdminHandlers,
     ) -> None:
         self.driver, self.options, self.name = driver, options, config.name
-        self.clients, self.discovery, self.hands = clients, discovery, hands
+        self.discovery, self.handlers = discovery, handlers
         self.dispatch = discovery.dispatch
-        self.tally = [0, 0, 0, 0]  # jobs, failed, late, refused
+        self.counts = RequestCounts()
         self.orders: Orders | None = None
-        self.pending: dict[tuple[str, str], str] = {}  # of calls at the door without an answer: their ids
-        self._calls = 0
-        zones = config.settings.zones
-        zone = zones[config.settings.zone] if config.settings.zone < len(zones) else ""
-        self.life = os.environ.get("CEDARMILL_LIFE") or secrets.token_hex(6)
-        listen = Address.parse(options.listen) if options.listen else None
-        who = MemberIdentity(
-            "node",
-            config.name,
-            self.life,
-            zone,
-            options.listen,
-            os.environ.get("CEDARMILL_VERSION", ""),
-            stops_at_lease_expiry=options.cut_off == "stop",
-        )
-        keepers = {name: Address.parse(address) for name, address in options.replicas.items()}
+        identity = _identity(config, options)
+        replicas = {name: Address.parse(address) for name, address in options.replicas.items()}
         self.membership = Membership(
-            driver, options.cluster, who, keepers, self.facts, self.follow, self._lapsed, self._resumed
+            driver,
+            options.cluster,
+            identity,
+            replicas,
+            self.report,
+            self.on_orders,
+            self._on_lease_expired,
+            self._on_lease_holds,
         )
-        self.listen = listen
-        self.purses, self.tries = BudgetLeases(known=options.start == "alone"), RetryBudget()
-        hands.ask_cluster = self.obey
-        holds = self.membership.agent.holds
-        self.lanes = None
-        if zone:
-            self.lanes = ClusterRouting(driver, self.name, zone, discovery, options, holds, self.may_spend)
-        self.peopled, self._asks_peers = 0, False  # the epoch of the peers that are known
+        self.reports = NodeReports(self.name, clients, discovery)
+        self.admin_requests = AdminRequests(self.membership, self.name, identity.incarnation)
+        self.budgets, self.retry_budget = BudgetLeases(known=options.start == "alone"), RetryBudget()
+        self.routing: ClusterRouting | None = None
+        if identity.zone:
+            holds = self.membership.session.holds
+            self.routing = ClusterRouting(
+                driver, self.name, identity.zone, discovery, options, holds, self.may_spend
+            )
+        self._peers_epoch, self._asking_for_peers = 0, False  # the epoch of the peers that are known
         self.gossip = Gossip(driver, self.name, options.cluster, discovery)
-        self.membership.taken = self.gossip.take
+        self.membership.probes.accept_peer = self.gossip.accept_peer
+        handlers.ask_cluster = self.submit
         self.dispatch.observer = ClusterObserver(self)
         if options.start == "wait":
             discovery.hold(True)
 
     def start(self) -> None:
-        """Begin the session; raises OSError where the address for looks cannot be had."""
-        if self.listen is not None:
-            self.membership.listen(self.listen)
-            if not self.listen.port:
-                address = f"{self.listen.host}:{self.membership.port}"
-                self.membership.agent.identity = self.membership.who = _at(self.membership.who, address)
+        """Begin the session; raises OSError where the address for probes cannot be had."""
+        if self.options.listen:
+            address = Address.parse(self.options.listen)
+            port = self.membership.listen(address)
+            if not address.port:
+                self.membership.set_address(f"{address.host}:{port}")
         self.membership.start()
 
-    # Orders.
+    def leave(self, on_left: Callable[[], None]) -> None:
+        """This process ends and has nothing out."""
+        self.gossip.end()
+        self.membership.leave()
+        self.driver.timers.add(self.driver.now() + LEAVE_US, lambda now: on_left())
+
+    # Questions of the dispatch.
 
     def may_send(self, now: int) -> bool:
         """Asked at each write: a process that stood still acts on nothing it knew before."""
         if self.orders is None:
             return self.options.start == "alone"
-        return self.options.cut_off == "serve" or self.membership.agent.holds(now)
+        return self.options.cut_off == "serve" or self.membership.session.holds(now)
 
     def may_spend(self, now: int, budget: str) -> bool:
         """Asked at each spending, by whether the lease holds at this moment."""
-        return self.purses.spend(now, self.membership.agent.holds(now), budget)
+        return self.budgets.spend(now, self.membership.session.holds(now), budget)
 
     def may_retry(self, now: int) -> bool:
-        """A try beyond the first: a share of first tries here, within what the fleet may spend in all."""
-        if "retries" not in self.purses.by_name:
-            return self.purses.known
-        return self.tries.spend(self.tally[0] + self.dispatch.unanswered) and self.may_spend(now, "retries")
+        """A retry: a share of first attempts here, within what the cluster may spend in all."""
+        if RETRIES not in self.budgets.by_name:
+            return self.budgets.known
+        first_attempts = self.counts.answered + self.dispatch.unanswered
+        return self.retry_budget.spend(first_attempts) and self.may_spend(now, RETRIES)
 
-    def follow(self, orders: Orders) -> None:
-        """Newer orders: the module hears of what is out as draining."""
+    def on_final_answer(self, now: int, request: Request, answer: FinalAnswer) -> None:
+        """A request has its final answer."""
+        self.counts.answered += 1
+        if isinstance(answer, Failed):
+            self.counts.failed += 1
+        elif isinstance(answer, Refused):
+            self.counts.refused += 1
+            if self.routing is not None:
+                self.routing.on_refused()
+        elif now > request.objective_due:
+            self.counts.late += 1
+
+    # Orders.
+
+    def on_orders(self, orders: Orders) -> None:
+        """Newer orders: the balancer hears of what is out as draining."""
         before, self.orders = self.orders, orders
+        now = self.driver.now()
+        drains_clients = bool(orders.drain_clients_epoch)
         log_event(
             "cluster-orders",
             epoch=orders.epoch,
             excluded=", ".join(sorted(orders.excluded_executors)) or "nothing",
-            draining_clients="yes" if orders.drain_clients_epoch else "no",
+            draining_clients="yes" if drains_clients else "no",
         )
         if before is None or before.excluded_executors.keys() != orders.excluded_executors.keys():
-            self.hands.set_cluster_exclusions(dict.fromkeys(orders.excluded_executors, self.driver.now()))
-        if self.may_send(self.driver.now()) or self.options.cut_off == "serve":
+            self.handlers.set_cluster_exclusions(dict.fromkeys(orders.excluded_executors, now))
+        if self.may_send(now) or self.options.cut_off == "serve":
             self.discovery.hold(False)
-        self.purses.set_rates(
-            self.driver.now(), self.membership.agent.holds(self.driver.now()), orders.budget_leases
-        )
+        self.budgets.set_rates(now, self.membership.session.holds(now), orders.budget_leases)
         self._learn_peers()
-        if self.lanes is not None:
-            self._cut(orders)
-            self.lanes.follow(orders.routes)
-        if bool(orders.drain_clients_epoch) != bool(before is not None and before.drain_clients_epoch):
-            self.hands.drain_clients(bool(orders.drain_clients_epoch))
-
-    def _cut(self, orders: Orders) -> None:
-        gate = self.lanes.gate
-        if (gate.threshold, gate.scoped_thresholds) != (orders.admission_cut, orders.scoped_cuts):
-            rank, part = orders.admission_cut.weight, orders.admission_cut.share
-            tight = ", ".join(
-                f"{bound} {cut.weight / 1000:g}" for bound, cut in sorted(orders.scoped_cuts.items())
-            )
-            log_event(
-                "admission-level-followed",
-                rejected_share=f"{part / 10:g}%",
-                priority_weight=f"{rank / 1000:g}" if rank >= 0 else "nothing",
-                scoped=tight or "nothing",
-            )
-        gate.set_thresholds(orders.admission_cut, orders.scoped_cuts)
+        if self.routing is not None:
+            self.routing.set_admission(orders.admission_cut, orders.scoped_cuts)
+            self.routing.follow(orders.routes)
+        if drains_clients != bool(before is not None and before.drain_clients_epoch):
+            self.handlers.drain_clients(drains_clients)
 
     def _learn_peers(self, now: int = 0) -> None:
         """Ask who is there, once for each change; again after a while where nobody answers."""
-        epoch = self.orders.membership_epoch
+        epoch = self.orders.membership_epoch if self.orders is not None else 0
         if not epoch:
-            self.gossip.follow({})
-        elif epoch != self.peopled and not self._asks_peers:
-            self._asks_peers = True
-            self.membership.ask(ReadRequest("peers"), DOOR_US, lambda word: self._peers(word, epoch))
-        self.peopled = self.peopled if epoch else 0
+            self._peers_epoch = 0
+            self.gossip.set_peers({})
+        elif epoch != self._peers_epoch and not self._asking_for_peers:
+            self._asking_for_peers = True
+            self.membership.ask(
+                ReadRequest("peers"), PEERS_ANSWER_US, lambda reply: self._on_peers(reply, epoch)
+            )
 
-    def _peers(self, word: object, epoch: int) -> None:
-        self._asks_peers = False
-        if isinstance(word, ReadReply):
-            self.peopled = epoch
-            self.gossip.follow(msgspec.json.decode(word.body, type=dict[str, str]))
+    def _on_peers(self, reply: Any, epoch: int) -> None:
+        self._asking_for_peers = False
+        if isinstance(reply, ReadReply):
+            self._peers_epoch = epoch
+            self.gossip.set_peers(msgspec.json.decode(reply.body, type=dict[str, str]))
         self.driver.timers.add(self.driver.now() + PEERS_US, self._learn_peers)
 
-    def _lapsed(self) -> None:
+    def _on_lease_expired(self) -> None:
         if self.options.cut_off == "stop":
             self.discovery.hold(True)
 
-    def _resumed(self) -> None:
+    def _on_lease_holds(self) -> None:
         self.discovery.hold(False)
 
-    # What is told.
+    # Reports and requests.
 
-    def facts(self) -> MemberReport:
-        """As it stands at a beat."""
-        agent = self.membership.agent
-        doubts = self.driver.now() < agent.doubts_until
-        digest = self.lanes.digest(doubts) if self.lanes is not None else None
+    def report(self) -> MemberReport:
+        """As it stands at a heartbeat."""
+        now = self.driver.now()
+        doubts = now < self.membership.session.doubts_until
         return MemberReport(
-            self._done(),
-            self._seen(),
-            request_counts=tuple(self.tally),
-            digest=digest,
-            budget_demand=self.purses.demands(self.driver.now()),
+            self.reports.drained(self.orders, self.routing),
+            self.reports.executors(now),
+            request_counts=self.counts.as_reported(),
+            digest=self.routing.digest(doubts) if self.routing is not None else None,
+            budget_demand=self.budgets.demands(now),
         )
 
-    def _done(self) -> dict[str, int]:
-        """Executors that get nothing from here and have nothing of ours; this node, if its clients are
-        gone.
-        """
-        if self.orders is None:
-            return {}
-        done = {}
-        shut = self.orders.routes is not None and self.orders.routes.closed_zones
-        busy = self.dispatch.busy_executors() if self.orders.excluded_executors or shut else set()
-        if shut and self.lanes is not None:
-            done |= self.lanes.done(busy)
-        if self.orders.excluded_executors:
-            numbers = self.discovery.reader.numbers
-            done |= {
-                name: epoch
-                for name, epoch in self.orders.excluded_executors.items()
-                if numbers.get(name) not in busy
-            }
-        if self.orders.drain_clients_epoch and not self.clients.sessions and not self.dispatch.unanswered:
-            done[self.name] = self.orders.drain_clients_epoch
-        return done
-
-    def _seen(self) -> dict[str, ExecutorObservation]:
-        now = self.driver.now()
-        reader, workers, found = self.discovery.reader, self.dispatch.balancer.executors, {}
-        zones = {number: name for name, number in reader.zones.items()}
-        kinds = {number: name for name, number in reader.kinds.items()}
-        for number, entry in self.discovery.entries.items():
-            worker = workers.get(number)
-            ill = worker is not None and worker.consecutive_failures >= STRIKES
-            sure = ill or (worker is not None and now - worker.heard_at < FRESH_US)
-            started = self.discovery.listed_start.get(number, 0)
-            found[reader.names[number]] = ExecutorObservation(
-                STATES[entry.state],
-                ill,
-                sure,
-                zones.get(entry.zone, ""),
-                kinds.get(entry.kind, ""),
-                str(entry.cell),
-                max(1, round(entry.size)),
-                started,
-            )
-        return found
-
-    def on_final_answer(self, now: int, request: Request, answer: FinalAnswer) -> None:
-        """A request has its final answer."""
-        self.tally[0] += 1
-        if isinstance(answer, Failed):
-            self.tally[1] += 1
-        elif isinstance(answer, Refused):
-            self.tally[3] += 1
-            if self.lanes is not None:
-                self.lanes.refused()
-        elif now > request.objective_due:
-            self.tally[2] += 1
-
-    # The door.
-
-    def obey(self, request: AdminRequest, answer: Answer) -> None:
-        """A call that takes something out or puts it back is a request to the fleet."""
-        kind, name = ("executor", request.executor) if request.executor else ("node", self.name)
-        if request.action == AdminAction.EXCLUDE and not self.discovery.knows(name):
+    def submit(self, request: AdminRequest, answer: Answer) -> None:
+        """A call at the admin API that takes something out or puts it back is a request to the cluster."""
+        if request.action == AdminAction.EXCLUDE and not self.discovery.knows(request.executor):
             answer(AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n"))
             return
-        takes = request.action in (AdminAction.EXCLUDE, AdminAction.DRAIN_CLIENTS)
-        who, key = f"door:{self.name}", (request.action.value, name)
-        number = self.pending.setdefault(
-            key, self._new_id()
-        )  # asked again without an answer: the same request
-        command = (
-            RequestPermits(0, who, number, kind, (name,), "at the door")
-            if takes
-            else ReturnPermit(0, who, number, kind, name)
-        )
-        self.membership.ask(
-            SubmitRequest(command), DOOR_US, lambda word: self._told(word, key, takes, answer)
-        )
-
-    def _new_id(self) -> str:
-        self._calls += 1
-        return f"{self.life}-{self._calls}"
-
-    def _told(self, word: object, key: tuple[str, str], takes: bool, answer: Answer) -> None:
-        if not isinstance(word, SubmitReply):
-            reason = word.reason if isinstance(word, Unavailable) else "not understood"
-            text = f"not known: {reason}; call again\n"
-            answer(AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, text.encode()))
-            return
-        self.pending.pop(key, None)
-        if not takes:
-            done = word.ok or "is not out" in word.text
-            status = HTTPStatus.OK if done else HTTPStatus.CONFLICT
-            answer(AdminResponse(status, f"{word.text}\n".encode()))
-            return
-        state, notes = (word.permits[0][2], word.permits[0][3]) if word.permits else ("refused", [word.text])
-        out_already = any("is out already" in note or "waits already" in note for note in notes)
-        if state == "granted" or out_already:  # two calls out are one
-            text = "granted" if state == "granted" else "; ".join(notes)
-            answer(AdminResponse(HTTPStatus.OK, f"{text}\n".encode()))
-        elif state == "waiting":
-            answer(AdminResponse(HTTPStatus.ACCEPTED, f"waiting: {'; '.join(notes)}\n".encode()))
-        else:
-            answer(AdminResponse(HTTPStatus.CONFLICT, f"{state}: {'; '.join(notes)}\n".encode()))
-
-    def leave(self, then: Callable[[], None]) -> None:
-        """This process ends and has nothing out."""
-        self.gossip.end()
-        self.membership.leave()
-        self.driver.timers.add(self.driver.now() + LEAVE_US, lambda now: then())
-
-
-def _at(who: MemberIdentity, address: str) -> MemberIdentity:
-    return dataclasses.replace(who, address=address)
+        self.admin_requests.submit(request, answer)
+
+
+def _identity(config: Config, options: ClusterOptions) -> MemberIdentity:
+    """Of this process; a supervisor names its incarnation and version in the environment."""
+    zones, zone = config.settings.zones, config.settings.zone
+    return MemberIdentity(
+        "node",
+        config.name,
+        os.environ.get("CEDARMILL_LIFE") or secrets.token_hex(INCARNATION_BYTES),
+        zones[zone] if zone < len(zones) else "",
+        options.listen,
+        os.environ.get("CEDARMILL_VERSION", ""),
+        stops_at_lease_expiry=options.cut_off == "stop",
+    )
--- a/cedarmill/net/cluster/observer.py
+++ b/cedarmill/net/cluster/observer.py
@@ -1,4 +1,4 @@
-"""The fleet's view of the dispatch: one observer that passes events and questions to the parts concerned."""
+"""The cluster's view of the dispatch: one observer that passes events and questions to the parts."""
 
 from typing import TYPE_CHECKING
 
@@ -11,10 +11,10 @@
 
 
 class ClusterObserver(DispatchObserver):
-    """Connects the dispatch to the node's fleet session, traffic routing and gossip; times in us."""
+    """Connects the dispatch to the node's session, traffic routing and gossip; times in us."""
 
-    def __init__(self, fleet: "NodeRole") -> None:
-        self._fleet, self._routing, self._gossip = fleet, fleet.lanes, fleet.gossip
+    def __init__(self, role: "NodeRole") -> None:
+        self._role, self._routing, self._gossip = role, role.routing, role.gossip
 
     def place_request(self, arrival: api.RequestArrived) -> None:
         """Let the routing plan say where it may run."""
@@ -27,7 +27,7 @@
 
     def on_final_answer(self, now: int, request: Request, answer: FinalAnswer) -> None:
         """Count it among the node's results."""
-        self._fleet.on_final_answer(now, request, answer)
+        self._role.on_final_answer(now, request, answer)
 
     def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
         """Count it as evidence of its executor's zone."""
@@ -36,12 +36,12 @@
 
     def may_send(self, now: int) -> bool:
         """Whether the lease, or the settings without one, allow it."""
-        return self._fleet.may_send(now)
+        return self._role.may_send(now)
 
     def may_spend(self, now: int, budget: str) -> bool:
-        """Whether the node's part of the fleet's budget has one left."""
-        return self._fleet.may_spend(now, budget)
+        """Whether the node's part of the cluster's budget has one left."""
+        return self._role.may_spend(now, budget)
 
     def may_retry(self, now: int) -> bool:
         """Whether the retry budget has one left."""
-        return self._fleet.may_retry(now)
+        return self._role.may_retry(now)
--- a/cedarmill/net/listener.py
+++ b/cedarmill/net/listener.py
@@ -5,6 +5,7 @@
 import errno
 import socket
 from collections.abc import Callable
+from typing import Any
 
 from cedarmill.log import log_event
 from cedarmill.net.config import Address
@@ -12,7 +13,7 @@
 
 ACCEPT_AGAIN_US = 50_000  # after the system had no descriptor or memory for a connection
 # accept(2): these tell of the one connection, or of the call, and the next may be well
-ONE_CONNECTION = frozenset(
+SINGLE_CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EINTR,
@@ -57,7 +58,7 @@
 class Acceptor:
     """Takes connections from one listening socket and opens a session for each.
 
-    Connections that fail by themselves (`ONE_CONNECTION`) are passed over. Where the system has no
+    Connections that fail by themselves (`SINGLE_CONNECTION_ERRNOS`) are passed over. Where the system has no
     descriptor or memory, accepting rests for `ACCEPT_AGAIN_US`. A connection whose session does not open is
     closed. `has_room` is asked before each accept; an owner that says no resumes by `resume` or
     `resume_later`. `exhausted` hears that the system had nothing: an owner may let something go.
@@ -78,7 +79,7 @@
         self.port: int = sock.getsockname()[1]
         self._socket: socket.socket | None = sock
         self._session, self._has_room, self._exhausted = session, has_room, exhausted
-        self._opening: dict[asyncio.Task, socket.socket] = {}
+        self._opening: dict[asyncio.Task[Any], socket.socket] = {}
         self._reads = False
         # since when connections may have waited: none has been taken then for want of room or descriptors
         self.held_since: int | None = None
@@ -102,7 +103,7 @@
     def pause(self) -> None:
         """What comes waits in the backlog."""
         self._hold()
-        if self._reads:
+        if self._socket is not None and self._reads:
             self._reads = False
             self.driver.loop.remove_reader(self._socket.fileno())
 
@@ -129,6 +130,8 @@
 
     def take(self) -> Taken:
         """Accept one batch at most."""
+        if self._socket is None:
+            return Taken.EMPTY
         for _ in range(self.batch):
             if not self._has_room():
                 self._hold()
@@ -139,7 +142,7 @@
                 self.held_since = None
                 return Taken.EMPTY
             except OSError as error:
-                if error.errno in ONE_CONNECTION:
+                if error.errno in SINGLE_CONNECTION_ERRNOS:
                     continue
                 log_event("accept-failed", reason=error.strerror, listener=self.listener)
                 self._exhausted()
@@ -156,7 +159,7 @@
         task.add_done_callback(self._opened)
 
     @callback
-    def _opened(self, task: asyncio.Task) -> None:
+    def _opened(self, task: asyncio.Task[Any]) -> None:
         sock = self._opening.pop(task)
         if task.cancelled() or task.exception() is not None:
             sock.close()  # no transport has taken it over
--- a/tests/net/cluster/test_framing.py
+++ b/tests/net/cluster/test_framing.py
@@ -13,11 +13,18 @@
 from cedarmill.core.timers import Timers
 from cedarmill.net.cluster.member import Membership
 from cedarmill.net.config import Address
-from cedarmill.net.framing import HEAD, MAX_FRAME, FramedConnection, FrameReader, InvalidFrame, encode_frame
+from cedarmill.net.framing import (
+    HEADER,
+    MAX_BODY_BYTES,
+    FramedConnection,
+    FrameReader,
+    InvalidFrame,
+    encode_frame,
+)
 from cedarmill.net.loop import EventLoopDriver
 from tests.support.replica_case import LONG, KeeperCase
 
-WORDS = (
+MESSAGES = (
     Hello("c", "k0", "keeper", "d", 3),
     AppendEntries(2, 1, 1, (Entry(2, 2, EntryKind.COMMAND, b"x"),), 1, 9),
     ForwardRequest(4, ReadRequest("status")),
@@ -27,17 +34,17 @@
 
 class Frames(unittest.TestCase):
     def test_cut_at_any_byte_they_come_whole(self):
-        text = b"".join(encode_frame(number, word) for number, word in enumerate(WORDS))
+        text = b"".join(encode_frame(number, message) for number, message in enumerate(MESSAGES))
         for cut in range(len(text) + 1):
             reader = FrameReader()
             found = reader.feed(text[:cut]) + reader.feed(text[cut:])
-            self.assertEqual(found, list(enumerate(WORDS)))
+            self.assertEqual(found, list(enumerate(MESSAGES)))
 
     def test_what_is_no_frame_is_refused_with_its_reason(self):
         cases = (
-            (HEAD.pack(3, 9) + b"abc", "version 9"),
-            (HEAD.pack(MAX_FRAME + 1, 1), "at most"),
-            (HEAD.pack(3, 1) + b"abc", ""),
+            (HEADER.pack(3, 9) + b"abc", "version 9"),
+            (HEADER.pack(MAX_BODY_BYTES + 1, 1), "at most"),
+            (HEADER.pack(3, 1) + b"abc", ""),
             (b"GET / HTTP/1.1\r\n\r\n", "version"),
         )
         for text, words in cases:
@@ -75,17 +82,17 @@
     def test_each_way_to_write_ends_the_connection_once(self):
         for number in (errno.EPIPE, errno.ECONNRESET, errno.ENOBUFS):
             for write in (
-                lambda wire: wire.send(0, ReadRequest("status")),
-                lambda wire: wire.refuse("not here"),
+                lambda connection: connection.send(0, ReadRequest("status")),
+                lambda connection: connection.refuse("not here"),
             ):
                 with self.subTest(number=number):
                     on_end = mock.Mock()
-                    wire = FramedConnection(self.driver, None, on_end)
-                    wire.transport = BrokenTransport(number)
-                    self.assertFalse(write(wire))
-                    on_end.assert_called_once_with(wire, f"write failed: {os.strerror(number)}")
-                    self.assertEqual(wire.transport.aborted, 1)
-                    self.assertFalse(wire.send(0, ReadRequest("status")))
+                    connection = FramedConnection(self.driver, None, on_end)
+                    connection.transport = BrokenTransport(number)
+                    self.assertFalse(write(connection))
+                    on_end.assert_called_once_with(connection, f"write failed: {os.strerror(number)}")
+                    self.assertEqual(connection.transport.aborted, 1)
+                    self.assertFalse(connection.send(0, ReadRequest("status")))
 
     def test_a_member_s_session_goes_on(self):
         """Its timer stands behind the write: without it there would be no beat ever again."""
@@ -93,11 +100,11 @@
             self.driver, "main", MemberIdentity("node", "n0", "1"), {"k0": Address("127.0.0.1", 1)},
             MemberReport, lambda orders: None,
         )  # fmt: skip
-        wire = member.wire = FramedConnection(self.driver, member._heard, member._ended)
-        wire.transport = BrokenTransport(errno.EPIPE)
-        member._do([SendRequest(ReadRequest("status"))])
-        self.assertTrue(wire.over)
-        self.assertIsNone(member.wire)
+        connection = member._connection = FramedConnection(self.driver, member._on_message, member._on_end)
+        connection.transport = BrokenTransport(errno.EPIPE)
+        member._carry_out([SendRequest(ReadRequest("status"))])
+        self.assertTrue(connection.ended)
+        self.assertIsNone(member._connection)
         self.assertIsNotNone(self.driver.timers.next_due)
 
 
--- a/tests/net/cluster/test_gossip.py
+++ b/tests/net/cluster/test_gossip.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from cedarmill.decisions import interface as api
-from cedarmill.net.cluster.gossip import OLD_US, STILL_US, Gossip, Link
+from cedarmill.net.cluster.gossip import IDLE_SEND_US, MAX_AGE_US, Gossip, Link
 
 MS = 1_000
 
@@ -43,7 +43,9 @@
         discovery = SimpleNamespace(dispatch=dispatch, entries=entries, reader=reader)
         self.gossip, self.executors, self.said = Gossip(clock, name, "c", discovery), workers, []
         link = self.gossip.links[peer] = Link(peer)
-        self.wire = link.wire = SimpleNamespace(name=peer, send=lambda number, word: self.said.append(word))
+        self.connection = link.connection = SimpleNamespace(
+            name=peer, send=lambda number, word: self.said.append(word)
+        )
         self.link = link
 
     def _told(self, now: int, worker: int, report: tuple, age: int) -> None:
@@ -52,7 +54,7 @@
 
     def take(self, word) -> None:
         """A frame comes from the other side."""
-        self.gossip._heard(self.wire, 0, word)
+        self.gossip._on_message(self.connection, 0, word)
 
 
 class Links(unittest.TestCase):
@@ -61,16 +63,16 @@
     def setUp(self):
         self.clock = Clock()
         self.a, self.b = Side(self.clock, "a", "b"), Side(self.clock, "b", "a")
-        self.a.gossip.follow({"a": "nowhere", "b": "nowhere"})
-        self.b.gossip.follow({"a": "nowhere", "b": "nowhere"})
+        self.a.gossip.set_peers({"a": "nowhere", "b": "nowhere"})
+        self.b.gossip.set_peers({"a": "nowhere", "b": "nowhere"})
         for side, other in ((self.a, self.b), (self.b, self.a)):
-            side.gossip._say_uses(side.link)
+            side.gossip._send_subscription(side.link)
             other.take(side.said.pop())
 
     def carry(self, times: int = 4, late: int = 0, back: bool = True) -> None:
         """Let frames go both ways: those of `a` so much later, those of `b` at once or not at all."""
         for _ in range(times):
-            self.clock.pass_on(STILL_US)
+            self.clock.pass_on(IDLE_SEND_US)
             words, self.a.said = self.a.said, []
             answers, self.b.said = self.b.said, []
             for word in answers if back else []:
@@ -108,9 +110,9 @@
         self.hears()
         self.carry(1, back=False)
         self.assertEqual([worker for worker, _ in self.b.heard], [1])
-        self.assertLess(self.b.heard[0][1], OLD_US, "by the last stamp that came through")
+        self.assertLess(self.b.heard[0][1], MAX_AGE_US, "by the last stamp that came through")
         ended = []
-        self.a.wire.end = ended.append
+        self.a.connection.end = ended.append
         self.carry(12, back=False)
         self.assertEqual(ended, ["nothing comes"])
 
@@ -120,19 +122,19 @@
         self.hears()
         self.carry()
         self.assertEqual(self.b.heard, [])
-        self.b.executors[2].heard_at = self.clock.at + OLD_US
+        self.b.executors[2].heard_at = self.clock.at + MAX_AGE_US
         self.hears(2)
         self.carry()
         self.assertEqual(self.b.heard, [])
 
     def test_only_peers_that_use_the_same_executors_are_linked(self):
-        gossip, self.a.wire.end = self.a.gossip, lambda reason: None
+        gossip, self.a.connection.end = self.a.gossip, lambda reason: None
         names = {n: f"e{n}" for n in range(600)}
         gossip.discovery.reader.names = names
         gossip.discovery.entries = {n: api.EndpointEntry(n, api.ExecutorState.READY) for n in names}
-        gossip.follow({f"n{n}": "nowhere" for n in range(120)})
-        self.clock.pass_on(STILL_US)
-        shares = {name for name in gossip.peers if gossip.mine & set(gossip.draw.executors_of(name))}
+        gossip.set_peers({f"n{n}": "nowhere" for n in range(120)})
+        self.clock.pass_on(IDLE_SEND_US)
+        shares = {name for name in gossip.peers if gossip.used_here & set(gossip.plan.executors_of(name))}
         self.assertEqual(gossip.links.keys(), shares)
         self.assertLess(len(shares), 100, "of 120")
 
--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -31,7 +31,8 @@
 from cedarmill.cluster.replica import Replica
 from cedarmill.cluster.state_machine.commands import RequestPermits
 from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_id
-from cedarmill.net.cluster.replica import DISK_REFUSAL, ReplicaProcess, disk_name, first_snapshot
+from cedarmill.net.cluster.replica import DISK_REFUSAL, ReplicaProcess
+from cedarmill.net.cluster.replica_format import disk_name, first_snapshot
 from cedarmill.store.errors import ForeignDiskError
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import ReplicaOptions
@@ -226,7 +227,7 @@
         self.assertEqual(self.running["k0"].wait(LONG), 0)
 
 
-class WireStub:
+class ConnectionStub:
     """A connection that keeps what is said on it."""
 
     def __init__(self, name: str = "") -> None:
@@ -266,88 +267,88 @@
 
     def carry_out(self, actions: list) -> None:
         """A whole turn of the loop."""
-        self.process._take(actions)
-        self.process._flush()
+        self.process.take(actions)
+        self.process.flush()
 
     def break_disk(self, call: str = "write") -> None:
         self.files.failing = {call: errno.EIO}
 
     def test_a_leader_asks_the_follower_that_is_furthest_to_lead(self):
-        process, keeper = self.process, self.process.keeper
-        process.wires = {name: WireStub(name) for name in ("k1", "k2")}
-        self.carry_out(keeper.on_time(keeper.due))
+        process, replica = self.process, self.process.replica
+        process.peers.connected = {name: ConnectionStub(name) for name in ("k1", "k2")}
+        self.carry_out(replica.on_time(replica.due))
         for pre in (True, False):
-            term = keeper.raft.term + pre
-            self.carry_out(keeper.on_message(process.driver.now(), "k2", RequestVoteReply(term, True, pre)))
-        self.assertTrue(keeper.is_leader)
-        answer = AppendEntriesReply(keeper.raft.term, True, keeper.raft.log.last_index, 1)
-        self.carry_out(keeper.on_message(process.driver.now(), "k2", answer))
+            term = replica.raft.term + pre
+            self.carry_out(replica.on_message(process.driver.now(), "k2", RequestVoteReply(term, True, pre)))
+        self.assertTrue(replica.is_leader)
+        answer = AppendEntriesReply(replica.raft.term, True, replica.raft.log.last_index, 1)
+        self.carry_out(replica.on_message(process.driver.now(), "k2", answer))
         self.break_disk()
-        sent = len(process.wires["k2"].said)
+        sent = len(process.peers.connected["k2"].said)
         self.carry_out(
-            keeper.on_request(
+            replica.on_request(
                 process.driver.now(), 1, SubmitRequest(RequestPermits(0, "o", "1", "executor", ("b",)))
             )
         )
-        self.assertTrue(process.recovering)
-        self.assertEqual(process.wires["k2"].said[sent:], [TimeoutNow(keeper.raft.term)])
-        self.assertNotIn(TimeoutNow(keeper.raft.term), process.wires["k1"].said)
+        self.assertTrue(process.disk.failing)
+        self.assertEqual(process.peers.connected["k2"].said[sent:], [TimeoutNow(replica.raft.term)])
+        self.assertNotIn(TimeoutNow(replica.raft.term), process.peers.connected["k1"].said)
 
     def test_a_start_of_another_disk_that_cannot_be_kept_is_a_failure_of_the_disk(self):
-        wire = WireStub()
+        wire = ConnectionStub()
         self.break_disk()
-        self.process._hello(wire, 0, Hello("main", "k1", "keeper", disk_name("main", "k1"), 7))
-        self.assertTrue(self.process.recovering)
+        self.process.on_message(wire, 0, Hello("main", "k1", "keeper", disk_name("main", "k1"), 7))
+        self.assertTrue(self.process.disk.failing)
         self.assertTrue(wire.reason)
-        self.assertEqual(self.process.wires, {})
+        self.assertEqual(self.process.peers.connected, {})
 
     def test_a_replica_whose_disk_has_lost_what_was_synced_does_not_vote(self):
-        process, wire = self.process, WireStub("k1")
-        process.wires = {"k1": wire}
+        process, wire = self.process, ConnectionStub("k1")
+        process.peers.connected = {"k1": wire}
         ask = RequestVote(5, 9, 5, False)
-        self.carry_out(process.keeper.on_message(process.driver.now() + 10_000_000, "k1", ask))
+        self.carry_out(process.replica.on_message(process.driver.now() + 10_000_000, "k1", ask))
         self.assertEqual(wire.said, [RequestVoteReply(5, True, False)])
         with open(self.files.path("log"), "rb+") as log:
             log.truncate(len(log.read()) - 1)  # the record of its vote
         self.break_disk()
-        process._disk_failed(OSError("told"))
+        process.disk.fail(OSError("told"))
         self.files.failing = {}
-        process._recover(process.driver.now())
-        self.assertFalse(process.recovering)
-        self.assertTrue(process.keeper.raft.needs_catch_up)
-        process.wires = {"k2": WireStub("k2")}
-        self.carry_out(process.keeper.on_message(process.driver.now() + 10_000_000, "k2", ask))
-        self.assertEqual([reply.vote_granted for reply in process.wires["k2"].said], [False])
-        process._disk_failed(OSError("again"))
-        process._recover(process.driver.now())
-        self.assertTrue(process.keeper.raft.needs_catch_up, "no second failure ends the doubt")
+        process.disk.retry(process.driver.now())
+        self.assertFalse(process.disk.failing)
+        self.assertTrue(process.replica.raft.needs_catch_up)
+        process.peers.connected = {"k2": ConnectionStub("k2")}
+        self.carry_out(process.replica.on_message(process.driver.now() + 10_000_000, "k2", ask))
+        self.assertEqual([reply.vote_granted for reply in process.peers.connected["k2"].said], [False])
+        process.disk.fail(OSError("again"))
+        process.disk.retry(process.driver.now())
+        self.assertTrue(process.replica.raft.needs_catch_up, "no second failure ends the doubt")
         self.restart()
         process = self.process
-        self.assertTrue(process.keeper.raft.needs_catch_up, "no restart ends the doubt")
-        process.wires = {"k2": WireStub("k2")}
-        self.carry_out(process.keeper.on_message(process.driver.now() + 10_000_000, "k2", ask))
-        self.assertEqual([reply.vote_granted for reply in process.wires["k2"].said], [False])
+        self.assertTrue(process.replica.raft.needs_catch_up, "no restart ends the doubt")
+        process.peers.connected = {"k2": ConnectionStub("k2")}
+        self.carry_out(process.replica.on_message(process.driver.now() + 10_000_000, "k2", ask))
+        self.assertEqual([reply.vote_granted for reply in process.peers.connected["k2"].said], [False])
         self.carry_out(
-            process.keeper.on_message(process.driver.now(), "k1", AppendEntries(9, 1, 1, (), 1, 1))
+            process.replica.on_message(process.driver.now(), "k1", AppendEntries(9, 1, 1, (), 1, 1))
         )
-        self.assertFalse(process.keeper.raft.needs_catch_up, "a leader has brought it up to date")
+        self.assertFalse(process.replica.raft.needs_catch_up, "a leader has brought it up to date")
         self.restart()
-        self.assertFalse(self.process.keeper.raft.needs_catch_up)
+        self.assertFalse(self.process.replica.raft.needs_catch_up)
 
     def test_a_disk_that_turns_out_to_be_foreign_ends_the_start(self):
         self.end()
         self.break_disk("open")
         process = ReplicaProcess(replace(self.options, cluster="other"), self.files)
         self.addCleanup(process.loop.close)
-        self.assertTrue(process.recovering)
+        self.assertTrue(process.disk.failing)
         self.files.failing = {}
-        process._recover(process.driver.now())
-        self.assertIsInstance(process.failure, ForeignDiskError)
+        process.disk.retry(process.driver.now())
+        self.assertIsInstance(process.disk.final_failure, ForeignDiskError)
         self.restart()
 
     def test_a_close_that_fails_is_tried_over_like_all_else(self):
         """close(2) may report EIO; the descriptor is free then."""
-        self.process._disk_failed(OSError("told"))
+        self.process.disk.fail(OSError("told"))
         real = os.close
 
         def close(descriptor: int) -> None:
@@ -355,19 +356,19 @@
             raise OSError(errno.EIO, os.strerror(errno.EIO))
 
         with mock.patch("os.close", close):
-            self.process._recover(0)
-        self.assertTrue(self.process.recovering)
+            self.process.disk.retry(0)
+        self.assertTrue(self.process.disk.failing)
         self.assertIsNotNone(self.process.timers.next_due)
-        self.process._recover(0)
-        self.assertFalse(self.process.recovering)
+        self.process.disk.retry(0)
+        self.assertFalse(self.process.disk.failing)
 
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
-        self.process._disk_failed(OSError("told"))
+        self.process.disk.fail(OSError("told"))
         self.break_disk("open")
         waits = []
         for _ in range(7):
-            self.process._recover(0)
-            waits.append(self.process.retry_us)
+            self.process.disk.retry(0)
+            waits.append(self.process.disk.retry_us)
         self.assertEqual(waits, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
 
     def test_an_answer_to_what_an_earlier_start_relayed_reaches_nobody(self):
--- a/tests/net/cluster/test_supervisor.py
+++ b/tests/net/cluster/test_supervisor.py
@@ -16,6 +16,7 @@
 from cedarmill.cluster.supervision import StartProcess, StopProcess, StoreUnits
 from cedarmill.lab.cluster.process_group import free_port
 from cedarmill.net.cluster.supervisor import SupervisorProcess
+from cedarmill.net.cluster.supervisor_actions import UNITS_NAME
 from cedarmill.values import ClusterOptions, SupervisorOptions, UnitOptions
 from tests.support.node_case import ROOT
 from tests.support.replica_case import LONG, cli
@@ -68,7 +69,7 @@
     def test_a_disk_that_fails_from_the_start_is_waited_for(self):
         self.path.write_text(FILE.format(**self.words))
         plan = FaultPlan(self.folder)
-        plan.arm(Fault("stat", "EIO", match="units.json", times=0))
+        plan.arm(Fault("stat", "EIO", match=UNITS_NAME, times=0))
         command = plan.command("cedarmill.cli", "steward", "-c", str(self.path))
         for end in (False, True):
             with self.subTest(end=end):
@@ -81,7 +82,7 @@
                 process.terminate()
                 process.communicate(timeout=LONG)
                 self.assertEqual(process.returncode, 0)
-                plan.arm(Fault("stat", "EIO", match="units.json", times=0))
+                plan.arm(Fault("stat", "EIO", match=UNITS_NAME, times=0))
 
     def wait_for(self, process: subprocess.Popen, words: str) -> None:
         """Read its log up to a line with these words."""
@@ -125,12 +126,12 @@
     def full_disk(self):
         """The disk is full until the block ends."""
         error = OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        return mock.patch.object(self.supervisor.files, "replace", side_effect=error)
+        return mock.patch.object(self.supervisor.directory, "replace", side_effect=error)
 
     def order(self, version: str, epoch: int) -> None:
         """An order of the cluster comes while the lease holds."""
-        self.supervisor.membership.agent.lease_until = self.supervisor.driver.now() + 60_000_000
-        self.supervisor._follow(Orders(epoch, units={"n0": (version, epoch)}))
+        self.supervisor.membership.session.lease_until = self.supervisor.driver.now() + 60_000_000
+        self.supervisor.on_orders(Orders(epoch, units={"n0": (version, epoch)}))
 
     def versions(self) -> list[str]:
         """Of the processes that run."""
@@ -140,99 +141,101 @@
 
     def test_a_disk_that_fails_holds_changes_back_and_nothing_runs_that_was_not_stored(self):
         supervisor = self.supervisor
-        supervisor._begin(supervisor.driver.now())
+        supervisor.begin(supervisor.driver.now())
         unit = supervisor.core.units["n0"]
-        supervisor._do(supervisor.core.on_ready(supervisor.driver.now(), "n0", unit.current))
+        supervisor.actions.add(supervisor.core.on_ready(supervisor.driver.now(), "n0", unit.current))
         with self.full_disk():
             self.order("v2", 1)
             self.order("v1", 2)
             for _ in range(3):
-                supervisor._look(supervisor.driver.now())
-                supervisor._keep_again(supervisor.driver.now())
+                supervisor.look(supervisor.driver.now())
+                supervisor.actions.retry(supervisor.driver.now())
             self.assertEqual(self.versions(), ["v1"])
-            self.assertEqual(supervisor._facts().units["n0"][0], "v2")
-        supervisor._keep_again(supervisor.driver.now())
-        self.assertIsNone(supervisor.failed_at)
+            self.assertEqual(supervisor.report().units["n0"][0], "v2")
+        supervisor.actions.retry(supervisor.driver.now())
+        self.assertFalse(supervisor.actions.failing)
         self.assertEqual(sorted(self.versions()), ["v1", "v2"])
-        stored = json.loads(supervisor.files.read("units.json"))
+        stored = json.loads(supervisor.directory.read(UNITS_NAME))
         self.assertEqual({one["version"] for one in stored["n0"]["lives"].values()}, {"v1", "v2"})
-        supervisor._look(supervisor.driver.now())
+        supervisor.look(supervisor.driver.now())
         self.assertEqual((unit.applied_epoch, unit.version), (2, "v1"))
 
     def test_an_end_seen_while_the_disk_fails_is_told_once_it_works(self):
         supervisor = self.supervisor
-        supervisor._begin(supervisor.driver.now())
+        supervisor.begin(supervisor.driver.now())
         [(life, child)] = supervisor.units["n0"].children.items()
         with self.full_disk():
-            supervisor._do([StoreUnits(b"{}")])
+            supervisor.actions.add([StoreUnits(b"{}")])
             child.kill()
             child.wait(LONG)
-            supervisor._look(supervisor.driver.now())
-            self.assertEqual((supervisor._facts().ended_members, len(supervisor.pending)), ([], 1))
-        supervisor._keep_again(supervisor.driver.now())
-        supervisor._look(supervisor.driver.now())
-        self.assertEqual(supervisor._facts().ended_members, [f"node:n0:{life}"])
+            supervisor.look(supervisor.driver.now())
+            self.assertEqual((supervisor.report().ended_members, len(supervisor.actions.pending)), ([], 1))
+        supervisor.actions.retry(supervisor.driver.now())
+        supervisor.look(supervisor.driver.now())
+        self.assertEqual(supervisor.report().ended_members, [f"node:n0:{life}"])
 
     def test_what_is_told_to_end_late_has_its_whole_time(self):
         supervisor = self.supervisor
-        supervisor._begin(supervisor.driver.now())
+        supervisor.begin(supervisor.driver.now())
         now = supervisor.driver.now()
         [process] = supervisor.core.units["n0"].processes.values()
         process.stopping, process.kill_at = True, now + 5
         with self.full_disk():
-            supervisor._do([StoreUnits(b"{}"), StopProcess("n0", process.incarnation)])
-        supervisor._keep_again(supervisor.failed_at + 1000)
+            supervisor.actions.add([StoreUnits(b"{}"), StopProcess("n0", process.incarnation)])
+        supervisor.actions.retry(supervisor.actions._failed_at + 1000)
         self.assertEqual(process.kill_at, now + 5 + 1000)
 
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
         supervisor, waits = self.supervisor, []
         with self.full_disk():
-            supervisor._begin(supervisor.driver.now())
+            supervisor.begin(supervisor.driver.now())
             for _ in range(7):
-                supervisor._keep_again(0)
-                waits.append(supervisor.retry_us)
+                supervisor.actions.retry(0)
+                waits.append(supervisor.actions.retry_us)
         self.assertEqual(waits, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
         self.assertEqual(self.versions(), [])
 
     def test_a_process_is_not_taken_for_ended_where_nobody_can_tell(self):
-        self.supervisor._begin(self.supervisor.driver.now())
+        self.supervisor.begin(self.supervisor.driver.now())
         [life] = self.supervisor.core.units["n0"].processes
         child = self.supervisor.units["n0"].children.pop(life)  # as an adopted one: not waited for
         self.addCleanup(child.wait, LONG)
         self.addCleanup(child.kill)
         for number in (errno.EMFILE, errno.ENFILE, errno.ENOMEM):
             with mock.patch.object(Path, "read_text", side_effect=OSError(number, os.strerror(number))):
-                self.supervisor._look(self.supervisor.driver.now())
-                self.assertEqual(self.supervisor._facts().ended_members, [])
-                heir = self.start()
-                heir._begin(heir.driver.now())
-                self.assertEqual((heir._facts().ended_members, heir.core.units["n0"].current), ([], life))
-                self.assertIsNotNone(heir.timers.next_due)
+                self.supervisor.look(self.supervisor.driver.now())
+                self.assertEqual(self.supervisor.report().ended_members, [])
+                successor = self.start()
+                successor.begin(successor.driver.now())
+                self.assertEqual(
+                    (successor.report().ended_members, successor.core.units["n0"].current), ([], life)
+                )
+                self.assertIsNotNone(successor.timers.next_due)
 
     def test_a_process_whose_id_was_not_stored_is_found_again(self):
-        with mock.patch.object(self.supervisor, "_do", lambda actions: None):
-            self.supervisor._begin(self.supervisor.driver.now())  # nothing was started or stored yet
+        with mock.patch.object(self.supervisor.actions, "add", lambda actions: None):
+            self.supervisor.begin(self.supervisor.driver.now())  # nothing was started or stored yet
         [life] = self.supervisor.core.units["n0"].processes
-        self.supervisor._keep(StoreUnits(msgspec.json.encode(self.supervisor.core.units)))
-        with mock.patch.object(self.supervisor, "_do", lambda actions: None):  # killed before it can
-            self.supervisor._start(StartProcess("n0", "v1", life))
+        self.supervisor.directory.replace(UNITS_NAME, msgspec.json.encode(self.supervisor.core.units))
+        with mock.patch.object(self.supervisor.actions, "add", lambda actions: None):  # killed before it can
+            self.supervisor.start_process(StartProcess("n0", "v1", life))
         [child] = self.supervisor.units["n0"].children.values()
-        heir = self.start()
-        heir._begin(heir.driver.now())
-        self.assertEqual(heir._facts().ended_members, [])
-        self.assertEqual(heir.core.units["n0"].processes[life].pid, child.pid)
+        successor = self.start()
+        successor.begin(successor.driver.now())
+        self.assertEqual(successor.report().ended_members, [])
+        self.assertEqual(successor.core.units["n0"].processes[life].pid, child.pid)
 
     def test_only_an_address_in_use_asks_the_process_before_to_end(self):
         supervisor = self.supervisor
-        supervisor._begin(supervisor.driver.now())
+        supervisor.begin(supervisor.driver.now())
         [(life, child)] = supervisor.units["n0"].children.items()
         supervisor.units["n0"].socket.close()
         supervisor.units["n0"].socket = None
         for number, stopping in ((errno.EMFILE, False), (errno.ENOBUFS, False), (errno.EADDRINUSE, True)):
             with self.subTest(number=number):
                 error = OSError(number, os.strerror(number))
-                with mock.patch("cedarmill.net.cluster.supervisor.listening_socket", side_effect=error):
-                    supervisor._start(StartProcess("n0", "v2", "another"))
+                with mock.patch("cedarmill.net.cluster.unit_processes.listening_socket", side_effect=error):
+                    supervisor.start_process(StartProcess("n0", "v2", "another"))
                 self.assertEqual(supervisor.core.units["n0"].processes[life].stopping, stopping)
 
 
