--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -195,6 +195,8 @@
             return  # whatever is seen, what follows has to be stored first
         for name in self.core.units:
             self._look_at(now, name)
+        if self.actions.failing:
+            return
         for process in self.core.to_kill(now):
             for name, unit in self.core.units.items():
                 if process.incarnation in unit.processes:
--- a/cedarmill/net/cluster/supervisor_actions.py
+++ b/cedarmill/net/cluster/supervisor_actions.py
@@ -43,8 +43,11 @@
         return self._failed_at is not None
 
     def add(self, actions: list[Any]) -> None:
-        """Carry these out, and what follows of each before the next."""
-        self.pending = [*actions, *self.pending]
+        """Carry these out, and what follows of each before the next.
+
+        While the disk fails they come last: what waits to be stored is older.
+        """
+        self.pending = [*self.pending, *actions] if self.failing else [*actions, *self.pending]
         while self.pending and not self.failing:
             action = self.pending.pop(0)
             if isinstance(action, StoreUnits):
--- a/tests/net/cluster/test_supervisor.py
+++ b/tests/net/cluster/test_supervisor.py
@@ -174,6 +174,15 @@
         supervisor.look(supervisor.driver.now())
         self.assertEqual(supervisor.report().ended_members, [f"node:n0:{life}"])
 
+    def test_of_two_documents_that_wait_the_newer_one_is_stored_last(self):
+        supervisor = self.supervisor
+        supervisor.begin(supervisor.driver.now())
+        with self.full_disk():
+            supervisor.actions.add([StoreUnits(b"older")])
+            supervisor.actions.add([StoreUnits(b"newer")])
+        supervisor.actions.retry(supervisor.driver.now())
+        self.assertEqual(supervisor.directory.read(UNITS_NAME), b"newer")
+
     def test_what_is_told_to_end_late_has_its_whole_time(self):
         supervisor = self.supervisor
         supervisor.begin(supervisor.driver.now())
