--- a/cedarmill/cluster/admission_level/controller.py
+++ b/cedarmill/cluster/admission_level/controller.py
@@ -4,7 +4,7 @@
 less while requests take too long, more while they do not or slots stand idle. Requests that may not leave
 their zone or region are shed there alone, where only these find no room. A cluster that stays late though no
 more is admitted than there is sustains its own overload: a deep cut of bounded length ends that state. An
-operator's override holds beside the level until its end.
+operator's override holds together with the level until its end.
 """
 
 from collections.abc import Mapping
--- a/cedarmill/cluster/hosting.py
+++ b/cedarmill/cluster/hosting.py
@@ -1,4 +1,4 @@
-"""Carries a keeper's actions out in their order, whatever the disk and the network are; no I/O of its own.
+"""Carries a replica's actions out in their order, whatever the disk and the network are; no I/O of its own.
 
 All that came in a turn is kept by one sync, and nothing is sent or answered before it.
 """
@@ -41,10 +41,10 @@
 
 
 class Host:
-    """Runs one keeper on a port."""
+    """Runs one replica on a port."""
 
-    def __init__(self, keeper: Replica, port: Port) -> None:
-        self.keeper, self.port = keeper, port
+    def __init__(self, replica: Replica, port: Port) -> None:
+        self.replica, self.port = replica, port
         self.pending: Actions = []
 
     def take(self, actions: Actions) -> None:
@@ -66,19 +66,19 @@
                     self.port.save(action)
                     last = action.entries[-1].index if isinstance(action, PersistEntries) else last
                 elif isinstance(action, RestoreSnapshot):
-                    self.port.put_snapshot(action.snapshot, list(self.keeper.raft.log.entries))
+                    self.port.put_snapshot(action.snapshot, list(self.replica.raft.log.entries))
                 elif isinstance(action, StoreSnapshot):
                     self._snap(now, action.snapshot)
                 else:
                     outward.append(action)
             if self.port.sync() and last >= 0:
-                self.pending += self.keeper.on_synced(now, last)
+                self.pending += self.replica.on_synced(now, last)
         self._out(outward)
 
     def _snap(self, now: int, snapshot: Snapshot) -> None:
-        rest = [entry for entry in self.keeper.raft.log.entries if entry.index > snapshot.index]
+        rest = [entry for entry in self.replica.raft.log.entries if entry.index > snapshot.index]
         self.port.put_snapshot(snapshot, rest)
-        self.pending += self.keeper.on_snapshot_stored(now, snapshot)
+        self.pending += self.replica.on_snapshot_stored(now, snapshot)
 
     def _out(self, actions: Actions) -> None:
         for action in actions:
--- a/cedarmill/cluster/leadership.py
+++ b/cedarmill/cluster/leadership.py
@@ -1,4 +1,4 @@
-"""What a leader knows beside the agreed state; a new leader begins without any of it."""
+"""What a leader knows in addition to the agreed state; a new leader begins without any of it."""
 
 from cedarmill.cluster.canary_comparison import CanaryComparison
 from cedarmill.cluster.executor_health import ExecutorHealth
--- a/cedarmill/cluster/raft/state.py
+++ b/cedarmill/cluster/raft/state.py
@@ -51,15 +51,6 @@
     entries: tuple[Entry, ...] = ()
     needs_catch_up: bool = False
 
-    @property
-    def doubtful(self) -> bool:
-        """The old name of `needs_catch_up`, for modules that still use it."""
-        return self.needs_catch_up
-
-    @doubtful.setter
-    def doubtful(self, value: bool) -> None:
-        self.needs_catch_up = value
-
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
--- a/cedarmill/cluster/session_tracker.py
+++ b/cedarmill/cluster/session_tracker.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """What a leader knows of a member beside what is agreed."""
+    """What a leader knows of a member in addition to what is agreed."""
 
     heard_at: int
     was_suspended: bool = False  # by its own report: what it observes proves nothing
--- a/cedarmill/cluster/state_machine/drains.py
+++ b/cedarmill/cluster/state_machine/drains.py
@@ -6,7 +6,7 @@
 def members_to_drain(state: ClusterState, permit: Permit) -> list[str]:
     """Keys of the members that have to be done with a target.
 
-    A release replaces a node beside the old process, which answers what it holds: nobody is waited for.
+    A release starts a node's new process while the old one still answers what it holds: nobody is waited for.
     """
     if permit.holder.startswith("release:"):
         return []
--- a/cedarmill/cluster/state_machine/zones.py
+++ b/cedarmill/cluster/state_machine/zones.py
@@ -64,8 +64,8 @@
     return accepted(state, "nothing moves by itself" if frozen else "traffic moves again")
 
 
-def _evacuate(state: ClusterState, zone: ZoneState, request: ControlZone) -> RequestOutcome:
-    """Evacuate a zone: under a permit, and only where the others can take its load."""
+def _drain_zone(state: ClusterState, zone: ZoneState, request: ControlZone) -> RequestOutcome:
+    """Drain a zone in steps: under a permit, and only where the others can take its load."""
     if state.traffic.frozen_by:
         raise RequestRejected(f"the plan is frozen by {state.traffic.frozen_by}: thaw it first")
     missing = ramps.slots_missing_without(state, zone.name)
@@ -113,7 +113,7 @@
 
 
 ACTIONS: dict[str, Callable[[ClusterState, ZoneState, ControlZone], RequestOutcome]] = {
-    "leave": _evacuate,
+    "leave": _drain_zone,
     "stay": _stay,
     "pin": _pin,
     "unpin": _pin,
--- a/cedarmill/cluster/supervision.py
+++ b/cedarmill/cluster/supervision.py
@@ -34,7 +34,7 @@
     STOPPED = "stopped"
     STARTING = "starting"
     READY = "ready"
-    REPLACING = "replacing"  # the new process starts beside the old one
+    REPLACING = "replacing"  # the new process starts while the old one serves
     FAILING = "failing"  # it ended by itself, and waits to be started again
 
 
--- a/cedarmill/cluster/traffic_control/shedding.py
+++ b/cedarmill/cluster/traffic_control/shedding.py
@@ -15,7 +15,7 @@
 def update_admission(state: "ClusterState") -> None:
     """One step of the admission level, where the cluster agrees on one.
 
-    Beside it those of single zones' requests that may go only so far, where these alone find no room.
+    In addition those of single zones' requests that may go only so far, where these alone find no room.
     """
     assessment = state.traffic.assessment
     if not state.zoning.sheds_load or assessment is None:
--- a/cedarmill/cluster/traffic_plan/planner.py
+++ b/cedarmill/cluster/traffic_plan/planner.py
@@ -20,7 +20,7 @@
     """Slots (thousandths) by zone."""
 
     planned: dict[str, int]  # that a plan may use
-    last_resort: dict[str, int]  # beside these, where no room is left
+    last_resort: dict[str, int]  # in addition to these, where no room is left
 
 
 class TrafficPlan(NamedTuple):
@@ -127,7 +127,7 @@
     """For the loss of each zone: the rows of the zones that send there.
 
     Only they notice, so all others are taken to go on as they do: what went to the lost zone gets what room
-    is left beside them, and no more. Whichever of the nodes follow it, no zone is brought over its room.
+    is left by them, and no more. Whichever of the nodes follow it, no zone is brought over its room.
     """
     return {lost: _fallback_table(layout, plan, links, lost) for lost in layout.zones}
 
--- a/cedarmill/cluster/traffic_plan/state.py
+++ b/cedarmill/cluster/traffic_plan/state.py
@@ -22,7 +22,7 @@
     FAILING = "ill"  # used as a last resort
     LOST = "lost"
     RETURNING = "returning"  # opened in steps
-    LEAVING = "leaving"  # evacuated in steps
+    LEAVING = "leaving"  # drained in steps
     OUT = "out"
 
 
--- a/cedarmill/lab/cluster/mutants.py
+++ b/cedarmill/lab/cluster/mutants.py
@@ -177,9 +177,9 @@
                     self.port.save(action)
                     last = action.entries[-1].index if isinstance(action, PersistEntries) else last
                 elif isinstance(action, RestoreSnapshot):
-                    self.port.put_snapshot(action.snapshot, list(self.keeper.raft.log.entries))
+                    self.port.put_snapshot(action.snapshot, list(self.replica.raft.log.entries))
             if self.port.sync() and last >= 0:
-                self.pending += self.keeper.on_synced(now, last)
+                self.pending += self.replica.on_synced(now, last)
 
     def promise(self: LogReplica, action: SendMessage) -> None:
         self.send_now(action)
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -1,6 +1,6 @@
 """A process supervisor: it starts, replaces and stops the units of one machine by the cluster's orders.
 
-It holds each unit's listening socket and hands it to every process of the unit, as in an upgrade, so that no
+It holds each unit's listening socket and passes it to every process of the unit, as in an upgrade, so that no
 connection is refused. Processes outlive their supervisor; the next one takes them over. It cannot take a
 socket over from a dead supervisor: the next change of such a unit stops the old process first.
 """
