--- a/cedarmill/net/cluster/node_role.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -72,17 +72,7 @@
         self.counts = RequestCounts()
         self.orders: Orders | None = None
         identity = _identity(config, options)
-        replicas = {name: Address.parse(address) for name, address in options.replicas.items()}
-        self.membership = Membership(
-            driver,
-            options.cluster,
-            identity,
-            replicas,
-            self.report,
-            self.on_orders,
-            self._on_lease_expired,
-            self._on_lease_holds,
-        )
+        self.membership = self._membership(identity)
         self.reports = NodeReports(self.name, clients, discovery)
         self.admin_requests = AdminRequests(self.membership, self.name, identity.incarnation)
         self.budgets, self.retry_budget = BudgetLeases(known=options.start == "alone"), RetryBudget()
@@ -100,6 +90,19 @@
         if options.start == "wait":
             discovery.hold(True)
 
+    def _membership(self, identity: MemberIdentity) -> Membership:
+        replicas = {name: Address.parse(address) for name, address in self.options.replicas.items()}
+        return Membership(
+            self.driver,
+            self.options.cluster,
+            identity,
+            replicas,
+            self.report,
+            self.on_orders,
+            self._on_lease_expired,
+            self._on_lease_holds,
+        )
+
     def start(self) -> None:
         """Begin the session; raises OSError where the address for probes cannot be had."""
         if self.options.listen:
--- a/cedarmill/store/replica_store.py
+++ b/cedarmill/store/replica_store.py
@@ -14,10 +14,12 @@
 from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote
 from cedarmill.cluster.raft.messages import Entry, Snapshot
 from cedarmill.cluster.raft.state import PersistentState
-from cedarmill.store import records
+from cedarmill.store import doubt, records
+from cedarmill.store.doubt import AcknowledgedState
 from cedarmill.store.errors import DamagedError, DiskInUseError, ForeignDiskError, UnknownFormatError
 from cedarmill.store.files import Directory, DirectoryLock
 from cedarmill.store.log import LOG_NAME, LogFile
+from cedarmill.store.log_content import LogContent
 from cedarmill.store.records import (
     FORMAT_VERSION,
     DiskIdentity,
@@ -29,10 +31,6 @@
 from cedarmill.store.snapshots import SnapshotDatabase, discard_unfinished_database
 
 RANDOM_NAME_BYTES = 6  # of a disk that is not named by its caller
-DOUBT_NAME = "needs-catch-up"  # the file that is there from a doubt until the replica was brought up to date
-EMPTY_DISK = "its disk is empty"
-DAMAGED_RECORD = "its last record is damaged"
-LOST_RECORDS = "its disk has lost what was synced"
 
 
 class RecoveryReport(NamedTuple):
@@ -42,44 +40,6 @@
     last_record_damaged: bool
 
 
-class AcknowledgedState(NamedTuple):
-    """What a replica may have acknowledged: term, vote and last entry, all of them synced."""
-
-    term: int
-    vote: str
-    last_term: int
-    last_index: int
-
-
-class _LogContent:
-    """What the log's records amount to, read one after the other."""
-
-    def __init__(self) -> None:
-        self.identity: DiskIdentity | None = None
-        self.term = 0
-        self.vote = ""
-        self.entries: list[Entry] = []
-        self.peer_start_counts: dict[str, int] = {}
-
-    def apply(self, record: Record) -> None:
-        """Read the next record."""
-        match record:
-            case DiskIdentity():
-                self.identity = record
-            case TermRecord():
-                self.term, self.vote = record.term, record.vote
-            case PeerDiskRecord():
-                known = self.peer_start_counts.get(record.disk, 0)
-                self.peer_start_counts[record.disk] = max(record.start_count, known)
-            case EntriesRecord():
-                self._replace_from(record.entries)
-
-    def _replace_from(self, entries: tuple[Entry, ...]) -> None:
-        while self.entries and self.entries[-1].index >= entries[0].index:
-            self.entries.pop()
-        self.entries.extend(entries)
-
-
 class ReplicaStore:
     """The disk of one replica, locked for this process.
 
@@ -129,9 +89,9 @@
 
     # Recovery.
 
-    def _read_log(self) -> _LogContent:
+    def _read_log(self) -> LogContent:
         """Decode the log's records; raises UnknownFormatError."""
-        content = _LogContent()
+        content = LogContent()
         path = self.directory.path(LOG_NAME)
         for body in self.log.recovered.records:
             content.apply(records.decode(body, path))
@@ -185,26 +145,26 @@
     def _keep_doubt(self, new_disk: str, acknowledged: AcknowledgedState | None) -> None:
         """Find out whether the disk may lack something, and keep that before the log is rewritten.
 
-        The rewritten log shows no damage any longer; a restart before the replica has caught up has to know.
         Raises OSError.
         """
         self.doubt = ""
         if self.was_empty and new_disk:  # to be formatted: it has promised nothing
-            self.directory.remove(DOUBT_NAME)
-        elif self.directory.exists(DOUBT_NAME):
-            self.doubt = self.directory.read(DOUBT_NAME).decode(errors="replace")
-        elif reason := self._find_doubt(acknowledged):
-            self.directory.replace(DOUBT_NAME, reason.encode())
+            doubt.end_doubt(self.directory)
+            return
+        self.doubt = doubt.read_doubt(self.directory)
+        if not self.doubt and (reason := self._find_doubt(acknowledged)):
+            doubt.keep_doubt(self.directory, reason)
             self.doubt = reason
         self.persistent_state.needs_catch_up = bool(self.doubt)
 
     def _find_doubt(self, acknowledged: AcknowledgedState | None) -> str:
         """Why the disk as it was read may lack something; empty: it does not."""
         if self.recovery.last_record_damaged:
-            return DAMAGED_RECORD
+            return doubt.DAMAGED_RECORD
         if self.was_empty:
-            return EMPTY_DISK
-        return LOST_RECORDS if acknowledged is not None and self._may_lack(acknowledged) else ""
+            return doubt.EMPTY_DISK
+        found = AcknowledgedState(*self._term_and_vote, *self._last_entry)
+        return doubt.LOST_RECORDS if acknowledged is not None and acknowledged.may_exceed(found) else ""
 
     def _start(self, cluster: str, replica: str, new_disk: str) -> None:
         """Write all that was recovered anew, with this start counted; raises OSError."""
@@ -271,16 +231,9 @@
     def end_doubt(self) -> None:
         """The replica was brought up to date, and that is synced; raises OSError."""
         if self.doubt:
-            self.directory.remove(DOUBT_NAME)
+            doubt.end_doubt(self.directory)
             self.doubt = ""
 
-    def _may_lack(self, acknowledged: AcknowledgedState) -> bool:
-        """Whether the disk as it was read may have lost something that was synced before."""
-        term, vote = self._term_and_vote
-        vote_lost = term == acknowledged.term and acknowledged.vote not in ("", vote)
-        entries_lost = self._last_entry < (acknowledged.last_term, acknowledged.last_index)
-        return term < acknowledged.term or vote_lost or entries_lost
-
     def close(self) -> None:
         """Close all files and release the lock; what was not synced may be lost. Raises OSError."""
         with contextlib.suppress(OSError):
--- a/tests/store/test_replica_store.py
+++ b/tests/store/test_replica_store.py
@@ -17,7 +17,7 @@
 
 from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote
 from cedarmill.cluster.raft.messages import Entry, EntryKind, Peer, Snapshot
-from cedarmill.store import records, replica_store, snapshots
+from cedarmill.store import doubt, records, replica_store, snapshots
 from cedarmill.store.errors import DamagedError, StoreError
 from cedarmill.store.files import AppendFile, Directory
 from cedarmill.store.log import MAGIC, LogFile, encode_record, read_records
@@ -167,16 +167,16 @@
         path.write_bytes(bytes(text))
 
     def test_a_doubt_outlives_restarts_until_the_replica_was_brought_up_to_date(self):
-        for doubt, begin in (
-            (replica_store.DAMAGED_RECORD, self.damage_last_record),
-            (replica_store.EMPTY_DISK, lambda: None),
+        for reason, begin in (
+            (doubt.DAMAGED_RECORD, self.damage_last_record),
+            (doubt.EMPTY_DISK, lambda: None),
         ):
-            with self.subTest(doubt), tempfile.TemporaryDirectory() as self.folder:
+            with self.subTest(reason), tempfile.TemporaryDirectory() as self.folder:
                 begin()
                 for start in range(3):
                     store = self.restarted()
                     self.assertEqual(
-                        (store.doubt, store.persistent_state.needs_catch_up), (doubt, True), start
+                        (store.doubt, store.persistent_state.needs_catch_up), (reason, True), start
                     )
                 store = self.store()
                 store.end_doubt()
@@ -198,7 +198,7 @@
                     self.assertTrue(self.restarted().persistent_state.needs_catch_up)
 
     def test_a_disk_that_is_formatted_is_in_no_doubt(self):
-        Directory(self.folder).replace(replica_store.DOUBT_NAME, b"of an empty start that was killed")
+        Directory(self.folder).replace(doubt.DOUBT_NAME, b"of an empty start that was killed")
         store = replica_store.ReplicaStore(Directory(self.folder), "c", "k0", "c/k0/1")
         store.write_snapshot(Snapshot(1, 1, {"k0": Peer("")}, b""), [])
         store.close()
@@ -517,7 +517,7 @@
                     self.files, "c", "k0", acknowledged=kept._replace(**change)
                 )
                 self.addCleanup(store.close)
-                self.assertEqual(store.doubt, replica_store.LOST_RECORDS if in_doubt else "")
+                self.assertEqual(store.doubt, doubt.LOST_RECORDS if in_doubt else "")
                 self.assertEqual(store.persistent_state.needs_catch_up, in_doubt)
                 store.end_doubt()
         store.append(PersistEntries(self.entries(4, 1, term=4)))
