--- a/tests/lab/test_zone_simulation.py
+++ b/tests/lab/test_zone_simulation.py
@@ -15,7 +15,7 @@
 from cedarmill.lab.simulation.zones.mutants import MUTANTS, hunt
 from cedarmill.lab.simulation.zones.results import violations
 from cedarmill.lab.simulation.zones.simulation import play as play_incident
-from tests.support.replica_case import KeeperCase, cli
+from tests.support.replica_case import ReplicaCase, cli
 
 SHORT_INCIDENTS = [name for name, incident in INCIDENTS.items() if incident.length <= 90]
 
@@ -99,11 +99,11 @@
     assert "drained" in {event.what for event in run.events if event.target == "zone-1"}
 
 
-class OperatorCommands(KeeperCase):
+class OperatorCommands(ReplicaCase):
     """What operators ask of the zones, at real replicas."""
 
     limits = (
-        *KeeperCase.limits,
+        *ReplicaCase.limits,
         '<limit kind="zone" per="fleet" most="1"/>',
         '<zones safe="85%"><region name="east"><zone name="a"/><zone name="b"/>'
         '</region><region name="west"><zone name="c"/></region><cost from="a" to="c" is="5"/></zones>',
--- a/tests/net/cluster/test_framing.py
+++ b/tests/net/cluster/test_framing.py
@@ -22,7 +22,7 @@
     encode_frame,
 )
 from cedarmill.net.loop import EventLoopDriver
-from tests.support.replica_case import LONG, KeeperCase
+from tests.support.replica_case import LONG, ReplicaCase
 
 MESSAGES = (
     Hello("c", "k0", "keeper", "d", 3),
@@ -108,10 +108,10 @@
         self.assertIsNotNone(self.driver.timers.next_due)
 
 
-class Silent(KeeperCase):
-    """A keeper whose peer accepts and says nothing dials it anew when it is back."""
+class Silent(ReplicaCase):
+    """A replica whose peer accepts and says nothing dials it anew when it is back."""
 
-    keepers = 2
+    replicas = 2
 
     def test_a_peer_that_never_greets_is_dialled_anew(self):
         self.wait_for(lambda: self.look("status")["leader"])
@@ -122,7 +122,7 @@
             held.append(dumb.accept()[0])  # it gave that one up
             for sock in held:
                 sock.close()
-        self.start_keeper("k1")
+        self.start_replica("k1")
         self.wait_for(lambda: self.look("status")["leader"])
 
     def test_a_stranger_s_bytes_cost_it_its_connection_and_nobody_else(self):
--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -38,7 +38,7 @@
 from cedarmill.values import ReplicaOptions
 from tests.store.test_replica_store import FaultyDirectory
 from tests.support.node_case import ROOT
-from tests.support.replica_case import LONG, KeeperCase, Member, cli
+from tests.support.replica_case import LONG, Member, ReplicaCase, cli
 from tests.support.system_call_faults import Fault, FaultPlan
 
 LOG_FILE = "/log"  # of the replica's data, and what replaces it; not the text log on standard error
@@ -57,19 +57,19 @@
 NO_READ_FROM_THE_START = (Fault("pread", "EIO", times=0),)
 NO_DESCRIPTORS_AT_THE_START = (Fault("open", "EMFILE", match=LOG_FILE, times=0),)
 AT_THE_START = (FULL, SYNC_FAILS, NO_READ_FROM_THE_START, NO_DESCRIPTORS_AT_THE_START)
-BOXES = 12
+EXECUTORS = 12
 FAILED, RECOVERED = "store: the disk failed", "store: the disk works again"
 RETRIED = "store: the disk still fails"
 
 
-class DiskCase(KeeperCase):
+class DiskCase(ReplicaCase):
     """Replicas whose system calls the test can break."""
 
     def setUp(self) -> None:
         self.plans: dict[str, FaultPlan] = {}
         super().setUp()
 
-    def start_keeper(self, name: str) -> None:
+    def start_replica(self, name: str) -> None:
         if name not in self.plans:
             folder = self.folder / f"{name}.plan"
             folder.mkdir()
@@ -93,7 +93,7 @@
 
 class Three(DiskCase):
     def test_a_leader_whose_disk_fails_for_a_while_lets_another_lead_and_comes_back(self):
-        Member(self, "n0", BOXES).join()
+        Member(self, "n0", EXECUTORS).join()
         self.assertEqual(self.operator.ask(self.ask_for("b0"), LONG).permits[0][1], "b0")
         for number, faults in enumerate((FULL_IN_A_RECORD, SYNC_FAILS), start=1):
             with self.subTest(faults=faults):
@@ -101,13 +101,13 @@
                 self.plans[leader].arm(*faults)
                 ask = self.ask_for(f"b{number}")
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number}")
-                self.wait_for(lambda name=leader: FAILED in self.keeper_log(name))
+                self.wait_for(lambda name=leader: FAILED in self.replica_log(name))
                 self.assertNotEqual(self.leader(), leader)
                 with self.assertRaisesRegex(NoReplicaError, DISK_REFUSAL):
                     self.asked_alone(leader, ReadRequest("status"))
                 self.assertEqual(self.asked_alone(leader, Probe("test")).name, leader)
                 self.plans[leader].arm()
-                self.wait_for(lambda name=leader: RECOVERED in self.keeper_log(name))
+                self.wait_for(lambda name=leader: RECOVERED in self.replica_log(name))
                 self.wait_for(lambda name=leader: self.look("status")["keepers"][name].get("silent_s", 0) < 1)
                 self.operator.ask(ChangeReplicas("lead", leader), LONG)
                 self.wait_for(lambda name=leader: self.leader() == name)
@@ -116,14 +116,14 @@
 
 
 class Alone(DiskCase):
-    keepers = 1
+    replicas = 1
 
     def starts(self) -> int:
         """How often the process has opened its store (the log has the same line once in ten seconds only)."""
-        return self.keeper_log("k0").count("store: disk ")
+        return self.replica_log("k0").count("store: disk ")
 
     def test_what_was_granted_stays_nothing_is_granted_falsely_and_it_serves_again(self):
-        Member(self, "n0", BOXES).join()
+        Member(self, "n0", EXECUTORS).join()
         self.operator.ask(self.ask_for("b0"), LONG)
         for number, faults in enumerate(LASTING):
             with self.subTest(faults=faults):
@@ -141,24 +141,24 @@
                 self.assertIsNone(self.running["k0"].poll())
         granted = self.permits()
         self.kill("k0")
-        self.start_keeper("k0")
+        self.start_replica("k0")
         self.assertEqual(self.permits(), granted)
 
     def test_it_starts_on_a_disk_that_fails_promises_nothing_and_comes_up_by_itself(self):
-        Member(self, "n0", BOXES).join()
+        Member(self, "n0", EXECUTORS).join()
         self.operator.ask(self.ask_for("b0"), LONG)
         for number, faults in enumerate(AT_THE_START):
             with self.subTest(faults=faults):
-                before, ask, told = self.permits(), self.ask_for(f"b{number + 1}"), self.keeper_log("k0")
+                before, ask, told = self.permits(), self.ask_for(f"b{number + 1}"), self.replica_log("k0")
                 self.kill("k0")
                 self.plans["k0"].arm(*faults)
-                self.start_keeper("k0")
-                self.wait_for(lambda told=told: self.keeper_log("k0").count(RETRIED) > told.count(RETRIED))
+                self.start_replica("k0")
+                self.wait_for(lambda told=told: self.replica_log("k0").count(RETRIED) > told.count(RETRIED))
                 for refused in (ask, ReadRequest("permits")):
                     with self.assertRaisesRegex(NoReplicaError, DISK_REFUSAL):
                         self.operator.ask(refused, 0.5)
                 self.assertEqual(self.operator.ask(Probe("test"), LONG).name, "k0")
-                self.assertIn(FAILED, self.keeper_log("k0")[len(told) :])
+                self.assertIn(FAILED, self.replica_log("k0")[len(told) :])
                 self.plans["k0"].arm()
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number + 1}")
                 self.assertEqual(self.permits(), before | {f"b{number + 1}": 1})
@@ -167,8 +167,8 @@
     def test_it_ends_by_a_signal_while_its_disk_fails_from_the_start(self):
         self.kill("k0")
         self.plans["k0"].arm(*FULL)
-        self.start_keeper("k0")
-        self.wait_for(lambda: FAILED in self.keeper_log("k0"))
+        self.start_replica("k0")
+        self.wait_for(lambda: FAILED in self.replica_log("k0"))
         self.operator.ask(Probe("test"), LONG)
         self.running["k0"].terminate()
         self.assertEqual(self.running["k0"].wait(LONG), 0)
@@ -199,7 +199,7 @@
         path.write_bytes(b"spoiled!" * 8 + path.read_bytes()[64:])
 
     def test_it_tries_again_whatever_fails_on_the_way_back(self):
-        Member(self, "n0", BOXES).join()
+        Member(self, "n0", EXECUTORS).join()
         for number, faults in enumerate(PASSING):
             with self.subTest(faults=faults):
                 before, ask = self.permits(), self.ask_for(f"b{number + 1}")
@@ -215,14 +215,14 @@
         plan.arm(Fault("accepted.write", "EPIPE"))
         self.assertEqual(self.operator.ask(self.ask_for("b0"), LONG).ok, False)
         self.assertEqual((plan.hits("accepted.write"), self.starts()), (1, 1))
-        self.assertNotIn(FAILED, self.keeper_log("k0"))
+        self.assertNotIn(FAILED, self.replica_log("k0"))
 
     def test_it_ends_by_a_signal_while_its_disk_fails(self):
         self.wait_for(lambda: self.leader() == "k0")
         self.plans["k0"].arm(*FULL)
         with self.assertRaises(NoReplicaError):
             self.operator.ask(self.ask_for("b0"), 1)
-        self.wait_for(lambda: FAILED in self.keeper_log("k0"))
+        self.wait_for(lambda: FAILED in self.replica_log("k0"))
         self.running["k0"].terminate()
         self.assertEqual(self.running["k0"].wait(LONG), 0)
 
@@ -375,10 +375,10 @@
         """A leader that answers late knows the id only: ids of two starts on one disk have to differ."""
         ids = []
         for boot in (1, 2):
-            keeper = Replica("k0", PersistentState(1, "", Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
-            keeper.on_message(0, "k1", AppendEntries(1, 1, 1, (), 1, 1))
+            replica = Replica("k0", PersistentState(1, "", Snapshot(1, 1, {}, b"")), 0, seed=77 + boot)
+            replica.on_message(0, "k1", AppendEntries(1, 1, 1, (), 1, 1))
             for token in range(3):
-                [sent] = keeper.on_request(1, token + 1, ReadRequest("status"))
+                [sent] = replica.on_request(1, token + 1, ReadRequest("status"))
                 ids.append(sent.message.id)
         self.assertEqual(len(set(ids)), 6)
 
--- a/tests/net/cluster/test_replicas.py
+++ b/tests/net/cluster/test_replicas.py
@@ -1,4 +1,4 @@
-"""Real keepers: bootstrap, a leader lost, disks lost, old or failing, restore, and the operators' command."""
+"""Real replicas: bootstrap, a leader lost, disks lost, old or failing, restore, and operators' commands."""
 
 import json
 import shutil
@@ -8,10 +8,10 @@
 from cedarmill.cluster.observations.digest import LocationObservation, ObservationDigest
 from cedarmill.cluster.state_machine import commands
 from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_id
-from tests.support.replica_case import LONG, KeeperCase, Member, cli
+from tests.support.replica_case import LONG, Member, ReplicaCase, cli
 
 
-class Cluster(KeeperCase):
+class Cluster(ReplicaCase):
     def test_drains_by_the_command_with_exit_codes_and_json(self):
         node = Member(self, "n0")
         node.join()
@@ -42,7 +42,7 @@
         self.assertEqual(self.fleet("say", "drained", "b3").returncode, 2)
         self.assertEqual(self.fleet("say", "drained", "b3", "--reason", "seen").returncode, 0)
 
-    def test_a_release_of_what_no_steward_runs_is_refused_with_the_reason(self):
+    def test_a_release_of_what_no_supervisor_runs_is_refused_with_the_reason(self):
         done = self.fleet("release", "plan", "--version", "v2", "--group", "n0")
         self.assertEqual((done.returncode, done.stdout), (1, "no steward runs a unit of the name n0\n"))
         self.assertEqual(self.fleet("release", "status", "7").returncode, 1)
@@ -68,7 +68,7 @@
         self.assertEqual(len(self.look("permits")), 3)
         self.assertNotEqual(self.leader(), leader)
 
-    def test_all_keepers_restarted_at_once_know_what_they_knew(self):
+    def test_all_replicas_restarted_at_once_know_what_they_knew(self):
         Member(self, "n0").join()
         self.assertEqual(self.fleet("drain", "b0").returncode, 0)
         self.kill(*self.ports)
@@ -76,7 +76,7 @@
             self.operator.ask(ReadRequest("status"), 0.5)
         self.assertEqual(self.fleet("status").returncode, 3)
         for name in self.ports:
-            self.start_keeper(name)
+            self.start_replica(name)
         self.assertEqual(self.look("permits")[0]["target"], "b0")
 
     def test_a_fleet_that_falls_silent_at_once_is_not_believed_dead(self):
@@ -101,7 +101,7 @@
         self.assertEqual(self.running[target].wait(LONG), 0)
         self.wait_for(lambda: self.leader() != target)
 
-    def test_a_keeper_of_another_cluster_and_one_that_no_one_is_are_refused(self):
+    def test_a_replica_of_another_cluster_and_one_that_no_one_is_are_refused(self):
         stranger = OperatorClient("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
         with self.assertRaisesRegex(NoReplicaError, "this is cluster main, not other"):
             stranger.ask(ReadRequest("status"), 1)
@@ -124,12 +124,12 @@
         self.assertIn("holds the disk main/k0/1 already", done.stderr)
 
 
-class Disks(KeeperCase):
+class Disks(ReplicaCase):
     def replaced(self, name: str) -> None:
-        """A keeper on a disk that is a stranger's is refused, till an operator replaces it."""
-        self.wait_for(lambda: "replace the keeper" in "".join(map(self.keeper_log, self.ports)))
+        """A replica on a disk that is a stranger's is refused, till an operator replaces it."""
+        self.wait_for(lambda: "replace the keeper" in "".join(map(self.replica_log, self.ports)))
         self.assertEqual(self.fleet("keepers", "remove", name).returncode, 0)
-        disk = self.keeper_log(name).rpartition("store: disk ")[2].split(",")[0]
+        disk = self.replica_log(name).rpartition("store: disk ")[2].split(",")[0]
         added = self.fleet(
             "keepers", "add", name, "--address", f"127.0.0.1:{self.ports[name]}", "--disk", disk
         )
@@ -141,8 +141,8 @@
         name = next(name for name in self.ports if name != self.leader())
         self.kill(name)
         self.wipe(name)
-        self.start_keeper(name)
-        self.wait_for(lambda: "its disk is empty" in self.keeper_log(name))
+        self.start_replica(name)
+        self.wait_for(lambda: "its disk is empty" in self.replica_log(name))
         self.replaced(name)
         other = next(one for one in self.ports if one not in (name, self.leader()))
         self.kill(other)  # now the new one is needed
@@ -153,15 +153,15 @@
         self.kill(name)
         shutil.copytree(self.folder / name, self.folder / "old")
         for start in ("start 3,", "start 4,"):  # the first formatted it; the others see each
-            self.start_keeper(name)
+            self.start_replica(name)
             self.wait_for(
-                lambda start=start: "follower, leader k" in self.keeper_log(name).partition(start)[2]
+                lambda start=start: "follower, leader k" in self.replica_log(name).partition(start)[2]
             )
             self.kill(name)
         self.wipe(name)
         shutil.copytree(self.folder / "old", self.folder / name)
-        self.start_keeper(name)
-        self.wait_for(lambda: "old copy of its disk" in "".join(map(self.keeper_log, self.ports)))
+        self.start_replica(name)
+        self.wait_for(lambda: "old copy of its disk" in "".join(map(self.replica_log, self.ports)))
         self.assertEqual(self.fleet("status").returncode, 0)
 
     def test_all_are_lost_and_restored_from_a_backup_with_old_grants_counted_as_out(self):
@@ -178,7 +178,7 @@
         for name in self.ports:
             self.wipe(name)
             self.assertEqual(self.init(name, "--restore", str(backup)).returncode, 0)
-            self.start_keeper(name)
+            self.start_replica(name)
         self.wait_for(
             lambda: (
                 node.beat(
@@ -204,10 +204,10 @@
         self.assertIn("fleet.backup: torn or damaged", done.stderr)
 
 
-class FaultyDisks(KeeperCase):
+class FaultyDisks(ReplicaCase):
     faulty = True
 
-    def test_a_full_disk_and_a_failed_sync_stop_that_keeper_s_promises_till_the_disk_is_well(self):
+    def test_a_full_disk_and_a_failed_sync_stop_that_replica_s_promises_till_the_disk_is_well(self):
         Member(self, "n0").join()
         for fault, target in (("full", "b0"), ("fsync", "b1")):
             with self.subTest(fault):
@@ -231,22 +231,22 @@
                 ask = SubmitRequest(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], target)
                 self.assertEqual(self.running[leader].wait(LONG), -9)
-                self.start_keeper(leader)
+                self.start_replica(leader)
         self.assertEqual({row["target"] for row in self.look("permits")}, {"b0", "b1"})
 
 
-class One(KeeperCase):
-    keepers = 1
+class One(ReplicaCase):
+    replicas = 1
 
-    def test_one_keeper_alone_agrees_with_itself(self):
+    def test_one_replica_alone_agrees_with_itself(self):
         Member(self, "n0").join()
         self.assertEqual(self.fleet("drain", "b0").returncode, 0)
 
 
-class Loads(KeeperCase):
-    """What operators see of overload, and a cut by hand, over a real keeper."""
+class Loads(ReplicaCase):
+    """What operators see of overload, and a cut by hand, over a real replica."""
 
-    keepers = 1
+    replicas = 1
     limits = ('<budget name="probes" per-second="100" nodes="4"/>',
               '<zones sheds="on" news="on"><region name="r"><zone name="z0"/></region></zones>')  # fmt: skip
 
--- a/tests/net/cluster/test_supervisor.py
+++ b/tests/net/cluster/test_supervisor.py
@@ -1,4 +1,4 @@
-"""A steward's process: what it cannot run is said in a line, and it goes on; bad files are refused in one."""
+"""A supervisor's process: what cannot run is said in a line, and it goes on; bad files are refused in one."""
 
 import errno
 import json
@@ -28,7 +28,7 @@
 </steward>"""
 
 
-class Stewards(unittest.TestCase):
+class Supervisors(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""Accepting under errors of accept(2): at clients' listener, the door and the checkers', also at the end."""
+"""Errors of accept(2) at the listeners of clients, the admin API and the checkers, also at the end."""
 
 import contextlib
 import errno
@@ -111,7 +111,7 @@
 
 
 class OtherListeners(AcceptingCase):
-    """The door and the checkers' listener take connections by the same loop."""
+    """The admin API and the checkers' listener take connections by the same loop."""
 
     xml_settings = '<health><http listen="127.0.0.1:0"/></health>'
 
--- a/tests/store/test_replica_store.py
+++ b/tests/store/test_replica_store.py
@@ -1,4 +1,4 @@
-"""The keeper's disk: whatever a crash or a fault leaves is recovered, or refused in one line."""
+"""The replica's disk: whatever a crash or a fault leaves is recovered, or refused in one line."""
 
 import contextlib
 import errno
@@ -204,7 +204,7 @@
         store.close()
         self.assertFalse(self.restarted().persistent_state.needs_catch_up)
 
-    def test_another_keeper_s_disk_and_a_newer_format_are_refused(self):
+    def test_another_replica_s_disk_and_a_newer_format_are_refused(self):
         self.formatted().close()
         with self.assertRaisesRegex(StoreError, "of keeper k0 of cluster c"):
             self.store(name="k1")
@@ -466,7 +466,7 @@
         # It was whole before the log was touched.
         self.assertEqual(self.store().persistent_state.snapshot.index, 3)
 
-    def test_what_a_kill_left_beside_a_file_is_not_taken_into_it(self):
+    def test_what_a_kill_left_next_to_a_file_is_not_taken_into_it(self):
         left = Path(self.folder) / "kept.new"
         left.write_bytes(b"half of an older")
         with mock.patch("os.stat", side_effect=OSError(errno.EIO, "no stat")):
@@ -605,7 +605,7 @@
                     self.formatted().close()
                     self.assertEqual(self.restarted().persistent_state.snapshot.index, 1)
 
-    def test_a_database_that_is_cut_or_spoiled_beside_its_log_is_damaged(self):
+    def test_a_database_that_is_cut_or_spoiled_next_to_its_log_is_damaged(self):
         self.formatted().close()
         path = Path(self.folder, snapshots.DATABASE_FILE)
         whole = path.read_bytes()
@@ -614,7 +614,7 @@
             with self.assertRaisesRegex(DamagedError, "not an LMDB file"):
                 self.store()
 
-    def test_a_log_that_is_gone_beside_its_snapshots_is_doubted(self):
+    def test_a_log_that_is_gone_next_to_its_snapshots_is_doubted(self):
         self.formatted().close()
         os.remove(Path(self.folder) / "log")
         self.assertTrue(self.store().persistent_state.needs_catch_up)
--- a/tests/support/replica_case.py
+++ b/tests/support/replica_case.py
@@ -1,4 +1,4 @@
-"""Starts real keepers on loopback for tests, and speaks with them as operators and members do."""
+"""Starts real replicas on loopback for tests, and speaks with them as operators and members do."""
 
 import json
 import shutil
@@ -19,10 +19,10 @@
           '<limit kind="node" per="fleet" most="1"/>')  # fmt: skip
 
 
-class KeeperCase(unittest.TestCase):
-    """Keepers, each with a folder of its own; `faulty` runs them on disks that may fail."""
+class ReplicaCase(unittest.TestCase):
+    """Replicas, each with a folder of its own; `faulty` runs them on disks that may fail."""
 
-    keepers = 3
+    replicas = 3
     limits = LIMITS
     faulty = False
 
@@ -30,18 +30,18 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.ports = {f"k{n}": free_port() for n in range(self.keepers)}
+        self.ports = {f"k{n}": free_port() for n in range(self.replicas)}
         self.running: dict[str, subprocess.Popen] = {}
         for name in self.ports:
             self.write(name)
             self.assertEqual(self.init(name).returncode, 0)
         for name in self.ports:
-            self.start_keeper(name)
+            self.start_replica(name)
         self.operator = OperatorClient("main", [f"127.0.0.1:{port}" for port in self.ports.values()], "test")
-        self.addCleanup(self.end_keepers)
+        self.addCleanup(self.end_replicas)
 
     def write(self, name: str, cluster: str = "main") -> Path:
-        """A keeper's file."""
+        """A replica's file."""
         path = self.folder / f"{name}.xml"
         peers = "".join(f'<peer name="{n}" address="127.0.0.1:{p}"/>' for n, p in self.ports.items())
         path.write_text(f'<keeper version="1" cluster="{cluster}" name="{name}" data="{self.folder / name}" '
@@ -52,7 +52,7 @@
     def init(self, name: str, *more: str) -> subprocess.CompletedProcess:
         return cli("keeper", "-c", str(self.folder / f"{name}.xml"), "--init", *more)
 
-    def start_keeper(self, name: str) -> None:
+    def start_replica(self, name: str) -> None:
         words = ["cedarmill.cli", "keeper", "-c", str(self.folder / f"{name}.xml")]
         if self.faulty:
             words = ["cedarmill.lab.cluster.disks", str(self.folder / f"{name}.xml"), str(self.fault(name))]
@@ -60,10 +60,10 @@
             self.running[name] = subprocess.Popen([sys.executable, "-m", *words], cwd=ROOT, stderr=log)
 
     def fault(self, name: str) -> Path:
-        """The file that says what befalls a keeper's disk."""
+        """The file that says what befalls a replica's disk."""
         return self.folder / f"{name}.fault"
 
-    def keeper_log(self, name: str) -> str:
+    def replica_log(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
 
     def kill(self, *names: str) -> None:
@@ -71,10 +71,10 @@
             self.running[name].kill()
             self.running[name].wait(WAIT)
 
-    def end_keepers(self) -> None:
+    def end_replicas(self) -> None:
         self.kill(*self.running)
         for name in self.running:
-            self.assertNotIn("Traceback", self.keeper_log(name))
+            self.assertNotIn("Traceback", self.replica_log(name))
 
     def wipe(self, name: str) -> None:
         shutil.rmtree(self.folder / name)
@@ -100,17 +100,17 @@
 
     def fleet(self, *words: str) -> subprocess.CompletedProcess:
         """The command, as operators use it."""
-        keepers = ",".join(f"127.0.0.1:{port}" for port in self.ports.values())
-        return cli("fleet", "--keepers", keepers, "--cluster", "main", *words)
+        replicas = ",".join(f"127.0.0.1:{port}" for port in self.ports.values())
+        return cli("fleet", "--keepers", replicas, "--cluster", "main", *words)
 
 
 class Member:
-    """A node as the keepers see it, beat by beat, with executors that it sees."""
+    """A node as the replicas see it, beat by beat, with executors that it sees."""
 
-    def __init__(self, case: KeeperCase, name: str, boxes: int = 6) -> None:
+    def __init__(self, case: ReplicaCase, name: str, executors: int = 6) -> None:
         self.case, self.name, self.seq, self.orders = case, name, 0, Orders(0)
         self.term = 0
-        self.seen = {f"b{n}": ExecutorObservation("ready", zone=f"z{n % 3}") for n in range(boxes)}
+        self.seen = {f"b{n}": ExecutorObservation("ready", zone=f"z{n % 3}") for n in range(executors)}
 
     def beat(self, **facts) -> HeartbeatReply:
         """One beat; its orders are followed."""
