--- a/cedarmill/decisions/balancer.py
+++ b/cedarmill/decisions/balancer.py
@@ -173,6 +173,7 @@
             executor.heard_at = state.now
             state.recently_used = [*state.recently_used[-(selection.RECENTLY_USED - 1) :], executor]
         if outcome == Outcome.OK:
+            slow_start.record_run(state, attempt)
             outliers.record_served(state, attempt)
         elif outcome == Outcome.ERROR:
             outliers.record_failed(state, attempt, outliers.ERROR_WEIGHT)
--- a/cedarmill/decisions/quotas.py
+++ b/cedarmill/decisions/quotas.py
@@ -8,6 +8,8 @@
 OVER_SHARE = 1.2  # times this balancer's part of a tenant's quota: above it, traffic is over its share
 LEAST_ALLOWED = 2.0  # requests of a tenant in the window that are never over its share
 TENANT_WINDOW_US = 4e6  # in which a tenant's load decays
+SERVED_WINDOW_US = 30e6  # in which what was served here decays: longer than most bursts
+LEAST_COUNTED_US = 2e6  # a shorter time since the first request says little of a balancer's part
 
 
 def _in_window(quota_per_s: float) -> float:
@@ -46,3 +48,25 @@
         return even
     seen = sum(_current_load(state, tenant) for tenant in range(len(state.learned.tenant_loads)))
     return max(even, min(1.0, seen / quota))
+
+
+def record_served(state: BalancerState) -> None:
+    """Count a request that was served here."""
+    served = state.learned.served
+    served.requests = served.requests * math.exp((served.at - state.now) / SERVED_WINDOW_US) + 1.0
+    served.at = state.now
+
+
+def served_part(state: BalancerState) -> float:
+    """What this balancer served lately, over the tenants' quotas.
+
+    All balancers serve no more than the executors can, however much comes: unlike what a balancer sees of the
+    quotas, these parts add up to about one in a burst and among retries too.
+    """
+    served = state.learned.served
+    quota_per_s = sum(tenant.quota_per_s for tenant in state.settings.tenants)
+    if not served.since or not quota_per_s:
+        return 0.0
+    age_us = max(LEAST_COUNTED_US, state.now - served.since)
+    counted_s = SERVED_WINDOW_US * (1 - math.exp(-age_us / SERVED_WINDOW_US)) / 1e6
+    return served.requests * math.exp((served.at - state.now) / SERVED_WINDOW_US) / (quota_per_s * counted_s)
--- a/cedarmill/decisions/slow_start.py
+++ b/cedarmill/decisions/slow_start.py
@@ -9,11 +9,12 @@
 import math
 
 from cedarmill.decisions.learning import SAMPLES_REMEMBERED, hinted_work_us
-from cedarmill.decisions.quotas import traffic_part
-from cedarmill.decisions.state import BalancerState, Executor, Request, WorkSent
+from cedarmill.decisions.quotas import record_served, served_part, traffic_part
+from cedarmill.decisions.state import Attempt, BalancerState, Executor, Request, WorkSent
 
 CHANCE_DEVIATIONS = 1.5  # standard deviations of what all balancers send by chance that stay within the bound
-PARTS_SUM = 1.75  # what the parts that all take may add up to: uneven traffic, bursts, clients' retries
+PART_HEADROOM = 1.25  # times its known part that a balancer may take in a burst
+PARTS_SUM = 1.4  # what the parts that all take may add up to: an even part is open to those that serve less
 FEW_REQUESTS = 30  # in a window, under which the slack for chance is wider
 SLACK_FEW, SLACK_MANY = 3, 2  # factor on the root of N, and constant, of the slack for chance
 LEAST_WORK = 0.5  # of the class's mean, taken for each request: what fells an executor may be short ones all
@@ -34,8 +35,9 @@
     use.sends = [sent for sent in use.sends if sent.at > state.now - settings.overload_window_us]
     stands_us = _work_it_stands_us(state, executor)
     usual_us = max(LEAST_USUAL_WORK_US, state.learned.usual_work.mean_us)
-    all_requests_us = usual_us * _requests_of_all(stands_us / usual_us, settings.instances)
-    all_work_us = min(stands_us, all_requests_us)
+    allowed, variation = stands_us / usual_us, max(0.0, state.learned.usual_work.variation)
+    all_requests_us = usual_us * _requests_of_all(allowed, settings.instances)
+    all_work_us = min(stands_us, usual_us * _requests_of_all(allowed, settings.instances, variation))
     if (
         state.now - use.sampled_at > settings.overload_window_us
     ):  # parts of a request: by chance, once a window
@@ -66,25 +68,38 @@
     return max(1.0, learned.slots_by_kind[executor.kind] * min(1.0, executor.size / size))
 
 
-def _requests_of_all(allowed: float, instances: int) -> float:
+def _requests_of_all(allowed: float, instances: int, variation: float = 0.0) -> float:
     """Requests that all balancers may aim to send in a window, where the settings allow so many.
 
     Each balancer samples for itself: CHANCE_DEVIATIONS standard deviations of the sum must fit below the
-    bound (x + CHANCE_DEVIATIONS * deviation = bound). Where most send one or none, the deviation is the
-    root of x; where each sends many, only its last one is a matter of chance, a deviation of at most 1/2
-    for each.
+    bound. Where most send one or none, the sum's variance is that of a Poisson count; where each sends many,
+    only its last one is a matter of chance, with a variance of at most 1/4 for each balancer. Either grows
+    by the unforeseen `variation` of work (in squares of the mean) for each request.
     """
     slack = SLACK_FEW if allowed < FEW_REQUESTS else SLACK_MANY
     bound = allowed + slack * math.sqrt(allowed) + slack
-    by_many = ((math.sqrt(CHANCE_DEVIATIONS**2 + 4 * bound) - CHANCE_DEVIATIONS) / 2) ** 2
-    by_few = bound - CHANCE_DEVIATIONS * math.sqrt(instances) / 2
+    by_many = _mean_below(bound, 0.0, 1.0 + variation)
+    by_few = _mean_below(bound, instances / 4, variation)
     return max(by_many, by_few) / min(instances, PARTS_SUM)
 
 
+def _mean_below(bound: float, fixed: float, each: float) -> float:
+    """The mean of a sum with variance `fixed + each * mean` that stays CHANCE_DEVIATIONS below a bound.
+
+    It solves mean + CHANCE_DEVIATIONS * sqrt(fixed + each * mean) = bound.
+    """
+    half = CHANCE_DEVIATIONS**2 * each / 2
+    root = CHANCE_DEVIATIONS * math.sqrt(fixed + each * bound + CHANCE_DEVIATIONS**2 * each**2 / 4)
+    return bound + half - root
+
+
 def _budget_part(state: BalancerState) -> float:
-    """This balancer's part of the budget: a few even parts of traffic may be a burst that all see."""
-    even, part = 1 / state.settings.instances, traffic_part(state)
-    return min(part, max(PARTS_SUM * even, part - even))
+    """This balancer's part of the budget: what it sees of the quotas, bounded by its known part.
+
+    More than that may be a burst that all balancers see: each would take its part of several budgets.
+    """
+    even = 1 / state.settings.instances
+    return min(traffic_part(state), PART_HEADROOM * max(even, served_part(state)))
 
 
 def expected_work_us(state: BalancerState, request: Request) -> float:
@@ -108,10 +123,27 @@
 
 def record_arrival(state: BalancerState, request: Request) -> None:
     """Let a request count for the usual work, once running times of its class are known."""
-    times, usual = state.class_times(request), state.learned.usual_work
+    times, usual, served = state.class_times(request), state.learned.usual_work, state.learned.served
+    served.since = served.since or state.now
     if not times.count:
         return
     if not usual.count:
         usual.mean_us, usual.count = times.mean_us, SAMPLES_REMEMBERED
     usual.count = min(usual.count + 1, USUAL_WORK_SAMPLES)
     usual.mean_us += (hinted_work_us(state, request) - usual.mean_us) / usual.count
+
+
+def record_run(state: BalancerState, attempt: Attempt) -> None:
+    """An attempt was served: it counts for this balancer's part, and tells how far work strays from hints.
+
+    Those of executors that warm up tell nothing of that: they may run the slower.
+    """
+    record_served(state)
+    if is_warming_up(state, attempt.executor):
+        return
+    usual, request = state.learned.usual_work, attempt.request
+    mean_us = max(LEAST_USUAL_WORK_US, usual.mean_us)
+    took = request.slots * (state.now - (attempt.started_at or attempt.sent_at)) / mean_us
+    foreseen = expected_work_us(state, request) / mean_us
+    usual.runs = min(usual.runs + 1, USUAL_WORK_SAMPLES)
+    usual.variation += (took**2 - foreseen**2 - usual.variation) / usual.runs
--- a/cedarmill/decisions/state.py
+++ b/cedarmill/decisions/state.py
@@ -203,12 +203,25 @@
     at: int = 0
 
 
+@dataclass(slots=True)
+class ServedLoad:
+    """Requests that were served here, decayed to that time (us), and when counting began (us)."""
+
+    requests: float = 0.0
+    at: int = 0
+    since: int = 0
+
+
 @dataclass(slots=True)
 class UsualWork:
-    """The mean slot-time of requests by their hints (us), and how many samples it holds."""
+    """The mean slot-time of requests by their hints (us), and how far running times stray beyond them."""
 
     mean_us: float
-    count: int = 0
+    count: int = 0  # samples that the mean holds
+    variation: float = (
+        1.0  # unforeseen variance of one request's work, in squares of the mean; as if at random
+    )
+    runs: int = 12  # samples that the variation holds, as if so many had been seen
 
 
 @dataclass(slots=True)
@@ -220,6 +233,7 @@
     mean_run_us: float
     usual_work: UsualWork
     own_held_slots: float  # at an executor, in the mean
+    served: ServedLoad = field(default_factory=ServedLoad)
     all_held_slots: float = 1.0
     error_share: float = 0.0
     idle_slots: float = 1.0  # by the executor's size
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -11,10 +11,12 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import ExecutorState
-from cedarmill.decisions.state import ClassRunningTimes, TenantLoad
+from cedarmill.decisions.state import ClassRunningTimes, ServedLoad, TenantLoad
 from tests.support.builders import Driver, entry, sends
 
 SECOND_US = 1_000_000
+CALM = 0.9  # what all served before, against the tenants' quotas
+SERVED_S = 30  # in which that is counted, since long ago
 COLD_US, COLD_SHARE, FALL_MULTIPLE, WINDOW_US = 9 * SECOND_US, 0.3, 2.5, 1_500_000
 SLOTS = 4.0  # of an executor
 WORK_SPREAD = 1.0  # sigma of the log of a job's work
@@ -73,6 +75,8 @@
             learned.class_times[0] = ClassRunningTimes(setup.mean_us, 0.0, 50)
             learned.mean_run_us = setup.mean_us
             learned.slots_by_kind[0] = SLOTS
+            served = tenant.quota_per_s * CALM * self.parts[n] * SERVED_S
+            learned.served = ServedLoad(served, START_US, START_US - 900 * SECOND_US)
             learned.tenant_loads = [TenantLoad(self.rate * self.parts[n] * 4 * SECOND_US, START_US)]
         self.list()
         for restart in range(setup.restarts):
@@ -181,6 +185,34 @@
                 plays = self.play(Setup(modules, allowed, skew=0.6, load=1.7, rough=-1))
                 self.assertLess(max(play.excess()[0] for play in plays), 1)
 
+    def test_six_times_the_quotas_are_no_six_budgets(self) -> None:
+        """Parts of what is seen of the quotas add up to it: all sent 1.6 to 2.3 times the bound."""
+        for modules, allowed in ((5, 31), (25, 31), (25, 80), (200, 29), (200, 80)):
+            for hints in (0.3, -1):
+                with self.subTest(modules=modules, allowed=allowed, hints=hints):
+                    plays = self.play(Setup(modules, allowed, load=6.0, rough=hints))
+                    self.assertLess(max(play.excess()[0] for play in plays), 1)
+
+    def test_uneven_traffic_at_six_times_the_quotas_stays_within_it(self) -> None:
+        for modules, allowed in ((2, 80), (5, 80), (25, 80), (200, 29)):
+            with self.subTest(modules=modules, allowed=allowed):
+                plays = self.play(Setup(modules, allowed, load=6.0, skew=0.8, rough=0.3))
+                self.assertLess(max(play.excess()[0] for play in plays), 1)
+
+    def test_work_that_no_hint_tells_stays_within_it(self) -> None:
+        """Only the number of requests was a matter of chance: work came to 1.05 to 1.3 times the bound."""
+        for modules, allowed in ((2, 80), (5, 31), (5, 80), (5, 200), (25, 31), (25, 80), (200, 80)):
+            with self.subTest(modules=modules, allowed=allowed):
+                plays = self.play(Setup(modules, allowed, load=3.0, rough=-1))
+                self.assertLess(max(play.excess()[1] for play in plays), 1)
+
+    def test_more_than_at_quiet_load_before_is_used_there(self) -> None:
+        """Parts were bounded as if they added up to 1.75: at quiet load half of the budgets stayed unused."""
+        for modules, allowed in ((5, 80), (25, 31), (25, 80), (200, 29), (200, 80)):
+            with self.subTest(modules=modules, allowed=allowed):
+                plays = self.play(Setup(modules, allowed, rough=0.8))
+                self.assertGreater(sum(play.used() for play in plays) / len(plays), 0.5)
+
     def test_a_start_that_is_told_again_a_little_later_is_no_second_budget(self) -> None:
         for modules, allowed in ((1, 29), (2, 8), (25, 8)):
             with self.subTest(modules=modules, allowed=allowed):
