--- a/cedarmill/decisions/snapshot.py
+++ b/cedarmill/decisions/snapshot.py
@@ -13,7 +13,8 @@
 import msgspec
 
 from cedarmill.decisions.balancer import Balancer
-from cedarmill.decisions.state import ClassRunningTimes, Executor, TenantLoad, WorkSent
+from cedarmill.decisions.learned import ClassRunningTimes, TenantLoad
+from cedarmill.decisions.state import Executor, WorkSent
 
 SAME_START_US = 20_000  # two processes tell one start by so much apart: it is listed in whole milliseconds
 _STARTED = "since"  # the key of an executor's start among its ages
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -11,7 +11,7 @@
 from cedarmill.decisions.interface import DeduplicationScope as DeduplicationScope
 from cedarmill.decisions.interface import Effect, Outcome
 from cedarmill.decisions.interface import ExecutorState as WorkerState
-from cedarmill.decisions.state import ClassRunningTimes
+from cedarmill.decisions.learned import ClassRunningTimes
 from tests.support.builders import SAFE, UNSAFE, Driver, entry, keyed, kinds, sends
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -11,7 +11,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import ExecutorState
-from cedarmill.decisions.state import ClassRunningTimes, ServedLoad, TenantLoad
+from cedarmill.decisions.learned import ClassRunningTimes, ServedLoad, TenantLoad
 from tests.support.builders import Driver, entry, sends
 
 SECOND_US = 1_000_000
