--- a/tests/net/test_health_listeners.py
+++ b/tests/net/test_health_listeners.py
@@ -12,7 +12,7 @@
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.agent import Admin, Status
-from cedarmill.health.codecs.http import FAIL_AT_ONCE, JSON, Expected, judge
+from cedarmill.health.codecs.http import FAIL_AT_ONCE, JSON, Expected, evaluate
 from tests.conf.test_settings import command
 from tests.support.node_case import WAIT, NodeCase
 
@@ -20,7 +20,7 @@
 
 
 class Checked(NodeCase):
-    conf = ('<health><agent listen="127.0.0.1:0"/><http listen="127.0.0.1:0"/>'
+    xml_settings = ('<health><agent listen="127.0.0.1:0"/><http listen="127.0.0.1:0"/>'
             '<grpc listen="127.0.0.1:0"/></health>')  # fmt: skip
 
     def setUp(self) -> None:
@@ -48,7 +48,7 @@
         before = self.agent()
         self.assertEqual((before.status, before.admin, before.weight), (Status.UP, Admin.READY, 100))
         self.client().ask("issue")
-        self.servers[0].next()
+        self.executors[0].next_request()
         held = self.agent(b"agent-send string\n")
         self.assertEqual((held.status, held.weight), (Status.UP, 1))
         for path in ("/livez", "/readyz", "/healthz"):
@@ -58,20 +58,20 @@
         document = self.get("/healthz", Accept=JSON)
         self.assertEqual(json.loads(document.text)["status"], "pass")
         self.assertEqual(document.headers["x-envoy-upstream-healthchecked-cluster"], "n0")
-        self.assertTrue(judge(Expected(), 200, {"content-type": JSON}, document.text).passed)
+        self.assertTrue(evaluate(Expected(), 200, {"content-type": JSON}, document.text).passed)
         self.assertEqual(self.get("/other").status, 404)
 
     def test_a_drain_shows_at_once_on_both_and_the_node_is_still_alive(self):
         """While a held req keeps it, balancers must send it nothing new."""
         self.client().ask()
-        self.servers[0].next()
+        self.executors[0].next_request()
         self.terminate()
         self.wait_log("draining")
         self.assertEqual(self.agent().admin, Admin.DRAIN)
         answer = self.get("/readyz")
         self.assertEqual((answer.status, answer.headers[FAIL_AT_ONCE]), (503, "true"))
         self.assertIn(b"[-]draining failed: draining", answer.text)
-        self.assertFalse(judge(Expected(), 200, {FAIL_AT_ONCE: "true"}, b"").passed)
+        self.assertFalse(evaluate(Expected(), 200, {FAIL_AT_ONCE: "true"}, b"").passed)
         self.assertEqual(self.get("/livez").status, 200)
 
     def test_a_proxy_header_may_come_before_a_check(self):
@@ -92,7 +92,7 @@
         for sock in crowd:
             self.addCleanup(sock.close)
         client = self.client().ask()
-        self.servers[0].next().done()
+        self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.assertEqual(self.agent().status, Status.UP)
         for sock in crowd:  # reset at the bound, or closed when their time is over
@@ -121,7 +121,7 @@
             watch = stub.Watch(ask(service="cedarmill"), timeout=WAIT)
             self.assertEqual(next(watch).status, Serving.SERVING)
             self.client().ask()
-            self.servers[0].next()
+            self.executors[0].next_request()
             self.terminate()
             self.assertEqual(next(watch).status, Serving.NOT_SERVING)
             self.assertEqual(stub.Check(ask(), timeout=WAIT).status, Serving.NOT_SERVING)
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -49,8 +49,8 @@
     def final(self, sock: socket.socket) -> int:
         """The status of its one answer, while executors serve what comes."""
         while not select.select([sock], [], [], 0.01)[0]:
-            if not self.servers[0].asked.empty():
-                self.servers[0].next().done()
+            if not self.executors[0].received.empty():
+                self.executors[0].next_request().done()
         status = self.status(sock)
         self.assertEqual(select.select([sock], [], [], 0.02)[0], [])  # exactly one
         return status
@@ -61,7 +61,7 @@
         kept.request("GET", "/ready")
         self.assertEqual(kept.answer()[0], 200)
         kept.ask("issue")
-        asked = self.servers[0].next()
+        asked = self.executors[0].next_request()
         before = self.descriptors()
         self.plan.arm(fault)
         new = self.raw_client(raw(fault.times, "issue"))
@@ -73,7 +73,7 @@
             with self.assertRaises(ConnectionResetError):
                 new.recv(1)
                 raise ConnectionResetError  # a plain close
-            self.assertTrue(self.servers[0].asked.empty())
+            self.assertTrue(self.executors[0].received.empty())
         else:
             self.assertIn(self.final(new), (200, 503))  # the module may find the executor full
         new.close()
@@ -113,11 +113,11 @@
 class OtherListeners(AcceptingCase):
     """The door and the checkers' listener take connections by the same loop."""
 
-    conf = '<health><http listen="127.0.0.1:0"/></health>'
+    xml_settings = '<health><http listen="127.0.0.1:0"/></health>'
 
     def prepare(self) -> None:
         super().prepare()
-        self.env = {"LB_MGMT": "127.0.0.1:0"}
+        self.environment = {"LB_MGMT": "127.0.0.1:0"}
 
     def get(self, port: int, path: str) -> int:
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=WAIT)
@@ -127,7 +127,7 @@
 
     def warm_up(self, health: int) -> None:
         """The loop opens a descriptor of its own with its first connection, and the node its watch."""
-        self.director.next()
+        self.discovery.next_request()
         self.assertEqual(self.get(health, "/livez"), 200)
 
     def health_port(self) -> int:
@@ -138,7 +138,7 @@
         self.warm_up(health)
         before = self.descriptors()
         for name in ("ECONNABORTED", "EMFILE", "ENOBUFS"):
-            for port, path in ((self.told_door(), "/api/ready"), (health, "/livez")):
+            for port, path in ((self.admin_port(), "/api/ready"), (health, "/livez")):
                 with self.subTest(errno=name, path=path):
                     self.plan.arm(Fault("accept", name, times=2))
                     self.assertEqual(self.get(port, path), 200)
@@ -148,13 +148,13 @@
         health = self.health_port()
         self.warm_up(health)
         before = self.descriptors()
-        for port in (self.told_door(), health):
+        for port in (self.admin_port(), health):
             self.plan.arm(Fault("open_session", "ENOMEM"))
             with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), WAIT) as sock:
                 self.assertEqual(sock.recv(1), b"")
         self.assertEqual(self.plan.hits("open_session"), 2)
         self.wait_for(lambda: self.descriptors() <= before)
-        self.assertEqual(self.get(self.told_door(), "/api/ready"), 200)
+        self.assertEqual(self.get(self.admin_port(), "/api/ready"), 200)
 
 
 class AtTheEnd(AcceptingCase):
@@ -181,8 +181,8 @@
 
     def final_at_end(self, sock: socket.socket) -> int:
         while not select.select([sock], [], [], 0.01)[0]:
-            if not self.servers[0].asked.empty():
-                self.servers[0].next().done()
+            if not self.executors[0].received.empty():
+                self.executors[0].next_request().done()
         return self.status(sock)
 
 
