--- a/benchmarks/balancers.py
+++ b/benchmarks/balancers.py
@@ -1,4 +1,4 @@
-"""The CPU of one event of the module at 12 and at 60 workers, in one run: `python benchmarks/fleet.py`.
+"""The CPU of one event of the module at 12 and at 60 workers, in one run: `python benchmarks/balancers.py`.
 
 The figures that count are the ratios, pair by pair; the spread is that of the pairs.
 """
@@ -22,17 +22,17 @@
 
 def play(workers: int, seed: int) -> float:
     """Seconds of CPU for one job: its arrival, its probes, its end."""
-    random, brain = Random(seed), Balancer(node_settings(40, 0), seed)
+    random, balancer = Random(seed), Balancer(node_settings(40, 0), seed)
     ready = api.ExecutorState.READY
     entries = [api.EndpointEntry(n, ready, n % 4, n // 4, 0, 2.0 + n % 2) for n in range(workers)]
-    brain.handle(OFFSET, api.EndpointList(api.EndpointListKind.CACHED, entries))
+    balancer.handle(OFFSET, api.EndpointList(api.EndpointListKind.CACHED, entries))
     out: list[tuple[int, int, int]] = []  # due, request, worker
     spent, now = 0.0, OFFSET
 
     def take(event: api.Event) -> None:
         nonlocal spent
         began = time.process_time()
-        actions = brain.handle(now, event)
+        actions = balancer.handle(now, event)
         spent += time.process_time() - began
         for action in actions:
             if isinstance(action, api.Send):
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -346,7 +346,7 @@
         sent = sends(driver.arrive(0))[0]
         ended = api.AttemptEnded(sent.request, 0, sent.executor, api.Outcome.RESET, False, tries=1)
         self.assertEqual(sends(driver.feed(ended)), [])
-        self.assertNotIn(sent.request, driver.brain.requests)
+        self.assertNotIn(sent.request, driver.balancer.requests)
 
 
 class Sharing(unittest.TestCase):
--- a/tests/cluster/test_traffic_plan.py
+++ b/tests/cluster/test_traffic_plan.py
@@ -465,7 +465,7 @@
 
     def setUp(self):
         job = api.RequestClass("j", worth=1.0, aim_us=200_000, deadline_us=2 * S, effect=api.Effect.SAFE)
-        self.brain = Balancer(
+        self.balancer = Balancer(
             api.Settings(
                 instances=1,
                 zone=0,
@@ -479,32 +479,34 @@
             seed=1,
         )
         entries = [api.EndpointEntry(n, api.ExecutorState.READY, zone=n % 2) for n in range(8)]
-        self.brain.handle(0, api.EndpointList(api.EndpointListKind.CACHED, entries))
+        self.balancer.handle(0, api.EndpointList(api.EndpointListKind.CACHED, entries))
 
     def sent(self, count: int, homes: tuple[int, ...] = ()) -> list[int]:
         zones_ = []
         for number in range(count):
             job = api.RequestArrived(number, 0, 2 * S, homes=homes)
-            for action in self.brain.handle(1000 + number * 10_000, job):
+            for action in self.balancer.handle(1000 + number * 10_000, job):
                 zones_ += [action.executor % 2] if isinstance(action, api.Send) else []
             worker = (
-                self.brain.requests[number].attempts[0].executor.id if number in self.brain.requests else 0
+                self.balancer.requests[number].attempts[0].executor.id
+                if number in self.balancer.requests
+                else 0
             )
             ended = api.AttemptEnded(number, 0, worker, api.Outcome.OK, True)
-            self.brain.handle(6000 + number * 10_000, ended)
+            self.balancer.handle(6000 + number * 10_000, ended)
         return zones_
 
     def test_shares_are_kept_to(self):
-        self.brain.handle(1, api.ZoneShares({(): {0: 0.3, 1: 0.7}}))
+        self.balancer.handle(1, api.ZoneShares({(): {0: 0.3, 1: 0.7}}))
         self.assertAlmostEqual(self.sent(400).count(0) / 400, 0.3, delta=0.08)
 
     def test_without_a_plan_it_stays_near(self):
         self.assertEqual(set(self.sent(50)), {0})
 
     def test_a_req_that_may_not_leave_is_refused_rather_than_sent_away(self):
-        self.brain.handle(1, api.ZoneShares({(): {1: 1.0}, (0,): {0: 1.0}}))
+        self.balancer.handle(1, api.ZoneShares({(): {1: 1.0}, (0,): {0: 1.0}}))
         self.assertEqual(set(self.sent(30, (0,))), {0})
         gone = [api.EndpointEntry(n, api.ExecutorState.GONE, zone=0) for n in range(0, 8, 2)]
-        self.brain.handle(2 * S, api.EndpointList(api.EndpointListKind.DELTA, gone))
-        actions = self.brain.handle(2 * S + 1, api.RequestArrived(999, 0, 2 * S, homes=(0,)))
+        self.balancer.handle(2 * S, api.EndpointList(api.EndpointListKind.DELTA, gone))
+        actions = self.balancer.handle(2 * S + 1, api.RequestArrived(999, 0, 2 * S, homes=(0,)))
         self.assertEqual([type(action) for action in actions], [api.Refuse])
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The core without sockets: one final answer for each request, whatever the brain or a port does."""
+"""The core without sockets: one final answer for each request, whatever the balancer or a port does."""
 
 import logging
 import time
@@ -15,7 +15,7 @@
 
 
 class Ports:
-    """A brain that does as it is told, and ports that note what they are asked for."""
+    """A balancer that does as it is told, and ports that note what they are asked for."""
 
     def __init__(self) -> None:
         self.settings = settings(keyed(DeduplicationScope.ALL, window=1_000_000))
@@ -116,7 +116,7 @@
         self.assertEqual(outcomes, [(0, True), (1, True)])
 
     def test_a_brain_that_says_nothing_leaves_no_req_past_its_budget(self):
-        """Attempts time out first, so that the brain may answer; then the request is failed here."""
+        """Attempts time out first, so that the balancer may answer; then the request is failed here."""
         self.arrive(api.Send(1, 1), due=1_000)
         self.sweep(999)
         self.assertEqual(self.ports.answers, [])
@@ -144,7 +144,7 @@
         self.assertEqual(self.ports.events[-2:], told)
 
     def test_a_probe_or_a_watch_that_cannot_start_is_told_as_failed(self):
-        """The brain holds a worker for the answer to a probe, and asks for the list again only when told."""
+        """The balancer keeps an executor for the answer to a probe, and asks for the list only when told."""
         self.ports.broken |= {"probe", "watch"}
         self.arrive(api.Probe(1), api.Subscribe())
         told = [api.ProbeEnded(1, Outcome.CONNECT_FAILED), api.EndpointList(api.EndpointListKind.FAILED, [])]
@@ -192,8 +192,8 @@
 
     def test_a_repeat_past_its_window_is_answered_at_once(self):
         """The module was told of a failed connect, tried as often as it may, and struck sound executors."""
-        brain = Balancer(settings(keyed(DeduplicationScope.ZONE, window=1_000_000)), 1)
-        self.dispatch.balancer = brain
+        balancer = Balancer(settings(keyed(DeduplicationScope.ZONE, window=1_000_000)), 1)
+        self.dispatch.balancer = balancer
         self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1), entry(2)]))
         request = self.arrive(due=5_000_000)
         self.dispatch.attempt_written(0, self.ports.sent[0])
@@ -201,7 +201,7 @@
         self.assertEqual(len(self.ports.sent), 1)
         self.check_over(("failed",))
         self.assertTrue(request.answered)
-        self.assertEqual([executor.consecutive_failures for executor in brain.executors.values()], [0, 0])
+        self.assertEqual([executor.consecutive_failures for executor in balancer.executors.values()], [0, 0])
 
     def test_what_is_open_when_the_process_has_to_end_is_answered_before(self):
         """Its own deadline may lie behind the kill: an executor that hangs would hold it till then."""
--- a/tests/deadlines/test_deadlines.py
+++ b/tests/deadlines/test_deadlines.py
@@ -136,7 +136,7 @@
 
 
 class CoreCase(unittest.TestCase):
-    """The core, driven: a brain that does as it is told, and ports that note what they are asked for."""
+    """The core, driven: a balancer that does as it is told, and ports that note what they are asked for."""
 
     options = DeadlineOptions()
 
@@ -189,21 +189,21 @@
         self.dispatch.withdraw(1, self.dispatch.requests[1])
         self.assertEqual(self.ports.recalled, [first])
         told = [api.RequestWithdrawn(1), api.ProbeEnded(1, Outcome.MOOT)]
-        self.assertEqual(self.ports.events[-2:], told)  # in this order: the brain would place it once more
+        self.assertEqual(self.ports.events[-2:], told)  # in this order: the balancer would place it once more
         self.assertEqual((self.dispatch.may_probe(first), self.dispatch.may_probe(second)), (False, False))
         self.ports.replies[api.ProbeEnded] = [api.Probe(2)]
         self.dispatch.probe_ended(2, second, Outcome.OK)
         self.assertTrue(self.dispatch.may_probe(self.ports.probes[-1]))
 
     def test_leaving_and_a_retry_in_one_turn_a_thousand_times_in_both_orders(self):
-        """The real brain: a timer, an end or a probe's answer may send again in the turn of the close."""
+        """The real balancer: a timer, an end or a probe's answer may send again in the turn of the close."""
         for seed in range(1_000):
             draw = random.Random(seed)
             self.begin()
-            brain = Balancer(
+            balancer = Balancer(
                 settings(keyed(DeduplicationScope.ALL), can_probe=seed % 3 == 0, tells_start=False), seed
             )
-            self.dispatch.balancer = brain
+            self.dispatch.balancer = balancer
             self.dispatch.on_endpoint_list(
                 0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1), entry(2)])
             )
@@ -306,7 +306,7 @@
     options = DeadlineOptions(worth_quantile=0.5)
 
     def test_what_cannot_end_in_time_is_refused_at_once_or_failed_where_it_ran(self):
-        """The brain hears nothing of the first; a retry that is hopeless may only fail what may have run."""
+        """The balancer hears nothing of the first; a hopeless retry may only fail what may have run."""
         for _ in range(30):
             request = self.out()
             self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"")
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -1,4 +1,4 @@
-"""Decisions of the brain, driven by hand-made events."""
+"""Decisions of the balancer, driven by hand-made events."""
 
 import math
 from dataclasses import replace
@@ -66,7 +66,7 @@
     low = api.RequestClass("low", 0.5, 200_000, 5_000_000, Effect.SAFE)
     d = Driver(SAFE, UNSAFE, low, workers=1)
     d.report(1, 2)
-    d.brain.executors[1].queue_places = 2.0
+    d.balancer.executors[1].queue_places = 2.0
     d.arrive(2)
     d.start(1, 1)
     d.arrive(0)
@@ -92,10 +92,10 @@
     d = Driver(workers=1)
     d.report(1, 1)
     ids = fill(d, 1)
-    worker = d.brain.executors[1]
+    worker = d.balancer.executors[1]
     past_room(d, 1)
     held = worker.held_slots
-    cut = next(a for i in ids for a in d.brain.requests[i].attempts if a.not_preemptible)
+    cut = next(a for i in ids for a in d.balancer.requests[i].attempts if a.not_preemptible)
     d.end(cut.request.id, 1, Outcome.CANCELLED, final=False)
     assert worker.held_slots == held
     d.now += 1_000_000
@@ -107,7 +107,7 @@
     d = Driver(workers=1)
     d.report(1, 1)
     fill(d, 1)
-    d.brain.state.learned.preemption_gain = 0.1
+    d.balancer.state.learned.preemption_gain = 0.1
     assert kinds(past_room(d, 1)) == ["Refuse"]
 
 
@@ -117,7 +117,7 @@
     for worker in (1, 2, 3):
         d.report(worker, 30)
     while sends(d.arrive(0)):
-        d.start(d.requests, d.brain.requests[d.requests].attempts[0].executor.id)
+        d.start(d.requests, d.balancer.requests[d.requests].attempts[0].executor.id)
     cuts = 0
     for _ in range(30):
         actions = d.arrive(1)
@@ -138,7 +138,7 @@
     assert kinds(past_room(d, 1)) == ["Cancel", "Send"]
     d.now += 3_000_000
     d.end(d.requests, 1, Outcome.OK)
-    assert d.brain.state.learned.preemption_gain < PREEMPTION_GAIN_LEAST
+    assert d.balancer.state.learned.preemption_gain < PREEMPTION_GAIN_LEAST
 
 
 def test_one_put_back_by_hand_gets_a_job_though_the_own_zone_has_room():
@@ -162,7 +162,7 @@
     """One worker of two slots that holds four own jobs, as sent before any report told of a queue."""
     d = Driver(*classes, workers=1, **QUEUED)
     d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
-    d.brain.executors[1].capacity = 4.0
+    d.balancer.executors[1].capacity = 4.0
     for _ in range(4):
         assert sends(d.arrive(0))
     return d
@@ -172,7 +172,7 @@
     """The pool grew with every job that waited: half of all jobs came late once the fleet was full."""
     d = queued_driver()
     d.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 2.0)))
-    assert d.brain.executors[1].capacity == 2.0
+    assert d.balancer.executors[1].capacity == 2.0
     d.end(1, 1, Outcome.OK)
     assert not sends(d.arrive(0))  # three are left: two run, one waits
 
@@ -181,10 +181,10 @@
     """With a slot believed at every full worker, a fleet of 200 nodes queued where none of it was served."""
     d = queued_driver()
     d.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 40.0)))
-    assert d.brain.executors[1].capacity == 1.0
+    assert d.balancer.executors[1].capacity == 1.0
     d = Driver(workers=1, **QUEUED)
     d.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 5.0)))
-    assert d.brain.executors[1].capacity == 0.0
+    assert d.balancer.executors[1].capacity == 0.0
     assert not sends(d.arrive(0))
 
 
@@ -193,8 +193,8 @@
     late = api.RequestClass("l", 1.0, 100_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
     d = Driver(late, workers=1, **QUEUED)
     d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
-    d.brain.state.learned.class_times[0] = ClassRunningTimes(1_000_000.0, 0.0, 50)
-    d.brain.executors[1].queue_places = 1.0
+    d.balancer.state.learned.class_times[0] = ClassRunningTimes(1_000_000.0, 0.0, 50)
+    d.balancer.executors[1].queue_places = 1.0
     d.arrive(0, hint_us=1_000_000)
     d.arrive(0, hint_us=1_000_000)
     assert kinds(d.arrive(0, hint_us=50_000)) == ["Refuse"]
@@ -206,12 +206,12 @@
     late = api.RequestClass("l", 1.0, 200_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
     d = Driver(late, UNSAFE, workers=1, **QUEUED)
     d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
-    d.brain.state.learned.class_times[0] = ClassRunningTimes(3_000_000.0, 3.0, 50)
-    before = d.brain.executors[1].queue_places
+    d.balancer.state.learned.class_times[0] = ClassRunningTimes(3_000_000.0, 3.0, 50)
+    before = d.balancer.executors[1].queue_places
     d.arrive(0, hint_us=100_000)
     d.now += 3_000_000
     d.end(1, 1, Outcome.OK)
-    assert d.brain.executors[1].queue_places < before
+    assert d.balancer.executors[1].queue_places < before
 
 
 def test_one_cut_at_a_time_is_tried_till_cuts_are_known_to_pay():
@@ -223,7 +223,7 @@
         pass
     cuts = [kinds(d.arrive(1)).count("Cancel") for _ in range(8)]
     assert sum(cuts) == 1
-    d.brain.state.learned.preemption_gain = 0.9  # seen to pay: each arrival of higher worth has its room
+    d.balancer.state.learned.preemption_gain = 0.9  # seen to pay: each arrival of higher worth has its room
     assert sum(kinds(d.arrive(1)).count("Cancel") for _ in range(3)) >= 3
 
 
@@ -244,7 +244,7 @@
         to = sends(d.arrive(1, left=60_000_000))
         if to:
             d.end(d.requests, to[0].executor, Outcome.RESET if n % 5 == 0 else Outcome.OK)
-    assert min(worker.health for worker in d.brain.executors.values()) > 0.5
+    assert min(worker.health for worker in d.balancer.executors.values()) > 0.5
 
 
 def test_places_to_wait_are_fewer_for_lower_worth_and_idle_slots_are_not():
@@ -254,8 +254,8 @@
     for n in range(2):
         assert kinds(d.arrive(0)) == ["Send"]
         d.start(n + 1, 1)
-    d.brain.state.learned.preemption_gain = 0.0
-    d.brain.executors[1].queue_places = 1.2
+    d.balancer.state.learned.preemption_gain = 0.0
+    d.balancer.executors[1].queue_places = 1.2
     assert kinds(d.arrive(0)) == ["Refuse"]
     assert kinds(d.arrive(1)) == ["Send"]
 
@@ -269,7 +269,7 @@
     d.run(2)
     d.now += 1_000_000
     d.report(1, 1)  # two of ours run, one slot is free: three are ours, one belongs to others
-    assert d.brain.executors[1].capacity == 3
+    assert d.balancer.executors[1].capacity == 3
 
 
 def test_few_own_jobs_draw_more_than_many():
@@ -277,7 +277,7 @@
     d = Driver(workers=2)
     for worker, held in ((1, 2.0), (2, 0.0)):
         d.report(worker, 30)
-        d.brain.executors[worker].held_slots = held
+        d.balancer.executors[worker].held_slots = held
     drawn = d.draw(100)
     assert drawn.count(2) > 4 * drawn.count(1)
 
@@ -291,7 +291,7 @@
 
 def test_refusals_and_prompt_starts_move_the_waiting_places():
     d = Driver(workers=1)
-    worker = d.brain.executors[1]
+    worker = d.balancer.executors[1]
     d.report(1, 4)
     d.arrive(0)
     d.start(1, 1)
@@ -305,20 +305,20 @@
 def test_waiting_places_grow_past_what_others_report_where_no_report_comes():
     """A copy of a deployment without reports never used more than two slots of a worker."""
     d = Driver(workers=1)
-    d.brain.executors[1].queue_places = 1.0
+    d.balancer.executors[1].queue_places = 1.0
     for _ in range(30):
         d.arrive(0)
         d.start(d.requests, 1)
         d.end(d.requests, 1, Outcome.OK)
-    assert d.brain.executors[1].queue_places > 3
+    assert d.balancer.executors[1].queue_places > 3
 
 
 @pytest.mark.parametrize("report", [None, (), (1.0,), (-1.0, 2.0), (math.nan, 1.0), (math.inf, 1.0)])
 def test_unsound_reports_are_no_news(report):
     d = Driver(workers=1)
-    before = d.brain.executors[1].capacity
+    before = d.balancer.executors[1].capacity
     d.feed(api.ProbeEnded(1, Outcome.OK, report))
-    assert d.brain.executors[1].capacity == before
+    assert d.balancer.executors[1].capacity == before
 
 
 def test_ghosts_fade_where_no_report_ever_comes():
@@ -328,10 +328,10 @@
     d.start(1, 1)
     d.feed(api.RequestWithdrawn(1))
     d.end(1, 1, Outcome.CANCELLED, final=True)
-    assert d.brain.executors[1].held_slots == 1
+    assert d.balancer.executors[1].held_slots == 1
     d.now += 3_000_000
     assert kinds(d.arrive(0)) == ["Send"]
-    assert d.brain.executors[1].held_slots == 1
+    assert d.balancer.executors[1].held_slots == 1
 
 
 def test_only_the_job_that_ends_with_a_report_ran_when_it_was_measured():
@@ -343,7 +343,7 @@
     d.end(1, 1, Outcome.OK)
     d.now += 20_000
     d.end(2, 1, Outcome.OK, report=(0.0, 100.0))  # job 2 and job 3 hold a slot each; that of job 1 was taken
-    assert d.brain.executors[1].capacity == 2
+    assert d.balancer.executors[1].capacity == 2
 
 
 def test_equal_reports_for_long_do_not_shrink_the_pool():
@@ -355,7 +355,7 @@
     d.run(3)
     d.now += 500_000
     d.report(1, 1)
-    assert d.brain.executors[1].capacity == 4
+    assert d.balancer.executors[1].capacity == 4
 
 
 def test_where_starts_are_not_told_jobs_count_as_started_when_sent():
@@ -366,21 +366,21 @@
     d.now += 1_000_000
     assert kinds(d.arrive(0)) == ["Send"]
     d.report(1, 2)
-    assert d.brain.executors[1].capacity == 4
-    before = d.brain.executors[1].queue_places
+    assert d.balancer.executors[1].capacity == 4
+    before = d.balancer.executors[1].queue_places
     d.end(1, 1, Outcome.FULL, final=False)
-    assert d.brain.executors[1].queue_places < before
+    assert d.balancer.executors[1].queue_places < before
 
 
 def test_own_jobs_that_wait_are_not_taken_for_slots_where_starts_go_untold():
     """Slots grew to 5 and 6 where there are 2, and 4 to 6 jobs were sent there while others stood idle."""
     d = Driver(workers=1, tells_start=False)
     d.report(1, 2)
-    d.brain.executors[1].queue_places = 4.0
+    d.balancer.executors[1].queue_places = 4.0
     for _ in range(4):
         assert sends(d.arrive(1))
     d.report(1, 0)
-    assert d.brain.executors[1].slots == 2
+    assert d.balancer.executors[1].slots == 2
 
 
 # Health.
@@ -442,7 +442,7 @@
         if worker == 1:
             d.end(d.requests, 1, Outcome.CONNECT_FAILED, final=False)
     assert kinds(answer) == ["Refuse"]
-    assert d.brain.executors[1].capacity > d.brain.executors[1].held_slots
+    assert d.balancer.executors[1].capacity > d.balancer.executors[1].held_slots
 
 
 def test_class_that_needs_a_kind_of_worker_goes_only_there():
@@ -468,12 +468,12 @@
         actions = d.arrive(job_class)
         answers = kinds(actions)
         while sends(actions):
-            attempt = len(d.brain.requests[d.requests].attempts) - 1
+            attempt = len(d.balancer.requests[d.requests].attempts) - 1
             worker = sends(actions)[0].executor
             actions = d.end(d.requests, worker, Outcome.CONNECT_FAILED, attempt, final=False)
             answers += kinds(actions)
         assert answers[-1] == "Refuse" and answers.count("Refuse") == 1
-    assert d.brain.requests == {} and all(w.held_slots == 0 for w in d.brain.executors.values())
+    assert d.balancer.requests == {} and all(w.held_slots == 0 for w in d.balancer.executors.values())
 
 
 def test_timeout_at_the_deadline_fails_once():
@@ -481,7 +481,7 @@
     d.arrive(1)
     d.now += 5_000_000
     assert kinds(d.end(1, 1, Outcome.TIMEOUT, final=False)) == ["Fail"]
-    assert d.brain.requests == {}
+    assert d.balancer.requests == {}
 
 
 def test_held_job_gets_its_answer_before_the_deadline():
@@ -502,13 +502,13 @@
     assert kinds(d.feed(api.RequestWithdrawn(1))) == ["Cancel"]
     assert kinds(d.fire_all(actions, 1_000_000)) == []
     assert kinds(d.end(1, 1, Outcome.CANCELLED, final=True)) == []
-    assert d.brain.requests == {} and d.brain.executors[1].held_slots == 0
+    assert d.balancer.requests == {} and d.balancer.executors[1].held_slots == 0
 
 
 def test_unknown_requests_attempts_workers_and_tokens_are_ignored():
     d = Driver(workers=1)
     d.arrive(0)
-    held = d.brain.executors[1].held_slots
+    held = d.balancer.executors[1].held_slots
     for event in (
         api.AttemptEnded(9, 0, 1, Outcome.OK, True), api.AttemptEnded(1, 7, 1, Outcome.OK, True),
         api.AttemptEnded(1, 0, 8, Outcome.OK, True), api.AttemptStarted(9, 0, 1), api.AttemptStarted(1, 0, 8),
@@ -516,7 +516,7 @@
         api.TimerFired(99), api.RequestWithdrawn(9), api.PeerMessage(1, b"x"),
     ):  # fmt: skip
         assert d.feed(event) == []
-    assert d.brain.executors[1].held_slots == held
+    assert d.balancer.executors[1].held_slots == held
 
 
 # Rule 2: effects. What may follow each outcome, for each kind of effect.
@@ -555,12 +555,12 @@
     d.feed(
         api.EndpointList(api.EndpointListKind.DELTA, [entry(1, WorkerState.GONE)])
     )  # the group outlives the worker
-    request = d.brain.requests[1]
+    request = d.balancer.requests[1]
     attempt = request.attempts[0]
     if outcome is not None:
         attempt.in_flight, attempt.may_have_run = False, outcome not in NEVER_RAN
-    d.brain.state.now = d.now + (3_000_000 if late else 0)
-    allowed = {n for n in PLACES if retries.may_send(d.brain.state, request, d.brain.executors[n])}
+    d.balancer.state.now = d.now + (3_000_000 if late else 0)
+    allowed = {n for n in PLACES if retries.may_send(d.balancer.state, request, d.balancer.executors[n])}
     expected = {1, 2, 3, 4} if outcome in NEVER_RAN else ALLOWED[effect, group]
     if outcome not in NEVER_RAN and late and effect == Effect.KEYED:
         expected = set()
@@ -577,7 +577,7 @@
     """What follows when the one attempt of a keyed job breaks so long after it was sent."""
     d = Driver(keyed(group, window), workers=2)
     assert sends(d.arrive(0, left=left))
-    worker = d.brain.requests[1].attempts[0].executor.id
+    worker = d.balancer.requests[1].attempts[0].executor.id
     d.now += after
     return d, d.end(1, worker, Outcome.RESET)
 
@@ -606,16 +606,16 @@
     d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, WorkerState.GONE)]))
     actions = d.end(1, 1, Outcome.RESET)
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
-    assert timer.delay_us == 1_000_000 - 150_000 - 2 * d.brain.settings.tick_us
+    assert timer.delay_us == 1_000_000 - 150_000 - 2 * d.balancer.settings.tick_us
     assert kinds(d.fire_all([timer], timer.delay_us)) == ["Fail"]
 
 
 def test_nothing_follows_the_end_or_the_last_attempt():
     d = Driver(workers=2, max_attempts=1)
     d.arrive(0)
-    request = d.brain.requests[1]
+    request = d.balancer.requests[1]
     request.attempts[0].in_flight = request.attempts[0].may_have_run = False
-    assert not retries.may_send(d.brain.state, request, d.brain.executors[1])
+    assert not retries.may_send(d.balancer.state, request, d.balancer.executors[1])
     request.done = True
     assert not retries.may_refuse(request)
 
@@ -651,7 +651,9 @@
     d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(3, api.ExecutorState.DRAINING)]))
     assert sends(d.arrive(0))[0].executor == 1
     d.feed(api.EndpointList(api.EndpointListKind.FULL, [entry(2, zone=1), entry(3, zone=0)]))
-    assert [w.id for w in d.brain.state.pools.far] == [2] and [w.id for w in d.brain.state.pools.near] == [3]
+    assert [w.id for w in d.balancer.state.pools.far] == [2] and [
+        w.id for w in d.balancer.state.pools.near
+    ] == [3]
     assert [a.executor for a in sends(d.end(1, 1, Outcome.RESET))] == [3]
 
 
@@ -671,7 +673,7 @@
         delays.append(actions[0].delay_us)
         assert kinds(actions) == []
         assert kinds(d.fire_all(actions, delays[-1])) == ["Subscribe"]
-    assert max(delays) < 2 * d.brain.settings.ask_within_us
+    assert max(delays) < 2 * d.balancer.settings.ask_within_us
     assert len(set(delays)) == 6 and sum(delays[3:]) > sum(delays[:3])
 
 
@@ -680,7 +682,7 @@
     for seed in range(20):
         d = Driver(on_request_discovery=True, instances=200, seed=seed)
         (timer,) = d.first
-        assert timer.delay_us <= d.brain.settings.ask_within_us / 5
+        assert timer.delay_us <= d.balancer.settings.ask_within_us / 5
 
 
 def test_discovery_that_is_away_for_hours_is_still_asked():
@@ -697,14 +699,14 @@
 def test_a_hint_says_nothing_of_the_time_a_job_takes_before_one_has_ended():
     """The ratio to the hint starts as if hints were 1: 0.4 s stood for a day, and cold workers got none."""
     d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=1, tells_start=False)
-    d.brain.executors[1].slots = 10.0
+    d.balancer.executors[1].slots = 10.0
     d.report(1, 10)
     assert sends(d.arrive(0, hint_us=400_000))
 
 
 def test_cold_worker_gets_no_more_than_this_dispatchers_part_of_its_budget():
     d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=2)
-    worker = d.brain.executors[1]
+    worker = d.balancer.executors[1]
     worker.slots = 10.0
     d.report(1, 10)
     sent = sum(len(sends(d.arrive(0))) for _ in range(50))
@@ -722,7 +724,7 @@
     d.report(1, 4)
     d.arrive(0)
     d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, started_at=d.now)]))
-    worker = d.brain.executors[1]
+    worker = d.balancer.executors[1]
     assert (worker.started_at, worker.held_slots, worker.slots, worker.report) == (d.now, 0, 4, None)
     assert kinds(d.end(1, 1, Outcome.RESET, final=False)) in (["Refuse"], ["Send"])
     assert worker.held_slots in (0, 1)
@@ -739,7 +741,7 @@
         d.now += 10_000
         if sends(d.arrive(0, tenant=0 if n % 8 else 1)):
             d.start(d.requests, 1)
-    ranks = [(0 if r.id % 8 != 1 else 1, r.priority) for r in list(d.brain.requests.values())[-80:]]
+    ranks = [(0 if r.id % 8 != 1 else 1, r.priority) for r in list(d.balancer.requests.values())[-80:]]
     assert sum(rank < 1 for tenant, rank in ranks if tenant == 0) > 30
     assert all(rank == 1 for tenant, rank in ranks if tenant == 1)
 
@@ -798,7 +800,7 @@
     for n in range(40):
         d.report(1, 2 + n % 2)
     d.report(1, 0)
-    worker = d.brain.executors[1]
+    worker = d.balancer.executors[1]
     d.arrive(0)
     assert worker.capacity - worker.held_slots <= 0
     d.now += 60_000_000
@@ -822,7 +824,7 @@
     sent = 0.0
     for seed in range(300):
         d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=300, seed=seed)
-        d.brain.executors[1].slots = 10.0
+        d.balancer.executors[1].slots = 10.0
         d.now += 1_000_000
         d.report(1, 10)
         sent += 200_000 * sum(len(sends(d.arrive(0))) for _ in range(3))
@@ -835,7 +837,7 @@
     wins = []
     for seed in range(60):
         d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=300, seed=seed)
-        d.brain.executors[1].slots = 10.0
+        d.balancer.executors[1].slots = 10.0
         d.now += 1_000_000
         wins.append(sum(len(sends(d.arrive(0))) for _ in range(50)))
     assert max(wins) <= 1 and sum(wins) < 20
@@ -846,12 +848,12 @@
     heavy = 10 * 3.0 * 0.2 * 10 * 2_000_000  # slot-time: ten times what all together may send in a window
     for seed in range(300):
         d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=30, seed=seed, tells_start=False)
-        d.brain.executors[1].slots = 10.0
-        times = d.brain.state.learned.class_times[0]
+        d.balancer.executors[1].slots = 10.0
+        times = d.balancer.state.learned.class_times[0]
         times.log_ratio, times.count = 0.0, 1  # one has ended: hints count as they are
         d.now += 1_000_000
         d.report(1, 10)
-        use = d.brain.executors[1].slow_start
+        use = d.balancer.executors[1].slow_start
         use.sampled_at, use.sample = d.now, 0.999  # the luckiest of a thousand
         assert not sends(d.arrive(0, hint_us=int(heavy)))
         assert sends(d.arrive(0, hint_us=100_000))
@@ -861,8 +863,8 @@
     """Rough hints that call jobs short are mostly wrong: 2.3 s by nine of them were over 6 s."""
     for hint, least in ((2_000, 100_000), (50_000, 100_000), (800_000, 800_000)):
         d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=1, tells_start=False)
-        times = d.brain.state.learned.class_times[0]
+        times = d.balancer.state.learned.class_times[0]
         times.log_ratio, times.count = 0.0, 1  # one of 0.2 s has ended: hints count as they are
         d.report(1, 10)
         assert sends(d.arrive(0, hint_us=hint))
-        assert d.brain.executors[1].slow_start.sends[0].work_us >= least
+        assert d.balancer.executors[1].slow_start.sends[0].work_us >= least
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -237,7 +237,7 @@
 
     def sent(self, driver: Driver) -> int:
         """How many of many jobs, where nothing but the budget of a cold executor keeps them off."""
-        for executor in driver.brain.executors.values():
+        for executor in driver.balancer.executors.values():
             executor.capacity = 1_000.0
         return sum(len(sends(driver.arrive(0))) for _ in range(100))
 
@@ -276,7 +276,8 @@
         beside.feed(api.SiblingLoad(1, 5.0, 0.0))
         self.assertEqual(self.sent(alone) - self.sent(beside), 5)
         self.assertEqual(
-            len(beside.brain.executors[1].slow_start.sends), len(alone.brain.executors[1].slow_start.sends)
+            len(beside.balancer.executors[1].slow_start.sends),
+            len(alone.balancer.executors[1].slow_start.sends),
         )
 
     def test_a_start_ahead_of_the_clock_counts_for_nothing_where_none_is_cold(self) -> None:
@@ -291,7 +292,7 @@
         driver.now += 60_000_000
         driver.report(1, 10)
         self.assertGreater(self.sent(driver), 5)
-        self.assertEqual(driver.brain.executors[1].slow_start.sends, [])
+        self.assertEqual(driver.balancer.executors[1].slow_start.sends, [])
 
 
 if __name__ == "__main__":
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -1,4 +1,4 @@
-"""What outlives a process: sealed documents, and a brain's memory laid over a new one."""
+"""What outlives a process: sealed documents, and a balancer's memory laid over a new one."""
 
 import json
 import unittest
@@ -124,7 +124,7 @@
 
 
 class Learned(unittest.TestCase):
-    """A brain that took up what another learned decides as that one would."""
+    """A balancer that took up what another learned decides as that one would."""
 
     def old(self) -> Driver:
         driver = Driver(tells_start=False)
@@ -133,12 +133,12 @@
         return driver
 
     def after(self, old: Driver, age_us: int = 0, entries=None) -> Driver:
-        memory = take_snapshot(old.brain, NAMES, old.now)
+        memory = take_snapshot(old.balancer, NAMES, old.now)
         new = Driver(tells_start=False, seed=2, entries=entries)
         written = new.now - age_us
-        self.assertTrue(restore(new.brain, memory, written))
+        self.assertTrue(restore(new.balancer, memory, written))
         for number, name in NAMES.items():
-            restore_executor(new.brain.executors[number], memory.executors[name], written)
+            restore_executor(new.balancer.executors[number], memory.executors[name], written)
         return new
 
     def sent(self, driver: Driver, count: int = 14) -> int:
@@ -150,7 +150,7 @@
 
     def test_news_age_while_the_new_process_starts(self):
         new = self.after(self.old(), age_us=700_000)
-        self.assertEqual(new.now - new.brain.executors[1].heard_at, 700_000)
+        self.assertEqual(new.now - new.balancer.executors[1].heard_at, 700_000)
 
     def test_jobs_of_the_other_process_hold_slots_till_it_tells_their_end(self):
         """A report that shows none free is as old as ever; the other process knows of an end at once."""
@@ -166,23 +166,23 @@
         old = self.old()
         self.sent(old, 3)
         old.feed(api.SiblingLoad(1, 2.0, 1.0))
-        told = held_now(old.brain, NAMES)
+        told = held_now(old.balancer, NAMES)
         self.assertEqual(sum(slots for slots, _ in told.values()), 3.0)
 
     def test_a_worker_that_restarted_since_is_not_taken_for_the_old_one(self):
         entries = [entry(1, started_at=999_000_000), entry(2)]
         new = self.after(self.old(), entries=entries)
-        self.assertEqual(new.brain.executors[1].slots, 1.0)
-        self.assertEqual(new.brain.executors[2].slots, 4.0)
+        self.assertEqual(new.balancer.executors[1].slots, 1.0)
+        self.assertEqual(new.balancer.executors[2].slots, 4.0)
 
     def test_a_start_listed_a_millisecond_apart_is_the_same_process(self):
         old = Driver(tells_start=False, entries=[entry(1, started_at=900_000_000), entry(2)])
         old.report(1, 4.0)
         new = self.after(old, entries=[entry(1, started_at=900_001_000), entry(2)])
-        self.assertEqual(new.brain.executors[1].slots, 4.0)
+        self.assertEqual(new.balancer.executors[1].slots, 4.0)
         again = [entry(1, started_at=900_001_000), entry(2)]
         new.feed(api.EndpointList(api.EndpointListKind.FULL, again))
-        self.assertEqual(new.brain.executors[1].slots, 4.0)
+        self.assertEqual(new.balancer.executors[1].slots, 4.0)
 
     def test_what_a_cold_worker_was_sent_counts_on(self):
         """Rule 4 sees one node: its next process must not spend the window's budget once more."""
@@ -190,22 +190,22 @@
         old = Driver(tells_start=False, entries=listed)
         self.assertTrue(sends(old.arrive(0)))
         new = self.after(old, entries=listed)
-        before, after = ({n: w.slow_start.sends for n, w in d.brain.executors.items()} for d in (old, new))
+        before, after = ({n: w.slow_start.sends for n, w in d.balancer.executors.items()} for d in (old, new))
         self.assertEqual(before, after)
         self.assertEqual(sum(map(len, after.values())), 1)
 
     def test_an_heir_asks_for_the_list_at_once(self):
         """What discovery tells binds it 2 s after its yes; the span of a large fleet is longer."""
-        memory = take_snapshot(self.old().brain, NAMES, 1_000_000_000)
+        memory = take_snapshot(self.old().balancer, NAMES, 1_000_000_000)
         for heir in (False, True):
-            brain = Balancer(settings(instances=48, on_request_discovery=True), 1)
+            balancer = Balancer(settings(instances=48, on_request_discovery=True), 1)
             if heir:
-                restore(brain, memory, 1_000_000_000)
+                restore(balancer, memory, 1_000_000_000)
             news = api.EndpointList(api.EndpointListKind.CACHED, [entry(1)])
-            (timer,) = brain.handle(1_000_000_000, news)
+            (timer,) = balancer.handle(1_000_000_000, news)
             self.assertEqual(timer.delay_us == 0, heir)
 
     def test_other_settings_take_up_nothing(self):
-        memory = take_snapshot(self.old().brain, NAMES, 1_000_000_000)
+        memory = take_snapshot(self.old().balancer, NAMES, 1_000_000_000)
         memory.class_times.pop()
-        self.assertFalse(restore(Driver().brain, memory, 1_000_000_000))
+        self.assertFalse(restore(Driver().balancer, memory, 1_000_000_000))
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests: settings, events, a brain that is driven by hand."""
+"""Small builders shared by the tests: settings, events, a balancer that is driven by hand."""
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
@@ -22,10 +22,10 @@
 
 
 class Driver:
-    """Feeds a brain and numbers requests; `now` moves by hand."""
+    """Feeds a balancer and numbers requests; `now` moves by hand."""
 
     def __init__(self, *classes: api.RequestClass, workers: int = 2, seed: int = 1, entries=None, **changes):
-        self.brain = Balancer(settings(*classes, **changes), seed)
+        self.balancer = Balancer(settings(*classes, **changes), seed)
         self.now = 1_000_000_000
         self.requests = 0
         entries = entries or [entry(n) for n in range(1, workers + 1)]
@@ -33,7 +33,7 @@
 
     def feed(self, event, after: int = 0):
         self.now += after
-        return self.brain.handle(self.now, event)
+        return self.balancer.handle(self.now, event)
 
     def arrive(self, job_class: int = 0, left: int = 5_000_000, **fields):
         self.requests += 1
