--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -127,7 +127,7 @@
 
 def grants() -> None:
     """Agreed requests a second; what each asks is decided and refused, which costs the same sync."""
-    from cedarmill.lab.cluster.process_group import free_port
+    from cedarmill.lab.cluster.ports import free_port
 
     for count in (1, 3, 5):
         with tempfile.TemporaryDirectory() as folder:
@@ -174,7 +174,7 @@
 
     plain = dataclasses.replace(read("drains"), timeline=())
     gone = ScenarioEvent("process", 3 * S, 0, {"name": "keeper-*", "fault": "kill"})
-    none = dataclasses.replace(plain, fleet=dataclasses.replace(plain.fleet, keepers=0))
+    none = dataclasses.replace(plain, layout=dataclasses.replace(plain.layout, replicas=0))
     killed = dataclasses.replace(plain, timeline=(gone,))
     for name, scenario in (
         ("no fleet", none),
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -220,7 +220,7 @@
 
 def keeper(folder: str, inner: str = "") -> tuple[subprocess.Popen, str]:
     """Start one keeper; its process, and the `<fleet>` of a node that has a session with it."""
-    from cedarmill.lab.cluster.process_group import free_port
+    from cedarmill.lab.cluster.ports import free_port
 
     port, path = free_port(), Path(folder) / f"keeper{bool(inner):d}.xml"
     path.write_text(f'<keeper version="1" cluster="c" name="k0" listen="127.0.0.1:{port}" '
--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -128,9 +128,9 @@
         raise ConfError("name a scenario, or ask with --list")
     read_in = read(scenario)
     changes = {
-        name: int(value) for name, value in (("nodes", nodes), ("keepers", keepers)) if value is not None
+        name: int(value) for name, value in (("nodes", nodes), ("replicas", keepers)) if value is not None
     }
-    read_in = dataclasses.replace(read_in, fleet=dataclasses.replace(read_in.fleet, **changes))
+    read_in = dataclasses.replace(read_in, layout=dataclasses.replace(read_in.layout, **changes))
     verdicts = []
     for number in seed:
         folder = out / f"{read_in.name}-{number}"
@@ -154,7 +154,7 @@
         rows.add_row(name, *cells)
     Console().print(rows)
     for one in verdicts:
-        for law, texts in one.laws.items():
+        for law, texts in one.invariants.items():
             for text in texts[:3]:
                 click.echo(f"seed {one.seed}: {law}: {text}")
     click.echo(f"reports: {out}/*/report.html")
--- a/cedarmill/lab/checker.py
+++ b/cedarmill/lab/checker.py
@@ -31,7 +31,7 @@
 
 def true_results(story: History) -> Iterator[str]:
     """A served call got what a box made for that very call."""
-    made = {f"{visit.id} by {visit.box}" for visit in story.visits if visit.outcome == "done"}
+    made = {f"{visit.id} by {visit.executor}" for visit in story.visits if visit.outcome == "done"}
     for call in story.calls:
         for answer in call.answers:
             if answer.status == 200 and (answer.result not in made or not answer.result.startswith(call.id)):
@@ -57,23 +57,23 @@
             continue
         for again in visits[1:]:
             if rules.effect == "unsafe":
-                yield f"job {job}: {again.job_class} reached {again.box} after {visits[0].box}"
+                yield f"job {job}: {again.job_class} reached {again.executor} after {visits[0].executor}"
             elif (
                 rules.effect == "keyed" and again.id == visits[0].id
             ):  # a client's own retry is its own affair
                 far = again.zone != visits[0].zone
                 if far or again.at > visits[0].at + rules.window:
                     how = "in another zone" if far else "past its window"
-                    yield f"job {job}: {again.job_class} again at {again.box}, {how}"
+                    yield f"job {job}: {again.job_class} again at {again.executor}, {how}"
 
 
 def nothing_after_a_drain(story: History) -> Iterator[str]:
     """No box gets work later than DRAIN_US after its drain was told."""
-    told = {drain.box: drain.at for drain in story.drains}
+    told = {drain.executor: drain.at for drain in story.drains}
     for visit in story.visits:
-        if visit.box in told and visit.at > told[visit.box] + DRAIN_US:
-            after = (visit.at - told[visit.box]) / 1e6
-            yield f"call {visit.id}: reached {visit.box} {after:.3f} s after its drain"
+        if visit.executor in told and visit.at > told[visit.executor] + DRAIN_US:
+            after = (visit.at - told[visit.executor]) / 1e6
+            yield f"call {visit.id}: reached {visit.executor} {after:.3f} s after its drain"
 
 
 def late_starts(story: History) -> list[tuple[Visit, int]]:
@@ -91,7 +91,7 @@
 def nothing_for_who_left(story: History) -> Iterator[str]:
     """No attempt starts for a client that has left, where nodes stop work for those."""
     for visit, after in late_starts(story) if story.stops else ():
-        yield f"call {visit.id}: reached {visit.box} {after / 1e3:.1f} ms after its client left"
+        yield f"call {visit.id}: reached {visit.executor} {after / 1e3:.1f} ms after its client left"
 
 
 RULES: dict[str, Callable[[History], Iterator[str]]] = {
--- a/cedarmill/lab/cluster/faults.py
+++ b/cedarmill/lab/cluster/faults.py
@@ -99,7 +99,7 @@
 
     def _on_zones(self, kind: str, at: int, lasts: int) -> list[ScenarioEvent]:
         """A fault of a whole zone, or of what lies between two."""
-        zones = self.run.scenario.fleet.zone_names
+        zones = self.run.scenario.layout.zone_names
         one, other = (str(name) for name in self.dice.choice(zones, 2, replace=False))
         lasts += ZONE_US  # long enough to be believed
         fault = kind.removeprefix("zone-")
--- a/cedarmill/lab/cluster/invariants.py
+++ b/cedarmill/lab/cluster/invariants.py
@@ -24,24 +24,24 @@
     events: list[Event]
     visits: list[Visit]
     limits: tuple[LimitOptions, ...] = ()
-    places: dict[str, dict[str, str]] = field(default_factory=dict)  # of a target: kind, zone, type, group
+    targets: dict[str, dict[str, str]] = field(default_factory=dict)  # of a target: kind, zone, type, group
     slots: dict[str, int] = field(default_factory=dict)
-    story: History | None = None
-    cold: int = 0  # us that an executor which came back counts in part; 0: not asked
-    known: int = KNOWN_US
-    found: list[str] = field(default_factory=list)  # breaches that the run itself saw in what keepers agreed
-    stays: dict[str, str] = field(default_factory=dict)  # classes that may not leave their zone or region
-    entries: dict[int, str] = field(default_factory=dict)  # the zone to which calls come at a port
+    history: History | None = None
+    slow_start_us: int = 0  # us that an executor which came back counts in part; 0: not asked
+    detection_us: int = KNOWN_US
+    disagreements: list[str] = field(default_factory=list)  # between replicas, as the run saw them
+    residency: dict[str, str] = field(default_factory=dict)  # classes that may not leave their zone or region
+    entry_zones: dict[int, str] = field(default_factory=dict)  # the zone to which calls come at a port
     spent: list[tuple[int, bool]] = field(default_factory=list)  # when, and whether by a lease, of a budget
     budget: tuple[int, int, int] = (0, 0, 0)  # its leased part and its floors (thousandths/s), and nodes
-    seen_spent: list[tuple[int, str]] = field(default_factory=list)  # at executors: when, of which budget
+    executor_spending: list[tuple[int, str]] = field(default_factory=list)  # when, of which budget
     budgets: tuple[tuple[str, int, int], ...] = ()  # name, rate (thousandths/s), nodes with a floor
-    granted: dict[int, int] = field(default_factory=dict)  # when each epoch was agreed, where the run knows
+    granted_at: dict[int, int] = field(default_factory=dict)  # by epoch: when it was agreed, if known
 
 
 def homes(record: Record) -> dict[str, str]:
     """The zone to which each call came, by its id; empty where it is not known."""
-    return {call.id: record.entries.get(call.port, "") for call in record.story.calls}
+    return {call.id: record.entry_zones.get(call.port, "") for call in record.history.calls}
 
 
 class Out:
@@ -68,8 +68,8 @@
 
         Who takes a target may have heard of its grant late, as where all keepers died after it.
         """
-        now = self.record.granted.get(event.epoch, event.at)
-        old = {name for name, since in self.lost.items() if now - since > self.record.known}
+        now = self.record.granted_at.get(event.epoch, event.at)
+        old = {name for name, since in self.lost.items() if now - since > self.record.detection_us}
         return set(self.planned) | old
 
 
@@ -79,7 +79,7 @@
 
 def scope(record: Record, limit: LimitOptions, name: str) -> str | None:
     """Which of a limit's scopes a target is counted in; None: it is not."""
-    place = record.places.get(name)
+    place = record.targets.get(name)
     if place is None or place["kind"] != limit.kind:
         return None
     return "" if limit.per == "fleet" else place.get(limit.per, "")
@@ -87,7 +87,7 @@
 
 def allowed(record: Record, limit: LimitOptions, at: str) -> int:
     """How many of a scope may be out, rounded to the safe side."""
-    members = [name for name in record.places if scope(record, limit, name) == at]
+    members = [name for name in record.targets if scope(record, limit, name) == at]
     caps = [len(members)]
     if limit.most >= 0:
         caps.append(limit.most)
@@ -107,7 +107,7 @@
             names = ", ".join(within)
             yield f"{limit.kind} out per {limit.per} {at}: {len(within)} where {most} may be ({names})"
         if limit.capacity_left >= 0:
-            members = [one for one in record.places if scope(record, limit, one) == at]
+            members = [one for one in record.targets if scope(record, limit, one) == at]
             whole = sum(record.slots.get(one, 1) for one in members)
             left = whole - sum(record.slots.get(one, 1) for one in within)
             if left * 1000 < whole * limit.capacity_left:
@@ -136,7 +136,7 @@
         out.apply(event)
         if event.what == "back":
             back[event.target] = event.at
-        if event.what != "taken" or before or not record.cold:
+        if event.what != "taken" or before or not record.slow_start_us:
             continue
         back.pop(event.target, None)
         for limit in record.limits:
@@ -145,7 +145,7 @@
                 continue
             parts = sum(scope(record, limit, name) == at for name in out.planned)
             parts += sum(
-                COLD_PART * max(0.0, 1 - (event.at - since) / record.cold)
+                COLD_PART * max(0.0, 1 - (event.at - since) / record.slow_start_us)
                 for name, since in back.items()
                 if scope(record, limit, name) == at and name not in out.planned
             )
@@ -173,7 +173,7 @@
 
 def keepers_agree(record: Record) -> Iterator[str]:
     """What one keeper has applied at an index, no other applies otherwise."""
-    yield from record.found
+    yield from record.disagreements
 
 
 def grants_in_one_order(record: Record) -> Iterator[str]:
@@ -195,9 +195,9 @@
     for name, at in since.items():
         spans[name].append((at, 1 << 62))
     for visit in record.visits:
-        for start, end in (*spans.get(visit.box, ()), *spans.get(visit.zone, ())):
+        for start, end in (*spans.get(visit.executor, ()), *spans.get(visit.zone, ())):
             if start < visit.at < end:
-                yield f"{visit.box} got {visit.id} {(visit.at - start) / 1e6:.3f} s after it was drained"
+                yield f"{visit.executor} got {visit.id} {(visit.at - start) / 1e6:.3f} s after it was drained"
 
 
 def no_job_lost_by_plan(record: Record) -> Iterator[str]:
@@ -241,17 +241,18 @@
 
 def residents_stay(record: Record) -> Iterator[str]:
     """What may not leave its zone or region never reaches an executor beyond it, whatever is lost."""
-    if record.story is None or not record.stays:
+    if record.history is None or not record.residency:
         return
-    regions = {name: place["group"] for name, place in record.places.items() if place["kind"] == "zone"}
+    regions = {name: place["group"] for name, place in record.targets.items() if place["kind"] == "zone"}
     came = homes(record)
     for visit in record.visits:
-        within, home = record.stays.get(visit.job_class), came.get(visit.id, "")
+        within, home = record.residency.get(visit.job_class), came.get(visit.id, "")
         if within is None or not home:
             continue
         here, there = (home, visit.zone) if within == "zone" else (regions[home], regions[visit.zone])
         if here != there:
-            yield f"{visit.id} ({visit.job_class}) came to {home} and reached {visit.box} in {visit.zone}"
+            where = f"{visit.executor} in {visit.zone}"
+            yield f"{visit.id} ({visit.job_class}) came to {home} and reached {where}"
 
 
 SPANS_US = (1_000_000, 3_000_000, 10_000_000)  # over which what was spent is counted
@@ -290,7 +291,7 @@
 def budgets_hold_at_executors(record: Record) -> Iterator[str]:
     """What all executors together were asked for stays within the fleet's budgets, whoever asked."""
     for name, rate, nodes in record.budgets:
-        times = [at for at, what in record.seen_spent if what == name]
+        times = [at for at, what in record.executor_spending if what == name]
         for span in SPANS_US:
             most = rate / 1000 * (RATES * span / 1e6 + BURST + BUNCHED) + 2 * nodes
             if (beyond := _first_beyond(times, span, most)) is not None:
@@ -300,9 +301,9 @@
 
 def one_answer(record: Record) -> Iterator[str]:
     """Each call that stayed has one final answer, unless its connection broke; no forbidden repeat."""
-    if record.story is not None:
+    if record.history is not None:
         for rule in (one_final_answer, true_results, no_forbidden_repeat):
-            yield from rule(record.story)
+            yield from rule(record.history)
 
 
 INVARIANTS: dict[str, Callable[[Record], Iterator[str]]] = {
@@ -324,7 +325,7 @@
 }
 
 
-def verdict(record: Record) -> dict[str, list[str]]:
+def check_invariants(record: Record) -> dict[str, list[str]]:
     """The breaches of each law, by its name."""
     return {name: list(law(record)) for name, law in INVARIANTS.items()}
 
--- a/cedarmill/lab/cluster/mutants.py
+++ b/cedarmill/lab/cluster/mutants.py
@@ -438,14 +438,14 @@
 
 
 @contextlib.contextmanager
-def planted(name: str) -> Iterator[None]:
+def applied_mutant(name: str) -> Iterator[None]:
     """While it lasts the bug is there; an empty name plants none."""
-    with planted_patches(MUTANTS[name]() if name else []):
+    with applied_patches(MUTANTS[name]() if name else []):
         yield
 
 
 @contextlib.contextmanager
-def planted_patches(patches: list[Patch]) -> Iterator[None]:
+def applied_patches(patches: list[Patch]) -> Iterator[None]:
     """While it lasts these stand instead."""
     before = []
     for where, what, new in patches:
--- a/cedarmill/lab/cluster/operators.py
+++ b/cedarmill/lab/cluster/operators.py
@@ -91,7 +91,7 @@
 
     async def _restart(self, who: str, target: str, words: dict[str, str]) -> None:
         """Drain, wait, stop, start, put back."""
-        via = words.get("via", "keepers") if self.run.scenario.fleet.keepers else "doors"  # nobody counts
+        via = words.get("via", "keepers") if self.run.scenario.layout.replicas else "doors"  # nobody counts
         self.run.history.tell(f"{who}:{target}", "asked", target)
         if via == "doors":
             await self._restart_by_doors(who, target)
@@ -180,7 +180,7 @@
 
     async def _release(self, who: str, target: str, words: dict[str, str]) -> None:
         """Plan and start: one canary, then all the rest. Without keepers there is nothing to plan with."""
-        if not self.run.scenario.fleet.keepers:
+        if not self.run.scenario.layout.replicas:
             return
         units, version = self.run.nodes, words["version"]
         plan = ReleasePlan(version, ((units[0],), tuple(units[1:])), **PLAN)
--- a/cedarmill/lab/cluster/process_group.py
+++ b/cedarmill/lab/cluster/process_group.py
@@ -5,15 +5,14 @@
 import asyncio
 import contextlib
 import json
-import random
 import shutil
-import socket
 import sys
 from pathlib import Path
 from typing import TYPE_CHECKING
 from xml.sax.saxutils import quoteattr
 
 from cedarmill.lab.cluster.disks import flip
+from cedarmill.lab.cluster.ports import free_port
 from cedarmill.lab.cluster.processes import Process, environment
 
 if TYPE_CHECKING:
@@ -22,36 +21,17 @@
 CLUSTER = "lab"
 FIRST_VERSION = "v1"
 START_S = 30.0
-_RESERVED: list[socket.socket] = []
-PORTS = (12_000, 32_000)  # below those that systems give to connections
 DOOR_WORDS = "operators' door on "
 BAD_VERSIONS = ("late", "exiting", "failing")
 COLD_S = 2  # that executors of the laboratory are cold
 
 
-def free_port() -> int:
-    """A port of loopback that nobody has now, and that the system gives to nobody by itself.
-
-    It stays bound here, so that no other run takes it; who listens there says that it reuses addresses.
-    """
-    while True:
-        sock = socket.socket()
-        try:
-            sock.bind(("127.0.0.1", random.SystemRandom().randrange(*PORTS)))
-        except OSError:
-            sock.close()
-            continue
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        _RESERVED.append(sock)
-        return sock.getsockname()[1]
-
-
 class ProcessGroup:
     """All of a run that agree, and the nodes that follow."""
 
     def __init__(self, run: "ClusterRun") -> None:
         self.run = run
-        self.ports = {f"keeper-{n}": free_port() for n in range(run.scenario.fleet.keepers)}
+        self.ports = {f"keeper-{n}": free_port() for n in range(run.scenario.layout.replicas)}
         self.leading = ""
         self.acting: dict[str, int] = {}  # by unit: the epoch of the order that is being acted on
         self.listens: dict[str, int] = {}  # clients' ports of nodes under stewards
@@ -110,13 +90,13 @@
 
     def _zones(self) -> str:
         """The `<zones>` element, where zones are planned."""
-        laid = self.run.scenario.fleet.laid()
+        laid = self.run.scenario.layout.laid()
         regions = []
         for region, zones in laid.items():
             inner = "".join(f'<zone name="{zone}"/>' for zone in zones)
             regions.append(f'<region name="{region}">{inner}</region>')
-        sheds = ' sheds="on"' if self.run.scenario.fleet.sheds else ""
-        sheds += ' news="on"' if self.run.scenario.fleet.news else ""
+        sheds = ' sheds="on"' if self.run.scenario.layout.sheds else ""
+        sheds += ' news="on"' if self.run.scenario.layout.news else ""
         return f"\n<zones{sheds}>{''.join(regions)}</zones>" if regions else ""
 
     def _budgets(self) -> list[str]:
@@ -169,7 +149,7 @@
     async def _part(self, name: str) -> str:
         keepers = [f'<keeper name="{one}" address="{await self.address(name, one)}"/>' for one in self.ports]
         listen = f"127.0.0.1:{free_port()}" if name.startswith("steward") else "127.0.0.1:0"
-        if name.startswith("node") and self.run.scenario.fleet.regions:
+        if name.startswith("node") and self.run.scenario.layout.regions:
             stays = self.run.scenario.stays.items()
             keepers += [f'<stay class="{job_class}" within="{within}"/>' for job_class, within in stays]
         return f'<fleet cluster="{CLUSTER}" listen="{listen}">{"".join(keepers)}</fleet>'
--- a/cedarmill/lab/cluster/report.py
+++ b/cedarmill/lab/cluster/report.py
@@ -9,7 +9,7 @@
 matplotlib.use("Agg")
 import msgspec  # noqa: E402  the backend without a screen comes first
 
-from cedarmill.lab.cluster.invariants import Out, Record, homes, most_out, verdict  # noqa: E402
+from cedarmill.lab.cluster.invariants import Out, Record, check_invariants, homes, most_out  # noqa: E402
 from cedarmill.lab.report import STYLE, picture  # noqa: E402
 
 SHOWN = 20  # breaches of a law in the page
@@ -20,7 +20,7 @@
 
     scenario: str
     seed: int
-    laws: dict[str, list[str]]
+    invariants: dict[str, list[str]] = msgspec.field(name="laws")
     most_out_by_plan: int
     most_out_in_all: int
     calls: int
@@ -38,7 +38,7 @@
 
     @property
     def kept(self) -> bool:
-        return not any(self.laws.values())
+        return not any(self.invariants.values())
 
 
 def _waits(record: Record, first: str, then: str) -> list[float]:
@@ -54,13 +54,13 @@
 
 def verdict_of(record: Record) -> Verdict:
     """The laws and the counts."""
-    calls = record.story.calls
+    calls = record.history.calls
     statuses = [call.answers[0].status for call in calls if call.answers]
     kinds = [event.what for event in record.events]
     served, refused = statuses.count(200), sum(status in (429, 503) for status in statuses)
     return Verdict(
-        record.story.scenario, record.story.seed, verdict(record), *most_out(record), len(calls), served,
-        refused,
+        record.history.scenario, record.history.seed, check_invariants(record),
+        *most_out(record), len(calls), served, refused,
         len(statuses) - served - refused, sum(call.broken for call in calls), kinds.count("taken"),
         kinds.count("refused"), kinds.count("drained"), _waits(record, "asked", "taken"),
         _waits(record, "taken", "drained"), *_crossing(record))  # fmt: skip
@@ -86,9 +86,9 @@
 
 def _served(record: Record) -> tuple[list[int], list[int], list[int]]:
     """By second: served, and anything else."""
-    length = record.story.length // 1_000_000 + 1
+    length = record.history.length // 1_000_000 + 1
     good, bad = [0] * (length + 1), [0] * (length + 1)
-    for call in record.story.calls:
+    for call in record.history.calls:
         second = min(length, call.due // 1_000_000)
         served = bool(call.answers) and call.answers[0].status == 200
         (good if served else bad)[second] += 1
@@ -122,7 +122,7 @@
             axes.step(times, range(1, len(times) + 1), where="post", label=kind)
 
     def zones(axes) -> None:
-        length = record.story.length // 1_000_000 + 1
+        length = record.history.length // 1_000_000 + 1
         for zone in sorted({visit.zone for visit in record.visits}):
             counts = [0] * (length + 1)
             for visit in record.visits:
@@ -130,7 +130,7 @@
                     counts[min(length, visit.at // 1_000_000)] += 1
             axes.step(range(length + 1), counts, where="post", label=zone)
 
-    rows = "".join(_row(law, texts) for law, texts in found.laws.items())
+    rows = "".join(_row(law, texts) for law, texts in found.invariants.items())
     pictures = picture(out, "Out at once (grey: a fault begins)", "seconds", "targets")
     pictures += picture(granted, "Permits", "seconds", "so far")
     pictures += picture(served, "Calls by the second in which they were due", "seconds", "calls")
@@ -155,4 +155,4 @@
     names = ("calls", "served", "refused", "failed", "broken", "granted", "refused_permits", "drained",
              "most_out_by_plan", "most_out_in_all", "crossed", "plans")  # fmt: skip
     rows = [(name, [str(getattr(one, name)) for one in verdicts]) for name in names]
-    return [*rows, ("laws broken", [str(sum(map(bool, one.laws.values()))) for one in verdicts])]
+    return [*rows, ("laws broken", [str(sum(map(bool, one.invariants.values()))) for one in verdicts])]
--- a/cedarmill/lab/cluster/run.py
+++ b/cedarmill/lab/cluster/run.py
@@ -85,11 +85,11 @@
 
     @property
     def nodes(self) -> list[str]:
-        return [f"node-{n}" for n in range(self.scenario.fleet.nodes)]
+        return [f"node-{n}" for n in range(self.scenario.layout.nodes)]
 
     def zone_of(self, name: str) -> str:
         """Of a node or an executor: they are dealt out in turn."""
-        return f"zone-{int(name.rpartition('-')[2]) % self.scenario.fleet.zones}"
+        return f"zone-{int(name.rpartition('-')[2]) % self.scenario.layout.zones}"
 
     @property
     def linked(self) -> set[str]:
@@ -117,7 +117,7 @@
         await asyncio.gather(*(self._start_node(name, number) for number, name in enumerate(self.nodes)))
 
     def _make_executors(self) -> None:
-        fleet, draw = self.scenario.fleet, numpy.random.Generator(numpy.random.PCG64(self.seeds[0]))
+        fleet, draw = self.scenario.layout, numpy.random.Generator(numpy.random.PCG64(self.seeds[0]))
         for number, seed in enumerate(self.seeds[1].spawn(fleet.executors)):
             speed = float(draw.uniform(fleet.slowest, fleet.fastest))
             dice = numpy.random.Generator(numpy.random.PCG64(seed))
@@ -148,17 +148,18 @@
         folder = self.folder / name
         folder.mkdir(parents=True, exist_ok=True)
         config = folder / "config.json"
-        zone = number % self.scenario.fleet.zones
+        zones = self.scenario.layout.zones
         config.write_text(json.dumps({
             "name": name, "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "discovery": director.address,
             "seed": f"{self.seed * 1000 + number:x}", "limits": {"sockets": 1024, "memory_mb": 192},
             "known": director.listing(),
-            "settings": {**platform_settings(self.scenario, False), "zone": zone}}))  # fmt: skip
+            "settings": {**platform_settings(self.scenario, zones, False), "zone": number % zones},
+        }))  # fmt: skip
         words = []
-        if self.scenario.fleet.keepers:
+        if self.scenario.layout.replicas:
             settings = await self.crew.node_settings(name, folder)
             words = ["-c", str(settings)]
-            if self.scenario.fleet.stewards:
+            if self.scenario.layout.supervised:
                 await self.crew.start_steward(number, name, config, settings)
                 return
         env = environment(LB_CONFIG=str(config), TMPDIR=str(folder))
@@ -267,23 +268,23 @@
         until = self.clock() + SETTLE_US
         while self.operators.busy and self.clock() < until:
             await asyncio.sleep(LOOK_S)
-        if self.scenario.fleet.keepers:
+        if self.scenario.layout.replicas:
             await self.operators.name_open()
 
     def _record(self, story: History) -> Record:
         places = {box.name: {"kind": "executor", "zone": box.zone, "type": KIND, "group": "0"}
                   for box in self.executors.values()}  # fmt: skip
         for number, name in enumerate(self.nodes):
-            places[name] = {"kind": "node", "zone": f"zone-{number % self.scenario.fleet.zones}"}
-        regions = self.scenario.fleet.laid() if self.scenario.fleet.keepers else {}
+            places[name] = {"kind": "node", "zone": f"zone-{number % self.scenario.layout.zones}"}
+        regions = self.scenario.layout.laid() if self.scenario.layout.replicas else {}
         for region, zones in regions.items():
             places |= {zone: {"kind": "zone", "zone": zone, "group": region} for zone in zones}
         slots = {box.name: box.slots for box in self.executors.values()}
         events = sorted(self.history.events, key=lambda event: event.at)
-        cold = int(WARM_S * 1e6) if self.scenario.fleet.keepers else 0
+        cold = int(WARM_S * 1e6) if self.scenario.layout.replicas else 0
         stays = self.scenario.stays if regions else {}
         return Record(events, self.visits, self.scenario.limits, places, slots, story, cold, KNOWN_US,
-                      stays=stays, entries=self.entries, seen_spent=sorted(self.spent),
+                      residency=stays, entry_zones=self.entries, executor_spending=sorted(self.spent),
                       budgets=self.scenario.budgets)  # fmt: skip
 
     async def close(self) -> None:
--- a/cedarmill/lab/cluster/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -17,14 +17,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class ClusterLayout:
     """Who is there."""
 
     nodes: int
-    keepers: int
+    replicas: int
     executors: int
     zones: int
-    stewards: bool
+    supervised: bool
     cores: int
     slots: int
     queue: int
@@ -64,7 +64,7 @@
     name: str
     about: str
     length: int
-    fleet: Fleet
+    layout: ClusterLayout
     rate: float
     habits: tuple[Habits, ...]
     rules: dict[str, ClassRules]
@@ -97,12 +97,12 @@
     )  # fmt: skip
 
 
-def _fleet(element: etree._Element) -> Fleet:
+def _fleet(element: etree._Element) -> ClusterLayout:
     numbers = [int(element.get(name)) for name in ("nodes", "keepers", "executors", "zones")]
     places = [int(element.get(name)) for name in ("cores", "slots", "queue")]
     speeds = float(element.get("slowest")), float(element.get("fastest"))
     regions = int(element.get("regions", "0"))
-    return Fleet(*numbers, element.get("stewards") == "on", *places, *speeds, regions,
+    return ClusterLayout(*numbers, element.get("stewards") == "on", *places, *speeds, regions,
                  element.get("sheds") == "on", element.get("news") == "on")  # fmt: skip
 
 
--- a/cedarmill/lab/executor.py
+++ b/cedarmill/lab/executor.py
@@ -83,8 +83,8 @@
         self.transport.write(head + body)
 
     def done(self, visit: Visit) -> None:
-        line = json.dumps({"id": visit.id, "from": visit.box, "state": "done",
-                           "result": f"{visit.id} by {visit.box}"}).encode() + b"\n"  # fmt: skip
+        line = json.dumps({"id": visit.id, "from": visit.executor, "state": "done",
+                           "result": f"{visit.id} by {visit.executor}"}).encode() + b"\n"  # fmt: skip
         self.transport.write(HEAD + b"%x\r\n%s\r\n0\r\n\r\n" % (len(line), line))
 
 
--- a/cedarmill/lab/history.py
+++ b/cedarmill/lab/history.py
@@ -5,6 +5,8 @@
 
 from dataclasses import dataclass, field
 
+import msgspec
+
 
 @dataclass(slots=True)
 class Answer:
@@ -31,11 +33,10 @@
     port: int = 0  # at which it was sent
 
 
-@dataclass(slots=True)
-class Visit:
-    """One attempt at a box, from its last byte on."""
+class Visit(msgspec.Struct):
+    """One attempt at an executor, from its last byte on."""
 
-    box: str
+    executor: str = msgspec.field(name="box")
     zone: str
     id: str
     job_class: str
@@ -46,11 +47,10 @@
     slot_time: int = 0  # what it held a slot for
 
 
-@dataclass(slots=True)
-class Drain:
-    """The director has told of a drain at this time."""
+class Drain(msgspec.Struct):
+    """Discovery has told of a drain at this time."""
 
-    box: str
+    executor: str = msgspec.field(name="box")
     at: int
 
 
--- a/cedarmill/lab/load.py
+++ b/cedarmill/lab/load.py
@@ -49,7 +49,7 @@
         self.load.idle.discard(self)
         if call is not None:
             call.broken = True
-            self.load.over(call, None)
+            self.load.call_ended(call, None)
         self.parser = None
 
     def data_received(self, data: bytes) -> None:
@@ -77,7 +77,7 @@
             self.transport.close()
         if call is not None:
             call.answers.append(answer)
-            self.load.over(call, float(self.headers.get(b"retry-after", 0)))
+            self.load.call_ended(call, float(self.headers.get(b"retry-after", 0)))
 
     def leave(self, how: str) -> None:
         """Go away: `close`, `reset`, or `half` (end the sending only)."""
@@ -161,7 +161,7 @@
         failed = task.cancelled() or task.exception() is not None
         if failed or task.result()[0].is_closing():  # it may be lost before this is called
             call.sent, call.broken = self.clock(), True
-            self.over(call, None)
+            self.call_ended(call, None)
             return
         self._send(task.result()[1], call)
 
@@ -186,7 +186,7 @@
         self.open -= 1
         self._plans.pop(id(call), None)
 
-    def over(self, call: Call, retry_after: float | None) -> None:
+    def call_ended(self, call: Call, retry_after: float | None) -> None:
         """A try has its answer or its break; the client may come back, as it was told to."""
         habits, work, tries, leaves = self._plans[id(call)]
         self._ended(call)
--- a/cedarmill/lab/run.py
+++ b/cedarmill/lab/run.py
@@ -58,7 +58,7 @@
             self.gone.set_result(self.transport.get_returncode())
 
 
-def platform_settings(scenario: Scenario, front: bool) -> dict:
+def platform_settings(scenario: Scenario, zones: int, front: bool) -> dict:
     """The operator's settings (JSON) for a node of the scenario; a front's backends send no reports."""
     repeats = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
     classes = [
@@ -75,7 +75,7 @@
     ]
     report = {"names": [], "via": "silent"} if front else {"names": ["x0", "x1"], "via": "pull"}
     return {
-        "instances": 1, "zone": 0, "localities": [f"zone-{n}" for n in range(scenario.fleet.zones)],
+        "instances": 1, "zone": 0, "localities": [f"zone-{n}" for n in range(zones)],
         "kinds": ["box", NODE_KIND], "quantum": 2000, "registry_mode": "on_request", "value_by": "request",
         "over_share_worth": 1.0, "tenants": [{"name": "lab", "quota_per_s": 1e6, "share": 1.0}],
         "report": report,
@@ -99,7 +99,7 @@
         self.began = 0
         seeds = numpy.random.SeedSequence(seed).spawn(4)  # the fleet's, the boxes', the clients', the faults'
         self.seeds = seeds
-        self.story = History(scenario.name, side.name, seed, scenario.length, scenario.rules,
+        self.history = History(scenario.name, side.name, seed, scenario.length, scenario.rules,
                            honours=side.honours, nodes=scenario.nodes)  # fmt: skip
         self.boxes: list[EmulatedExecutor] = []
         self.directors: list[DiscoveryServer] = []
@@ -135,22 +135,22 @@
             await self._timeline(load)
         finally:
             await self.close()
-        self.story.calls = load.calls
+        self.history.calls = load.calls
         if load.stray:
-            self.story.log.append(f"lab: {len(load.stray)} answers that nobody waited for")
-        return self.story
+            self.history.log.append(f"lab: {len(load.stray)} answers that nobody waited for")
+        return self.history
 
     async def open(self, folder: Path) -> None:
         """Start the boxes, the directors, and the nodes from the boxes on to the front."""
         if self.side.settings:
             self._settings = folder / f"{self.side.name}.xml"
             self._settings.write_bytes(self.side.settings)
-            self.story.stops = Settings(self._settings).options.deadlines.on_leave == "stop"
-        fleet, draw = self.scenario.fleet, numpy.random.Generator(numpy.random.PCG64(self.seeds[0]))
+            self.history.stops = Settings(self._settings).options.deadlines.on_leave == "stop"
+        fleet, draw = self.scenario.pool, numpy.random.Generator(numpy.random.PCG64(self.seeds[0]))
         director = DiscoveryServer(self.clock)
         self.directors.append(director)
         await director.open()
-        for number, seed in enumerate(self.seeds[1].spawn(fleet.boxes)):
+        for number, seed in enumerate(self.seeds[1].spawn(fleet.executors)):
             speed = float(draw.uniform(fleet.slowest, fleet.fastest))
             zone = f"zone-{number % fleet.zones}"
             dice = numpy.random.Generator(numpy.random.PCG64(seed))
@@ -164,7 +164,7 @@
                 self.side.honours,
                 lambda body, _: float(body),
                 self.clock,
-                self.story.visits,
+                self.history.visits,
                 dice,
             )
             await box.open()
@@ -186,7 +186,8 @@
         config.write_text(json.dumps({
             "name": f"node-{number}", "listen": "127.0.0.1:0", "discovery": director.address,
             "seed": f"{self.seed:x}", "limits": {"sockets": self.sockets, "memory_mb": 192},
-            "known": director.listing(), "settings": platform_settings(self.scenario, front)}))  # fmt: skip
+            "known": director.listing(),
+            "settings": platform_settings(self.scenario, self.scenario.pool.zones, front)}))  # fmt: skip
         command = [sys.executable, "-m", "cedarmill.cli", "node"]
         command += ["-c", str(self._settings)] if self._settings else []
         env = {**os.environ, "LB_CONFIG": str(config)}
@@ -206,7 +207,7 @@
         def tick() -> None:
             nonlocal expected
             now = time.monotonic()
-            self.story.lag = max(self.story.lag, int((now - expected) * 1e6))
+            self.history.lag = max(self.history.lag, int((now - expected) * 1e6))
             expected = now + TICK_S
             self.told(min(1.0, self.clock() / self.scenario.length))
             if self.clock() > last or (self.clock() > self.scenario.length and not load.open):
@@ -216,7 +217,7 @@
 
         loop.call_later(TICK_S, tick)
         await over.wait()
-        self.story.kept_promise = self.story.lag <= LATE_US
+        self.history.kept_promise = self.history.lag <= LATE_US
 
     def _begin(self, fault: Fault, dice: numpy.random.Generator) -> None:
         """Let a fault come over its share of the boxes, and come again where it is set to."""
@@ -246,9 +247,9 @@
                 await asyncio.wait_for(node.gone, END_S)
             except TimeoutError:
                 node.transport.kill()
-                self.story.log.append("lab: a node did not end and was killed")
-            self.story.log += node.lines
-        self.story.drains = [drain for director in self.directors for drain in director.drains]
+                self.history.log.append("lab: a node did not end and was killed")
+            self.history.log += node.lines
+        self.history.drains = [drain for director in self.directors for drain in director.drains]
         for actor in (*self.boxes, *self.directors):
             actor.close()
 
--- a/cedarmill/lab/scenario.py
+++ b/cedarmill/lab/scenario.py
@@ -13,10 +13,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class ExecutorPool:
     """The boxes: their speeds are drawn evenly between two bounds (1: the yardstick)."""
 
-    boxes: int
+    executors: int
     zones: int
     cores: int
     slots: int
@@ -54,7 +54,7 @@
     name: str
     about: str
     length: int
-    fleet: Fleet
+    pool: ExecutorPool
     nodes: int
     rate: float
     trace: tuple[int, ...]  # when calls are due, where the file gives them; else they come by the rate
@@ -107,9 +107,9 @@
     )  # fmt: skip
 
 
-def _fleet(element: etree._Element) -> Fleet:
+def _fleet(element: etree._Element) -> ExecutorPool:
     counts = [int(element.get(name)) for name in ("boxes", "zones", "cores", "slots", "queue")]
-    return Fleet(*counts, float(element.get("slowest")), float(element.get("fastest")))
+    return ExecutorPool(*counts, float(element.get("slowest")), float(element.get("fastest")))
 
 
 def _trace(path: Path, element: etree._Element) -> tuple[int, ...]:
--- a/cedarmill/lab/simulation/cluster.py
+++ b/cedarmill/lab/simulation/cluster.py
@@ -821,8 +821,8 @@
         limits = tuple(LimitOptions(one.kind, one.per, one.most, one.share, one.capacity_left)
                        for one in self.shape.limits)  # fmt: skip
         slots = dict.fromkeys(places, 2)
-        return Record(self.history.events, self.visits, limits, places, slots, None, COLD, found=self.found,
-                      granted=self.granted, spent=self.spent,
+        return Record(self.history.events, self.visits, limits, places, slots, None, COLD,
+                      disagreements=self.found, granted_at=self.granted, spent=self.spent,
                       budget=(BUDGET.grantable, BUDGET.rate - BUDGET.grantable,
                               self.shape.nodes))  # fmt: skip
 
@@ -1016,7 +1016,7 @@
     def digest(self) -> str:
         """Of the whole timeline: equal for equal seeds, whatever the machine's hashing."""
         text = b"".join(msgspec.json.encode(event) for event in self.history.events)
-        text += repr([(visit.box, visit.id, visit.at) for visit in self.visits]).encode()
+        text += repr([(visit.executor, visit.id, visit.at) for visit in self.visits]).encode()
         return hashlib.blake2b(text + str(self.messages).encode(), digest_size=16).hexdigest()
 
 
--- a/cedarmill/lab/simulation/overload/mutants.py
+++ b/cedarmill/lab/simulation/overload/mutants.py
@@ -12,7 +12,7 @@
 from cedarmill.cluster.admission_level.state import SheddingThreshold
 from cedarmill.cluster.budget_lease import QUOTA_PREFIX, BudgetLeases
 from cedarmill.cluster.gossip_plan import ReportBoard
-from cedarmill.lab.cluster.mutants import Patch, planted_patches
+from cedarmill.lab.cluster.mutants import Patch, applied_patches
 from cedarmill.lab.simulation.overload import simulation as storms
 from cedarmill.lab.simulation.overload.simulation import Result
 
@@ -127,7 +127,7 @@
 def hunt(name: str, seeds: Sequence[int]) -> Found:
     """Play the bug's incident till a law sees it."""
     bug, began = MUTANTS[name], time.monotonic()
-    with planted_patches(bug.patches()):
+    with applied_patches(bug.patches()):
         for seed in seeds:
             if found := breaches(storms.play("fleet", bug.incident, seed), bug.incident):
                 return Found(name, found[0], seed, round(time.monotonic() - began, 2))
--- a/cedarmill/lab/simulation/search.py
+++ b/cedarmill/lab/simulation/search.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from cedarmill.lab.cluster.invariants import verdict
-from cedarmill.lab.cluster.mutants import planted
+from cedarmill.lab.cluster.invariants import check_invariants
+from cedarmill.lab.cluster.mutants import applied_mutant
 from cedarmill.lab.simulation.cluster import ClusterSimulation, S, Shape
 from cedarmill.lab.simulation.raft_log import LogSimulation, figure_eight
 
@@ -55,18 +55,19 @@
 def spend(job: tuple[int, str]) -> Spent:
     """Play one seed of spending, with a bug planted or none."""
     seed, bug = job
-    with planted(bug):
+    with applied_mutant(bug):
         record = ClusterSimulation(spending(seed), seed).run()
-    return Spent(seed, {law: texts for law, texts in verdict(record).items() if texts}, len(record.spent))
+    broken = {law: texts for law, texts in check_invariants(record).items() if texts}
+    return Spent(seed, broken, len(record.spent))
 
 
 def one(job: tuple[int, str]) -> Found:
     """Play one seed, with a bug planted or none."""
     seed, bug = job
-    with planted(bug):
+    with applied_mutant(bug):
         run = ClusterSimulation(shape_of(seed), seed)
         record = run.run()
-        broken = {law: texts for law, texts in verdict(record).items() if texts}
+        broken = {law: texts for law, texts in check_invariants(record).items() if texts}
     counts = Counter(event.what for event in record.events)
     return Found(seed, broken, run.digest(), dict(counts))
 
@@ -107,7 +108,7 @@
 def hunt_log(bug: str, most: int, first: int = 0) -> Hunt:
     """The same in runs of the agreed log alone, for bugs of the log."""
     began = time.monotonic()
-    with planted(bug):
+    with applied_mutant(bug):
         if found := figure_eight():
             return Hunt(bug, found[0], first, round(time.monotonic() - began, 2), {"figure 8": 1})
         for seed in range(first, first + most):
--- a/cedarmill/lab/simulation/zones/mutants.py
+++ b/cedarmill/lab/simulation/zones/mutants.py
@@ -16,7 +16,7 @@
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.cluster.traffic_plan.planner import Room
 from cedarmill.cluster.traffic_plan.weights import normalized
-from cedarmill.lab.cluster.mutants import Patch, planted_patches
+from cedarmill.lab.cluster.mutants import Patch, applied_patches
 from cedarmill.lab.simulation.zones import simulation as regions
 from cedarmill.lab.simulation.zones.simulation import breaches
 
@@ -171,7 +171,7 @@
 def hunt(name: str, seeds: Sequence[int]) -> Found:
     """Play the bug's incidents till a law sees it."""
     bug, began = MUTANTS[name], time.monotonic()
-    with planted_patches(bug.patches()):
+    with applied_patches(bug.patches()):
         for seed in seeds:
             for incident in bug.incidents:
                 if found := breaches(regions.run(incident, seed, "agreed"), incident):
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -18,7 +18,7 @@
 from cedarmill.cluster.state_machine import commands, dispatch
 from cedarmill.cluster.traffic_plan.similarity import are_similar
 from cedarmill.decisions import interface as api
-from cedarmill.lab.cluster.invariants import verdict
+from cedarmill.lab.cluster.invariants import check_invariants
 from cedarmill.lab.cluster.run import play as run_fleet
 from cedarmill.lab.cluster.scenario import read
 from cedarmill.lab.simulation.overload import mutants as storm_bugs
@@ -436,8 +436,8 @@
         with tempfile.TemporaryDirectory() as folder:
             told = run_fleet(read("storm-rounds"), 1, Path(folder))
             logs = [path.read_text() for path in Path(folder).glob("node-*.log")]
-        self.assertEqual({law: found for law, found in verdict(told).items() if found}, {})
-        self.assertEqual({what for _, what in told.seen_spent}, {"probes", "connects"})
+        self.assertEqual({law: found for law, found in check_invariants(told).items() if found}, {})
+        self.assertEqual({what for _, what in told.executor_spending}, {"probes", "connects"})
         self.assertTrue(any(visit.outcome == "done" for visit in told.visits))
         followed = [int(found) for log in logs for found in re.findall(r"peers (\d+) reports followed", log)]
         self.assertGreater(sum(followed), 0, "nodes follow what others tell of executors")
--- a/tests/lab/test_cluster_lab.py
+++ b/tests/lab/test_cluster_lab.py
@@ -11,7 +11,7 @@
 from cedarmill.conf.document import ConfError
 from cedarmill.lab.cluster.history import Event, EventHistory
 from cedarmill.lab.cluster.history import read as read_history
-from cedarmill.lab.cluster.invariants import Record, verdict
+from cedarmill.lab.cluster.invariants import Record, check_invariants
 from cedarmill.lab.cluster.links import LinkFault, Links
 from cedarmill.lab.cluster.report import write
 from cedarmill.lab.cluster.run import play
@@ -35,7 +35,7 @@
     """Each law is broken on purpose, and it alone is named."""
 
     def broken(self, told: Record) -> list[str]:
-        return [law for law, found in verdict(told).items() if found]
+        return [law for law, found in check_invariants(told).items() if found]
 
     def test_a_good_history_is_good(self):
         events = [
@@ -78,15 +78,15 @@
         lost = event(1, "down", "box-2", "box-2", note="fault")
         told = record(lost, event(8_000_000, "taken", epoch=7), event(9_000_000, "back"))
         self.assertEqual(self.broken(told), ["never too many out"])
-        told.granted = {7: 2}
+        told.granted_at = {7: 2}
         self.assertEqual(self.broken(told), [])
 
     def test_what_executors_see_beyond_a_budget_is_named_whoever_asked(self):
         told = record()
         told.budgets = (("probes", 10_000, 2),)
-        told.seen_spent = [(n * 100_000, "probes") for n in range(200)]
+        told.executor_spending = [(n * 100_000, "probes") for n in range(200)]
         self.assertEqual(self.broken(told), [])
-        told.seen_spent += [(20_000_000 + n * 50_000, "probes") for n in range(200)]
+        told.executor_spending += [(20_000_000 + n * 50_000, "probes") for n in range(200)]
         self.assertEqual(self.broken(told), ["budgets hold at executors"])
 
     def test_a_limit_by_capacity_counts_slots_not_heads(self):
@@ -198,7 +198,7 @@
 
     def small(self, name: str, **changes):
         scenario = read(name)
-        return dataclasses.replace(scenario, fleet=dataclasses.replace(scenario.fleet, **changes))
+        return dataclasses.replace(scenario, layout=dataclasses.replace(scenario.layout, **changes))
 
     def test_without_agreement_operators_at_different_doors_take_out_more_than_is_allowed(self):
         """The need: each door says yes for itself, and nobody counts over all of them."""
@@ -207,6 +207,6 @@
             told = play(scenario, 1, Path(folder))
             found = write(told, Path(folder))
             self.assertTrue((Path(folder) / "verdict.json").stat().st_size)
-        broken = [law for law, texts in found.laws.items() if texts]
+        broken = [law for law, texts in found.invariants.items() if texts]
         self.assertEqual(broken, ["never too many out", "grants fit one order"])
         self.assertGreater(found.most_out_by_plan, 3)
--- a/tests/lab/test_cluster_scenarios.py
+++ b/tests/lab/test_cluster_scenarios.py
@@ -15,7 +15,7 @@
         """A scenario's record; a law that was broken fails the test with its words."""
         with tempfile.TemporaryDirectory() as folder:
             record = play(read(name), seed, Path(folder))
-        broken = {law: texts for law, texts in verdict_of(record).laws.items() if texts}
+        broken = {law: texts for law, texts in verdict_of(record).invariants.items() if texts}
         self.assertEqual(broken, {})
         return record
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 from types import SimpleNamespace
 
+import msgspec
 import numpy
 
 from cedarmill.conf.document import ConfError
@@ -30,7 +31,7 @@
 
 def visit(number: int, box: str = "b1", at: int = 1_000, job_class: str = "pin", **changes) -> Visit:
     made = Visit(box, changes.pop("zone", "z1"), f"c{number}", job_class, at, at, 800_000, "done")
-    return dataclasses.replace(made, **changes)
+    return msgspec.structs.replace(made, **changes)
 
 
 def story(calls, visits, **changes) -> History:
--- a/tests/lab/test_zone_simulation.py
+++ b/tests/lab/test_zone_simulation.py
@@ -6,7 +6,7 @@
 
 from cedarmill.cluster.state_machine import drains, limits
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
-from cedarmill.lab.cluster.mutants import planted_patches
+from cedarmill.lab.cluster.mutants import applied_patches
 from cedarmill.lab.cluster.report import write
 from cedarmill.lab.cluster.run import play
 from cedarmill.lab.cluster.scenario import read
@@ -59,7 +59,7 @@
         self.assertGreater(found.states, 200)
 
     def test_a_drain_that_is_said_too_early_is_found(self):
-        with planted_patches([(drains, "members_to_drain", lambda world, permit: [])]):
+        with applied_patches([(drains, "members_to_drain", lambda world, permit: [])]):
             found = explore(Drains(), Drains.NAMES)
         self.assertEqual(found.breach[0], ("ask a",))
         self.assertIn("drained", found.breach[1])
@@ -70,12 +70,12 @@
             DEMAND = {"any": 4_000, "zone": 1_000}
 
         self.assertIsNone(explore(Two(), Two.NAMES).breach)
-        with planted_patches([(limits, "allowed", lambda limit, count: count)]):
+        with applied_patches([(limits, "allowed", lambda limit, count: count)]):
             found = explore(Two(), Two.NAMES)
         self.assertIn("evacuated at once", found.breach[1])
 
     def test_plans_that_forget_regions_are_found(self):
-        with planted_patches([(ZoneLayout, "reachable_zones", lambda self, zone, scope: ["a", "b", "c"])]):
+        with applied_patches([(ZoneLayout, "reachable_zones", lambda self, zone, scope: ["a", "b", "c"])]):
             found = explore(Forgetful(), Forgetful.NAMES)
         self.assertIn("residents stay", found.breach[1])
 
@@ -97,7 +97,7 @@
         with tempfile.TemporaryDirectory() as folder:
             told = play(read("zone-quick"), 1, Path(folder))
             found = write(told, Path(folder))
-        self.assertEqual({law: texts for law, texts in found.laws.items() if texts}, {})
+        self.assertEqual({law: texts for law, texts in found.invariants.items() if texts}, {})
         self.assertGreater(found.plans, 1)
         self.assertIn("drained", {event.what for event in told.events if event.target == "zone-1"})
 
--- a/tests/net/cluster/test_supervisor.py
+++ b/tests/net/cluster/test_supervisor.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from cedarmill.lab.cluster.process_group import free_port
+from cedarmill.lab.cluster.ports import free_port
 from tests.support.node_case import ROOT
 from tests.support.replica_case import LONG, cli
 
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -297,7 +297,7 @@
     def __init__(self, run: Run) -> None:
         self.clock, self.idle, self.stray = run.clock, set(), []
 
-    def over(self, call: Call, retry_after: float | None) -> None: ...
+    def call_ended(self, call: Call, retry_after: float | None) -> None: ...
 
 
 class Thousand(unittest.TestCase):
@@ -326,9 +326,9 @@
         try:
             held = [await self.ask(run, load, number, 60_000_000) for number in range(1000)]
             until = time.monotonic() + WAIT
-            while len(run.story.visits) < 1000 and time.monotonic() < until:
+            while len(run.history.visits) < 1000 and time.monotonic() < until:
                 await asyncio.sleep(0.01)
-            seen = len(run.story.visits)
+            seen = len(run.history.visits)
             usual = [await self.ask(run, load, 1000 + n, USUAL_US) for n in range(25)]
             calm = await self.serve(run, usual, 2000)
             for other in held:
--- a/tests/support/replica_case.py
+++ b/tests/support/replica_case.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from cedarmill.cluster.messages import ExecutorObservation, Heartbeat, HeartbeatReply, Orders, ReadRequest
-from cedarmill.lab.cluster.process_group import free_port
+from cedarmill.lab.cluster.ports import free_port
 from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient
 from tests.support.node_case import ROOT, WAIT
 
