--- a/cedarmill/lab/cluster/history.py
+++ b/cedarmill/lab/cluster/history.py
@@ -1,6 +1,6 @@
 """What each actor of a run did, saw and was granted: one line an event, kept by the actors themselves.
 
-The laws read this and nothing of what a keeper believes. Times are microseconds of the run's one clock.
+The invariants read this and nothing of what a replica believes. Times are microseconds of the run's clock.
 """
 
 from collections.abc import Callable, Iterator
@@ -20,6 +20,10 @@
     note: str = ""
     number: float = 0.0
 
+    def time_text(self) -> str:
+        """When it happened, as breaches name it."""
+        return f"{self.at / 1e6:.3f} s"
+
 
 class EventHistory:
     """The events of a run, in the order in which they were told."""
@@ -28,8 +32,9 @@
         self.clock = clock
         self.events: list[Event] = []
 
-    def tell(self, who: str, what: str, target: str = "", *, epoch: int = 0, note: str = "",
-             number: float = 0.0) -> Event:  # fmt: skip
+    def tell(
+        self, who: str, what: str, target: str = "", *, epoch: int = 0, note: str = "", number: float = 0.0
+    ) -> Event:
         """Enter an event that happens now."""
         event = Event(self.clock(), who, what, target, epoch, note, number)
         self.events.append(event)
@@ -46,10 +51,11 @@
 
 def read(path: Path) -> list[Event]:
     """The events of a file written by `EventHistory.write`; raises OSError or ValueError naming the line."""
-    decoder, found = msgspec.json.Decoder(Event), []
+    decoder = msgspec.json.Decoder(Event)
+    events: list[Event] = []
     for number, line in enumerate(path.read_bytes().splitlines(), 1):
         try:
-            found.append(decoder.decode(line))
+            events.append(decoder.decode(line))
         except msgspec.MsgspecError as error:
             raise ValueError(f"{path}:{number}: {error}") from None
-    return found
+    return events
--- a/cedarmill/lab/cluster/linearizability.py
+++ b/cedarmill/lab/cluster/linearizability.py
@@ -5,13 +5,18 @@
 taken effect or not.
 """
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
-if TYPE_CHECKING:
-    from cedarmill.lab.cluster.invariants import Record
+from cedarmill.lab.cluster.limit_scopes import allowed, scope_of
+from cedarmill.lab.cluster.record import Record
 
 NEVER = 1 << 62
-MOST = 400_000  # states that are tried before the search gives up, and says so
+MAX_STATES = 400_000  # that are tried before the search gives up, and says so
+ANSWERS = {"taken": "grant", "refused": "refuse"}  # the operation that an event of a history answers
+
+
+class TooManyStates(OverflowError):
+    """The search was given up."""
 
 
 class Operation(NamedTuple):
@@ -24,87 +29,101 @@
     optional: bool = False
 
 
-def operations(record: "Record") -> list[Operation]:
+class SearchState(NamedTuple):
+    """Which operations have taken effect, a bit each by their number, and what is out then."""
+
+    done: int
+    out: frozenset[str]
+
+
+def operations(record: Record) -> list[Operation]:
     """The operations of the history, by when they were asked."""
     asked: dict[tuple[str, str], int] = {}
     giving: dict[tuple[str, str], int] = {}
-    found: list[Operation] = []
+    answered: list[Operation] = []
     for event in record.events:
         key = event.who, event.target
         if event.what == "asked":
             asked[key] = event.at
-        elif event.what == "taken" and key in asked:
-            found.append(Operation(asked.pop(key), event.at, "grant", event.target))
-        elif event.what == "refused" and key in asked:
-            found.append(Operation(asked.pop(key), event.at, "refuse", event.target))
+        elif event.what in ANSWERS and key in asked:
+            answered.append(Operation(asked.pop(key), event.at, ANSWERS[event.what], event.target))
         elif event.what == "giving":
             giving[key] = event.at
         elif event.what == "given" and key in giving:
-            found.append(Operation(giving.pop(key), event.at, "give", event.target))
-    found += [Operation(at, NEVER, "grant", target, True) for (_, target), at in asked.items()]
-    found += [Operation(at, NEVER, "give", target, True) for (_, target), at in giving.items()]
-    return sorted(found)
+            answered.append(Operation(giving.pop(key), event.at, "give", event.target))
+    open_ones = [Operation(at, NEVER, "grant", target, True) for (_, target), at in asked.items()]
+    open_ones += [Operation(at, NEVER, "give", target, True) for (_, target), at in giving.items()]
+    return sorted(answered + open_ones)
 
 
-class Search:
+class OrderSearch:
     """One search for an order."""
 
-    def __init__(self, record: "Record", ops: list[Operation]) -> None:
-        from cedarmill.lab.cluster.invariants import allowed, scope
-
-        self.ops, self.tried = ops, set()
-        self.whole = (1 << len(ops)) - 1
+    def __init__(self, record: Record, operations: list[Operation]) -> None:
+        self.operations = operations
+        self.tried: set[SearchState] = set()
         limits = [limit for limit in record.limits if limit.kind == "executor" and limit.capacity_left < 0]
-        names = sorted({op.target for op in ops})
-        self.scopes = {name: [(limit, scope(record, limit, name)) for limit in limits] for name in names}
-        self.caps = {at: allowed(record, *at) for pairs in self.scopes.values() for at in pairs}
-
-    def fits(self, out: frozenset[str], op: Operation) -> frozenset[str] | None:
+        names = sorted({operation.target for operation in operations})
+        self.scopes = {name: [(limit, scope_of(record, limit, name)) for limit in limits] for name in names}
+        self.caps = {
+            (limit, scope): allowed(record, limit, scope)
+            for scopes in self.scopes.values()
+            for limit, scope in scopes
+        }
+
+    def apply(self, out: frozenset[str], operation: Operation) -> frozenset[str] | None:
         """What is out after an operation; None where it cannot take effect now."""
-        if op.kind == "give":
-            return out - {op.target} if op.target in out else None
-        if op.kind == "refuse":
+        target = operation.target
+        if operation.kind == "give":
+            return out - {target} if target in out else None
+        if operation.kind == "refuse":
             return out  # for one that waits already, too: nothing to hold against it
-        if op.target in out:
+        if target in out:
             return None
-        after = out | {op.target}
-        for at in self.scopes[op.target]:
-            if sum(at in self.scopes[name] for name in after) > self.caps[at]:
+        after = out | {target}
+        for scope in self.scopes[target]:
+            if sum(scope in self.scopes[name] for name in after) > self.caps[scope]:
                 return None
         return after
 
-    def found(self) -> bool:
-        """Whether there is an order; raises OverflowError when the search is given up."""
-        stack = [(0, frozenset())]
+    def exists(self) -> bool:
+        """Whether there is an order; raises TooManyStates when the search is given up."""
+        stack = [SearchState(0, frozenset())]
         while stack:
             state = stack.pop()
             if state in self.tried:
                 continue
             self.tried.add(state)
-            if len(self.tried) > MOST:
-                raise OverflowError
-            done, out = state
-            if all(done >> n & 1 or op.optional for n, op in enumerate(self.ops)):
+            if len(self.tried) > MAX_STATES:
+                raise TooManyStates
+            if self._is_complete(state):
                 return True
-            stack += self._next(done, out)
+            stack += self._next_states(state)
         return False
 
-    def _next(self, done: int, out: frozenset[str]) -> list[tuple[int, frozenset[str]]]:
+    def _is_complete(self, state: SearchState) -> bool:
+        return all(
+            state.done >> number & 1 or operation.optional for number, operation in enumerate(self.operations)
+        )
+
+    def _next_states(self, state: SearchState) -> list[SearchState]:
         """Those that may take effect next: asked before all that are left have been answered."""
-        first = min((op.end for n, op in enumerate(self.ops) if not done >> n & 1), default=NEVER)
-        found = []
-        for number, op in enumerate(self.ops):
-            if op.start > first:
+        left = [(n, operation) for n, operation in enumerate(self.operations) if not state.done >> n & 1]
+        first_end = min((operation.end for _, operation in left), default=NEVER)
+        states = []
+        for number, operation in left:
+            if operation.start > first_end:
                 break
-            if not done >> number & 1 and (after := self.fits(out, op)) is not None:
-                found.append((done | 1 << number, after))
-        return found
+            if (after := self.apply(state.out, operation)) is not None:
+                states.append(SearchState(state.done | 1 << number, after))
+        return states
 
 
-def fault(record: "Record") -> str:
-    """An empty text where an order was found."""
-    ops = operations(record)
+def find_breach(record: Record) -> str:
+    """What is wrong, in words; an empty text where an order was found."""
+    asked = operations(record)
     try:
-        return "" if Search(record, ops).found() else f"no order of {len(ops)} operations keeps the limits"
-    except OverflowError:
-        return f"no order of {len(ops)} operations found among {MOST} states: undecided"
+        fits = OrderSearch(record, asked).exists()
+    except TooManyStates:
+        return f"no order of {len(asked)} operations found among {MAX_STATES} states: undecided"
+    return "" if fits else f"no order of {len(asked)} operations keeps the limits"
--- a/cedarmill/lab/cluster/report.py
+++ b/cedarmill/lab/cluster/report.py
@@ -9,7 +9,8 @@
 matplotlib.use("Agg")
 import msgspec  # noqa: E402  the backend without a screen comes first
 
-from cedarmill.lab.cluster.invariants import Out, Record, check_invariants, homes, most_out  # noqa: E402
+from cedarmill.lab.cluster.invariants import check_invariants  # noqa: E402
+from cedarmill.lab.cluster.record import OutOverTime, Record, call_zones, most_out  # noqa: E402
 from cedarmill.lab.report import STYLE, picture  # noqa: E402
 
 SHOWN = 20  # breaches of a law in the page
@@ -67,7 +68,7 @@
 
 
 def _crossing(record: Record) -> tuple[float, int]:
-    came = homes(record)
+    came = call_zones(record)
     known = [visit for visit in record.visits if came.get(visit.id)]
     away = sum(visit.zone != came[visit.id] for visit in known)
     plans = {event.epoch for event in record.events if event.what == "follows" and event.epoch}
@@ -75,7 +76,7 @@
 
 
 def _over_time(record: Record) -> tuple[list[float], list[int], list[int]]:
-    out, times, planned, all_ = Out(record), [], [], []
+    out, times, planned, all_ = OutOverTime(record), [], [], []
     for event in record.events:
         out.apply(event)
         times.append(event.at / 1e6)
--- a/cedarmill/lab/cluster/run.py
+++ b/cedarmill/lab/cluster/run.py
@@ -19,11 +19,11 @@
 from cedarmill.lab.cluster.executors import WARM_S, Executor
 from cedarmill.lab.cluster.faults import Faults
 from cedarmill.lab.cluster.history import EventHistory
-from cedarmill.lab.cluster.invariants import Record
 from cedarmill.lab.cluster.links import Links
 from cedarmill.lab.cluster.operators import Operators
 from cedarmill.lab.cluster.process_group import ProcessGroup
 from cedarmill.lab.cluster.processes import Process, environment
+from cedarmill.lab.cluster.record import Record
 from cedarmill.lab.cluster.scenario import ClusterScenario
 from cedarmill.lab.discovery import DiscoveryServer
 from cedarmill.lab.history import History
