--- a/cedarmill/lab/__init__.py
+++ b/cedarmill/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: lookup boxes, a director, clients and faults on loopback sockets, seeded by one number."""
+"""The laboratory: emulated executors, discovery, clients and faults on loopback sockets, of one seed."""
--- a/cedarmill/lab/cluster/__init__.py
+++ b/cedarmill/lab/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory of many processes: nodes, keepers, stewards, executors, and faults between them."""
+"""The laboratory of many processes: nodes, replicas, supervisors, executors, and faults between them."""
--- a/cedarmill/lab/cluster/disks.py
+++ b/cedarmill/lab/cluster/disks.py
@@ -1,8 +1,8 @@
-"""Faults of a keeper's disk, put in under the store: full, a failed sync, a torn tail, lost writes, a
-flipped bit.
+"""Faults of a replica's disk, put in under the store: full, a failed sync, a torn tail, lost writes.
 
-The lab runs a keeper by this module instead of by the command; a word in a file says what befalls the next
-write or sync. What is not synced is held back in the process, so that a kill loses it, as a power cut would.
+The laboratory runs a replica by this module instead of by the command; a word in a file says what befalls the
+next write or sync. What is not synced is held back in the process, so that a kill loses it, as a power cut
+would. A flipped bit is put into the file while the replica is down.
 """
 
 import errno
@@ -13,8 +13,6 @@
 
 from cedarmill.store.files import AppendFile, Directory
 
-KINDS = ("full", "fsync", "torn", "lost", "flip")
-
 
 class FaultyFile(AppendFile):
     """A file on a disk that may fail."""
@@ -23,36 +21,41 @@
 
     def __init__(self, path: str) -> None:
         super().__init__(path)
-        self.waiting = b""
+        self.unsynced = b""
 
-    def _word(self) -> str:
+    def _fault(self) -> str:
         try:
             return self.control.read_text().strip()
         except OSError:
             return ""
 
-    def write(self, text: bytes) -> None:
-        if self._word() == "full":
-            raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC), self.path)
-        self.waiting += text
+    def _fail(self, number: int) -> OSError:
+        return OSError(number, os.strerror(number), self.path)
+
+    def write(self, data: bytes) -> None:
+        """Hold the data back until it is synced; raises OSError where the disk is full."""
+        if self._fault() == "full":
+            raise self._fail(errno.ENOSPC)
+        self.unsynced += data
 
     def truncate(self, size: int) -> None:
         """Drop what is behind, in the process first: the file itself may end before `size`."""
         written = os.fstat(self.fileno()).st_size
-        self.waiting = self.waiting[: max(0, size - written)]
+        self.unsynced = self.unsynced[: max(0, size - written)]
         super().truncate(min(size, written))
 
     def sync(self) -> None:
-        word = self._word()
-        if word == "fsync":
-            raise OSError(errno.EIO, os.strerror(errno.EIO), self.path)
-        if word in ("torn", "lost") and self.waiting:
+        """Write and sync, or end the process and lose what was held; raises OSError where the sync fails."""
+        fault = self._fault()
+        if fault == "fsync":
+            raise self._fail(errno.EIO)
+        if fault in ("torn", "lost") and self.unsynced:
             self.control.unlink()
-            if word == "torn":
-                super().write(self.waiting[: len(self.waiting) // 2])
+            if fault == "torn":
+                super().write(self.unsynced[: len(self.unsynced) // 2])
             os.kill(os.getpid(), signal.SIGKILL)
-        waiting, self.waiting = self.waiting, b""
-        super().write(waiting)
+        unsynced, self.unsynced = self.unsynced, b""
+        super().write(unsynced)
         super().sync()
 
 
@@ -60,24 +63,25 @@
     """A directory on such a disk."""
 
     def open_path(self, path: str) -> FaultyFile:
+        """Open a file by its path; raises OSError."""
         return FaultyFile(path)
 
 
-def flip(path: Path, back: int) -> None:
+def flip_bit(path: Path, back: int) -> None:
     """Flip a bit of a file, so many bytes before its end; raises OSError."""
-    text = bytearray(path.read_bytes())
-    text[max(0, len(text) - 1 - back)] ^= 1
-    path.write_bytes(bytes(text))
+    content = bytearray(path.read_bytes())
+    content[max(0, len(content) - 1 - back)] ^= 1
+    path.write_bytes(bytes(content))
 
 
-def main(conf: str, control: str) -> int:
-    """Run a keeper on a disk whose faults the control file names; its exit code."""
-    from cedarmill.conf.cluster import keeper
-    from cedarmill.net.cluster.replica import main as run
+def main(settings: str, control: str) -> int:
+    """Run a replica on a disk whose faults the control file names; its exit code."""
+    from cedarmill.conf import cluster
+    from cedarmill.net.cluster import replica
 
-    options = keeper(conf)
+    options = cluster.keeper(settings)
     FaultyFile.control = Path(control)
-    return run(options, "json", FaultyDirectory(options.data))
+    return replica.main(options, "json", FaultyDirectory(options.data))
 
 
 if __name__ == "__main__":
--- a/cedarmill/lab/cluster/executors.py
+++ b/cedarmill/lab/cluster/executors.py
@@ -1,78 +1,88 @@
-"""Emulated executors that can be stopped and started anew, cold, with a history of their own."""
+"""Emulated executors that can be stopped and started anew, warming up, with a history of their own."""
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
+
+import numpy
 
 from cedarmill.lab.cluster.history import EventHistory
-from cedarmill.lab.executor import EmulatedExecutor, ExecutorConnection
+from cedarmill.lab.executor import EmulatedExecutor, Spending
+from cedarmill.lab.executor_options import ExecutorOptions
+from cedarmill.lab.history import Visit
 
-COLD_SHARE = 0.3  # of its speed that a started executor has at first (brief: 30 %)
-WARM_S = 2.0  # till it has all: shorter than the brief's 8.9 s, so that a round of seconds sees the end of it
-WARM_STEPS = 8  # in which it warms up
+COLD_SPEED = 0.3  # share of its speed that a started executor has at first (brief: 30 %)
+WARM_UP_S = 2.0  # till it has all: shorter than the brief's 8.9 s, so that a round of seconds sees its end
+WARM_UP_STEPS = 8
 
 
-class Executor(EmulatedExecutor):
-    """A box under one name and address over several lives."""
+@dataclass(frozen=True, slots=True)
+class ExecutorSinks:
+    """Where all executors of a run write what they saw."""
 
+    clock: Callable[[], int]
     history: EventHistory
-    on_up: Callable[[str], None] = staticmethod(lambda name: None)  # told of each new life
-    planned = False  # whether its being down was meant
-    alive = True
-    port = 0
+    visits: list[Visit]
+    spending: list[Spending]
+    on_started: Callable[[str], None]  # is told the name at each further start
+
 
-    async def open(self) -> None:
-        """Listen: on a free port at first, on the same one in later lives."""
-        loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._wire, "127.0.0.1", self.port)
-        self.port = self._server.sockets[0].getsockname()[1]
-        self.address = f"127.0.0.1:{self.port}"
+class RestartableExecutor(EmulatedExecutor):
+    """An executor under one name and address over several lives."""
 
-    def _wire(self) -> ExecutorConnection:
-        return ExecutorConnection(self)
+    def __init__(
+        self, options: ExecutorOptions, sinks: ExecutorSinks, random: numpy.random.Generator
+    ) -> None:
+        super().__init__(options, sinks.clock, sinks.visits, random)
+        self.spending = sinks.spending
+        self.history, self.on_started = sinks.history, sinks.on_started
+        self.alive = True
+        self.planned = False  # whether its being down was meant
 
-    def down(self, planned: bool) -> int:
+    def stop(self, planned: bool) -> int:
         """It ends now; the number of jobs that were lost with it."""
         if not self.alive:
             return 0
         self.alive, self.planned = False, planned
-        held = [*self.running, *self.waiting]
-        lost = [job for job in held if job.wire.job is job]  # the others run on for nobody
+        jobs = [*self.running, *self.waiting]
+        lost = [job for job in jobs if job.awaited]  # the others run on for nobody
         self._advance()
-        for job in held:
+        for job in jobs:
             self._end(job, "lost")
-            job.wire.job = None
+            job.connection.job = None
         self.running.clear()
         self.waiting.clear()
         self.close()
-        self.history.tell(
-            self.name, "down", self.name, note="planned" if planned else "fault", number=len(lost)
-        )
+        self.history.tell(self.name, "down", self.name, note=self._reason(), number=len(lost))
         return len(lost)
 
-    async def up(self) -> None:
-        """It starts anew, cold."""
+    async def start(self) -> None:
+        """It starts anew, cold; raises OSError."""
         if self.alive:
             return
         await self.open()
         self.alive = True
         self.faults.clear()
-        self._counted = self.clock()
-        self.history.tell(self.name, "up", self.name, note="planned" if self.planned else "fault")
-        self.on_up(self.name)
-        self._warm(0)
+        self._counted_at = self.clock()
+        self.history.tell(self.name, "up", self.name, note=self._reason())
+        self.on_started(self.name)
+        self._warm_up(0)
+
+    def _reason(self) -> str:
+        return "planned" if self.planned else "fault"
 
-    def _warm(self, step: int) -> None:
+    def _warm_up(self, step: int) -> None:
         """Gain speed step by step."""
         if not self.alive:
             return
-        if step >= WARM_STEPS:
-            self.lift("slow")
+        if step >= WARM_UP_STEPS:
+            self.end_fault("slow")
             self.history.tell(self.name, "warm", self.name)
             return
-        self.fault("slow", COLD_SHARE + (1 - COLD_SHARE) * step / WARM_STEPS)
-        asyncio.get_running_loop().call_later(WARM_S / WARM_STEPS, self._warm, step + 1)
+        self.begin_fault("slow", COLD_SPEED + (1 - COLD_SPEED) * step / WARM_UP_STEPS)
+        asyncio.get_running_loop().call_later(WARM_UP_S / WARM_UP_STEPS, self._warm_up, step + 1)
 
     @property
-    def held(self) -> int:
+    def awaited_jobs(self) -> int:
         """Jobs that it has and somebody waits for."""
-        return sum(job.wire.job is job for job in (*self.running, *self.waiting))
+        return sum(job.awaited for job in (*self.running, *self.waiting))
--- a/cedarmill/lab/cluster/faulty_releases.py
+++ b/cedarmill/lab/cluster/faulty_releases.py
@@ -4,10 +4,11 @@
 import random
 import sys
 import time
+from collections.abc import Callable
 
 LATE_S = 3600.0
 LIVES_S = 2.0  # of one that ends by itself
-BAD_PART = 0.2  # of the jobs that a failing one fails
+FAILED_SHARE = 0.2  # of the jobs that a failing one fails
 
 
 def late() -> int:
@@ -22,27 +23,32 @@
     return 1
 
 
-def failing(conf: str) -> int:
+def failing(settings: str) -> int:
     """A real node that fails a fifth of what it has served."""
     from cedarmill.conf.settings import Settings
     from cedarmill.core.dispatch import Dispatch
-    from cedarmill.core.requests import Failed, Served
-    from cedarmill.net.node import main as run
+    from cedarmill.core.requests import Failed, FinalAnswer, Served
+    from cedarmill.net import node
 
-    plain, dice = Dispatch.give_final_answer, random.Random(os.getpid())
+    original, generator = Dispatch.give_final_answer, random.Random(os.getpid())
 
-    def answer(self, now, number, final):
-        if isinstance(final, Served) and dice.random() < BAD_PART:
-            final = Failed()
-        plain(self, now, number, final)
+    def give_final_answer(self: Dispatch, now: int, number: int, answer: FinalAnswer) -> None:
+        if isinstance(answer, Served) and generator.random() < FAILED_SHARE:
+            answer = Failed()
+        original(self, now, number, answer)
 
-    Dispatch.give_final_answer = answer
-    return run("text", Settings(conf).options)
+    setattr(Dispatch, "give_final_answer", give_final_answer)  # noqa: B010  what a release breaks
+    return node.main("text", Settings(settings).options)
 
 
-def main(kind: str, conf: str) -> int:
+def main(kind: str, settings: str) -> int:
     """Run one; its exit code."""
-    return {"late": late, "exiting": exiting, "failing": lambda: failing(conf)}[kind]()
+    kinds: dict[str, Callable[[], int]] = {
+        "late": late,
+        "exiting": exiting,
+        "failing": lambda: failing(settings),
+    }
+    return kinds[kind]()
 
 
 if __name__ == "__main__":
--- a/cedarmill/lab/cluster/ports.py
+++ b/cedarmill/lab/cluster/ports.py
@@ -21,4 +21,5 @@
             continue
         reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         _RESERVED.append(reserved)
-        return reserved.getsockname()[1]
+        port: int = reserved.getsockname()[1]
+        return port
--- a/cedarmill/lab/cluster/process_group.py
+++ b/cedarmill/lab/cluster/process_group.py
@@ -1,254 +1,220 @@
-"""Keepers, stewards and nodes with a fleet, as processes of a run: their files, their starts, what their
-logs tell.
-"""
+"""All processes of a run: replicas, supervisors and nodes; their files, starts and ends."""
 
 import asyncio
 import contextlib
-import json
-import shutil
+import os
+import signal
 import sys
 from pathlib import Path
 from typing import TYPE_CHECKING
-from xml.sax.saxutils import quoteattr
 
-from cedarmill.lab.cluster.disks import flip
+from cedarmill.conf.document import ConfError
 from cedarmill.lab.cluster.ports import free_port
-from cedarmill.lab.cluster.processes import Process, environment
+from cedarmill.lab.cluster.process_logs import ProcessLogs
+from cedarmill.lab.cluster.processes import MAX_LINES, FaultableProcess
+from cedarmill.lab.cluster.replica_disks import OWN_DISK, ReplicaDisk
+from cedarmill.lab.cluster.settings_files import (
+    ClusterAccess,
+    UnitSettings,
+    node_settings,
+    replica_settings,
+    supervisor_settings,
+)
+from cedarmill.lab.cluster.units import UnitFiles
+from cedarmill.lab.listener import LOOPBACK
+from cedarmill.lab.processes import ADMIN_SERVES, SERVES, ProcessOptions, environment, trailing_port
 
 if TYPE_CHECKING:
     from cedarmill.lab.cluster.run import ClusterRun
 
-CLUSTER = "lab"
-FIRST_VERSION = "v1"
-START_S = 30.0
-DOOR_WORDS = "operators' door on "
-BAD_VERSIONS = ("late", "exiting", "failing")
-COLD_S = 2  # that executors of the laboratory are cold
+START_S = 30.0  # for a process to start, on a machine that starts thirty at once
+END_S = 25.0  # for a process to end after SIGTERM
+DISK_FAULT_US = 1_000_000  # of a disk whose fault has no duration, till its replica is started anew
+REPLICA_SERVES = '"replica-serves"'  # events of JSON logs
+SUPERVISOR_SERVES = '"supervisor-serves"'
+SUPERVISOR_READY = '"supervisor-ready"'
 
 
 class ProcessGroup:
-    """All of a run that agree, and the nodes that follow."""
+    """All real processes of one run."""
 
     def __init__(self, run: "ClusterRun") -> None:
         self.run = run
-        self.ports = {f"keeper-{n}": free_port() for n in range(run.scenario.layout.replicas)}
-        self.leading = ""
-        self.acting: dict[str, int] = {}  # by unit: the epoch of the order that is being acted on
-        self.listens: dict[str, int] = {}  # clients' ports of nodes under stewards
-        self.told = {
-            "replica-role": self._role,
-            "supervisor-acts": self._acts,
-            "supervisor-starts": self._starts,
-            "supervisor-ready": self._ready,
-            "supervisor-process-ended": self._ended,
-        }
+        self.by_name: dict[str, FaultableProcess] = {}
+        self.client_ports: dict[str, int] = {}  # of nodes that serve
+        self.admin_ports: dict[str, int] = {}  # of nodes
+        self.unit_ports: dict[str, int] = {}  # clients' ports of nodes under supervisors
+        self.entry_zones: dict[int, str] = {}  # by clients' port: the zone to which calls come there
+        self.logs = ProcessLogs(run.history)
+        self._replica_ports = {f"keeper-{n}": free_port() for n in range(run.scenario.layout.replicas)}
+        self._starting: set[str] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._ending = False
 
     @property
-    def addresses(self) -> list[str]:
-        """Of the keepers, for operators."""
-        return [f"127.0.0.1:{port}" for port in self.ports.values()]
+    def leader(self) -> str:
+        """The replica that leads; empty where none is known."""
+        return self.logs.leader
 
-    async def address(self, source: str, keeper: str) -> str:
-        """Of a keeper as another process reaches it: by a link, where links are faulty."""
-        plain = f"127.0.0.1:{self.ports[keeper]}"
-        if self.run.linked & {"keeper", "*"}:
-            return await self.run.links.address(source, keeper, plain)
-        return plain
-
-    # Keepers.
-
-    async def start_keepers(self) -> None:
-        """Format their disks and start them; raises ConfError."""
-        await asyncio.gather(*(self._start_keeper(name) for name in self.ports))
-
-    async def _start_keeper(self, name: str) -> None:
-        folder = self.run.folder / name
-        folder.mkdir(parents=True, exist_ok=True)
-        peers = [
-            f'<peer name="{other}" address="{await self.address(name, other)}"/>' for other in self.ports
-        ]
-        limits = [self._limit(limit) for limit in self.run.scenario.limits]
-        conf = folder / "keeper.xml"
-        conf.write_text(
-            f'<keeper version="1" cluster="{CLUSTER}" name="{name}" listen="127.0.0.1:{self.ports[name]}" '
-            f'data={quoteattr(str(folder / "data"))}>\n' + "\n".join(peers + limits + self._budgets())
-            + self._zones() + f'\n<cold lasts="{COLD_S}s" share="30%"/>\n</keeper>\n')  # fmt: skip
-        await self._format(name)
-        command = [sys.executable, "-m", "cedarmill.lab.cluster.disks", str(conf), str(folder / "fault")]
-        self.run.processes[name] = Process(name, command, environment(), self.run.process_told, self.heard)
-        await self.run.start(name)
-
-    @staticmethod
-    def _limit(limit) -> str:
-        words = {"most": limit.most, "share": limit.share, "capacity-left": limit.capacity_left}
-        text = {k: str(v) if k == "most" else f"{v / 10:g}%" for k, v in words.items() if v >= 0}
-        return (
-            f'<limit kind="{limit.kind}" per="{limit.per}" '
-            + " ".join(f'{k}="{v}"' for k, v in text.items())
-            + "/>"
-        )
-
-    def _zones(self) -> str:
-        """The `<zones>` element, where zones are planned."""
-        laid = self.run.scenario.layout.laid()
-        regions = []
-        for region, zones in laid.items():
-            inner = "".join(f'<zone name="{zone}"/>' for zone in zones)
-            regions.append(f'<region name="{region}">{inner}</region>')
-        sheds = ' sheds="on"' if self.run.scenario.layout.sheds else ""
-        sheds += ' news="on"' if self.run.scenario.layout.news else ""
-        return f"\n<zones{sheds}>{''.join(regions)}</zones>" if regions else ""
-
-    def _budgets(self) -> list[str]:
-        return [f'<budget name="{name}" per-second="{rate / 1000:g}" nodes="{nodes}"/>'
-                for name, rate, nodes in self.run.scenario.budgets]  # fmt: skip
-
-    async def _format(self, name: str) -> None:
-        conf = str(self.run.folder / name / "keeper.xml")
-        command = [sys.executable, "-m", "cedarmill.cli", "keeper", "-c", conf, "--init"]
-        child = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.DEVNULL)
-        if await child.wait():
-            raise OSError(f"{name}: its disk could not be formatted")
-
-    def disk(self, name: str, disk: str) -> None:
-        """Before a start: an empty disk, or an old copy of it."""
-        data, old = self.run.folder / name / "data", self.run.folder / name / "old"
-        if disk != "own":
-            shutil.rmtree(data, ignore_errors=True)
-        if disk == "old" and old.exists():
-            shutil.copytree(old, data)
-
-    def copy_disk(self, name: str) -> None:
-        """A copy that may come back later as an old disk."""
-        data, old = self.run.folder / name / "data", self.run.folder / name / "old"
-        if data.exists() and not old.exists():
-            shutil.copytree(data, old)
-
-    def fault(self, name: str, fault: str) -> None:
-        """What befalls a keeper's next write or sync; a flipped bit waits for its next start."""
-        control = self.run.folder / name / "fault"
-        if fault == "flip":
-            self.run.processes[name].kill()
-            with contextlib.suppress(OSError):
-                flip(self.run.folder / name / "data" / "log", 3)
-        else:
-            control.write_text(fault)
-
-    def well(self, name: str) -> None:
-        """The disk is well again."""
-        (self.run.folder / name / "fault").unlink(missing_ok=True)
-
-    # Nodes and stewards.
-
-    async def node_settings(self, node: str, folder: Path) -> Path:
-        """A node's cedarmill.xml with its part in the fleet."""
-        path = folder / "cedarmill.xml"
-        path.write_text(f'<cedarmill version="1">{await self._part(node)}</cedarmill>')
-        return path
-
-    async def _part(self, name: str) -> str:
-        keepers = [f'<keeper name="{one}" address="{await self.address(name, one)}"/>' for one in self.ports]
-        listen = f"127.0.0.1:{free_port()}" if name.startswith("steward") else "127.0.0.1:0"
-        if name.startswith("node") and self.run.scenario.layout.regions:
-            stays = self.run.scenario.stays.items()
-            keepers += [f'<stay class="{job_class}" within="{within}"/>' for job_class, within in stays]
-        return f'<fleet cluster="{CLUSTER}" listen="{listen}">{"".join(keepers)}</fleet>'
-
-    async def start_steward(self, number: int, node: str, config: Path, settings: Path) -> None:
-        """A steward with one node as its unit; raises ConfError."""
-        name = f"steward-{number}"
+    @property
+    def replica_addresses(self) -> list[str]:
+        """Of all replicas, for operators."""
+        return [f"{LOOPBACK}:{port}" for port in self._replica_ports.values()]
+
+    def disk(self, replica: str) -> ReplicaDisk:
+        """Of a replica."""
+        return ReplicaDisk(self.run.folder / replica)
+
+    def _unit_files(self, node: str) -> UnitFiles:
+        return UnitFiles(self.run.folder / node.replace("node", "steward"), node)
+
+    def unit_pids(self, node: str) -> list[int]:
+        """Of the processes of a node that its supervisor has started."""
+        return self._unit_files(node).pids()
+
+    def admin_port(self, node: str) -> int:
+        """Of the admin API of a node's current process; 0 where it is not known."""
+        return self.admin_ports.get(node) or self._unit_files(node).admin_port()
+
+    # First starts.
+
+    async def start_replicas(self) -> None:
+        """Format their disks and start them; raises ConfError or OSError."""
+        await asyncio.gather(*map(self._start_replica, self._replica_ports))
+
+    async def _start_replica(self, name: str) -> None:
+        disk = self.disk(name)
+        disk.folder.mkdir(parents=True, exist_ok=True)
+        access = await self._access(name, self._replica_ports[name])
+        disk.settings.write_text(replica_settings(name, access, disk.data, self.run.scenario))
+        await disk.format()
+        module = "cedarmill.lab.cluster.disks"
+        command = [sys.executable, "-m", module, str(disk.settings), str(disk.control)]
+        self._add(ProcessOptions(name, command, environment(), self._on_change, self.logs.on_line, MAX_LINES))
+        await self._start(name)
+
+    async def _access(self, name: str, port: int) -> ClusterAccess:
+        """How a process reaches the replicas: by links, where those are faulty."""
+        replicas = {}
+        for replica, replica_port in self._replica_ports.items():
+            address = f"{LOOPBACK}:{replica_port}"
+            replicas[replica] = await self.run.address_from(name, replica, "keeper", address)
+        return ClusterAccess(f"{LOOPBACK}:{port}", replicas)
+
+    async def start_node(self, name: str, config: Path) -> None:
+        """Start a node with its configuration document, or a supervisor with it as its unit.
+
+        Raises ConfError or OSError.
+        """
+        words = []
+        if self.run.scenario.layout.replicas:
+            settings = config.parent / "cedarmill.xml"
+            settings.write_text(node_settings(await self._access(name, 0), self.run.scenario))
+            if self.run.scenario.layout.supervised:
+                await self._start_supervisor(UnitSettings(name, config, settings, free_port()))
+                return
+            words = ["-c", str(settings)]
+        env = environment(LB_CONFIG=str(config), TMPDIR=str(config.parent))
+        command = [sys.executable, "-m", "cedarmill.cli", "node", *words]
+        self._add(ProcessOptions(name, command, env, self._on_change, self._on_node_line, MAX_LINES))
+        await self._start(name)
+
+    async def _start_supervisor(self, unit: UnitSettings) -> None:
+        self.unit_ports[unit.node] = unit.port
+        name = unit.node.replace("node", "steward")
         folder = self.run.folder / name
         folder.mkdir(parents=True, exist_ok=True)
-        good = f"{sys.executable} -m cedarmill.cli node -c {settings}"
-        runs = {FIRST_VERSION: good, "v2": good, "v3": good}
-        runs |= {
-            bad: f"{sys.executable} -m cedarmill.lab.cluster.faulty_releases {bad} {settings}"
-            for bad in BAD_VERSIONS
-        }
-        lines = [
-            f'<run version="{version}" command={quoteattr(command)}/>' for version, command in runs.items()
-        ]
-        env = {"LB_CONFIG": str(config), "TMPDIR": str(config.parent)}
-        words = [f'<env name="{key}" value={quoteattr(value)}/>' for key, value in env.items()]
-        self.listens[node] = free_port()
-        conf = folder / "steward.xml"
-        conf.write_text(
-            f'<steward version="1" name="{name}" data={quoteattr(str(folder / "data"))}>'
-            + await self._part(name)
-            + f'<unit name="{node}" version="{FIRST_VERSION}" listen="127.0.0.1:{self.listens[node]}">'
-            + "".join(words + lines)
-            + "</unit></steward>"
-        )
-        command = [sys.executable, "-m", "cedarmill.cli", "steward", "-c", str(conf), "--log-format", "json"]
-        process = Process(name, command, environment(), self.run.process_told, self.heard)
-        self.run.processes[name] = process
+        access = await self._access(name, free_port())
+        settings = folder / "steward.xml"
+        settings.write_text(supervisor_settings(name, access, folder / "data", unit))
+        command = [sys.executable, "-m", "cedarmill.cli", "steward"]
+        command += ["-c", str(settings), "--log-format", "json"]
+        options = ProcessOptions(name, command, environment(), self._on_change, self.logs.on_line, MAX_LINES)
+        process = self._add(options)
         await process.start()
-        await process.said('"supervisor-ready"', START_S)
-        self.run.ports[node] = self.listens[node]
+        await process.wait_for_line(SUPERVISOR_READY, START_S)
+        self.client_ports[unit.node] = unit.port
 
-    def unit(self, node: str) -> dict:
-        """What a node's steward has kept of it; empty where nothing can be read."""
-        path = self.run.folder / node.replace("node", "steward") / "data" / "units.json"
-        try:
-            return json.loads(path.read_text()).get(node, {})
-        except (OSError, ValueError):
-            return {}
-
-    def pids(self, node: str) -> list[int]:
-        """Of the processes of a node that its steward has started."""
-        return [life["pid"] for life in self.unit(node).get("lives", {}).values() if life["pid"]]
-
-    def door(self, node: str) -> int:
-        """The port of the door of a node's current process; 0 where it is not known."""
-        if node in self.run.doors:
-            return self.run.doors[node]
-        life = self.unit(node).get("current", "")
-        path = self.run.folder / node.replace("node", "steward") / "data" / f"{node}-{life}.log"
-        try:
-            _, found, rest = path.read_text().partition(DOOR_WORDS)
-        except OSError:
-            return 0
-        return int(rest.split()[2]) if found else 0
-
-    # What logs tell.
-
-    def followed(self, name: str, line: str) -> None:
-        """A line of a node's log: which plan of traffic it follows now."""
-        _, found, rest = line.partition("fleet: plan of epoch ")
-        if found:
-            epoch, _, what = rest.partition(": ")
-            life = f"{name}/{self.run.processes[name].starts}"
-            self.run.history.tell(life, "follows", self.run.zone_of(name), epoch=int(epoch), note=what)
-
-    def heard(self, name: str, line: str) -> None:
-        """A line of a keeper's or a steward's log."""
-        if not line.startswith("{"):
+    def _add(self, options: ProcessOptions) -> FaultableProcess:
+        process = self.by_name[options.name] = FaultableProcess(options)
+        return process
+
+    async def _start(self, name: str) -> None:
+        """Start a process, and learn where it serves; raises ConfError or OSError."""
+        process = self.by_name[name]
+        since = len(process.lines)
+        await process.start()
+        if name.startswith("node"):
+            line = await process.wait_for_line(SERVES, START_S, since)
+            port = self.client_ports[name] = trailing_port(line)
+            self.entry_zones[port] = self.run.zone_of(name)
+            line = await process.wait_for_line(ADMIN_SERVES, START_S, since)
+            self.admin_ports[name] = trailing_port(line)
+        elif name.startswith("keeper"):
+            await process.wait_for_line(REPLICA_SERVES, START_S, since)
+        elif name.startswith("steward"):
+            await process.wait_for_line(SUPERVISOR_SERVES, START_S, since)
+
+    def _on_change(self, name: str, change: str, note: str) -> None:
+        self.run.history.tell(name, change, name, note=note)
+        if change == "ended":
+            self.client_ports.pop(name, None)
+
+    def _on_node_line(self, name: str, line: str) -> None:
+        incarnation = f"{name}/{self.by_name[name].starts}"
+        self.logs.on_node_line(incarnation, self.run.zone_of(name), line)
+
+    # Further starts.
+
+    async def start_again(self, name: str, disk: str = OWN_DISK) -> None:
+        """Start a process that has ended, with the disk that is asked for."""
+        if self.by_name[name].alive or name in self._starting:
             return
+        self._starting.add(name)
         try:
-            event = json.loads(line)
-        except ValueError:
-            return
-        told = self.told.get(event.get("event"))
-        if told is not None:
-            told(name, event)
-
-    def _role(self, name: str, event: dict) -> None:
-        if event["part"] == "leader":
-            self.leading = name
-            self.run.history.tell(name, "leads", epoch=event["term"])
-
-    def _acts(self, name: str, event: dict) -> None:
-        self.acting[event["unit"]] = event["epoch"]
-        self.run.history.tell(name, "acts", event["unit"], epoch=event["epoch"], number=event["left"])
-
-    def _starts(self, name: str, event: dict) -> None:
-        epoch = self.acting.pop(event["unit"], 0)
-        if epoch:
-            self.run.history.tell(name, "taken", event["unit"], epoch=epoch, note=event["version"])
-        self.run.history.tell(name, "starts", event["unit"], note=event["version"])
-
-    def _ready(self, name: str, event: dict) -> None:
-        self.run.history.tell(name, "back", event["unit"], note=event["version"])
-
-    def _ended(self, name: str, event: dict) -> None:
-        self.run.history.tell(name, "unit-ended", event["unit"], note=str(event["code"]))
+            if name.startswith("keeper"):
+                self.disk(name).heal()
+                self.disk(name).put_in(disk)
+            await self._start(name)
+        except ConfError:  # one that does not start, or is killed meanwhile, says so in its log
+            pass
+        finally:
+            self._starting.discard(name)
+
+    async def start_all_again(self) -> None:
+        """Start the replicas and supervisors that have ended."""
+        ours = [name for name in self.by_name if not name.startswith("node")]
+        await asyncio.gather(*map(self.start_again, ours))
+
+    def begin_disk_fault(self, name: str, fault: str, duration: int) -> None:
+        """A fault of a replica's disk (us; 0: a second); the replica is started anew when it is over."""
+        if fault == "flip":
+            self.by_name[name].kill()
+        self.disk(name).begin_fault(fault)
+        loop = asyncio.get_running_loop()
+        loop.call_later((duration or DISK_FAULT_US) / 1e6, self._end_disk_fault, name)
+
+    def _end_disk_fault(self, name: str) -> None:
+        self.disk(name).heal()
+        if not self.by_name[name].alive and not self._ending:
+            task = asyncio.ensure_future(self.start_again(name))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+
+    # The end.
+
+    def end_starts(self) -> None:
+        """Nothing is started any longer."""
+        self._ending = True
+        for task in list(self._tasks):
+            task.cancel()
+
+    async def stop(self) -> None:
+        """End all processes; their logs go into the run's folder."""
+        units = [pid for node in self.unit_ports for pid in self.unit_pids(node)]
+        await asyncio.gather(*(process.stop(END_S) for process in self.by_name.values()))
+        for pid in units:  # they outlive their supervisors; each was started by one of ours
+            with contextlib.suppress(ProcessLookupError):
+                os.kill(pid, signal.SIGKILL)
+        for process in self.by_name.values():
+            (self.run.folder / f"{process.name}.log").write_text("\n".join(process.lines) + "\n")
--- a/cedarmill/lab/cluster/report.py
+++ b/cedarmill/lab/cluster/report.py
@@ -1,19 +1,33 @@
 """What a run comes to: `verdict.json`, and one HTML file with a plot of what was out, granted and served."""
 
 import html
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
+from functools import partial
 from pathlib import Path
 
-import matplotlib
-
-matplotlib.use("Agg")
-import msgspec  # noqa: E402  the backend without a screen comes first
-
-from cedarmill.lab.cluster.invariants import check_invariants  # noqa: E402
-from cedarmill.lab.cluster.record import OutOverTime, Record, call_zones, most_out  # noqa: E402
-from cedarmill.lab.report import STYLE, picture  # noqa: E402
-
-SHOWN = 20  # breaches of a law in the page
+import msgspec
+
+from cedarmill.lab.cluster.invariants import check_invariants
+from cedarmill.lab.cluster.record import OutOverTime, Record, call_zones, most_out
+from cedarmill.lab.figures import count_outcomes
+from cedarmill.lab.html_page import BREACHES_SHOWN, US_PER_S, Axes, Row, picture, sum_by_second
+from cedarmill.lab.html_page import page as html_page
+from cedarmill.lab.load import SERVED
+
+COUNTS = (
+    "calls",
+    "served",
+    "refused",
+    "failed",
+    "broken",
+    "granted",
+    "refused_permits",
+    "drained",
+    "most_out_by_plan",
+    "most_out_in_all",
+    "crossed",
+    "plans",
+)
 
 
 class Verdict(msgspec.Struct):
@@ -39,121 +53,125 @@
 
     @property
     def kept(self) -> bool:
+        """Whether no invariant was broken."""
         return not any(self.invariants.values())
 
 
+def verdict_of(record: Record) -> Verdict:
+    """The invariants and the counts."""
+    history = record.played()
+    kinds = [event.what for event in record.events]
+    outcomes, (by_plan, in_all) = count_outcomes(history.calls), most_out(record)
+    return Verdict(
+        scenario=history.scenario,
+        seed=history.seed,
+        invariants=check_invariants(record),
+        most_out_by_plan=by_plan,
+        most_out_in_all=in_all,
+        calls=len(history.calls),
+        served=outcomes.served,
+        refused=outcomes.refused,
+        failed=outcomes.failed,
+        broken=sum(call.broken for call in history.calls),
+        granted=kinds.count("taken"),
+        refused_permits=kinds.count("refused"),
+        drained=kinds.count("drained"),
+        wait_for_grant=_waits(record, "asked", "taken"),
+        wait_for_drained=_waits(record, "taken", "drained"),
+        crossed=_crossed(record),
+        plans=len({event.epoch for event in record.events if event.what == "follows" and event.epoch}),
+    )
+
+
 def _waits(record: Record, first: str, then: str) -> list[float]:
+    """Seconds from one kind of event to another, target by target."""
     since: dict[str, int] = {}
-    found = []
+    waits = []
     for event in record.events:
         if event.what == first:
             since[event.target] = event.at
         elif event.what == then and event.target in since:
-            found.append(round((event.at - since.pop(event.target)) / 1e6, 3))
-    return found
+            waits.append(round((event.at - since.pop(event.target)) / 1e6, 3))
+    return waits
 
 
-def verdict_of(record: Record) -> Verdict:
-    """The laws and the counts."""
-    calls = record.history.calls
-    statuses = [call.answers[0].status for call in calls if call.answers]
-    kinds = [event.what for event in record.events]
-    served, refused = statuses.count(200), sum(status in (429, 503) for status in statuses)
-    return Verdict(
-        record.history.scenario, record.history.seed, check_invariants(record),
-        *most_out(record), len(calls), served, refused,
-        len(statuses) - served - refused, sum(call.broken for call in calls), kinds.count("taken"),
-        kinds.count("refused"), kinds.count("drained"), _waits(record, "asked", "taken"),
-        _waits(record, "taken", "drained"), *_crossing(record))  # fmt: skip
+def _crossed(record: Record) -> float:
+    zones = call_zones(record)
+    known = [visit for visit in record.visits if zones.get(visit.id)]
+    away = sum(visit.zone != zones[visit.id] for visit in known)
+    return round(away / max(1, len(known)), 4)
 
 
-def _crossing(record: Record) -> tuple[float, int]:
-    came = call_zones(record)
-    known = [visit for visit in record.visits if came.get(visit.id)]
-    away = sum(visit.zone != came[visit.id] for visit in known)
-    plans = {event.epoch for event in record.events if event.what == "follows" and event.epoch}
-    return round(away / max(1, len(known)), 4), len(plans)
+def _row(invariant: str, texts: list[str]) -> str:
+    shown = "<br>".join(map(html.escape, texts[:BREACHES_SHOWN]))
+    mark = "bad" if texts else "good"
+    return f"<tr class={mark}><td>{invariant}</td><td>{len(texts)}</td><td>{shown}</td></tr>"
 
 
-def _over_time(record: Record) -> tuple[list[float], list[int], list[int]]:
-    out, times, planned, all_ = OutOverTime(record), [], [], []
+def _draw_out(record: Record, axes: Axes) -> None:
+    out = OutOverTime(record)
+    times, planned, in_all = [], [], []
     for event in record.events:
         out.apply(event)
         times.append(event.at / 1e6)
         planned.append(len(out.planned))
-        all_.append(len(set(out.planned) | set(out.lost)))
-    return times, planned, all_
+        in_all.append(len(out.all_out()))
+    axes.step(times, planned, where="post", label="out by plan")
+    axes.step(times, in_all, where="post", label="out in all, with losses", linestyle="--")
+    for event in record.events:
+        if event.who == "lab":
+            axes.axvline(event.at / 1e6, color="0.85", linewidth=0.8)
 
 
-def _served(record: Record) -> tuple[list[int], list[int], list[int]]:
-    """By second: served, and anything else."""
-    length = record.history.length // 1_000_000 + 1
-    good, bad = [0] * (length + 1), [0] * (length + 1)
-    for call in record.history.calls:
-        second = min(length, call.due // 1_000_000)
-        served = bool(call.answers) and call.answers[0].status == 200
-        (good if served else bad)[second] += 1
-    return list(range(length + 1)), good, bad
+def _draw_permits(record: Record, axes: Axes) -> None:
+    for kind in ("asked", "taken", "drained", "back"):
+        times = [event.at / 1e6 for event in record.events if event.what == kind]
+        axes.step(times, range(1, len(times) + 1), where="post", label=kind)
 
 
-def _row(law: str, texts: list[str]) -> str:
-    shown = "<br>".join(map(html.escape, texts[:SHOWN]))
-    return f"<tr class={'bad' if texts else 'good'}><td>{law}</td><td>{len(texts)}</td><td>{shown}</td></tr>"
+def _bins(record: Record) -> int:
+    return record.played().length // US_PER_S + 2
 
 
-def page(record: Record, found: Verdict) -> str:
-    """The report as one file."""
+def _draw_calls(record: Record, axes: Axes) -> None:
+    bins = _bins(record)
+    calls = record.played().calls
+    for label, served in (("served", True), ("refused, failed or broken", False)):
+        due = ((call.due, 1) for call in calls if (call.status == SERVED) == served)
+        axes.step(range(bins), sum_by_second(due, bins), where="post", label=label)
 
-    def out(axes) -> None:
-        times, planned, all_ = _over_time(record)
-        axes.step(times, planned, where="post", label="out by plan")
-        axes.step(times, all_, where="post", label="out in all, with losses", linestyle="--")
-        for event in record.events:
-            if event.who == "lab":
-                axes.axvline(event.at / 1e6, color="0.85", linewidth=0.8)
-
-    def served(axes) -> None:
-        seconds, good, bad = _served(record)
-        axes.step(seconds, good, where="post", label="served")
-        axes.step(seconds, bad, where="post", label="refused, failed or broken")
-
-    def granted(axes) -> None:
-        for kind in ("asked", "taken", "drained", "back"):
-            times = [event.at / 1e6 for event in record.events if event.what == kind]
-            axes.step(times, range(1, len(times) + 1), where="post", label=kind)
-
-    def zones(axes) -> None:
-        length = record.history.length // 1_000_000 + 1
-        for zone in sorted({visit.zone for visit in record.visits}):
-            counts = [0] * (length + 1)
-            for visit in record.visits:
-                if visit.zone == zone:
-                    counts[min(length, visit.at // 1_000_000)] += 1
-            axes.step(range(length + 1), counts, where="post", label=zone)
-
-    rows = "".join(_row(law, texts) for law, texts in found.invariants.items())
-    pictures = picture(out, "Out at once (grey: a fault begins)", "seconds", "targets")
-    pictures += picture(granted, "Permits", "seconds", "so far")
-    pictures += picture(served, "Calls by the second in which they were due", "seconds", "calls")
-    pictures += picture(zones, "Attempts by zone", "seconds", "attempts")
-    title = f"{found.scenario}, seed {found.seed}"
-    return (
-        f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style><h1>{title}</h1>"
-        f"<table><tr><th>law</th><th>breaches</th><th></th></tr>{rows}</table>{pictures}"
-    )
+
+def _draw_zones(record: Record, axes: Axes) -> None:
+    bins = _bins(record)
+    for zone in sorted({visit.zone for visit in record.visits}):
+        visits = ((visit.at, 1) for visit in record.visits if visit.zone == zone)
+        axes.step(range(bins), sum_by_second(visits, bins), where="post", label=zone)
+
+
+def page(record: Record, verdict: Verdict) -> str:
+    """The report as one file."""
+    plots: list[tuple[Callable[[Record, Axes], None], str, str]] = [
+        (_draw_out, "Out at once (grey: a fault begins)", "targets"),
+        (_draw_permits, "Permits", "so far"),
+        (_draw_calls, "Calls by the second in which they were due", "calls"),
+        (_draw_zones, "Attempts by zone", "attempts"),
+    ]
+    rows = "".join(_row(invariant, texts) for invariant, texts in verdict.invariants.items())
+    pictures = [picture(partial(draw, record), title, "seconds", up) for draw, title, up in plots]
+    table = f"<table><tr><th>law</th><th>breaches</th><th></th></tr>{rows}</table>"
+    return html_page(f"{verdict.scenario}, seed {verdict.seed}", table + "".join(pictures))
 
 
 def write(record: Record, folder: Path) -> Verdict:
     """`verdict.json` and `report.html` into the folder; raises OSError."""
-    found = verdict_of(record)
-    (folder / "verdict.json").write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=1))
-    (folder / "report.html").write_text(page(record, found))
-    return found
+    verdict = verdict_of(record)
+    (folder / "verdict.json").write_bytes(msgspec.json.format(msgspec.json.encode(verdict), indent=1))
+    (folder / "report.html").write_text(page(record, verdict))
+    return verdict
 
 
-def table(verdicts: Sequence[Verdict]) -> list[tuple[str, list[str]]]:
+def table(verdicts: Sequence[Verdict]) -> list[Row]:
     """A row a figure, a column a run."""
-    names = ("calls", "served", "refused", "failed", "broken", "granted", "refused_permits", "drained",
-             "most_out_by_plan", "most_out_in_all", "crossed", "plans")  # fmt: skip
-    rows = [(name, [str(getattr(one, name)) for one in verdicts]) for name in names]
-    return [*rows, ("laws broken", [str(sum(map(bool, one.invariants.values()))) for one in verdicts])]
+    rows = [(name, [str(getattr(verdict, name)) for verdict in verdicts]) for name in COUNTS]
+    broken = [str(sum(map(bool, verdict.invariants.values()))) for verdict in verdicts]
+    return [*rows, ("laws broken", broken)]
--- a/cedarmill/lab/cluster/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -3,14 +3,12 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lxml import etree
-
 from cedarmill.conf.cluster import budget, limit
 from cedarmill.conf.document import ConfError, load, microseconds
-from cedarmill.lab import scenario as lab
+from cedarmill.lab import scenario as single
 from cedarmill.lab.history import ClassRules
 from cedarmill.lab.load import Habits
-from cedarmill.lab.scenario import class_habits, class_rules
+from cedarmill.lab.scenario import Element, request_classes
 from cedarmill.values import LimitOptions
 
 SHIPPED = Path(__file__).parent / "scenarios"
@@ -18,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterLayout:
-    """Who is there."""
+    """Which processes and executors there are."""
 
     nodes: int
     replicas: int
@@ -31,29 +29,30 @@
     slowest: float
     fastest: float
     regions: int = 0  # into which the zones are laid; 0: nothing is planned
-    sheds: bool = False  # whether the fleet agrees on a level of admission
+    sheds: bool = False  # whether the cluster agrees on a level of admission
     news: bool = False  # whether nodes tell each other what they hear of executors
 
     @property
     def zone_names(self) -> list[str]:
-        return [f"zone-{n}" for n in range(self.zones)]
+        """All zones."""
+        return [f"zone-{number}" for number in range(self.zones)]
 
-    def laid(self) -> dict[str, list[str]]:
-        """Zones by region, each region about as large as the others."""
-        found: dict[str, list[str]] = {}
+    def zones_by_region(self) -> dict[str, list[str]]:
+        """Each region about as large as the others; empty where nothing is planned."""
+        regions: dict[str, list[str]] = {}
         for number, name in enumerate(self.zone_names if self.regions else []):
-            found.setdefault(f"region-{number * self.regions // self.zones}", []).append(name)
-        return found
+            regions.setdefault(f"region-{number * self.regions // self.zones}", []).append(name)
+        return regions
 
 
 @dataclass(frozen=True, slots=True)
 class ScenarioEvent:
-    """One entry of the timeline: an element's name, when, how long (0: for good), and its other words."""
+    """One entry of the timeline: an element's name, when, how long (0: for good), its other attributes."""
 
-    what: str
+    kind: str
     at: int
-    lasts: int
-    words: dict[str, str] = field(default_factory=dict)
+    duration: int
+    attributes: dict[str, str] = field(default_factory=dict)
     line: int = 0
 
 
@@ -77,48 +76,68 @@
 
 def shipped() -> list[str]:
     """The names of the scenarios that the package ships."""
-    return lab.shipped(SHIPPED)
+    return single.shipped(SHIPPED)
 
 
 def read(name: str) -> ClusterScenario:
     """A shipped scenario by its name, or a file by its path; raises ConfError or OSError."""
-    path = lab.locate(name, SHIPPED)
+    path = single.locate(name, SHIPPED)
     root = load(path, "fleet-scenario")
-    classes = root.findall("load/class")
-    timeline = tuple(_happening(path, element) for element in root if element.tag in _NEEDS)
     return ClusterScenario(
-        path.stem, root.get("about"), microseconds(root.get("length")), _fleet(root.find("fleet")),
-        float(root.find("load").get("rate")), tuple(map(class_habits, classes)),
-        {element.get("name"): class_rules(element) for element in classes},
-        {element.get("name"): float(element.get("worth")) for element in classes},
-        tuple(limit(path, element) for element in root.findall("limit")), timeline,
+        path.stem,
+        root.get("about"),
+        microseconds(root.get("length")),
+        _layout(root.find("fleet")),
+        float(root.find("load").get("rate")),
+        *request_classes(root),
+        tuple(limit(path, element) for element in root.findall("limit")),
+        tuple(_event(path, element) for element in root if element.tag in _NEEDED_ATTRIBUTES),
         {element.get("class"): element.get("within") for element in root.findall("stay")},
         tuple(map(budget, root.findall("budget"))),
-    )  # fmt: skip
-
-
-def _fleet(element: etree._Element) -> ClusterLayout:
-    numbers = [int(element.get(name)) for name in ("nodes", "keepers", "executors", "zones")]
-    places = [int(element.get(name)) for name in ("cores", "slots", "queue")]
-    speeds = float(element.get("slowest")), float(element.get("fastest"))
-    regions = int(element.get("regions", "0"))
-    return ClusterLayout(*numbers, element.get("stewards") == "on", *places, *speeds, regions,
-                 element.get("sheds") == "on", element.get("news") == "on")  # fmt: skip
-
-
-# what an entry needs beside the schema, by its element: (when its word is this), these words
-_NEEDS = {
+    )
+
+
+def _layout(element: Element) -> ClusterLayout:
+    nodes, replicas, executors, zones = (
+        int(element.get(name)) for name in ("nodes", "keepers", "executors", "zones")
+    )
+    cores, slots, queue = (int(element.get(name)) for name in ("cores", "slots", "queue"))
+    return ClusterLayout(
+        nodes,
+        replicas,
+        executors,
+        zones,
+        element.get("stewards") == "on",
+        cores,
+        slots,
+        queue,
+        float(element.get("slowest")),
+        float(element.get("fastest")),
+        int(element.get("regions", "0")),
+        element.get("sheds") == "on",
+        element.get("news") == "on",
+    )
+
+
+# what an entry needs besides what the schema asks for, by its element: where its fault or act is this, these
+_NEEDED_ATTRIBUTES: dict[str, dict[str, tuple[str, ...]]] = {
     "process": {"slow": ("size",)},
     "link": {"drop": ("share",), "delay": ("delay",), "trickle": ("bytes-per-s",)},
-    "partition": {}, "disk": {}, "executor": {}, "chance": {},
+    "partition": {},
+    "disk": {},
+    "executor": {},
+    "chance": {},
     "operator": {"restart": ("target",), "release": ("version",), "leave": ("target",), "stay": ("target",)},
-}  # fmt: skip
+}
 
 
-def _happening(path: Path, element: etree._Element) -> ScenarioEvent:
-    words = {name: value for name, value in element.attrib.items() if name not in ("at", "for")}
-    for needed in _NEEDS[element.tag].get(words.get("fault", words.get("act", "")), ()):
-        if needed not in words:
+def _event(path: Path, element: Element) -> ScenarioEvent:
+    attributes = {name: value for name, value in element.attrib.items() if name not in ("at", "for")}
+    action = attributes.get("fault", attributes.get("act", ""))
+    for needed in _NEEDED_ATTRIBUTES[element.tag].get(action, ()):
+        if needed not in attributes:
             raise ConfError(f"{path}:{element.sourceline}: <{element.tag}> {needed}: needed here")
-    lasts = microseconds(element.get("for", "0s"))
-    return ScenarioEvent(element.tag, microseconds(element.get("at")), lasts, words, element.sourceline)
+    duration = microseconds(element.get("for", "0s"))
+    return ScenarioEvent(
+        element.tag, microseconds(element.get("at")), duration, attributes, element.sourceline
+    )
--- a/cedarmill/lab/executor.py
+++ b/cedarmill/lab/executor.py
@@ -1,197 +1,148 @@
-"""Lookup boxes on sockets: cores that jobs share, slots, an in-order queue, and faults by script.
-
-They speak the executors' side of the platform's protocol page.
-"""
+"""Emulated executors on sockets: cores that jobs share, slots, an in-order queue, and faults by script."""
 
 import asyncio
-import json
 from collections import deque
 from collections.abc import Callable
+from typing import NamedTuple
 
-import httptools
 import numpy
 
+from cedarmill.lab.executor_connection import ExecutorConnection, ExecutorJob
+from cedarmill.lab.executor_options import ExecutorOptions
 from cedarmill.lab.history import Visit
+from cedarmill.lab.listener import LOOPBACK, listen_on_loopback, port_of
 
-REJECT = b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-BREAK_S = 0.2  # mean time into a request at which a reset comes, where that is the fault
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-
-
-class ExecutorRequest:
-    """One attempt at a box: its visit, and the work that it still needs (us at speed 1)."""
-
-    __slots__ = ("visit", "left", "wire", "began")
-
-    def __init__(self, visit: Visit, work: float, wire: "ExecutorConnection") -> None:
-        self.visit, self.left, self.wire = visit, work, wire
-        self.began = 0
-
-
-class ExecutorConnection(asyncio.Protocol):
-    """One connection to a box: one request at a time."""
-
-    def __init__(self, box: "EmulatedExecutor") -> None:
-        self.box = box
-        self.transport: asyncio.Transport | None = None
-        self.parser = httptools.HttpRequestParser(self)
-        self.job: ExecutorRequest | None = None
-        self.target, self.headers, self.body = b"", {}, bytearray()
-
-    def connection_made(self, transport) -> None:
-        self.transport = transport
-        self.box.wires.add(self)
-        self.box.spent.append((self.box.clock(), "connects"))
-
-    def connection_lost(self, error) -> None:
-        self.box.wires.discard(self)
-        self.parser = None
-        self.box.abandoned(self)
-
-    def eof_received(self) -> bool:
-        """An end of sending cancels as a close does, where the box honours it."""
-        self.box.abandoned(self)
-        return False
+RESET_MEAN_S = 0.2  # mean time into a request at which a reset comes, where that is the fault
+NEARLY_DONE_US = 1  # of work that may be left of a job when it counts as done
 
-    def data_received(self, data: bytes) -> None:
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.transport.abort()
 
-    def on_message_begin(self) -> None:
-        self.target, self.headers, self.body = b"", {}, bytearray()
+class Spending(NamedTuple):
+    """Something that a budget of the cluster counts, seen at an executor."""
 
-    def on_url(self, url: bytes) -> None:
-        self.target += url
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        self.headers[name.lower()] = value
-
-    def on_body(self, data: bytes) -> None:
-        self.body += data
-
-    def on_message_complete(self) -> None:
-        if self.target.startswith(b"/status/load"):
-            self.box.spent.append((self.box.clock(), "probes"))
-            self.write_whole(200, json.dumps({"x0": self.box.free(), "x1": self.box.free()}).encode())
-        else:
-            self.box.asked(self)
-
-    def write_whole(self, status: int, body: bytes) -> None:
-        head = b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n" % (status, len(body))
-        self.transport.write(head + body)
-
-    def done(self, visit: Visit) -> None:
-        line = json.dumps({"id": visit.id, "from": visit.executor, "state": "done",
-                           "result": f"{visit.id} by {visit.executor}"}).encode() + b"\n"  # fmt: skip
-        self.transport.write(HEAD + b"%x\r\n%s\r\n0\r\n\r\n" % (len(line), line))
+    at: int
+    budget: str  # probes or connects
 
 
 class EmulatedExecutor:
-    """One lookup box: the sum of running jobs shares its cores, the rest waits in order."""
-
-    def __init__(self, name: str, zone: str, cores: int, slots: int, speed: float, queue: int, honours: bool,
-                 work: Callable[[bytes, str], float], clock: Callable[[], int],
-                 visits: list[Visit], dice: numpy.random.Generator) -> None:  # fmt: skip
-        self.name, self.zone, self.cores, self.slots, self.speed = name, zone, cores, slots, speed
-        self.queue_bound, self.honours, self.work, self.clock = queue, honours, work, clock
-        self.visits, self.dice = visits, dice
-        self.spent: list[tuple[int, str]] = []  # when, of which budget: probes and connections that came
-        self.running: list[ExecutorRequest] = []
-        self.waiting: deque[ExecutorRequest] = deque()
-        self.wires: set[ExecutorConnection] = set()
-        self.faults: dict[str, float] = {}  # kind to part or factor, while it lasts
-        self.address = ""
-        self._counted = 0
+    """One executor: the running jobs share its cores evenly, the rest waits in order."""
+
+    def __init__(
+        self,
+        options: ExecutorOptions,
+        clock: Callable[[], int],
+        visits: list[Visit],
+        random: numpy.random.Generator,
+    ) -> None:
+        self.options, self.clock, self.visits, self.random = options, clock, visits, random
+        self.name, self.zone = options.name, options.zone
+        self.spending: list[Spending] = []
+        self.running: list[ExecutorJob] = []
+        self.waiting: deque[ExecutorJob] = deque()
+        self.connections: set[ExecutorConnection] = set()
+        self.faults: dict[str, float] = {}  # kind to share or factor, while it lasts
+        self.port = 0
+        self._counted_at = 0
         self._timer: asyncio.TimerHandle | None = None
         self._server: asyncio.Server | None = None
 
+    @property
+    def address(self) -> str:
+        """Where it listens."""
+        return f"{LOOPBACK}:{self.port}"
+
     async def open(self) -> None:
-        """Listen on a free loopback port."""
-        loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: ExecutorConnection(self), "127.0.0.1", 0)
-        self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
+        """Listen: on a free loopback port at first, on the same one in later lives; raises OSError."""
+        self._server = await listen_on_loopback(lambda: ExecutorConnection(self), self.port)
+        self.port = port_of(self._server)
 
     def close(self) -> None:
-        """End the box."""
-        self._server.close()
+        """End the executor, and all connections to it."""
+        if self._server is not None:
+            self._server.close()
         if self._timer is not None:
             self._timer.cancel()
-        for wire in list(self.wires):
-            wire.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
 
-    def free(self) -> int:
-        return max(0, self.slots - len(self.running) - len(self.waiting))
+    def free_slots(self) -> int:
+        """As it reports them."""
+        return max(0, self.options.slots - len(self.running) - len(self.waiting))
+
+    def note_spending(self, budget: str) -> None:
+        """Note a probe or a connection that came."""
+        self.spending.append(Spending(self.clock(), budget))
 
     # Faults.
 
-    def fault(self, kind: str, size: float) -> None:
-        """Begin a fault; `lift` ends it."""
+    def begin_fault(self, kind: str, size: float) -> None:
+        """Begin a fault; `end_fault` ends it."""
         self._advance()
         self.faults[kind] = size
-        self._plan()
+        self._schedule()
 
-    def lift(self, kind: str) -> None:
+    def end_fault(self, kind: str) -> None:
+        """End a fault, if it lasts."""
         self._advance()
         self.faults.pop(kind, None)
-        self._start()
+        self._start_waiting()
 
     def _rate(self) -> float:
         """What each running job gets of a core, times its speed."""
         if not self.running or "stall" in self.faults:
             return 0.0
-        return self.speed * self.faults.get("slow", 1.0) * min(1.0, self.cores / len(self.running))
+        share = min(1.0, self.options.cores / len(self.running))
+        return self.options.speed * self.faults.get("slow", 1.0) * share
 
     # Jobs.
 
-    def asked(self, wire: ExecutorConnection) -> None:
+    def on_request(self, connection: ExecutorConnection) -> None:
         """A request is whole: from now on it counts."""
         now, faults = self.clock(), self.faults
-        job_class = wire.headers.get(b"x-call-class", b"").decode()
-        visit = Visit(self.name, self.zone, wire.headers[b"x-call-id"].decode(), job_class, now)
+        job_class = connection.headers.get(b"x-call-class", b"").decode()
+        call_id = connection.headers[b"x-call-id"].decode()
+        visit = Visit(self.name, self.zone, call_id, job_class, now)
         self.visits.append(visit)
-        if self.dice.random() < faults.get("refuse", 0.0) or len(self.waiting) >= self.queue_bound:
+        refused = self.random.random() < faults.get("refuse", 0.0)
+        if refused or len(self.waiting) >= self.options.queue_limit:
             visit.outcome, visit.ended = "rejected", now
-            wire.transport.write(REJECT)
+            connection.reject()
             return
-        if self.dice.random() < faults.get("reset", 0.0):
-            after = float(self.dice.exponential(BREAK_S))
-            asyncio.get_running_loop().call_later(after, self._break, wire, visit)
-        wire.job = ExecutorRequest(visit, self.work(bytes(wire.body), job_class), wire)
+        if self.random.random() < faults.get("reset", 0.0):
+            after_s = float(self.random.exponential(RESET_MEAN_S))
+            asyncio.get_running_loop().call_later(after_s, self._reset, connection, visit)
+        connection.job = ExecutorJob(visit, float(connection.body), connection)  # clients send the work (us)
         if "hang" not in faults:  # one that hangs takes work and says nothing
-            self.waiting.append(wire.job)
+            self.waiting.append(connection.job)
             self._advance()
-            self._start()
+            self._start_waiting()
 
-    def abandoned(self, wire: ExecutorConnection) -> None:
-        """The node has closed: a box that honours it stops, any other goes on for nobody."""
-        job, wire.job = wire.job, None
-        if job is None or job.visit.ended is not None or not self.honours:
+    def on_abandoned(self, connection: ExecutorConnection) -> None:
+        """The node has closed: an executor that honours it stops, any other goes on for nobody."""
+        job, connection.job = connection.job, None
+        if job is None or job.visit.ended is not None or not self.options.honours_cancellation:
             return
-        self._advance()
-        self._take_out(job)
-        self._end(job, "stopped")
-        self._start()
+        self._drop(job, "stopped")
+        self._start_waiting()
 
-    def _break(self, wire: ExecutorConnection, visit: Visit) -> None:
+    def _reset(self, connection: ExecutorConnection, visit: Visit) -> None:
         """The connection breaks under its request, and the job dies with it."""
-        job = wire.job
+        job = connection.job
         if job is None or job.visit is not visit or visit.ended is not None:
             return
+        self._drop(job, "lost")
+        connection.job = None
+        connection.transport.abort()
+        self._start_waiting()
+
+    def _drop(self, job: ExecutorJob, outcome: str) -> None:
         self._advance()
-        self._take_out(job)
-        self._end(job, "lost")
-        wire.job = None
-        wire.transport.abort()
-        self._start()
-
-    def _take_out(self, job: ExecutorRequest) -> None:
-        for place in (self.running, self.waiting):
-            if job in place:
-                place.remove(job)
-
-    def _end(self, job: ExecutorRequest, outcome: str) -> None:
+        if job in self.running:
+            self.running.remove(job)
+        if job in self.waiting:
+            self.waiting.remove(job)
+        self._end(job, outcome)
+
+    def _end(self, job: ExecutorJob, outcome: str) -> None:
         visit = job.visit
         visit.ended, visit.outcome = self.clock(), outcome
         visit.slot_time = visit.ended - visit.began if visit.began is not None else 0
@@ -200,31 +151,31 @@
         """Count the work done since the last call."""
         now, rate = self.clock(), self._rate()
         for job in self.running:
-            job.left -= rate * (now - self._counted)
-        self._counted = now
+            job.remaining_us -= rate * (now - self._counted_at)
+        self._counted_at = now
 
-    def _start(self) -> None:
-        while self.waiting and len(self.running) < self.slots:
+    def _start_waiting(self) -> None:
+        while self.waiting and len(self.running) < self.options.slots:
             job = self.waiting.popleft()
             job.visit.began = self.clock()
             self.running.append(job)
-        self._plan()
+        self._schedule()
 
-    def _plan(self) -> None:
+    def _schedule(self) -> None:
+        """Set the timer to when the next job is done."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer, rate = None, self._rate()
         if rate > 0:
-            wait = max(0.0, min(job.left for job in self.running)) / rate
-            self._timer = asyncio.get_running_loop().call_later(wait / 1e6, self._due)
+            wait_us = max(0.0, min(job.remaining_us for job in self.running)) / rate
+            self._timer = asyncio.get_running_loop().call_later(wait_us / 1e6, self._on_due)
 
-    def _due(self) -> None:
+    def _on_due(self) -> None:
         self._advance()
-        for job in [job for job in self.running if job.left <= 1]:
+        for job in [job for job in self.running if job.remaining_us <= NEARLY_DONE_US]:
             self.running.remove(job)
             self._end(job, "done")
-            wire = job.wire
-            if wire.job is job and not wire.transport.is_closing():
-                wire.job = None
-                wire.done(job.visit)
-        self._start()
+            if job.awaited and not job.connection.transport.is_closing():
+                job.connection.job = None
+                job.connection.send_result(job.visit)
+        self._start_waiting()
--- a/cedarmill/lab/figures.py
+++ b/cedarmill/lab/figures.py
@@ -1,25 +1,64 @@
-"""The figures of one run, from its story."""
+"""The figures of one run, from its history."""
 
+from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from hdrh.histogram import HdrHistogram
+from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from cedarmill.lab.checker import check_history, late_starts
-from cedarmill.lab.history import History
+from cedarmill.lab.history import Call, History
+from cedarmill.lab.load import REFUSED, SERVED
 
 LONGEST_US = 60_000_000  # that the histogram can hold
 DIGITS = 3
 
 
-def latencies(story: History) -> HdrHistogram:
+class Outcomes(NamedTuple):
+    """How many calls ended in what; a call without an answer counts nowhere."""
+
+    served: int
+    refused: int
+    failed: int
+
+
+def count_outcomes(calls: Iterable[Call]) -> Outcomes:
+    """By the status of each call's first answer."""
+    statuses = [call.status for call in calls if call.answers]
+    served, refused = statuses.count(SERVED), sum(status in REFUSED for status in statuses)
+    return Outcomes(served, refused, len(statuses) - served - refused)
+
+
+def latencies(history: History) -> HdrHistogram:
     """Of what was served, in microseconds from when it was due: waiting to be sent counts."""
     histogram = HdrHistogram(1, LONGEST_US, DIGITS)
-    for call in story.calls:
-        if call.answers and call.answers[0].status == 200:
+    for call in history.calls:
+        if call.status == SERVED:
             histogram.record_value(max(1, call.answers[0].at - call.due))
     return histogram
 
 
+class SlotTime(NamedTuple):
+    """What executors held slots for (us)."""
+
+    spent: int
+    wasted: int  # after the client had left
+
+
+def slot_time(history: History) -> SlotTime:
+    """Over all attempts that got a slot; one that has not ended counts till the end of the run."""
+    left = history.leave_times()
+    spent = wasted = 0
+    for visit in history.visits:
+        if visit.began is None:
+            continue
+        end = visit.ended if visit.ended is not None else history.length
+        spent += max(0, end - visit.began)
+        if visit.id in left:
+            wasted += max(0, end - max(visit.began, left[visit.id]))
+    return SlotTime(spent, wasted)
+
+
 @dataclass(frozen=True, slots=True)
 class Figures:
     """What one run comes to. Times in seconds, shares from 0 to 1."""
@@ -32,31 +71,29 @@
     p50: float
     p99: float
     attempts: int
-    late_starts: int  # attempts that reached a box though the client had left (judge.late_starts)
-    slot_time: float  # that boxes spent on attempts
+    late_starts: int  # attempts that reached an executor though the client had left (checker.late_starts)
+    slot_time: float  # that executors spent on attempts
     for_nobody: float  # share of it, after the client left
     breaches: int
 
 
-def figures(story: History) -> Figures:
+def figures(history: History) -> Figures:
     """All of them."""
-    left = {call.id: call.left for call in story.calls if call.left is not None}
-    stayed = [call for call in story.calls if call.left is None]
-    statuses = [call.answers[0].status if call.answers else 0 for call in stayed]
-    served, refused = statuses.count(200), sum(status in (429, 503) for status in statuses)
-    spent = wasted = 0
-    for visit in story.visits:
-        if visit.began is None:
-            continue
-        end = visit.ended if visit.ended is not None else story.length
-        spent += max(0, end - visit.began)
-        if visit.id in left:
-            wasted += max(0, end - max(visit.began, left[visit.id]))
-    histogram, count = latencies(story), max(1, len(stayed))
-    failed = len(stayed) - served - refused
+    stayed = [call for call in history.calls if call.left is None]
+    outcomes, count = count_outcomes(stayed), max(1, len(stayed))
+    failed = len(stayed) - outcomes.served - outcomes.refused  # one without an answer too
+    histogram, held = latencies(history), slot_time(history)
     return Figures(
-        len(story.calls), len(left), served / count, refused / count, failed / count,
-        histogram.get_value_at_percentile(50) / 1e6, histogram.get_value_at_percentile(99) / 1e6,
-        len(story.visits), len(late_starts(story)), spent / 1e6, wasted / max(1, spent),
-        sum(map(len, check_history(story).values())),
-    )  # fmt: skip
+        calls=len(history.calls),
+        left=len(history.calls) - len(stayed),
+        served=outcomes.served / count,
+        refused=outcomes.refused / count,
+        failed=failed / count,
+        p50=histogram.get_value_at_percentile(50) / 1e6,
+        p99=histogram.get_value_at_percentile(99) / 1e6,
+        attempts=len(history.visits),
+        late_starts=len(late_starts(history)),
+        slot_time=held.spent / 1e6,
+        for_nobody=held.wasted / max(1, held.spent),
+        breaches=sum(map(len, check_history(history).values())),
+    )
--- a/cedarmill/lab/history.py
+++ b/cedarmill/lab/history.py
@@ -1,6 +1,7 @@
-"""What happened in a run, as every actor saw it: plain records for the judge, the tables and the plots.
+"""What happened in a run, as every actor saw it: plain records for the checker, the tables and the plots.
 
-Times are microseconds of one monotonic clock, counted from the run's start.
+Times are microseconds of one monotonic clock, counted from the run's start. The records are stored as JSON:
+a field that was renamed keeps its stored key.
 """
 
 from dataclasses import dataclass, field
@@ -32,6 +33,11 @@
     broken: bool = False  # its connection broke before the answer
     port: int = 0  # at which it was sent
 
+    @property
+    def status(self) -> int:
+        """Of its first answer; 0 where there is none."""
+        return self.answers[0].status if self.answers else 0
+
 
 class Visit(msgspec.Struct):
     """One attempt at an executor, from its last byte on."""
@@ -48,7 +54,7 @@
 
 
 class Drain(msgspec.Struct):
-    """Discovery has told of a drain at this time."""
+    """The time at which discovery told that an executor drains."""
 
     executor: str = msgspec.field(name="box")
     at: int
@@ -75,9 +81,13 @@
     calls: list[Call] = field(default_factory=list)
     visits: list[Visit] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
-    honours: bool = False  # whether the boxes honour cancellation
+    honours: bool = False  # whether the executors honour cancellation
     stops: bool = True  # whether the nodes were set to stop work for who has left
     nodes: int = 1
     kept_promise: bool = True  # whether the run itself went on time: its loop was never late by over 20 ms
     lag: int = 0  # the latest that the loop was
     log: list[str] = field(default_factory=list)  # the nodes' lines
+
+    def leave_times(self) -> dict[str, int]:
+        """When each client that went away did, by the call's id."""
+        return {call.id: call.left for call in self.calls if call.left is not None}
--- a/cedarmill/lab/load.py
+++ b/cedarmill/lab/load.py
@@ -5,15 +5,21 @@
 
 import asyncio
 import itertools
-from collections.abc import Callable
+from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
+from typing import Protocol, cast
 
 import httptools
 import numpy
 
+from cedarmill.lab.experiment import random_generator
 from cedarmill.lab.history import Answer, Call
+from cedarmill.lab.listener import LOOPBACK
 
 EXTRA_US = 300_000  # past its budget a client waits no longer: then it closes
+RETRY_MEAN_S = 0.1  # mean time until a client comes back by itself (exponential)
+REFUSED = (429, 503)  # statuses by which nothing has run
+SERVED = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,58 +37,120 @@
     repeats: bool = True  # whether it may come back after a break, when the job may have run
 
 
+@dataclass(frozen=True, slots=True)
+class LoadOptions:
+    """What all clients of a run do."""
+
+    habits: Sequence[Habits]
+    rate: float  # calls a second; arrivals are a Poisson process
+    leave_by: str = "close"  # or reset, or half: see `ClientConnection.leave`
+    trace: Sequence[int] = ()  # when calls are due (us), instead of the rate
+    reuse_connections: bool = True  # or each call on a connection of its own, node by node
+
+
+@dataclass(frozen=True, slots=True)
+class Attempt:
+    """One try of a client at its job."""
+
+    job: int
+    due: int
+    habits: Habits
+    work: float  # us at speed 1
+    tries: int = 0  # before this one
+    leaves_after: int | None = None  # us; None: it stays
+
+    def again(self, due: int) -> "Attempt":
+        """The next try."""
+        return Attempt(self.job, due, self.habits, self.work, self.tries + 1, self.leaves_after)
+
+
+class ConnectionOwner(Protocol):
+    """What a client's connection tells what has become of its call."""
+
+    clock: Callable[[], int]
+    idle: "set[ClientConnection]"
+    stray: list[Answer]
+
+    def call_ended(self, call: Call, retry_after: float | None) -> None:
+        """A call has its answer or its break; `retry_after` in seconds, where the answer says so."""
+
+
 class ClientConnection(asyncio.Protocol):
     """One connection of the clients: one call at a time."""
 
-    def __init__(self, load: "Load") -> None:
-        self.load = load
-        self.transport: asyncio.Transport | None = None
-        self.parser = httptools.HttpResponseParser(self)
+    transport: asyncio.Transport
+
+    def __init__(self, owner: ConnectionOwner) -> None:
+        self.owner = owner
+        self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.call: Call | None = None
-        self.headers, self.body = {}, bytearray()
+        self.headers: dict[bytes, bytes] = {}
+        self.body = bytearray()
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Asyncio: there is a connection."""
+        self.transport = cast(asyncio.Transport, transport)
 
-    def connection_lost(self, error) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
+        """Asyncio: the connection has ended; a call that waits on it is broken."""
         call, self.call = self.call, None
-        self.load.idle.discard(self)
+        self.owner.idle.discard(self)
         if call is not None:
             call.broken = True
-            self.load.call_ended(call, None)
+            self.owner.call_ended(call, None)
         self.parser = None
 
     def data_received(self, data: bytes) -> None:
-        self.parser.feed_data(data)
+        """Asyncio: bytes have come in."""
+        if self.parser is not None:
+            self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
+        """httptools: an answer begins."""
         self.headers, self.body = {}, bytearray()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """httptools: a header."""
         self.headers[name.lower()] = value
 
     def on_body(self, data: bytes) -> None:
+        """httptools: a piece of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
+        """httptools: an answer is whole."""
+        assert self.parser is not None
         call, self.call = self.call, None
         keep = self.parser.should_keep_alive()
         status = self.parser.get_status_code()
-        answer = Answer(self.load.clock(), status, self.body.decode("utf-8", "replace"))
+        answer = Answer(self.owner.clock(), status, self.body.decode("utf-8", "replace"))
         if call is None:  # a second answer, or one that nobody asked for
-            self.load.stray.append(answer)
+            self.owner.stray.append(answer)
         if keep:
-            self.load.idle.add(self)
+            self.owner.idle.add(self)
         else:
             self.transport.close()
         if call is not None:
             call.answers.append(answer)
-            self.load.call_ended(call, float(self.headers.get(b"retry-after", 0)))
+            self.owner.call_ended(call, float(self.headers.get(b"retry-after", 0)))
+
+    def send(self, call: Call, work_us: float) -> None:
+        """Send a call; its body names the work."""
+        self.call = call
+        body = b"%d" % int(work_us)
+        head = (
+            f"POST /api/{call.job:x} HTTP/1.1\r\nHost: lab\r\nX-Call-Id: {call.id}\r\n"
+            f"X-Call-Class: {call.job_class}\r\nX-Caller: lab\r\nX-Budget-Ms: {call.budget // 1000}\r\n"
+            f"X-Call-Cost: {int(work_us)}\r\nIdempotency-Key: {call.job:032x}\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n"
+        )
+        self.transport.write(head.encode() + body)
 
     def leave(self, how: str) -> None:
         """Go away: `close`, `reset`, or `half` (end the sending only)."""
         call, self.call = self.call, None
-        call.left = self.load.clock()
+        if call is not None:
+            call.left = self.owner.clock()
         if how == "half":
             self.transport.write_eof()
         else:
@@ -92,22 +160,25 @@
 class Load:
     """All clients of a run, spread over the first nodes."""
 
-    def __init__(self, clock: Callable[[], int], seeds: numpy.random.SeedSequence, habits: tuple[Habits, ...],
-                 rate: float, ports: Callable[[], list[int]], leave_by: str,
-                 trace: tuple[int, ...] = ()) -> None:  # fmt: skip
-        self.clock, self.habits, self.rate, self.ports, self.leave_by = clock, habits, rate, ports, leave_by
-        streams = [numpy.random.Generator(numpy.random.PCG64(seed)) for seed in seeds.spawn(3)]
-        self.arrivals, self.traits, self.waits = streams  # apart: one more draw here moves none there
+    def __init__(
+        self,
+        options: LoadOptions,
+        clock: Callable[[], int],
+        seed: numpy.random.SeedSequence,
+        ports: Callable[[], list[int]],
+    ) -> None:
+        self.options, self.clock, self.ports = options, clock, ports
+        self._arrivals, self._traits, self._waits = map(random_generator, seed.spawn(3))
         self.calls: list[Call] = []
-        self.stray: list[Answer] = []
+        self.stray: list[Answer] = []  # that nobody waited for
         self.idle: set[ClientConnection] = set()
-        self.open = 0
+        self.open = 0  # calls that have not ended
         self.until = 0
         self._jobs, self._ids, self._turns = itertools.count(1), itertools.count(1), itertools.count()
-        self._plans: dict[int, tuple[Habits, float, int, int | None]] = {}
-        self._next = 0.0
-        self._trace = iter(trace) if trace else None
-        self._tasks: set[asyncio.Task] = set()
+        self._attempts: dict[str, Attempt] = {}  # by the id of an open call
+        self._next_due = 0.0
+        self._trace: Iterator[int] | None = iter(options.trace) if options.trace else None
+        self._tasks: set[asyncio.Task[tuple[asyncio.Transport, ClientConnection]]] = set()
 
     def start(self, until: int) -> None:
         """Let arrivals come until that time."""
@@ -116,47 +187,55 @@
 
     def _schedule(self) -> None:
         if self._trace is not None:
-            self._next = next(self._trace, self.until)
+            self._next_due = next(self._trace, self.until)
         else:
-            self._next += self.arrivals.exponential(1e6 / self.rate)
-        if self._next < self.until:
-            wait = max(0.0, self._next - self.clock()) / 1e6
-            asyncio.get_running_loop().call_later(wait, self._arrive, int(self._next))
+            self._next_due += self._arrivals.exponential(1e6 / self.options.rate)
+        if self._next_due < self.until:
+            wait_s = max(0.0, self._next_due - self.clock()) / 1e6
+            asyncio.get_running_loop().call_later(wait_s, self._arrive, int(self._next_due))
 
     def _arrive(self, due: int) -> None:
         self._schedule()
-        habits = self.habits[int(self.traits.choice(len(self.habits), p=[h.part for h in self.habits]))]
+        parts = [habits.part for habits in self.options.habits]
+        habits = self.options.habits[int(self._traits.choice(len(parts), p=parts))]
         sigma = habits.spread
-        work = float(self.traits.lognormal(numpy.log(habits.work) - sigma**2 / 2, sigma))
-        goes, after = self.traits.random() < habits.leave, int(self.traits.exponential(habits.patience))
-        self._try(next(self._jobs), due, habits, work, 0, after if goes else None)
-
-    def _try(self, job: int, due: int, habits: Habits, work: float, tries: int, leaves: int | None) -> None:
-        call = Call(f"{next(self._ids):016x}", habits.job_class, job, due, budget=habits.budget)
-        self._plans[id(call)] = habits, work, tries, leaves
+        work = float(self._traits.lognormal(numpy.log(habits.work) - sigma**2 / 2, sigma))
+        leaves, after = self._traits.random() < habits.leave, int(self._traits.exponential(habits.patience))
+        self._try(Attempt(next(self._jobs), due, habits, work, leaves_after=after if leaves else None))
+
+    def _try(self, attempt: Attempt) -> None:
+        habits = attempt.habits
+        call = Call(
+            f"{next(self._ids):016x}", habits.job_class, attempt.job, attempt.due, budget=habits.budget
+        )
+        self._attempts[call.id] = attempt
         self.calls.append(call)
         self.open += 1
-        wire = self._idle()
-        if wire is not None:
-            self._send(wire, call)
+        connection = self._idle_connection()
+        if connection is not None:
+            self._send(connection, call)
             return
         ports = self.ports()
-        port = call.port = ports[next(self._turns) % len(ports)]
+        call.port = ports[next(self._turns) % len(ports)]
         opening = asyncio.get_running_loop().create_connection(
-            lambda: ClientConnection(self), "127.0.0.1", port
+            lambda: ClientConnection(self), LOOPBACK, call.port
         )
         task = asyncio.ensure_future(opening)  # the connection's, whatever it will carry
         self._tasks.add(task)
-        task.add_done_callback(lambda done: self._opened(done, call))
+        task.add_done_callback(lambda done: self._on_opened(done, call))
 
-    def _idle(self) -> "ClientConnection | None":
+    def _idle_connection(self) -> ClientConnection | None:
         while self.idle:
-            wire = self.idle.pop()
-            if not wire.transport.is_closing():
-                return wire
+            connection = self.idle.pop()
+            if not self.options.reuse_connections:  # one that has just started gets its part at once
+                connection.transport.close()
+            elif not connection.transport.is_closing():
+                return connection
         return None
 
-    def _opened(self, task: asyncio.Task, call: Call) -> None:
+    def _on_opened(
+        self, task: "asyncio.Task[tuple[asyncio.Transport, ClientConnection]]", call: Call
+    ) -> None:
         self._tasks.discard(task)
         failed = task.cancelled() or task.exception() is not None
         if failed or task.result()[0].is_closing():  # it may be lost before this is called
@@ -165,35 +244,36 @@
             return
         self._send(task.result()[1], call)
 
-    def _send(self, wire: "ClientConnection", call: Call) -> None:
-        habits, work, _, leaves = self._plans[id(call)]
-        wire.call, call.sent = call, self.clock()
-        body = b"%d" % int(work)
-        wire.transport.write(
-            b"POST /api/%x HTTP/1.1\r\nHost: lab\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Caller: lab\r\n"
-            b"X-Budget-Ms: %d\r\nX-Call-Cost: %d\r\nIdempotency-Key: %032x\r\nContent-Length: %d\r\n\r\n%s"
-            % (call.job, call.id.encode(), call.job_class.encode(), habits.budget // 1000, int(work),
-               call.job, len(body), body))  # fmt: skip
-        wait = habits.budget + EXTRA_US if leaves is None else leaves
-        asyncio.get_running_loop().call_later(wait / 1e6, self._go, wire, call)
-
-    def _go(self, wire: "ClientConnection", call: Call) -> None:
-        if wire.call is call and not wire.transport.is_closing():
-            wire.leave(self.leave_by)
-            self._ended(call)
-
-    def _ended(self, call: Call) -> None:
+    def _send(self, connection: ClientConnection, call: Call) -> None:
+        attempt = self._attempts[call.id]
+        call.sent = self.clock()
+        connection.send(call, attempt.work)
+        stays = attempt.leaves_after is None
+        wait_us = attempt.habits.budget + EXTRA_US if stays else attempt.leaves_after or 0
+        asyncio.get_running_loop().call_later(wait_us / 1e6, self._leave, connection, call)
+
+    def _leave(self, connection: ClientConnection, call: Call) -> None:
+        if connection.call is call and not connection.transport.is_closing():
+            connection.leave(self.options.leave_by)
+            self._forget(call)
+
+    def _forget(self, call: Call) -> None:
         self.open -= 1
-        self._plans.pop(id(call), None)
+        self._attempts.pop(call.id, None)
 
     def call_ended(self, call: Call, retry_after: float | None) -> None:
         """A try has its answer or its break; the client may come back, as it was told to."""
-        habits, work, tries, leaves = self._plans[id(call)]
-        self._ended(call)
-        refused = bool(call.answers) and call.answers[-1].status in (429, 503)
-        if (refused or (call.broken and habits.repeats)) and tries < habits.retries:
-            wait = max(retry_after or 0.0, float(self.waits.exponential(0.1)))
-            due = self.clock() + int(wait * 1e6)
+        attempt = self._attempts[call.id]
+        habits = attempt.habits
+        self._forget(call)
+        refused = bool(call.answers) and call.answers[-1].status in REFUSED
+        if (refused or (call.broken and habits.repeats)) and attempt.tries < habits.retries:
+            wait_s = max(retry_after or 0.0, float(self._waits.exponential(RETRY_MEAN_S)))
+            due = self.clock() + int(wait_s * 1e6)
             if due < self.until:
-                again = call.job, due, habits, work, tries + 1, leaves
-                asyncio.get_running_loop().call_later(wait, self._try, *again)
+                asyncio.get_running_loop().call_later(wait_s, self._try, attempt.again(due))
+
+
+def last_answer_due(length: int, habits: Sequence[Habits], rest: int) -> int:
+    """When a run of that length may end at the latest: after the longest budget and a rest (all us)."""
+    return length + max(one.budget for one in habits) + rest
--- a/cedarmill/lab/scenario.py
+++ b/cedarmill/lab/scenario.py
@@ -2,19 +2,23 @@
 
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any, NamedTuple
 
-from lxml import etree
+from lxml import etree  # type: ignore[import-untyped]
 
 from cedarmill.conf.document import ConfError, load, microseconds, share
 from cedarmill.lab.history import ClassRules
 from cedarmill.lab.load import Habits
 
 SHIPPED = Path(__file__).parent / "scenarios"
+PARTS_TOLERANCE = 1e-9  # by which the parts of the classes may differ from 1
+
+Element = Any  # of lxml, which brings no types
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutorPool:
-    """The boxes: their speeds are drawn evenly between two bounds (1: the yardstick)."""
+    """The executors: their speeds are drawn evenly between two bounds (1: the yardstick)."""
 
     executors: int
     zones: int
@@ -27,20 +31,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault on the timeline; `every` 0: once. `boxes` is a share of the fleet, `size` its strength."""
+    """A fault on the timeline; `every` 0: once. `executors` is a share of the pool, `size` its strength."""
 
     kind: str
     at: int
     lasts: int
     every: int
-    boxes: float
+    executors: float
     node: int
     size: float
 
 
 @dataclass(frozen=True, slots=True)
 class Side:
-    """One of the things compared: our settings for the nodes, and whether boxes honour cancellation."""
+    """One of the things compared: our settings for the nodes, and whether executors honour cancellation."""
 
     name: str
     honours: bool
@@ -66,6 +70,14 @@
     sides: tuple[Side, ...]
 
 
+class RequestClasses(NamedTuple):
+    """What a scenario says of its classes of requests, by name."""
+
+    habits: tuple[Habits, ...]
+    rules: dict[str, ClassRules]
+    priority_weights: dict[str, float]
+
+
 def shipped(folder: Path = SHIPPED) -> list[str]:
     """The names of the scenarios that the package ships."""
     return sorted(path.stem for path in folder.glob("*.xml"))
@@ -85,35 +97,73 @@
     """A shipped scenario by its name, or a file by its path; raises ConfError or OSError."""
     path = locate(name)
     root = load(path, "scenario")
-    classes = root.findall("load/class")
-    parts = [share(element.get("part")) for element in classes]
-    if abs(sum(parts) - 1) > 1e-9:
-        raise ConfError(f"{path}:{classes[0].sourceline}: <class> part: the parts add up to {sum(parts):.0%}")
-    sides = tuple(map(_side, root.findall("side")))
-    if len({side.name for side in sides}) < len(sides):
-        raise ConfError(f"{path}:{root.find('side').sourceline}: <side> name: one is named twice")
+    _check_parts(path, root)
     chain = root.find("chain")
     nodes = int(chain.get("nodes")) if chain is not None else 1
-    faults = tuple(map(_fault, root.findall("fault")))
-    for element, fault in zip(root.findall("fault"), faults, strict=True):
-        if fault.kind == "kill-node" and fault.node >= nodes:
-            raise ConfError(f"{path}:{element.sourceline}: <fault> node: there are {nodes}, counted from 0")
     clients = root.find("load")
     return Scenario(
-        path.stem, root.get("about"), microseconds(root.get("length")), _fleet(root.find("fleet")), nodes,
-        float(clients.get("rate")), _trace(path, clients), clients.get("leave-by"),
-        tuple(map(class_habits, classes)), {element.get("name"): class_rules(element) for element in classes},
-        {element.get("name"): float(element.get("worth")) for element in classes}, faults, sides,
-    )  # fmt: skip
+        path.stem,
+        root.get("about"),
+        microseconds(root.get("length")),
+        _pool(root.find("fleet")),
+        nodes,
+        float(clients.get("rate")),
+        _trace(path, clients),
+        clients.get("leave-by"),
+        *request_classes(root),
+        _faults(path, root, nodes),
+        _sides(path, root),
+    )
+
+
+def request_classes(root: Element) -> RequestClasses:
+    """The `<class>` elements of a scenario."""
+    elements = root.findall("load/class")
+    return RequestClasses(
+        tuple(map(_habits, elements)),
+        {element.get("name"): _rules(element) for element in elements},
+        {element.get("name"): float(element.get("worth")) for element in elements},
+    )
+
+
+def _habits(element: Element) -> Habits:
+    """What the clients of a `<class>` do."""
+    get = element.get
+    return Habits(
+        get("name"),
+        share(get("part")),
+        microseconds(get("budget")),
+        microseconds(get("work")),
+        float(get("spread")),
+        share(get("leave")),
+        microseconds(get("patience")),
+        int(get("retries")),
+        get("effect") != "unsafe",
+    )
+
+
+def _rules(element: Element) -> ClassRules:
+    """What may be repeated of a `<class>`."""
+    return ClassRules(element.get("effect"), "zone", microseconds(element.get("window", "0s")))
+
+
+def _check_parts(path: Path, root: Element) -> None:
+    classes = root.findall("load/class")
+    whole = sum(share(element.get("part")) for element in classes)
+    if abs(whole - 1) > PARTS_TOLERANCE:
+        raise ConfError(f"{path}:{classes[0].sourceline}: <class> part: the parts add up to {whole:.0%}")
 
 
-def _fleet(element: etree._Element) -> ExecutorPool:
-    counts = [int(element.get(name)) for name in ("boxes", "zones", "cores", "slots", "queue")]
-    return ExecutorPool(*counts, float(element.get("slowest")), float(element.get("fastest")))
+def _pool(element: Element) -> ExecutorPool:
+    executors, zones, cores, slots, queue = (
+        int(element.get(name)) for name in ("boxes", "zones", "cores", "slots", "queue")
+    )
+    slowest, fastest = float(element.get("slowest")), float(element.get("fastest"))
+    return ExecutorPool(executors, zones, cores, slots, queue, slowest, fastest)
 
 
-def _trace(path: Path, element: etree._Element) -> tuple[int, ...]:
-    """The times of a trace: a file beside the scenario with one duration a line, in order."""
+def _trace(path: Path, element: Element) -> tuple[int, ...]:
+    """The times of a trace: a file next to the scenario with one duration a line, in order."""
     if (name := element.get("trace")) is None:
         return ()
     times: list[int] = []
@@ -128,27 +178,37 @@
     return tuple(times)
 
 
-def class_habits(element: etree._Element) -> Habits:
-    """What the clients of a `<class>` do."""
-    get = element.get
-    return Habits(get("name"), share(get("part")), microseconds(get("budget")), microseconds(get("work")),
-                  float(get("spread")), share(get("leave")), microseconds(get("patience")),
-                  int(get("retries")), get("effect") != "unsafe")  # fmt: skip
-
-
-def class_rules(element: etree._Element) -> ClassRules:
-    """What may be repeated of a `<class>`."""
-    return ClassRules(element.get("effect"), "zone", microseconds(element.get("window", "0s")))
+def _faults(path: Path, root: Element, nodes: int) -> tuple[Fault, ...]:
+    faults = []
+    for element in root.findall("fault"):
+        fault = _fault(element)
+        if fault.kind == "kill-node" and fault.node >= nodes:
+            raise ConfError(f"{path}:{element.sourceline}: <fault> node: there are {nodes}, counted from 0")
+        faults.append(fault)
+    return tuple(faults)
 
 
-def _fault(element: etree._Element) -> Fault:
+def _fault(element: Element) -> Fault:
     get = element.get
-    return Fault(get("kind"), microseconds(get("at")), microseconds(get("for", "0s")),
-                 microseconds(get("every", "0s")), share(get("boxes", "100%")), int(get("node", "0")),
-                 share(get("size", "100%")))  # fmt: skip
+    return Fault(
+        get("kind"),
+        microseconds(get("at")),
+        microseconds(get("for", "0s")),
+        microseconds(get("every", "0s")),
+        share(get("boxes", "100%")),
+        int(get("node", "0")),
+        share(get("size", "100%")),
+    )
+
+
+def _sides(path: Path, root: Element) -> tuple[Side, ...]:
+    sides = tuple(map(_side, root.findall("side")))
+    if len({side.name for side in sides}) < len(sides):
+        raise ConfError(f"{path}:{root.find('side').sourceline}: <side> name: one is named twice")
+    return sides
 
 
-def _side(element: etree._Element) -> Side:
+def _side(element: Element) -> Side:
     settings = element.find("cedarmill")
     text = etree.tostring(settings, with_tail=False) if settings is not None else b""
     return Side(element.get("name"), element.get("honours") == "on", text)
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -339,7 +339,7 @@
         return calm, crowd, seen
 
     async def ask(self, run: Run, load, number: int, work: int) -> ClientConnection:
-        port = run.nodes[0].port.result()
+        port = run.nodes[0].port
         _, wire = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(load), "127.0.0.1", port
         )
