--- a/cedarmill/lab/cluster/run.py
+++ b/cedarmill/lab/cluster/run.py
@@ -175,7 +175,7 @@
             self._call_history(),
             slow_start_us=int(WARM_UP_S * 1e6) if agreed else 0,
             detection_us=DETECTION_US,
-            residency=scenario.stays if agreed and scenario.layout.regions else {},
+            residency=scenario.residency if agreed and scenario.layout.regions else {},
             entry_zones=self.processes.entry_zones,
             executor_spending=sorted((spent.at, spent.budget) for spent in self.spending),
             budgets=scenario.budgets,
--- a/cedarmill/lab/cluster/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -67,10 +67,10 @@
     rate: float
     habits: tuple[Habits, ...]
     rules: dict[str, ClassRules]
-    worths: dict[str, float]
+    priority_weights: dict[str, float]
     limits: tuple[LimitOptions, ...]
     timeline: tuple[ScenarioEvent, ...]
-    stays: dict[str, str] = field(default_factory=dict)  # classes that may not leave their zone or region
+    residency: dict[str, str] = field(default_factory=dict)  # classes that may not leave their zone or region
     budgets: tuple[tuple[str, int, int], ...] = ()  # name, rate (thousandths/s), nodes with a floor
 
 
--- a/cedarmill/lab/cluster/settings_files.py
+++ b/cedarmill/lab/cluster/settings_files.py
@@ -65,7 +65,7 @@
 
 def node_settings(access: ClusterAccess, scenario: ClusterScenario) -> str:
     """A node's cedarmill.xml with its membership of the cluster."""
-    residency = scenario.stays if scenario.layout.regions else {}
+    residency = scenario.residency if scenario.layout.regions else {}
     stays = [f'<stay class="{job_class}" within="{within}"/>' for job_class, within in residency.items()]
     return f'<cedarmill version="1">{_membership(access, *stays)}</cedarmill>'
 
--- a/cedarmill/lab/node_settings.py
+++ b/cedarmill/lab/node_settings.py
@@ -32,7 +32,7 @@
         """What may be repeated, by class."""
 
     @property
-    def worths(self) -> dict[str, float]:
+    def priority_weights(self) -> dict[str, float]:
         """The priority weight of each class."""
 
 
@@ -107,7 +107,7 @@
     rules = source.rules[habits.job_class]
     return {
         "name": habits.job_class,
-        "value": source.worths[habits.job_class],
+        "value": source.priority_weights[habits.job_class],
         "aim": habits.budget // 4,
         "hard_limit": habits.budget,
         "repeat_window": rules.window,
--- a/cedarmill/lab/scenario.py
+++ b/cedarmill/lab/scenario.py
@@ -65,7 +65,7 @@
     leave_by: str
     habits: tuple[Habits, ...]
     rules: dict[str, ClassRules]
-    worths: dict[str, float]
+    priority_weights: dict[str, float]
     faults: tuple[Fault, ...]
     sides: tuple[Side, ...]
 
