--- a/cedarmill/lab/cluster/disks.py
+++ b/cedarmill/lab/cluster/disks.py
@@ -79,7 +79,7 @@
     from cedarmill.conf import cluster
     from cedarmill.net.cluster import replica
 
-    options = cluster.keeper(settings)
+    options = cluster.read_replica_settings(settings)
     FaultyFile.control = Path(control)
     return replica.main(options, "json", FaultyDirectory(options.data))
 
--- a/cedarmill/lab/cluster/mutants/drains.py
+++ b/cedarmill/lab/cluster/mutants/drains.py
@@ -7,7 +7,7 @@
 from cedarmill.cluster.state_machine import dispatch, drains
 from cedarmill.cluster.state_machine.commands import ConfirmDrained, ExpireSessions
 from cedarmill.lab.cluster.mutants.patches import Patch
-from cedarmill.lab.simulation.cluster import SimulatedNode
+from cedarmill.lab.simulation.node import SimulatedNode
 
 
 def drained_before_the_last_ack() -> list[Patch]:
--- a/cedarmill/lab/cluster/mutants/replicated_log.py
+++ b/cedarmill/lab/cluster/mutants/replicated_log.py
@@ -18,8 +18,8 @@
 from cedarmill.cluster.raft.replication import Replicator
 from cedarmill.cluster.raft.state import NodeState
 from cedarmill.lab.cluster.mutants.patches import Patch
-from cedarmill.lab.simulation.cluster import Disk
-from cedarmill.lab.simulation.raft_log import Node
+from cedarmill.lab.simulation.disk import Disk
+from cedarmill.lab.simulation.raft_log_replica import LogReplica
 
 
 def stale_leader_grants() -> list[Patch]:
@@ -101,10 +101,10 @@
             if self.port.sync() and last >= 0:
                 self.pending += self.keeper.on_synced(now, last)
 
-    def promise(self: Node, action: SendMessage) -> None:
-        self.run.send(self.name, action)
+    def send_after_sync(self: LogReplica, action: SendMessage) -> None:
+        self.send_now(action)
 
-    return [(Host, "flush", flush), (Node, "promise", promise)]
+    return [(Host, "flush", flush), (LogReplica, "send_after_sync", send_after_sync)]
 
 
 def reads_without_a_majority() -> list[Patch]:
--- a/cedarmill/lab/cluster/process_logs.py
+++ b/cedarmill/lab/cluster/process_logs.py
@@ -7,7 +7,7 @@
 from cedarmill.lab.cluster.history import EventHistory
 
 LogEvent = dict[str, Any]  # one line of a JSON log
-PLAN_TEXT = "fleet: plan of epoch "  # in a node's log, before an epoch and the words on the plan
+PLAN_TEXT = "cluster: plan of epoch "  # in a node's log, before an epoch and the words on the plan
 
 
 class ProcessLogs:
@@ -45,13 +45,13 @@
             self.history.tell(incarnation, "follows", zone, epoch=int(epoch), note=note)
 
     def _on_role(self, name: str, event: LogEvent) -> None:
-        if event["part"] == "leader":
+        if event["role"] == "leader":
             self.leader = name
             self.history.tell(name, "leads", epoch=event["term"])
 
     def _on_acts(self, name: str, event: LogEvent) -> None:
         self._orders[event["unit"]] = event["epoch"]
-        self.history.tell(name, "acts", event["unit"], epoch=event["epoch"], number=event["left"])
+        self.history.tell(name, "acts", event["unit"], epoch=event["epoch"], number=event["lease_left_s"])
 
     def _on_starts(self, name: str, event: LogEvent) -> None:
         if epoch := self._orders.pop(event["unit"], 0):
--- a/cedarmill/lab/cluster/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from cedarmill.conf.cluster import budget, limit
+from cedarmill.conf.cluster import read_budget, read_limit
 from cedarmill.conf.document import ConfError, load, microseconds
 from cedarmill.lab import scenario as single
 from cedarmill.lab.history import ClassRules
@@ -90,10 +90,10 @@
         _layout(root.find("fleet")),
         float(root.find("load").get("rate")),
         *request_classes(root),
-        tuple(limit(path, element) for element in root.findall("limit")),
+        tuple(read_limit(path, element) for element in root.findall("limit")),
         tuple(_event(path, element) for element in root if element.tag in _NEEDED_ATTRIBUTES),
         {element.get("class"): element.get("within") for element in root.findall("stay")},
-        tuple(map(budget, root.findall("budget"))),
+        tuple(map(read_budget, root.findall("budget"))),
     )
 
 
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -1,5 +1,6 @@
 """The node: wires brain, dispatch and sockets, starts them, and ends them on a signal."""
 
+import functools
 import gc
 import os
 import resource
@@ -12,7 +13,7 @@
 from cedarmill import log
 from cedarmill.admin.resource_split import ConnectionCounts, NodeLimits, split_limits
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.core.timers import Timers
+from cedarmill.core.timers import Timer, Timers
 from cedarmill.deadlines.propagation import DeadlineTracker
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.log import log_event
@@ -40,6 +41,8 @@
 KILL_MARGIN_US = 170_000  # between the last answers and the kill: the node may be held up for 0.15 s
 ANSWER_ALL_US = 10_000  # after the last answers are due: for requests that were promised more time
 CHECK_END_US = 10_000
+RELOAD_AGAIN_US = 100_000  # till a configuration file that could not be read is read again
+RELOAD_FOR_US = 30_000_000  # then that takes another signal
 SPENT = (
     "{job_class} {cause}: {attempts} attempts, {before:.2f} s before, {after:.2f} s after, "
     "{guessed:.2f} s guessed"
@@ -60,47 +63,48 @@
         sockets = min(config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         health = options.health
         own = OWN_DESCRIPTORS + (door.DESCRIPTORS if config.mgmt else 0)
-        own += FLEET_DESCRIPTORS if options.fleet is not None else 0
+        own += FLEET_DESCRIPTORS if options.cluster is not None else 0
         own += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
         self.limits = NodeLimits(sockets, own, config.limits.memory_mb, OWN_MEMORY_MB, SESSION_MB)
         room = split_limits(self.limits, [])
         self.deadline_tracker = DeadlineTracker(options.deadlines, len(settings.classes))
         self.clients = ClientServer(self.driver, settings, room.sessions, options.deadlines)
-        self.backends = UpstreamPools(self.driver, settings, room.connections, options)
+        self.pools = UpstreamPools(self.driver, settings, room.connections, options)
         self.discovery = DiscoveryClient(
-            self.driver, settings, config.discovery, self.backends, Random(config.seed)
+            self.driver, settings, config.discovery, self.pools, Random(config.seed)
         )
         brain = Balancer(settings, config.seed)
-        self.dispatch = Dispatch(brain, self.timers, self.backends, self.discovery, self.deadline_tracker)
+        self.dispatch = Dispatch(brain, self.timers, self.pools, self.discovery, self.deadline_tracker)
         self.beside = SiblingProcess(self.driver, self.discovery, config.name, self._holds, self._share)
-        for adapter in (self.clients, self.backends, self.discovery, self.beside):
+        for adapter in (self.clients, self.pools, self.discovery, self.beside):
             adapter.dispatch = self.dispatch
         self.draining = False
         self.term_at = 0  # when SIGTERM came
+        self.reload_again: Timer | None = None  # while a configuration file waits to be read once more
         self.checkers: list = []
         self.hands = AdminHandlers(
             self.driver, self.clients, self.discovery, config.name, lambda: self.draining
         )
-        self.door = door.AdminServer(self.driver, self.hands.obey)
+        self.door = door.AdminServer(self.driver, self.hands.carry_out)
         self.inherited = inherited_socket()
         self.keeper = WarmStateSaver(self.driver, brain, self.discovery, config.name, lambda: self.draining)
-        self.fleet = self._fleet() if options.fleet is not None else None
+        self.fleet = self._fleet() if options.cluster is not None else None
 
     def _fleet(self):
         """The node's part in the fleet; the platform's run has none, and loads nothing of it."""
         from cedarmill.net.cluster.node_role import NodeRole
 
         return NodeRole(
-            self.driver, self.config, self.options.fleet, self.clients, self.discovery, self.hands
+            self.driver, self.config, self.options.cluster, self.clients, self.discovery, self.hands
         )
 
     def _holds(self) -> ConnectionCounts:
         """What counts against the node's limits, for its other processes."""
-        return ConnectionCounts(len(self.clients.sessions), self.backends.connections)
+        return ConnectionCounts(len(self.clients.sessions), self.pools.connections)
 
     def _share(self, others: list[ConnectionCounts]) -> None:
         """The node's other processes hold so much: take what they leave."""
-        self.clients.bound, self.backends.bound = split_limits(self.limits, others)
+        self.clients.bound, self.pools.bound = split_limits(self.limits, others)
 
     def _listen_for_checkers(self) -> None:
         """The listeners of other installations; raises OSError."""
@@ -112,9 +116,9 @@
         told = health.NodeHealth(self.config.name, self.clients)
         listeners = {}
         if options.agent:
-            listeners["agent"] = health.Listener(self.driver, told, health.AgentSession)
+            listeners["agent"] = health.HealthListener(self.driver, told, health.AgentSession)
         if options.http:
-            listeners["http"] = health.Listener(self.driver, told, health.HttpSession)
+            listeners["http"] = health.HealthListener(self.driver, told, health.HttpSession)
         if options.grpc:
             from cedarmill.net.health.grpc import GrpcListener
 
@@ -184,19 +188,35 @@
             log_event("wasted-work", summary=summary or "nothing", rows=rows)
 
     def _reload(self) -> None:
-        """Take up a new configuration; one that cannot be used changes nothing."""
+        """A signal asks for the new configuration."""
+        now = self.driver.now()
+        self.timers.cancel(self.reload_again)
+        self._read_configuration(now, until=now + RELOAD_FOR_US)
+        self.driver.end()
+
+    def _read_configuration(self, now: int, until: int) -> None:
+        """Take up a new configuration; one that cannot be used changes nothing.
+
+        A file that cannot be read (no descriptor, memory or disk just then) is read again soon: the signal
+        comes once, and where discovery is counts from then on.
+        """
         if self.draining:
             return
         try:
             config = Config.load(self.path)
-        except (ConfigError, OSError) as error:
+        except ConfigError as error:
             log_event("reload-failed", reason=error)
             return
+        except OSError as error:
+            log_event("reload-failed", reason=error)
+            if now < until:
+                again = functools.partial(self._read_configuration, until=until)
+                self.reload_again = self.timers.add(now + RELOAD_AGAIN_US, again)
+            return
         if fixed := self.config.fixed_changes(config):
             log_event("reload-ignored", names=", ".join(fixed))
         log_event("reloaded", host=config.discovery.host, port=config.discovery.port)
         self.discovery.move(config.discovery)
-        self.driver.end()
 
     def _drain(self) -> None:
         if self.draining:
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -14,7 +14,7 @@
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.net import test_upgrade
 from tests.support.faulty_node_case import FaultyNodeCase
-from tests.support.node_case import WAIT, call_admin_api
+from tests.support.node_case import WAIT, StandInServer, call_admin_api
 from tests.support.system_call_faults import Fault
 
 STEPS_S = {"an_hour_back": -3600, "5_s_back": -5, "5_s_ahead": 5, "an_hour_ahead": 3600}
@@ -178,7 +178,7 @@
     def counted_so_far(self) -> None:
         """Neither process's log has said up to now that it is alone."""
         self.assertEqual(call_admin_api(self.admin_port(), "PUT", "/api/exclude/s-0")[0], 200)
-        lines = [*self.told(self.old, "kept file: s-0"), *self.told(self.process, "out by hand")]
+        lines = [*self.told(self.old, "state file: s-0"), *self.told(self.process, "excluded by hand")]
         self.assertNotIn("that live: 0", "".join(lines))
         self.assertTrue(all(Path(file.path).exists() for file in self.files))
 
@@ -248,6 +248,62 @@
         self.told_after(Fault("outgoing.abort", "EBADF"))
 
 
+class Reload(FaultyNodeCase):
+    """A new configuration whose file cannot be read at once is read soon after."""
+
+    executor_count = 2
+    counts_after_s = 4.0  # SIGHUP: from then on what the new discovery told counts
+
+    def move(self, server: StandInServer) -> str:
+        return json.dumps({**self.config(), "discovery": server.address})
+
+    def check_obeyed(self, server: StandInServer) -> None:
+        """The node asks there, and the drain that it is told is obeyed."""
+        watch = server.next_request()
+        watch.send_head()
+        whole = [self.entry(0, status="DRAINING"), self.entry(1)]
+        watch.send_line({"index": 3, "snapshot": True, "endpoints": whole})
+        self.wait_log("watching from index 3")
+        self.assertEqual({self.served_by() for _ in range(4)}, {1})
+
+    def test_a_file_that_cannot_be_opened_for_a_moment(self) -> None:
+        """The reload was lost: the node stayed at the old discovery till the next signal."""
+        for name in ("EMFILE", "EIO", "ENFILE", "ENOMEM"):
+            with self.subTest(name):
+                server = StandInServer()
+                self.addCleanup(server.close)
+                hits = self.plan.hits("open")
+                self.plan.arm(Fault("open", name, match=self.path, times=3))
+                began = time.monotonic()
+                self.reload(self.move(server))
+                self.check_obeyed(server)
+                self.assertLess(time.monotonic() - began, self.counts_after_s)
+                self.assertEqual(self.plan.hits("open") - hits, 3)
+
+    def test_the_last_of_two_signals_counts(self) -> None:
+        """The second comes while the first still waits to be read."""
+        first, second = StandInServer(), StandInServer()
+        for server in (first, second):
+            self.addCleanup(server.close)
+        self.plan.arm(Fault("open", "EMFILE", match=self.path, times=2))
+        self.reload(self.move(first))
+        self.wait_log("reload failed")
+        self.reload(self.move(second))
+        self.check_obeyed(second)
+        self.assertEqual(first.connections, [])
+
+    def test_a_file_that_is_wrong_is_not_read_again(self) -> None:
+        self.reload("no configuration")
+        self.wait_log("reload failed")
+        Path(self.path).write_text(
+            self.move(server := StandInServer())
+        )  # nobody has said that it is to be read
+        self.addCleanup(server.close)
+        until = time.monotonic() + 0.5
+        self.wait_for(lambda: time.monotonic() > until)
+        self.assertEqual(server.connections, [])
+
+
 def _refused_connect(name: str):
     def test(self) -> None:
         self.told_after(Fault("connect", name, match=self.discovery.address))
