--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -266,7 +266,11 @@
         whole = [self.entry(0, status="DRAINING"), self.entry(1)]
         watch.send_line({"index": 3, "snapshot": True, "endpoints": whole})
         self.wait_log("watching from index 3")
-        self.assertEqual({self.served_by() for _ in range(4)}, {1})
+        for _ in range(4):  # of a class that is sent once only, however busy the machine is
+            client = self.client().ask("issue")
+            self.executors[1].next_request().done()
+            self.assertEqual(client.answer()[0], 200)
+        self.assertTrue(self.executors[0].received.empty())
 
     def test_a_file_that_cannot_be_opened_for_a_moment(self) -> None:
         """The reload was lost: the node stayed at the old discovery till the next signal."""
@@ -275,7 +279,7 @@
                 server = StandInServer()
                 self.addCleanup(server.close)
                 hits = self.plan.hits("open")
-                self.plan.arm(Fault("open", name, match=self.path, times=3))
+                self.plan.arm(Fault("open", name, match=self.config_path, times=3))
                 began = time.monotonic()
                 self.reload(self.move(server))
                 self.check_obeyed(server)
@@ -287,7 +291,7 @@
         first, second = StandInServer(), StandInServer()
         for server in (first, second):
             self.addCleanup(server.close)
-        self.plan.arm(Fault("open", "EMFILE", match=self.path, times=2))
+        self.plan.arm(Fault("open", "EMFILE", match=self.config_path, times=2))
         self.reload(self.move(first))
         self.wait_log("reload failed")
         self.reload(self.move(second))
@@ -297,7 +301,7 @@
     def test_a_file_that_is_wrong_is_not_read_again(self) -> None:
         self.reload("no configuration")
         self.wait_log("reload failed")
-        Path(self.path).write_text(
+        Path(self.config_path).write_text(
             self.move(server := StandInServer())
         )  # nobody has said that it is to be read
         self.addCleanup(server.close)
