--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -189,7 +189,7 @@
         return
     if scenario is None:
         raise ConfError("name a scenario, or ask with --list")
-    given = (("nodes", nodes), ("keepers", replicas))
+    given = (("nodes", nodes), ("replicas", replicas))
     changes = {name: int(value) for name, value in given if value is not None}
     sys.exit(_print_verdicts(_play_clusters(scenario, changes, seed, out), out))
 
@@ -205,7 +205,7 @@
     from cedarmill.lab.cluster.scenario import read
 
     read_in = read(scenario)
-    read_in = dataclasses.replace(read_in, fleet=dataclasses.replace(read_in.fleet, **changes))
+    read_in = dataclasses.replace(read_in, layout=dataclasses.replace(read_in.layout, **changes))
     verdicts = []
     for seed in seeds:
         folder = out / f"{read_in.name}-{seed}"
@@ -227,7 +227,7 @@
     heads = (f"{one.scenario}\nseed {one.seed}" for one in verdicts)
     _print_table(Table("", *heads), table(verdicts))
     for one in verdicts:
-        for invariant, breaches in one.laws.items():
+        for invariant, breaches in one.invariants.items():
             for text in breaches[:MOST_BREACHES]:
                 click.echo(f"seed {one.seed}: {invariant}: {text}")
     click.echo(f"reports: {out}/*/report.html")
--- a/cedarmill/lab/simulation/cluster.py
+++ b/cedarmill/lab/simulation/cluster.py
@@ -103,8 +103,8 @@
             dict.fromkeys(places, SLOTS_PER_EXECUTOR),
             None,
             SLOW_START,
-            found=environment.violations,
-            granted=environment.applied.first_applied_at,
+            disagreements=environment.violations,
+            granted_at=environment.applied.first_applied_at,
             spent=environment.spending,
             budget=(PROBE_BUDGET.grantable, floors, setup.nodes),
         )
@@ -145,5 +145,5 @@
     def digest(self) -> str:
         """Of the whole timeline: equal for equal seeds, whatever the machine's hashing."""
         events = b"".join(msgspec.json.encode(event) for event in self.history.events)
-        visits = repr([(visit.box, visit.id, visit.at) for visit in self.executors.visits])
+        visits = repr([(visit.executor, visit.id, visit.at) for visit in self.executors.visits])
         return timeline_hash(events, visits.encode(), str(self.network.messages).encode())
--- a/cedarmill/lab/simulation/hunting.py
+++ b/cedarmill/lab/simulation/hunting.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from cedarmill.lab.cluster.mutants import Patch, planted_patches
+from cedarmill.lab.cluster.mutants import Patch, applied_patches
 
 NEVER = -1  # as a seed: no trial saw the mutant
 
@@ -34,7 +34,7 @@
 ) -> Detection:
     """Play the trials with the mutant planted, up to the first that violates an invariant."""
     began = time.monotonic()
-    with planted_patches(patches):
+    with applied_patches(patches):
         for trial in trials:
             if violations := violations_of(trial):
                 seconds = round(time.monotonic() - began, 2)
--- a/cedarmill/lab/simulation/search.py
+++ b/cedarmill/lab/simulation/search.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from cedarmill.lab.cluster.invariants import Record, verdict
-from cedarmill.lab.cluster.mutants import MUTANTS, planted
+from cedarmill.lab.cluster.invariants import Record, check_invariants
+from cedarmill.lab.cluster.mutants import MUTANTS, applied_mutant
 from cedarmill.lab.simulation.clock import SECOND
 from cedarmill.lab.simulation.cluster import ClusterSimulation
 from cedarmill.lab.simulation.cluster_setup import ClusterSetup
@@ -97,13 +97,13 @@
 
 
 def _broken(record: Record) -> Violations:
-    return {invariant: texts for invariant, texts in verdict(record).items() if texts}
+    return {invariant: texts for invariant, texts in check_invariants(record).items() if texts}
 
 
 def play_spending(task: tuple[int, str]) -> SpendingResult:
     """Play one seed of spending, with a mutant planted or none (an empty name)."""
     seed, mutant = task
-    with planted(mutant):
+    with applied_mutant(mutant):
         record = ClusterSimulation(spending_setup(seed), seed).run()
     return SpendingResult(seed, _broken(record), len(record.spent))
 
@@ -111,7 +111,7 @@
 def play_seed(task: tuple[int, str]) -> SeedResult:
     """Play one seed, with a mutant planted or none (an empty name)."""
     seed, mutant = task
-    with planted(mutant):
+    with applied_mutant(mutant):
         run = ClusterSimulation(setup_of(seed), seed)
         record = run.run()
         broken = _broken(record)
--- a/tests/lab/test_zone_simulation.py
+++ b/tests/lab/test_zone_simulation.py
@@ -4,7 +4,7 @@
 
 from cedarmill.cluster.state_machine import drains, limits
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
-from cedarmill.lab.cluster.mutants import planted_patches
+from cedarmill.lab.cluster.mutants import applied_patches
 from cedarmill.lab.cluster.report import write
 from cedarmill.lab.cluster.run import play
 from cedarmill.lab.cluster.scenario import read
@@ -53,7 +53,7 @@
 
 
 def test_a_drain_that_is_said_too_early_is_found():
-    with planted_patches([(drains, "members_to_drain", lambda world, permit: [])]):
+    with applied_patches([(drains, "members_to_drain", lambda world, permit: [])]):
         found = explore(DrainCase(), DrainCase.EVENTS)
     assert found.breach[0] == ("ask a",)
     assert "drained" in found.breach[1]
@@ -68,7 +68,7 @@
 
 def test_two_zones_out_at_once_are_found():
     assert explore(TwoDrainsCase(), TwoDrainsCase.EVENTS).breach is None
-    with planted_patches([(limits, "allowed", lambda limit, count: count)]):
+    with applied_patches([(limits, "allowed", lambda limit, count: count)]):
         found = explore(TwoDrainsCase(), TwoDrainsCase.EVENTS)
     assert "evacuated at once" in found.breach[1]
 
@@ -86,7 +86,7 @@
 
 
 def test_plans_that_forget_regions_are_found():
-    with planted_patches([(ZoneLayout, "reachable_zones", lambda self, zone, scope: ["a", "b", "c"])]):
+    with applied_patches([(ZoneLayout, "reachable_zones", lambda self, zone, scope: ["a", "b", "c"])]):
         found = explore(TrueRegionsCase(), TrueRegionsCase.EVENTS)
     assert "residents stay" in found.breach[1]
 
@@ -94,7 +94,7 @@
 def test_a_zone_dies_with_the_leader_while_another_is_drained(tmp_path):
     run = play(read("zone-quick"), 1, tmp_path)
     found = write(run, tmp_path)
-    assert {invariant: texts for invariant, texts in found.laws.items() if texts} == {}
+    assert {invariant: texts for invariant, texts in found.invariants.items() if texts} == {}
     assert found.plans > 1
     assert "drained" in {event.what for event in run.events if event.target == "zone-1"}
 
--- a/tests/net/cluster/test_supervisor.py
+++ b/tests/net/cluster/test_supervisor.py
@@ -14,7 +14,7 @@
 
 from cedarmill.cluster.messages import Orders
 from cedarmill.cluster.supervision import StartProcess, StopProcess, StoreUnits
-from cedarmill.lab.cluster.process_group import free_port
+from cedarmill.lab.cluster.ports import free_port
 from cedarmill.net.cluster.supervisor import SupervisorProcess
 from cedarmill.net.cluster.supervisor_actions import UNITS_NAME
 from cedarmill.values import ClusterOptions, SupervisorOptions, UnitOptions
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -298,7 +298,7 @@
     def __init__(self, run: Run) -> None:
         self.clock, self.idle, self.stray = run.clock, set(), []
 
-    def over(self, call: Call, retry_after: float | None) -> None: ...
+    def call_ended(self, call: Call, retry_after: float | None) -> None: ...
 
 
 class Thousand(unittest.TestCase):
@@ -327,9 +327,9 @@
         try:
             held = [await self.ask(run, load, number, 60_000_000) for number in range(1000)]
             until = time.monotonic() + WAIT
-            while len(run.story.visits) < 1000 and time.monotonic() < until:
+            while len(run.history.visits) < 1000 and time.monotonic() < until:
                 await asyncio.sleep(0.01)
-            seen = len(run.story.visits)
+            seen = len(run.history.visits)
             usual = [await self.ask(run, load, 1000 + n, USUAL_US) for n in range(25)]
             calm = await self.serve(run, usual, 2000)
             for other in held:
@@ -340,7 +340,7 @@
         return calm, crowd, seen
 
     async def ask(self, run: Run, load, number: int, work: int) -> ClientConnection:
-        port = run.nodes[0].port.result()
+        port = run.nodes[0].port
         _, wire = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(load), "127.0.0.1", port
         )
