--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -275,7 +275,7 @@
                 server = StandInServer()
                 self.addCleanup(server.close)
                 hits = self.plan.hits("open")
-                self.plan.arm(Fault("open", name, match=self.path, times=3))
+                self.plan.arm(Fault("open", name, match=self.config_path, times=3))
                 began = time.monotonic()
                 self.reload(self.move(server))
                 self.check_obeyed(server)
@@ -287,7 +287,7 @@
         first, second = StandInServer(), StandInServer()
         for server in (first, second):
             self.addCleanup(server.close)
-        self.plan.arm(Fault("open", "EMFILE", match=self.path, times=2))
+        self.plan.arm(Fault("open", "EMFILE", match=self.config_path, times=2))
         self.reload(self.move(first))
         self.wait_log("reload failed")
         self.reload(self.move(second))
@@ -297,7 +297,7 @@
     def test_a_file_that_is_wrong_is_not_read_again(self) -> None:
         self.reload("no configuration")
         self.wait_log("reload failed")
-        Path(self.path).write_text(
+        Path(self.config_path).write_text(
             self.move(server := StandInServer())
         )  # nobody has said that it is to be read
         self.addCleanup(server.close)
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -198,7 +198,7 @@
         before = self.cpu_s()
         asked.send_head()
         with contextlib.suppress(OSError):  # the node gives it up before the end
-            asked.wire.send(f"{len(EMPTY_LINES):x}\r\n{EMPTY_LINES}")
+            asked.connection.send(f"{len(EMPTY_LINES):x}\r\n{EMPTY_LINES}")
         self.assertIn(client.answer()[0], (502, 503))
         self.assertLess(self.cpu_s() - before, self.most_cpu_s)
         self.check_served(*self.out())
