--- a/tests/net/cluster/test_replicas.py
+++ b/tests/net/cluster/test_replicas.py
@@ -102,6 +102,7 @@
         self.wait_for(lambda: self.leader() != target)
 
     def test_a_replica_of_another_cluster_and_one_that_no_one_is_are_refused(self):
+        self.wait_for(self.leader)  # a replica that has not started yet says nothing of its cluster
         stranger = OperatorClient("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
         with self.assertRaisesRegex(NoReplicaError, "this is cluster main, not other"):
             stranger.ask(ReadRequest("status"), 1)
