--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -12,6 +12,7 @@
 
 from tests.net.test_client_cancellation import LeavingCase, raw
 from tests.support.node_case import WAIT, NodeCase
+from tests.support.stand_in_server import ReceivedRequest
 
 INSTANT = 'HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\n{"state":"done","result":1}'
 NEVER_RAN = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -237,12 +238,19 @@
     """A client's time runs while its request waits to be read: the executor is told what is left."""
 
     sockets = 64
+    sessions = 20  # the bound on them: half of the descriptors, less the 24 that the node keeps for itself
+    executor_count = 4  # so that the balancer has room for as many requests as there are sessions
     waited = 0.4  # seconds; a request may be read 0.15 s late
 
+    def next_received(self) -> ReceivedRequest:
+        """The next request at any executor."""
+        self.wait_for(lambda: any(not executor.received.empty() for executor in self.executors))
+        return next(one for one in self.executors if not one.received.empty()).next_request()
+
     def passed_on(self, number: int) -> float:
         """Seconds that the executor is told, once that request reaches it; others before it are answered."""
         while True:
-            asked = self.executors[0].next_request()
+            asked = self.next_received()
             if asked.headers["X-Call-Id"] == f"raw{number}":
                 return int(asked.headers["X-Budget-Ms"]) / 1000
             asked.done()
@@ -254,7 +262,7 @@
     def test_in_the_socket_behind_others_of_its_client(self):
         sock = self.raw_client()
         sock.sendall(raw(1))
-        first = self.executors[0].next_request()
+        first = self.next_received()
         sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
         other = self.client()
         other.request("GET", "/ready")
@@ -266,13 +274,13 @@
 
     def test_in_the_backlog_at_the_bound_of_sessions(self):
         held = []
-        with contextlib.suppress(queue.Empty):
-            for number in range(30):
-                held.append(self.raw_client())
-                held[-1].sendall(raw(number))
-                self.executors[0].received.get(timeout=0.3)
+        for number in range(self.sessions):
+            held.append(self.raw_client())
+            held[-1].sendall(raw(number))
+            self.next_received()
         late = self.raw_client()
         late.sendall(raw(100))
+        self.wait_log(f"client sessions at their bound of {self.sessions}")
         self.wait_while_it_waits()
         for sock in held[:10]:
             sock.close()
