--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of the fleet in slices: what is leased never passes what there is; a holder's purse."""
+"""Budgets of the fleet in slices: what is leased never passes what there is; a holder's leases."""
 
 import random
 import re
@@ -114,17 +114,17 @@
         self.assertEqual(self.rates(), {"a": 0})
 
     def test_any_order_of_wants_follows_and_lapses_keeps_the_sum(self):
-        dice = random.Random(3)
+        generator = random.Random(3)
         for _ in range(2000):
-            name = dice.choice("abc")
+            name = generator.choice("abc")
             key = f"node:{name}:1"
-            what = dice.randrange(5)
+            what = generator.randrange(5)
             if what < 2:
-                self.wants(name, dice.randrange(120_000))
+                self.wants(name, generator.randrange(120_000))
             elif what == 2:
                 self.apply(
                     commands.AcknowledgeOrders(
-                        S, key, dice.choice((self.world.orders_epoch, self.world.orders_epoch - 3))
+                        S, key, generator.choice((self.world.orders_epoch, self.world.orders_epoch - 3))
                     )
                 )
             elif what == 3:
@@ -142,25 +142,25 @@
 class Spending(unittest.TestCase):
     """One holder: what it spends in ten seconds, asked every millisecond."""
 
-    def spent(self, purse: BudgetLease, first: int, seconds: float, holds: bool) -> int:
-        return sum(purse.spend(first + n * 1000, holds) for n in range(int(seconds * 1000)))
+    def spent(self, leases: BudgetLease, first: int, seconds: float, holds: bool) -> int:
+        return sum(leases.spend(first + n * 1000, holds) for n in range(int(seconds * 1000)))
 
     def test_at_its_rate_while_the_lease_holds_and_its_floor_after(self):
-        purse = BudgetLease(0)
-        purse.set_rates(0, True, 20_000, 500)
-        self.assertAlmostEqual(self.spent(purse, 0, 10, True), 200, delta=6)
-        self.assertAlmostEqual(self.spent(purse, 10 * S, 10, False), 5, delta=2)
+        leases = BudgetLease(0)
+        leases.set_rates(0, True, 20_000, 500)
+        self.assertAlmostEqual(self.spent(leases, 0, 10, True), 200, delta=6)
+        self.assertAlmostEqual(self.spent(leases, 10 * S, 10, False), 5, delta=2)
 
     def test_what_was_saved_is_not_spent_after_a_lapse_nor_after_standing_still(self):
-        purse = BudgetLease(0)
-        purse.set_rates(0, True, 50_000, 0)
-        purse.spend(0, True)
-        self.assertEqual(self.spent(purse, 10 * S, 5, False), 0)
+        leases = BudgetLease(0)
+        leases.set_rates(0, True, 50_000, 0)
+        leases.spend(0, True)
+        self.assertEqual(self.spent(leases, 10 * S, 5, False), 0)
 
     def test_small_rates_are_not_lost_to_rounding(self):
-        purse = BudgetLease(0)
-        purse.set_rates(0, False, 0, 300)
-        self.assertAlmostEqual(self.spent(purse, 0, 100, False), 30, delta=2)
+        leases = BudgetLease(0)
+        leases.set_rates(0, False, 0, 300)
+        self.assertAlmostEqual(self.spent(leases, 0, 100, False), 30, delta=2)
 
     def test_what_is_wanted_is_what_was_asked_for(self):
         purses = BudgetLeases()
@@ -230,7 +230,7 @@
         self.assertFalse(gate.rejects(S + FADE_US // 2, False, 1000, 0.6))
         self.assertFalse(gate.rejects(S + FADE_US, False, 1000, 0.0))
 
-    def test_reqs_that_may_not_leave_their_zone_are_cut_where_these_alone_find_no_room(self):
+    def test_requests_that_may_not_leave_their_zone_are_cut_where_these_alone_find_no_room(self):
         for late in (900, 900, 900):
             self.world.clock += STEP_US
             controller.advance_scope(self.world, "a/zone", {1000: 40_000, 5000: 20_000}, 40_000, late)
@@ -401,7 +401,7 @@
 class PlantedStorms(unittest.TestCase):
     """Laws of storms hold, and each planted bug is seen by one."""
 
-    def test_the_incidents_keep_their_laws(self):
+    def test_the_incidents_keep_their_invariants(self):
         for name in OVERLOAD_INVARIANTS:
             with self.subTest(name):
                 self.assertEqual(violations(play("fleet", name, 2), name), [])
--- a/tests/cluster/test_traffic_plan.py
+++ b/tests/cluster/test_traffic_plan.py
@@ -48,15 +48,17 @@
     """What many digests come to."""
 
     def setUp(self):
-        self.desk, self.seq = ObservationCollector(), 0
+        self.observations, self.seq = ObservationCollector(), 0
 
     def tell(self, zone: str, views: dict, nodes: int = 3, at: int = S, demand: int = 3000) -> None:
         for n in range(nodes):
             self.seq += 1
-            self.desk.accept(at, f"{zone}{n}", ObservationDigest(self.seq, zone, {"any": demand}, views))
+            self.observations.accept(
+                at, f"{zone}{n}", ObservationDigest(self.seq, zone, {"any": demand}, views)
+            )
 
     def verdicts(self, now: int = S) -> dict[str, str]:
-        return {name: news.verdict for name, news in self.desk.assess(now, "abc").zones.items()}
+        return {name: news.verdict for name, news in self.observations.assess(now, "abc").zones.items()}
 
     def test_all_observers_that_lose_a_zone_make_it_lost(self):
         for zone in "abc":
@@ -67,7 +69,7 @@
         self.tell("a", seen())
         self.tell("b", seen(a=LOST))
         self.tell("c", seen())
-        found = self.desk.assess(S, "abc")
+        found = self.observations.assess(S, "abc")
         self.assertEqual(found.zones["a"].verdict, "well")
         self.assertEqual(found.links, {"b>a": "gone"})
 
@@ -75,13 +77,13 @@
         self.tell("a", seen())
         self.tell("b", seen(a=LocationObservation(9, 36_000, 0, 100, unreached=20)))
         self.tell("c", seen())
-        self.assertEqual(self.desk.assess(S, "abc").links, {"b>a": "thin"})
+        self.assertEqual(self.observations.assess(S, "abc").links, {"b>a": "thin"})
 
     def test_observers_that_lose_everything_are_ill_themselves(self):
         self.tell("a", seen(a=LOST, b=LOST, c=LOST))
         self.tell("b", seen())
         self.tell("c", seen())
-        found = self.desk.assess(S, "abc")
+        found = self.observations.assess(S, "abc")
         self.assertEqual({name: one.verdict for name, one in found.zones.items()},
                          {"a": "well", "b": "well", "c": "well"})  # fmt: skip
         self.assertEqual(found.blind_zones, ["a"])
@@ -96,9 +98,9 @@
             self.tell(zone, seen())
         loud = ObservationDigest(99, "b", {}, seen(a=LocationObservation(9, 36_000, 0, 9000, unreached=9000)))
         for _ in range(50):
-            self.desk.accept(S, "b9", loud)
+            self.observations.accept(S, "b9", loud)
         self.assertEqual(self.verdicts()["a"], "well")
-        self.assertEqual(self.desk.assess(S, "abc").links, {})
+        self.assertEqual(self.observations.assess(S, "abc").links, {})
 
     def test_many_observers_of_one_zone_are_one_voice(self):
         self.tell("a", seen(), nodes=1)
@@ -107,14 +109,14 @@
         self.assertEqual(self.verdicts()["a"], "well")
 
     def test_an_older_digest_never_replaces_a_newer_one(self):
-        self.desk.accept(2 * S, "a0", ObservationDigest(7, "a", {"any": 5000}, {}))
-        self.desk.accept(3 * S, "a0", ObservationDigest(6, "a", {"any": 1}, {}))
-        self.assertEqual(self.desk.assess(3 * S, "abc").zones["a"].demand, {"any": 5000})
+        self.observations.accept(2 * S, "a0", ObservationDigest(7, "a", {"any": 5000}, {}))
+        self.observations.accept(3 * S, "a0", ObservationDigest(6, "a", {"any": 1}, {}))
+        self.assertEqual(self.observations.assess(3 * S, "abc").zones["a"].demand, {"any": 5000})
 
     def test_silence_says_nothing_and_demand_is_held(self):
         for zone in "abc":
             self.tell(zone, seen(a=LOST))
-        found = self.desk.assess(S + 10 * S, "abc")
+        found = self.observations.assess(S + 10 * S, "abc")
         self.assertEqual({one.verdict for one in found.zones.values()}, {"unknown"})
         self.assertEqual((found.zones["a"].demand, found.blind_zones), ({"any": 9000}, ["a", "b", "c"]))
 
@@ -126,7 +128,7 @@
         group = LocationObservation(2, 8000, 0, 20, 10)
         views = {"a": LocationObservation(9, 36_000, 0, 100, 5), "a/x": group}
         self.tell("a", views)
-        self.assertEqual(self.desk.assess(S, "abc").failing_groups, ["a/x"])
+        self.assertEqual(self.observations.assess(S, "abc").failing_groups, ["a/x"])
 
     def test_a_digest_is_bounded(self):
         one = {n: LocationObservation(1, n) for n in range(60)}
@@ -311,7 +313,7 @@
         self.assertEqual(encode_snapshot(other), encode_snapshot(self.world))
 
 
-class Hands(Planned):
+class OperatorsActs(Planned):
     def test_an_evacuation_goes_under_a_permit_in_steps_and_back(self):
         self.news(demand=8_000)
         self.assertTrue(self.request(commands.ControlZone, "leave", "a", 10 * S, "works").ok)
@@ -446,7 +448,7 @@
         self.assertEqual((use.weights["any"], use.unreachable_zones), ({"a": 800, "c": 200}, ("b",)))
 
 
-class Sighting(unittest.TestCase):
+class Observation(unittest.TestCase):
     def test_counts_of_the_last_seconds_and_demand(self):
         sights = ObservationLog(0)
         for n in range(30):
@@ -503,7 +505,7 @@
     def test_without_a_plan_it_stays_near(self):
         self.assertEqual(set(self.sent(50)), {0})
 
-    def test_a_req_that_may_not_leave_is_refused_rather_than_sent_away(self):
+    def test_a_request_that_may_not_leave_is_refused_rather_than_sent_away(self):
         self.balancer.handle(1, api.ZoneShares({(): {1: 1.0}, (0,): {0: 1.0}}))
         self.assertEqual(set(self.sent(30, (0,))), {0})
         gone = [api.EndpointEntry(n, api.ExecutorState.GONE, zone=0) for n in range(0, 8, 2)]
--- a/tests/conf/test_sites.py
+++ b/tests/conf/test_sites.py
@@ -81,19 +81,19 @@
 
 
 def played(settings: api.Settings) -> list:
-    """What a new brain does with a job of each class and tenant, on two executors, one of them cold."""
-    brain = Balancer(settings, seed=7)
+    """What a new balancer does with a job of each class and tenant, on two executors, one of them cold."""
+    balancer = Balancer(settings, seed=7)
     entries = [
         api.EndpointEntry(1, api.ExecutorState.READY),
         api.EndpointEntry(2, api.ExecutorState.READY, started_at=900_000),
     ]
-    done = [brain.handle(1_000_000, api.EndpointList(api.EndpointListKind.CACHED, entries))]
+    done = [balancer.handle(1_000_000, api.EndpointList(api.EndpointListKind.CACHED, entries))]
     for number in range(1, 41):
         index = number % len(settings.classes)
         job = api.RequestArrived(number, index, 2_000_000, tenant=number % 4, hint_us=100 * number)
-        done.append(brain.handle(1_000_000 + number, job))
+        done.append(balancer.handle(1_000_000 + number, job))
         ended = api.AttemptEnded(number, 0, 1, api.Outcome.OK, final=True)
-        done.append(brain.handle(1_000_500 + number, ended))
+        done.append(balancer.handle(1_000_500 + number, ended))
     return done
 
 
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -90,14 +90,14 @@
         self.assertEqual(self.ports.answers, list(answers))
         self.assertEqual((self.dispatch.requests, self.dispatch.unanswered), ({}, 0))
 
-    def test_a_brain_that_fails_on_a_req_leaves_it_failed_not_unanswered(self):
+    def test_a_balancer_that_fails_on_a_request_leaves_it_failed_not_unanswered(self):
         """An exception of the decisions must cost that request only."""
         self.ports.replies[api.RequestArrived] = ZeroDivisionError()
         self.dispatch.arrive(0, self.ports, None, 5_000_000, api.RequestArrived(0, 0, 5_000_000))
         self.check_over(("failed",))
         self.assertEqual(self.ports.events[-1], api.RequestWithdrawn(1))
 
-    def test_a_brain_that_fails_on_an_outcome_leaves_the_req_failed(self):
+    def test_a_balancer_that_fails_on_an_outcome_leaves_the_request_failed(self):
         """Its answer would otherwise wait for the end of the budget."""
         self.arrive(api.Send(1, 1))
         self.ports.replies[api.AttemptEnded] = ZeroDivisionError()
@@ -115,7 +115,7 @@
         outcomes = [(e.attempt, e.final) for e in self.ports.events if isinstance(e, api.AttemptEnded)]
         self.assertEqual(outcomes, [(0, True), (1, True)])
 
-    def test_a_brain_that_says_nothing_leaves_no_req_past_its_budget(self):
+    def test_a_balancer_that_says_nothing_leaves_no_request_past_its_budget(self):
         """Attempts time out first, so that the balancer may answer; then the request is failed here."""
         self.arrive(api.Send(1, 1), due=1_000)
         self.sweep(999)
@@ -134,7 +134,7 @@
         self.check_over(("failed",))
         self.assertEqual(self.ports.events[-1].outcome, Outcome.RESET)
 
-    def test_what_the_fleet_has_no_room_for_is_not_started_and_the_brain_hears_so(self):
+    def test_what_the_fleet_has_no_room_for_is_not_started_and_the_balancer_hears_so(self):
         """A probe without a place in the fleet's budget never leaves; the list is asked for again later."""
         spent = []
         self.dispatch.observer.may_spend = lambda now, budget: bool(spent.append(budget))
@@ -245,7 +245,7 @@
 
 
 class EndpointReaderTest(unittest.TestCase):
-    def test_starts_are_told_on_the_clock_of_the_brain(self):
+    def test_starts_are_told_on_the_clock_of_the_balancer(self):
         """0 stays 0 (long ago), and the same start is the same number in each list: no false restart."""
         reader = EndpointReader(settings())
         unix_ms = time.time_ns() // 1_000_000
--- a/tests/deadlines/test_deadlines.py
+++ b/tests/deadlines/test_deadlines.py
@@ -73,7 +73,7 @@
         self.assertEqual(read(x_deadline_unix_ms=str(unix_ms + 500 + 5000), x_budget_ms="500"), 500_000)
 
     @given(st.integers(-50_000, 50_000), st.integers(0, LONGEST))
-    def test_within_the_bound_no_clock_makes_a_req_run_past_its_deadline(self, off: int, rest: int):
+    def test_within_the_bound_no_clock_makes_a_request_run_past_its_deadline(self, off: int, rest: int):
         """An absolute deadline is worth as much as the bound on the clocks: it is taken off in full."""
         at_front = UNIX + off + rest  # what the front writes for a rest that is true
         headers = {b"x-deadline-unix-ms": str(at_front // 1000).encode()}
@@ -111,7 +111,7 @@
         self.assertLessEqual(given_away, 1.05 * (3 * lag + sum(max(floor, trip) for trip in trips) + floor))
 
     def test_fixed_margins_are_the_platforms(self):
-        """20 ms, a tenth of a short budget, and nothing more kept back from a backend."""
+        """20 ms, a tenth of a short budget, and nothing more kept back from a executor."""
         margins = Margins(DeadlineOptions())
         margins.record_round_trip(1, 9_000)
         self.assertEqual([margins.for_answer(1_000_000), margins.for_answer(50_000)], [20_000, 5_000])
@@ -156,7 +156,7 @@
         return self.dispatch.arrive(0, self.ports, None, due, api.RequestArrived(0, 0, due))
 
     def out(self, at: int = 0):
-        """A req with one attempt whose last byte has left."""
+        """A request with one attempt whose last byte has left."""
         request = self.arrive(api.Send(self.dispatch._count + 1, 1))
         self.dispatch.attempt_written(at, request.attempts[0])
         return request
@@ -182,7 +182,7 @@
         self.assertFalse(request.attempts[0].written)
 
     def test_a_probe_for_its_sake_alone_is_taken_back(self):
-        """A probe costs the backend work; one that other reqs asked for, or that is out, goes on."""
+        """A probe costs the executor work; one that other requests asked for, or that is out, goes on."""
         self.arrive(api.Probe(1, 1), api.Probe(2, 1))
         first, second = self.ports.probes
         second.written = True
@@ -222,8 +222,8 @@
                 lambda: self.dispatch.attempt_ended(300_000, first, outcome),  # noqa: B023
             ]
             leaves_first = bool(seed % 2)
-            for happening in both if leaves_first else reversed(both):
-                happening()
+            for event in both if leaves_first else reversed(both):
+                event()
             sent = len(self.ports.sent)
             self.assertLessEqual(sent, 1 if leaves_first else 2)
             self.sweep(6_000_000)
@@ -242,8 +242,8 @@
                 lambda: self.dispatch.withdraw(1_000_000, request),  # noqa: B023
                 lambda: self.dispatch.attempt_ended(1_000_000, request.attempts[0], Outcome.OK, None, b"x"),  # noqa: B023
             ]
-            for happening in both if leaves_first else reversed(both):
-                happening()
+            for event in both if leaves_first else reversed(both):
+                event()
             self.dispatch.attempt_ended(1_500_000, request.attempts[1], Outcome.OK, None, b"y")
             self.assertEqual(self.ports.answers, [] if leaves_first else [("served", b"x")])
             rows = self.rows()
@@ -252,7 +252,7 @@
             self.assertEqual(self.dispatch.requests, {})
 
     def test_what_cannot_be_cancelled_counts_as_running_till_it_ends(self):
-        """Slots believed free that are not would draw new work to a backend that is full."""
+        """Slots believed free that are not would draw new work to a executor that is full."""
         request = self.out()
         self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
         self.ports.replies[api.RequestWithdrawn] = [api.Cancel(1, 0)]
@@ -263,7 +263,7 @@
         self.assertEqual((self.ports.answers, self.dispatch.requests), ([], {}))
 
     def test_one_that_could_not_be_cut_and_answers_was_spent_for_somebody(self):
-        """The module cuts, the backend goes on, and its answer serves: nothing to charge."""
+        """The module cuts, the executor goes on, and its answer serves: nothing to charge."""
         request = self.out()
         self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
         self.dispatch.actions.cancel(300_000, api.Cancel(request.id, 0))
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -321,7 +321,7 @@
     assert d.balancer.executors[1].capacity == before
 
 
-def test_ghosts_fade_where_no_report_ever_comes():
+def test_stale_reservations_fade_where_no_report_ever_comes():
     """i00273e: workers without reports stayed full of cut jobs for good."""
     d = Driver(workers=1)
     d.arrive(0)
--- a/tests/decisions/test_many_balancers.py
+++ b/tests/decisions/test_many_balancers.py
@@ -8,12 +8,12 @@
 
 
 def replace(fleet: Fleet, count: int, at: float) -> list:
-    """Drain so many boxes, and start as many cold ones in their places half a second later."""
+    """Drain so many executors, and start as many cold ones in their places half a second later."""
     old, new = fleet.random.sample(fleet.untouched, count), []
-    fleet.untouched = [box for box in fleet.untouched if box not in old]
+    fleet.untouched = [executor for executor in fleet.untouched if executor not in old]
 
     def come() -> None:
-        new.extend(fleet.add_box(box.kind, box.zone, since=fleet.now) for box in old)
+        new.extend(fleet.add_executor(executor.kind, executor.zone, since=fleet.now) for executor in old)
         fleet.at(fleet.now + S, lambda: fleet.news(*new))
 
     fleet.at(at * S, lambda: fleet.news(*old, state=ExecutorState.DRAINING))
@@ -22,25 +22,32 @@
 
 
 class Newcomers:
-    """What holds for the cold boxes of `new`, over all nodes together."""
+    """What holds for the cold executors of `new`, over all nodes together."""
 
     new: list
 
     def test_cold_newcomers_carry_jobs_before_they_are_warm(self) -> None:
         """Each node took an even part of one slot's budget, so nearly all stayed idle for 9 s."""
-        used = sum(work for box in self.new for at, work in box.taken if 2 * S < at - box.since < 6 * S)
-        could = sum(SLOTS * box.speed * box.share(box.since + 4 * S) * 4 * S for box in self.new)
+        used = sum(
+            work
+            for executor in self.new
+            for at, work in executor.taken
+            if 2 * S < at - executor.since < 6 * S
+        )
+        could = sum(
+            SLOTS * executor.speed * executor.share(executor.since + 4 * S) * 4 * S for executor in self.new
+        )
         self.assertGreater(used / could, 0.2)
 
     def test_all_nodes_together_send_them_no_more_than_they_stand(self) -> None:
-        """By windows: single heavy jobs are beyond any budget, so the mean of the boxes counts."""
+        """By windows: single heavy jobs are beyond any budget, so the mean of the executors counts."""
         for age in (1.5, 3, 4.5, 6):
-            pressures = [box.pressure(box.since + int(age * S)) for box in self.new]
+            pressures = [executor.pressure(executor.since + int(age * S)) for executor in self.new]
             self.assertLess(sum(pressures) / len(pressures), 0.6)
 
 
 class MassReplacement(Newcomers, unittest.TestCase):
-    """Six in ten backends are replaced within 7 s, as in a release."""
+    """Six in ten executors are replaced within 7 s, as in a release."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -54,25 +61,25 @@
 
 
 class FastErrors(unittest.TestCase):
-    """Some backends fail most jobs at once, and so look idle to all."""
+    """Some executors fail most jobs at once, and so look idle to all."""
 
     @classmethod
     def setUpClass(cls) -> None:
         cls.fleet = Fleet(load=0.68, seed=3)
         cls.bad = cls.fleet.random.sample(cls.fleet.untouched, 7)
-        for box in cls.bad:
-            cls.fleet.at(4 * S, lambda box=box: setattr(box, "error_share", 0.6))
+        for executor in cls.bad:
+            cls.fleet.at(4 * S, lambda executor=executor: setattr(executor, "error_share", 0.6))
         cls.fleet.run(16)
 
     def test_a_node_learns_of_errors_that_others_met(self) -> None:
-        """Own jobs alone told each node anew: 2.7 times a backend's part went to those that failed."""
-        late = [box for at, _, box, _ in self.fleet.sent if at > 7 * S]
-        to_bad = sum(box in self.bad for box in late) / len(late)
-        self.assertLess(to_bad, 0.7 * len(self.bad) / len(self.fleet.boxes))
+        """Own jobs alone told each node anew: 2.7 times a executor's part went to those that failed."""
+        late = [executor for at, _, executor, _ in self.fleet.sent if at > 7 * S]
+        to_bad = sum(executor in self.bad for executor in late) / len(late)
+        self.assertLess(to_bad, 0.7 * len(self.bad) / len(self.fleet.executors))
 
 
 class ThinTraffic(unittest.TestCase):
-    """No node sees much of any backend, so news of each are seldom fresh."""
+    """No node sees much of any executor, so news of each are seldom fresh."""
 
     def test_probes_stay_in_proportion_when_the_fleet_is_busy(self) -> None:
         """Two probes for nearly each job sent all nodes to what a report of a second ago showed idle."""
@@ -83,16 +90,16 @@
 
 
 class BusyZone(unittest.TestCase):
-    """Seven tenths of the traffic come to the nodes of one zone, which has a quarter of the backends."""
+    """Seven tenths of the traffic come to the nodes of one zone, which has a quarter of the executors."""
 
     def test_a_busy_zone_is_spared_while_others_idle(self) -> None:
-        """Its nodes found an idle slot at home for most jobs: 6.5 jobs a backend there, 0.5 elsewhere."""
+        """Its nodes found an idle slot at home for most jobs: 6.5 jobs a executor there, 0.5 elsewhere."""
         parts = []
         for seed in (1, 2, 3, 4):
             fleet = Fleet(load=0.6, seed=seed, skew=(0.7, 0.1, 0.1, 0.1))
             fleet.run(16)
-            work = [(box.zone, job.work) for at, _, box, job in fleet.sent if at > 4 * S]
-            speeds = [(box.zone, box.speed) for box in fleet.boxes.values()]
+            work = [(executor.zone, job.work) for at, _, executor, job in fleet.sent if at > 4 * S]
+            speeds = [(executor.zone, executor.speed) for executor in fleet.executors.values()]
             parts.append(own_part(work) / own_part(speeds))
         self.assertLess(sum(parts) / len(parts), 1.3)
 
@@ -103,18 +110,18 @@
 
 
 class ZoneLoss(unittest.TestCase):
-    """All backends of one zone vanish; the list tells 8 s later."""
+    """All executors of one zone vanish; the list tells 8 s later."""
 
     def test_a_probe_that_does_not_connect_counts_as_much_as_a_job(self) -> None:
         """Probes failed 200 times a second, and each node went on to probe and to send there."""
         met = 0
         for seed in (1, 2, 3):
             fleet = Fleet(load=0.6, seed=seed)
-            lost = [box for box in fleet.boxes.values() if box.zone == 2]
-            fleet.at(6 * S, lambda lost=lost: [setattr(box, "gone", True) for box in lost])
+            lost = [executor for executor in fleet.executors.values() if executor.zone == 2]
+            fleet.at(6 * S, lambda lost=lost: [setattr(executor, "gone", True) for executor in lost])
             fleet.run(14)
             met += fleet.unanswered
-        self.assertLess(met / 3 / len(fleet.balancers), 13)  # attempts and probes a node, for 15 backends
+        self.assertLess(met / 3 / len(fleet.balancers), 13)  # attempts and probes a node, for 15 executors
 
 
 class ZoneReturn(Newcomers, unittest.TestCase):
@@ -123,13 +130,15 @@
     @classmethod
     def setUpClass(cls) -> None:
         cls.fleet = fleet = Fleet(load=0.6, seed=4)
-        lost, cls.new = [box for box in fleet.boxes.values() if box.zone == 0], []
+        lost, cls.new = [executor for executor in fleet.executors.values() if executor.zone == 0], []
 
         def come() -> None:
-            cls.new.extend(fleet.add_box(box.kind, box.zone, since=fleet.now) for box in lost)
+            cls.new.extend(
+                fleet.add_executor(executor.kind, executor.zone, since=fleet.now) for executor in lost
+            )
             fleet.at(fleet.now + S, lambda: fleet.news(*cls.new))
 
-        fleet.at(4 * S, lambda: [setattr(box, "gone", True) for box in lost])
+        fleet.at(4 * S, lambda: [setattr(executor, "gone", True) for executor in lost])
         fleet.at(8 * S, lambda: fleet.news(*lost, state=ExecutorState.GONE))
         fleet.at(10 * S, come)
         fleet.run(20)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -270,13 +270,13 @@
 
     def test_what_a_sibling_process_sends_counts_as_well(self) -> None:
         """During an upgrade both processes of a node spent a whole budget."""
-        alone, beside = self.cold(), self.cold()
-        for driver in (alone, beside):
+        alone, sibling = self.cold(), self.cold()
+        for driver in (alone, sibling):
             driver.report(1, 10)
-        beside.feed(api.SiblingLoad(1, 5.0, 0.0))
-        self.assertEqual(self.sent(alone) - self.sent(beside), 5)
+        sibling.feed(api.SiblingLoad(1, 5.0, 0.0))
+        self.assertEqual(self.sent(alone) - self.sent(sibling), 5)
         self.assertEqual(
-            len(beside.balancer.executors[1].slow_start.sends),
+            len(sibling.balancer.executors[1].slow_start.sends),
             len(alone.balancer.executors[1].slow_start.sends),
         )
 
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -194,16 +194,16 @@
         self.assertEqual(before, after)
         self.assertEqual(sum(map(len, after.values())), 1)
 
-    def test_an_heir_asks_for_the_list_at_once(self):
+    def test_an_successor_asks_for_the_list_at_once(self):
         """What discovery tells binds it 2 s after its yes; the span of a large fleet is longer."""
         memory = take_snapshot(self.old().balancer, NAMES, 1_000_000_000)
-        for heir in (False, True):
+        for successor in (False, True):
             balancer = Balancer(settings(instances=48, on_request_discovery=True), 1)
-            if heir:
+            if successor:
                 restore(balancer, memory, 1_000_000_000)
             news = api.EndpointList(api.EndpointListKind.CACHED, [entry(1)])
             (timer,) = balancer.handle(1_000_000_000, news)
-            self.assertEqual(timer.delay_us == 0, heir)
+            self.assertEqual(timer.delay_us == 0, successor)
 
     def test_other_settings_take_up_nothing(self):
         memory = take_snapshot(self.old().balancer, NAMES, 1_000_000_000)
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' door on the real program: calls, slow callers, executors out by hand, evacuation."""
+"""The operators' admin API on the real program: calls, slow callers, executors out by hand, evacuation."""
 
 import contextlib
 import errno
@@ -143,7 +143,7 @@
 
 
 class Listed:
-    """The director's side that the hands use: it knows every name, and hears the marks."""
+    """The discovery's side that the handlers use: it knows every name, and hears the marks."""
 
     def knows(self, name: str) -> bool:
         return True
@@ -186,11 +186,11 @@
         """Each mark reads the file once; the looks every 0.5 s stay one chain however many calls came."""
         with tempfile.TemporaryDirectory() as folder:
             driver, kept = Ticking(), CountedFile(f"{folder}/kept.json")
-            hands = AdminHandlers(driver, object(), Listed(), "n0", lambda: False)
-            hands.state_file = kept
-            hands.start()
+            handlers = AdminHandlers(driver, object(), Listed(), "n0", lambda: False)
+            handlers.state_file = kept
+            handlers.start()
             for number in range(10):
-                hands.carry_out(
+                handlers.carry_out(
                     routes.AdminRequest(
                         routes.AdminAction.EXCLUDE if number % 2 else routes.AdminAction.INCLUDE, "s-1"
                     ),
@@ -202,38 +202,38 @@
 
 
 class BothMark(unittest.TestCase):
-    """Two processes of one node, each with hands of its own on one kept file."""
+    """Two processes of one node, each with handlers of its own on one kept file."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = f"{folder.name}/kept.json"
-        self.old, self.new = self.hands(), self.hands()
+        self.old, self.new = self.handlers(), self.handlers()
 
-    def hands(self) -> AdminHandlers:
-        hands = AdminHandlers(Running(), object(), Listed(), "n0", lambda: False)
-        hands.state_file = StateFile(self.path)
-        return hands
+    def handlers(self) -> AdminHandlers:
+        handlers = AdminHandlers(Running(), object(), Listed(), "n0", lambda: False)
+        handlers.state_file = StateFile(self.path)
+        return handlers
 
     def test_marks_made_at_the_same_time_are_both_kept(self):
         """Read and written without a lock, the later rename took the earlier mark away, after its yes."""
-        names = {hands: [f"s-{n}-{which}" for n in range(25)]
-                 for which, hands in (("old", self.old), ("new", self.new))}  # fmt: skip
+        names = {handlers: [f"s-{n}-{which}" for n in range(25)]
+                 for which, handlers in (("old", self.old), ("new", self.new))}  # fmt: skip
         threads = [threading.Thread(target=self.mark, args=pair) for pair in names.items()]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        last = self.hands()
+        last = self.handlers()
         last.start()
         self.assertEqual(set(last.exclusions.since), {name for of in names.values() for name in of})
 
     @staticmethod
-    def mark(hands: AdminHandlers, names: list[str]) -> None:
+    def mark(handlers: AdminHandlers, names: list[str]) -> None:
         for name in names:
             told = Told()
-            hands.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, name), told)
-            hands.driver.run_until(lambda told=told: told.status)
+            handlers.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, name), told)
+            handlers.driver.run_until(lambda told=told: told.status)
             assert told.status == 200, told.status
 
     def test_a_process_that_stands_still_with_the_lock_holds_up_nothing_but_the_call(self):
@@ -266,7 +266,7 @@
         self.assertEqual(self.old.exclusions.since, {})
 
 
-class DoorCase(NodeCase):
+class AdminApiCase(NodeCase):
     executor_count = 2
 
     def config(self) -> dict:
@@ -274,41 +274,44 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.door = self.admin_port()
+        self.admin_api_port = self.admin_port()
 
 
-class Door(DoorCase):
+class AdminApi(AdminApiCase):
     def test_the_calls_answer_and_bad_ones_get_a_no(self):
-        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready"), (200, b"ready\n"))
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/nobody")[0], 404)
-        self.assertEqual(call_admin_api(self.door, "DELETE", "/api/rejoin")[0], 405)
-        self.assertEqual(call_admin_api(self.door, "GET", "/metrics")[0], 404)
-        with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
+        self.assertEqual(call_admin_api(self.admin_api_port, "GET", "/api/ready"), (200, b"ready\n"))
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/nobody")[0], 404)
+        self.assertEqual(call_admin_api(self.admin_api_port, "DELETE", "/api/rejoin")[0], 405)
+        self.assertEqual(call_admin_api(self.admin_api_port, "GET", "/metrics")[0], 404)
+        with socket.create_connection(("127.0.0.1", self.admin_api_port), timeout=WAIT) as sock:
             sock.sendall(b"PUT /api/evacuate HTTP/1.1\r\nContent-Length: zz\r\n\r\n")
             self.assertEqual(read_answer(sock)[0], 400)
 
     def test_a_call_cut_at_every_byte_is_answered(self):
         text = b"PUT /api/exclude/s-0 HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n"
-        with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
+        with socket.create_connection(("127.0.0.1", self.admin_api_port), timeout=WAIT) as sock:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             for byte in text:
                 sock.send(bytes([byte]))
             self.assertEqual(read_answer(sock), (200, b"excluded\n"))
 
-    def test_slow_callers_do_not_keep_the_door_shut(self):
+    def test_slow_callers_do_not_keep_the_admin_api_shut(self):
         """A caller that holds a connection without a whole call gives its place to a new one."""
-        slow = [socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) for _ in range(3 * SESSIONS)]
+        slow = [
+            socket.create_connection(("127.0.0.1", self.admin_api_port), timeout=WAIT)
+            for _ in range(3 * SESSIONS)
+        ]
         for sock in slow:
             self.addCleanup(sock.close)
             sock.sendall(b"PUT /api/evac")
-        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready"), (200, b"ready\n"))
+        self.assertEqual(call_admin_api(self.admin_api_port, "GET", "/api/ready"), (200, b"ready\n"))
 
     def test_a_call_while_the_data_path_is_full(self):
-        """Reqs held at a backend that does not answer leave the door's answers as they are."""
+        """Reqs held at a executor that does not answer leave the admin API's answers as they are."""
         for _ in range(20):
             self.client().ask()
         self.wait_for(lambda: sum(server.received.qsize() for server in self.executors) == 20)
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
 
 
 class FailingCalls(FaultyNodeCase):
@@ -343,14 +346,14 @@
         self.assertEqual(call_admin_api(self.admin_port(), "GET", "/api/ready")[0], 200)
 
 
-class Locked(DoorCase):
+class Locked(AdminApiCase):
     """Another process stands still with the lock of the kept file."""
 
     def test_requests_are_served_and_the_call_gets_its_no_in_time(self):
         lock = os.open(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json.lock", os.O_RDWR | os.O_CREAT)
         self.addCleanup(os.close, lock)
         fcntl.flock(lock, fcntl.LOCK_EX)
-        with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
+        with socket.create_connection(("127.0.0.1", self.admin_api_port), timeout=WAIT) as sock:
             sock.sendall(b"PUT /api/exclude/s-1 HTTP/1.1\r\nHost: door\r\n\r\n")
             began, client = time.monotonic(), self.client().ask()
             self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
@@ -359,10 +362,10 @@
             self.assertEqual(read_answer(sock)[0], 503)
         self.assertLess(time.monotonic() - began, 1.0)  # what the operators' page gives a call
         fcntl.flock(lock, fcntl.LOCK_UN)
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
 
 
-class OutByHand(DoorCase):
+class OutByHand(AdminApiCase):
     def watch(self):
         asked = self.discovery.next_request()
         asked.send_head()
@@ -370,28 +373,28 @@
 
     def test_out_holds_against_the_list_and_two_outs_take_one_in(self):
         watch = self.watch()
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200)
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/s-0")[0], 200)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
         watch.send_line({"index": 9, "snapshot": True, "endpoints": [self.entry(0), self.entry(1)]})
         self.wait_log("watching from index 9")
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/include/s-0")[0], 200)
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-1")[0], 200)
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/include/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/s-1")[0], 200)
         self.assertEqual(self.served_by(), 0)
 
     def test_one_that_discovery_no_longer_lists_can_be_put_back(self):
         watch = self.watch()
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/s-0")[0], 200)
         watch.send_line({"index": 9, "snapshot": True, "endpoints": [self.entry(1)]})
         self.wait_log("watching from index 9")
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/include/s-0"), (200, b"included\n"))
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/include/s-0"), (200, b"included\n"))
         watch.send_line({"index": 10, "snapshot": True, "endpoints": [self.entry(0)]})
         watch.send_line({"index": 11, "snapshot": False, "endpoints": [self.entry(1, status="DELETED")]})
         self.wait_for(lambda: self.served_by() == 0)
 
     def test_the_marks_hold_for_the_next_process_of_the_node(self):
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/s-0")[0], 200)
         self.process.kill()
         self.process.wait(WAIT)
         self.log.clear()
@@ -403,7 +406,7 @@
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
 
 
-class Evacuation(DoorCase):
+class Evacuation(AdminApiCase):
     def ready(self) -> int:
         client = self.client()
         client.request("GET", "/ready")
@@ -415,14 +418,14 @@
         self.assertEqual(idle.answer()[0], 200)
         self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
         asked = next(server for server in self.executors if not server.received.empty()).next_request()
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/evacuate"), (200, b"evacuating\n"))
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/evacuate"), (200, b"evacuating\n"))
         self.assertEqual(self.ready(), 503)
-        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready")[0], 503)
+        self.assertEqual(call_admin_api(self.admin_api_port, "GET", "/api/ready")[0], 503)
         self.assertEqual(idle.sock.recv(1), b"")  # the idle kept connection is closed
         asked.done()
         self.assertEqual(busy.answer()[0], 200)  # the job held is answered, and its connection then ends
         self.assertEqual(busy.headers["Connection"], "close")
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/rejoin")[0], 200)
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/rejoin")[0], 200)
         self.assertEqual(self.ready(), 200)
 
     def test_a_request_behind_one_in_flight_and_half_a_one_are_answered_before_the_end(self):
@@ -430,7 +433,7 @@
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(raw(1) + raw(2) + raw(3)[:60])
             self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
-            self.assertEqual(call_admin_api(self.door, "PUT", "/api/evacuate")[0], 200)
+            self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/evacuate")[0], 200)
             for number in (1, 2, 3):
                 self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
                 if number == 2:
@@ -449,9 +452,9 @@
         gone = self.client()
         gone.request("GET", "/ready")
         self.assertEqual(gone.answer()[0], 200)
-        call_admin_api(self.door, "PUT", "/api/evacuate")
+        call_admin_api(self.admin_api_port, "PUT", "/api/evacuate")
         self.assertEqual(gone.sock.recv(1), b"")  # the closing has begun
-        call_admin_api(self.door, "PUT", "/api/rejoin")
+        call_admin_api(self.admin_api_port, "PUT", "/api/rejoin")
         kept = self.client()
         for _ in range(3):
             kept.request("GET", "/ready")
@@ -461,7 +464,7 @@
     def test_evacuated_and_then_terminated_it_answers_what_it_holds(self):
         busy = self.client().ask()
         self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
-        call_admin_api(self.door, "PUT", "/api/evacuate")
+        call_admin_api(self.admin_api_port, "PUT", "/api/evacuate")
         self.terminate()
         self.wait_log("no new sessions")
         next(server for server in self.executors if not server.received.empty()).next_request().done()
@@ -480,7 +483,7 @@
         deaf.setblocking(False)
         answered = threading.Thread(target=self.answer_all, args=("x" * 200_000,), daemon=True)
         answered.start()
-        call_admin_api(self.door, "PUT", "/api/evacuate")
+        call_admin_api(self.admin_api_port, "PUT", "/api/evacuate")
         self.wait_for(lambda: self.was_reset(deaf))
         self.assertEqual(self.ready(), 503)
 
@@ -523,7 +526,7 @@
 
 
 class Unread(unittest.TestCase):
-    def test_a_req_that_has_come_and_is_not_read_yet_is_not_closed_on(self):
+    def test_a_request_that_has_come_and_is_not_read_yet_is_not_closed_on(self):
         """A loop that was held up within a turn runs its timers before it reads: the closing came first."""
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
@@ -554,27 +557,27 @@
         self.assertFalse(session.lifecycle.open)
 
 
-class NoRoom(DoorCase):
+class NoRoom(AdminApiCase):
     """Descriptors at the node's least: the clients' sessions full of half-written requests."""
 
     sockets = 64  # the least that the configuration takes
     descriptor_limit = 64  # and the process may hold no more
 
-    def test_a_door_call_is_answered_while_client_sessions_are_at_their_bound(self):
+    def test_a_admin_api_call_is_answered_while_client_sessions_are_at_their_bound(self):
         crowd = [socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) for _ in range(120)]
         for sock in crowd:
             self.addCleanup(sock.close)
             sock.sendall(b"POST /api HTTP/1.1\r\nX-Call-")
         self.wait_log("client sessions at their bound")
         self.assertLessEqual(self.descriptors(), self.descriptor_limit)
-        self.assertEqual(call_admin_api(self.door, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
-        self.assertEqual(call_admin_api(self.door, "GET", "/api/ready"), (200, b"ready\n"))
+        self.assertEqual(call_admin_api(self.admin_api_port, "PUT", "/api/exclude/s-1"), (200, b"excluded\n"))
+        self.assertEqual(call_admin_api(self.admin_api_port, "GET", "/api/ready"), (200, b"ready\n"))
 
     def test_a_call_waits_while_no_descriptor_is_left_and_is_then_answered(self):
         """An accept that fails leaves the call in the backlog; closing it there would lose it."""
         taken = sorted(map(int, os.listdir(f"/proc/{self.process.pid}/fd")))[-1] + 1
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (taken, self.descriptor_limit))
-        with socket.create_connection(("127.0.0.1", self.door), timeout=WAIT) as sock:
+        with socket.create_connection(("127.0.0.1", self.admin_api_port), timeout=WAIT) as sock:
             sock.sendall(b"PUT /api/exclude/s-1 HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
             self.wait_log("accept failed")
             resource.prlimit(
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -44,8 +44,8 @@
             client = self.client().ask()
             asked = self.executors[0].next_request()
             both = [client.close, asked.connection.reset]
-            for happening in both if number % 2 else reversed(both):
-                happening()
+            for event in both if number % 2 else reversed(both):
+                event()
             left = time.monotonic()
             while time.monotonic() < left + 0.03:
                 if not self.executors[0].received.empty():
@@ -55,7 +55,7 @@
         self.process.send_signal(signal.SIGUSR1)
         self.wait_log("wasted work")
 
-    def test_reqs_behind_one_whose_client_left_do_not_start(self):
+    def test_requests_behind_one_whose_client_left_do_not_start(self):
         """Sent ahead on the same session, they wait there; its end is theirs."""
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2) + raw(3))
@@ -70,7 +70,7 @@
     log_format = "json"
 
     def test_who_leaves_before_the_last_byte_leaves_nothing_that_ran(self):
-        """A code-issue's last byte waits 2 ms: within them its client goes, and no box may count it."""
+        """A code-issue's last byte waits 2 ms: within them its client goes, and no executor may count it."""
         whole = 0
         for number in range(20):
             sock = self.raw_client()
@@ -102,7 +102,7 @@
     xml_settings = '<backends><kind name="box" cancel="end"/></backends>'
 
     def test_an_attempt_is_given_up_by_ending_the_sending(self):
-        """A backend that honours a half-close may still write; what it says is read by nobody."""
+        """A executor that honours a half-close may still write; what it says is read by nobody."""
         asked = self.left()
         self.assertTrue(asked.connection.ended.wait(WAIT))
         client = self.client().ask()
@@ -214,7 +214,7 @@
         self.assertLess(time.monotonic() - began, 0.1 + 0.058)
 
     def test_what_still_connects_for_who_has_left_is_let_go(self):
-        """The probe asked for its sake too: it would cost the backend work once the connect comes up."""
+        """The probe asked for its sake too: it would cost the executor work once the connect comes up."""
         self.discovery.next_request()  # its connection counts among those that stay
         client = self.client()
         client.connect()
@@ -229,7 +229,7 @@
 
 
 class Chain(LeavingCase):
-    """client -> front -> inner -> box."""
+    """client -> front -> inner -> executor."""
 
     xml_settings = ('<deadlines><margin kind="learned"/></deadlines>'
             '<backends><kind name="node" speaks="node"/></backends>')  # fmt: skip
@@ -247,7 +247,7 @@
         self.port = self.logged_port()
 
     def test_a_chain_serves_passes_a_leave_on_and_shortens_the_budget(self):
-        """Leaving the front must reach the box; no hop may pass on more than it was given."""
+        """Leaving the front must reach the executor; no hop may pass on more than it was given."""
         client = self.client().ask(budget=1000)
         asked = self.executors[0].next_request()
         self.assertGreater(int(asked.headers["X-Budget-Ms"]), 900)
@@ -259,7 +259,7 @@
         client.close()
         self.assertTrue(asked.connection.ended.wait(WAIT))
 
-    def test_the_answer_is_in_time_where_the_box_ignores_all(self):
+    def test_the_answer_is_in_time_where_the_executor_ignores_all(self):
         """Three parties each keep a margin: the client hears before its own time is up."""
         began = time.monotonic()
         client = self.client().ask("issue", budget=400)
--- a/tests/net/test_health_listeners.py
+++ b/tests/net/test_health_listeners.py
@@ -1,4 +1,4 @@
-"""The real program and balancers that check it: agent-check and HTTP; serving, draining, with no backend."""
+"""The real program and balancers that check it: agent-check and HTTP; serving, draining, with no executor."""
 
 import contextlib
 import http.client
@@ -62,7 +62,7 @@
         self.assertEqual(self.get("/other").status, 404)
 
     def test_a_drain_shows_at_once_on_both_and_the_node_is_still_alive(self):
-        """While a held req keeps it, balancers must send it nothing new."""
+        """While a held request keeps it, balancers must send it nothing new."""
         self.client().ask()
         self.executors[0].next_request()
         self.terminate()
@@ -86,7 +86,7 @@
                 self.assertTrue(sock.makefile("rb").read().startswith(b"HTTP/1.1 200 OK"))
 
     def test_a_checker_that_connects_by_hundreds_sends_rubbish_or_nothing_harms_nobody(self):
-        """Its sessions are bounded and end in time; reqs are served and other checks answered meanwhile."""
+        """Its sessions are bounded and end in time; requests and other checks are answered meanwhile."""
         address = "127.0.0.1", self.ports["http"]
         crowd = [socket.create_connection(address, timeout=WAIT) for _ in range(200)]
         for sock in crowd:
@@ -161,13 +161,13 @@
         self.assertEqual(command("health", "probe", "nowhere").returncode, 2)
 
 
-class NoBackend(Checked):
+class NoExecutor(Checked):
     def config(self) -> dict:
         config = super().config()
         config["known"]["endpoints"] = []
         return config
 
-    def test_a_node_with_no_usable_backend_is_not_ready_but_alive(self):
+    def test_a_node_with_no_usable_executor_is_not_ready_but_alive(self):
         """To restart it would help nobody; to send it work would fail."""
         self.assertEqual((self.agent().status, self.agent().reason), (Status.DOWN, "no backend serves"))
         statuses = [self.get(path).status for path in ("/livez", "/readyz", "/healthz")]
@@ -175,7 +175,7 @@
 
 
 for _name in [name for name in vars(Checked) if name.startswith("test_")]:
-    setattr(NoBackend, _name, None)  # they need a backend
+    setattr(NoExecutor, _name, None)  # they need a executor
 
 
 if __name__ == "__main__":
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -16,7 +16,7 @@
 
 
 class Serving(NodeCase):
-    def test_a_req_without_a_key_is_served(self):
+    def test_a_request_without_a_key_is_served(self):
         """At a site without keys the path is /api alone; taking only paths below it once refused all."""
         client = self.client().ask(path="/api?x=1", **{"Idempotency-Key": "k1"})
         asked = self.executors[0].next_request()
@@ -26,8 +26,8 @@
         asked.done("r\u00e9sultat")
         self.assertEqual(client.answer(), (200, "r\u00e9sultat".encode()))
 
-    def test_a_backend_connection_serves_one_req_after_the_other(self):
-        """A new connection costs the backend work; only at a message's end is it known to be kept."""
+    def test_a_executor_connection_serves_one_request_after_the_other(self):
+        """A new connection costs the executor work; only at a message's end is it known to be kept."""
         for _ in range(3):
             client = self.client().ask()
             self.executors[0].next_request().done()
@@ -35,7 +35,7 @@
         self.assertEqual(len(self.executors[0].connections), 1)
 
     def test_a_connection_that_got_eof_is_not_used_again(self):
-        """What is written to a closed connection ends as a reset, and an unsafe req is then lost."""
+        """What is written to a closed connection ends as a reset, and an unsafe request is then lost."""
         client = self.client().ask()
         first = self.executors[0].next_request()
         first.done()
@@ -48,7 +48,7 @@
         self.assertEqual(client.answer()[0], 200)
         self.assertIsNot(first.connection, second.connection)
 
-    def test_an_unsafe_req_whose_stream_breaks_off_fails_and_is_not_sent_again(self):
+    def test_an_unsafe_request_whose_stream_breaks_off_fails_and_is_not_sent_again(self):
         """A 200 that ends without a last line is a reset: the job may have run."""
         client = self.client().ask("issue")
         asked = self.executors[0].next_request()
@@ -58,7 +58,7 @@
         self.assertTrue(self.executors[0].received.empty())
 
     def test_a_line_of_another_job_is_not_passed_on(self):
-        """A node that serves what no executor made for the req breaks a rule."""
+        """A node that serves what no executor made for the request breaks a rule."""
         client = self.client().ask("issue")
         asked = self.executors[0].next_request()
         asked.send_head()
@@ -66,7 +66,7 @@
         self.assertEqual(client.answer()[0], 502)
 
     def may_have_run(self, end) -> None:
-        """No refusal and no second attempt for an unsafe req after such an end."""
+        """No refusal and no second attempt for an unsafe request after such an end."""
         client = self.client().ask("issue")
         end(self.executors[0].next_request())
         self.assertEqual(client.answer()[0], 502)
@@ -88,7 +88,7 @@
         """Only X-Rejected proves that the executor did not look at it."""
         self.may_have_run(lambda asked: asked.connection.send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"))
 
-    def test_a_req_turned_away_unseen_is_refused_with_advice(self):
+    def test_a_request_turned_away_unseen_is_refused_with_advice(self):
         """503 with X-Rejected, and `returned`, prove that it never ran: the synthetic answer is harmless."""
         status = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         endless = "HTTP/1.1 504 x\r\nX-Rejected: 1\r\nConnection: close\r\n\r\n"  # the head says it all
@@ -106,7 +106,7 @@
             self.assertGreater(float(client.headers["Retry-After"]), 0)
 
     def test_the_answer_comes_before_the_budget_ends(self):
-        """A silent backend: the client must hear before it gives up, and the connection is let go."""
+        """A silent executor: the client must hear before it gives up, and the connection is let go."""
         began = time.monotonic()
         client = self.client().ask("issue", budget=400)
         asked = self.executors[0].next_request()
@@ -123,7 +123,7 @@
         self.assertTrue(asked.connection.ended.wait(WAIT))
 
     def test_notes_of_a_start_and_of_progress_are_no_answer(self):
-        """Lines before the last one, split anywhere, must neither end the req nor break it."""
+        """Lines before the last one, split anywhere, must neither end the request nor break it."""
         client = self.client().ask()
         asked = self.executors[0].next_request()
         asked.send_head()
@@ -135,8 +135,8 @@
 
 
 class Breaking(NodeCase):
-    def test_an_unsafe_req_goes_out_on_a_new_connection_once_a_kept_one_has_broken(self):
-        """Some backends reset kept connections at the next request: an unsafe req is lost that way."""
+    def test_an_unsafe_request_goes_out_on_a_new_connection_once_a_kept_one_has_broken(self):
+        """Some executors reset kept connections at the next request: an unsafe request is lost that way."""
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
@@ -156,8 +156,8 @@
         self.assertEqual(client.answer()[0], 200)
         self.assertIs(second.connection, third.connection)
 
-    def test_a_reset_while_an_unsafe_req_arrives_proves_that_it_never_ran(self):
-        """Its last byte waits a moment: some backends reset a connection as soon as it brings something."""
+    def test_a_reset_while_an_unsafe_request_arrives_proves_that_it_never_ran(self):
+        """Its last byte waits a moment: some executors reset a connection as soon as it brings something."""
         self.executors[0].resets_at_first_byte = True
         for asked in range(1, 21):  # the reset may also come too late, on a slow machine
             self.assertIn(self.client().ask("issue").answer()[0], (502, 503))
@@ -166,7 +166,7 @@
         self.fail("no unsafe req was sent again")
 
     def test_an_answer_before_the_last_byte_spoils_its_connection(self):
-        """The rest of that req would be read as the head of the next one."""
+        """The rest of that request would be read as the head of the next one."""
         self.executors[0].early_answer = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         statuses = [502]
         while statuses[-1] == 502 and len(statuses) <= 20:  # it may also come too late, on a slow machine
@@ -175,7 +175,7 @@
         self.executors[0].early_answer = None
         client = self.client().ask()
         asked = self.executors[0].next_request()
-        self.assertEqual(asked.method, "POST")  # a byte of the req before would stand in front of it
+        self.assertEqual(asked.method, "POST")  # a byte of the request before would stand in front of it
         asked.done()
         self.assertEqual(client.answer()[0], 200)
 
@@ -183,7 +183,7 @@
 class Resting(NodeCase):
     settings_changes = {"caps.conn_idle": 2000000}
 
-    def test_an_idle_connection_is_closed_well_before_its_backend_does(self):
+    def test_an_idle_connection_is_closed_well_before_its_executor_does(self):
         """What is written to one that its machine has closed ends as a reset."""
         client = self.client().ask()
         asked = self.executors[0].next_request()
@@ -199,7 +199,7 @@
     settings_changes = {"caps.probes": True}
 
     def test_a_probe_reads_the_load_and_the_job_goes_where_room_is(self):
-        """Load comes by probe only: the job must reach the backend that reports a free slot."""
+        """Load comes by probe only: the job must reach the executor that reports a free slot."""
         client = self.client().ask()
         for number, free in ((0, 0), (1, 2)):
             probe = self.executors[number].next_request()
@@ -237,7 +237,7 @@
 class Rude(NodeCase):
     executor_count = 2
 
-    def test_the_id_of_an_open_req_is_not_taken_twice(self):
+    def test_the_id_of_an_open_request_is_not_taken_twice(self):
         """Another's id made executors answer 400, and the node think ill of five of them in turn."""
         first = self.client().ask(**{"X-Call-Id": "abc"})
         while all(server.received.empty() for server in self.executors):
@@ -250,7 +250,7 @@
             self.assertFalse(second.answered(0.01))
 
     def test_what_an_executor_cannot_use_is_not_offered_to_the_next(self):
-        """4xx blames the request: repeats would only hurt the health of backends that are well."""
+        """4xx blames the request: repeats would only hurt the health of executors that are well."""
         client = self.client().ask()
         while all(server.received.empty() for server in self.executors):
             self.assertFalse(client.answered(0.01))
@@ -260,7 +260,7 @@
         self.assertTrue(all(server.received.empty() for server in self.executors))
 
     def test_a_header_means_one_thing(self):
-        """One that came twice overwrote the first; a trailer did, too; blanks went on to the backend."""
+        """One that came twice overwrote the first; a trailer did, too; blanks went on to the executor."""
         head = b"POST /api HTTP/1.1\r\nX-Call-Class: pin\r\nX-Budget-Ms: 500\r\nX-Call-Id: a1  \r\n"
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(head + b"X-Call-Id: a2\r\nContent-Length: 0\r\n\r\n")
@@ -274,7 +274,7 @@
             self.assertEqual((asked.headers["X-Call-Id"], asked.body), ("a1", b"x"))
 
     def test_a_body_of_unclear_length_goes_no_further(self):
-        """Such a body can hide a second request: one error, and nothing of it reaches a backend."""
+        """Such a body can hide a second request: one error, and nothing of it reaches a executor."""
         head = b"POST /api HTTP/1.1\r\nX-Call-Class: pin\r\nX-Budget-Ms: 500\r\nX-Call-Id: a1\r\n"
         inner = head + b"Content-Length: 0\r\n\r\n"
         for lines in (b"Content-Length: 3\r\nContent-Length: 3\r\n", b"Content-Length: 3, 4\r\n",
@@ -366,8 +366,8 @@
 
 
 class Unreachable(NodeCase):
-    def test_a_refused_connect_proves_that_the_req_never_ran(self):
-        """So an unsafe req may be refused at once, not failed, and the node goes on."""
+    def test_a_refused_connect_proves_that_the_request_never_ran(self):
+        """So an unsafe request may be refused at once, not failed, and the node goes on."""
         self.executors[0].close()
         client = self.client().ask("issue")
         self.assertEqual(client.answer()[0], 503)
@@ -375,7 +375,7 @@
 
 class CutOff(NodeCase):
     def setUp(self) -> None:
-        """The backend's backlog is full and nobody accepts: further connects hang."""
+        """The executor's backlog is full and nobody accepts: further connects hang."""
         self.silent = [socket.create_server(("127.0.0.1", 0), backlog=0)]
         for _ in range(3):
             self.silent.append(socket.socket())
@@ -390,7 +390,7 @@
         return super().entry(number, address=address, **changes)
 
     def test_a_connect_that_never_comes_up_ends_in_its_time(self):
-        """A machine that is cut off says nothing: the attempt never ran, and its req is refused then."""
+        """A machine that is cut off says nothing: the attempt never ran, and its request is refused then."""
         began = time.monotonic()
         self.assertEqual(self.client().ask("issue").answer()[0], 503)
         self.assertGreater(time.monotonic() - began, 0.2)
@@ -461,7 +461,7 @@
         asked.send_head()
         return asked
 
-    def test_a_drained_backend_sees_nothing_new(self):
+    def test_a_drained_executor_sees_nothing_new(self):
         """Rule 3; the next call asks from the version that the last line held."""
         watch = self.watch(7)
         change = self.entry(0, status="DRAINING", address="")  # without an address it must count all the same
@@ -510,26 +510,26 @@
 class Reloading(NodeCase):
     executor_count = 2
 
-    def test_the_director_moves_and_nothing_is_lost(self):
+    def test_the_discovery_moves_and_nothing_is_lost(self):
         """SIGHUP once ended the process with all it held; the new address has to bring the whole list."""
         old = self.discovery.next_request()
         held = self.client().ask("issue")
         while self.executors[
             0
-        ].received.empty():  # at the backend that will be gone: elsewhere others may cut it
+        ].received.empty():  # at the executor that will be gone: elsewhere others may cut it
             if not self.executors[1].received.empty():
                 self.executors[1].next_request().done()
                 held.answer()
                 held = self.client().ask("issue")
             self.assertFalse(held.answered(0.01))
         asked = self.executors[0].next_request()
-        director = StandInServer()
-        self.addCleanup(director.close)
-        self.reload(json.dumps({**self.config(), "discovery": director.address}))
+        discovery = StandInServer()
+        self.addCleanup(discovery.close)
+        self.reload(json.dumps({**self.config(), "discovery": discovery.address}))
         self.wait_log("reloaded: discovery is at 127.0.0.1")
         self.assertTrue(old.connection.ended.wait(WAIT))
-        director.next_request().send_head("503 Service Unavailable")  # asked again soon
-        began, call = time.monotonic(), director.next_request()
+        discovery.next_request().send_head("503 Service Unavailable")  # asked again soon
+        began, call = time.monotonic(), discovery.next_request()
         self.assertLess(time.monotonic() - began, 1.5)
         self.assertEqual(call.path, "/v1/endpoints?watch=1&from=0")  # its versions may be others
         call.send_head()
@@ -579,7 +579,7 @@
 
 class Ending(NodeCase):
     def test_a_drain_answers_what_is_held_and_what_still_comes(self):
-        """After SIGTERM reqs come for 0.4 s more; each gets its answer before the program ends with 0."""
+        """After SIGTERM requests come for 0.4 s more; each gets its answer before the program ends with 0."""
         kept, idle, early, late = (self.client() for _ in range(4))
         for client in (kept, idle):
             client.request("GET", "/ready")
@@ -595,7 +595,7 @@
         kept.request("GET", "/ready")  # clients still use the sessions that they have
         self.assertEqual(kept.answer()[0], 503)
         self.assertEqual(idle.sock.recv(1), b"")  # closed before the node may be killed
-        self.assertIsNone(self.process.poll())  # it must not end while a req is held
+        self.assertIsNone(self.process.poll())  # it must not end while a request is held
         held.done("early")
         self.assertEqual(early.answer(), (200, b"early"))
         self.assertEqual(early.headers["Connection"], "close")
@@ -604,7 +604,7 @@
 
 class Killing(NodeCase):
     def test_what_comes_late_in_a_drain_is_answered_before_the_kill(self):
-        """SIGKILL may come 3.7 s after SIGTERM; a req taken after 0.7 s and not answered by then is lost."""
+        """SIGKILL may come 3.7 s after SIGTERM; one taken after 0.7 s and unanswered by then is lost."""
         head = b"POST /api HTTP/1.1\r\nX-Call-Class: issue\r\nX-Budget-Ms: 9000\r\nX-Call-Id: a\r\n"
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
         self.addCleanup(sock.close)
@@ -643,7 +643,7 @@
         run = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True)
         self.assertEqual((run.returncode, run.stderr), (2, "cedarmill: LB_CONFIG is not set\n"))
 
-    def test_without_a_backend_it_is_not_ready(self):
+    def test_without_a_executor_it_is_not_ready(self):
         """The front adds a node once it is ready: before the first list it could only refuse."""
         config = self.config()
         config["known"]["endpoints"] = []
--- a/tests/net/test_sibling_faults.py
+++ b/tests/net/test_sibling_faults.py
@@ -54,7 +54,7 @@
             self.old.kill()
         self.old.communicate()
 
-    def start_beside(self) -> None:
+    def start_sibling(self) -> None:
         """Start the new process, and wait till it counts the old one."""
         self.next_process()
         if not any("that live: 1" in line for line in self.log):
@@ -85,22 +85,22 @@
 class CannotWrite(TwoProcesses):
     def test_a_process_with_a_full_disk_counts_till_it_dies(self):
         """It counted as gone after 2 s: the new process took its slots, and the node went over its limits."""
-        self.start_beside()
+        self.start_sibling()
         self.silence("ENOSPC")
         self.check_counted_till_killed()
 
     def test_a_process_whose_disk_is_broken_counts_till_it_dies(self):
-        self.start_beside()
+        self.start_sibling()
         self.silence("EIO")
         self.check_counted_till_killed()
 
     def test_a_process_that_starts_meanwhile_counts_it(self):
         self.silence("ENOSPC")
-        self.start_beside()
+        self.start_sibling()
         self.check_counted_till_killed()
 
     def test_it_tells_again_once_it_can(self):
-        self.start_beside()
+        self.start_sibling()
         self.silence("ENOSPC")
         self.plan.arm()
         told = InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-out-{self.old.pid}.json")
@@ -117,7 +117,7 @@
         self.plan.arm(Fault("flock", "ENOLCK", times=0))
 
     def test_processes_count_while_they_write(self):
-        self.start_beside()
+        self.start_sibling()
         self.assertGreater(self.plan.hits("flock"), 0)
         self.check_counts_no_more_when_killed()
 
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -46,7 +46,7 @@
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
-    def test_an_upgrade_with_reqs_in_flight_on_both_processes(self):
+    def test_an_upgrade_with_requests_in_flight_on_both_processes(self):
         """The new process serves while the old one still holds a request; the old answers it and ends."""
         old_client = self.client().ask()
         old_asked = self.executors[0].next_request()  # held by the old process
@@ -69,7 +69,7 @@
 
 
 class TwoDoors(HeldSocket):
-    """Two processes with a door each, as during an upgrade."""
+    """Two processes with a admin API each, as during an upgrade."""
 
     executor_count = 2
 
@@ -78,13 +78,13 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.old, self.old_door = self.process, self.admin_port()
+        self.old, self.old_admin_port = self.process, self.admin_port()
         self.addCleanup(self.end_old)
         self.kept_session = self.client()  # of the old process: the only one so far
         self.kept_session.request("GET", "/ready")
         self.assertEqual(self.kept_session.answer()[0], 200)
         self.next_process()
-        self.new_door = self.admin_port()
+        self.new_admin_port = self.admin_port()
 
     def end_old(self) -> None:
         if self.old.poll() is None:
@@ -113,22 +113,22 @@
         self.assertEqual(self.old.wait(WAIT), 0)
         self.wait_log("sibling processes of this node that live: 0")
 
-    def test_a_mark_made_at_the_new_door_holds_in_the_old_process(self):
-        self.assertEqual(call_admin_api(self.new_door, "PUT", "/api/exclude/s-0")[0], 200)
+    def test_a_mark_made_at_the_new_admin_api_holds_in_the_old_process(self):
+        self.assertEqual(call_admin_api(self.new_admin_port, "PUT", "/api/exclude/s-0")[0], 200)
         self.told(self.old, "state file: s-0")
         self.assertEqual({self.old_sends_to() for _ in range(6)}, {1})
 
-    def test_a_mark_made_at_the_old_door_holds_in_the_new_process_after_the_old_one(self):
-        self.assertEqual(call_admin_api(self.old_door, "PUT", "/api/exclude/s-0")[0], 200)
+    def test_a_mark_made_at_the_old_admin_api_holds_in_the_new_process_after_the_old_one(self):
+        self.assertEqual(call_admin_api(self.old_admin_port, "PUT", "/api/exclude/s-0")[0], 200)
         self.wait_log("state file: s-0")
         self.old.terminate()
         self.assertEqual(self.old.wait(WAIT), 0)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
 
     def test_marks_made_at_both_doors_one_after_the_other_both_hold(self):
-        self.assertEqual(call_admin_api(self.new_door, "PUT", "/api/exclude/s-0")[0], 200)
-        self.assertEqual(call_admin_api(self.old_door, "PUT", "/api/exclude/s-1")[0], 200)
-        self.assertEqual(call_admin_api(self.new_door, "PUT", "/api/include/s-1")[0], 200)
+        self.assertEqual(call_admin_api(self.new_admin_port, "PUT", "/api/exclude/s-0")[0], 200)
+        self.assertEqual(call_admin_api(self.old_admin_port, "PUT", "/api/exclude/s-1")[0], 200)
+        self.assertEqual(call_admin_api(self.new_admin_port, "PUT", "/api/include/s-1")[0], 200)
         marks = Exclusions("n0")
         marks.adopt(Path(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json").read_bytes(), ClockReading(0))
         self.assertEqual(set(marks.since), {"s-0"})
@@ -206,7 +206,7 @@
         """So much time is to pass for the node; here it passes by itself."""
 
     def slots(self) -> float:
-        """Of the one backend, as kept last."""
+        """Of the one executor, as kept last."""
         texts = self.kept().texts()
         body = (
             sealed_document.unseal_newest(
--- a/tests/support/balancer_simulation.py
+++ b/tests/support/balancer_simulation.py
@@ -1,6 +1,6 @@
-"""A fleet on one seeded clock: many modules side by side, backends that queue, clients that come again.
+"""A fleet on one seeded clock: many modules side by side, executors that queue, clients that come again.
 
-It knows what no module knows: the true state of each backend. Times are microseconds from the start.
+It knows what no module knows: the true state of each executor. Times are microseconds from the start.
 """
 
 import heapq
@@ -22,7 +22,7 @@
 )
 WORK_US = (450_000, 950_000)  # mean of each class
 FIELDS = ("free_slots", "errors_per_s", "queue", "free_memory")
-SLOTS, PLACES = 2, 14  # of a backend: jobs that run, jobs that wait
+SLOTS, PLACES = 2, 14  # of a executor: jobs that run, jobs that wait
 COLD_US, COLD_SHARE, FALL, WINDOW_US = 9 * S, 0.3, 2.5, 1_500_000
 TRIP_US = 600  # there and back
 CONNECT_US = 250_000  # after which a connect has failed
@@ -33,8 +33,8 @@
 
 
 @dataclass(eq=False)
-class Box:
-    """One backend as it is."""
+class SimulatedExecutor:
+    """One executor as it is."""
 
     number: int
     zone: int
@@ -81,68 +81,113 @@
 def node_settings(nodes: int, zone: int, **more) -> api.Settings:
     """What a node of a large fleet is told."""
     return api.Settings(
-        instances=nodes, zone=zone, classes=CLASSES, cold_us=COLD_US, cold_share=COLD_SHARE,
-        fall_multiple=FALL, overload_window_us=WINDOW_US, max_attempts=5, over_share_worth=0.2,
-        worth_by_work=True, on_request_discovery=True, report_fields=FIELDS, report_by_probe=True,
-        may_duplicate=True, can_cancel=True, can_probe=True, max_retry_after_us=2 * S, tick_us=2_000,
-        cross_zone_price=0.027, probe_price=0.0047, **more)  # fmt: skip
+        instances=nodes,
+        zone=zone,
+        classes=CLASSES,
+        cold_us=COLD_US,
+        cold_share=COLD_SHARE,
+        fall_multiple=FALL,
+        overload_window_us=WINDOW_US,
+        max_attempts=5,
+        over_share_worth=0.2,
+        worth_by_work=True,
+        on_request_discovery=True,
+        report_fields=FIELDS,
+        report_by_probe=True,
+        may_duplicate=True,
+        can_cancel=True,
+        can_probe=True,
+        max_retry_after_us=2 * S,
+        tick_us=2_000,
+        cross_zone_price=0.027,
+        probe_price=0.0047,
+        **more,
+    )
 
 
 class Fleet:
-    """Nodes and boxes; `run` plays on, `boxes` and `sent` show what happened."""
-
-    def __init__(self, nodes: int = 40, boxes: int = 60, load: float = 0.65, seed: int = 1, zones: int = 4,
-                 skew: tuple[float, ...] = SKEW) -> None:  # fmt: skip
+    """Nodes and executors; `run` plays on, `executors` and `sent` show what happened."""
+
+    def __init__(
+        self,
+        nodes: int = 40,
+        executors: int = 60,
+        load: float = 0.65,
+        seed: int = 1,
+        zones: int = 4,
+        skew: tuple[float, ...] = SKEW,
+    ) -> None:
         self.random, self.now, self.count, self.zones = Random(seed), 0, 0, zones
         self.heap: list = []
-        self.boxes: dict[int, Box] = {}
-        for _ in range(boxes):
-            self.add_box()
-        self.untouched = list(self.boxes.values())  # those there from the start, for faults to pick from
-        capacity = sum(SLOTS * box.speed for box in self.boxes.values())
+        self.executors: dict[int, SimulatedExecutor] = {}
+        for _ in range(executors):
+            self.add_executor()
+        self.untouched = list(self.executors.values())  # those there from the start, for faults to pick from
+        capacity = sum(SLOTS * executor.speed for executor in self.executors.values())
         self.rate = load * capacity / (0.52 * WORK_US[0] + 0.48 * WORK_US[1])  # jobs in a microsecond
-        self.sent: list[tuple[int, int, Box, Job]] = []  # time, node, where, what
-        self.unanswered = 0  # attempts and probes that met a box that had vanished
+        self.sent: list[tuple[int, int, SimulatedExecutor, Job]] = []  # time, node, where, what
+        self.unanswered = 0  # attempts and probes that met a executor that had vanished
         self.probes = self.refused = self.failed = 0
         self.worth = defaultdict(lambda: [0.0, 0.0])  # work served in time and asked for, by second
         quota = self.rate * S / 0.9
         tenants = api.Tenant("a", quota * 0.63), api.Tenant("b", quota * 0.37)
         self.settings = [node_settings(nodes, n % zones, tenants=tenants) for n in range(nodes)]
-        # traffic is not where the boxes are, and some nodes carry far more than others
+        # traffic is not where the executors are, and some nodes carry far more than others
         self.parts = [skew[n % zones] * self.random.paretovariate(1.3) for n in range(nodes)]
         self.balancers = [Balancer(s, seed * 1000 + n) for n, s in enumerate(self.settings)]
         self.open: dict[tuple[int, int], Job] = {}
-        self.where: dict[tuple[int, int], list[Box]] = {}  # attempts, by number
+        self.where: dict[tuple[int, int], list[SimulatedExecutor]] = {}  # attempts, by number
         self.ended: set[tuple[int, int, int]] = set()
         self.numbers = [0] * nodes
         for node in range(nodes):
             self.tell(
                 node,
-                api.EndpointList(api.EndpointListKind.CACHED, [self.entry(b) for b in self.boxes.values()]),
+                api.EndpointList(
+                    api.EndpointListKind.CACHED, [self.entry(b) for b in self.executors.values()]
+                ),
             )
         self.at(0, self._arrive)
 
-    def add_box(self, kind: int | None = None, zone: int | None = None, **more) -> Box:
-        """One more box; a new one (`since`) is cold."""
-        r, number = self.random, len(self.boxes) + 1
+    def add_executor(self, kind: int | None = None, zone: int | None = None, **more) -> SimulatedExecutor:
+        """One more executor; a new one (`since`) is cold."""
+        r, number = self.random, len(self.executors) + 1
         kind = int(r.random() < 0.55) if kind is None else kind
         speed = r.uniform(0.77, 1.0) if kind else r.uniform(1.5, 2.1)
-        box = Box(number, number % self.zones if zone is None else zone, kind, speed,
-                  r.randrange(580_000, 1_500_000), r.randrange(120_000, 490_000), **more)  # fmt: skip
-        self.boxes[number] = box
-        self.at(r.randrange(box.period), lambda: self._measure(box))
-        return box
-
-    def entry(self, box: Box, state: api.ExecutorState = api.ExecutorState.READY) -> api.EndpointEntry:
-        started = box.since + OFFSET if box.since else 0
-        return api.EndpointEntry(box.number, state, box.zone, box.number // 4, started, (3.5, 2.0)[box.kind],
-                               box.kind)  # fmt: skip
-
-    def news(self, *boxes: Box, state: api.ExecutorState = api.ExecutorState.READY) -> None:
+        executor = SimulatedExecutor(
+            number,
+            number % self.zones if zone is None else zone,
+            kind,
+            speed,
+            r.randrange(580_000, 1_500_000),
+            r.randrange(120_000, 490_000),
+            **more,
+        )
+        self.executors[number] = executor
+        self.at(r.randrange(executor.period), lambda: self._measure(executor))
+        return executor
+
+    def entry(
+        self, executor: SimulatedExecutor, state: api.ExecutorState = api.ExecutorState.READY
+    ) -> api.EndpointEntry:
+        started = executor.since + OFFSET if executor.since else 0
+        return api.EndpointEntry(
+            executor.number,
+            state,
+            executor.zone,
+            executor.number // 4,
+            started,
+            (3.5, 2.0)[executor.kind],
+            executor.kind,
+        )
+
+    def news(self, *executors: SimulatedExecutor, state: api.ExecutorState = api.ExecutorState.READY) -> None:
         """The list's changes, to all nodes."""
         for node in range(len(self.balancers)):
             self.tell(
-                node, api.EndpointList(api.EndpointListKind.DELTA, [self.entry(box, state) for box in boxes])
+                node,
+                api.EndpointList(
+                    api.EndpointListKind.DELTA, [self.entry(executor, state) for executor in executors]
+                ),
             )
 
     # The clock.
@@ -197,12 +242,12 @@
             getattr(self, "_" + type(action).__name__.lower())(node, action)
 
     def _send(self, node: int, action: api.Send) -> None:
-        box, job = self.boxes[action.executor], self.open[node, action.request]
+        executor, job = self.executors[action.executor], self.open[node, action.request]
         attempts = self.where[node, action.request]
         number = len(attempts)
-        attempts.append(box)
-        self.sent.append((self.now, node, box, job))
-        self.at(self.now + TRIP_US, lambda: self._reach(box, job, node, action.request, number))
+        attempts.append(executor)
+        self.sent.append((self.now, node, executor, job))
+        self.at(self.now + TRIP_US, lambda: self._reach(executor, job, node, action.request, number))
 
     def _cancel(self, node: int, action: api.Cancel) -> None:
         self.at(self.now, lambda: self._end(node, action.request, action.attempt, Outcome.CANCELLED))
@@ -225,61 +270,63 @@
 
     def _probe(self, node: int, action: api.Probe) -> None:
         self.probes += 1
-        box = self.boxes[action.executor]
-        while len(box.reports) > 1 and box.reports[1][0] <= self.now:
-            box.reports.popleft()
-        ready = box.reports and box.reports[0][0] <= self.now
-        report = box.reports[0][1] if ready and not box.gone else None
-        answer = api.ProbeEnded(box.number, Outcome.CONNECT_FAILED if box.gone else Outcome.OK, report)
-        self.unanswered += box.gone
-        self.at(self.now + (CONNECT_US if box.gone else TRIP_US), lambda: self.tell(node, answer))
+        executor = self.executors[action.executor]
+        while len(executor.reports) > 1 and executor.reports[1][0] <= self.now:
+            executor.reports.popleft()
+        ready = executor.reports and executor.reports[0][0] <= self.now
+        report = executor.reports[0][1] if ready and not executor.gone else None
+        answer = api.ProbeEnded(
+            executor.number, Outcome.CONNECT_FAILED if executor.gone else Outcome.OK, report
+        )
+        self.unanswered += executor.gone
+        self.at(self.now + (CONNECT_US if executor.gone else TRIP_US), lambda: self.tell(node, answer))
 
     def _end(self, node: int, number: int, attempt: int, outcome: Outcome) -> None:
         if (node, number, attempt) in self.ended:
             return
         self.ended.add((node, number, attempt))
-        box, job = self.where[node, number][attempt], self.open.get((node, number))
+        executor, job = self.where[node, number][attempt], self.open.get((node, number))
         if outcome == Outcome.OK and job is not None:
             del self.open[node, number]
             if self.now - job.at <= job.aim:
                 self.worth[job.came // S][0] += job.work
         final = (node, number) not in self.open
-        self.tell(node, api.AttemptEnded(number, attempt, box.number, outcome, final))
+        self.tell(node, api.AttemptEnded(number, attempt, executor.number, outcome, final))
 
     # Boxes.
 
-    def _measure(self, box: Box) -> None:
-        free, distinct = SLOTS - box.running, self.random.random() * DISTINCT
-        report = (free + distinct, box.errors, float(len(box.queue)), 10.0)
-        box.reports.append((self.now + box.lag, report))
-        box.errors *= 0.25
-        self.at(self.now + box.period, lambda: self._measure(box))
+    def _measure(self, executor: SimulatedExecutor) -> None:
+        free, distinct = SLOTS - executor.running, self.random.random() * DISTINCT
+        report = (free + distinct, executor.errors, float(len(executor.queue)), 10.0)
+        executor.reports.append((self.now + executor.lag, report))
+        executor.errors *= 0.25
+        self.at(self.now + executor.period, lambda: self._measure(executor))
 
-    def _reach(self, box: Box, job: Job, node: int, number: int, attempt: int) -> None:
-        if box.gone:
+    def _reach(self, executor: SimulatedExecutor, job: Job, node: int, number: int, attempt: int) -> None:
+        if executor.gone:
             self.unanswered += 1
             self.at(self.now + CONNECT_US, lambda: self._end(node, number, attempt, Outcome.CONNECT_FAILED))
             return
-        box.taken.append((self.now, job.work))
-        if self.random.random() < box.error_share:
-            box.errors += 1.0
+        executor.taken.append((self.now, job.work))
+        if self.random.random() < executor.error_share:
+            executor.errors += 1.0
             self.at(self.now + FAST_ERROR_US, lambda: self._end(node, number, attempt, Outcome.ERROR))
-        elif box.running < SLOTS:
-            self._start(box, job, node, number, attempt)
-        elif len(box.queue) < PLACES:
-            box.queue.append((job, node, number, attempt))
+        elif executor.running < SLOTS:
+            self._start(executor, job, node, number, attempt)
+        elif len(executor.queue) < PLACES:
+            executor.queue.append((job, node, number, attempt))
         else:
             self._end(node, number, attempt, Outcome.FULL)
 
-    def _start(self, box: Box, job: Job, node: int, number: int, attempt: int) -> None:
-        box.running += 1
-        took = job.work / (box.speed * box.share(self.now)) * math.exp(self.random.gauss(0, 0.25))
-        self.at(self.now + took, lambda: self._done(box, node, number, attempt))
+    def _start(self, executor: SimulatedExecutor, job: Job, node: int, number: int, attempt: int) -> None:
+        executor.running += 1
+        took = job.work / (executor.speed * executor.share(self.now)) * math.exp(self.random.gauss(0, 0.25))
+        self.at(self.now + took, lambda: self._done(executor, node, number, attempt))
 
-    def _done(self, box: Box, node: int, number: int, attempt: int) -> None:
-        if box.gone:
+    def _done(self, executor: SimulatedExecutor, node: int, number: int, attempt: int) -> None:
+        if executor.gone:
             return  # it says nothing more
-        box.running -= 1
-        if box.queue:
-            self._start(box, *box.queue.popleft())
+        executor.running -= 1
+        if executor.queue:
+            self._start(executor, *executor.queue.popleft())
         self._end(node, number, attempt, Outcome.OK)
