--- a/cedarmill/deadlines/__init__.py
+++ b/cedarmill/deadlines/__init__.py
@@ -1,4 +1,5 @@
-"""Deadlines end to end: the time that a request may still spend, who has left, what is worth starting.
+"""End-to-end request deadlines: remaining budgets, abandoned requests and attempts worth starting.
 
-No I/O and no clock: `DeadlineTracker.step(now, event)` returns actions, all times are whole microseconds.
+The package does no I/O and reads no clock: `DeadlineTracker.step(now, event)` returns actions. All times are
+whole microseconds.
 """
--- a/cedarmill/deadlines/margins.py
+++ b/cedarmill/deadlines/margins.py
@@ -1,73 +1,73 @@
-"""What a hop keeps back of a budget: learned from measured times, bounded, never more than is there.
+"""Safety margins that a hop subtracts from a request's budget, fixed or learned from measured times.
 
-The hop that passes a budget on subtracts: it alone can measure its own round trip to the next one, and its
-own lag. Each side of a link that subtracted for it would give the same time away twice.
+Only the hop that passes a budget on subtracts a margin, because it can measure its own lag and the round trip
+to the next hop. If both ends of a link subtracted one, the same time would be deducted twice.
 """
 
 from cedarmill.values import DeadlineOptions
 
-# RFC 6298, section 2: alpha, beta, K
+# The estimator's alpha, beta and K in RFC 6298, section 2.
 MEAN_GAIN = 1 / 8
-SPREAD_GAIN = 1 / 4
-SPREADS = 4
-BUDGET_PARTS = 10  # a margin takes at most one of these parts of the budget: a short one must not vanish
+DEVIATION_GAIN = 1 / 4
+DEVIATION_MULTIPLE = 4
+MARGIN_BUDGET_DIVISOR = 10  # A margin is at most the budget divided by this, so that short budgets survive.
 
 
-class BoundEstimate:
-    """A time that is measured again and again, and a bound that it seldom passes (RFC 6298, us)."""
+class LatencyBoundEstimator:
+    """Estimates an upper bound (us) that a repeatedly measured latency seldom exceeds, as in RFC 6298."""
 
-    __slots__ = ("mean", "spread")
+    __slots__ = ("deviation", "mean")
 
     def __init__(self) -> None:
         self.mean = -1.0
-        self.spread = 0.0
+        self.deviation = 0.0
 
-    def learn(self, sample: int) -> None:
-        """Take one measurement (us)."""
+    def add_sample(self, sample: int) -> None:
+        """Update the estimate with one measured latency (us)."""
         if self.mean < 0:
-            self.mean, self.spread = float(sample), sample / 2
+            self.mean, self.deviation = float(sample), sample / 2
             return
-        self.spread += (abs(self.mean - sample) - self.spread) * SPREAD_GAIN
+        self.deviation += (abs(self.mean - sample) - self.deviation) * DEVIATION_GAIN
         self.mean += (sample - self.mean) * MEAN_GAIN
 
-    def bound(self) -> int:
-        """The bound (us); 0 while nothing is measured."""
-        return int(self.mean + SPREADS * self.spread) if self.mean >= 0 else 0
+    def upper_bound(self) -> int:
+        """Return the estimated upper bound (us), or 0 before the first sample."""
+        return int(self.mean + DEVIATION_MULTIPLE * self.deviation) if self.mean >= 0 else 0
 
 
 class Margins:
-    """The margins of one node: towards its clients, and towards each executor."""
+    """Computes one node's margins, both for answers to its clients and for requests to each executor."""
 
     def __init__(self, options: DeadlineOptions) -> None:
         self.options = options
-        self.learned = options.margin == "learned"
-        self.lag = BoundEstimate()  # from a deadline to the sweep that obeys it
-        self.round_trips: dict[int, BoundEstimate] = {}  # to each executor and back
+        self.is_learned = options.margin == "learned"
+        self.lag = LatencyBoundEstimator()  # delay between a deadline and the timer sweep that handles it
+        self.round_trips: dict[int, LatencyBoundEstimator] = {}  # by executor number
 
-    def _within(self, margin: int, budget: int) -> int:
+    def _clamp(self, margin: int, budget: int) -> int:
         options = self.options
         margin = min(max(margin, options.margin_floor_us), options.margin_us)
-        return min(margin, budget // BUDGET_PARTS)
+        return min(margin, budget // MARGIN_BUDGET_DIVISOR)
 
     def for_answer(self, budget: int) -> int:
-        """Return what is kept back (us) so that the answer leaves in time: this node's own lag."""
-        if not self.learned:
-            return min(self.options.margin_us, budget // BUDGET_PARTS)
-        return self._within(self.lag.bound(), budget)
-
-    def remaining_for_executor(self, executor: int, rest: int) -> int:
-        """Return what an executor is told of the rest (us): less the way there and back, 0 to the rest."""
-        if not self.learned or rest <= 0:
-            return max(0, rest)
+        """Return the margin (us) that covers this node's own lag, so that the answer leaves in time."""
+        if not self.is_learned:
+            return min(self.options.margin_us, budget // MARGIN_BUDGET_DIVISOR)
+        return self._clamp(self.lag.upper_bound(), budget)
+
+    def remaining_for_executor(self, executor: int, remaining: int) -> int:
+        """Return the budget (us) to send to an executor: the remaining time less the network round trip."""
+        if not self.is_learned or remaining <= 0:
+            return max(0, remaining)
         round_trip = self.round_trips.get(executor)
-        return rest - self._within(round_trip.bound() if round_trip else 0, rest)
+        return remaining - self._clamp(round_trip.upper_bound() if round_trip else 0, remaining)
 
-    def record_round_trip(self, executor: int, took: int) -> None:
-        """Learn a round trip to an executor (us): one that opens a connection is the network's alone."""
-        if self.learned:
-            self.round_trips.setdefault(executor, BoundEstimate()).learn(took)
+    def record_round_trip(self, executor: int, round_trip_us: int) -> None:
+        """Record the network round trip (us) that opening a connection to an executor took."""
+        if self.is_learned:
+            self.round_trips.setdefault(executor, LatencyBoundEstimator()).add_sample(round_trip_us)
 
     def record_lag(self, lag: int) -> None:
-        """Learn that a deadline was obeyed so much after it was due (us)."""
-        if self.learned:
-            self.lag.learn(max(0, lag))
+        """Record how long after a deadline (us) the node handled its expiry."""
+        if self.is_learned:
+            self.lag.add_sample(max(0, lag))
--- a/cedarmill/deadlines/propagation.py
+++ b/cedarmill/deadlines/propagation.py
@@ -1,6 +1,6 @@
-"""The state of each request's claim on executors: `DeadlineTracker.step(now, event) -> actions`.
+"""Tracks per request whether work is still wanted, as a state machine: `DeadlineTracker.step(now, event)`.
 
-Whatever changes a claim's state stands in TRANSITIONS; what may start in a state stands in STARTS. All times
+TRANSITIONS lists all state changes of a claim, and STARTS the states in which new work may start. All times
 are whole microseconds of the node's monotonic clock.
 """
 
@@ -15,34 +15,34 @@
 from cedarmill.decisions.interface import NEVER_RAN, Outcome
 from cedarmill.values import DeadlineOptions
 
-MEAN_GAIN = 1 / 16  # of a class's mean running time: it follows a load that changes within some tens
+RUN_TIME_GAIN = 1 / 16  # weight of a new sample in the moving average of a class's running time
 
 
 class ClaimState(IntEnum):
-    """Who still wants the work for a request."""
+    """Whether the work for a request is still wanted, and why not."""
 
-    OPEN = 0  # the client waits
+    OPEN = 0  # The client waits for the answer.
     CLIENT_LEFT = 1
-    EXPIRED = 2  # its time is up
-    ANSWERED = 3  # it has its final answer
+    EXPIRED = 2  # The deadline has passed.
+    ANSWERED = 3  # The request has its final answer.
 
 
 class ClaimEvent(IntEnum):
-    """What can happen to a claim as a whole."""
+    """Events that change the state of a claim."""
 
     LEAVE = 0
     EXPIRE = 1
     ANSWER = 2
 
 
-# A claim leaves OPEN once, and the first reason stays: it is the cause of all that is spent from then on.
+# A claim leaves OPEN only once, and the first reason is the cause to which later waste is charged.
 TRANSITIONS = {
     (ClaimState.OPEN, ClaimEvent.LEAVE): ClaimState.CLIENT_LEFT,
     (ClaimState.OPEN, ClaimEvent.EXPIRE): ClaimState.EXPIRED,
     (ClaimState.OPEN, ClaimEvent.ANSWER): ClaimState.ANSWERED,
 }
-STARTS = frozenset((ClaimState.OPEN,))  # the states in which an attempt, a last byte or a probe may go out
-CAUSES = {
+STARTS = frozenset((ClaimState.OPEN,))  # states in which an attempt or a probe may be started or completed
+WASTE_CAUSES = {
     ClaimState.CLIENT_LEFT: Cause.CLIENT_LEFT,
     ClaimState.EXPIRED: Cause.DEADLINE_PASSED,
     ClaimState.ANSWERED: Cause.LOST_RACE,
@@ -50,15 +50,15 @@
 
 
 class Claim:
-    """One request's claim; `due` and `since` (of its state) are in us."""
+    """Deadline state of one request; `due` and `since`, when the state was entered, are in us."""
 
     __slots__ = ("abandoned_at", "due", "job_class", "since", "slots", "state", "written_at")
 
     def __init__(self, job_class: int, slots: float, due: int) -> None:
         self.job_class, self.slots, self.due = job_class, slots, due
         self.state, self.since = ClaimState.OPEN, 0
-        self.written_at: dict[int, int] = {}  # by attempt in flight: when its last byte left (us)
-        self.abandoned_at: dict[int, int] | None = None  # by attempt that the balancer gave up: when (us)
+        self.written_at: dict[int, int] = {}  # us, by attempt in flight
+        self.abandoned_at: dict[int, int] | None = None  # us, by cancelled attempt
 
 
 # Events.
@@ -66,14 +66,14 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request has come."""
+    """A request has arrived."""
 
     claim: Claim
 
 
 @dataclass(slots=True)
 class AttemptWritten:
-    """An attempt's last byte has left: it may run from now on."""
+    """An attempt was written completely, so the executor may run it from now on."""
 
     claim: Claim
     number: int
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has its one outcome; `unobserved`: the executor's own end of it is not seen."""
+    """An attempt has its outcome; `unobserved` means that its end at the executor cannot be seen."""
 
     claim: Claim
     number: int
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client has gone; `unwritten` are the numbers of its attempts whose last byte is still here."""
+    """The client has disconnected; `unwritten` numbers the attempts that are not completely written."""
 
     claim: Claim
     unwritten: tuple[int, ...] = ()
@@ -99,21 +99,21 @@
 
 @dataclass(slots=True)
 class DeadlinePassed:
-    """The request's time is up."""
+    """The request's deadline has passed."""
 
     claim: Claim
 
 
 @dataclass(slots=True)
 class RequestAnswered:
-    """The request has its final answer."""
+    """The request has received its final answer."""
 
     claim: Claim
 
 
 @dataclass(slots=True)
 class AttemptAbandoned:
-    """The balancer gives an attempt up, to make room or because another has answered."""
+    """The balancer has cancelled an attempt, to preempt it or because another attempt has answered."""
 
     claim: Claim
     number: int
@@ -135,14 +135,14 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Refuse at once: what is left is less than such a request usually runs (us), or nothing."""
+    """Refuse the request at once: less time remains than such a request typically runs (us)."""
 
-    usual_us: int
+    typical_us: int
 
 
 @dataclass(slots=True)
 class RecallAttempt:
-    """Take an attempt back that has not gone out whole: it never ran."""
+    """Cancel an attempt that was not completely written and therefore never ran."""
 
     number: int
 
@@ -151,13 +151,13 @@
 
 
 class DeadlineTracker:
-    """The claims of a node's requests, its margins, and the ledger of what was spent for nobody."""
+    """Applies deadline events to the claims of a node's requests, and owns its margins and waste ledger."""
 
     def __init__(self, options: DeadlineOptions, classes: int) -> None:
         self.options = options
         self.margins = Margins(options)
         self.ledger = WasteLedger()
-        self.mean_running_us = [0.0] * classes  # for attempts whose end cannot be seen
+        self.mean_running_us = [0.0] * classes  # by class; stands in for unobserved running times
         self.quantiles = [RunningTimeQuantile(options.worth_quantile) for _ in range(classes)]
         self._handlers: dict[type, Callable[[int, Any], list[Action]]] = {
             RequestArrived: self._request_arrived,
@@ -170,15 +170,15 @@
         }
 
     def step(self, now: int, event: Event) -> list[Action]:
-        """Take one event at its time (us) and return the actions in order."""
+        """Handle an event that happened at `now` (us) and return the resulting actions in order."""
         return self._handlers[type(event)](now, event)
 
     def may_start(self, now: int, claim: Claim) -> bool:
-        """Whether anything new may go out for it: a retry, a second copy, a held byte, a probe."""
+        """Return whether new work may start for a claim: an attempt, its last byte or a probe."""
         return claim.state in STARTS and now < claim.due
 
     def worth_starting(self, now: int, claim: Claim) -> bool:
-        """Whether what is left is as long as its class usually runs, by the quantile of the settings."""
+        """Return whether the remaining time covers the configured quantile of the class's running times."""
         if not self.options.worth_quantile:
             return True
         return claim.due - now >= self.quantiles[claim.job_class].value()
@@ -199,30 +199,30 @@
         if written_at is None:
             return []
         if event.outcome == Outcome.OK:
-            self._learn(claim.job_class, now - written_at)
-        if event.outcome not in NEVER_RAN:  # else it cost no slot
+            self._record_running_time(claim.job_class, now - written_at)
+        if event.outcome not in NEVER_RAN:  # an attempt that never ran used no slot
             self._charge_if_wasted(now, event, written_at)
         return []
 
     def _charge_if_wasted(self, now: int, event: AttemptEnded, written_at: int) -> None:
         claim = event.claim
         abandoned_at = claim.abandoned_at.get(event.number) if claim.abandoned_at else None
-        if claim.state in CAUSES:
-            cause, wanted_till = CAUSES[claim.state], max(written_at, claim.since)
-        elif abandoned_at is not None and event.outcome != Outcome.OK:  # one that goes on may still answer
-            cause, wanted_till = Cause.ABANDONED, max(written_at, abandoned_at)
+        if claim.state in WASTE_CAUSES:
+            cause, wanted_until = WASTE_CAUSES[claim.state], max(written_at, claim.since)
+        elif abandoned_at is not None and event.outcome != Outcome.OK:  # it may still succeed
+            cause, wanted_until = Cause.ABANDONED, max(written_at, abandoned_at)
         else:
             return
-        unseen = written_at + self.mean_running_us[claim.job_class] - now if event.unobserved else 0.0
+        guessed = written_at + self.mean_running_us[claim.job_class] - now if event.unobserved else 0.0
         slots = claim.slots
-        before, after = slots * (wanted_till - written_at), slots * (now - wanted_till)
-        self.ledger.charge(claim.job_class, cause, before, after, slots * max(0.0, unseen))
+        before, after = slots * (wanted_until - written_at), slots * (now - wanted_until)
+        self.ledger.charge(claim.job_class, cause, before, after, slots * max(0.0, guessed))
 
-    def _learn(self, job_class: int, ran_us: int) -> None:
+    def _record_running_time(self, job_class: int, ran_us: int) -> None:
         mean = self.mean_running_us[job_class]
-        self.mean_running_us[job_class] = mean + (ran_us - mean) * MEAN_GAIN if mean else float(ran_us)
+        self.mean_running_us[job_class] = mean + (ran_us - mean) * RUN_TIME_GAIN if mean else float(ran_us)
         if self.options.worth_quantile:
-            self.quantiles[job_class].learn(ran_us)
+            self.quantiles[job_class].add_sample(ran_us)
 
     def _change_state(self, now: int, claim: Claim, event: ClaimEvent) -> bool:
         state = TRANSITIONS.get((claim.state, event))
--- a/cedarmill/deadlines/sources.py
+++ b/cedarmill/deadlines/sources.py
@@ -1,8 +1,8 @@
-"""Where a deadline comes from: the headers that say how long a client waits, read into one budget.
+"""Parses the request headers that carry a client's deadline into one time budget.
 
-X-Budget-Ms is the platform's (protocol page). The others serve other installations: `grpc-timeout` as the
-gRPC over HTTP/2 page defines it (at most 8 digits and a unit), `X-Envoy-Expected-Rq-Timeout-Ms` as Envoy's
-router sets it (whole milliseconds), and `X-Deadline-Unix-Ms`, an absolute time.
+`X-Budget-Ms` is the platform's own header. Other installations use `grpc-timeout` as defined by gRPC over
+HTTP/2 (at most 8 digits and a unit), `X-Envoy-Expected-Rq-Timeout-Ms` as set by Envoy's router (whole
+milliseconds), or `X-Deadline-Unix-Ms`, an absolute time.
 """
 
 import re
@@ -11,79 +11,79 @@
 
 from cedarmill.values import DeadlineOptions
 
-_GRPC = re.compile(rb"([0-9]{1,8})([HMSmun])")
-_GRPC_NS = {b"H": 3_600 * 10**9, b"M": 60 * 10**9, b"S": 10**9, b"m": 10**6, b"u": 10**3, b"n": 1}
-MAX_DIGITS = 15  # of a whole number in a header: more is no time that a client waits
+_GRPC_TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
+_GRPC_UNIT_NS = {b"H": 3_600 * 10**9, b"M": 60 * 10**9, b"S": 10**9, b"m": 10**6, b"u": 10**3, b"n": 1}
+MAX_INTEGER_DIGITS = 15  # Longer numbers in a header are rejected as implausible times.
 
 
 class InvalidDeadline(ValueError):
-    """A header holds no deadline; the text names it in one line."""
+    """A deadline header is missing or malformed; the one-line message names the header."""
 
 
 class ClocksDiffer(InvalidDeadline):
-    """An absolute deadline that only a clock out of step can have written."""
+    """An absolute deadline is so far ahead that the sender's clock must be wrong."""
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """What a reader of a header needs beside it."""
+class ParseContext:
+    """Parameters of header parsing that are the same for all headers of a request."""
 
     options: DeadlineOptions
-    longest_us: int  # the class's give-up time
-    unix_us: int  # Unix time when the request came
+    max_budget_us: int  # maximum budget of the request's class
+    arrived_unix_us: int  # Unix time at which the request arrived
 
 
-def _whole(name: str, text: bytes) -> int:
-    if not text.isdigit() or len(text) > MAX_DIGITS:
+def _parse_integer(name: str, text: bytes) -> int:
+    if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS:
         raise InvalidDeadline(f"bad {name}")
     return int(text)
 
 
-def _milliseconds(name: str, text: bytes, bounds: Bounds) -> int:
-    return _whole(name, text) * 1000
+def _parse_milliseconds(name: str, text: bytes, context: ParseContext) -> int:
+    return _parse_integer(name, text) * 1000
 
 
-def _grpc(name: str, text: bytes, bounds: Bounds) -> int:
-    if (match := _GRPC.fullmatch(text)) is None:
+def _parse_grpc_timeout(name: str, text: bytes, context: ParseContext) -> int:
+    if (match := _GRPC_TIMEOUT.fullmatch(text)) is None:
         raise InvalidDeadline(f"bad {name}")
-    return int(match[1]) * _GRPC_NS[match[2]] // 1000
+    return int(match[1]) * _GRPC_UNIT_NS[match[2]] // 1000
 
 
-def _absolute(name: str, text: bytes, bounds: Bounds) -> int:
-    """Return the rest by our clock, less the bound on the clocks' difference: a fast front makes nobody late.
+def _parse_absolute_deadline(name: str, text: bytes, context: ParseContext) -> int:
+    """Return the time until an absolute deadline by this node's clock, less the maximum clock skew.
 
-    A rest that no request of the class can have shows that the clocks differ by more than the bound, and says
-    nothing else.
+    Raise ClocksDiffer if more time remains than a request of the class may have, because then the clocks
+    differ by more than the maximum skew.
     """
-    rest = _whole(name, text) * 1000 - bounds.unix_us
-    if rest > bounds.longest_us + bounds.options.skew_us:
-        raise ClocksDiffer(f"bad {name}: {rest // 1000} ms ahead, are the clocks set?")
-    return max(0, rest - bounds.options.skew_us)
+    remaining = _parse_integer(name, text) * 1000 - context.arrived_unix_us
+    if remaining > context.max_budget_us + context.options.skew_us:
+        raise ClocksDiffer(f"bad {name}: {remaining // 1000} ms ahead, are the clocks set?")
+    return max(0, remaining - context.options.skew_us)
 
 
-_READERS: dict[str, Callable[[str, bytes, Bounds], int]] = {
-    "x-budget-ms": _milliseconds,
-    "grpc-timeout": _grpc,
-    "x-envoy-expected-rq-timeout-ms": _milliseconds,
-    "x-deadline-unix-ms": _absolute,
+_PARSERS: dict[str, Callable[[str, bytes, ParseContext], int]] = {
+    "x-budget-ms": _parse_milliseconds,
+    "grpc-timeout": _parse_grpc_timeout,
+    "x-envoy-expected-rq-timeout-ms": _parse_milliseconds,
+    "x-deadline-unix-ms": _parse_absolute_deadline,
 }
 
 
 def granted_budget(
-    headers: Mapping[bytes, bytes], options: DeadlineOptions, longest_us: int, unix_us: int
+    headers: Mapping[bytes, bytes], options: DeadlineOptions, max_budget_us: int, arrived_unix_us: int
 ) -> int:
-    """Return the microseconds that the client still waits: the tightest of what its headers say.
+    """Return a request's remaining budget (us): the smallest one in its headers, or 0 for a passed deadline.
 
-    `longest_us` is the class's give-up time and bounds it; `unix_us` the time when the request came, read
-    for absolute deadlines only. 0 says that the deadline is past. Raises InvalidDeadline for one that is
-    malformed, or where no header says anything; ClocksDiffer, one of its kind, where clocks are out of step.
+    The class's `max_budget_us` caps the result. `arrived_unix_us`, the Unix time of the request's arrival, is
+    used for absolute deadlines only. Raise InvalidDeadline if a configured header is malformed or none is
+    present, and its subclass ClocksDiffer if the clocks differ too much.
     """
-    bounds = Bounds(options, longest_us, unix_us)
+    context = ParseContext(options, max_budget_us, arrived_unix_us)
     budgets = [
-        _READERS[name](name, text, bounds)
+        _PARSERS[name](name, text, context)
         for name in options.sources
         if (text := headers.get(name.encode())) is not None
     ]
     if not budgets:
         raise InvalidDeadline(f"bad {options.sources[0]}")
-    return min(longest_us, *budgets)
+    return min(max_budget_us, *budgets)
--- a/cedarmill/deadlines/worth_starting.py
+++ b/cedarmill/deadlines/worth_starting.py
@@ -1,30 +1,33 @@
-"""What is still worth starting: a quantile of each class's running times, learned in O(1) a sample."""
+"""Estimates quantiles of request running times, to decide whether a request can still finish in time."""
 
 import math
 
-ENOUGH_SAMPLES = 20  # samples before a quantile is believed
-FIRST_STEP = 0.5  # the first step, in the log of the time: times of a class lie within a factor of a few
-LEAST_STEP = 0.02  # the smallest step: it goes on following a load that changes
+MIN_SAMPLES = 20  # Fewer samples yield no estimate.
+INITIAL_STEP = 0.5  # step size in natural-log units; a class's running times span a small factor
+MIN_STEP = 0.02  # lower bound on the step size, so that the estimate keeps following load changes
 
 
 class RunningTimeQuantile:
-    """One quantile of running times (us), by steps in the log of the time (Robbins and Monro, 1951)."""
+    """Estimates one quantile of running times (us) by stochastic approximation (Robbins and Monro, 1951).
 
-    __slots__ = ("count", "log", "part")
+    The estimate moves in steps on a logarithmic scale and costs O(1) per sample.
+    """
 
-    def __init__(self, part: float) -> None:
-        self.part, self.log, self.count = part, 0.0, 0
+    __slots__ = ("count", "log_estimate", "quantile")
 
-    def learn(self, sample: int) -> None:
-        """Take one running time (us)."""
-        log = math.log(max(1, sample))
+    def __init__(self, quantile: float) -> None:
+        self.quantile, self.log_estimate, self.count = quantile, 0.0, 0
+
+    def add_sample(self, sample: int) -> None:
+        """Update the estimate with one measured running time (us)."""
+        log_sample = math.log(max(1, sample))
         self.count += 1
         if self.count == 1:
-            self.log = log
+            self.log_estimate = log_sample
             return
-        step = max(LEAST_STEP, FIRST_STEP / math.sqrt(self.count))
-        self.log += step * (self.part - (log < self.log))
+        step = max(MIN_STEP, INITIAL_STEP / math.sqrt(self.count))
+        self.log_estimate += step * (self.quantile - (log_sample < self.log_estimate))
 
     def value(self) -> int:
-        """The quantile (us); 0 while too little is known to turn anybody away."""
-        return int(math.exp(self.log)) if self.count >= ENOUGH_SAMPLES else 0
+        """Return the estimated quantile (us), or 0 while there are too few samples to reject requests."""
+        return int(math.exp(self.log_estimate)) if self.count >= MIN_SAMPLES else 0
--- a/cedarmill/values.py
+++ b/cedarmill/values.py
@@ -1,48 +1,48 @@
-"""The value types of our own settings, with the defaults that hold where nothing is set.
+"""Typed settings of cedarmill's own XML configuration, with their default values.
 
-A default is the platform's where its protocol page gives one; else it is ours, and the page under
-`docs/operators/` that is named with the field says why. Times are whole microseconds (`_us`), shares are
-thousandths unless a field says otherwise, addresses are `HOST:PORT` with a numeric host. Nothing here is read
-from a file: `conf` fills these from XML, and whoever needs one is given it.
+Defaults follow the platform's protocol where it defines one. The pages under `docs/operators/` that the
+classes name explain the other defaults. Times are whole microseconds (`_us`), shares are thousandths unless a
+field says otherwise, and addresses are `HOST:PORT` with a numeric host. The `conf` package creates these
+objects from XML and passes them to their users.
 """
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 SOURCES = ("x-budget-ms", "grpc-timeout", "x-envoy-expected-rq-timeout-ms", "x-deadline-unix-ms")
-"""The request headers that a deadline may be read from."""
+"""Request headers from which a deadline can be read."""
 
 NOT_SET = -1
-"""Of a limit's number: this limit does not use it."""
+"""Marks a field of LimitOptions that the limit does not use."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineOptions:
-    """Where a request's deadline comes from, what is kept back of it, and what a client's leaving means.
+    """Sources of request deadlines, margins subtracted from them, and handling of disconnected clients.
 
-    Defaults: the platform's protocol reads `x-budget-ms` alone; the margins are ours
-    (docs/operators/deadlines.md).
+    By default only `x-budget-ms` is read, as in the platform's protocol. The default margins are explained in
+    docs/operators/deadlines.md.
     """
 
-    sources: tuple[str, ...] = ("x-budget-ms",)  # headers that are read; of several the tightest holds
-    skew_us: int = 50_000  # bound on how far another machine's clock may be off, for absolute deadlines
-    margin: str = "fixed"  # or `learned`, from measured round trips and this node's own lag
-    margin_us: int = 20_000  # the fixed margin, and the ceiling of the learned one
-    margin_floor_us: int = 2_000  # of the learned margin: the loop's timer counts whole milliseconds
-    worth_quantile: float = 0.0  # share (0 to 1) of a class's running times that must still fit; 0: not asked
-    half_close: str = "leaves"  # or `stays`: a client that ends its sending still reads the answer
-    cancel_calls: bool = False  # whether DELETE /api/calls/ID says that a client has left
-    on_leave: str = "stop"  # or `ignore`: work goes on for who has left, to measure what stopping saves
+    sources: tuple[str, ...] = ("x-budget-ms",)  # headers that are read; the earliest deadline wins
+    skew_us: int = 50_000  # maximum clock skew assumed for absolute deadlines
+    margin: str = "fixed"  # or `learned` from measured round trips and this node's lag
+    margin_us: int = 20_000  # fixed margin, and upper bound of the learned one
+    margin_floor_us: int = 2_000  # lower bound of the learned margin; loop timers count whole milliseconds
+    worth_quantile: float = 0.0  # quantile (0 to 1) of running times that must fit the remaining time; 0: off
+    half_close: str = "leaves"  # or `stays`: a half-closed client still reads its answer
+    cancel_calls: bool = False  # whether DELETE /api/calls/ID cancels a request like a disconnect
+    on_leave: str = "stop"  # or `ignore`: continue the work, to measure what stopping saves
 
 
 @dataclass(frozen=True, slots=True)
 class KindOptions:
-    """What the executors of one kind (the endpoint list's `type`) understand; the platform's by default.
+    """Protocol variant of the executors of one kind (the endpoint list's `type`); by default the platform's.
 
-    `cancel`: `blind` closes the connection and believes nothing of it (the platform's executors go on),
-    `close` closes it and the executor stops, `end` ends the sending on it and the executor stops, `none`
-    leaves it open: the attempt counts as running till its real end. `speaks`: `executor` answers with the
-    platform's lines of JSON, `node` with a final answer, as another cedarmill node does.
+    `cancel` is the way to cancel an attempt: `blind` closes the connection although the executor continues,
+    `close` closes it and the executor stops, `end` half-closes it and the executor stops, `none` leaves it
+    open, so that the attempt counts as running until it ends. `speaks` is the response format: `executor` for
+    the platform's lines of JSON, `node` for the final answer of another cedarmill node.
     """
 
     cancel: str = "blind"
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthOptions:
-    """Where a node tells balancers of its own health: an address each, or empty for nowhere (the default)."""
+    """Listen addresses of the health checks that load balancers call; an empty address disables one."""
 
     agent: str = ""
     http: str = ""
@@ -60,95 +60,95 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterOptions:
-    """A process's membership of a cluster; without it no part of the cluster's code is loaded.
+    """A process's cluster membership; without one, no cluster code is loaded.
 
-    Defaults are ours (docs/operators/drains.md).
+    The defaults are explained in docs/operators/drains.md.
     """
 
     cluster: str
-    replicas: dict[str, str]  # by name, the address at which this process reaches it
-    listen: str = ""  # where members look whether this one is there; empty: nobody can
-    cut_off: str = "serve"  # what it does once its lease has run out: or `stop`
-    start: str = "wait"  # a new process sends nothing before it has heard what is excluded: or `alone`
-    stays: dict[str, str] = field(default_factory=dict)  # by `class:NAME` or `tenant:NAME`: zone or region
+    replicas: dict[str, str]  # address of each replica, by name
+    listen: str = ""  # address at which other members check this one's liveness; empty: none
+    cut_off: str = "serve"  # or `stop`: behaviour after its lease expires
+    start: str = "wait"  # a new process waits for the exclusions before it sends; or `alone`
+    stays: dict[str, str] = field(default_factory=dict)  # zone or region, by `class:NAME` or `tenant:NAME`
 
 
 @dataclass(frozen=True, slots=True)
 class LimitOptions:
-    """How many targets of a kind may be out at once (docs/operators/drains.md)."""
+    """Limit on how many targets of one kind may be drained at once (docs/operators/drains.md)."""
 
     kind: str
     per: str
     most: int = NOT_SET
     share: int = NOT_SET  # thousandths of the targets
-    capacity_left: int = NOT_SET  # thousandths of the slots that have to stay
+    capacity_left: int = NOT_SET  # thousandths of the slots that must remain in service
 
 
 class BudgetOptions(NamedTuple):
-    """What the whole cluster may spend of one thing (docs/operators/overload.md)."""
+    """A rate limit that the whole cluster shares (docs/operators/overload.md)."""
 
     name: str
-    rate: int  # thousandths a second
-    nodes: int  # how many may hold a floor, which they spend while they reach no replica
+    rate: int  # thousandths per second
+    nodes: int  # maximum number of nodes with a guaranteed minimum while no replica is reachable
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaOptions:
-    """One replica of the replicated log; `peers` are all replicas, this one too, as this one reaches them.
+    """Settings of one replica of the replicated log; `peers` includes the replica itself.
 
-    Defaults are ours (docs/operators/zones.md, overload.md), but for the slow start, which is the platform's.
+    The slow start defaults are the platform's; docs/operators/zones.md and overload.md explain the others.
     """
 
     cluster: str
     name: str
     listen: str
-    data: str  # a folder
-    peers: dict[str, str]  # by name, an address
-    limits: tuple[LimitOptions, ...] = ()  # that a new cluster begins with
-    budgets: tuple[BudgetOptions, ...] = ()  # that a new cluster begins with
-    regions: dict[str, tuple[str, ...]] = field(default_factory=dict)  # their zones; none: nothing is planned
-    costs: dict[str, int] = field(default_factory=dict)  # by `FROM>TO` between zones, without a unit
-    safe_share: int = 900  # thousandths of a zone's slots that may be in use by plan
-    sheds_load: bool = False  # whether the cluster agrees on a level of admission
-    gossip: bool = False  # whether nodes tell each other what they hear of executors
-    slow_start_us: int = 8_900_000  # that a returned executor counts in part
-    slow_start_share: int = 300  # thousandths of its slots that it has at first
+    data: str  # directory
+    peers: dict[str, str]  # address of each replica, by name
+    limits: tuple[LimitOptions, ...] = ()  # initial limits of a new cluster
+    budgets: tuple[BudgetOptions, ...] = ()  # initial budgets of a new cluster
+    regions: dict[str, tuple[str, ...]] = field(default_factory=dict)  # zones by region; empty: no planning
+    costs: dict[str, int] = field(default_factory=dict)  # relative cost between zones, by `FROM>TO`
+    safe_share: int = 900  # maximum planned utilization of a zone's slots, in thousandths
+    sheds_load: bool = False  # whether the cluster agrees on an admission level
+    gossip: bool = False  # whether nodes exchange observations of executors
+    slow_start_us: int = 8_900_000  # duration of an executor's slow start
+    slow_start_share: int = 300  # initial share of its slots, in thousandths
 
 
 @dataclass(frozen=True, slots=True)
 class UnitOptions:
-    """One process that a process supervisor runs."""
+    """One process that the supervisor runs."""
 
     name: str
-    version: str  # that runs until a release says otherwise
-    listen: str  # the clients' socket: held by the supervisor, inherited by the process
-    commands: dict[str, tuple[str, ...]]  # by version, the words of the command
+    version: str  # version to run until a release changes it
+    listen: str  # client socket, opened by the supervisor and inherited by the process
+    commands: dict[str, tuple[str, ...]]  # command line of each version
     env: dict[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class SupervisorOptions:
-    """What the process supervisor of one machine runs."""
+    """Settings of the process supervisor of one machine."""
 
     name: str
-    data: str  # a folder
+    data: str  # directory
     cluster: ClusterOptions
     units: tuple[UnitOptions, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """All settings of a node that are ours."""
+    """All settings of a node from cedarmill's own configuration."""
 
     deadlines: DeadlineOptions = field(default_factory=DeadlineOptions)
     health: HealthOptions = field(default_factory=HealthOptions)
-    kinds: dict[str, KindOptions] = field(default_factory=dict)  # `*` stands for all that are not named
-    ledger_every_us: int = 60_000_000  # between two `wasted-work` events
+    kinds: dict[str, KindOptions] = field(default_factory=dict)  # `*` applies to all kinds that are not named
+    ledger_every_us: int = 60_000_000  # interval between `wasted-work` log events
     cluster: ClusterOptions | None = None
 
     def kind(self, name: str) -> KindOptions:
-        """What holds for a kind of executor."""
-        return self.kinds.get(name) or self.kinds.get("*") or _KIND
+        """Return the settings for executors of a kind."""
+        return self.kinds.get(name) or self.kinds.get("*") or _DEFAULT_KIND
 
 
-_KIND = KindOptions()
+_DEFAULT_KIND = KindOptions()
--- a/tests/deadlines/test_deadlines.py
+++ b/tests/deadlines/test_deadlines.py
@@ -124,14 +124,14 @@
         draw, quantile = random.Random(5), RunningTimeQuantile(0.9)
         for mean in (500_000, 50_000):
             for _ in range(4_000):
-                quantile.learn(int(draw.expovariate(1 / mean)))
+                quantile.add_sample(int(draw.expovariate(1 / mean)))
             self.assertAlmostEqual(quantile.value() / (2.303 * mean), 1, delta=0.35)
 
     def test_few_samples_turn_nobody_away(self):
         """A first slow job must not close a class."""
         quantile = RunningTimeQuantile(0.9)
         for _ in range(19):
-            quantile.learn(5_000_000)
+            quantile.add_sample(5_000_000)
         self.assertEqual(quantile.value(), 0)
 
 
