--- a/cedarmill/core/__init__.py
+++ b/cedarmill/core/__init__.py
@@ -1,1 +1,1 @@
-"""The node's core: it owns requests, attempts and timers, and knows no socket, no HTTP and no clock."""
+"""The node's core: requests, attempts and timers, independent of sockets, HTTP and the system clock."""
--- a/cedarmill/core/actions.py
+++ b/cedarmill/core/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the balancer's actions on the ports of the dispatch; a port that fails costs its action only.
+"""Executes the balancer's actions on the ports of the dispatch; a failing port affects one action only.
 
 Times are whole microseconds of the node's monotonic clock.
 """
@@ -17,7 +17,7 @@
 
 
 class ActionRunner:
-    """Turns each action into calls on the ports, and reports what could not be done as its outcome."""
+    """Turns each action into calls on the ports, and reports failures as outcomes."""
 
     def __init__(self, dispatch: "Dispatch") -> None:
         self.dispatch = dispatch
@@ -32,25 +32,25 @@
         }
 
     def run(self, now: int, action: api.Action) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         try:
             self._handlers[type(action)](now, action)
         except Exception:
             log_event("defect", True, what=f"action {type(action).__name__}")
 
     def send(self, now: int, action: api.Send) -> None:
-        """Start the next attempt of a request, if it may still be sent."""
+        """Start the next attempt of a request, unless it may no longer be sent."""
         dispatch = self.dispatch
         request = dispatch.requests[action.request]
         attempt = Attempt(request, len(request.attempts), action.executor, now)
         request.attempts.append(attempt)
-        too_many = attempt.number >= dispatch.balancer.settings.max_attempts
-        if too_many or not dispatch.deadline_tracker.may_start(now, request.claim):
+        exceeds_limit = attempt.number >= dispatch.balancer.settings.max_attempts
+        if exceeds_limit or not dispatch.deadline_tracker.may_start(now, request.claim):
             dispatch.attempt_ended(now, attempt, Outcome.MOOT)
             return
         if not dispatch.deadline_tracker.worth_starting(now, request.claim):
-            ran = any(a.outcome not in api.NEVER_RAN for a in request.attempts if a is not attempt)
-            dispatch.give_final_answer(now, request.id, Failed() if ran else Refused())
+            may_have_run = any(a.outcome not in api.NEVER_RAN for a in request.attempts if a is not attempt)
+            dispatch.give_final_answer(now, request.id, Failed() if may_have_run else Refused())
             dispatch.attempt_ended(now, attempt, Outcome.MOOT)
             return
         if (blocked := dispatch.blocking_outcome(now, attempt)) is not None:
@@ -60,10 +60,10 @@
             dispatch.executors.send(attempt)
         except Exception:
             log_event("defect", True, what="send")
-            dispatch.attempt_ended(now, attempt, Outcome.RESET)  # how far it came is not known
+            dispatch.attempt_ended(now, attempt, Outcome.RESET)  # the executor may have received it
 
     def cancel(self, now: int, action: api.Cancel) -> None:
-        """Stop waiting for an attempt."""
+        """Cancel an attempt for the balancer, unless it has ended."""
         request = self.dispatch.requests.get(action.request)
         if request is None or (attempt := request.attempts[action.attempt]).outcome is not None:
             return
@@ -72,25 +72,25 @@
         self.give_up(now, attempt, Outcome.MOOT if never_ran else Outcome.CANCELLED)
 
     def give_up(self, now: int, attempt: Attempt, outcome: Outcome, now_or_never: bool = False) -> None:
-        """End an attempt here, unless its executor cannot stop it: then its slots stay taken till it ends."""
-        over = True
+        """Cancel an attempt; one that its executor cannot stop keeps its slots until it ends."""
+        has_ended = True
         try:
-            over = self.dispatch.executors.cancel(attempt, now_or_never) is not False
+            has_ended = self.dispatch.executors.cancel(attempt, now_or_never) is not False
         except Exception:
             log_event("defect", True, what="cancel")
-        if over or now_or_never:
+        if has_ended or now_or_never:
             self.dispatch.attempt_ended(now, attempt, outcome)
 
     def refuse(self, now: int, action: api.Refuse) -> None:
-        """Refuse a request."""
+        """Answer a request as refused."""
         self.dispatch.give_final_answer(now, action.request, Refused(action.retry_after_us))
 
     def fail(self, now: int, action: api.Fail) -> None:
-        """Fail a request."""
+        """Answer a request as failed."""
         self.dispatch.give_final_answer(now, action.request, Failed())
 
     def probe(self, now: int, action: api.Probe) -> None:
-        """Probe an executor, for the sake of a request or of none."""
+        """Send a probe to an executor, on behalf of a request if the action names one."""
         dispatch = self.dispatch
         request = dispatch.requests.get(action.request)
         probe = Probe(action.executor, request)
@@ -103,10 +103,10 @@
             dispatch.executors.probe(probe)
         except Exception:
             log_event("defect", True, what="probe")
-            dispatch.probe_ended(now, probe, Outcome.CONNECT_FAILED)  # or the balancer would wait for ever
+            dispatch.probe_ended(now, probe, Outcome.CONNECT_FAILED)  # ends the balancer's wait for it
 
     def recall(self, now: int, probe: Probe) -> None:
-        """Take back a probe that has not been written."""
+        """Cancel a probe that has not been written."""
         try:
             self.dispatch.executors.recall(probe)
         except Exception:
@@ -114,17 +114,17 @@
         self.dispatch.probe_ended(now, probe, Outcome.MOOT)
 
     def subscribe(self, now: int, action: api.Subscribe) -> None:
-        """Begin to watch the endpoint list; from then on the port asks by itself when the watch is lost."""
+        """Start to watch the endpoint list; the port restores a lost watch by itself."""
         try:
             if self.dispatch.may_call_discovery(now):
                 self.dispatch.discovery.watch()
                 return
         except Exception:
             log_event("defect", True, what="watch")
-        failed = api.EndpointList(api.EndpointListKind.FAILED, [])  # the balancer asks again, later each time
+        failed = api.EndpointList(api.EndpointListKind.FAILED, [])  # the balancer retries with backoff
         self.dispatch.on_endpoint_list(now, failed)
 
     def set_timer(self, now: int, action: api.SetTimer) -> None:
-        """Tell the balancer when a span has passed."""
+        """Schedule a timer event for the balancer."""
         fired = api.TimerFired(action.token)
         self.dispatch.timers.add(now + action.delay_us, lambda at: self.dispatch.deliver(at, fired))
--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -1,7 +1,7 @@
-"""Owns requests and attempts: what happens becomes events of the balancer, its actions calls on ports.
+"""Connects the balancer to the ports: passes events to it, and owns the requests and their attempts.
 
-Every request gets exactly one final answer here, whatever the balancer or a port does. Times are whole
-microseconds of the caller's monotonic clock; no protocol is known here, so any can be put in front.
+Every request gets exactly one final answer, even if the balancer or a port fails. The module is independent
+of the clients' protocol. Times are whole microseconds of the caller's monotonic clock.
 """
 
 from collections import deque
@@ -20,12 +20,12 @@
 from cedarmill.log import log_event
 from cedarmill.values import DeadlineOptions
 
-HOLD_UP_US = 150_000  # a node may be held up so long between its clock and its write (standing test)
-WAY_TICKS = 2  # of the settings' clock: what is written arrives within them
+MAX_WRITE_DELAY_US = 150_000  # assumed maximum delay between reading the clock and writing
+TRANSIT_TICKS = 2  # assumed maximum network transit time, in ticks of the settings
 
 
 class Dispatch:
-    """The requests of a node, between the balancer and the ports."""
+    """Owns the requests of a node, and passes events to the balancer and its actions to the ports."""
 
     def __init__(
         self,
@@ -41,46 +41,46 @@
         self.executors, self.discovery = executors, discovery
         self.observer = DispatchObserver()
         self.requests: dict[int, Request] = {}
-        self.unanswered = 0  # requests without their final answer
-        self.ready_executors: set[int] = set()  # as discovery lists them
+        self.unanswered = 0  # number of requests without a final answer
+        self.ready_executors: set[int] = set()  # according to the endpoint list
         self.actions = ActionRunner(self)
-        self._count = 0
+        self._last_request_id = 0
         self._events: deque[tuple[api.Event, Request | None]] = deque()
         self._delivering = False
 
-    # Events of the client's side.
+    # Events from clients.
 
     def arrive(
         self, now: int, client: ClientPort, payload: Any, due: int, arrival: api.RequestArrived
     ) -> Request:
-        """Take a request; `arrival` describes it, its number is given here."""
-        self._count += 1
-        arrival.request = self._count
+        """Accept the request that `arrival` describes, and assign its number."""
+        self._last_request_id += 1
+        arrival.request = self._last_request_id
         self.observer.place_request(arrival)
         claim = propagation.Claim(arrival.job_class, arrival.slots, due)
         spec = self.balancer.settings.classes[arrival.job_class]
-        request = Request(self._count, client, payload, spec, claim)
+        request = Request(self._last_request_id, client, payload, spec, claim)
         self.requests[request.id] = request
         self.unanswered += 1
         request.timer = self.timers.add(due, partial(self._on_deadline, request=request))
-        if self.deadline_tracker.step(now, propagation.RequestArrived(claim)):  # hopeless, and nothing ran
+        if self.deadline_tracker.step(now, propagation.RequestArrived(claim)):  # rejected
             self.give_final_answer(now, request.id, Refused())
         else:
             self.deliver(now, arrival, request)
         return request
 
     def withdraw(self, now: int, request: Request) -> None:
-        """The client has gone: it gets no answer, and nothing more starts for it."""
+        """Close the request of a client that has left: send no answer, and start no more work."""
         if request.answered:
             return
         if self.deadline_tracker.options.on_leave == "ignore":
             request.client = AbsentClient()
             return
         unwritten = tuple(a.number for a in request.attempts if a.outcome is None and not a.written)
-        left = propagation.ClientLeft(request.claim, unwritten)
-        recalls = self.deadline_tracker.step(now, left)
+        client_left = propagation.ClientLeft(request.claim, unwritten)
+        recalls = self.deadline_tracker.step(now, client_left)
         self._close(request)
-        # first, or the balancer would place it once more
+        # The balancer is informed first, so that it does not retry the attempts that end below.
         self.deliver(now, api.RequestWithdrawn(request.id), request)
         for recall in recalls:
             if not isinstance(recall, propagation.RecallAttempt):
@@ -91,28 +91,28 @@
             self.actions.recall(now, probe)
 
     def answer_by(self, until: int) -> None:
-        """Have each open request answered by then (us): the process may be killed soon after."""
+        """Shorten the deadlines of open requests to `until` (us), before the process may be killed."""
         for request in list(self.requests.values()):
             if not request.answered and request.due > until:
                 self.timers.cancel(request.timer)
                 request.due = request.claim.due = until
                 request.timer = self.timers.add(until, partial(self._on_deadline, request=request))
 
-    # Events of the executors' side.
+    # Events from executors.
 
     def attempt_written(self, now: int, attempt: Attempt) -> None:
-        """Its last byte has left: from now on it may run."""
+        """Record that the last byte of an attempt was written, so that the executor may run it."""
         if not attempt.written and attempt.outcome is None:
             attempt.written = True
             self.deadline_tracker.step(now, propagation.AttemptWritten(attempt.request.claim, attempt.number))
 
     def attempt_started(self, now: int, attempt: Attempt) -> None:
-        """The executor began to run it."""
+        """Report to the balancer that an executor has started an attempt."""
         request = attempt.request
         self.deliver(now, api.AttemptStarted(request.id, attempt.number, attempt.executor), request)
 
     def attempt_progressed(self, now: int, attempt: Attempt, done: float) -> None:
-        """The share `done` of it is done (0 to 1)."""
+        """Report an attempt's progress, a share from 0 to 1, to the balancer."""
         request = attempt.request
         self.deliver(now, api.AttemptProgress(request.id, attempt.number, attempt.executor, done), request)
 
@@ -124,7 +124,7 @@
         report: api.LoadReport | None = None,
         result: Any = None,
     ) -> None:
-        """Take the one outcome of an attempt; a later one is passed over."""
+        """Record the outcome of an attempt; later outcomes of the same attempt are ignored."""
         if attempt.outcome is not None:
             return
         attempt.outcome, request = outcome, attempt.request
@@ -133,12 +133,12 @@
         self.deadline_tracker.step(now, ended)
         if outcome == Outcome.OK:
             self.give_final_answer(now, request.id, Served(result))
-        # where no attempt can follow, none is spent of the fleet's budget
-        over = request.answered or outcome == Outcome.MOOT or now >= request.due
-        more = over or self.observer.may_retry(now)
-        tries = api.UNLIMITED_ATTEMPTS if more else len(request.attempts)
+        # An attempt that no retry can follow does not use the cluster's retry budget.
+        is_final = request.answered or outcome == Outcome.MOOT or now >= request.due
+        may_retry = is_final or self.observer.may_retry(now)
+        max_attempts = api.UNLIMITED_ATTEMPTS if may_retry else len(request.attempts)
         event = api.AttemptEnded(
-            request.id, attempt.number, attempt.executor, outcome, request.answered, report, tries
+            request.id, attempt.number, attempt.executor, outcome, request.answered, report, max_attempts
         )
         self.observer.on_attempt_ended(now, attempt)
         if report:
@@ -149,7 +149,7 @@
     def probe_ended(
         self, now: int, probe: Probe, outcome: Outcome, report: api.LoadReport | None = None
     ) -> None:
-        """Take the result of one probe."""
+        """Report the result of a probe to the balancer."""
         if probe.request is not None and probe in probe.request.probes:
             probe.request.probes.remove(probe)
         if report:
@@ -157,17 +157,17 @@
         self.deliver(now, api.ProbeEnded(probe.executor, outcome, report))
 
     def on_peer_report(self, now: int, executor: int, report: api.LoadReport, age: int) -> None:
-        """Another node had this report from an executor itself, at most `age` ago (us)."""
+        """Report to the balancer a load report that another node received at most `age` ago (us)."""
         self.deliver(now, api.ProbeEnded(executor, Outcome.OK, report, age))
 
     def set_sibling_usage(self, now: int, executor: int, slots: float, memory: float) -> None:
-        """Another process of this node has this much in flight at an executor now."""
+        """Report to the balancer the usage of an executor by a sibling process of this node."""
         self.deliver(now, api.SiblingLoad(executor, slots, memory))
 
-    # Events of discovery and of the fleet.
+    # Events from discovery and from the cluster.
 
     def on_endpoint_list(self, now: int, change: api.EndpointList) -> None:
-        """Take a whole list or a change of it."""
+        """Apply a full endpoint list or a change of the list."""
         ready = {entry.executor for entry in change.entries if entry.state == api.ExecutorState.READY}
         if change.kind in (api.EndpointListKind.FULL, api.EndpointListKind.CACHED):
             self.ready_executors = ready
@@ -177,63 +177,63 @@
         self.deliver(now, change)
 
     def set_zone_shares(self, now: int, shares: dict[tuple[int, ...], dict[int, float]]) -> None:
-        """Which part of all requests is to run in each zone, by the zones in which they may run."""
+        """Set the share of requests for each zone, by the zones in which the requests may run."""
         self.deliver(now, api.ZoneShares(shares))
 
-    # What the adapters ask.
+    # Queries by the adapters.
 
     def may_write(self, now: int, attempt: Attempt) -> bool:
-        """Whether an attempt may still be sent: it can outlive its right while it waits to connect."""
+        """Return whether an attempt may still be sent, for example after it waited for a connection."""
         return self.blocking_outcome(now, attempt) is None
 
     def blocking_outcome(self, now: int, attempt: Attempt) -> Outcome | None:
-        """The outcome of an attempt that may not be sent any longer, or None where it may.
+        """Return the outcome of an attempt that may no longer be sent, or None if it may.
 
-        MOOT: no other attempt may be sent either, so that the request is answered at once. DROPPED: another
-        executor may take it, and this one is not to blame.
+        MOOT means that the request may have no further attempt, so it is answered at once. DROPPED means that
+        another executor may be tried, and that the chosen one is not at fault.
         """
         request = attempt.request
         if attempt.outcome is not None or not self.deadline_tracker.may_start(now, request.claim):
             return Outcome.MOOT
-        if not request.client.present():  # its close may wait unread where the loop was held up
+        if not request.client.present():  # the event loop may not have read its close yet
             return Outcome.MOOT
-        on_the_way = HOLD_UP_US + WAY_TICKS * self.balancer.settings.tick_us
-        if not attempt.within_repeat_window(now + on_the_way):  # also if this node is held up at the write
+        max_delay_us = MAX_WRITE_DELAY_US + TRANSIT_TICKS * self.balancer.settings.tick_us
+        if not attempt.arrives_within_repeat_window(now + max_delay_us):
             return Outcome.MOOT
         if not self.observer.may_send(now):
             return Outcome.DROPPED
-        if attempt.executor not in self.ready_executors:  # drains or is gone since the balancer chose it
+        if attempt.executor not in self.ready_executors:  # draining or removed since its selection
             return Outcome.DROPPED
         return None
 
     def busy_executors(self) -> set[int]:
-        """Executors with attempts that have not ended."""
+        """Return the executors with attempts in flight."""
         attempts = [attempt for request in self.requests.values() for attempt in request.attempts]
         return {attempt.executor for attempt in attempts if attempt.outcome is None}
 
     def may_probe(self, probe: Probe) -> bool:
-        """Whether a probe may still be written: not for the sake alone of a client that has left."""
+        """Return whether a probe may still be written; one for a client that has left may not."""
         return probe.request is None or probe.request.claim.state is not propagation.ClaimState.CLIENT_LEFT
 
     def may_connect(self, now: int) -> bool:
-        """Whether a connection may be opened now, where a fleet has set a budget of them."""
+        """Return whether a cluster's budget allows another connection now."""
         return self.observer.may_spend(now, "connects")
 
     def may_call_discovery(self, now: int) -> bool:
-        """Whether discovery may be called now, where a fleet has set a budget of calls."""
+        """Return whether a cluster's budget allows another call to discovery now."""
         return self.observer.may_spend(now, "lists")
 
     def free_share(self) -> float:
-        """The share of all listed executors' slots that the balancer believes free of own work (0 to 1)."""
+        """Return the share (0 to 1) of all listed executors' slots that this node's work does not use."""
         listed = [executor for executor in self.balancer.executors.values() if executor.listed]
         slots = sum(executor.slots for executor in listed)
         free = sum(max(0.0, executor.slots - executor.held_slots) for executor in listed)
         return free / slots if slots else 0.0
 
-    # The balancer.
+    # Events to the balancer.
 
     def deliver(self, now: int, event: api.Event, request: Request | None = None) -> None:
-        """Give the balancer its events one after the other, also those that its own actions cause."""
+        """Pass an event to the balancer, after earlier events and before those its actions cause."""
         self._events.append((event, request))
         if self._delivering:
             return
@@ -251,7 +251,7 @@
         except Exception:
             log_event("defect", True, what=f"balancer on {type(event).__name__}")
             actions = []
-            if request is not None and not request.answered:  # it may never hear of this request again
+            if request is not None and not request.answered:  # no other event may follow for it
                 self.give_final_answer(now, request.id, Failed())
                 self._events.append((api.RequestWithdrawn(request.id), request))
         for action in actions:
@@ -260,7 +260,7 @@
     # Final answers.
 
     def give_final_answer(self, now: int, number: int, answer: FinalAnswer) -> None:
-        """Answer a request: the one place that does; the first answer counts, later ones are passed over."""
+        """Send the final answer of a request; further answers are ignored."""
         request = self.requests.get(number)
         if request is None or request.answered:
             return
@@ -268,7 +268,7 @@
         self._close(request)
         self.observer.on_final_answer(now, request, answer)
         try:
-            answer.give(request.client)
+            answer.deliver_to(request.client)
         except Exception:
             log_event("defect", True, what="answer")
 
@@ -278,12 +278,12 @@
         self._forget_if_finished(request)
 
     def _forget_if_finished(self, request: Request) -> None:
-        if request.finished:
+        if request.is_finished:
             self.timers.cancel(request.timer)
             self.requests.pop(request.id, None)
 
     def _on_deadline(self, now: int, request: Request) -> None:
-        """Time out the attempts, and fail the request unless the balancer answers it."""
+        """Time out the attempts of a request, and fail it unless the balancer answers it."""
         self.deadline_tracker.step(now, propagation.DeadlinePassed(request.claim))
         for attempt in request.attempts:
             if attempt.outcome is None:
--- a/cedarmill/core/observer.py
+++ b/cedarmill/core/observer.py
@@ -1,7 +1,7 @@
-"""What a fleet may see of the dispatch's work, and what it may forbid.
+"""Hooks by which a cluster member observes the dispatch and limits what it sends.
 
-`DispatchObserver` does nothing and allows everything: it is what a node without a fleet uses. Times are whole
-microseconds of the node's monotonic clock.
+The base class DispatchObserver does nothing and allows everything, as a node without a cluster needs. Times
+are whole microseconds of the node's monotonic clock.
 """
 
 from cedarmill.core.requests import Attempt, FinalAnswer, Request
@@ -9,28 +9,28 @@
 
 
 class DispatchObserver:
-    """Is notified of events, and asked before something is sent or spent."""
+    """Receives the dispatch's events, and is asked for permission before anything is sent."""
 
     def place_request(self, arrival: api.RequestArrived) -> None:
-        """Set on a request that arrives where it may run, and whether it is shed."""
+        """Set on an arriving request the zones where it may run and whether it is shed."""
 
     def on_report(self, now: int, executor: int, report: api.LoadReport) -> None:
-        """An executor has sent a load report."""
+        """Handle a load report from an executor."""
 
     def on_final_answer(self, now: int, request: Request, answer: FinalAnswer) -> None:
-        """A request has its final answer."""
+        """Handle the final answer of a request."""
 
     def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
-        """An attempt has its outcome."""
+        """Handle the end of an attempt."""
 
     def may_send(self, now: int) -> bool:
-        """Whether this node may send anything to executors."""
+        """Return whether this node may send anything to executors."""
         return True
 
     def may_spend(self, now: int, budget: str) -> bool:
-        """Whether one more may be spent of a budget of the fleet (probes, lists, connects)."""
+        """Return whether one unit of a cluster budget may be spent (`probes`, `lists` or `connects`)."""
         return True
 
     def may_retry(self, now: int) -> bool:
-        """Whether one more attempt may follow a failed one."""
+        """Return whether a failed attempt may be retried."""
         return True
--- a/cedarmill/core/ports.py
+++ b/cedarmill/core/ports.py
@@ -1,6 +1,6 @@
-"""What the dispatch asks of its adapters: the client's side, the executors' side and discovery.
+"""Interfaces that the dispatch requires of its adapters for clients, executors and discovery.
 
-Adapters belong to `net/`. Times and spans are whole microseconds.
+The `net` package implements them. Times and durations are whole microseconds.
 """
 
 from typing import TYPE_CHECKING, Any, Protocol
@@ -10,59 +10,59 @@
 
 
 class ClientPort(Protocol):
-    """Takes the one final answer of a request."""
+    """Receives the final answer of a request, exactly once."""
 
     def served(self, result: Any) -> None:
-        """Give the result of the attempt that succeeded."""
+        """Send the result of the successful attempt to the client."""
 
     def refused(self, retry_after_us: int) -> None:
-        """Say that nothing has run and a retry does no harm; 0: without advice when."""
+        """Answer that nothing ran and a retry is safe; 0 means that no retry time is suggested."""
 
     def failed(self) -> None:
-        """Say that the request failed and that its effect is not known."""
+        """Answer that the request failed and its effect is unknown."""
 
     def present(self) -> bool:
-        """Whether the client is still there: asked as bytes are written; one that has left is withdrawn."""
+        """Return whether the client is still connected, and withdraw its request if not."""
 
 
 class ExecutorPort(Protocol):
-    """Carries attempts and probes; each comes back once through `attempt_ended` or `probe_ended`."""
+    """Sends attempts and probes, and reports each one's end once by `attempt_ended` or `probe_ended`."""
 
     def send(self, attempt: "Attempt") -> None:
         """Send an attempt to its executor."""
 
     def cancel(self, attempt: "Attempt", now_or_never: bool = False) -> bool:
-        """Cancel an attempt; whether it is over here.
+        """Cancel an attempt and return whether it has ended for this node.
 
-        False: it cannot be cancelled and goes on till its real end, unless `now_or_never`.
+        False means that it cannot be cancelled and runs on until its own end; `now_or_never` forces the end.
         """
 
     def probe(self, probe: "Probe") -> None:
-        """Ask an executor for its load report."""
+        """Request a load report from an executor."""
 
     def recall(self, probe: "Probe") -> None:
-        """Take back a probe that has not been written."""
+        """Cancel a probe that has not been written."""
 
 
 class DiscoveryPort(Protocol):
-    """Asks for the endpoint list; news of it comes back through `on_endpoint_list`."""
+    """Watches the endpoint list and reports changes by `on_endpoint_list`."""
 
     def watch(self) -> None:
-        """Ask for changes now, and again whenever they stop coming."""
+        """Start to watch for changes, and reconnect whenever the watch is lost."""
 
 
 class AbsentClient:
-    """The client port of a client that has left, where the settings let its work go on."""
+    """Client port of a disconnected client whose work continues, as the setting `on_leave` allows."""
 
     def served(self, result: Any) -> None:
-        """Nobody waits for it."""
+        """Discard the answer."""
 
     def refused(self, retry_after_us: int) -> None:
-        """Nobody waits for it."""
+        """Discard the answer."""
 
     def failed(self) -> None:
-        """Nobody waits for it."""
+        """Discard the answer."""
 
     def present(self) -> bool:
-        """Report the client as present: the work is wanted although nobody waits for the answer."""
+        """Return True, so that the work continues although nobody waits for the answer."""
         return True
--- a/cedarmill/core/requests.py
+++ b/cedarmill/core/requests.py
@@ -1,4 +1,4 @@
-"""What the dispatch owns: requests, their attempts and probes, and the final answers that they can get.
+"""Requests, their attempts and probes, and their possible final answers.
 
 Times are whole microseconds of the node's monotonic clock.
 """
@@ -15,32 +15,32 @@
 
 @dataclass(slots=True)
 class Served:
-    """Final answer: an attempt succeeded; `result` is what its executor returned."""
+    """Final answer of a request that succeeded; `result` is the executor's result."""
 
     result: Any
 
-    def give(self, client: ClientPort) -> None:
-        """Hand it to the client."""
+    def deliver_to(self, client: ClientPort) -> None:
+        """Send the answer to the client."""
         client.served(self.result)
 
 
 @dataclass(slots=True)
 class Refused:
-    """Final answer: nothing has run, a retry does no harm; 0: no advice when."""
+    """Final answer of a request that never ran and may be retried; 0 suggests no retry time."""
 
     retry_after_us: int = 0
 
-    def give(self, client: ClientPort) -> None:
-        """Hand it to the client."""
+    def deliver_to(self, client: ClientPort) -> None:
+        """Send the answer to the client."""
         client.refused(self.retry_after_us)
 
 
 @dataclass(slots=True)
 class Failed:
-    """Final answer: the request failed, its effect is not known."""
+    """Final answer of a request that failed with unknown effect."""
 
-    def give(self, client: ClientPort) -> None:
-        """Hand it to the client."""
+    def deliver_to(self, client: ClientPort) -> None:
+        """Send the answer to the client."""
         client.failed()
 
 
@@ -48,7 +48,7 @@
 
 
 class Request:
-    """One request that the node has taken; `due` is when its answer is owed at the latest (us)."""
+    """A request that the node has accepted; `due` is its deadline (us)."""
 
     __slots__ = ("answered", "attempts", "claim", "client", "due", "id", "payload", "probes", "spec", "timer")
 
@@ -58,23 +58,23 @@
         self.id, self.client, self.payload, self.spec = number, client, payload, spec
         self.claim, self.due = claim, claim.due
         self.attempts: list[Attempt] = []
-        self.probes: list[Probe] = []  # asked for its sake, not yet answered
+        self.probes: list[Probe] = []  # unanswered probes sent for this request
         self.answered = False
-        self.timer: Timer | None = None  # fires when the answer is due
+        self.timer: Timer | None = None  # fires at the deadline
 
     @property
     def objective_due(self) -> int:
-        """When its latency objective is missed (us)."""
+        """Return the time (us) after which the request misses its latency objective."""
         return self.due - self.spec.deadline_us + self.spec.aim_us
 
     @property
-    def finished(self) -> bool:
-        """Whether it is answered and no attempt of it is in flight."""
+    def is_finished(self) -> bool:
+        """Return whether the request is answered and none of its attempts is in flight."""
         return self.answered and all(attempt.outcome is not None for attempt in self.attempts)
 
 
 class Attempt:
-    """One attempt of a request; `exchange` belongs to the executor port."""
+    """One attempt of a request; the executor port keeps its own state in `exchange`."""
 
     __slots__ = (
         "end_unobserved",
@@ -91,20 +91,23 @@
         self.request, self.number, self.executor, self.sent_at = request, number, executor, now
         self.outcome: Outcome | None = None
         self.exchange: Any = None
-        self.written = False  # whether its last byte has left: only then may it run
-        self.end_unobserved = True  # whether a cancel's effect at the executor is not seen; the port knows
+        self.written = False  # whether its last byte was written; the executor cannot run it before
+        self.end_unobserved = True  # whether its end after a cancel cannot be observed; set by the port
 
-    def within_repeat_window(self, arrives: int) -> bool:
-        """Whether it arrives (us) before executors count a repeat of its request anew; keyed ones only."""
+    def arrives_within_repeat_window(self, arrives_at: int) -> bool:
+        """Return whether executors still deduplicate the attempt if it arrives at this time (us).
+
+        Only keyed requests have such a window; for others the result is True.
+        """
         request = self.request
         if request.spec.effect != api.Effect.KEYED:
             return True
         ran = [a for a in request.attempts if a is not self and a.outcome not in api.NEVER_RAN]
-        return all(arrives < a.sent_at + request.spec.repeat_window_us for a in ran)
+        return all(arrives_at < a.sent_at + request.spec.repeat_window_us for a in ran)
 
 
 class Probe:
-    """One probe, and the request that it is for, if any; `exchange` belongs to the executor port."""
+    """A probe, and the request it was sent for, if any; the executor port keeps its state in `exchange`."""
 
     __slots__ = ("exchange", "executor", "request", "written")
 
--- a/cedarmill/core/timers.py
+++ b/cedarmill/core/timers.py
@@ -1,43 +1,43 @@
-"""The one sorted structure of a node's timers.
+"""Sorted queue of timers.
 
-It reads no clock: times are whole microseconds of the caller's monotonic clock, and the caller sweeps.
+It reads no clock: the caller passes the time, in whole microseconds of a monotonic clock, to each sweep.
 """
 
 from collections.abc import Callable, Iterator
 
 from sortedcontainers import SortedDict  # type: ignore[import-untyped]  # the package ships no types
 
-Timer = tuple[int, int]  # a handle: when it is due (us), and its number among those due at once
-Callback = Callable[[int], None]  # is given the time of the sweep that calls it (us)
+Timer = tuple[int, int]  # handle: due time (us) and a sequence number that makes it unique
+Callback = Callable[[int], None]  # receives the time of the sweep (us)
 
 
 class Timers:
-    """Callbacks sorted by the time at which they are due; adding and cancelling cost O(log n)."""
+    """Timer callbacks sorted by due time; adding and cancelling cost O(log n)."""
 
     def __init__(self) -> None:
         self._callbacks: SortedDict = SortedDict()
-        self._count = 0
-        self.next_due: int | None = None  # of the earliest timer (us): read after every callback, so cached
+        self._sequence = 0
+        self.next_due: int | None = None  # due time of the earliest timer (us), cached for frequent reads
 
     def add(self, due: int, callback: Callback) -> Timer:
-        """Have a callback made at `due` (us); the handle serves to cancel it."""
-        self._count += 1
-        self._callbacks[due, self._count] = callback
+        """Schedule a callback at `due` (us) and return a handle that can be cancelled."""
+        self._sequence += 1
+        self._callbacks[due, self._sequence] = callback
         if self.next_due is None or due < self.next_due:
             self.next_due = due
-        return due, self._count
+        return due, self._sequence
 
     def cancel(self, timer: Timer | None) -> None:
-        """Remove a timer; one that has fired, or None, is passed over."""
+        """Remove a timer; None and timers that have fired are ignored."""
         if timer is not None and self._callbacks.pop(timer, None) and timer[0] == self.next_due:
             self._update_next_due()
 
     def sweep(self, now: int) -> Iterator[Callback]:
-        """Remove and yield what is due, earliest first; timers added meanwhile wait for the next sweep."""
-        last = self._count
+        """Remove and yield the due callbacks, earliest first, without timers added during the sweep."""
+        last_sequence = self._sequence
         while self._callbacks:
-            due, number = self._callbacks.peekitem(0)[0]
-            if due > now or number > last:
+            due, sequence = self._callbacks.peekitem(0)[0]
+            if due > now or sequence > last_sequence:
                 return
             callback = self._callbacks.popitem(0)[1]
             self._update_next_due()
--- a/tests/deadlines/test_deadlines.py
+++ b/tests/deadlines/test_deadlines.py
@@ -157,7 +157,7 @@
 
     def out(self, at: int = 0):
         """A request with one attempt whose last byte has left."""
-        request = self.arrive(api.Send(self.dispatch._count + 1, 1))
+        request = self.arrive(api.Send(self.dispatch._last_request_id + 1, 1))
         self.dispatch.attempt_written(at, request.attempts[0])
         return request
 
@@ -316,7 +316,7 @@
         self.assertEqual((self.ports.answers, len(self.ports.events)), ([("refused", 0)], told))
         for outcome, answer in ((Outcome.RESET, "failed"), (Outcome.FULL, "refused")):
             self.ports.answers.clear()
-            number = self.dispatch._count + 1
+            number = self.dispatch._last_request_id + 1
             request = self.arrive(api.Send(number, 1))
             self.ports.replies[api.AttemptEnded] = deque([api.Send(number, 2)])
             self.dispatch.attempt_ended(4_500_000, request.attempts[0], outcome)
