--- a/cedarmill/core/client_session.py
+++ b/cedarmill/core/client_session.py
@@ -1,12 +1,12 @@
-"""One client's connection as a state machine without I/O: when to serve, to wait, to call it late, to end it.
+"""State machine without I/O for one client connection: serving, waiting, time-outs and closing.
 
-`SessionLifecycle.step(now, event)` returns what has to be done; TRANSITIONS names all that changes the state.
-All times are whole microseconds. The requests themselves, their bytes and their answers belong to the adapter
-(`net/clients/session.py`), which counts here what it has read and what it has answered.
+`SessionLifecycle.step(now, event)` returns the action to take, and TRANSITIONS lists all handled events. All
+times are whole microseconds. The adapter (`net/clients/session.py`) owns the requests, their bytes and their
+answers, and reports each request that it has read and each answer that it has written.
 
-Two rules above the table. Each request that was read is answered once, in the order of reading, before the
-node ends the connection, unless the client has left. And the connection ends once: from CLOSING on nothing is
-served any more, and no state leads back to an open one.
+Two invariants hold. Each request that was read is answered once, in order, before the node ends the
+connection, unless the client has left. The connection ends once: from CLOSING on no request is served, and no
+event reopens the connection.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 from cedarmill.core.client_session_events import SessionAction, SessionEvent, SessionState, SessionTimes
 
-# bound once: looking a member up in its class takes ten times as long, and this runs for each request
+# Module-level aliases avoid the slow lookup of enum members for every request.
 _IDLE = SessionState.IDLE
 _RECEIVING = SessionState.RECEIVING
 _ANSWERING = SessionState.ANSWERING
@@ -26,221 +26,221 @@
 
 @dataclass(slots=True, eq=False)
 class SessionLifecycle:
-    """One connection's state; `deadline` and `hang_up_check_at` are when their events have to come (us)."""
+    """State of a connection; the adapter raises the events due at `deadline` and `hang_up_check_at` (us)."""
 
-    born_at: int
+    opened_at: int
     times: SessionTimes
-    half_close_leaves: bool = True  # a client that ends its sending has gone, whatever it is owed
+    half_close_leaves: bool = True  # whether a half-close counts as a disconnect
     state: SessionState = SessionState.IDLE
     deadline: int | None = None
     hang_up_check_at: int | None = None
-    proven: bool = False  # it has sent a good request
-    queued: int = 0  # requests that were read and wait for the one in service
-    in_service: bool = False
-    arriving: bool = False  # a part of a request has come
-    began_at: int = 0  # the request that arrives
-    asked_since: int = 0  # from when on it may send, unless proven: its birth or its last answer
-    heard_at: int = 0  # its last byte; the adapter sets it
-    granted_unread: bool = False  # what waited unread at its deadline was given time
-    blocked: bool = False  # it does not read its answers
-    paused: bool = False  # it is not read for now
-    half_closed: bool = False  # it sends no more, but still reads
-    ends_by: int = 0  # how long a slow reader may take while it closes
+    proven: bool = False  # whether the client has sent a valid request
+    queued_requests: int = 0  # requests that were read and are not yet served
+    is_serving: bool = False  # whether a request is being served
+    arriving: bool = False  # whether a request is partly received
+    request_began_at: int = 0  # us: first byte of the request that is partly received
+    first_request_since: int = 0  # us: start of the time-out for a first valid request
+    heard_at: int = 0  # us: last byte received, set by the adapter
+    has_unread_grace: bool = False  # whether the deadline was extended for unread bytes
+    is_write_blocked: bool = False  # whether writes are blocked because the client does not read
+    paused: bool = False  # whether reading from the client is paused
+    is_half_closed: bool = False  # whether the client sends no more but still reads
+    close_by: int = 0  # us: latest end of the closing state for a slow reader
 
     def __post_init__(self) -> None:
-        self.began_at = self.asked_since = self.heard_at = self.ends_by = self.born_at
-        self.deadline = self.born_at + self.times.first_request
+        self.request_began_at = self.first_request_since = self.heard_at = self.close_by = self.opened_at
+        self.deadline = self.opened_at + self.times.first_request
 
     def step(self, now: int, event: SessionEvent) -> SessionAction | None:
-        """Take one event at its time and return what has to be done, if anything."""
+        """Handle an event and return the action to take, or None."""
         handler = TRANSITIONS.get((self.state, event))
         return handler(self, now) if handler is not None else None
 
     @property
     def open(self) -> bool:
-        """Whether what is read is still served."""
+        """Return whether requests are still read and served."""
         return self.state < _CLOSING
 
     @property
     def owes(self) -> bool:
-        """Whether a request that was read has no answer."""
-        return self.in_service or self.queued > 0
+        """Return whether a request that was read has not been answered."""
+        return self.is_serving or self.queued_requests > 0
 
     def is_last_answer(self, keep_alive: bool, draining: bool) -> bool:
-        """Whether the connection ends with the next answer; `draining`: the node sends its clients away.
+        """Return whether the connection ends with the next answer; `draining` is true on a draining node.
 
-        What was read has its answer before that, and half a request may still become whole.
+        Requests that are queued or partly received keep a draining node's connection open.
         """
-        if not keep_alive or (self.half_closed and not self.queued):
+        if not keep_alive or (self.is_half_closed and not self.queued_requests):
             return True
-        return draining and not self.queued and not self.arriving
+        return draining and not self.queued_requests and not self.arriving
 
     # Requests and answers.
 
     def _request_begun(self, now: int) -> SessionAction | None:
-        self.arriving, self.began_at = True, now
+        self.arriving, self.request_began_at = True, now
         if self.state is _IDLE:
             self.state = _RECEIVING
         return None
 
     def _request_read(self, now: int) -> SessionAction | None:
         self.arriving = False
-        self.queued += 1
+        self.queued_requests += 1
         self.state = _ANSWERING
         return None
 
-    def _next(self, now: int) -> SessionAction | None:
-        if not self.in_service:
-            if self.queued and not self.blocked:
-                self.queued -= 1
-                self.in_service, self.deadline = True, None
+    def _serve_next(self, now: int) -> SessionAction | None:
+        if not self.is_serving:
+            if self.queued_requests and not self.is_write_blocked:
+                self.queued_requests -= 1
+                self.is_serving, self.deadline = True, None
                 return _SERVE_IF_PRESENT if self.paused else _SERVE
             if self.arriving:
                 self._wait_for_client(now)
-        if bool(self.queued) == self.paused:
+        if bool(self.queued_requests) == self.paused:
             return None
-        # a client that sends ahead is read no further for now
+        # Reading pauses while pipelined requests wait.
         return SessionAction.RESUME_READING if self.paused else SessionAction.PAUSE_READING
 
     def _answer_written(self, now: int) -> SessionAction | None:
-        self.in_service = False
-        self.asked_since = now
-        if not self.queued:
+        self.is_serving = False
+        self.first_request_since = now
+        if not self.queued_requests:
             self.state = _RECEIVING if self.arriving else _IDLE
         self._wait_for_client(now)
-        return self._listed_as_idle()
+        return self._list_if_idle()
 
     def _last_answer_written(self, now: int) -> SessionAction | None:
-        self.in_service = False
-        return self._end(now)
+        self.is_serving = False
+        return self._begin_closing(now)
 
-    def _listed_as_idle(self) -> SessionAction | None:
-        idle = self.proven and self.state is _IDLE and not self.blocked
+    def _list_if_idle(self) -> SessionAction | None:
+        idle = self.proven and self.state is _IDLE and not self.is_write_blocked
         return _LIST_AS_IDLE if idle else None
 
     def _wait_for_client(self, now: int) -> None:
-        """Give it its time for what it sends next."""
+        """Set the deadline by which the client must send more."""
         if not self.arriving:
-            self.granted_unread = False
+            self.has_unread_grace = False
             self.deadline = now + (self.times.idle if self.proven else self.times.first_request)
             return
-        whole_by = self.asked_since + self.times.first_request
+        complete_by = self.first_request_since + self.times.first_request
         if self.proven:
-            whole_by = self.began_at + self.times.slow_request
-        self.granted_unread = self.granted_unread and now >= whole_by
-        self.deadline = min(whole_by, self.heard_at + self.times.stopped)
+            complete_by = self.request_began_at + self.times.slow_request
+        self.has_unread_grace = self.has_unread_grace and now >= complete_by
+        self.deadline = min(complete_by, self.heard_at + self.times.stopped)
 
-    def _block(self, now: int) -> SessionAction | None:
-        self.blocked = True
+    def _writing_blocked(self, now: int) -> SessionAction | None:
+        self.is_write_blocked = True
         return None
 
-    def _unblock(self, now: int) -> SessionAction | None:
-        self.blocked = False
-        return self._listed_as_idle()
+    def _writing_resumed(self, now: int) -> SessionAction | None:
+        self.is_write_blocked = False
+        return self._list_if_idle()
 
-    def _paused(self, now: int) -> SessionAction | None:
+    def _reading_paused(self, now: int) -> SessionAction | None:
         self.paused = True
         self.hang_up_check_at = now + self.times.hang_up_check
         return None
 
-    def _resumed(self, now: int) -> SessionAction | None:
+    def _reading_resumed(self, now: int) -> SessionAction | None:
         self.paused = False
         return None
 
     def _reading_broken(self, now: int) -> SessionAction | None:
-        self.half_closed = True
+        self.is_half_closed = True
         self.hang_up_check_at = now + self.times.hang_up_check
-        return None if self.owes or not self.open else self._end(now)
+        return None if self.owes or not self.open else self._begin_closing(now)
 
     def _check_client(self, now: int) -> SessionAction | None:
         self.hang_up_check_at = None
-        if not (self.paused or self.half_closed):
+        if not (self.paused or self.is_half_closed):
             return None
         self.hang_up_check_at = now + self.times.hang_up_check
         return SessionAction.CHECK_CLIENT
 
     def _deadline_passed(self, now: int) -> SessionAction | None:
         self.deadline = None
-        return self._late(now) if self.granted_unread else SessionAction.CHECK_UNREAD
+        return self._time_out(now) if self.has_unread_grace else SessionAction.CHECK_UNREAD
 
-    def _grant_unread(self, now: int) -> SessionAction | None:
-        self.granted_unread, self.deadline = True, now + self.times.unread
+    def _extend_for_unread(self, now: int) -> SessionAction | None:
+        self.has_unread_grace, self.deadline = True, now + self.times.unread
         return None
 
-    def _late(self, now: int) -> SessionAction | None:
-        self.blocked = False  # what is owed is written now, whether the client reads it or not
+    def _time_out(self, now: int) -> SessionAction | None:
+        self.is_write_blocked = False  # pending answers are written even if the client does not read
         if self.owes:
             return SessionAction.ANSWER_OWED
-        return SessionAction.ANSWER_LATE if self.arriving else self._end(now)
+        return SessionAction.ANSWER_LATE if self.arriving else self._begin_closing(now)
 
-    def _late_to_close(self, now: int) -> SessionAction | None:
+    def _closing_timed_out(self, now: int) -> SessionAction | None:
         self.deadline = None
         return SessionAction.CHECK_READER
 
     def _reader_progressed(self, now: int) -> SessionAction | None:
-        if now >= self.ends_by:
+        if now >= self.close_by:
             return self._abort(now)
         self.deadline = now + self.times.linger
         return None
 
-    def _check_room(self, now: int) -> SessionAction | None:
+    def _check_evictable(self, now: int) -> SessionAction | None:
         return SessionAction.CHECK_ROOM
 
-    def _make_room(self, now: int) -> SessionAction | None:
-        """A client in the middle of a request stays while it sends, and else gets its error."""
+    def _evict(self, now: int) -> SessionAction | None:
+        """Evict the connection, unless a partly received request has recently made progress."""
         if not self.arriving:
             return self._abort(now)
         if self.heard_at > now - self.times.room_grace:
             return None
         return SessionAction.ANSWER_LATE
 
-    def _end_sooner(self, now: int) -> SessionAction | None:
-        return self._end_by(now + self.times.room_error_linger)
+    def _shorten_error_linger(self, now: int) -> SessionAction | None:
+        return self._limit_deadline(now + self.times.room_error_linger)
 
-    def _end_soon(self, now: int) -> SessionAction | None:
-        return self._end_by(now + self.times.room_linger)
+    def _shorten_linger(self, now: int) -> SessionAction | None:
+        return self._limit_deadline(now + self.times.room_linger)
 
-    def _end_by(self, soon: int) -> SessionAction | None:
-        if self.deadline is None or self.deadline > soon:
-            self.deadline = soon
+    def _limit_deadline(self, latest: int) -> SessionAction | None:
+        if self.deadline is None or self.deadline > latest:
+            self.deadline = latest
         return None
 
-    def _end_idle_for_room(self, now: int) -> SessionAction | None:
-        self._end(now)
+    def _evict_idle(self, now: int) -> SessionAction | None:
+        self._begin_closing(now)
         self.deadline = now + self.times.room_linger
         return SessionAction.END_SENDING
 
-    # The end: `_end`, `_leave` and `_closed` are the only ways to the last three states.
+    # Only `_begin_closing`, `_mark_gone` and `_connection_lost` enter the last three states.
 
-    def _end(self, now: int) -> SessionAction | None:
+    def _begin_closing(self, now: int) -> SessionAction | None:
         self.state = _CLOSING
-        self.deadline, self.ends_by = now + self.times.linger, now + self.times.slow_reader
+        self.deadline, self.close_by = now + self.times.linger, now + self.times.slow_reader
         return SessionAction.END_SENDING
 
-    def _leave(self) -> None:
-        """Nothing is owed to a client that has left."""
+    def _mark_gone(self) -> None:
+        """Drop all requests of a client that has left."""
         self.state = SessionState.GONE
-        self.queued, self.in_service = 0, False
+        self.queued_requests, self.is_serving = 0, False
         self.hang_up_check_at = None
 
     def _abort(self, now: int) -> SessionAction | None:
-        self._leave()
+        self._mark_gone()
         return SessionAction.ABORT
 
     def _client_ended_sending(self, now: int) -> SessionAction | None:
         if self.owes and not self.half_close_leaves:
-            self.half_closed = True
+            self.is_half_closed = True
             return None
-        self._leave()
-        self.deadline = now + self.times.linger  # who does not read keeps the loop from closing
+        self._mark_gone()
+        self.deadline = now + self.times.linger  # bounds the close if the client does not read
         return SessionAction.WITHDRAW
 
     def _abort_failed(self, now: int) -> SessionAction | None:
         self.deadline = now + self.times.abort_again
         return None
 
-    def _closed(self, now: int) -> SessionAction | None:
-        self._leave()
+    def _connection_lost(self, now: int) -> SessionAction | None:
+        self._mark_gone()
         self.state = SessionState.CLOSED
         self.deadline = None
         return SessionAction.WITHDRAW
@@ -249,46 +249,46 @@
         if self.arriving:
             self._request_read(now)
         if not self.owes:
-            return self._end(now)
-        self.blocked = False
+            return self._begin_closing(now)
+        self.is_write_blocked = False
         return SessionAction.ANSWER_OWED
 
 
 Handler = Callable[[SessionLifecycle, int], SessionAction | None]
 _OPEN = (_IDLE, _RECEIVING, _ANSWERING)
 _ENDING = (_CLOSING, SessionState.GONE)
-_OWING_NOTHING = (_IDLE, _RECEIVING)
-_ROWS: tuple[tuple[tuple[SessionState, ...], SessionEvent, Handler], ...] = (
+_NOTHING_UNANSWERED = (_IDLE, _RECEIVING)
+_TRANSITION_ROWS: tuple[tuple[tuple[SessionState, ...], SessionEvent, Handler], ...] = (
     (_OPEN, SessionEvent.REQUEST_BEGUN, SessionLifecycle._request_begun),
     (_OPEN, SessionEvent.REQUEST_READ, SessionLifecycle._request_read),
-    (_OPEN, SessionEvent.SERVICE_WANTED, SessionLifecycle._next),
+    (_OPEN, SessionEvent.SERVICE_WANTED, SessionLifecycle._serve_next),
     ((_ANSWERING,), SessionEvent.ANSWER_WRITTEN, SessionLifecycle._answer_written),
     ((_ANSWERING,), SessionEvent.LAST_ANSWER_WRITTEN, SessionLifecycle._last_answer_written),
-    (_OPEN, SessionEvent.WRITING_BLOCKED, SessionLifecycle._block),
-    (_OPEN, SessionEvent.WRITING_RESUMED, SessionLifecycle._unblock),
-    ((*_OPEN, _CLOSING), SessionEvent.READING_PAUSED, SessionLifecycle._paused),
-    ((*_OPEN, _CLOSING), SessionEvent.READING_RESUMED, SessionLifecycle._resumed),
+    (_OPEN, SessionEvent.WRITING_BLOCKED, SessionLifecycle._writing_blocked),
+    (_OPEN, SessionEvent.WRITING_RESUMED, SessionLifecycle._writing_resumed),
+    ((*_OPEN, _CLOSING), SessionEvent.READING_PAUSED, SessionLifecycle._reading_paused),
+    ((*_OPEN, _CLOSING), SessionEvent.READING_RESUMED, SessionLifecycle._reading_resumed),
     ((*_OPEN, _CLOSING), SessionEvent.READING_BROKEN, SessionLifecycle._reading_broken),
     ((*_OPEN, _CLOSING), SessionEvent.HANG_UP_CHECK_DUE, SessionLifecycle._check_client),
     ((*_OPEN, *_ENDING), SessionEvent.CLIENT_ENDED_SENDING, SessionLifecycle._client_ended_sending),
     ((*_OPEN, *_ENDING), SessionEvent.CLIENT_LEFT, SessionLifecycle._abort),
-    ((*_OPEN, *_ENDING), SessionEvent.CONNECTION_LOST, SessionLifecycle._closed),
+    ((*_OPEN, *_ENDING), SessionEvent.CONNECTION_LOST, SessionLifecycle._connection_lost),
     ((*_OPEN, *_ENDING), SessionEvent.ABORT_FAILED, SessionLifecycle._abort_failed),
     (_OPEN, SessionEvent.DEADLINE_PASSED, SessionLifecycle._deadline_passed),
-    (_OPEN, SessionEvent.BYTES_UNREAD, SessionLifecycle._grant_unread),
-    (_OPEN, SessionEvent.NOTHING_UNREAD, SessionLifecycle._late),
-    (_ENDING, SessionEvent.DEADLINE_PASSED, SessionLifecycle._late_to_close),
+    (_OPEN, SessionEvent.BYTES_UNREAD, SessionLifecycle._extend_for_unread),
+    (_OPEN, SessionEvent.NOTHING_UNREAD, SessionLifecycle._time_out),
+    (_ENDING, SessionEvent.DEADLINE_PASSED, SessionLifecycle._closing_timed_out),
     (_ENDING, SessionEvent.READER_PROGRESSED, SessionLifecycle._reader_progressed),
     (_ENDING, SessionEvent.READER_STALLED, SessionLifecycle._abort),
-    ((_IDLE,), SessionEvent.END_IF_IDLE, SessionLifecycle._end),
-    ((_IDLE,), SessionEvent.END_IDLE_FOR_ROOM, SessionLifecycle._end_idle_for_room),
-    (_OWING_NOTHING, SessionEvent.ROOM_WANTED, SessionLifecycle._check_room),
-    (_OWING_NOTHING, SessionEvent.ROOM_CONFIRMED, SessionLifecycle._make_room),
-    (_ENDING, SessionEvent.ROOM_WANTED, SessionLifecycle._end_sooner),
-    (_ENDING, SessionEvent.END_IDLE_FOR_ROOM, SessionLifecycle._end_soon),
+    ((_IDLE,), SessionEvent.END_IF_IDLE, SessionLifecycle._begin_closing),
+    ((_IDLE,), SessionEvent.END_IDLE_FOR_ROOM, SessionLifecycle._evict_idle),
+    (_NOTHING_UNANSWERED, SessionEvent.ROOM_WANTED, SessionLifecycle._check_evictable),
+    (_NOTHING_UNANSWERED, SessionEvent.ROOM_CONFIRMED, SessionLifecycle._evict),
+    (_ENDING, SessionEvent.ROOM_WANTED, SessionLifecycle._shorten_error_linger),
+    (_ENDING, SessionEvent.END_IDLE_FOR_ROOM, SessionLifecycle._shorten_linger),
     (_OPEN, SessionEvent.ANSWER_ALL, SessionLifecycle._answer_all),
 )
-# What is not named changes nothing.
+# Events without an entry for the current state are ignored.
 TRANSITIONS: dict[tuple[SessionState, SessionEvent], Handler] = {
-    (state, event): handler for states, event, handler in _ROWS for state in states
+    (state, event): handler for states, event, handler in _TRANSITION_ROWS for state in states
 }
--- a/cedarmill/core/client_session_events.py
+++ b/cedarmill/core/client_session_events.py
@@ -1,6 +1,6 @@
-"""What can happen to a client's connection, what follows of it, and how long each thing may take.
+"""States, events, actions and time limits of the client connections' state machine.
 
-The table that joins them is in `core/client_session.py`. All times are whole microseconds.
+The transition table is in `core/client_session.py`. All times are whole microseconds.
 """
 
 from dataclasses import dataclass
@@ -9,77 +9,77 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionTimes:
-    """How long a client may hold its connection up (us)."""
+    """Time limits and intervals of a client connection (us)."""
 
-    first_request: int  # till the first good request is whole, however its bytes come
-    idle: int  # afterwards, between requests
-    slow_request: int  # afterwards, for a request to arrive whole while its bytes keep coming
-    stopped: int  # since the last byte of half a request
-    unread: int  # for the loop to read what already waits at the socket, before a client counts as late
-    linger: int  # for a client to read the last answer and close
-    slow_reader: int  # the same for one that reads slowly, as long as it gets on
-    room_linger: int  # for an idle client to close whose connection makes room for others
-    room_error_linger: int  # for the error to leave that a stopped client gets as it makes room
-    room_grace: int  # a client that sent something since then stays
-    abort_again: int  # after a connection could not be aborted
-    hang_up_check: int  # between two looks whether a client has gone from whom nothing is read for now
+    first_request: int  # time-out for receiving the first valid request completely
+    idle: int  # time-out between requests after the first
+    slow_request: int  # time-out for receiving a later request while bytes keep arriving
+    stopped: int  # time-out since the last byte of an incomplete request
+    unread: int  # extension of the deadline for bytes that wait in the socket buffer
+    linger: int  # time for a client to read the last answer and close
+    slow_reader: int  # the same while a slow client makes progress
+    room_linger: int  # time for an idle client to close when it is evicted
+    room_error_linger: int  # time to send the error to a stalled client when it is evicted
+    room_grace: int  # a client that sent a byte within this time is not evicted
+    abort_again: int  # interval before a failed abort is retried
+    hang_up_check: int  # interval between checks for a disconnect while reading is paused
 
 
 class SessionState(IntEnum):
-    """What the connection is doing; in the first three it is open."""
+    """State of a connection, which is open in the first three states."""
 
-    IDLE = auto()  # nothing is owed, and no request has begun to arrive
-    RECEIVING = auto()  # a part of a request has come, and nothing is owed
-    ANSWERING = auto()  # at least one request that was read has no answer; more may arrive
-    CLOSING = auto()  # all is answered and the sending side has ended: the client reads it and closes
-    GONE = auto()  # the client has left, or the connection was aborted: nothing is owed
-    CLOSED = auto()  # the transport is lost
+    IDLE = auto()  # no request is unanswered or partly received
+    RECEIVING = auto()  # a request is partly received and none is unanswered
+    ANSWERING = auto()  # at least one request is unanswered; more may arrive
+    CLOSING = auto()  # all requests are answered and the node waits for the client to close
+    GONE = auto()  # the client has left, or the connection was aborted
+    CLOSED = auto()  # the transport is closed
 
 
 class SessionEvent(IntEnum):
-    """What can happen to it."""
+    """Event that the adapter reports to the state machine."""
 
     REQUEST_BEGUN = auto()  # the first byte of a request was read
-    REQUEST_READ = auto()  # a request is whole, or its fault is known: an answer is owed
-    SERVICE_WANTED = auto()  # all bytes at hand are parsed, or an answer was given: what is next?
+    REQUEST_READ = auto()  # a request is complete or known to be malformed, and needs an answer
+    SERVICE_WANTED = auto()  # all received bytes are parsed, or an answer was written
     ANSWER_WRITTEN = auto()
-    LAST_ANSWER_WRITTEN = auto()  # the connection ends with it (`is_last_answer`)
-    WRITING_BLOCKED = auto()  # the client does not read its answers
+    LAST_ANSWER_WRITTEN = auto()  # the answer for which `is_last_answer` was true
+    WRITING_BLOCKED = auto()  # the write buffer is full because the client does not read
     WRITING_RESUMED = auto()
     READING_PAUSED = auto()
     READING_RESUMED = auto()
-    READING_BROKEN = auto()  # reading cannot be resumed: as if the client sent no more
+    READING_BROKEN = auto()  # reading cannot be resumed; treated as a half-close
     CLIENT_ENDED_SENDING = auto()
-    CLIENT_LEFT = auto()  # the system says so, or a write has failed
-    CONNECTION_LOST = auto()  # the transport is done with
+    CLIENT_LEFT = auto()  # the operating system reports a disconnect, or a write has failed
+    CONNECTION_LOST = auto()  # the transport is closed
     ABORT_FAILED = auto()
-    DEADLINE_PASSED = auto()  # `deadline`
-    BYTES_UNREAD = auto()  # the reply to CHECK_UNREAD
+    DEADLINE_PASSED = auto()  # the time `deadline` is reached
+    BYTES_UNREAD = auto()  # result of CHECK_UNREAD
     NOTHING_UNREAD = auto()
-    READER_PROGRESSED = auto()  # the reply to CHECK_READER: it has taken some of what the loop still holds
+    READER_PROGRESSED = auto()  # result of CHECK_READER: the client has read some of the buffered bytes
     READER_STALLED = auto()
-    HANG_UP_CHECK_DUE = auto()  # `hang_up_check_at`
-    END_IF_IDLE = auto()  # the node ends or sends its clients away; nothing waits unread
-    END_IDLE_FOR_ROOM = auto()  # another client needs the place of this idle one; nothing waits unread
-    ROOM_WANTED = auto()  # another client needs the place of this one, which never sent a good request
-    ROOM_CONFIRMED = auto()  # the reply to CHECK_ROOM: nothing waits unread
-    ANSWER_ALL = auto()  # the process may be killed soon, or a callback raised
+    HANG_UP_CHECK_DUE = auto()  # the time `hang_up_check_at` is reached
+    END_IF_IDLE = auto()  # the node stops or drains; no bytes wait unread
+    END_IDLE_FOR_ROOM = auto()  # this idle connection is evicted; no bytes wait unread
+    ROOM_WANTED = auto()  # this connection, without a valid request so far, is to be evicted
+    ROOM_CONFIRMED = auto()  # result of CHECK_ROOM: no bytes wait unread
+    ANSWER_ALL = auto()  # the process may be killed soon, or a callback has raised an exception
 
 
 class SessionAction(IntEnum):
-    """What the adapter has to do."""
+    """Action that the adapter must take."""
 
-    SERVE = auto()  # the next request that was read
-    SERVE_IF_PRESENT = auto()  # the same, if the system does not say that its client has gone
-    ANSWER_LATE = auto()  # the half request: its error is an answer that is owed, then SERVICE_WANTED
-    ANSWER_OWED = auto()  # write an error for all that was read, in order, half a request included
-    END_SENDING = auto()  # once all that was written has left; the connection closes when the client does
-    WITHDRAW = auto()  # the open request and those that wait: their client has left
-    ABORT = auto()  # the same, and abort the connection, whatever is not written
+    SERVE = auto()  # serve the next queued request
+    SERVE_IF_PRESENT = auto()  # the same, unless the client is found to be disconnected
+    ANSWER_LATE = auto()  # queue a time-out error for the incomplete request, then SERVICE_WANTED
+    ANSWER_OWED = auto()  # answer all requests with an error, in order, also an incomplete one
+    END_SENDING = auto()  # half-close after the pending writes, and wait for the client to close
+    WITHDRAW = auto()  # withdraw all requests, because their client has left
+    ABORT = auto()  # the same, and abort the connection without pending writes
     PAUSE_READING = auto()
     RESUME_READING = auto()
-    LIST_AS_IDLE = auto()  # it can make room for others
-    CHECK_UNREAD = auto()  # whether bytes wait at the socket -> BYTES_UNREAD or NOTHING_UNREAD
-    CHECK_ROOM = auto()  # whether bytes wait at the socket -> ROOM_CONFIRMED if not
-    CHECK_READER = auto()  # whether it reads its last answer -> READER_PROGRESSED or READER_STALLED
-    CHECK_CLIENT = auto()  # whether it is still there -> CLIENT_LEFT if not
+    LIST_AS_IDLE = auto()  # add the connection to those that can be evicted
+    CHECK_UNREAD = auto()  # do bytes wait in the socket buffer: BYTES_UNREAD or NOTHING_UNREAD
+    CHECK_ROOM = auto()  # do bytes wait in the socket buffer: ROOM_CONFIRMED if not
+    CHECK_READER = auto()  # does the client read: READER_PROGRESSED or READER_STALLED
+    CHECK_CLIENT = auto()  # is the client still connected: CLIENT_LEFT if not
--- a/tests/core/test_client_session.py
+++ b/tests/core/test_client_session.py
@@ -346,7 +346,7 @@
     def on_answer_owed(self) -> None:
         if self.lifecycle.arriving:
             self.take()
-        elif self.lifecycle.queued > len(self.queue):  # ANSWER_ALL has counted the half request
+        elif self.lifecycle.queued_requests > len(self.queue):  # ANSWER_ALL has counted the half request
             self.read += 1
             self.queue.append(self.read)
         while self.in_service is not None or self.queue:
@@ -395,7 +395,7 @@
 
     def bytes_come(self) -> None:
         lifecycle = self.lifecycle
-        if not lifecycle.open or lifecycle.paused or lifecycle.half_closed or self.final:
+        if not lifecycle.open or lifecycle.paused or lifecycle.is_half_closed or self.final:
             return
         lifecycle.heard_at = self.now
         for _ in range(self.random.randrange(1, 4)):
@@ -424,7 +424,7 @@
             self.event(E.HANG_UP_CHECK_DUE)
 
     def client_reads_or_not(self) -> None:
-        if self.lifecycle.blocked:
+        if self.lifecycle.is_write_blocked:
             self.event(E.WRITING_RESUMED)
             self.advance()
         else:
@@ -454,8 +454,8 @@
 
     def check(self) -> None:
         lifecycle = self.lifecycle
-        assert lifecycle.queued == len(self.queue) or not lifecycle.open
-        assert lifecycle.in_service == (self.in_service is not None) or not lifecycle.open
+        assert lifecycle.queued_requests == len(self.queue) or not lifecycle.open
+        assert lifecycle.is_serving == (self.in_service is not None) or not lifecycle.open
         if lifecycle.open and self.in_service is None:
             assert lifecycle.deadline is not None, "nothing ends it"
 
--- a/tests/core/test_discovery_watch.py
+++ b/tests/core/test_discovery_watch.py
@@ -18,7 +18,7 @@
 from cedarmill.net.discovery.list_stream import UNREADABLE, ListStream
 
 MANY = 200  # processes
-CHANGE_KNOWN_WITHIN_US = discovery_watch.CHANGE_KNOWN_WITHIN_US
+MAX_CHANGE_DELAY_US = discovery_watch.MAX_CHANGE_DELAY_US
 
 
 def entry(name: str, **fields) -> dict:
@@ -54,11 +54,11 @@
 
     def test_the_longest_good_call_after_the_longest_wait_stays_under_the_bound(self):
         longest = (
-            discovery_watch.LONGEST_RETRY_US
+            discovery_watch.MAX_RETRY_US
             + discovery_watch.CONNECT_TIMEOUT_US
             + discovery_watch.CALL_TIMEOUT_US
         )
-        self.assertLess(longest, CHANGE_KNOWN_WITHIN_US)
+        self.assertLess(longest, MAX_CHANGE_DELAY_US)
 
     def test_after_any_loss_the_next_call_is_written_in_time(self):
         """Reachable from the moment at which the call began that failed: the worst one."""
@@ -83,7 +83,7 @@
                     self.assertIs(watch.state, WatchState.WAITING, name)
                     self.assertLessEqual(
                         watch.deadline - reachable,
-                        CHANGE_KNOWN_WITHIN_US - discovery_watch.NEXT_CALL_RESERVE_US,
+                        MAX_CHANGE_DELAY_US - discovery_watch.NEXT_CALL_RESERVE_US,
                         name,
                     )
                     now = watch.deadline
@@ -106,12 +106,12 @@
         """Bytes alone are no sign of life: half a line may come one byte at a time for ever."""
         watch = self.watch()
         now = began = self.up(watch, 0)
-        while watch.state is not WatchState.WAITING and now < 2 * CHANGE_KNOWN_WITHIN_US:
+        while watch.state is not WatchState.WAITING and now < 2 * MAX_CHANGE_DELAY_US:
             now += 100_000
             watch.step(
                 now, WatchEvent.TIMER_FIRED if now >= watch.deadline else WatchEvent.PARTIAL_LIST_RECEIVED
             )
-        self.assertLess(watch.deadline - began, CHANGE_KNOWN_WITHIN_US)
+        self.assertLess(watch.deadline - began, MAX_CHANGE_DELAY_US)
 
     def test_a_new_address_is_asked_within_its_time_from_every_state(self):
         """What it tells counts 4 s after SIGHUP, also where two come in a row or the watch is reopening."""
@@ -123,9 +123,9 @@
                 self.assertEqual(
                     watch.step(7, WatchEvent.ADDRESS_CHANGED), [CloseConnection()] if closing else []
                 )
-                self.assertLessEqual(watch.deadline - 7, discovery_watch.NEW_ADDRESS_SPREAD_US)
+                self.assertLessEqual(watch.deadline - 7, discovery_watch.NEW_ADDRESS_JITTER_US)
                 watch.step(8, WatchEvent.ADDRESS_CHANGED)
-                self.assertLessEqual(watch.deadline - 8, discovery_watch.NEW_ADDRESS_SPREAD_US)
+                self.assertLessEqual(watch.deadline - 8, discovery_watch.NEW_ADDRESS_JITTER_US)
                 self.assertEqual(watch.step(watch.deadline, WatchEvent.TIMER_FIRED), [Connect()])
 
 
@@ -156,7 +156,7 @@
             now = watch.deadline
             watch.step(now, WatchEvent.TIMER_FIRED)
         self.assertLess(waits[0], 600_000)
-        self.assertGreaterEqual(min(waits), discovery_watch.SHORTEST_RETRY_US)
+        self.assertGreaterEqual(min(waits), discovery_watch.MIN_RETRY_US)
         self.assertGreater(max(waits[4:]), 2 * waits[0])
         watch.list_received()
         watch.step(now, WatchEvent.CALL_FAILED)
@@ -168,7 +168,7 @@
         self.listed(watch, now)
         for _ in range(5):
             watch.step(now, WatchEvent.CALL_FAILED)
-            self.assertLessEqual(watch.deadline - now, discovery_watch.AGENT_LONGEST_RETRY_US)
+            self.assertLessEqual(watch.deadline - now, discovery_watch.AGENT_MAX_RETRY_US)
             now = watch.deadline
             watch.step(now, WatchEvent.TIMER_FIRED)
 
