--- a/tests/core/test_client_session.py
+++ b/tests/core/test_client_session.py
@@ -1,4 +1,4 @@
-"""The table of a client's connection without sockets: each event in each state, bounds, seeded runs."""
+"""Tests of the client session's state machine: transition table, time limits and random event sequences."""
 
 import dataclasses
 import itertools
@@ -11,11 +11,11 @@
 
 TIMES = limits.TIMES
 SECOND = 1_000_000
-HELD_UP = 150_000  # a node may be held up so long between its clock and its write
-BAD_CLIENTS_OWED = 3 * SECOND  # an error or the close, since the last byte of half a request
+MAX_WRITE_DELAY = 150_000  # assumed maximum delay between reading the clock and writing
+STALLED_CLIENT_LIMIT = 3 * SECOND  # a stalled client gets an error or the close within this time
 A, E, S = SessionAction, SessionEvent, SessionState
 
-# By state: what each event leads to. Whatever is not named has no action and changes nothing at all.
+# Expected action and next state, by state and event; all other events are ignored.
 OUTCOMES = {
     S.IDLE: {
         E.REQUEST_BEGUN: (None, S.RECEIVING),
@@ -71,7 +71,7 @@
         E.WRITING_RESUMED: (None, S.ANSWERING),
         E.READING_PAUSED: (None, S.ANSWERING),
         E.READING_RESUMED: (None, S.ANSWERING),
-        E.READING_BROKEN: (None, S.ANSWERING),  # what was read gets its answer
+        E.READING_BROKEN: (None, S.ANSWERING),  # requests that were read are still answered
         E.CLIENT_ENDED_SENDING: (A.WITHDRAW, S.GONE),
         E.CLIENT_LEFT: (A.ABORT, S.GONE),
         E.CONNECTION_LOST: (A.WITHDRAW, S.CLOSED),
@@ -103,14 +103,14 @@
         E.CONNECTION_LOST: (A.WITHDRAW, S.CLOSED),
         E.ABORT_FAILED: (None, S.GONE),
         E.DEADLINE_PASSED: (A.CHECK_READER, S.GONE),
-        E.READER_PROGRESSED: (A.ABORT, S.GONE),  # it had no time to close
+        E.READER_PROGRESSED: (A.ABORT, S.GONE),  # the limit for slow readers has passed
         E.READER_STALLED: (A.ABORT, S.GONE),
         E.ROOM_WANTED: (None, S.GONE),
         E.END_IDLE_FOR_ROOM: (None, S.GONE),
     },
     S.CLOSED: {},
 }
-WAY_TO = {  # the events that lead from birth to a state
+EVENTS_TO_REACH = {  # events that lead from a new connection to a state
     S.IDLE: (),
     S.RECEIVING: (E.REQUEST_BEGUN,),
     S.ANSWERING: (E.REQUEST_BEGUN, E.REQUEST_READ, E.SERVICE_WANTED),
@@ -120,76 +120,78 @@
 }
 
 
-def born(now: int = 0, leaves: bool = True, times: SessionTimes = TIMES) -> SessionLifecycle:
-    return SessionLifecycle(now, times, half_close_leaves=leaves)
+def new_session(
+    now: int = 0, half_close_leaves: bool = True, times: SessionTimes = TIMES
+) -> SessionLifecycle:
+    return SessionLifecycle(now, times, half_close_leaves=half_close_leaves)
 
 
-def after(*events: SessionEvent, now: int = 0, leaves: bool = True) -> SessionLifecycle:
-    lifecycle = born(leaves=leaves)
+def session_after(*events: SessionEvent, now: int = 0, half_close_leaves: bool = True) -> SessionLifecycle:
+    lifecycle = new_session(half_close_leaves=half_close_leaves)
     for event in events:
         lifecycle.step(now, event)
     return lifecycle
 
 
-def proven(now: int = 0) -> SessionLifecycle:
-    """One that has served a good request, answered at that time."""
-    lifecycle = after(*WAY_TO[S.ANSWERING], now=now)
+def proven_session(now: int = 0) -> SessionLifecycle:
+    """Return a connection whose first valid request was answered at `now`."""
+    lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING], now=now)
     lifecycle.proven = True
     lifecycle.step(now, E.ANSWER_WRITTEN)
     return lifecycle
 
 
-def fields(lifecycle: SessionLifecycle) -> dict:
+def field_values(lifecycle: SessionLifecycle) -> dict:
     return {name: getattr(lifecycle, name) for name in SessionLifecycle.__slots__}
 
 
-class Table(unittest.TestCase):
-    def test_each_event_in_each_state_has_its_stated_outcome(self):
+class TransitionTableTest(unittest.TestCase):
+    def test_each_event_in_each_state_has_the_expected_outcome(self):
         for state, event in itertools.product(SessionState, SessionEvent):
             with self.subTest(state=state.name, event=event.name):
-                lifecycle = after(*WAY_TO[state])
+                lifecycle = session_after(*EVENTS_TO_REACH[state])
                 self.assertIs(lifecycle.state, state)
-                before = fields(lifecycle)
-                # after any grace for making room, so that a half request can have stopped
+                before = field_values(lifecycle)
+                # `SECOND` is longer than `room_grace`, so that an incomplete request counts as stalled.
                 action = lifecycle.step(SECOND, event)
                 if event in OUTCOMES[state]:
                     self.assertEqual((action, lifecycle.state), OUTCOMES[state][event])
                 else:
-                    self.assertEqual((action, fields(lifecycle)), (None, before))
+                    self.assertEqual((action, field_values(lifecycle)), (None, before))
 
-    def test_no_state_leads_back_to_an_open_one(self):
+    def test_no_event_reopens_a_connection(self):
         for state, event in itertools.product((S.CLOSING, S.GONE, S.CLOSED), SessionEvent):
-            lifecycle = after(*WAY_TO[state])
+            lifecycle = session_after(*EVENTS_TO_REACH[state])
             lifecycle.step(SECOND, event)
             self.assertGreaterEqual(lifecycle.state, state)
 
-    def test_only_what_is_closed_has_no_deadline_but_the_dispatch_s(self):
-        """Whoever holds a connection can be ended; a request in service has the dispatch's own deadline."""
+    def test_only_closed_or_serving_connections_have_no_deadline(self):
+        """Every connection must time out; a request that is being served has the dispatch's deadline."""
         for state in SessionState:
-            lifecycle = after(*WAY_TO[state])
-            held = state in (S.ANSWERING, S.CLOSED)
-            self.assertEqual(lifecycle.deadline is None, held, state)
+            lifecycle = session_after(*EVENTS_TO_REACH[state])
+            has_no_deadline = state in (S.ANSWERING, S.CLOSED)
+            self.assertEqual(lifecycle.deadline is None, has_no_deadline, state)
 
-    def test_a_client_that_ends_its_sending_may_still_read_where_the_settings_say_so(self):
-        lifecycle = after(*WAY_TO[S.ANSWERING], leaves=False)
+    def test_half_closed_client_gets_its_answer_if_configured(self):
+        lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING], half_close_leaves=False)
         self.assertIsNone(lifecycle.step(0, E.CLIENT_ENDED_SENDING))
         self.assertTrue(lifecycle.open)
         self.assertTrue(lifecycle.is_last_answer(keep_alive=True, draining=False))
-        idle = after(leaves=False)
+        idle = session_after(half_close_leaves=False)
         self.assertEqual(idle.step(0, E.CLIENT_ENDED_SENDING), A.WITHDRAW)
 
-    def test_the_last_answer(self):
-        """What was read has its answer before the end; half a request may become whole; an error ends it."""
-        one = after(*WAY_TO[S.ANSWERING])
-        self.assertFalse(one.is_last_answer(keep_alive=True, draining=False))
-        self.assertTrue(one.is_last_answer(keep_alive=False, draining=False))
-        self.assertTrue(one.is_last_answer(keep_alive=True, draining=True))
-        for behind in ((E.REQUEST_BEGUN,), (E.REQUEST_BEGUN, E.REQUEST_READ)):
-            more = after(*WAY_TO[S.ANSWERING], *behind)
-            self.assertFalse(more.is_last_answer(keep_alive=True, draining=True))
-
-    def test_a_client_that_sends_ahead_is_read_no_further(self):
-        lifecycle = after(*WAY_TO[S.ANSWERING], E.REQUEST_BEGUN, E.REQUEST_READ)
+    def test_last_answer_follows_all_pending_requests(self):
+        """A draining node answers queued and incomplete requests before the connection ends."""
+        single = session_after(*EVENTS_TO_REACH[S.ANSWERING])
+        self.assertFalse(single.is_last_answer(keep_alive=True, draining=False))
+        self.assertTrue(single.is_last_answer(keep_alive=False, draining=False))
+        self.assertTrue(single.is_last_answer(keep_alive=True, draining=True))
+        for later_events in ((E.REQUEST_BEGUN,), (E.REQUEST_BEGUN, E.REQUEST_READ)):
+            pipelined = session_after(*EVENTS_TO_REACH[S.ANSWERING], *later_events)
+            self.assertFalse(pipelined.is_last_answer(keep_alive=True, draining=True))
+
+    def test_reading_pauses_while_pipelined_requests_wait(self):
+        lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING], E.REQUEST_BEGUN, E.REQUEST_READ)
         self.assertEqual(lifecycle.step(0, E.SERVICE_WANTED), A.PAUSE_READING)
         lifecycle.step(0, E.READING_PAUSED)
         self.assertEqual(lifecycle.hang_up_check_at, TIMES.hang_up_check)
@@ -199,70 +201,70 @@
         self.assertEqual(lifecycle.step(SECOND, E.SERVICE_WANTED), A.SERVE_IF_PRESENT)
         self.assertEqual(lifecycle.step(SECOND, E.SERVICE_WANTED), A.RESUME_READING)
 
-    def test_a_proven_client_between_requests_is_listed_as_idle(self):
-        lifecycle = after(*WAY_TO[S.ANSWERING])
+    def test_client_with_a_valid_request_is_listed_as_idle_between_requests(self):
+        lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING])
         lifecycle.proven = True
         self.assertEqual(lifecycle.step(0, E.ANSWER_WRITTEN), A.LIST_AS_IDLE)
-        blocked = after(*WAY_TO[S.ANSWERING], E.WRITING_BLOCKED)
+        blocked = session_after(*EVENTS_TO_REACH[S.ANSWERING], E.WRITING_BLOCKED)
         blocked.proven = True
-        self.assertIsNone(blocked.step(0, E.ANSWER_WRITTEN))  # its answer has not left
+        self.assertIsNone(blocked.step(0, E.ANSWER_WRITTEN))  # the answer is not completely sent
         self.assertEqual(blocked.step(0, E.WRITING_RESUMED), A.LIST_AS_IDLE)
 
 
-class Bounds(unittest.TestCase):
-    """Times in the order of `docs/design/endings.md`."""
+class TimeLimitsTest(unittest.TestCase):
+    """Tests the time limits in the order of `docs/design/endings.md`."""
 
-    def half(self, lifecycle: SessionLifecycle, now: int) -> None:
+    def send_partial_request(self, lifecycle: SessionLifecycle, now: int) -> None:
         lifecycle.heard_at = now
         lifecycle.step(now, E.REQUEST_BEGUN)
         lifecycle.step(now, E.SERVICE_WANTED)
 
-    def test_who_stops_is_told_in_time_though_the_node_is_held_up_twice(self):
-        for lifecycle in (born(), proven()):
-            self.half(lifecycle, now=100)
-            self.assertLessEqual(lifecycle.deadline, 100 + BAD_CLIENTS_OWED - 2 * HELD_UP)
-            self.assertLessEqual(TIMES.unread + HELD_UP, BAD_CLIENTS_OWED - TIMES.stopped)
+    def test_stalled_client_is_answered_in_time_despite_two_write_delays(self):
+        for lifecycle in (new_session(), proven_session()):
+            self.send_partial_request(lifecycle, now=100)
+            self.assertLessEqual(lifecycle.deadline, 100 + STALLED_CLIENT_LIMIT - 2 * MAX_WRITE_DELAY)
+            self.assertLessEqual(TIMES.unread + MAX_WRITE_DELAY, STALLED_CLIENT_LIMIT - TIMES.stopped)
 
-    def test_bytes_that_keep_coming_put_it_off_up_to_the_bound_of_a_slow_one(self):
-        lifecycle = proven()
-        self.half(lifecycle, now=0)
+    def test_bytes_extend_the_deadline_up_to_the_limit_for_slow_requests(self):
+        lifecycle = proven_session()
+        self.send_partial_request(lifecycle, now=0)
         for now in range(0, 20 * SECOND, SECOND):
             lifecycle.heard_at = now
             lifecycle.step(now, E.SERVICE_WANTED)
             self.assertEqual(lifecycle.deadline, min(now + TIMES.stopped, TIMES.slow_request))
 
-    def test_a_first_request_has_its_time_from_birth_or_from_the_last_answer(self):
-        lifecycle = born()
+    def test_first_request_times_out_from_the_opening_or_the_last_answer(self):
+        lifecycle = new_session()
         self.assertEqual(lifecycle.deadline, TIMES.first_request)
-        self.half(lifecycle, now=2 * SECOND)
+        self.send_partial_request(lifecycle, now=2 * SECOND)
         self.assertEqual(lifecycle.deadline, TIMES.first_request)
         lifecycle.step(2 * SECOND, E.REQUEST_READ)
         lifecycle.step(2 * SECOND, E.SERVICE_WANTED)
-        lifecycle.step(3 * SECOND, E.ANSWER_WRITTEN)  # an error: it is not proven
+        lifecycle.step(3 * SECOND, E.ANSWER_WRITTEN)  # an error, so the client has sent no valid request
         self.assertEqual(lifecycle.deadline, 3 * SECOND + TIMES.first_request)
 
-    def test_idle_and_closing(self):
-        lifecycle = proven(SECOND)
+    def test_idle_and_closing_connections_time_out(self):
+        lifecycle = proven_session(SECOND)
         self.assertEqual(lifecycle.deadline, SECOND + TIMES.idle)
         lifecycle.step(2 * SECOND, E.END_IF_IDLE)
         self.assertEqual(lifecycle.deadline, 2 * SECOND + TIMES.linger)
         lifecycle.step(2 * SECOND, E.ROOM_WANTED)
         self.assertEqual(lifecycle.deadline, 2 * SECOND + TIMES.room_error_linger)
-        room = proven()
-        room.step(0, E.END_IDLE_FOR_ROOM)
-        self.assertEqual(room.deadline, TIMES.room_linger)
-
-    def test_what_waits_unread_is_given_its_time_once(self):
-        lifecycle = proven()
-        self.half(lifecycle, now=0)
-        late = lifecycle.deadline
-        self.assertEqual(lifecycle.step(late, E.DEADLINE_PASSED), A.CHECK_UNREAD)
-        self.assertIsNone(lifecycle.step(late, E.BYTES_UNREAD))
-        self.assertEqual(lifecycle.deadline, late + TIMES.unread)
-        self.assertEqual(lifecycle.step(late + TIMES.unread, E.DEADLINE_PASSED), A.ANSWER_LATE)
-
-    def test_a_slow_reader_keeps_its_connection_while_it_gets_on_and_no_longer_than_its_bound(self):
-        lifecycle, now = proven(), 0
+        evicted = proven_session()
+        evicted.step(0, E.END_IDLE_FOR_ROOM)
+        self.assertEqual(evicted.deadline, TIMES.room_linger)
+
+    def test_deadline_is_extended_once_for_unread_bytes(self):
+        lifecycle = proven_session()
+        self.send_partial_request(lifecycle, now=0)
+        timed_out_at = lifecycle.deadline
+        self.assertEqual(lifecycle.step(timed_out_at, E.DEADLINE_PASSED), A.CHECK_UNREAD)
+        self.assertIsNone(lifecycle.step(timed_out_at, E.BYTES_UNREAD))
+        self.assertEqual(lifecycle.deadline, timed_out_at + TIMES.unread)
+        self.assertEqual(lifecycle.step(timed_out_at + TIMES.unread, E.DEADLINE_PASSED), A.ANSWER_LATE)
+
+    def test_slow_reader_may_finish_while_it_progresses_up_to_the_limit(self):
+        lifecycle, now = proven_session(), 0
         lifecycle.step(now, E.END_IF_IDLE)
         while True:
             now = lifecycle.deadline
@@ -272,98 +274,98 @@
             self.assertEqual(lifecycle.deadline, now + TIMES.linger)
         self.assertEqual(now, TIMES.slow_reader)
 
-    def test_room_is_made_by_those_that_have_stopped(self):
-        lifecycle = born()
-        self.half(lifecycle, now=SECOND)
+    def test_only_stalled_requests_are_evicted(self):
+        lifecycle = new_session()
+        self.send_partial_request(lifecycle, now=SECOND)
         self.assertIsNone(lifecycle.step(SECOND + TIMES.room_grace - 1, E.ROOM_CONFIRMED))
         self.assertEqual(lifecycle.step(SECOND + TIMES.room_grace, E.ROOM_CONFIRMED), A.ANSWER_LATE)
 
-    def test_an_abort_that_failed_is_made_again(self):
-        lifecycle = after(E.CLIENT_LEFT)
+    def test_failed_abort_is_retried(self):
+        lifecycle = session_after(E.CLIENT_LEFT)
         for now in (0, SECOND):
             lifecycle.step(now, E.ABORT_FAILED)
             self.assertEqual(lifecycle.deadline, now + TIMES.abort_again)
             self.assertEqual(lifecycle.step(lifecycle.deadline, E.DEADLINE_PASSED), A.CHECK_READER)
             self.assertEqual(lifecycle.step(SECOND, E.READER_STALLED), A.ABORT)
 
-    def test_the_times_are_parameters(self):
+    def test_times_are_configurable(self):
         short = dataclasses.replace(TIMES, first_request=7)
-        self.assertEqual(born(now=1, times=short).deadline, 8)
+        self.assertEqual(new_session(now=1, times=short).deadline, 8)
 
 
-class Played:
-    """An adapter without sockets: what `net/clients/session.py` does, counted."""
+class SimulatedAdapter:
+    """Simulates the adapter `net/clients/session.py` with random events, and counts requests and answers."""
 
     def __init__(self, seed: int) -> None:
         self.random, self.now = Random(seed), 0
-        self.lifecycle = born(leaves=self.random.random() < 0.7)
+        self.lifecycle = new_session(half_close_leaves=self.random.random() < 0.7)
         self.lifecycle.proven = self.random.random() < 0.5
-        self.read = self.ends = 0
-        self.final = 0  # the request that closes, if any: what comes behind it is no request
+        self.requests_read = self.end_count = 0
+        self.closing_request = 0  # number of the request that closes the connection, or 0
         self.queue: list[int] = []
-        self.in_service: int | None = None
+        self.serving: int | None = None
         self.answers: list[int] = []
-        self.draining = self.left = False
+        self.draining = self.has_left = False
 
     def event(self, event: SessionEvent) -> None:
         action = self.lifecycle.step(self.now, event)
         if action is not None:
             getattr(self, f"on_{action.name.lower()}")()
 
-    def take(self) -> None:
-        """One more request was read."""
-        self.read += 1
-        self.queue.append(self.read)
+    def read_request(self) -> None:
+        """Read one more request."""
+        self.requests_read += 1
+        self.queue.append(self.requests_read)
         self.event(E.REQUEST_READ)
 
-    def advance(self) -> None:
+    def serve_requests(self) -> None:
         while True:
             action = self.lifecycle.step(self.now, E.SERVICE_WANTED)
             if action not in (A.SERVE, A.SERVE_IF_PRESENT):
                 break
-            assert self.in_service is None
-            self.in_service = self.queue.pop(0)
-            if self.random.random() < 0.3:  # answered at once
+            assert self.serving is None
+            self.serving = self.queue.pop(0)
+            if self.random.random() < 0.3:  # answered immediately
                 self.answer()
         if action is not None:
             getattr(self, f"on_{action.name.lower()}")()
 
     def answer(self) -> None:
-        number, self.in_service = self.in_service, None
-        last = self.lifecycle.is_last_answer(number != self.final, self.draining)
-        self.give(number, last)
+        number, self.serving = self.serving, None
+        last = self.lifecycle.is_last_answer(number != self.closing_request, self.draining)
+        self.write_answer(number, last)
 
-    def give(self, number: int, last: bool) -> None:
-        assert self.lifecycle.open, "an answer after the end"
+    def write_answer(self, number: int, last: bool) -> None:
+        assert self.lifecycle.open, "answer after the end of the connection"
         self.answers.append(number)
         self.event(E.LAST_ANSWER_WRITTEN if last else E.ANSWER_WRITTEN)
 
     def on_answer_late(self) -> None:
-        self.take()
-        self.final = self.read
-        self.advance()
+        self.read_request()
+        self.closing_request = self.requests_read
+        self.serve_requests()
 
     def on_answer_owed(self) -> None:
         if self.lifecycle.arriving:
-            self.take()
-        elif self.lifecycle.queued_requests > len(self.queue):  # ANSWER_ALL has counted the half request
-            self.read += 1
-            self.queue.append(self.read)
-        while self.in_service is not None or self.queue:
-            if self.in_service is None:
+            self.read_request()
+        elif self.lifecycle.queued_requests > len(self.queue):  # ANSWER_ALL has queued the incomplete request
+            self.requests_read += 1
+            self.queue.append(self.requests_read)
+        while self.serving is not None or self.queue:
+            if self.serving is None:
                 self.lifecycle.step(self.now, E.SERVICE_WANTED)
-                self.in_service = self.queue.pop(0)
-            number, self.in_service = self.in_service, None
-            self.give(number, last=not self.queue)
+                self.serving = self.queue.pop(0)
+            number, self.serving = self.serving, None
+            self.write_answer(number, last=not self.queue)
 
     def on_end_sending(self) -> None:
-        assert not self.queue and self.in_service is None, "it ends over requests that were read"
-        self.ends += 1
+        assert not self.queue and self.serving is None, "connection ended with unanswered requests"
+        self.end_count += 1
 
     def on_withdraw(self) -> None:
-        self.left = True
+        self.has_left = True
         self.queue.clear()
-        self.in_service = None
+        self.serving = None
 
     def on_abort(self) -> None:
         self.on_withdraw()
@@ -391,29 +393,29 @@
         if self.random.random() < 0.1:
             self.event(E.CLIENT_LEFT)
 
-    # What the world does.
+    # Random events.
 
-    def bytes_come(self) -> None:
+    def receive_bytes(self) -> None:
         lifecycle = self.lifecycle
-        if not lifecycle.open or lifecycle.paused or lifecycle.is_half_closed or self.final:
+        if not lifecycle.open or lifecycle.paused or lifecycle.is_half_closed or self.closing_request:
             return
         lifecycle.heard_at = self.now
         for _ in range(self.random.randrange(1, 4)):
             if not lifecycle.arriving:
                 self.event(E.REQUEST_BEGUN)
             if self.random.random() < 0.7:
-                self.take()
+                self.read_request()
                 if self.random.random() < 0.1:
-                    self.final = self.read
+                    self.closing_request = self.requests_read
                     break
-        self.advance()
+        self.serve_requests()
 
-    def answer_comes(self) -> None:
-        if self.in_service is not None:
+    def finish_request(self) -> None:
+        if self.serving is not None:
             self.answer()
-            self.advance()
+            self.serve_requests()
 
-    def time_passes(self) -> None:
+    def advance_time(self) -> None:
         due = [at for at in (self.lifecycle.deadline, self.lifecycle.hang_up_check_at) if at is not None]
         if not due:
             return
@@ -423,63 +425,63 @@
         if self.lifecycle.hang_up_check_at is not None and self.lifecycle.hang_up_check_at <= self.now:
             self.event(E.HANG_UP_CHECK_DUE)
 
-    def client_reads_or_not(self) -> None:
+    def toggle_write_blocked(self) -> None:
         if self.lifecycle.is_write_blocked:
             self.event(E.WRITING_RESUMED)
-            self.advance()
+            self.serve_requests()
         else:
             self.event(E.WRITING_BLOCKED)
 
-    def node_drains(self) -> None:
+    def drain_node(self) -> None:
         self.draining = True
         self.event(E.END_IF_IDLE)
 
-    def room_is_wanted(self) -> None:
+    def request_eviction(self) -> None:
         self.event(self.random.choice((E.ROOM_WANTED, E.END_IDLE_FOR_ROOM)))
 
-    def kill_is_near(self) -> None:
+    def announce_kill(self) -> None:
         self.event(E.ANSWER_ALL)
 
-    def client_goes(self) -> None:
+    def disconnect_client(self) -> None:
         self.event(self.random.choice((E.CLIENT_ENDED_SENDING, E.CLIENT_LEFT, E.CONNECTION_LOST)))
 
-    def play(self) -> None:
-        often = (self.bytes_come, self.answer_comes, self.time_passes, self.client_reads_or_not)
-        seldom = (self.node_drains, self.room_is_wanted, self.kill_is_near, self.client_goes)
+    def run(self) -> None:
+        frequent = (self.receive_bytes, self.finish_request, self.advance_time, self.toggle_write_blocked)
+        rare = (self.drain_node, self.request_eviction, self.announce_kill, self.disconnect_client)
         for _ in range(self.random.randrange(5, 60)):
             self.now += self.random.randrange(0, 400_000)
-            self.random.choice(seldom if self.random.random() < 0.06 else often)()
-            self.check()
-        self.end()
+            self.random.choice(rare if self.random.random() < 0.06 else frequent)()
+            self.check_state()
+        self.finish()
 
-    def check(self) -> None:
+    def check_state(self) -> None:
         lifecycle = self.lifecycle
         assert lifecycle.queued_requests == len(self.queue) or not lifecycle.open
-        assert lifecycle.is_serving == (self.in_service is not None) or not lifecycle.open
-        if lifecycle.open and self.in_service is None:
-            assert lifecycle.deadline is not None, "nothing ends it"
+        assert lifecycle.is_serving == (self.serving is not None) or not lifecycle.open
+        if lifecycle.open and self.serving is None:
+            assert lifecycle.deadline is not None, "open connection without a deadline"
 
-    def end(self) -> None:
-        """Answer all that is left, and have the deadlines end what is open."""
+    def finish(self) -> None:
+        """Answer all requests, and let the deadlines close the connection."""
         for _ in range(200):
             if self.lifecycle.state is S.CLOSED:
                 break
-            self.answer_comes()
-            self.time_passes()
+            self.finish_request()
+            self.advance_time()
             if self.lifecycle.state is S.GONE:
                 self.event(E.CONNECTION_LOST)
 
 
-class Seeded(unittest.TestCase):
-    def test_each_request_that_was_read_has_one_answer_and_each_connection_one_end(self):
+class RandomSequencesTest(unittest.TestCase):
+    def test_each_request_has_one_answer_and_each_connection_ends_once(self):
         for seed in range(3000):
-            played = Played(seed)
-            played.play()
-            self.assertIs(played.lifecycle.state, S.CLOSED, seed)
-            self.assertEqual(played.answers, list(range(1, len(played.answers) + 1)), seed)
-            self.assertLessEqual(played.ends, 1, seed)
-            if not played.left or played.ends:
-                self.assertEqual(len(played.answers), played.read, seed)
+            adapter = SimulatedAdapter(seed)
+            adapter.run()
+            self.assertIs(adapter.lifecycle.state, S.CLOSED, seed)
+            self.assertEqual(adapter.answers, list(range(1, len(adapter.answers) + 1)), seed)
+            self.assertLessEqual(adapter.end_count, 1, seed)
+            if not adapter.has_left or adapter.end_count:
+                self.assertEqual(len(adapter.answers), adapter.requests_read, seed)
 
 
 if __name__ == "__main__":
--- a/tests/core/test_discovery_watch.py
+++ b/tests/core/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The discovery watch without sockets: its bounds on every path, its pacing, and the lists in its body."""
+"""Tests of the discovery watch's time limits and retries, and of the parser of its list stream."""
 
 import itertools
 import json
@@ -17,7 +17,7 @@
 )
 from cedarmill.net.discovery.list_stream import UNREADABLE, ListStream
 
-MANY = 200  # processes
+PROCESS_COUNT = 200
 MAX_CHANGE_DELAY_US = discovery_watch.MAX_CHANGE_DELAY_US
 
 
@@ -25,14 +25,16 @@
     return {"name": name, "status": "SERVING", "address": "127.0.0.1:1", **fields}
 
 
-class Played(unittest.TestCase):
-    """A watch that is driven by hand."""
+class WatchTestCase(unittest.TestCase):
+    """Helpers that drive a watch through its states."""
 
-    def watch(self, seed: int = 1, processes: int = MANY, pushed: bool = False) -> DiscoveryWatch:
+    def create_watch(
+        self, seed: int = 1, processes: int = PROCESS_COUNT, pushed: bool = False
+    ) -> DiscoveryWatch:
         return DiscoveryWatch(processes, pushed, Random(seed))
 
-    def up(self, watch: DiscoveryWatch, now: int) -> int:
-        """Bring it from a wait or from nothing to a call that is written; the time."""
+    def open_call(self, watch: DiscoveryWatch, now: int) -> int:
+        """Bring an idle or waiting watch to a written call, and return the time."""
         if watch.state is WatchState.IDLE:
             watch.step(now, WatchEvent.LIST_WANTED)
         else:
@@ -41,18 +43,18 @@
         self.assertEqual(watch.step(now, WatchEvent.CONNECTED), [SendCall()])
         return now
 
-    def listed(self, watch: DiscoveryWatch, now: int) -> int:
-        now = self.up(watch, now)
+    def open_watch(self, watch: DiscoveryWatch, now: int) -> int:
+        now = self.open_call(watch, now)
         watch.step(now, WatchEvent.DATA_RECEIVED)
         watch.list_received()
         self.assertIs(watch.state, WatchState.WATCHING)
         return now
 
 
-class Bounds(Played):
-    """A change counts as told six seconds after discovery had it and could be reached."""
+class Bounds(WatchTestCase):
+    """A change must arrive within six seconds of the time when discovery had it and was reachable."""
 
-    def test_the_longest_good_call_after_the_longest_wait_stays_under_the_bound(self):
+    def test_longest_wait_and_call_stay_below_the_limit(self):
         longest = (
             discovery_watch.MAX_RETRY_US
             + discovery_watch.CONNECT_TIMEOUT_US
@@ -60,11 +62,11 @@
         )
         self.assertLess(longest, MAX_CHANGE_DELAY_US)
 
-    def test_after_any_loss_the_next_call_is_written_in_time(self):
-        """Reachable from the moment at which the call began that failed: the worst one."""
+    def test_next_call_after_any_loss_starts_in_time(self):
+        """In the worst case, discovery becomes reachable just after the failed call started."""
         losses = {
             "refused": lambda w, now: (w.step(now, WatchEvent.CALL_FAILED), now)[1],
-            "never up": lambda w, now: (w.step(w.deadline, WatchEvent.TIMER_FIRED), now)[1],
+            "connect time-out": lambda w, now: (w.step(w.deadline, WatchEvent.TIMER_FIRED), now)[1],
             "no answer": lambda w, now: self._silent_call(w, now),
             "status": lambda w, now: (
                 w.step(now, WatchEvent.CONNECTED),
@@ -72,17 +74,17 @@
                 now,
             )[2],
             "silent": lambda w, now: self._silent_watch(w, now, WatchEvent.DATA_RECEIVED),
-            "half a line": lambda w, now: self._silent_watch(w, now, WatchEvent.PARTIAL_LIST_RECEIVED),
+            "partial list": lambda w, now: self._silent_watch(w, now, WatchEvent.PARTIAL_LIST_RECEIVED),
         }
-        for name, lose in losses.items():
+        for name, simulate_loss in losses.items():
             for seed, pushed in itertools.product(range(50), (False, True)):
-                watch, now = self.watch(seed, pushed=pushed), 0
+                watch, now = self.create_watch(seed, pushed=pushed), 0
                 watch.step(now, WatchEvent.LIST_WANTED)
                 for _ in range(6):
-                    reachable = lose(watch, now)
+                    reachable_at = simulate_loss(watch, now)
                     self.assertIs(watch.state, WatchState.WAITING, name)
                     self.assertLessEqual(
-                        watch.deadline - reachable,
+                        watch.deadline - reachable_at,
                         MAX_CHANGE_DELAY_US - discovery_watch.NEXT_CALL_RESERVE_US,
                         name,
                     )
@@ -102,26 +104,26 @@
         )
         return now
 
-    def test_a_list_that_trickles_and_never_ends_is_given_up(self):
-        """Bytes alone are no sign of life: half a line may come one byte at a time for ever."""
-        watch = self.watch()
-        now = began = self.up(watch, 0)
+    def test_list_that_never_ends_times_out(self):
+        """Bytes alone must not keep the watch alive, because a list may never be completed."""
+        watch = self.create_watch()
+        now = started_at = self.open_call(watch, 0)
         while watch.state is not WatchState.WAITING and now < 2 * MAX_CHANGE_DELAY_US:
             now += 100_000
             watch.step(
                 now, WatchEvent.TIMER_FIRED if now >= watch.deadline else WatchEvent.PARTIAL_LIST_RECEIVED
             )
-        self.assertLess(watch.deadline - began, MAX_CHANGE_DELAY_US)
+        self.assertLess(watch.deadline - started_at, MAX_CHANGE_DELAY_US)
 
-    def test_a_new_address_is_asked_within_its_time_from_every_state(self):
-        """What it tells counts 4 s after SIGHUP, also where two come in a row or the watch is reopening."""
+    def test_new_address_is_called_in_time_from_every_state(self):
+        """Changes apply within 4 s of SIGHUP, also after two in a row or while the watch reconnects."""
         for state in WatchState:
             for seed in range(50):
-                watch = self.watch(seed)
+                watch = self.create_watch(seed)
                 watch.state, watch.failures = state, 9
-                closing = state not in (WatchState.IDLE, WatchState.WAITING)
+                is_connected = state not in (WatchState.IDLE, WatchState.WAITING)
                 self.assertEqual(
-                    watch.step(7, WatchEvent.ADDRESS_CHANGED), [CloseConnection()] if closing else []
+                    watch.step(7, WatchEvent.ADDRESS_CHANGED), [CloseConnection()] if is_connected else []
                 )
                 self.assertLessEqual(watch.deadline - 7, discovery_watch.NEW_ADDRESS_JITTER_US)
                 watch.step(8, WatchEvent.ADDRESS_CHANGED)
@@ -129,14 +131,14 @@
                 self.assertEqual(watch.step(watch.deadline, WatchEvent.TIMER_FIRED), [Connect()])
 
 
-class Pacing(Played):
-    def test_all_processes_do_not_ask_at_once_when_discovery_returns(self):
-        """Two hundred watches are lost in one moment; a tenth of a second must not bring them all back."""
+class RetryPacingTest(WatchTestCase):
+    def test_retries_of_all_processes_are_spread(self):
+        """Retries after a simultaneous loss of 200 watches are spread over time."""
         for failures in (1, 2, 5):
             waits = []
-            for seed in range(MANY):
-                watch, now = self.watch(seed), 0
-                self.listed(watch, now)
+            for seed in range(PROCESS_COUNT):
+                watch, now = self.create_watch(seed), 0
+                self.open_watch(watch, now)
                 watch.step(now, WatchEvent.CALL_FAILED)
                 for _ in range(failures - 1):
                     now = watch.deadline
@@ -144,11 +146,11 @@
                     watch.step(now, WatchEvent.CALL_FAILED)
                 waits.append(watch.deadline - now)
             tenths = [wait // 100_000 for wait in waits]
-            self.assertLess(max(map(tenths.count, tenths)), MANY / 8)
+            self.assertLess(max(map(tenths.count, tenths)), PROCESS_COUNT / 8)
 
-    def test_few_processes_ask_sooner_and_back_off(self):
-        watch, waits = self.watch(processes=3), []
-        self.listed(watch, 0)
+    def test_few_processes_retry_sooner_and_back_off(self):
+        watch, waits = self.create_watch(processes=3), []
+        self.open_watch(watch, 0)
         now = 0
         for _ in range(8):
             watch.step(now, WatchEvent.CALL_FAILED)
@@ -162,27 +164,27 @@
         watch.step(now, WatchEvent.CALL_FAILED)
         self.assertLess(watch.deadline - now, 600_000)
 
-    def test_an_agent_that_pushes_is_asked_again_at_once(self):
-        """Nobody else calls it, and what it has counts as told whether or not a watch is open."""
-        watch, now = self.watch(pushed=True), 0
-        self.listed(watch, now)
+    def test_pushing_agent_is_retried_after_a_short_wait(self):
+        """A local agent has no other callers, so its retry waits stay short."""
+        watch, now = self.create_watch(pushed=True), 0
+        self.open_watch(watch, now)
         for _ in range(5):
             watch.step(now, WatchEvent.CALL_FAILED)
             self.assertLessEqual(watch.deadline - now, discovery_watch.AGENT_MAX_RETRY_US)
             now = watch.deadline
             watch.step(now, WatchEvent.TIMER_FIRED)
 
-    def test_who_asks_while_it_waits_or_watches_changes_nothing(self):
-        watch = self.watch()
-        self.listed(watch, 0)
+    def test_list_request_while_watching_or_waiting_is_ignored(self):
+        watch = self.create_watch()
+        self.open_watch(watch, 0)
         self.assertEqual(watch.step(1, WatchEvent.LIST_WANTED), [])
         watch.step(1, WatchEvent.CALL_FAILED)
         before = watch.deadline
         self.assertEqual((watch.step(2, WatchEvent.LIST_WANTED), watch.deadline), ([], before))
 
 
-class Streams(unittest.TestCase):
-    """Lists come one a line, or indented over many, cut anywhere."""
+class ListStreamTest(unittest.TestCase):
+    """A stream contains a list per line or indented lists, and is split anywhere."""
 
     lists = [
         {"index": 1, "snapshot": True, "endpoints": [entry("s-1"), entry("s-{2}", zone='a"}')]},
@@ -193,7 +195,7 @@
     def text(self, indent: int | None) -> bytes:
         return "\n\n".join(json.dumps(one, indent=indent) for one in self.lists).encode() + b"\n"
 
-    def test_every_form_gives_the_same_lists_wherever_it_is_cut(self):
+    def test_every_format_and_split_gives_the_same_lists(self):
         for indent in (None, 1, 2):
             text = self.text(indent)
             for size in (1, 2, 7, 64, len(text)):
@@ -204,7 +206,7 @@
                 self.assertEqual(found[0].endpoints[1].name, "s-{2}")
                 self.assertFalse(stream.partial)
 
-    def test_a_list_is_partial_until_its_last_byte(self):
+    def test_list_is_partial_until_its_last_byte(self):
         text = self.text(2)
         first = text.index(b"\n}\n") + 2
         for at in (1, 20, first - 1):
@@ -214,25 +216,25 @@
         stream.feed(b"\n\n")
         self.assertFalse(stream.partial)
 
-    def test_an_answer_that_ends_without_a_newline_is_whole(self):
+    def test_answer_without_a_final_newline_is_complete(self):
         stream = ListStream()
         self.assertEqual(stream.feed(json.dumps(self.lists[0], indent=1).encode()), [])
         self.assertEqual([listing.index for listing in stream.finish()], [1])
 
-    def test_what_is_no_list_is_said_at_once(self):
+    def test_malformed_list_raises_an_error_at_once(self):
         for text in (b"rubbish\n", b"[]\n", b'{"index": 1}\n', b'{"index": 1,}\n', b'{"index": "x"}\n'):
             with self.subTest(text=text), self.assertRaises(ValueError):
                 ListStream().feed(text)
         with self.assertRaises(ValueError):
             ListStream().feed(b"{" + b" " * (5 << 20))
 
-    def test_a_bad_entry_spoils_itself_only(self):
-        """The whole list was refused for one entry, again and again: no drain was ever told."""
+    def test_bad_entry_is_marked_unreadable_and_others_are_kept(self):
+        """Rejecting the whole list for one entry would hide all further drains."""
         entries = [entry("s-1", weight="heavy"), entry("s-2", status="DRAINING"), {"status": "SERVING"}, 7]
         text = json.dumps({"index": 4, "snapshot": True, "endpoints": entries}).encode() + b"\n"
         (listing,) = ListStream().feed(text)
-        told = [(endpoint.name, endpoint.status) for endpoint in listing.endpoints]
-        self.assertEqual(told, [("s-1", UNREADABLE), ("s-2", "DRAINING")])
+        statuses = [(endpoint.name, endpoint.status) for endpoint in listing.endpoints]
+        self.assertEqual(statuses, [("s-1", UNREADABLE), ("s-2", "DRAINING")])
 
 
 if __name__ == "__main__":
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The core without sockets: one final answer for each request, whatever the balancer or a port does."""
+"""Tests of the dispatch, the timers and the endpoint reader, without sockets."""
 
 import logging
 import time
@@ -14,8 +14,8 @@
 from tests.support.builders import entry, keyed, settings
 
 
-class Ports:
-    """A balancer that does as it is told, and ports that note what they are asked for."""
+class FakePorts:
+    """Fake balancer with preset replies, and fake ports that record their calls and can be made to fail."""
 
     def __init__(self) -> None:
         self.settings = settings(keyed(DeduplicationScope.ALL, window=1_000_000))
@@ -26,55 +26,55 @@
         self.cancelled: list = []
         self.probes: list = []
         self.recalled: list = []
-        self.broken: set[str] = set()
+        self.failing_calls: set[str] = set()
 
     def handle(self, now: int, event: api.Event):
         self.events.append(event)
         reply = self.replies.get(type(event), [])
         if isinstance(reply, Exception):
             raise reply
-        if isinstance(reply, deque):  # once each, then nothing
+        if isinstance(reply, deque):  # a queue of actions that are each returned once
             return [reply.popleft()] if reply else []
         return reply
 
-    def _note(self, name: str, notes: list, value) -> None:
-        notes.append(value)
-        if name in self.broken:
+    def _record(self, name: str, calls: list, value) -> None:
+        calls.append(value)
+        if name in self.failing_calls:
             raise OSError(name)
 
     def send(self, attempt) -> None:
-        self._note("send", self.sent, attempt)
+        self._record("send", self.sent, attempt)
 
     def cancel(self, attempt, now_or_never: bool = False) -> None:
-        self._note("cancel", self.cancelled, attempt)
+        self._record("cancel", self.cancelled, attempt)
 
     def probe(self, probe) -> None:
-        self._note("probe", self.probes, probe)
+        self._record("probe", self.probes, probe)
 
     def recall(self, probe) -> None:
-        self._note("recall", self.recalled, probe)
+        self._record("recall", self.recalled, probe)
 
     def watch(self) -> None:
-        self._note("watch", [], None)
+        self._record("watch", [], None)
 
     def served(self, result) -> None:
-        self._note("served", self.answers, ("served", result))
+        self._record("served", self.answers, ("served", result))
 
     def refused(self, retry_after_us: int) -> None:
-        self._note("refused", self.answers, ("refused", retry_after_us))
+        self._record("refused", self.answers, ("refused", retry_after_us))
 
     def present(self) -> bool:
         return True
 
     def failed(self) -> None:
-        self._note("failed", self.answers, ("failed",))
+        self._record("failed", self.answers, ("failed",))
 
 
 class DispatchTest(unittest.TestCase):
     def setUp(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        self.ports, self.timers = Ports(), Timers()
+        self.ports, self.timers = FakePorts(), Timers()
         self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports)
         self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1)]))
 
@@ -86,89 +86,92 @@
         for call in self.timers.sweep(now):
             call(now)
 
-    def check_over(self, *answers: tuple) -> None:
+    def assert_all_finished(self, *answers: tuple) -> None:
         self.assertEqual(self.ports.answers, list(answers))
         self.assertEqual((self.dispatch.requests, self.dispatch.unanswered), ({}, 0))
 
-    def test_a_balancer_that_fails_on_a_request_leaves_it_failed_not_unanswered(self):
-        """An exception of the decisions must cost that request only."""
+    def test_exception_on_arrival_fails_the_request(self):
+        """An exception in the balancer affects the current request only."""
         self.ports.replies[api.RequestArrived] = ZeroDivisionError()
         self.dispatch.arrive(0, self.ports, None, 5_000_000, api.RequestArrived(0, 0, 5_000_000))
-        self.check_over(("failed",))
+        self.assert_all_finished(("failed",))
         self.assertEqual(self.ports.events[-1], api.RequestWithdrawn(1))
 
-    def test_a_balancer_that_fails_on_an_outcome_leaves_the_request_failed(self):
-        """Its answer would otherwise wait for the end of the budget."""
+    def test_exception_on_an_outcome_fails_the_request(self):
+        """Otherwise the request would stay open until its deadline."""
         self.arrive(api.Send(1, 1))
         self.ports.replies[api.AttemptEnded] = ZeroDivisionError()
         self.dispatch.attempt_ended(1, self.ports.sent[0], Outcome.RESET)
-        self.check_over(("failed",))
+        self.assert_all_finished(("failed",))
 
-    def test_the_first_final_answer_counts(self):
-        """Whatever follows, also another attempt's result, reaches no client."""
+    def test_only_the_first_final_answer_is_sent(self):
+        """Later results, also those of other attempts, are not sent to the client."""
         self.arrive(api.Send(1, 1), api.Send(1, 1))
         self.dispatch.attempt_ended(1, self.ports.sent[0], Outcome.OK, None, b"first")
         self.ports.replies[api.AttemptEnded] = [api.Fail(1)]
         self.dispatch.attempt_ended(2, self.ports.sent[1], Outcome.OK, None, b"second")
         self.dispatch.attempt_ended(3, self.ports.sent[1], Outcome.RESET)
-        self.check_over(("served", b"first"))
+        self.assert_all_finished(("served", b"first"))
         outcomes = [(e.attempt, e.final) for e in self.ports.events if isinstance(e, api.AttemptEnded)]
         self.assertEqual(outcomes, [(0, True), (1, True)])
 
-    def test_a_balancer_that_says_nothing_leaves_no_request_past_its_budget(self):
-        """Attempts time out first, so that the balancer may answer; then the request is failed here."""
+    def test_unanswered_request_fails_at_its_deadline(self):
+        """Attempts time out first, so that the balancer can answer; then the dispatch fails the request."""
         self.arrive(api.Send(1, 1), due=1_000)
         self.sweep(999)
         self.assertEqual(self.ports.answers, [])
-        self.ports.broken.add("cancel")  # a port that fails must not stop it
+        self.ports.failing_calls.add("cancel")  # must not prevent the time-out
         self.sweep(1_000)
-        self.check_over(("failed",))
-        told = [type(event).__name__ for event in self.ports.events[-2:]]
-        self.assertEqual(told, ["AttemptEnded", "RequestWithdrawn"])
+        self.assert_all_finished(("failed",))
+        event_names = [type(event).__name__ for event in self.ports.events[-2:]]
+        self.assertEqual(event_names, ["AttemptEnded", "RequestWithdrawn"])
 
-    def test_a_port_that_fails_on_a_send_ends_the_attempt(self):
-        """How far it came is not known: it may have run."""
-        self.ports.broken.add("send")
+    def test_exception_in_send_ends_the_attempt(self):
+        """The attempt ends with RESET, because the executor may have received it."""
+        self.ports.failing_calls.add("send")
         self.ports.replies[api.AttemptEnded] = [api.Fail(1)]
         self.arrive(api.Send(1, 1))
-        self.check_over(("failed",))
+        self.assert_all_finished(("failed",))
         self.assertEqual(self.ports.events[-1].outcome, Outcome.RESET)
 
-    def test_what_the_fleet_has_no_room_for_is_not_started_and_the_balancer_hears_so(self):
-        """A probe without a place in the fleet's budget never leaves; the list is asked for again later."""
+    def test_probe_and_watch_without_cluster_budget_are_not_started(self):
+        """The balancer learns of both, so that it does not wait for the probe and asks for the list later."""
         spent = []
         self.dispatch.observer.may_spend = lambda now, budget: bool(spent.append(budget))
         self.arrive(api.Probe(1), api.Subscribe())
         self.assertEqual((spent, self.ports.probes), (["probes", "lists"], []))
-        told = [api.ProbeEnded(1, Outcome.MOOT), api.EndpointList(api.EndpointListKind.FAILED, [])]
-        self.assertEqual(self.ports.events[-2:], told)
+        failures = [api.ProbeEnded(1, Outcome.MOOT), api.EndpointList(api.EndpointListKind.FAILED, [])]
+        self.assertEqual(self.ports.events[-2:], failures)
 
-    def test_a_probe_or_a_watch_that_cannot_start_is_told_as_failed(self):
-        """The balancer keeps an executor for the answer to a probe, and asks for the list only when told."""
-        self.ports.broken |= {"probe", "watch"}
+    def test_exceptions_in_probe_and_watch_are_reported_as_failures(self):
+        """Otherwise the balancer would wait for the probe forever and never request the list again."""
+        self.ports.failing_calls |= {"probe", "watch"}
         self.arrive(api.Probe(1), api.Subscribe())
-        told = [api.ProbeEnded(1, Outcome.CONNECT_FAILED), api.EndpointList(api.EndpointListKind.FAILED, [])]
-        self.assertEqual(self.ports.events[-2:], told)
+        failures = [
+            api.ProbeEnded(1, Outcome.CONNECT_FAILED),
+            api.EndpointList(api.EndpointListKind.FAILED, []),
+        ]
+        self.assertEqual(self.ports.events[-2:], failures)
 
-    def test_a_client_port_that_fails_does_not_stop_the_rest(self):
-        """A session may be gone while its answer is given."""
-        self.ports.broken.add("refused")
+    def test_exception_in_the_client_port_does_not_leave_the_request_open(self):
+        """A session may be closed while its answer is written."""
+        self.ports.failing_calls.add("refused")
         self.arrive(api.Refuse(1, 20))
-        self.check_over(("refused", 20))
+        self.assert_all_finished(("refused", 20))
 
-    def test_a_send_that_comes_too_late_is_moot(self):
-        """Rule 1: nothing is sent for a request that is finished, or whose time has run out."""
+    def test_send_after_the_deadline_is_moot(self):
+        """Nothing is sent for a request whose deadline has passed."""
         request = self.arrive(api.Send(1, 1), due=0)
         self.assertEqual((self.ports.sent, request.attempts[0].outcome), ([], Outcome.MOOT))
 
-    def test_an_attempt_can_lose_its_right_while_it_connects(self):
-        """Up to a connect time-out passes before it is written: drains, windows and budgets do not wait."""
+    def test_attempt_may_become_forbidden_while_it_connects(self):
+        """Drains, repeat windows and deadlines still apply when the connection is established."""
         self.arrive(api.Send(1, 1), api.Send(1, 1))
         first, second = self.ports.sent
         self.assertTrue(self.dispatch.may_write(839_999, second))
         self.assertFalse(
             self.dispatch.may_write(840_000, second)
-        )  # held up, it would arrive as the window ends
+        )  # with the maximum delays, the attempt would arrive at the end of the window
         self.dispatch.attempt_ended(1, first, Outcome.FULL)
         self.assertTrue(self.dispatch.may_write(1_000_000, second))
         self.assertFalse(self.dispatch.may_write(5_000_000, second))
@@ -176,8 +179,8 @@
         self.dispatch.on_endpoint_list(2, api.EndpointList(api.EndpointListKind.DELTA, drained))
         self.assertFalse(self.dispatch.may_write(2, second))
 
-    def test_what_may_not_be_sent_tells_why(self):
-        """MOOT where no other may be sent either: the module answers at once. Else no executor is blamed."""
+    def test_blocking_outcome_gives_the_reason(self):
+        """MOOT forbids further attempts; DROPPED allows another executor and blames none."""
         self.arrive(api.Send(1, 1), api.Send(1, 1))
         second = self.ports.sent[1]
         self.assertIs(self.dispatch.blocking_outcome(840_000, second), Outcome.MOOT)
@@ -190,8 +193,8 @@
         )
         self.assertIs(self.dispatch.blocking_outcome(2, second), Outcome.DROPPED)
 
-    def test_a_repeat_past_its_window_is_answered_at_once(self):
-        """The module was told of a failed connect, tried as often as it may, and struck sound executors."""
+    def test_retry_after_the_repeat_window_fails_the_request_at_once(self):
+        """Reporting a failed connect instead would cause retries and count failures of healthy executors."""
         balancer = Balancer(settings(keyed(DeduplicationScope.ZONE, window=1_000_000)), 1)
         self.dispatch.balancer = balancer
         self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1), entry(2)]))
@@ -199,12 +202,12 @@
         self.dispatch.attempt_written(0, self.ports.sent[0])
         self.dispatch.attempt_ended(900_000, self.ports.sent[0], Outcome.RESET)
         self.assertEqual(len(self.ports.sent), 1)
-        self.check_over(("failed",))
+        self.assert_all_finished(("failed",))
         self.assertTrue(request.answered)
         self.assertEqual([executor.consecutive_failures for executor in balancer.executors.values()], [0, 0])
 
-    def test_what_is_open_when_the_process_has_to_end_is_answered_before(self):
-        """Its own deadline may lie behind the kill: an executor that hangs would hold it till then."""
+    def test_answer_by_shortens_the_deadlines_of_open_requests(self):
+        """A request on a hanging executor would otherwise stay open until the process is killed."""
         self.arrive(api.Send(1, 1), due=5_000_000)
         self.arrive(due=1_000)
         self.dispatch.answer_by(2_000_000)
@@ -213,21 +216,21 @@
         self.sweep(1_999_999)
         self.assertEqual(len(self.ports.answers), 1)
         self.sweep(2_000_000)
-        self.check_over(("failed",), ("failed",))
+        self.assert_all_finished(("failed",), ("failed",))
 
-    def test_a_client_that_leaves_is_owed_nothing(self):
-        """The attempt is still out: its outcome is told later, and nobody is answered."""
+    def test_withdrawn_request_gets_no_answer(self):
+        """The outcome of its running attempt is still recorded, but no answer is sent."""
         request = self.arrive(api.Send(1, 1))
         self.dispatch.attempt_written(0, request.attempts[0])
         self.dispatch.withdraw(1, request)
         self.assertEqual((self.dispatch.unanswered, len(self.dispatch.requests)), (0, 1))
         self.dispatch.attempt_ended(2, self.ports.sent[0], Outcome.OK, None, b"late")
-        self.check_over()
+        self.assert_all_finished()
 
 
 class TimersTest(unittest.TestCase):
-    def test_a_sweep_calls_what_is_due_in_order_and_nothing_that_was_cancelled(self):
-        """A call may cancel a later one, or add one at once: that one waits, or the sweep might never end."""
+    def test_sweep_yields_due_timers_in_order_without_cancelled_ones(self):
+        """A timer that a callback adds waits for the next sweep, or a sweep might never end."""
         timers, called = Timers(), []
         last = timers.add(30, lambda now: called.append("cancelled"))
 
@@ -245,8 +248,8 @@
 
 
 class EndpointReaderTest(unittest.TestCase):
-    def test_starts_are_told_on_the_clock_of_the_balancer(self):
-        """0 stays 0 (long ago), and the same start is the same number in each list: no false restart."""
+    def test_executor_starts_are_converted_to_the_monotonic_clock(self):
+        """A start time is the same in each list, and 0 stays 0, so that no false restart is detected."""
         reader = EndpointReader(settings())
         unix_ms = time.time_ns() // 1_000_000
         endpoint = Endpoint("s-1", "SERVING", since_ms=unix_ms)
@@ -256,8 +259,8 @@
         self.assertEqual(reader.entry(endpoint, now + 5_000_000).started_at, since)
         self.assertEqual(reader.entry(Endpoint("s-2", "SERVING", since_ms=0), now).started_at, 0)
 
-    def test_each_zone_that_the_settings_do_not_name_is_one_of_its_own(self):
-        """Repeats of a keyed job are dropped within a zone only: two zones must not look like one."""
+    def test_each_unconfigured_zone_gets_its_own_number(self):
+        """Repeats of a keyed request are deduplicated within a zone, so zones must not be confused."""
         reader = EndpointReader(settings(zones=("here",)))
         zones = [
             reader.entry(Endpoint("s", "SERVING", zone=zone), 1).zone for zone in ("here", "x", "y", "x")
--- a/tests/deadlines/test_deadlines.py
+++ b/tests/deadlines/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines end to end, without sockets: sources, margins, claims, the ledger, and the races of leaving."""
+"""Tests of deadline headers, margins, claims, the waste ledger and client disconnects, without sockets."""
 
 import logging
 import random
@@ -19,39 +19,40 @@
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import DeduplicationScope, Outcome
 from cedarmill.values import SOURCES, DeadlineOptions
-from tests.core.test_dispatch import Ports
+from tests.core.test_dispatch import FakePorts
 from tests.support.builders import entry, keyed, settings
 
-ALL = DeadlineOptions(sources=SOURCES, skew_us=50_000)
-LONGEST = 6_000_000
-UNIX = 1_800_000_000_000_000
+ALL_SOURCES = DeadlineOptions(sources=SOURCES, skew_us=50_000)
+MAX_BUDGET_US = 6_000_000
+ARRIVED_UNIX_US = 1_800_000_000_000_000
 
 
-def read(**headers: str) -> int:
-    named = {name.replace("_", "-").encode(): value.encode() for name, value in headers.items()}
-    return granted_budget(named, ALL, LONGEST, UNIX)
+def parse_budget(**headers: str) -> int:
+    by_header = {name.replace("_", "-").encode(): value.encode() for name, value in headers.items()}
+    return granted_budget(by_header, ALL_SOURCES, MAX_BUDGET_US, ARRIVED_UNIX_US)
 
 
-class SourceTest(unittest.TestCase):
-    def test_each_header_says_what_its_page_says(self):
-        """A unit mistaken by a factor of a thousand would let work go on for hours, or never start it."""
+class DeadlineHeadersTest(unittest.TestCase):
+    def test_each_header_is_converted_to_microseconds(self):
+        """Guards against a wrong unit, which would start no work or let it run for hours."""
         for headers, expected in (
             ({"x_budget_ms": "480"}, 480_000), ({"grpc_timeout": "1S"}, 1_000_000),
             ({"grpc_timeout": "250m"}, 250_000), ({"grpc_timeout": "99999999n"}, 99_999),
-            ({"grpc_timeout": "700u"}, 700), ({"grpc_timeout": "1H"}, LONGEST), ({"grpc_timeout": "0n"}, 0),
+            ({"grpc_timeout": "700u"}, 700), ({"grpc_timeout": "1H"}, MAX_BUDGET_US),
+            ({"grpc_timeout": "0n"}, 0),
             ({"x_envoy_expected_rq_timeout_ms": "15"}, 15_000),
-            ({"x_deadline_unix_ms": str(UNIX // 1000 + 1000)}, 950_000),
+            ({"x_deadline_unix_ms": str(ARRIVED_UNIX_US // 1000 + 1000)}, 950_000),
         ):  # fmt: skip
             with self.subTest(headers):
-                self.assertEqual(read(**headers), expected)
+                self.assertEqual(parse_budget(**headers), expected)
 
-    def test_of_contradictory_ones_the_tightest_holds(self):
-        """Each hop may have shortened one of them only."""
+    def test_smallest_of_several_budgets_is_used(self):
+        """A hop may have shortened only one of the headers."""
         headers = {"x_budget_ms": "900", "grpc_timeout": "2S", "x_envoy_expected_rq_timeout_ms": "300"}
-        self.assertEqual(read(**headers), 300_000)
+        self.assertEqual(parse_budget(**headers), 300_000)
 
-    def test_a_malformed_one_is_refused_whatever_else_is_there(self):
-        """To pass over what cannot be read would be to guess how long a client waits."""
+    def test_malformed_or_missing_header_is_rejected(self):
+        """Ignoring a malformed header would mean to guess how long the client waits."""
         for name, value in (("grpc_timeout", "5"), ("grpc_timeout", "123456789S"), ("grpc_timeout", "-1S"),
                             ("x_budget_ms", "1e3"), ("x_budget_ms", ""),
                             ("x_deadline_unix_ms", "soon"),
@@ -60,93 +61,98 @@
                 self.subTest(name, value=value),
                 self.assertRaisesRegex(InvalidDeadline, name.replace("_", "-")),
             ):
-                read(**{"x_budget_ms": "100", name: value})
+                parse_budget(**{"x_budget_ms": "100", name: value})
         with self.assertRaises(InvalidDeadline):
-            read()
+            parse_budget()
 
-    def test_a_front_whose_clock_is_5_s_off_makes_nobody_late_unseen(self):
-        """5 s behind: past, nothing starts. 5 s ahead: refused once it shows, else the relative one holds."""
-        unix_ms = UNIX // 1000
-        self.assertEqual(read(x_deadline_unix_ms=str(unix_ms + 4000 - 5000)), 0)
+    def test_absolute_deadline_from_a_clock_5_s_off(self):
+        """A clock 5 s behind gives a passed deadline; one 5 s ahead is detected or a relative header wins."""
+        unix_ms = ARRIVED_UNIX_US // 1000
+        self.assertEqual(parse_budget(x_deadline_unix_ms=str(unix_ms + 4000 - 5000)), 0)
         with self.assertRaisesRegex(ClocksDiffer, "clocks"):
-            read(x_deadline_unix_ms=str(unix_ms + 2000 + 5000))
-        self.assertEqual(read(x_deadline_unix_ms=str(unix_ms + 500 + 5000), x_budget_ms="500"), 500_000)
+            parse_budget(x_deadline_unix_ms=str(unix_ms + 2000 + 5000))
+        self.assertEqual(
+            parse_budget(x_deadline_unix_ms=str(unix_ms + 500 + 5000), x_budget_ms="500"), 500_000
+        )
 
-    @given(st.integers(-50_000, 50_000), st.integers(0, LONGEST))
-    def test_within_the_bound_no_clock_makes_a_request_run_past_its_deadline(self, off: int, rest: int):
-        """An absolute deadline is worth as much as the bound on the clocks: it is taken off in full."""
-        at_front = UNIX + off + rest  # what the front writes for a rest that is true
-        headers = {b"x-deadline-unix-ms": str(at_front // 1000).encode()}
-        self.assertLessEqual(granted_budget(headers, ALL, LONGEST, UNIX), rest)
+    @given(st.integers(-50_000, 50_000), st.integers(0, MAX_BUDGET_US))
+    def test_clock_skew_within_the_limit_never_extends_a_deadline(self, clock_offset: int, remaining: int):
+        """The maximum skew is subtracted from an absolute deadline that a proxy with a wrong clock wrote."""
+        proxy_deadline_us = ARRIVED_UNIX_US + clock_offset + remaining
+        headers = {b"x-deadline-unix-ms": str(proxy_deadline_us // 1000).encode()}
+        self.assertLessEqual(granted_budget(headers, ALL_SOURCES, MAX_BUDGET_US, ARRIVED_UNIX_US), remaining)
 
 
 class MarginsTest(unittest.TestCase):
-    def learned(self, **changes) -> Margins:
+    def learned_margins(self, **changes) -> Margins:
         return Margins(DeadlineOptions(margin="learned", **changes))
 
-    @given(st.lists(st.integers(0, 2_000_000)), st.integers(0, LONGEST))
-    def test_never_more_is_passed_on_than_was_given(self, trips: list[int], rest: int):
-        """Whatever was measured, a margin is bounded, and a tenth of a short budget at most."""
-        margins = self.learned()
-        for trip in trips:
-            margins.record_round_trip(1, trip)
-        passed = margins.remaining_for_executor(1, rest)
-        self.assertLessEqual(passed, rest)
-        self.assertGreaterEqual(passed, rest - min(margins.options.margin_us, rest // 10))
-
-    def test_a_chain_of_three_gives_away_its_measured_margins_and_is_not_late(self):
-        """Each hop keeps back its own lag and its trip to the next, once: no side takes it twice."""
-        trips, lag, rest, given_away = (3_000, 9_000), 4_000, 1_000_000, 0
-        for trip in (*trips, 0):
-            margins = self.learned()
+    @given(st.lists(st.integers(0, 2_000_000)), st.integers(0, MAX_BUDGET_US))
+    def test_learned_margin_is_bounded_and_never_negative(self, round_trips: list[int], remaining: int):
+        """A learned margin is at most the configured maximum and a tenth of the budget."""
+        margins = self.learned_margins()
+        for round_trip in round_trips:
+            margins.record_round_trip(1, round_trip)
+        passed = margins.remaining_for_executor(1, remaining)
+        self.assertLessEqual(passed, remaining)
+        self.assertGreaterEqual(passed, remaining - min(margins.options.margin_us, remaining // 10))
+
+    def test_chain_of_three_hops_subtracts_each_margin_once_and_answers_in_time(self):
+        """Each hop subtracts its own lag and the round trip to the next hop exactly once."""
+        round_trips, lag, remaining, total_margin = (3_000, 9_000), 4_000, 1_000_000, 0
+        for round_trip in (*round_trips, 0):
+            margins = self.learned_margins()
             for _ in range(50):
                 margins.record_lag(lag)
-                margins.record_round_trip(1, trip)
-            due = rest - margins.for_answer(rest)
+                margins.record_round_trip(1, round_trip)
+            due = remaining - margins.for_answer(remaining)
             passed = margins.remaining_for_executor(1, due)
-            self.assertLessEqual(passed + trip + lag, rest)  # its answer is back before this hop's own ends
-            given_away += rest - passed
-            rest = passed
+            # The answer returns before this hop's deadline.
+            self.assertLessEqual(passed + round_trip + lag, remaining)
+            total_margin += remaining - passed
+            remaining = passed
         floor = 2_000
-        self.assertLessEqual(given_away, 1.05 * (3 * lag + sum(max(floor, trip) for trip in trips) + floor))
+        self.assertLessEqual(
+            total_margin, 1.05 * (3 * lag + sum(max(floor, round_trip) for round_trip in round_trips) + floor)
+        )
 
-    def test_fixed_margins_are_the_platforms(self):
-        """20 ms, a tenth of a short budget, and nothing more kept back from a executor."""
+    def test_fixed_margins_are_those_of_the_platform(self):
+        """The margin is 20 ms or a tenth of a short budget; none is subtracted for an executor."""
         margins = Margins(DeadlineOptions())
         margins.record_round_trip(1, 9_000)
         self.assertEqual([margins.for_answer(1_000_000), margins.for_answer(50_000)], [20_000, 5_000])
         self.assertEqual(margins.remaining_for_executor(1, 700), 700)
 
 
-class WorthTest(unittest.TestCase):
-    def test_a_quantile_is_near_the_true_one_and_follows_a_change(self):
-        """Turned away by a quantile of last month, every request of a faster fleet would be refused."""
-        draw, quantile = random.Random(5), RunningTimeQuantile(0.9)
+class RunningTimeQuantileTest(unittest.TestCase):
+    def test_quantile_is_accurate_and_follows_a_change(self):
+        """An outdated quantile would reject all requests after the executors become faster."""
+        rng, quantile = random.Random(5), RunningTimeQuantile(0.9)
         for mean in (500_000, 50_000):
             for _ in range(4_000):
-                quantile.add_sample(int(draw.expovariate(1 / mean)))
+                quantile.add_sample(int(rng.expovariate(1 / mean)))
             self.assertAlmostEqual(quantile.value() / (2.303 * mean), 1, delta=0.35)
 
-    def test_few_samples_turn_nobody_away(self):
-        """A first slow job must not close a class."""
+    def test_few_samples_give_no_quantile(self):
+        """A slow first request must not cause the whole class to be rejected."""
         quantile = RunningTimeQuantile(0.9)
         for _ in range(19):
             quantile.add_sample(5_000_000)
         self.assertEqual(quantile.value(), 0)
 
 
-class CoreCase(unittest.TestCase):
-    """The core, driven: a balancer that does as it is told, and ports that note what they are asked for."""
+class DispatchTestCase(unittest.TestCase):
+    """A dispatch with a fake balancer and fake ports."""
 
     options = DeadlineOptions()
 
     def setUp(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        self.begin()
+        self.create_dispatch()
 
-    def begin(self) -> None:
-        self.ports, self.timers = Ports(), Timers()
+    def create_dispatch(self) -> None:
+        self.ports, self.timers = FakePorts(), Timers()
         deadline_tracker = propagation.DeadlineTracker(self.options, 1)
         self.dispatch = Dispatch(self.ports, self.timers, self.ports, self.ports, deadline_tracker)
         self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1), entry(2)]))
@@ -155,13 +161,13 @@
         self.ports.replies[api.RequestArrived] = list(replies)
         return self.dispatch.arrive(0, self.ports, None, due, api.RequestArrived(0, 0, due))
 
-    def out(self, at: int = 0):
-        """A request with one attempt whose last byte has left."""
+    def send_attempt(self, at: int = 0):
+        """Return a new request with one completely written attempt."""
         request = self.arrive(api.Send(self.dispatch._last_request_id + 1, 1))
         self.dispatch.attempt_written(at, request.attempts[0])
         return request
 
-    def rows(self) -> list[WasteRow]:
+    def take_waste(self) -> list[WasteRow]:
         return self.dispatch.deadline_tracker.ledger.take()
 
     def sweep(self, now: int) -> None:
@@ -169,37 +175,37 @@
             call(now)
 
 
-class LeavingTest(CoreCase):
-    def test_what_has_not_gone_out_whole_never_ran_once_its_client_left(self):
-        """Connecting, or but for the held last byte: told as never sent, nothing charged, nothing resent."""
+class ClientDisconnectTest(DispatchTestCase):
+    def test_unwritten_attempts_are_moot_after_the_client_left(self):
+        """Such an attempt ends as MOOT, is charged to no cause and is not retried."""
         request = self.arrive(api.Send(1, 1), api.Send(1, 2))
         self.ports.replies[api.AttemptEnded] = deque([api.Send(1, 1)])
         self.dispatch.withdraw(1_000, request)
         self.assertEqual([a.outcome for a in request.attempts[:2]], [Outcome.MOOT] * 2)
-        self.assertEqual((len(self.ports.sent), self.ports.answers, self.rows()), (2, [], []))
+        self.assertEqual((len(self.ports.sent), self.ports.answers, self.take_waste()), (2, [], []))
         self.assertFalse(self.dispatch.may_write(1_000, request.attempts[0]))
-        self.dispatch.attempt_written(1_001, request.attempts[0])  # a byte that crossed: too late to matter
+        self.dispatch.attempt_written(1_001, request.attempts[0])  # a late report, which is ignored
         self.assertFalse(request.attempts[0].written)
 
-    def test_a_probe_for_its_sake_alone_is_taken_back(self):
-        """A probe costs the executor work; one that other requests asked for, or that is out, goes on."""
+    def test_unwritten_probe_for_a_withdrawn_request_is_recalled(self):
+        """Only unwritten probes for the withdrawn request alone are cancelled."""
         self.arrive(api.Probe(1, 1), api.Probe(2, 1))
         first, second = self.ports.probes
         second.written = True
         self.dispatch.withdraw(1, self.dispatch.requests[1])
         self.assertEqual(self.ports.recalled, [first])
-        told = [api.RequestWithdrawn(1), api.ProbeEnded(1, Outcome.MOOT)]
-        self.assertEqual(self.ports.events[-2:], told)  # in this order: the balancer would place it once more
+        expected = [api.RequestWithdrawn(1), api.ProbeEnded(1, Outcome.MOOT)]
+        self.assertEqual(self.ports.events[-2:], expected)  # in this order, or the balancer would retry
         self.assertEqual((self.dispatch.may_probe(first), self.dispatch.may_probe(second)), (False, False))
         self.ports.replies[api.ProbeEnded] = [api.Probe(2)]
         self.dispatch.probe_ended(2, second, Outcome.OK)
         self.assertTrue(self.dispatch.may_probe(self.ports.probes[-1]))
 
-    def test_leaving_and_a_retry_in_one_turn_a_thousand_times_in_both_orders(self):
-        """The real balancer: a timer, an end or a probe's answer may send again in the turn of the close."""
+    def test_no_retry_follows_when_the_client_leaves_at_the_time_of_a_failure(self):
+        """With the real balancer, no attempt is sent after the client has left, in either order of events."""
         for seed in range(1_000):
-            draw = random.Random(seed)
-            self.begin()
+            rng = random.Random(seed)
+            self.create_dispatch()
             balancer = Balancer(
                 settings(keyed(DeduplicationScope.ALL), can_probe=seed % 3 == 0, tells_start=False), seed
             )
@@ -214,84 +220,84 @@
             if not self.ports.sent:
                 continue
             first = self.ports.sent[0]
-            if draw.random() < 0.7:
+            if rng.random() < 0.7:
                 self.dispatch.attempt_written(1, first)
-            outcome = draw.choice((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET))
-            both = [
+            outcome = rng.choice((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET))
+            events = [
                 lambda: self.dispatch.withdraw(300_000, request),  # noqa: B023
                 lambda: self.dispatch.attempt_ended(300_000, first, outcome),  # noqa: B023
             ]
             leaves_first = bool(seed % 2)
-            for event in both if leaves_first else reversed(both):
+            for event in events if leaves_first else reversed(events):
                 event()
             sent = len(self.ports.sent)
             self.assertLessEqual(sent, 1 if leaves_first else 2)
             self.sweep(6_000_000)
-            self.assertEqual(len(self.ports.sent), sent, f"seed {seed}: a send after the client left")
+            self.assertEqual(len(self.ports.sent), sent, f"seed {seed}: sent after the client left")
             self.assertFalse([a for a in request.attempts if a.outcome is None])
-            self.assertLessEqual(len(self.ports.answers), 1)  # one that was given before it left, at most
+            self.assertLessEqual(len(self.ports.answers), 1)  # at most the one from before the client left
 
-    def test_the_first_answer_counts_where_a_client_leaves_with_two_copies_out(self):
-        """Both orders: nobody is answered after leaving, and the loser is charged to its cause."""
+    def test_client_that_leaves_during_a_hedged_request(self):
+        """No answer follows a withdrawal, and the losing attempt is charged to the right cause."""
         for leaves_first, cause in ((True, Cause.CLIENT_LEFT), (False, Cause.LOST_RACE)):
-            self.begin()
+            self.create_dispatch()
             request = self.arrive(api.Send(1, 1), api.Send(1, 2))
             for attempt in request.attempts:
                 self.dispatch.attempt_written(0, attempt)
-            both = [
+            events = [
                 lambda: self.dispatch.withdraw(1_000_000, request),  # noqa: B023
                 lambda: self.dispatch.attempt_ended(1_000_000, request.attempts[0], Outcome.OK, None, b"x"),  # noqa: B023
             ]
-            for event in both if leaves_first else reversed(both):
+            for event in events if leaves_first else reversed(events):
                 event()
             self.dispatch.attempt_ended(1_500_000, request.attempts[1], Outcome.OK, None, b"y")
             self.assertEqual(self.ports.answers, [] if leaves_first else [("served", b"x")])
-            rows = self.rows()
+            rows = self.take_waste()
             self.assertEqual([row.cause for row in rows], [cause])
             self.assertEqual(rows[0].after, 500_000)
             self.assertEqual(self.dispatch.requests, {})
 
-    def test_what_cannot_be_cancelled_counts_as_running_till_it_ends(self):
-        """Slots believed free that are not would draw new work to a executor that is full."""
-        request = self.out()
+    def test_uncancellable_attempt_counts_as_running_until_it_ends(self):
+        """Counting its slots as free too early would send new work to a full executor."""
+        request = self.send_attempt()
         self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
         self.ports.replies[api.RequestWithdrawn] = [api.Cancel(1, 0)]
         self.dispatch.withdraw(1_000_000, request)
         self.assertIsNone(request.attempts[0].outcome)
-        self.dispatch.attempt_ended(1_800_000, request.attempts[0], Outcome.OK, None, b"for nobody")
-        self.assertEqual(self.rows(), [WasteRow(0, Cause.CLIENT_LEFT, 1, 1_000_000, 800_000, 0)])
+        self.dispatch.attempt_ended(1_800_000, request.attempts[0], Outcome.OK, None, b"unused")
+        self.assertEqual(self.take_waste(), [WasteRow(0, Cause.CLIENT_LEFT, 1, 1_000_000, 800_000, 0)])
         self.assertEqual((self.ports.answers, self.dispatch.requests), ([], {}))
 
-    def test_one_that_could_not_be_cut_and_answers_was_spent_for_somebody(self):
-        """The module cuts, the executor goes on, and its answer serves: nothing to charge."""
-        request = self.out()
+    def test_uncancellable_attempt_that_answers_is_not_waste(self):
+        """An attempt that outlives its cancellation and serves the client is not charged as waste."""
+        request = self.send_attempt()
         self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
         self.dispatch.actions.cancel(300_000, api.Cancel(request.id, 0))
         self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"x")
-        self.assertEqual((self.ports.answers, self.rows()), ([("served", b"x")], []))
+        self.assertEqual((self.ports.answers, self.take_waste()), ([("served", b"x")], []))
 
-    def test_the_ledger_tells_each_cause_and_begins_anew(self):
-        """Cut by the module, and overdue; what a blind cancel leaves running is guessed by the mean."""
+    def test_ledger_reports_each_cause_and_resets(self):
+        """Unobserved running time after a cancel is estimated from the class's mean running time."""
         for _ in range(20):
-            request = self.out()
+            request = self.send_attempt()
             self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"")
-        request = self.out()
+        request = self.send_attempt()
         self.dispatch.actions.cancel(300_000, api.Cancel(request.id, 0))
-        late = self.out(at=100_000)
+        late = self.send_attempt(at=100_000)
         self.sweep(5_000_000)
-        rows = {row.cause: row for row in self.rows()}
+        rows = {row.cause: row for row in self.take_waste()}
         self.assertEqual(set(rows), {Cause.ABANDONED, Cause.DEADLINE_PASSED})
         self.assertEqual((rows[Cause.ABANDONED].before, rows[Cause.ABANDONED].after), (300_000, 0))
         self.assertAlmostEqual(rows[Cause.ABANDONED].guessed, 500_000, delta=1_000)
         self.assertEqual(
             (rows[Cause.DEADLINE_PASSED].before, rows[Cause.DEADLINE_PASSED].guessed), (4_900_000, 0)
         )
-        self.assertEqual((late.attempts[0].outcome, self.rows()), (Outcome.TIMEOUT, []))
+        self.assertEqual((late.attempts[0].outcome, self.take_waste()), (Outcome.TIMEOUT, []))
 
-    def test_a_deadline_that_is_past_or_shorter_than_a_probe_starts_nothing_slow(self):
-        """Past on arrival: refused in the same turn. Shorter than a probe's wait: no probe is asked."""
+    def test_passed_or_short_deadline_sends_no_probe(self):
+        """A passed deadline is refused at once, and a short one sends no probe."""
         for due, answered in ((0, True), (30_000, False)):
-            self.begin()
+            self.create_dispatch()
             self.dispatch.balancer = Balancer(
                 settings(keyed(DeduplicationScope.ALL), can_probe=True, report_by_probe=True), 1
             )
@@ -302,18 +308,18 @@
             self.assertEqual(len(self.ports.answers), 1)
 
 
-class WorthStartingTest(CoreCase):
+class WorthStartingTest(DispatchTestCase):
     options = DeadlineOptions(worth_quantile=0.5)
 
-    def test_what_cannot_end_in_time_is_refused_at_once_or_failed_where_it_ran(self):
-        """The balancer hears nothing of the first; a hopeless retry may only fail what may have run."""
+    def test_request_that_cannot_finish_in_time_is_refused_or_fails(self):
+        """A hopeless request is refused without the balancer; a hopeless retry fails if it may have run."""
         for _ in range(30):
-            request = self.out()
+            request = self.send_attempt()
             self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"")
-        told = len(self.ports.events)
+        event_count = len(self.ports.events)
         self.ports.answers.clear()
         self.arrive(api.Send(31, 1), due=500_000)
-        self.assertEqual((self.ports.answers, len(self.ports.events)), ([("refused", 0)], told))
+        self.assertEqual((self.ports.answers, len(self.ports.events)), ([("refused", 0)], event_count))
         for outcome, answer in ((Outcome.RESET, "failed"), (Outcome.FULL, "refused")):
             self.ports.answers.clear()
             number = self.dispatch._last_request_id + 1
