--- a/cedarmill/deadlines/propagation.py
+++ b/cedarmill/deadlines/propagation.py
@@ -57,8 +57,8 @@
     def __init__(self, job_class: int, slots: float, due: int) -> None:
         self.job_class, self.slots, self.due = job_class, slots, due
         self.state, self.since = ClaimState.OPEN, 0
-        self.written_at: dict[int, int] = {}  # us, by attempt in flight
-        self.abandoned_at: dict[int, int] | None = None  # us, by cancelled attempt
+        self.written_at: dict[int, int] = {}  # time of the last byte (us), by attempt in flight
+        self.abandoned_at: dict[int, int] | None = None  # time of the cancel (us), by attempt
 
 
 # Events.
@@ -209,7 +209,7 @@
         abandoned_at = claim.abandoned_at.get(event.number) if claim.abandoned_at else None
         if claim.state in WASTE_CAUSES:
             cause, wanted_until = WASTE_CAUSES[claim.state], max(written_at, claim.since)
-        elif abandoned_at is not None and event.outcome != Outcome.OK:  # it may still succeed
+        elif abandoned_at is not None and event.outcome != Outcome.OK:  # a success is no waste
             cause, wanted_until = Cause.ABANDONED, max(written_at, abandoned_at)
         else:
             return
--- a/tests/core/test_client_session.py
+++ b/tests/core/test_client_session.py
@@ -121,13 +121,13 @@
 
 
 def new_session(
-    now: int = 0, half_close_leaves: bool = True, times: SessionTimes = TIMES
+    now: int = 0, ends_on_half_close: bool = True, times: SessionTimes = TIMES
 ) -> SessionLifecycle:
-    return SessionLifecycle(now, times, half_close_leaves=half_close_leaves)
+    return SessionLifecycle(now, times, half_close_leaves=ends_on_half_close)
 
 
-def session_after(*events: SessionEvent, now: int = 0, half_close_leaves: bool = True) -> SessionLifecycle:
-    lifecycle = new_session(half_close_leaves=half_close_leaves)
+def session_after(*events: SessionEvent, now: int = 0, ends_on_half_close: bool = True) -> SessionLifecycle:
+    lifecycle = new_session(ends_on_half_close=ends_on_half_close)
     for event in events:
         lifecycle.step(now, event)
     return lifecycle
@@ -173,11 +173,11 @@
             self.assertEqual(lifecycle.deadline is None, has_no_deadline, state)
 
     def test_half_closed_client_gets_its_answer_if_configured(self):
-        lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING], half_close_leaves=False)
+        lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING], ends_on_half_close=False)
         self.assertIsNone(lifecycle.step(0, E.CLIENT_ENDED_SENDING))
         self.assertTrue(lifecycle.open)
         self.assertTrue(lifecycle.is_last_answer(keep_alive=True, draining=False))
-        idle = session_after(half_close_leaves=False)
+        idle = session_after(ends_on_half_close=False)
         self.assertEqual(idle.step(0, E.CLIENT_ENDED_SENDING), A.WITHDRAW)
 
     def test_last_answer_follows_all_pending_requests(self):
@@ -298,7 +298,7 @@
 
     def __init__(self, seed: int) -> None:
         self.random, self.now = Random(seed), 0
-        self.lifecycle = new_session(half_close_leaves=self.random.random() < 0.7)
+        self.lifecycle = new_session(ends_on_half_close=self.random.random() < 0.7)
         self.lifecycle.proven = self.random.random() < 0.5
         self.requests_read = self.end_count = 0
         self.closing_request = 0  # number of the request that closes the connection, or 0
--- a/tests/deadlines/test_deadlines.py
+++ b/tests/deadlines/test_deadlines.py
@@ -264,7 +264,7 @@
         self.ports.replies[api.RequestWithdrawn] = [api.Cancel(1, 0)]
         self.dispatch.withdraw(1_000_000, request)
         self.assertIsNone(request.attempts[0].outcome)
-        self.dispatch.attempt_ended(1_800_000, request.attempts[0], Outcome.OK, None, b"unused")
+        self.dispatch.attempt_ended(1_800_000, request.attempts[0], Outcome.OK, None, b"for nobody")
         self.assertEqual(self.take_waste(), [WasteRow(0, Cause.CLIENT_LEFT, 1, 1_000_000, 800_000, 0)])
         self.assertEqual((self.ports.answers, self.dispatch.requests), ([], {}))
 
