--- a/cedarmill/core/ports.py
+++ b/cedarmill/core/ports.py
@@ -22,7 +22,7 @@
         """Answer that the request failed and its effect is unknown."""
 
     def present(self) -> bool:
-        """Return whether the client is still connected, and withdraw its request if not."""
+        """Return whether the client is known to be connected; withdraw the requests of one that has left."""
 
 
 class ExecutorPort(Protocol):
