--- a/cedarmill/decisions/balancer.py
+++ b/cedarmill/decisions/balancer.py
@@ -30,7 +30,7 @@
     SubscribeDue,
 )
 
-RETRY_AFTER_SLACK = 0.25  # of a request's slack, after which its client may come back if it is refused
+RETRY_AFTER_SLACK_FACTOR = 0.25  # of a request's slack, after which its client may come back if it is refused
 
 
 class Balancer:
@@ -87,15 +87,15 @@
             event.hint_us,
             state.settings.classes[event.job_class],
             deadline=state.now + event.time_left_us,
-            priority=quotas.count_and_weigh(state, event),
+            priority=quotas.record_and_prioritize(state, event),
             allowed_zones=event.homes,
             max_attempts=state.settings.max_attempts,
-            retry_after_factor=event.cut or RETRY_AFTER_SLACK,
+            retry_after_factor=event.cut or RETRY_AFTER_SLACK_FACTOR,
         )
         state.requests[event.request] = request
         slow_start.record_arrival(state, request)
         if event.cut:  # the cluster admits nothing of its priority now
-            admission.turn_away(state, request)
+            admission.reject_or_queue(state, request)
         else:
             admission.admit(state, request)
 
@@ -105,7 +105,7 @@
 
     # Attempts.
 
-    def _attempt(
+    def _find_attempt(
         self, event: api.AttemptStarted | api.AttemptProgress | api.StreamStarted | api.AttemptEnded
     ) -> Attempt | None:
         """The attempt in flight that an event tells of."""
@@ -113,7 +113,7 @@
         return executor.attempts.get((event.request, event.attempt)) if executor is not None else None
 
     def _on_attempt_started(self, event: api.AttemptStarted) -> None:
-        attempt = self._attempt(event)
+        attempt = self._find_attempt(event)
         if attempt is None or attempt.started_at:
             return
         attempt.started_at = self.state.now
@@ -121,57 +121,57 @@
         learning.record_start(self.state, attempt)
 
     def _on_attempt_progress(self, event: api.AttemptProgress) -> None:
-        if (attempt := self._attempt(event)) is not None:
-            self._runs(attempt)
+        if (attempt := self._find_attempt(event)) is not None:
+            self._mark_running(attempt)
             attempt.progress = event.done
 
     def _on_stream_started(self, event: api.StreamStarted) -> None:
-        if (attempt := self._attempt(event)) is not None:
-            self._runs(attempt)
+        if (attempt := self._find_attempt(event)) is not None:
+            self._mark_running(attempt)
             attempt.progress = 0.0
             attempt.not_preemptible = True  # it is the client's now
 
-    def _runs(self, attempt: Attempt) -> None:
+    def _mark_running(self, attempt: Attempt) -> None:
         """An attempt gives a sign that it runs."""
         attempt.started_at = attempt.started_at or self.state.now
         attempt.executor.consecutive_failures = 0
 
     def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        if (attempt := self._attempt(event)) is None:
+        if (attempt := self._find_attempt(event)) is None:
             return
         state, request = self.state, attempt.request
         request.max_attempts = min(request.max_attempts, event.tries)
-        stale = self._close(attempt, event.outcome)
-        self._learn_from(attempt, event.outcome)
-        learning.apply_report(state, attempt.executor, event.report, () if stale else (attempt,))
+        is_stale = self._close_attempt(attempt, event.outcome)
+        self._record_outcome(attempt, event.outcome)
+        learning.apply_report(state, attempt.executor, event.report, () if is_stale else (attempt,))
         if event.final or request.done:
             retries.finish(state, request)
         elif state.now >= request.deadline or event.outcome in (Outcome.MOOT, Outcome.UNUSABLE):
             retries.finish(state, request, api.Fail(request.id))
-        elif not request.in_flight and not selection.place(state, request):
-            admission.turn_away(state, request)
+        elif not request.in_flight and not selection.select_and_send(state, request):
+            admission.reject_or_queue(state, request)
         admission.retry_queued(state)
 
-    def _close(self, attempt: Attempt, outcome: Outcome) -> bool:
+    def _close_attempt(self, attempt: Attempt, outcome: Outcome) -> bool:
         """End an attempt; whether what it holds stays reserved, since it may still run."""
         attempt.in_flight, attempt.ended_at = False, self.state.now
         attempt.may_have_run = outcome not in api.NEVER_RAN
         attempt.executor.attempts.pop((attempt.request.id, attempt.number), None)
         if attempt.after_preemption and not attempt.started_at:
-            learning.record_preemption(self.state, prompt=False)
-        stale = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and attempt.started_at > 0
-        if stale:
+            learning.record_preemption(self.state, is_prompt=False)
+        is_stale = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and attempt.started_at > 0
+        if is_stale:
             attempt.executor.stale_reservations.append(attempt)  # till a report shows its slots free
         else:
             attempt.release()
-        return stale
+        return is_stale
 
-    def _learn_from(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
         """What the outcome of an attempt tells of its executor."""
         state, executor = self.state, attempt.executor
         if outcome in (Outcome.OK, Outcome.ERROR):
             executor.heard_at = state.now
-            state.recently_used = [*state.recently_used[-(selection.RECENTLY_USED - 1) :], executor]
+            state.recently_used = [*state.recently_used[-(selection.MAX_RECENTLY_USED - 1) :], executor]
         if outcome == Outcome.OK:
             slow_start.record_run(state, attempt)
             outliers.record_served(state, attempt)
@@ -183,7 +183,7 @@
         elif outcome == Outcome.CONNECT_FAILED:
             outliers.record_connection_failure(state, executor)
         elif outcome in (Outcome.RESET, Outcome.DROPPED):  # where it is dead, the next connect fails
-            outliers.record_failed(state, attempt, outliers.BROKEN_WEIGHT)
+            outliers.record_failed(state, attempt, outliers.BROKEN_CONNECTION_WEIGHT)
 
     # Executors.
 
@@ -199,15 +199,18 @@
         elif event.outcome in (Outcome.CONNECT_FAILED, Outcome.TIMEOUT):
             outliers.record_connection_failure(state, executor)
         if request is not None and request.probes_pending and not request.done:
-            self._answer_to_probe(request, executor)
+            self._on_awaited_probe_ended(request, executor)
         admission.retry_queued(state)
 
-    def _answer_to_probe(self, request: Request, executor: Executor) -> None:
+    def _on_awaited_probe_ended(self, request: Request, executor: Executor) -> None:
         """An answer that a request waited for: send it where a slot is idle, or admit it after the last."""
         state = self.state
         request.probes_pending -= 1
-        idle = not outliers.reports_errors(state, executor) and learning.room(state, executor, request).idle
-        if idle and selection.send(state, request, executor):
+        has_idle_slot = (
+            not outliers.reports_errors(state, executor)
+            and learning.free_capacity(state, executor, request).idle
+        )
+        if has_idle_slot and selection.send(state, request, executor):
             request.probes_pending = 0
         elif not request.probes_pending:
             admission.admit(state, request)
@@ -234,7 +237,7 @@
     def _on_timer_fired(self, event: api.TimerFired) -> None:
         match self.state.timers.pop(event.token, None):
             case QueueTimeout(request):
-                admission.turn_away(self.state, request)
+                admission.reject_or_queue(self.state, request)
             case ProbeTimeout(request, probe_round):
                 if request.probes_pending and request.probe_rounds == probe_round and not request.done:
                     request.probes_pending = 0
--- a/cedarmill/decisions/discovery_calls.py
+++ b/cedarmill/decisions/discovery_calls.py
@@ -2,54 +2,56 @@
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import EndpointEntry, EndpointListKind, ExecutorState
-from cedarmill.decisions.learning import QUEUE_PLACES_START
+from cedarmill.decisions.learning import INITIAL_QUEUE_PLACES
 from cedarmill.decisions.state import BalancerState, Executor, SubscribeDue
 
-CALL_SPAN_US = 50_000  # for each balancer, over which all ask for the list; doubled by each failure
-FIRST_CALL_BOUND = 0.2  # of the time in which discovery is to be asked: the first call comes within it
-NEXT_CALL_BOUND = 2.0  # the same after a failed call
-FAILURES_DOUBLED = 16  # so many double the span: for any fleet that is beyond the longest wait
-RETRY_WAIT_DIVISOR = 40  # of the same time: at least so much of it passes after a failed call
+CALL_SPREAD_PER_BALANCER_US = (
+    50_000  # for each balancer, over which all ask for the list; doubled by each failure
+)
+FIRST_CALL_SPREAD_LIMIT = 0.2  # of the time in which discovery is to be asked: the first call comes within it
+RETRY_SPREAD_LIMIT = 2.0  # the same after a failed call
+MAX_SPREAD_DOUBLINGS = 16  # so many double the span: for any fleet that is beyond the longest wait
+RETRY_DELAY_DIVISOR = 40  # of the same time: at least so much of it passes after a failed call
 
 
 def apply_list(state: BalancerState, event: api.EndpointList) -> None:
     """Take the endpoint list or what changed in it; a failed call is made again, later each time."""
     if event.kind == EndpointListKind.FAILED:
-        state.list_failures = min(state.list_failures + 1, FAILURES_DOUBLED)
-        wait_us = state.settings.ask_within_us // RETRY_WAIT_DIVISOR
-        _schedule_call(state, 2.0**state.list_failures, NEXT_CALL_BOUND, wait_us)
+        state.list_failures = min(state.list_failures + 1, MAX_SPREAD_DOUBLINGS)
+        wait_us = state.settings.ask_within_us // RETRY_DELAY_DIVISOR
+        _schedule_call(state, 2.0**state.list_failures, RETRY_SPREAD_LIMIT, wait_us)
         return
     state.list_failures = 0
     for entry in event.entries:
         _apply_entry(state, entry)
     if event.kind != EndpointListKind.DELTA:
-        named = {entry.executor for entry in event.entries}
+        listed_ids = {entry.executor for entry in event.entries}
         for executor in state.executors.values():
-            if executor.id not in named:
-                state.pools.leave(executor)
-    state.put_back = [executor for executor in state.put_back if executor is state.executors[executor.id]]
+            if executor.id not in listed_ids:
+                state.pools.remove(executor)
+    state.reinstated = [executor for executor in state.reinstated if executor is state.executors[executor.id]]
     if event.kind == EndpointListKind.CACHED and state.settings.on_request_discovery:
-        _schedule_call(state, 0.0 if state.is_successor else 1.0, FIRST_CALL_BOUND)
+        _schedule_call(state, 0.0 if state.is_successor else 1.0, FIRST_CALL_SPREAD_LIMIT)
 
 
 def _apply_entry(state: BalancerState, entry: EndpointEntry) -> None:
     """Take one line of the list: a new executor, a new process of one, another place or state."""
     executor = state.executors.get(entry.executor)
     if executor is None or entry.started_at > executor.started_at:
-        state.pools.leave(executor)
-        executor = state.executors[entry.executor] = _new_process(entry, executor)
+        state.pools.remove(executor)
+        executor = state.executors[entry.executor] = _executor_for_process(entry, executor)
     elif entry.state == ExecutorState.READY and (entry.zone, entry.cell) != (executor.zone, executor.cell):
-        state.pools.leave(executor)  # the list is true; attempts keep the zone and cell they were sent to
+        state.pools.remove(executor)  # the list is true; attempts keep the zone and cell they were sent to
         executor.zone, executor.cell = entry.zone, entry.cell
     if entry.state != ExecutorState.READY:
-        state.pools.leave(executor)
+        state.pools.remove(executor)
     elif not executor.listed:
-        state.pools.join(executor, state.random.random())
+        state.pools.add(executor, state.random.random())
         if entry.by_hand:
-            state.put_back.append(executor)
+            state.reinstated.append(executor)
 
 
-def _new_process(entry: EndpointEntry, predecessor: Executor | None) -> Executor:
+def _executor_for_process(entry: EndpointEntry, predecessor: Executor | None) -> Executor:
     """A new process of an executor: of the one before it, its slots and attempts in flight still hold."""
     executor = Executor(
         entry.executor,
@@ -59,7 +61,7 @@
         entry.started_at,
         slots=1.0,
         capacity=1.0,
-        queue_places=QUEUE_PLACES_START,
+        queue_places=INITIAL_QUEUE_PLACES,
         size=entry.size or 1.0,
         listed=False,
     )
@@ -71,11 +73,16 @@
     return executor
 
 
-def _schedule_call(state: BalancerState, factor: float, bound: float, least_us: int = 0) -> None:
+def _schedule_call(
+    state: BalancerState, spread_factor: float, spread_limit: float, min_delay_us: int = 0
+) -> None:
     """Ask at a random time: all balancers lose the list at once, and discovery serves few calls.
 
     The span grows with the balancers and by `factor`, up to `bound` of the time in which discovery is asked.
     """
     settings = state.settings
-    span_us = min(CALL_SPAN_US * settings.instances * factor, bound * settings.ask_within_us)
-    state.set_timer(least_us + int(span_us * state.random.random()), SubscribeDue())
+    span_us = min(
+        CALL_SPREAD_PER_BALANCER_US * settings.instances * spread_factor,
+        spread_limit * settings.ask_within_us,
+    )
+    state.set_timer(min_delay_us + int(span_us * state.random.random()), SubscribeDue())
--- a/cedarmill/decisions/learned.py
+++ b/cedarmill/decisions/learned.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass, field
 
-PREEMPTION_GAIN_START = 0.65  # share of preempted attempts whose slot is free at once, as taken at first
+INITIAL_PREEMPTION_GAIN = 0.65  # share of preempted attempts whose slot is free at once, as taken at first
 
 
 @dataclass(slots=True)
@@ -35,15 +35,15 @@
 
 
 @dataclass(slots=True)
-class UsualWork:
+class WorkEstimate:
     """The mean slot-time of requests by their hints (us), and how far running times stray beyond them."""
 
     mean_us: float
     count: int = 0  # samples that the mean holds
-    variation: float = (
+    relative_variance: float = (
         1.0  # unforeseen variance of one request's work, in squares of the mean; as if at random
     )
-    runs: int = 12  # samples that the variation holds, as if so many had been seen
+    variance_samples: int = 12  # samples that the variation holds, as if so many had been seen
 
 
 @dataclass(slots=True)
@@ -53,14 +53,16 @@
     class_times: list[ClassRunningTimes]
     tenant_loads: list[TenantLoad]
     mean_run_us: float
-    usual_work: UsualWork
+    work_estimate: WorkEstimate
     own_held_slots: float  # at an executor, in the mean
     served: ServedLoad = field(default_factory=ServedLoad)
     all_held_slots: float = 1.0
     error_share: float = 0.0
     idle_slots: float = 1.0  # by the executor's size
-    idle_near: float = 1.0  # the same in the own zone
-    idle_far: float = 1.0
-    preemption_gain: float = PREEMPTION_GAIN_START  # share of preempted attempts whose slot was free at once
+    idle_slots_local: float = 1.0  # the same in the own zone
+    idle_slots_remote: float = 1.0
+    preemption_gain: float = (
+        INITIAL_PREEMPTION_GAIN  # share of preempted attempts whose slot was free at once
+    )
     slots_by_kind: dict[int, float] = field(default_factory=dict)  # most ever seen free at one executor
     size_by_kind: dict[int, float] = field(default_factory=dict)  # the listed size of that executor
--- a/cedarmill/decisions/learning.py
+++ b/cedarmill/decisions/learning.py
@@ -9,24 +9,30 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.state import Attempt, BalancerState, Executor, Request
 
-QUEUE_PLACES_START = 0.5  # queue places of an executor at first, requests
-LOWEST_PRIORITY_SHARE = 0.5  # of the queue places open to a request of no weight; all of them to the highest
-QUEUE_PLACES_GAINED = 0.1  # for each prompt start (additive increase), requests
-QUEUE_PLACES_KEPT = 0.75  # factor on them at a refusal or a late start (multiplicative decrease)
-PROMPT_WAIT = 0.5  # of the latency objective: a start within it is prompt
-WAIT_SEEN = 0.25  # of the latency objective: an own attempt that waits so long shows that no slot is free
-SAMPLES_REMEMBERED = 12  # that the means of an executor hold; means over all executors hold multiples
-CLASS_SAMPLES = 20 * SAMPLES_REMEMBERED  # that the running times of a class hold
-ALL_SAMPLES = 8 * SAMPLES_REMEMBERED  # that means over all executors hold
-RUN_SAMPLES = 4 * SAMPLES_REMEMBERED  # that the mean running time over all classes holds
-IDLE_SAMPLES = 2 * SAMPLES_REMEMBERED  # reports that the mean of idle slots holds
-PREEMPTION_SAMPLES = SAMPLES_REMEMBERED / 2  # that the gain of preemption holds
-ZONE_SAMPLES = 10  # reports that the idle slots of the own zone and of the others are the mean of
-REPORT_FADE_RUNS = 8.0  # mean running times in which a report fades into the mean of all
-STALE_RUNS = 2  # mean running times of a class after which a given-up attempt holds nothing any longer
-
-
-class Room(NamedTuple):
+INITIAL_QUEUE_PLACES = 0.5  # queue places of an executor at first, requests
+LOWEST_PRIORITY_QUEUE_SHARE = (
+    0.5  # of the queue places open to a request of no weight; all of them to the highest
+)
+QUEUE_PLACES_INCREASE = 0.1  # for each prompt start (additive increase), requests
+QUEUE_PLACES_DECREASE_FACTOR = 0.75  # factor on them at a refusal or a late start (multiplicative decrease)
+PROMPT_WAIT_SHARE = 0.5  # of the latency objective: a start within it is prompt
+LONG_WAIT_SHARE = (
+    0.25  # of the latency objective: an own attempt that waits so long shows that no slot is free
+)
+EXECUTOR_SAMPLES = 12  # that the means of an executor hold; means over all executors hold multiples
+CLASS_SAMPLES = 20 * EXECUTOR_SAMPLES  # that the running times of a class hold
+ALL_EXECUTORS_SAMPLES = 8 * EXECUTOR_SAMPLES  # that means over all executors hold
+RUNNING_TIME_SAMPLES = 4 * EXECUTOR_SAMPLES  # that the mean running time over all classes holds
+IDLE_SLOTS_SAMPLES = 2 * EXECUTOR_SAMPLES  # reports that the mean of idle slots holds
+PREEMPTION_SAMPLES = EXECUTOR_SAMPLES / 2  # that the gain of preemption holds
+ZONE_IDLE_SLOTS_SAMPLES = 10  # reports that the idle slots of the own zone and of the others are the mean of
+REPORT_DECAY_RUNS = 8.0  # mean running times in which a report fades into the mean of all
+STALE_RESERVATION_RUNS = (
+    2  # mean running times of a class after which a given-up attempt holds nothing any longer
+)
+
+
+class FreeCapacity(NamedTuple):
     """Idle slots of an executor, and those with its queue places; 0 where the request does not fit."""
 
     idle: float
@@ -40,7 +46,7 @@
 
     One that is not whole, not sound, or the same measurement as the last is passed over.
     """
-    if report is None or not _is_news(state, executor, report):
+    if report is None or not _is_new_report(state, executor, report):
         return
     executor.report = report
     # not those that ended before: reports are mostly older, but others may have taken their slots
@@ -48,9 +54,9 @@
     executor.release_stale(state.now - 1)
     columns = state.report_columns
     if columns.free_slots is not None:
-        own = executor.sibling_slots + sum(request.slots for request in running)
-        queued = report[columns.queue] if columns.queue is not None else None
-        _learn_slots(state, executor, own, report[columns.free_slots], queued)
+        own_slots = executor.sibling_slots + sum(request.slots for request in running)
+        queued_requests = report[columns.queue] if columns.queue is not None else None
+        _learn_slots(state, executor, own_slots, report[columns.free_slots], queued_requests)
     if columns.errors_per_s is not None:  # of all balancers' requests: far more than own ones could tell
         executor.reported_errors = report[columns.errors_per_s] * state.learned.mean_run_us / 1e6
     if columns.free_memory is not None:
@@ -58,37 +64,43 @@
         executor.memory_capacity = own_memory + report[columns.free_memory]
 
 
-def _is_news(state: BalancerState, executor: Executor, report: api.LoadReport) -> bool:
+def _is_new_report(state: BalancerState, executor: Executor, report: api.LoadReport) -> bool:
     """Whether a report has all fields, sound ones, and is not the same measurement again."""
-    whole = len(report) == len(state.settings.report_fields) > 0
-    return whole and report != executor.report and all(0 <= value < math.inf for value in report)
+    is_complete = len(report) == len(state.settings.report_fields) > 0
+    return is_complete and report != executor.report and all(0 <= value < math.inf for value in report)
 
 
 def _learn_slots(
-    state: BalancerState, executor: Executor, own: float, free: float, queued: float | None
+    state: BalancerState,
+    executor: Executor,
+    own_slots: float,
+    free_slots: float,
+    queued_requests: float | None,
 ) -> None:
     """Learn an executor's slots from those that own attempts hold, those free, and the requests that wait."""
-    shown = math.floor(free + 0.5)  # reports are rough
-    executor.capacity = own + shown
-    if queued is not None and free < 0.5:  # own part of those that wait there: they hold no slot
-        waiting = queued * own / max(own, executor.slots + queued)
-        executor.capacity = max(min(own, 1.0), executor.capacity - waiting)
+    rounded_free_slots = math.floor(free_slots + 0.5)  # reports are rough
+    executor.capacity = own_slots + rounded_free_slots
+    if (
+        queued_requests is not None and free_slots < 0.5
+    ):  # own part of those that wait there: they hold no slot
+        own_queued = queued_requests * own_slots / max(own_slots, executor.slots + queued_requests)
+        executor.capacity = max(min(own_slots, 1.0), executor.capacity - own_queued)
     # where starts go untold, own attempts that wait look like slots: only free ones are sure
-    sure = executor.capacity if state.settings.tells_start else shown
-    executor.slots = max(executor.slots, sure)
+    confirmed_slots = executor.capacity if state.settings.tells_start else rounded_free_slots
+    executor.slots = max(executor.slots, confirmed_slots)
     learned = state.learned
-    most = max(1, shown)  # own attempts may have been among them: never more than it has
-    if most > learned.slots_by_kind.get(executor.kind, 0.0):
-        learned.slots_by_kind[executor.kind] = most
+    most_free = max(1, rounded_free_slots)  # own attempts may have been among them: never more than it has
+    if most_free > learned.slots_by_kind.get(executor.kind, 0.0):
+        learned.slots_by_kind[executor.kind] = most_free
         learned.size_by_kind[executor.kind] = executor.size
-    idle = free / executor.size
-    learned.idle_slots += (idle - learned.idle_slots) / IDLE_SAMPLES
+    idle = free_slots / executor.size
+    learned.idle_slots += (idle - learned.idle_slots) / IDLE_SLOTS_SAMPLES
     if executor.zone != state.settings.zone:
-        learned.idle_far += (idle - learned.idle_far) / ZONE_SAMPLES
+        learned.idle_slots_remote += (idle - learned.idle_slots_remote) / ZONE_IDLE_SLOTS_SAMPLES
     else:
-        learned.idle_near += (idle - learned.idle_near) / ZONE_SAMPLES
-    learned.own_held_slots += (own - learned.own_held_slots) / ALL_SAMPLES
-    learned.all_held_slots += (executor.slots - free - learned.all_held_slots) / ALL_SAMPLES
+        learned.idle_slots_local += (idle - learned.idle_slots_local) / ZONE_IDLE_SLOTS_SAMPLES
+    learned.own_held_slots += (own_slots - learned.own_held_slots) / ALL_EXECUTORS_SAMPLES
+    learned.all_held_slots += (executor.slots - free_slots - learned.all_held_slots) / ALL_EXECUTORS_SAMPLES
 
 
 def set_sibling_load(executor: Executor, slots: float, memory: float) -> None:
@@ -100,13 +112,13 @@
 
 def adjust_queue_places(state: BalancerState, executor: Executor, wait_us: float, objective_us: int) -> None:
     """Queue places grow with prompt starts, and fall once for each congestion."""
-    if wait_us <= objective_us * PROMPT_WAIT:
+    if wait_us <= objective_us * PROMPT_WAIT_SHARE:
         # where no reports come, nothing else tells its slots: no bound then
-        bound = executor.slots if executor.report else math.inf
-        executor.queue_places = min(executor.queue_places + QUEUE_PLACES_GAINED, bound)
+        upper_bound = executor.slots if executor.report else math.inf
+        executor.queue_places = min(executor.queue_places + QUEUE_PLACES_INCREASE, upper_bound)
     elif wait_us > objective_us and state.now - executor.backed_off_at > state.settings.connect_timeout_us:
         executor.backed_off_at = state.now
-        executor.queue_places *= QUEUE_PLACES_KEPT
+        executor.queue_places *= QUEUE_PLACES_DECREASE_FACTOR
 
 
 def slack_us(state: BalancerState, request: Request) -> float:
@@ -119,35 +131,37 @@
     return request_class.aim_us + max(0.0, request_class.aim_stretch - 1) * run_us
 
 
-def room(state: BalancerState, executor: Executor, request: Request) -> Room:
+def free_capacity(state: BalancerState, executor: Executor, request: Request) -> FreeCapacity:
     """What an executor has for a request, by the last report as far as it has not faded."""
-    learned, usual_run_us = state.learned, state.class_times(request).mean_us
+    learned, class_run_us = state.learned, state.class_times(request).mean_us
     if executor.stale_reservations:  # one that sends no reports must not stay full of them
-        executor.release_stale(state.now - STALE_RUNS * int(usual_run_us))
+        executor.release_stale(state.now - STALE_RESERVATION_RUNS * int(class_run_us))
     # an old report fades into what executors show in the mean: most slots have been taken or freed since
-    fresh = 0.0
+    report_weight = 0.0
     if executor.heard_at:
-        fresh = math.exp((executor.heard_at - state.now) / (REPORT_FADE_RUNS * learned.mean_run_us))
-    own_idle = executor.capacity - executor.held_slots
-    idle = fresh * own_idle + (1 - fresh) * learned.idle_slots * executor.size
+        report_weight = math.exp((executor.heard_at - state.now) / (REPORT_DECAY_RUNS * learned.mean_run_us))
+    reported_idle = executor.capacity - executor.held_slots
+    idle = report_weight * reported_idle + (1 - report_weight) * learned.idle_slots * executor.size
     if executor.attempts and _has_waiting_attempt(state, executor):
         idle = min(idle, 0.0)  # whatever the report says, nothing is free
     priority = request.priority / state.highest_weight
-    places = executor.queue_places * (LOWEST_PRIORITY_SHARE + (1 - LOWEST_PRIORITY_SHARE) * priority)
+    queue_places_open = executor.queue_places * (
+        LOWEST_PRIORITY_QUEUE_SHARE + (1 - LOWEST_PRIORITY_QUEUE_SHARE) * priority
+    )
     # fewer for one with little slack against the usual: a short one that waits is late
-    usual_slack_us = _slack_for_run(request, usual_run_us)
-    affordable = 1 - fresh * max(0.0, 1 - slack_us(state, request) / usual_slack_us)
-    with_queue = idle + places * affordable
+    class_slack_us = _slack_for_run(request, class_run_us)
+    slack_factor = 1 - report_weight * max(0.0, 1 - slack_us(state, request) / class_slack_us)
+    with_queue = idle + queue_places_open * slack_factor
     if executor.memory_capacity - executor.held_memory < request.memory:
         idle, with_queue = 0.0, min(with_queue, executor.queue_places)
-    return Room(idle * (idle >= request.slots), with_queue * (with_queue >= request.slots))
+    return FreeCapacity(idle * (idle >= request.slots), with_queue * (with_queue >= request.slots))
 
 
 def _has_waiting_attempt(state: BalancerState, executor: Executor) -> bool:
     """Whether an own attempt waits there for so long that no slot can be free."""
     for attempt in executor.attempts.values():
         if not attempt.started_at:
-            return state.now - attempt.sent_at > WAIT_SEEN * attempt.request.request_class.aim_us
+            return state.now - attempt.sent_at > LONG_WAIT_SHARE * attempt.request.request_class.aim_us
     return False
 
 
@@ -163,12 +177,12 @@
     wait_us, objective_us = state.now - attempt.sent_at, attempt.request.request_class.aim_us
     adjust_queue_places(state, attempt.executor, wait_us, objective_us)
     if attempt.after_preemption:  # where cancelled work goes on, the attempt in its place starts late
-        record_preemption(state, wait_us <= WAIT_SEEN * objective_us)
+        record_preemption(state, wait_us <= LONG_WAIT_SHARE * objective_us)
 
 
-def record_preemption(state: BalancerState, prompt: bool) -> None:
+def record_preemption(state: BalancerState, is_prompt: bool) -> None:
     """Whether an attempt in place of a preempted one started at once."""
-    state.learned.preemption_gain += (prompt - state.learned.preemption_gain) / PREEMPTION_SAMPLES
+    state.learned.preemption_gain += (is_prompt - state.learned.preemption_gain) / PREEMPTION_SAMPLES
 
 
 def record_run(state: BalancerState, attempt: Attempt) -> None:
@@ -182,8 +196,8 @@
     times.count = min(times.count + 1, CLASS_SAMPLES)
     times.mean_us += (run_us - times.mean_us) / times.count
     times.log_ratio += (log_ratio - times.log_ratio) / times.count
-    learned.mean_run_us += (run_us - learned.mean_run_us) / RUN_SAMPLES
-    executor.slowdown += (log_ratio - times.log_ratio - executor.slowdown) / SAMPLES_REMEMBERED
+    learned.mean_run_us += (run_us - learned.mean_run_us) / RUNNING_TIME_SAMPLES
+    executor.slowdown += (log_ratio - times.log_ratio - executor.slowdown) / EXECUTOR_SAMPLES
 
 
 def _learn_from_wait(state: BalancerState, attempt: Attempt, run_us: int) -> None:
@@ -194,4 +208,4 @@
     adjust_queue_places(state, attempt.executor, late_us + objective_us, objective_us)
     if attempt.after_preemption:  # whether it waited for work that goes on
         wait_us = run_us - math.exp(times.log_ratio) * (request.hint_us or 1)
-        record_preemption(state, wait_us <= WAIT_SEEN * objective_us)
+        record_preemption(state, wait_us <= LONG_WAIT_SHARE * objective_us)
--- a/cedarmill/decisions/quotas.py
+++ b/cedarmill/decisions/quotas.py
@@ -5,25 +5,25 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.state import BalancerState
 
-OVER_SHARE = 1.2  # times this balancer's part of a tenant's quota: above it, traffic is over its share
-LEAST_ALLOWED = 2.0  # requests of a tenant in the window that are never over its share
+SHARE_TOLERANCE = 1.2  # times this balancer's part of a tenant's quota: above it, traffic is over its share
+MIN_ALLOWED_REQUESTS = 2.0  # requests of a tenant in the window that are never over its share
 TENANT_WINDOW_US = 4e6  # in which a tenant's load decays
 SERVED_WINDOW_US = 30e6  # in which what was served here decays: longer than most bursts
-LEAST_COUNTED_US = 2e6  # a shorter time since the first request says little of a balancer's part
+MIN_COUNTED_US = 2e6  # a shorter time since the first request says little of a balancer's part
 
 
-def _in_window(quota_per_s: float) -> float:
+def _requests_per_window(quota_per_s: float) -> float:
     """Requests that a quota allows in the tenants' window."""
     return quota_per_s * TENANT_WINDOW_US / 1e6
 
 
-def _current_load(state: BalancerState, tenant: int) -> float:
+def _decayed_requests(state: BalancerState, tenant: int) -> float:
     """Requests of a tenant that came here in its window, the older ones counting less."""
     load = state.learned.tenant_loads[tenant]
     return load.requests * math.exp((load.at - state.now) / TENANT_WINDOW_US)
 
 
-def count_and_weigh(state: BalancerState, event: api.RequestArrived) -> float:
+def record_and_prioritize(state: BalancerState, event: api.RequestArrived) -> float:
     """Count a request for its tenant; its priority: its class's weight, less for what is over the share.
 
     The more a tenant sends beyond its share, the likelier each of its requests weighs less.
@@ -32,22 +32,28 @@
     loads = state.learned.tenant_loads
     if event.tenant >= len(loads):
         return request_class.worth
-    requests = _current_load(state, event.tenant) + 1.0
+    requests = _decayed_requests(state, event.tenant) + 1.0
     loads[event.tenant].requests, loads[event.tenant].at = requests, state.now
-    part = state.learned.own_held_slots / state.learned.all_held_slots
-    allowed = _in_window(OVER_SHARE * part * state.settings.tenants[event.tenant].quota_per_s)
-    over = requests > max(allowed, LEAST_ALLOWED) and state.random.random() > allowed / requests
-    return request_class.worth * (state.settings.over_share_worth if over else 1.0)
+    own_share = state.learned.own_held_slots / state.learned.all_held_slots
+    allowed = _requests_per_window(
+        SHARE_TOLERANCE * own_share * state.settings.tenants[event.tenant].quota_per_s
+    )
+    is_over_share = (
+        requests > max(allowed, MIN_ALLOWED_REQUESTS) and state.random.random() > allowed / requests
+    )
+    return request_class.worth * (state.settings.over_share_worth if is_over_share else 1.0)
 
 
-def traffic_part(state: BalancerState) -> float:
+def traffic_share(state: BalancerState) -> float:
     """This balancer's part of all traffic: at least an even one, else what it sees of the quotas."""
-    even = 1 / state.settings.instances
-    quota = _in_window(sum(tenant.quota_per_s for tenant in state.settings.tenants))
-    if not quota:
-        return even
-    seen = sum(_current_load(state, tenant) for tenant in range(len(state.learned.tenant_loads)))
-    return max(even, min(1.0, seen / quota))
+    even_share = 1 / state.settings.instances
+    quota_requests = _requests_per_window(sum(tenant.quota_per_s for tenant in state.settings.tenants))
+    if not quota_requests:
+        return even_share
+    observed_requests = sum(
+        _decayed_requests(state, tenant) for tenant in range(len(state.learned.tenant_loads))
+    )
+    return max(even_share, min(1.0, observed_requests / quota_requests))
 
 
 def record_served(state: BalancerState) -> None:
@@ -57,7 +63,7 @@
     served.at = state.now
 
 
-def served_part(state: BalancerState) -> float:
+def served_share(state: BalancerState) -> float:
     """What this balancer served lately, over the tenants' quotas.
 
     All balancers serve no more than the executors can, however much comes: unlike what a balancer sees of the
@@ -67,6 +73,6 @@
     quota_per_s = sum(tenant.quota_per_s for tenant in state.settings.tenants)
     if not served.since or not quota_per_s:
         return 0.0
-    age_us = max(LEAST_COUNTED_US, state.now - served.since)
+    age_us = max(MIN_COUNTED_US, state.now - served.since)
     counted_s = SERVED_WINDOW_US * (1 - math.exp(-age_us / SERVED_WINDOW_US)) / 1e6
     return served.requests * math.exp((served.at - state.now) / SERVED_WINDOW_US) / (quota_per_s * counted_s)
--- a/cedarmill/decisions/retries.py
+++ b/cedarmill/decisions/retries.py
@@ -10,35 +10,45 @@
 from cedarmill.decisions.interface import DeduplicationScope, Effect
 from cedarmill.decisions.state import Attempt, BalancerState, Executor, Request
 
-WRITE_DELAY_US = 150_000  # a node may be held up so long between its clock and the write (the standing page)
-CLIENT_CLOSE_US = 100_000  # an attempt that begins later than that after its client's end is a lost request
+MAX_WRITE_DELAY_US = (
+    150_000  # a node may be held up so long between its clock and the write (the standing page)
+)
+CLIENT_CLOSE_GRACE_US = (
+    100_000  # an attempt that begins later than that after its client's end is a lost request
+)
 MARGIN_TICKS = 2  # of the platform's clock, before the end of a deadline or a window
 
 
 def may_send(state: BalancerState, request: Request, executor: Executor) -> bool:
     """Whether an attempt of a request may go to an executor now."""
-    last_choice = _last_choice(state, request) if request.attempts else request.deadline
-    over = request.done or state.now >= last_choice or len(request.attempts) >= request.max_attempts
-    if over or not executor.listed or (request.allowed_zones and executor.zone not in request.allowed_zones):
+    send_deadline = _send_deadline(state, request) if request.attempts else request.deadline
+    is_over = request.done or state.now >= send_deadline or len(request.attempts) >= request.max_attempts
+    if (
+        is_over
+        or not executor.listed
+        or (request.allowed_zones and executor.zone not in request.allowed_zones)
+    ):
         return False
     if request.request_class.worker_kind not in (-1, executor.kind):
         return False
     if not slow_start.admits(state, executor, request):
         return False
-    return not request.attempts or all(_may_follow(state, attempt, executor) for attempt in request.attempts)
+    return not request.attempts or all(
+        _permits_attempt(state, attempt, executor) for attempt in request.attempts
+    )
 
 
-def _may_follow(state: BalancerState, attempt: Attempt, executor: Executor) -> bool:
+def _permits_attempt(state: BalancerState, attempt: Attempt, executor: Executor) -> bool:
     """Whether another attempt may go to an executor after this one, or while it runs."""
     if attempt.in_flight and not state.settings.may_duplicate:
         return False
     effect = attempt.request.request_class.effect
     if not attempt.may_have_run or effect == Effect.SAFE:
         return True
-    return effect != Effect.UNSAFE and _knows_key(attempt, executor)
+    return effect != Effect.UNSAFE and _deduplicates(attempt, executor)
 
 
-def _knows_key(attempt: Attempt, executor: Executor) -> bool:
+def _deduplicates(attempt: Attempt, executor: Executor) -> bool:
     """Whether an executor discards a repeat of this attempt."""
     scope = attempt.request.request_class.group
     if scope == DeduplicationScope.ZONE:
@@ -48,24 +58,27 @@
     return True
 
 
-def _last_choice(state: BalancerState, request: Request) -> int:
+def _send_deadline(state: BalancerState, request: Request) -> int:
     """Until when (us) a further attempt may be chosen, so that one held up before its write is not late."""
     request_class, margin_us = request.request_class, MARGIN_TICKS * state.settings.tick_us
-    ends = [request.deadline - max(margin_us, WRITE_DELAY_US - CLIENT_CLOSE_US)]
+    limits = [request.deadline - max(margin_us, MAX_WRITE_DELAY_US - CLIENT_CLOSE_GRACE_US)]
     if (
         request_class.effect == Effect.KEYED
     ):  # a repeat that arrives after its key is forgotten runs once more
-        ran = [attempt.sent_at for attempt in request.attempts if attempt.may_have_run]
-        ends += [sent_at + request_class.repeat_window_us - margin_us - WRITE_DELAY_US for sent_at in ran]
-    return min(ends)
+        sent_times = [attempt.sent_at for attempt in request.attempts if attempt.may_have_run]
+        limits += [
+            sent_at + request_class.repeat_window_us - margin_us - MAX_WRITE_DELAY_US
+            for sent_at in sent_times
+        ]
+    return min(limits)
 
 
 def time_left_us(state: BalancerState, request: Request) -> int:
     """How long a further attempt may still be chosen (us); 0 or less: none may follow any longer."""
-    return _last_choice(state, request) - state.now
+    return _send_deadline(state, request) - state.now
 
 
-def may_be_repeated(request: Request) -> bool:
+def may_retry(request: Request) -> bool:
     """Whether a request that was tried has attempts left, and none of its effects forbids them."""
     return len(request.attempts) < request.max_attempts and request.request_class.effect != Effect.UNSAFE
 
@@ -73,9 +86,11 @@
 def may_refuse(request: Request) -> bool:
     """Whether a request may be refused, which tells its client that a repeat does no harm."""
     request_class = request.request_class
-    everywhere = request_class.group == DeduplicationScope.ALL
-    harmless = request_class.effect == Effect.SAFE or (request_class.effect == Effect.KEYED and everywhere)
-    return not request.done and (harmless or not any(attempt.may_have_run for attempt in request.attempts))
+    is_known_everywhere = request_class.group == DeduplicationScope.ALL
+    is_harmless = request_class.effect == Effect.SAFE or (
+        request_class.effect == Effect.KEYED and is_known_everywhere
+    )
+    return not request.done and (is_harmless or not any(attempt.may_have_run for attempt in request.attempts))
 
 
 def cancel(state: BalancerState, attempt: Attempt) -> None:
--- a/cedarmill/decisions/slow_start.py
+++ b/cedarmill/decisions/slow_start.py
@@ -8,18 +8,25 @@
 
 import math
 
-from cedarmill.decisions.learning import SAMPLES_REMEMBERED, hinted_work_us
-from cedarmill.decisions.quotas import record_served, served_part, traffic_part
+from cedarmill.decisions.learning import EXECUTOR_SAMPLES, hinted_work_us
+from cedarmill.decisions.quotas import record_served, served_share, traffic_share
 from cedarmill.decisions.state import Attempt, BalancerState, Executor, Request, WorkSent
 
-CHANCE_DEVIATIONS = 1.5  # standard deviations of what all balancers send by chance that stay within the bound
-PART_HEADROOM = 1.25  # times its known part that a balancer may take in a burst
-PARTS_SUM = 1.4  # what the parts that all take may add up to: an even part is open to those that serve less
-FEW_REQUESTS = 30  # in a window, under which the slack for chance is wider
-SLACK_FEW, SLACK_MANY = 3, 2  # factor on the root of N, and constant, of the slack for chance
-LEAST_WORK = 0.5  # of the class's mean, taken for each request: what fells an executor may be short ones all
-LEAST_USUAL_WORK_US = 1.0  # requests may need no slots at all
-USUAL_WORK_SAMPLES = 20 * SAMPLES_REMEMBERED  # requests that the usual work is the mean of
+SAFETY_DEVIATIONS = 1.5  # standard deviations of what all balancers send by chance that stay within the bound
+SHARE_HEADROOM = 1.25  # times its known part that a balancer may take in a burst
+MAX_SHARE_SUM = (
+    1.4  # what the parts that all take may add up to: an even part is open to those that serve less
+)
+SMALL_WINDOW_REQUESTS = 30  # in a window, under which the slack for chance is wider
+SMALL_WINDOW_SLACK, LARGE_WINDOW_SLACK = (
+    3,
+    2,
+)  # factor on the root of N, and constant, of the slack for chance
+MIN_WORK_SHARE = (
+    0.5  # of the class's mean, taken for each request: what fells an executor may be short ones all
+)
+MIN_MEAN_WORK_US = 1.0  # requests may need no slots at all
+WORK_ESTIMATE_SAMPLES = 20 * EXECUTOR_SAMPLES  # requests that the usual work is the mean of
 
 
 def is_warming_up(state: BalancerState, executor: Executor) -> bool:
@@ -31,35 +38,40 @@
     """Whether this balancer may send a request to an executor: always, where that is warm."""
     if not is_warming_up(state, executor):
         return True
-    settings, use = state.settings, executor.slow_start
-    use.sends = [sent for sent in use.sends if sent.at > state.now - settings.overload_window_us]
-    stands_us = _work_it_stands_us(state, executor)
-    usual_us = max(LEAST_USUAL_WORK_US, state.learned.usual_work.mean_us)
-    allowed, variation = stands_us / usual_us, max(0.0, state.learned.usual_work.variation)
-    all_requests_us = usual_us * _requests_of_all(allowed, settings.instances)
-    all_work_us = min(stands_us, usual_us * _requests_of_all(allowed, settings.instances, variation))
+    settings, usage = state.settings, executor.slow_start
+    usage.sends = [sent for sent in usage.sends if sent.at > state.now - settings.overload_window_us]
+    threshold_us = _overload_threshold_us(state, executor)
+    mean_work_us = max(MIN_MEAN_WORK_US, state.learned.work_estimate.mean_us)
+    allowed, relative_variance = (
+        threshold_us / mean_work_us,
+        max(0.0, state.learned.work_estimate.relative_variance),
+    )
+    requests_budget_us = mean_work_us * _safe_mean_requests(allowed, settings.instances)
+    work_budget_us = min(
+        threshold_us, mean_work_us * _safe_mean_requests(allowed, settings.instances, relative_variance)
+    )
     if (
-        state.now - use.sampled_at > settings.overload_window_us
+        state.now - usage.sampled_at > settings.overload_window_us
     ):  # parts of a request: by chance, once a window
-        use.sampled_at, use.sample = state.now, state.random.random()
-    work_us, sent_us = expected_work_us(state, request), sum(sent.work_us for sent in use.sends)
-    part = _budget_part(state)
-    if sent_us + work_us > all_work_us * part + use.sample * min(work_us, all_work_us):
+        usage.sampled_at, usage.sample = state.now, state.random.random()
+    work_us, sent_us = expected_work_us(state, request), sum(sent.work_us for sent in usage.sends)
+    share = _budget_share(state)
+    if sent_us + work_us > work_budget_us * share + usage.sample * min(work_us, work_budget_us):
         return False
     # it falls by work or by the number of requests, each taken for a usual one
-    requests_us = (len(use.sends) + 1) * usual_us
-    return requests_us <= all_requests_us * part + use.sample * min(usual_us, all_requests_us)
+    requests_us = (len(usage.sends) + 1) * mean_work_us
+    return requests_us <= requests_budget_us * share + usage.sample * min(mean_work_us, requests_budget_us)
 
 
-def _work_it_stands_us(state: BalancerState, executor: Executor) -> float:
+def _overload_threshold_us(state: BalancerState, executor: Executor) -> float:
     """Work in one overload window under which an executor that warms up does not fall, as settings say."""
     settings = state.settings
     age_us = max(0, state.now - executor.started_at - settings.overload_window_us)  # at the window's start
     share = settings.cold_share + (1 - settings.cold_share) * age_us / settings.cold_us
-    return settings.fall_multiple * share * _slots_when_warm(state, executor) * settings.overload_window_us
+    return settings.fall_multiple * share * _warm_slots(state, executor) * settings.overload_window_us
 
 
-def _slots_when_warm(state: BalancerState, executor: Executor) -> float:
+def _warm_slots(state: BalancerState, executor: Executor) -> float:
     """What executors of its kind have shown, less where it is listed as smaller."""
     learned = state.learned
     if executor.kind not in learned.slots_by_kind:
@@ -68,7 +80,7 @@
     return max(1.0, learned.slots_by_kind[executor.kind] * min(1.0, executor.size / size))
 
 
-def _requests_of_all(allowed: float, instances: int, variation: float = 0.0) -> float:
+def _safe_mean_requests(allowed: float, instances: int, relative_variance: float = 0.0) -> float:
     """Requests that all balancers may aim to send in a window, where the settings allow so many.
 
     Each balancer samples for itself: CHANCE_DEVIATIONS standard deviations of the sum must fit below the
@@ -76,36 +88,38 @@
     only its last one is a matter of chance, with a variance of at most 1/4 for each balancer. Either grows
     by the unforeseen `variation` of work (in squares of the mean) for each request.
     """
-    slack = SLACK_FEW if allowed < FEW_REQUESTS else SLACK_MANY
+    slack = SMALL_WINDOW_SLACK if allowed < SMALL_WINDOW_REQUESTS else LARGE_WINDOW_SLACK
     bound = allowed + slack * math.sqrt(allowed) + slack
-    by_many = _mean_below(bound, 0.0, 1.0 + variation)
-    by_few = _mean_below(bound, instances / 4, variation)
-    return max(by_many, by_few) / min(instances, PARTS_SUM)
+    poisson_mean = _largest_safe_mean(bound, 0.0, 1.0 + relative_variance)
+    bounded_mean = _largest_safe_mean(bound, instances / 4, relative_variance)
+    return max(poisson_mean, bounded_mean) / min(instances, MAX_SHARE_SUM)
 
 
-def _mean_below(bound: float, fixed: float, each: float) -> float:
+def _largest_safe_mean(bound: float, base_variance: float, variance_per_unit: float) -> float:
     """The mean of a sum with variance `fixed + each * mean` that stays CHANCE_DEVIATIONS below a bound.
 
     It solves mean + CHANCE_DEVIATIONS * sqrt(fixed + each * mean) = bound.
     """
-    half = CHANCE_DEVIATIONS**2 * each / 2
-    root = CHANCE_DEVIATIONS * math.sqrt(fixed + each * bound + CHANCE_DEVIATIONS**2 * each**2 / 4)
+    half = SAFETY_DEVIATIONS**2 * variance_per_unit / 2
+    root = SAFETY_DEVIATIONS * math.sqrt(
+        base_variance + variance_per_unit * bound + SAFETY_DEVIATIONS**2 * variance_per_unit**2 / 4
+    )
     return bound + half - root
 
 
-def _budget_part(state: BalancerState) -> float:
+def _budget_share(state: BalancerState) -> float:
     """This balancer's part of the budget: what it sees of the quotas, bounded by its known part.
 
     More than that may be a burst that all balancers see: each would take its part of several budgets.
     """
-    even = 1 / state.settings.instances
-    return min(traffic_part(state), PART_HEADROOM * max(even, served_part(state)))
+    even_share = 1 / state.settings.instances
+    return min(traffic_share(state), SHARE_HEADROOM * max(even_share, served_share(state)))
 
 
 def expected_work_us(state: BalancerState, request: Request) -> float:
     """Slot-time that a request is likely to take, by its hint; what a rough one calls short runs longer."""
-    least_us = request.slots * state.class_times(request).mean_us * LEAST_WORK
-    return max(hinted_work_us(state, request), least_us)
+    min_us = request.slots * state.class_times(request).mean_us * MIN_WORK_SHARE
+    return max(hinted_work_us(state, request), min_us)
 
 
 def record_send(state: BalancerState, executor: Executor, request: Request) -> None:
@@ -117,20 +131,20 @@
 def record_sibling_sends(state: BalancerState, executor: Executor, slots: float) -> None:
     """The sibling process holds so many slots more than before: a send for each."""
     if slots > 0 and is_warming_up(state, executor):
-        sent = WorkSent(state.now, state.learned.usual_work.mean_us)
+        sent = WorkSent(state.now, state.learned.work_estimate.mean_us)
         executor.slow_start.sends += [sent] * math.ceil(slots)
 
 
 def record_arrival(state: BalancerState, request: Request) -> None:
     """Let a request count for the usual work, once running times of its class are known."""
-    times, usual, served = state.class_times(request), state.learned.usual_work, state.learned.served
+    times, estimate, served = state.class_times(request), state.learned.work_estimate, state.learned.served
     served.since = served.since or state.now
     if not times.count:
         return
-    if not usual.count:
-        usual.mean_us, usual.count = times.mean_us, SAMPLES_REMEMBERED
-    usual.count = min(usual.count + 1, USUAL_WORK_SAMPLES)
-    usual.mean_us += (hinted_work_us(state, request) - usual.mean_us) / usual.count
+    if not estimate.count:
+        estimate.mean_us, estimate.count = times.mean_us, EXECUTOR_SAMPLES
+    estimate.count = min(estimate.count + 1, WORK_ESTIMATE_SAMPLES)
+    estimate.mean_us += (hinted_work_us(state, request) - estimate.mean_us) / estimate.count
 
 
 def record_run(state: BalancerState, attempt: Attempt) -> None:
@@ -141,9 +155,11 @@
     record_served(state)
     if is_warming_up(state, attempt.executor):
         return
-    usual, request = state.learned.usual_work, attempt.request
-    mean_us = max(LEAST_USUAL_WORK_US, usual.mean_us)
-    took = request.slots * (state.now - (attempt.started_at or attempt.sent_at)) / mean_us
-    foreseen = expected_work_us(state, request) / mean_us
-    usual.runs = min(usual.runs + 1, USUAL_WORK_SAMPLES)
-    usual.variation += (took**2 - foreseen**2 - usual.variation) / usual.runs
+    estimate, request = state.learned.work_estimate, attempt.request
+    mean_us = max(MIN_MEAN_WORK_US, estimate.mean_us)
+    actual_work = request.slots * (state.now - (attempt.started_at or attempt.sent_at)) / mean_us
+    expected_work = expected_work_us(state, request) / mean_us
+    estimate.variance_samples = min(estimate.variance_samples + 1, WORK_ESTIMATE_SAMPLES)
+    estimate.relative_variance += (
+        actual_work**2 - expected_work**2 - estimate.relative_variance
+    ) / estimate.variance_samples
--- a/cedarmill/decisions/snapshot.py
+++ b/cedarmill/decisions/snapshot.py
@@ -16,10 +16,12 @@
 from cedarmill.decisions.learned import ClassRunningTimes, TenantLoad
 from cedarmill.decisions.state import Executor, WorkSent
 
-SAME_START_US = 20_000  # two processes tell one start by so much apart: it is listed in whole milliseconds
-_STARTED = "since"  # the key of an executor's start among its ages
-_TIMES = {
-    _STARTED: "started_at",
+START_TOLERANCE_US = (
+    20_000  # two processes tell one start by so much apart: it is listed in whole milliseconds
+)
+_START_AGE_KEY = "since"  # the key of an executor's start among its ages
+_AGE_FIELDS = {
+    _START_AGE_KEY: "started_at",
     "heard_at": "heard_at",
     "lowered_at": "backed_off_at",
     "trial_at": "probation_at",
@@ -86,14 +88,16 @@
 def take_snapshot(balancer: Balancer, names: Mapping[int, str], now: int) -> Snapshot:
     """What `balancer` has learned by `now` (us); `names` are discovery's, by the balancer's numbers."""
     learned = balancer.state.learned
-    named = ((names[number], one) for number, one in balancer.executors.items() if number in names)
+    executors = (
+        (names[number], executor) for number, executor in balancer.executors.items() if number in names
+    )
     return Snapshot(
-        executors={name: _take_executor(executor, now) for name, executor in named},
+        executors={name: _snapshot_executor(executor, now) for name, executor in executors},
         class_times=[(times.mean_us, times.log_ratio, times.count) for times in learned.class_times],
         tenant_loads=[(load.requests, now - load.at) for load in learned.tenant_loads],
         slots_by_kind=dict(learned.slots_by_kind),
         held_slots=(learned.own_held_slots, learned.all_held_slots),
-        idle_by_zone=(learned.idle_near, learned.idle_far),
+        idle_by_zone=(learned.idle_slots_local, learned.idle_slots_remote),
         error_share=learned.error_share,
         idle_slots=learned.idle_slots,
         mean_run_us=learned.mean_run_us,
@@ -101,7 +105,7 @@
     )
 
 
-def _take_executor(executor: Executor, now: int) -> ExecutorSnapshot:
+def _snapshot_executor(executor: Executor, now: int) -> ExecutorSnapshot:
     memory = executor.memory_capacity
     return ExecutorSnapshot(
         slots=executor.slots,
@@ -113,7 +117,7 @@
         consecutive_failures=executor.consecutive_failures,
         capacity=executor.capacity,
         memory_capacity=memory if memory < math.inf else None,
-        ages={key: now - at for key, field in _TIMES.items() if (at := getattr(executor, field))},
+        ages={key: now - at for key, field in _AGE_FIELDS.items() if (at := getattr(executor, field))},
         slow_start_sends=[(now - sent.at, sent.work_us) for sent in executor.slow_start.sends],
     )
 
@@ -126,42 +130,47 @@
         return False
     learned.class_times = [ClassRunningTimes(*times) for times in snapshot.class_times]
     learned.tenant_loads = [TenantLoad(requests, now - age) for requests, age in snapshot.tenant_loads]
-    named = range(len(settings.kinds))  # other kinds are numbered as each process meets them
-    learned.slots_by_kind = {kind: slots for kind, slots in snapshot.slots_by_kind.items() if kind in named}
+    named_kinds = range(len(settings.kinds))  # other kinds are numbered as each process meets them
+    learned.slots_by_kind = {
+        kind: slots for kind, slots in snapshot.slots_by_kind.items() if kind in named_kinds
+    }
     learned.own_held_slots, learned.all_held_slots = snapshot.held_slots
-    learned.idle_near, learned.idle_far = snapshot.idle_by_zone
+    learned.idle_slots_local, learned.idle_slots_remote = snapshot.idle_by_zone
     learned.error_share, learned.idle_slots = snapshot.error_share, snapshot.idle_slots
     learned.mean_run_us, learned.preemption_gain = snapshot.mean_run_us, snapshot.preemption_gain
     balancer.state.is_successor = True
     return True
 
 
-def restore_executor(executor: Executor, kept: ExecutorSnapshot, now: int) -> bool:
+def restore_executor(executor: Executor, saved: ExecutorSnapshot, now: int) -> bool:
     """Lay what was learned of an executor over its record; False if that is of an earlier process of it.
 
     A start later than the listed one is of an executor put back by hand: it warms up from then on.
     """
     listed = executor.started_at
-    started_at = now - kept.ages[_STARTED] if _STARTED in kept.ages else 0
-    if executor.attempts or listed > started_at + SAME_START_US:
+    started_at = now - saved.ages[_START_AGE_KEY] if _START_AGE_KEY in saved.ages else 0
+    if executor.attempts or listed > started_at + START_TOLERANCE_US:
         return False
-    executor.slots, executor.queue_places = kept.slots, kept.queue_places
-    executor.error_share, executor.reported_errors = kept.error_share, kept.reported_errors
-    executor.slowdown, executor.health = kept.slowdown, kept.health
-    executor.consecutive_failures = kept.consecutive_failures
-    for key, field in _TIMES.items():
-        setattr(executor, field, now - kept.ages[key] if key in kept.ages else 0)
-    executor.started_at = listed if abs(started_at - listed) <= SAME_START_US else started_at
-    executor.capacity = kept.capacity
-    executor.memory_capacity = math.inf if kept.memory_capacity is None else kept.memory_capacity
-    executor.slow_start.sends = [WorkSent(now - age, work_us) for age, work_us in kept.slow_start_sends]
+    executor.slots, executor.queue_places = saved.slots, saved.queue_places
+    executor.error_share, executor.reported_errors = saved.error_share, saved.reported_errors
+    executor.slowdown, executor.health = saved.slowdown, saved.health
+    executor.consecutive_failures = saved.consecutive_failures
+    for key, field in _AGE_FIELDS.items():
+        setattr(executor, field, now - saved.ages[key] if key in saved.ages else 0)
+    executor.started_at = listed if abs(started_at - listed) <= START_TOLERANCE_US else started_at
+    executor.capacity = saved.capacity
+    executor.memory_capacity = math.inf if saved.memory_capacity is None else saved.memory_capacity
+    executor.slow_start.sends = [WorkSent(now - age, work_us) for age, work_us in saved.slow_start_sends]
     return True
 
 
 def held_now(balancer: Balancer, names: Mapping[int, str]) -> dict[str, tuple[float, float]]:
     """Slots and memory that this balancer's own attempts hold, by discovery's names."""
     return {
-        names[number]: (one.held_slots - one.sibling_slots, one.held_memory - one.sibling_memory)
-        for number, one in balancer.executors.items()
-        if number in names and one.held_slots > one.sibling_slots
+        names[number]: (
+            executor.held_slots - executor.sibling_slots,
+            executor.held_memory - executor.sibling_memory,
+        )
+        for number, executor in balancer.executors.items()
+        if number in names and executor.held_slots > executor.sibling_slots
     }
--- a/cedarmill/decisions/state.py
+++ b/cedarmill/decisions/state.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from cedarmill.decisions import interface as api
-from cedarmill.decisions.learned import ClassRunningTimes, Learned, TenantLoad, UsualWork
+from cedarmill.decisions.learned import ClassRunningTimes, Learned, TenantLoad, WorkEstimate
 
 
 class WorkSent(NamedTuple):
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class SlowStartUse:
+class SlowStartUsage:
     """What an executor that warms up was sent, and the sample that decides on parts of a request."""
 
     sends: list[WorkSent] = field(default_factory=list)  # of the last overload window
@@ -52,7 +52,7 @@
     report: api.LoadReport | None = None
     heard_at: int = 0  # its last report or answer
     probing_request: "Request | None" = None  # waits for the answer to a probe of it
-    slow_start: SlowStartUse = field(default_factory=SlowStartUse)
+    slow_start: SlowStartUsage = field(default_factory=SlowStartUsage)
     backed_off_at: int = 0  # its queue places were lowered last
     probation_at: int = 0  # from then on a probation attempt or probe may go there
     error_share: float = 0.0  # of attempts that failed
@@ -75,23 +75,23 @@
 
     def __init__(self, zone: int) -> None:
         self.zone = zone
-        self.near: list[Executor] = []
-        self.far: list[Executor] = []
+        self.local: list[Executor] = []
+        self.remote: list[Executor] = []
         self.cells: dict[int, list[Executor]] = {}
         self.zones: dict[int, list[Executor]] = {}
 
     def pools_of(self, executor: Executor) -> tuple[list[Executor], ...]:
         """The pools of an executor: near or far, its cell's, its zone's."""
-        side = self.near if executor.zone == self.zone else self.far
-        return side, self.cells.setdefault(executor.cell, []), self.zones.setdefault(executor.zone, [])
+        zone_pool = self.local if executor.zone == self.zone else self.remote
+        return zone_pool, self.cells.setdefault(executor.cell, []), self.zones.setdefault(executor.zone, [])
 
-    def join(self, executor: Executor, sample: float) -> None:
+    def add(self, executor: Executor, sample: float) -> None:
         """Enter an executor at a random place; `sample` is uniform in 0 to 1."""
         executor.listed = True
         for pool in self.pools_of(executor):
             pool.insert(int(sample * (len(pool) + 1)), executor)
 
-    def leave(self, executor: Executor | None) -> None:
+    def remove(self, executor: Executor | None) -> None:
         """Take an executor out, if it is in."""
         if executor is not None and executor.listed:
             executor.listed = False
@@ -99,11 +99,11 @@
                 pool.remove(executor)
 
     @staticmethod
-    def stretch(pool: list[Executor], size: int, count: int, sample: float) -> list[Executor]:
+    def wrapping_slice(pool: list[Executor], size: int, count: int, sample: float) -> list[Executor]:
         """So many of the first `size` of a pool, from a random place on; `sample` is uniform in 0 to 1."""
-        start = int(sample * size)
-        found = pool[start : min(size, start + count)]
-        return found + pool[: min(start, count - len(found))]
+        offset = int(sample * size)
+        found = pool[offset : min(size, offset + count)]
+        return found + pool[: min(offset, count - len(found))]
 
 
 @dataclass(slots=True, eq=False)
@@ -214,17 +214,17 @@
             tuple[int, ...], dict[int, float]
         ] = {}  # by the zones in which requests may run
         self.recently_used: list[Executor] = []  # where own attempts ended last
-        self.put_back: list[Executor] = []  # by hand, a short while ago, and not sent anything yet
+        self.reinstated: list[Executor] = []  # by hand, a short while ago, and not sent anything yet
         self.preempting_attempt: Attempt | None = None  # the last one sent in place of running work
         self.highest_weight = max(request_class.worth for request_class in settings.classes) or 1.0
         columns = {name: place for place, name in enumerate(settings.report_fields)}
         self.report_columns = ReportColumns(*(columns.get(name) for name in ReportColumns._fields))
-        first_guess_us = float(settings.classes[0].aim_us)
+        initial_run_us = float(settings.classes[0].aim_us)
         self.learned = Learned(
             [ClassRunningTimes(float(c.aim_us), math.log(c.aim_us), 0) for c in settings.classes],
             [TenantLoad() for _ in settings.tenants],
-            mean_run_us=first_guess_us,
-            usual_work=UsualWork(first_guess_us),
+            mean_run_us=initial_run_us,
+            work_estimate=WorkEstimate(initial_run_us),
             own_held_slots=1.0 / settings.instances,
         )
 
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -7,7 +7,7 @@
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions import learning, retries
-from cedarmill.decisions.admission import PREEMPTION_GAIN_LEAST
+from cedarmill.decisions.admission import MIN_PREEMPTION_GAIN
 from cedarmill.decisions.interface import DeduplicationScope as DeduplicationScope
 from cedarmill.decisions.interface import Effect, Outcome
 from cedarmill.decisions.interface import ExecutorState as WorkerState
@@ -138,7 +138,7 @@
     assert kinds(past_room(d, 1)) == ["Cancel", "Send"]
     d.now += 3_000_000
     d.end(d.requests, 1, Outcome.OK)
-    assert d.balancer.state.learned.preemption_gain < PREEMPTION_GAIN_LEAST
+    assert d.balancer.state.learned.preemption_gain < MIN_PREEMPTION_GAIN
 
 
 def test_one_put_back_by_hand_gets_a_job_though_the_own_zone_has_room():
@@ -651,8 +651,8 @@
     d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(3, api.ExecutorState.DRAINING)]))
     assert sends(d.arrive(0))[0].executor == 1
     d.feed(api.EndpointList(api.EndpointListKind.FULL, [entry(2, zone=1), entry(3, zone=0)]))
-    assert [w.id for w in d.balancer.state.pools.far] == [2] and [
-        w.id for w in d.balancer.state.pools.near
+    assert [w.id for w in d.balancer.state.pools.remote] == [2] and [
+        w.id for w in d.balancer.state.pools.local
     ] == [3]
     assert [a.executor for a in sends(d.end(1, 1, Outcome.RESET))] == [3]
 
@@ -812,8 +812,8 @@
     """ia09bca, i8f5702: a walk over the fleet for each job had the day cut off."""
     d = big(workers, can_probe=True)
     looked = []
-    room = learning.room
-    monkeypatch.setattr(learning, "room", lambda *about: looked.append(1) or room(*about))
+    free_capacity = learning.free_capacity
+    monkeypatch.setattr(learning, "free_capacity", lambda *about: looked.append(1) or free_capacity(*about))
     for _ in range(20):
         d.arrive(0)
     assert 0 < len(looked) <= 20 * 8 * 2
