--- a/cedarmill/decisions/__init__.py
+++ b/cedarmill/decisions/__init__.py
@@ -1,5 +1,6 @@
-"""The decisions of a balancer: which executor, retry, refusal, preemption. No input or output, no clock.
+"""Load-balancing decisions: executor selection, retries, admission, preemption and slow start.
 
-One module for each kind of decision, plain functions over the state that they share (`state.py`);
-`balancer.py` routes events to them. Nothing of the packages above may be imported here.
+Each module makes one kind of decision as plain functions over the shared `BalancerState` of `state.py`, and
+`balancer.py` dispatches events to them. The package does no I/O, reads no clock, and imports nothing from the
+packages that use it.
 """
--- a/cedarmill/decisions/admission.py
+++ b/cedarmill/decisions/admission.py
@@ -1,7 +1,7 @@
-"""Admission and preemption, after Zhao's preemptive connection pool.
+"""Admission and preemption, based on Zhao's preemptive connection pool.
 
-Requests enter in order while the pool has room; when it is full, one of higher priority preempts attempts of
-lower ones, or is refused, queued or failed.
+Requests are admitted in order of arrival while the pool has free capacity. In a full pool, a request of
+higher priority preempts attempts of lower priority; otherwise it is refused, queued or failed.
 """
 
 from dataclasses import dataclass, field
@@ -12,24 +12,22 @@
 from cedarmill.decisions.interface import Effect
 from cedarmill.decisions.state import Attempt, BalancerState, Executor, QueueTimeout, Request
 
-MIN_PREEMPTION_GAIN = 0.6  # share of preempted attempts that free a slot; under it running ones are let be
-CONFIRMED_PREEMPTION_GAIN = (
-    0.75  # up to this share one at a time is preempted, till the next has shown its gain
-)
-PREEMPTION_SCAN_REQUESTS = 32  # whose executors are looked at for attempts to preempt
-QUEUED_RETRIES_PER_EVENT = 8  # queued requests that are placed anew for one event
+MIN_PREEMPTION_GAIN = 0.6  # share of preemptions that must free a slot before running attempts are preempted
+CONFIRMED_PREEMPTION_GAIN = 0.75  # share above which several preemptions may be pending at a time
+PREEMPTION_SCAN_REQUESTS = 32  # latest requests whose executors are considered for preemption
+QUEUED_RETRIES_PER_EVENT = 8  # queued requests that are retried for one event
 
 
 def admit(state: BalancerState, request: Request) -> None:
-    """Place a request, by preemption if it must be, or turn it away."""
+    """Send a request, preempting other attempts if necessary; reject or queue it if there is no capacity."""
     if not selection.select_and_send(state, request) and not _preempt(state, request):
         reject_or_queue(state, request)
 
 
 def reject_or_queue(state: BalancerState, request: Request) -> None:
-    """No room: refuse, or queue what was preempted or lost while it may still be repeated, or fail it.
+    """Refuse a request that cannot be sent, or queue it while it may still be retried, or fail it.
 
-    Nothing is done for a request that is done, has an attempt in flight, or waits for answers to probes.
+    Do nothing if the request is done, has an attempt in flight or waits for answers to probes.
     """
     if request.done or request.in_flight or request.probes_pending:
         return
@@ -48,17 +46,17 @@
 
 
 def retry_queued(state: BalancerState) -> None:
-    """Room may have appeared: queued requests go first, in order of arrival."""
-    tried, state.queue = state.queue[:QUEUED_RETRIES_PER_EVENT], state.queue[QUEUED_RETRIES_PER_EVENT:]
-    for request in tried:
-        is_settled = request.done or request.in_flight or bool(request.probes_pending)
-        request.queued = not (is_settled or selection.select_and_send(state, request))
-    state.queue[:0] = [request for request in tried if request.queued]
+    """Send queued requests, in order of arrival, when capacity may have become free."""
+    retried, state.queue = state.queue[:QUEUED_RETRIES_PER_EVENT], state.queue[QUEUED_RETRIES_PER_EVENT:]
+    for request in retried:
+        is_handled = request.done or request.in_flight or bool(request.probes_pending)
+        request.queued = not (is_handled or selection.select_and_send(state, request))
+    state.queue[:0] = [request for request in retried if request.queued]
 
 
 @dataclass(slots=True)
 class _Shortage:
-    """What an executor lacks before a request fits there, and the attempts that would free it."""
+    """Capacity that an executor lacks for a request, and the attempts to preempt to free it."""
 
     slots: float
     memory: float
@@ -69,30 +67,30 @@
         return max(self.slots, self.memory) > 0
 
     def add(self, victim: Attempt) -> None:
-        """Count an attempt as preempted."""
+        """Add an attempt to preempt."""
         self.victims.append(victim)
         self.slots -= victim.request.slots
         self.memory -= victim.request.memory
 
 
 def _preempt(state: BalancerState, request: Request) -> bool:
-    """Cancel own attempts of lower priority at the executor where they cost least, and send there."""
-    best: list[Attempt] = []
+    """Preempt lower-priority attempts at the executor with the lowest preemption cost, and send there."""
+    cheapest: list[Attempt] = []
     for executor in _executors_of_latest_requests(state):
         if outliers.health_weight(state, executor, request) and retries.may_send(state, request, executor):
             victims = _victims(state, request, executor)
-            if victims and (not best or _preemption_cost(victims[-1]) < _preemption_cost(best[-1])):
-                best = victims
-    for victim in best:
+            if victims and (not cheapest or _preemption_cost(victims[-1]) < _preemption_cost(cheapest[-1])):
+                cheapest = victims
+    for victim in cheapest:
         retries.cancel(state, victim)
-    if not best:
+    if not cheapest:
         return False
-    preempted_running = best[-1].started_at > 0
-    return selection.send(state, request, best[-1].executor, preempted_running)
+    preempted_running = cheapest[-1].started_at > 0
+    return selection.send(state, request, cheapest[-1].executor, preempted_running)
 
 
 def _executors_of_latest_requests(state: BalancerState) -> list[Executor]:
-    """Where attempts of the latest requests run; none, where executors cannot cancel."""
+    """Return the executors of the latest requests; empty if executors cannot cancel attempts."""
     if not state.settings.can_cancel:
         return []
     latest = islice(reversed(state.requests.values()), PREEMPTION_SCAN_REQUESTS)
@@ -101,7 +99,7 @@
 
 
 def _victims(state: BalancerState, request: Request, executor: Executor) -> list[Attempt]:
-    """The cheapest attempts that make room for a request at an executor; none, if they do not suffice."""
+    """Return the cheapest attempts that free enough capacity for a request; empty if they do not suffice."""
     shortage = _Shortage(
         request.slots - (executor.capacity + executor.queue_places - executor.held_slots),
         request.memory - (executor.memory_capacity - executor.held_memory),
@@ -121,14 +119,20 @@
 
 
 def _may_preempt_running(state: BalancerState) -> bool:
-    """Whether preempting what runs makes room at once; till that is sure, one at a time is tried."""
+    """Whether preempting running attempts frees their slots at once.
+
+    Until the gain is confirmed, only one such preemption is tried at a time.
+    """
     gain, last_attempt = state.learned.preemption_gain, state.preempting_attempt
     is_pending = gain <= CONFIRMED_PREEMPTION_GAIN and last_attempt is not None and last_attempt.in_flight
     return gain > MIN_PREEMPTION_GAIN and not is_pending
 
 
 def _preemption_cost(victim: Attempt) -> tuple[float, bool, float, int, bool, int]:
-    """Lowest priority first, then not started, least progress, latest start, then what may be repeated."""
+    """Return the sort key of attempts to preempt, cheapest first.
+
+    The order is lowest priority, not started, least progress, latest start, and safe to repeat.
+    """
     request = victim.request
     unsafe = request.request_class.effect == Effect.UNSAFE
     return request.priority, victim.started_at > 0, victim.progress, -victim.started_at, unsafe, request.id
--- a/cedarmill/decisions/balancer.py
+++ b/cedarmill/decisions/balancer.py
@@ -1,5 +1,7 @@
-"""The balancer of one node: routes each event to the decisions that it asks for. It sees and says what
-cedarmill/decisions/interface.py names, nothing else: it has no input or output and no clock of its own.
+"""The balancer of one node, which dispatches each event to the decision modules.
+
+Events, actions and settings are defined in cedarmill/decisions/interface.py. The balancer does no I/O and has
+no clock of its own.
 """
 
 import math
@@ -30,11 +32,11 @@
     SubscribeDue,
 )
 
-RETRY_AFTER_SLACK_FACTOR = 0.25  # of a request's slack, after which its client may come back if it is refused
+RETRY_AFTER_SLACK_FACTOR = 0.25  # Retry-After of a refused request, as a share of its slack
 
 
 class Balancer:
-    """The decisions of one balancer: `handle` takes an event and its time, and gives the actions."""
+    """Turns events into actions: `handle` takes an event and its time and returns the actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.state = BalancerState(settings, seed)
@@ -55,21 +57,21 @@
 
     @property
     def settings(self) -> api.Settings:
-        """What it was told at its start."""
+        """Settings given to the constructor."""
         return self.state.settings
 
     @property
     def executors(self) -> dict[int, Executor]:
-        """All executors that it has been told of, by their numbers."""
+        """Every executor that the endpoint list has named, by executor number."""
         return self.state.executors
 
     @property
     def requests(self) -> dict[int, Request]:
-        """The requests that are not over, by their numbers."""
+        """Unfinished requests, by request number."""
         return self.state.requests
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event at its time (us) and return the actions in order."""
+        """Handle an event at time `now` (us) and return the resulting actions in order."""
         self.state.now = now
         self.state.actions = []
         self._handlers[type(event)](event)
@@ -94,7 +96,7 @@
         )
         state.requests[event.request] = request
         slow_start.record_arrival(state, request)
-        if event.cut:  # the cluster admits nothing of its priority now
+        if event.cut:  # the cluster sheds requests of this priority
             admission.reject_or_queue(state, request)
         else:
             admission.admit(state, request)
@@ -108,7 +110,7 @@
     def _find_attempt(
         self, event: api.AttemptStarted | api.AttemptProgress | api.StreamStarted | api.AttemptEnded
     ) -> Attempt | None:
-        """The attempt in flight that an event tells of."""
+        """Return the in-flight attempt that an event refers to."""
         executor = self.state.executors.get(event.executor)
         return executor.attempts.get((event.request, event.attempt)) if executor is not None else None
 
@@ -129,10 +131,10 @@
         if (attempt := self._find_attempt(event)) is not None:
             self._mark_running(attempt)
             attempt.progress = 0.0
-            attempt.not_preemptible = True  # it is the client's now
+            attempt.not_preemptible = True  # the response already goes to the client
 
     def _mark_running(self, attempt: Attempt) -> None:
-        """An attempt gives a sign that it runs."""
+        """Record evidence that an attempt is running."""
         attempt.started_at = attempt.started_at or self.state.now
         attempt.executor.consecutive_failures = 0
 
@@ -153,7 +155,7 @@
         admission.retry_queued(state)
 
     def _close_attempt(self, attempt: Attempt, outcome: Outcome) -> bool:
-        """End an attempt; whether what it holds stays reserved, since it may still run."""
+        """End an attempt and return whether its reservation stays because it may still run."""
         attempt.in_flight, attempt.ended_at = False, self.state.now
         attempt.may_have_run = outcome not in api.NEVER_RAN
         attempt.executor.attempts.pop((attempt.request.id, attempt.number), None)
@@ -161,13 +163,13 @@
             learning.record_preemption(self.state, is_prompt=False)
         is_stale = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and attempt.started_at > 0
         if is_stale:
-            attempt.executor.stale_reservations.append(attempt)  # till a report shows its slots free
+            attempt.executor.stale_reservations.append(attempt)  # held until a report shows the slots free
         else:
             attempt.release()
         return is_stale
 
     def _record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """What the outcome of an attempt tells of its executor."""
+        """Update what is known about an executor from the outcome of an attempt."""
         state, executor = self.state, attempt.executor
         if outcome in (Outcome.OK, Outcome.ERROR):
             executor.heard_at = state.now
@@ -182,7 +184,7 @@
             learning.adjust_queue_places(state, executor, math.inf, 0)
         elif outcome == Outcome.CONNECT_FAILED:
             outliers.record_connection_failure(state, executor)
-        elif outcome in (Outcome.RESET, Outcome.DROPPED):  # where it is dead, the next connect fails
+        elif outcome in (Outcome.RESET, Outcome.DROPPED):  # a dead executor is detected by the next connect
             outliers.record_failed(state, attempt, outliers.BROKEN_CONNECTION_WEIGHT)
 
     # Executors.
@@ -203,12 +205,12 @@
         admission.retry_queued(state)
 
     def _on_awaited_probe_ended(self, request: Request, executor: Executor) -> None:
-        """An answer that a request waited for: send it where a slot is idle, or admit it after the last."""
+        """Send a waiting request to a probed executor with an idle slot, or admit it after the last probe."""
         state = self.state
         request.probes_pending -= 1
         has_idle_slot = (
             not outliers.reports_errors(state, executor)
-            and learning.free_capacity(state, executor, request).idle
+            and learning.free_capacity(state, executor, request).idle_slots
         )
         if has_idle_slot and selection.send(state, request, executor):
             request.probes_pending = 0
@@ -230,7 +232,7 @@
         self.state.zone_shares = event.rows
 
     def _on_peer_message(self, event: api.PeerMessage) -> None:
-        """Nothing is shared between balancers in this way."""
+        """Ignore messages from other balancers."""
 
     # Timers.
 
@@ -241,6 +243,6 @@
             case ProbeTimeout(request, probe_round):
                 if request.probes_pending and request.probe_rounds == probe_round and not request.done:
                     request.probes_pending = 0
-                    admission.admit(self.state, request)  # by what is known
+                    admission.admit(self.state, request)  # uses the reports that have arrived
             case SubscribeDue():
                 self.state.actions.append(api.Subscribe())
--- a/cedarmill/decisions/discovery_calls.py
+++ b/cedarmill/decisions/discovery_calls.py
@@ -1,21 +1,19 @@
-"""Discovery: what a message of the endpoint list changes, and when the list is asked for."""
+"""Discovery: applies endpoint list messages and schedules requests for the endpoint list."""
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import EndpointEntry, EndpointListKind, ExecutorState
 from cedarmill.decisions.learning import INITIAL_QUEUE_PLACES
 from cedarmill.decisions.state import BalancerState, Executor, SubscribeDue
 
-CALL_SPREAD_PER_BALANCER_US = (
-    50_000  # for each balancer, over which all ask for the list; doubled by each failure
-)
-FIRST_CALL_SPREAD_LIMIT = 0.2  # of the time in which discovery is to be asked: the first call comes within it
-RETRY_SPREAD_LIMIT = 2.0  # the same after a failed call
-MAX_SPREAD_DOUBLINGS = 16  # so many double the span: for any fleet that is beyond the longest wait
-RETRY_DELAY_DIVISOR = 40  # of the same time: at least so much of it passes after a failed call
+CALL_SPREAD_PER_BALANCER_US = 50_000  # doubled by each failed call
+FIRST_CALL_SPREAD_LIMIT = 0.2  # share of `ask_within_us` within which the first call is made
+RETRY_SPREAD_LIMIT = 2.0  # multiple of `ask_within_us` within which a failed call is retried
+MAX_SPREAD_DOUBLINGS = 16  # beyond the longest delay for any number of balancers
+RETRY_DELAY_DIVISOR = 40  # `ask_within_us` divided by this is the minimum delay of a retry
 
 
 def apply_list(state: BalancerState, event: api.EndpointList) -> None:
-    """Take the endpoint list or what changed in it; a failed call is made again, later each time."""
+    """Apply an endpoint list or its changes; after a failed call, schedule the next one with backoff."""
     if event.kind == EndpointListKind.FAILED:
         state.list_failures = min(state.list_failures + 1, MAX_SPREAD_DOUBLINGS)
         wait_us = state.settings.ask_within_us // RETRY_DELAY_DIVISOR
@@ -35,13 +33,13 @@
 
 
 def _apply_entry(state: BalancerState, entry: EndpointEntry) -> None:
-    """Take one line of the list: a new executor, a new process of one, another place or state."""
+    """Apply a list entry: a new executor, a restarted one, or another location or state."""
     executor = state.executors.get(entry.executor)
     if executor is None or entry.started_at > executor.started_at:
         state.pools.remove(executor)
         executor = state.executors[entry.executor] = _executor_for_process(entry, executor)
     elif entry.state == ExecutorState.READY and (entry.zone, entry.cell) != (executor.zone, executor.cell):
-        state.pools.remove(executor)  # the list is true; attempts keep the zone and cell they were sent to
+        state.pools.remove(executor)  # running attempts keep the zone and cell in which they were sent
         executor.zone, executor.cell = entry.zone, entry.cell
     if entry.state != ExecutorState.READY:
         state.pools.remove(executor)
@@ -52,7 +50,7 @@
 
 
 def _executor_for_process(entry: EndpointEntry, predecessor: Executor | None) -> Executor:
-    """A new process of an executor: of the one before it, its slots and attempts in flight still hold."""
+    """Create an executor record; a restarted executor keeps its predecessor's slots and attempts."""
     executor = Executor(
         entry.executor,
         entry.zone,
@@ -67,22 +65,21 @@
     )
     if predecessor is not None:
         executor.slots, executor.attempts = predecessor.slots, predecessor.attempts
-        executor.slow_start = (
-            predecessor.slow_start
-        )  # a start told again, or anew by a little, is no second budget
+        executor.slow_start = predecessor.slow_start  # a restart does not renew the budget
     return executor
 
 
 def _schedule_call(
     state: BalancerState, spread_factor: float, spread_limit: float, min_delay_us: int = 0
 ) -> None:
-    """Ask at a random time: all balancers lose the list at once, and discovery serves few calls.
+    """Schedule a call to discovery after a random delay, so that balancers do not call all at once.
 
-    The span grows with the balancers and by `factor`, up to `bound` of the time in which discovery is asked.
+    The delay is spread over a time that grows with the number of balancers and with `spread_factor`, up to
+    `spread_limit` times `ask_within_us`.
     """
     settings = state.settings
-    span_us = min(
+    spread_us = min(
         CALL_SPREAD_PER_BALANCER_US * settings.instances * spread_factor,
         spread_limit * settings.ask_within_us,
     )
-    state.set_timer(min_delay_us + int(span_us * state.random.random()), SubscribeDue())
+    state.set_timer(min_delay_us + int(spread_us * state.random.random()), SubscribeDue())
--- a/cedarmill/decisions/interface.py
+++ b/cedarmill/decisions/interface.py
@@ -1,8 +1,8 @@
-"""The balancer's interface: settings at its start, events in, actions out.
+"""Interface of the balancer: its settings, the events it handles and the actions it returns.
 
-Times are whole microseconds. A load report is a tuple of floats in the order of `Settings.report_fields`;
-None means that no report came. The balancer reads the fields free_slots, free_memory, errors_per_s and
-queue; others are passed over.
+Times are whole microseconds. A load report is a tuple of floats in the order of `Settings.report_fields`, or
+None when no report arrived. The balancer reads the fields free_slots, free_memory, errors_per_s and queue,
+and ignores all others.
 """
 
 from dataclasses import dataclass
@@ -18,18 +18,18 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended; those of NEVER_RAN prove that it never ran."""
+    """Result of an attempt; the members of NEVER_RAN prove that the attempt did not run."""
 
     OK = 10
-    ERROR = 20  # the executor ran it, and it failed
-    FULL = 30  # the executor turned it away
+    ERROR = 20  # the executor ran the attempt, which failed
+    FULL = 30  # the executor refused the attempt
     TIMEOUT = 40
     CONNECT_FAILED = 50
-    DROPPED = 55  # a connection that came up, and broke before the whole request had left
-    RESET = 60  # a connection that broke after it
+    DROPPED = 55  # an established connection broke before the whole request was sent
+    RESET = 60  # the connection broke after the request was sent
     CANCELLED = 70
-    MOOT = 80  # given up before it was sent
-    UNUSABLE = 90  # blames the request, not the executor: no other would take it
+    MOOT = 80  # abandoned before it was sent
+    UNUSABLE = 90  # the request is at fault, so every other executor would refuse it too
 
 
 UNLIMITED_ATTEMPTS = 1 << 30
@@ -37,7 +37,7 @@
 
 
 class ExecutorState(IntEnum):
-    """What the endpoint list says of an executor."""
+    """State of an executor in the endpoint list."""
 
     DRAINING = 1
     READY = 2
@@ -45,7 +45,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """What an endpoint list message is; FAILED carries no entries, the old list still holds."""
+    """Kind of an endpoint list message; FAILED has no entries and leaves the previous list in force."""
 
     FAILED = 0
     FULL = 2
@@ -58,9 +58,9 @@
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One line of the endpoint list; `started_at` 0 means long ago, `size` compares executors.
+    """Entry of the endpoint list; `started_at` 0 means long ago, `size` is relative to other executors.
 
-    `by_hand`: operators have just put it back, and will look whether it serves.
+    `by_hand` marks an executor that operators have just reinstated and expect to receive requests.
     """
 
     executor: int
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """The endpoint list or what changed in it; an executor that a whole list does not name has gone."""
+    """Full endpoint list or its changes; an executor that is missing from a full list is gone."""
 
     kind: EndpointListKind
     entries: list[EndpointEntry]
@@ -83,10 +83,10 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request to be served, refused or failed within `time_left_us`; `hint_us` 0: no hint.
+    """A request to serve, refuse or fail within `time_left_us`; `hint_us` 0 means no hint.
 
-    `homes` are the zones in which it may run, none: all. Where the cluster admits nothing of its priority
-    now, `cut` is above 0: so many times its slack later may its client come back.
+    `homes` are the zones in which the request may run; empty means all. A `cut` above 0 means that the
+    cluster sheds this priority: the request is refused, with a Retry-After of `cut` times its slack.
     """
 
     request: int
@@ -104,14 +104,14 @@
 
 @dataclass(slots=True)
 class RequestWithdrawn:
-    """The client left; nothing is owed any longer."""
+    """The client has disconnected and expects no answer."""
 
     request: int
 
 
 @dataclass(slots=True)
 class AttemptStarted:
-    """The executor began to run an attempt."""
+    """An executor has started to run an attempt."""
 
     request: int
     attempt: int
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True)
 class AttemptProgress:
-    """Share done of an attempt that runs."""
+    """Completed share of a running attempt."""
 
     request: int
     attempt: int
@@ -130,7 +130,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer has begun; the attempt belongs to the client and has no deadline now."""
+    """The response has begun; the attempt has no deadline and can no longer be preempted."""
 
     request: int
     attempt: int
@@ -139,9 +139,9 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; `final` says that the request is finished.
+    """The only outcome of an attempt; `final` means that the request is finished.
 
-    `tries` are the attempts in all that the request may still have: a cluster may say no to more.
+    `tries` is the total number of attempts that the request may have; the cluster may forbid further ones.
     """
 
     request: int
@@ -155,7 +155,7 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """The result of one probe, or what another balancer was told of an executor `age` us ago."""
+    """Result of a probe, or the observation of an executor by another balancer `age` microseconds ago."""
 
     executor: int
     outcome: Outcome
@@ -165,14 +165,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer came due; tokens that the balancer does not know are ignored."""
+    """A timer has expired; the balancer ignores unknown tokens."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message of another balancer; this one shares nothing and ignores it."""
+    """A message from another balancer; this implementation ignores it."""
 
     sender: int
     data: bytes
@@ -180,7 +180,7 @@
 
 @dataclass(slots=True)
 class SiblingLoad:
-    """Slots and memory that the sibling process of the same node holds at an executor, during an upgrade."""
+    """Slots and memory that the sibling process of the same node uses at an executor during an upgrade."""
 
     executor: int
     slots: float
@@ -189,7 +189,7 @@
 
 @dataclass(slots=True)
 class ZoneShares:
-    """Which part of requests is to run in each zone, by their `homes`; none: as the balancer sees fit."""
+    """Share of requests to send to each zone, by `homes`; without a row the balancer chooses freely."""
 
     rows: dict[tuple[int, ...], dict[int, float]]
 
@@ -215,7 +215,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start the request's next attempt (numbered from 0 in order of sending); no own time-out."""
+    """Send the next attempt of a request; attempts are numbered from 0 and have no time-out of their own."""
 
     request: int
     executor: int
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Stop waiting for an attempt."""
 
     request: int
     attempt: int
@@ -231,7 +231,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: a retry does no harm. `retry_after_us` 0: no advice."""
+    """Final answer: refused, and a retry is harmless; `retry_after_us` is 0 without a Retry-After."""
 
     request: int
     retry_after_us: int = 0
@@ -239,14 +239,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, effect unknown."""
+    """Final answer: the request failed and its effect is unknown."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired after `delay_us`."""
+    """Request a TimerFired event after `delay_us`."""
 
     token: int
     delay_us: int
@@ -254,7 +254,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask an executor for a sign of life and its load report, for the sake of a request (0: of none)."""
+    """Probe an executor for its health and load report; `request` is the waiting request, or 0."""
 
     executor: int
     request: int = 0
@@ -262,7 +262,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask for the changes of the endpoint list from now on."""
+    """Request future changes of the endpoint list."""
 
 
 Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | Subscribe
--- a/cedarmill/decisions/quotas.py
+++ b/cedarmill/decisions/quotas.py
@@ -1,32 +1,32 @@
-"""Tenant quotas: a request's priority by what its tenant sends, and this balancer's part of all traffic."""
+"""Tenant quotas: request priorities by tenant load, and this balancer's share of all traffic."""
 
 import math
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.state import BalancerState
 
-SHARE_TOLERANCE = 1.2  # times this balancer's part of a tenant's quota: above it, traffic is over its share
-MIN_ALLOWED_REQUESTS = 2.0  # requests of a tenant in the window that are never over its share
-TENANT_WINDOW_US = 4e6  # in which a tenant's load decays
-SERVED_WINDOW_US = 30e6  # in which what was served here decays: longer than most bursts
-MIN_COUNTED_US = 2e6  # a shorter time since the first request says little of a balancer's part
+SHARE_TOLERANCE = 1.2  # multiple of the own share of a tenant's quota that the tenant may send
+MIN_ALLOWED_REQUESTS = 2.0  # requests per tenant and window that are always within its share
+TENANT_WINDOW_US = 4e6  # decay time of a tenant's load
+SERVED_WINDOW_US = 30e6  # decay time of served load; longer than most bursts
+MIN_COUNTED_US = 2e6  # a shorter time since the first request gives no reliable rate
 
 
 def _requests_per_window(quota_per_s: float) -> float:
-    """Requests that a quota allows in the tenants' window."""
+    """Return the requests that a quota allows in the tenant window."""
     return quota_per_s * TENANT_WINDOW_US / 1e6
 
 
 def _decayed_requests(state: BalancerState, tenant: int) -> float:
-    """Requests of a tenant that came here in its window, the older ones counting less."""
+    """Return the exponentially decayed number of requests from a tenant."""
     load = state.learned.tenant_loads[tenant]
     return load.requests * math.exp((load.at - state.now) / TENANT_WINDOW_US)
 
 
 def record_and_prioritize(state: BalancerState, event: api.RequestArrived) -> float:
-    """Count a request for its tenant; its priority: its class's weight, less for what is over the share.
+    """Count a request for its tenant and return its priority weight.
 
-    The more a tenant sends beyond its share, the likelier each of its requests weighs less.
+    The weight is that of its class. The more a tenant exceeds its share, the likelier the weight is reduced.
     """
     request_class = state.settings.classes[event.job_class]
     loads = state.learned.tenant_loads
@@ -45,7 +45,7 @@
 
 
 def traffic_share(state: BalancerState) -> float:
-    """This balancer's part of all traffic: at least an even one, else what it sees of the quotas."""
+    """Return this balancer's share of all traffic by tenant quotas; at least an even share."""
     even_share = 1 / state.settings.instances
     quota_requests = _requests_per_window(sum(tenant.quota_per_s for tenant in state.settings.tenants))
     if not quota_requests:
@@ -57,17 +57,17 @@
 
 
 def record_served(state: BalancerState) -> None:
-    """Count a request that was served here."""
+    """Count a served request."""
     served = state.learned.served
     served.requests = served.requests * math.exp((served.at - state.now) / SERVED_WINDOW_US) + 1.0
     served.at = state.now
 
 
 def served_share(state: BalancerState) -> float:
-    """What this balancer served lately, over the tenants' quotas.
+    """Return the requests that this balancer served lately, relative to all tenant quotas.
 
-    All balancers serve no more than the executors can, however much comes: unlike what a balancer sees of the
-    quotas, these parts add up to about one in a burst and among retries too.
+    Unlike traffic shares, the served shares of all balancers add up to about 1 even in bursts and among
+    retries, because the executors' capacity limits what is served.
     """
     served = state.learned.served
     quota_per_s = sum(tenant.quota_per_s for tenant in state.settings.tenants)
--- a/cedarmill/decisions/retries.py
+++ b/cedarmill/decisions/retries.py
@@ -1,8 +1,8 @@
-"""Retries and hedging: whether and until when a further attempt may follow, and the one end of a request.
+"""Retries and hedged requests: whether another attempt may follow, and the completion of requests.
 
-`may_send` is the one guard of all attempts, `may_refuse` the one of refusals. They hold the protocol's
-rules: a request has one final answer (1), its effects are not repeated (2), no attempt goes to a draining
-executor (3), none overloads one that warms up (4).
+All attempts pass `may_send` and all refusals pass `may_refuse`, which enforce the rules of the protocol:
+a request gets one final answer (1), its effects are not repeated (2), a draining executor gets no new
+attempts (3), and an executor that is warming up is not overloaded (4).
 """
 
 from cedarmill.decisions import interface as api
@@ -10,17 +10,13 @@
 from cedarmill.decisions.interface import DeduplicationScope, Effect
 from cedarmill.decisions.state import Attempt, BalancerState, Executor, Request
 
-MAX_WRITE_DELAY_US = (
-    150_000  # a node may be held up so long between its clock and the write (the standing page)
-)
-CLIENT_CLOSE_GRACE_US = (
-    100_000  # an attempt that begins later than that after its client's end is a lost request
-)
-MARGIN_TICKS = 2  # of the platform's clock, before the end of a deadline or a window
+MAX_WRITE_DELAY_US = 150_000  # between reading the clock and writing to the connection
+CLIENT_CLOSE_GRACE_US = 100_000  # latest start of an attempt after its client's deadline
+MARGIN_TICKS = 2  # ticks of the clock before the end of a deadline or a window
 
 
 def may_send(state: BalancerState, request: Request, executor: Executor) -> bool:
-    """Whether an attempt of a request may go to an executor now."""
+    """Whether an attempt of a request may be sent to an executor now."""
     send_deadline = _send_deadline(state, request) if request.attempts else request.deadline
     is_over = request.done or state.now >= send_deadline or len(request.attempts) >= request.max_attempts
     if (
@@ -31,7 +27,7 @@
         return False
     if request.request_class.worker_kind not in (-1, executor.kind):
         return False
-    if not slow_start.admits(state, executor, request):
+    if not slow_start.is_within_budget(state, executor, request):
         return False
     return not request.attempts or all(
         _permits_attempt(state, attempt, executor) for attempt in request.attempts
@@ -39,7 +35,7 @@
 
 
 def _permits_attempt(state: BalancerState, attempt: Attempt, executor: Executor) -> bool:
-    """Whether another attempt may go to an executor after this one, or while it runs."""
+    """Whether an attempt permits another one at an executor, after it ended or while it runs."""
     if attempt.in_flight and not state.settings.may_duplicate:
         return False
     effect = attempt.request.request_class.effect
@@ -49,7 +45,7 @@
 
 
 def _deduplicates(attempt: Attempt, executor: Executor) -> bool:
-    """Whether an executor discards a repeat of this attempt."""
+    """Whether an executor discards a repetition of an attempt."""
     scope = attempt.request.request_class.group
     if scope == DeduplicationScope.ZONE:
         return attempt.zone == executor.zone
@@ -59,12 +55,10 @@
 
 
 def _send_deadline(state: BalancerState, request: Request) -> int:
-    """Until when (us) a further attempt may be chosen, so that one held up before its write is not late."""
+    """Return the time (us) until which another attempt may be sent, allowing for a delayed write."""
     request_class, margin_us = request.request_class, MARGIN_TICKS * state.settings.tick_us
     limits = [request.deadline - max(margin_us, MAX_WRITE_DELAY_US - CLIENT_CLOSE_GRACE_US)]
-    if (
-        request_class.effect == Effect.KEYED
-    ):  # a repeat that arrives after its key is forgotten runs once more
+    if request_class.effect == Effect.KEYED:  # a repetition after the deduplication window would run again
         sent_times = [attempt.sent_at for attempt in request.attempts if attempt.may_have_run]
         limits += [
             sent_at + request_class.repeat_window_us - margin_us - MAX_WRITE_DELAY_US
@@ -74,17 +68,17 @@
 
 
 def time_left_us(state: BalancerState, request: Request) -> int:
-    """How long a further attempt may still be chosen (us); 0 or less: none may follow any longer."""
+    """Return the time (us) in which another attempt may still be sent; 0 or less if there is none."""
     return _send_deadline(state, request) - state.now
 
 
 def may_retry(request: Request) -> bool:
-    """Whether a request that was tried has attempts left, and none of its effects forbids them."""
+    """Whether a request that was attempted has attempts left and may be repeated."""
     return len(request.attempts) < request.max_attempts and request.request_class.effect != Effect.UNSAFE
 
 
 def may_refuse(request: Request) -> bool:
-    """Whether a request may be refused, which tells its client that a repeat does no harm."""
+    """Whether a request may be refused, which tells its client that a retry is harmless."""
     request_class = request.request_class
     is_known_everywhere = request_class.group == DeduplicationScope.ALL
     is_harmless = request_class.effect == Effect.SAFE or (
@@ -94,14 +88,14 @@
 
 
 def cancel(state: BalancerState, attempt: Attempt) -> None:
-    """Stop waiting for an attempt, where executors can cancel and it is not cancelled yet."""
+    """Cancel an attempt, if executors can cancel and it is not being cancelled already."""
     if state.settings.can_cancel and attempt.in_flight and not attempt.not_preemptible:
         attempt.not_preemptible = True
         state.actions.append(api.Cancel(attempt.request.id, attempt.number))
 
 
 def finish(state: BalancerState, request: Request, answer: api.Refuse | api.Fail | None = None) -> None:
-    """The one end of a request: the answer, if it is still owed, and no more work for it."""
+    """Complete a request: give its answer, if any, and cancel its attempts."""
     if answer is not None:
         state.actions.append(answer)
     request.done = True
--- a/cedarmill/decisions/selection.py
+++ b/cedarmill/decisions/selection.py
@@ -1,7 +1,7 @@
-"""Selection: which executor an attempt goes to, and which are probed first where nothing fresh is known.
+"""Selection of the executor for an attempt, probing executors first when reports are out of date.
 
-The cost of a request does not grow with the number of executors: a few of a pool are looked at, from a random
-place on, and one of the best is drawn by its weight.
+The cost per request does not grow with the number of executors: a few executors of a pool are sampled, and
+one of the best is drawn by weight.
 """
 
 from collections.abc import Sequence
@@ -14,32 +14,30 @@
 from cedarmill.decisions.interface import DeduplicationScope, Effect
 from cedarmill.decisions.state import Attempt, BalancerState, Executor, ExecutorPools, ProbeTimeout, Request
 
-EXECUTORS_SAMPLED = 8  # of a pool for one request: the cost of an event must not grow with the fleet
-PREFERRED_SUBSET_SIZE = (
-    128  # executors of a pool that requests go to first, so that connections and reports serve again
-)
-PROBES_PER_ROUND = 2  # at once, for a request that sees no fresh idle slot
-PROBE_WAIT_CONNECT_TIMEOUTS = 0.06  # connect time-outs that it waits for their answers
-MIN_PROBE_WAITS_LEFT = 4  # such waits that have to be left of its time
-FRESH_REPORT_RUNS = 1.0  # mean running times for which a report is believed without asking again
-UNKNOWN_AFTER_DECAYS = 3  # times in which a report fades, after which nothing is left of it
-TRIAL_ZONE_SHARE = (
-    0.05  # share by a plan that only tries a zone: what finds no place there goes to the others
-)
-MAX_RECENTLY_USED = 4  # executors where own attempts ended last
+EXECUTORS_SAMPLED = 8  # per pool and request; bounds the cost of an event
+# Executors of a pool that are preferred, so that connections and reports are reused.
+PREFERRED_SUBSET_SIZE = 128
+PROBES_PER_ROUND = 2
+PROBE_WAIT_CONNECT_TIMEOUTS = 0.06  # time to wait for probes, as a share of the connect time-out
+MIN_PROBE_WAITS_LEFT = 4  # probe waits that must remain before the deadline
+FRESH_REPORT_RUNS = 1.0  # age up to which a report is fresh, in mean running times
+UNKNOWN_AFTER_DECAYS = 3  # age at which a report is worthless, in its decay times
+# Zones with a smaller share are on trial; their requests may fall back to another zone.
+TRIAL_ZONE_SHARE = 0.05
+MAX_RECENTLY_USED = 4  # executors that are remembered
 
 
 class Tier(IntEnum):
-    """What is known of an executor; the lowest tier that has one is drawn from."""
+    """Preference tiers of executors; one is drawn from the lowest non-empty tier."""
 
-    IDLE_LOCAL = 0  # a slot is idle, or nothing is known
-    IDLE_REMOTE = 1  # the same, in another zone
-    QUEUE = 2  # a place in its queue
-    LAST_RESORT = 3  # not trusted
+    IDLE_LOCAL = 0  # has an idle slot, or its state is unknown
+    IDLE_REMOTE = 1  # same, in another zone
+    QUEUE = 2  # has a queue place
+    LAST_RESORT = 3  # unhealthy or reporting errors
 
 
 class Candidate(NamedTuple):
-    """An executor that has room, and its weight within its tier."""
+    """An executor with free capacity, and its weight within its tier."""
 
     tier: Tier
     weight: float
@@ -48,15 +46,18 @@
 
 @dataclass(slots=True)
 class PoolSample:
-    """What a look at a pool has found."""
+    """Result of sampling a pool."""
 
     candidates: list[Candidate] = field(default_factory=list)
-    without_fresh_report: list[Executor] = field(default_factory=list)  # trusted, without a fresh report
-    has_fresh_idle: bool = False  # by a fresh report
+    without_fresh_report: list[Executor] = field(default_factory=list)  # healthy executors
+    has_fresh_idle: bool = False  # a fresh report shows an idle slot
 
 
 def select_and_send(state: BalancerState, request: Request) -> bool:
-    """Send to an executor drawn by its room, idle slots before queue places; or probe some and wait."""
+    """Send a request to an executor drawn by free capacity, or probe some executors first.
+
+    Return whether the request was sent or waits for probes.
+    """
     if _send_to_reinstated(state, request):
         return True
     candidates: list[Candidate] = []
@@ -76,9 +77,9 @@
 
 
 def _send_to_reinstated(state: BalancerState, request: Request) -> bool:
-    """Send to one that operators have just put back: idle by then, and they wait for it to serve.
+    """Send a request to an executor that operators have just reinstated, as they expect it to serve.
 
-    All balancers see it, so each does so for its part of all traffic.
+    Every balancer sees the same list, so each does this with the probability of its traffic share.
     """
     if not state.reinstated or state.random.random() >= quotas.traffic_share(state):
         return False
@@ -89,7 +90,7 @@
 
 
 def _pools_for(state: BalancerState, request: Request) -> Sequence[list[Executor]]:
-    """The pools in which to look, in order."""
+    """Return the pools to select from, in order of preference."""
     request_class = request.request_class
     earlier_attempt = next((attempt for attempt in request.attempts if attempt.may_have_run), None)
     if (
@@ -100,10 +101,8 @@
         return (state.pools.cells.get(earlier_attempt.cell, []),)
     if shares := state.zone_shares.get(request.allowed_zones):
         return _pools_by_shares(state, shares)
-    local, remote = (
-        state.learned.idle_slots_local,
-        state.learned.idle_slots_remote,
-    )  # the own first, less often the busier it is
+    # The local zone comes first, less often the busier it is.
+    local, remote = state.learned.idle_slots_local, state.learned.idle_slots_remote
     is_local_first = not state.pools.remote or state.random.random() * remote**2 <= local**2
     return (
         (state.pools.local, state.pools.remote) if is_local_first else (state.pools.remote, state.pools.local)
@@ -111,7 +110,7 @@
 
 
 def _pools_by_shares(state: BalancerState, shares: dict[int, float]) -> Sequence[list[Executor]]:
-    """One zone by a plan's shares; where it is only tried, the one with the largest share as well."""
+    """Draw a zone by its share; add the zone with the largest share when the drawn one is on trial."""
     drawn_zone = state.random.choices([*shares], [*shares.values()])[0]
     zones = (
         [drawn_zone, max(shares, key=lambda zone: shares[zone])]
@@ -122,19 +121,19 @@
 
 
 def _sample_pool(state: BalancerState, request: Request, pool: list[Executor]) -> PoolSample:
-    """Look at a few executors of a pool; in a large one first at those where own attempts ended last."""
+    """Sample a few executors of a pool; a large pool includes those used recently."""
     sample = PoolSample()
     recent = state.recently_used if len(pool) > EXECUTORS_SAMPLED else []
     executors = [used for used in recent if used.listed and state.pools.pools_of(used)[0] is pool]
-    # a pool is in random order and stays so, so its first executors are a sample that changes little
-    use_whole_pool = request.attempts or request.probe_rounds  # the sample has not served it
+    # The order of a pool is random and stable, so its first executors are a stable sample.
+    use_whole_pool = request.attempts or request.probe_rounds  # the preferred subset did not serve it
     size = len(pool) if use_whole_pool else min(len(pool), PREFERRED_SUBSET_SIZE)
     executors += ExecutorPools.wrapping_slice(pool, size, EXECUTORS_SAMPLED, state.random.random())
     fresh_us = FRESH_REPORT_RUNS * state.learned.mean_run_us
     for executor in executors:
         health_weight = outliers.health_weight(state, executor, request)
         if not health_weight and executor.consecutive_failures:
-            continue  # its connections fail at once, or its attempts are lost: no last resort
+            continue  # unreachable, so it is no last resort
         if not retries.may_send(state, request, executor):
             continue
         free_capacity, age_us = (
@@ -143,7 +142,7 @@
         )
         if health_weight and age_us > fresh_us and executor.probing_request is None:
             sample.without_fresh_report.append(executor)
-        if free_capacity.with_queue:
+        if free_capacity.slots_with_queue:
             candidate = _weigh_candidate(state, executor, health_weight, free_capacity)
             sample.has_fresh_idle |= age_us <= fresh_us and candidate.tier < Tier.QUEUE
             sample.candidates.append(candidate)
@@ -153,27 +152,29 @@
 def _weigh_candidate(
     state: BalancerState, executor: Executor, health_weight: float, free_capacity: learning.FreeCapacity
 ) -> Candidate:
-    """Weigh an executor that has room."""
-    # nothing is known of an executor not heard of for long: it may be idle
+    """Return the tier and the weight of an executor that has free capacity."""
+    # An executor without any news for long may be idle.
     is_unknown = (
         state.now - executor.heard_at
         > UNKNOWN_AFTER_DECAYS * learning.REPORT_DECAY_RUNS * state.learned.mean_run_us
     )
     if not health_weight:
         tier = Tier.LAST_RESORT
-    elif free_capacity.idle or is_unknown:
+    elif free_capacity.idle_slots or is_unknown:
         tier = Tier.IDLE_LOCAL if executor.zone == state.settings.zone else Tier.IDLE_REMOTE
     else:
         tier = Tier.QUEUE
-    # as many slots of a larger executor are free again sooner, so what waits there waits less
+    # The slots of a larger executor become free more often, so requests queue there for less time.
     share = (
-        executor.size**2 * (free_capacity.idle or free_capacity.with_queue) / (1 + executor.held_slots) ** 2
+        executor.size**2
+        * (free_capacity.idle_slots or free_capacity.slots_with_queue)
+        / (1 + executor.held_slots) ** 2
     )
     return Candidate(tier, share * (health_weight or executor.health), executor)
 
 
 def _probe(state: BalancerState, request: Request, without_fresh_report: list[Executor], rounds: int) -> bool:
-    """No fresh report shows an idle slot: probe a few executors, and let the request wait for them."""
+    """Probe a few executors without fresh reports for a request; return whether probes were sent."""
     wait_us = int(PROBE_WAIT_CONNECT_TIMEOUTS * state.settings.connect_timeout_us)
     has_time_left = state.now + MIN_PROBE_WAITS_LEFT * wait_us < request.deadline
     if not without_fresh_report or not (
@@ -192,7 +193,7 @@
 
 
 def send(state: BalancerState, request: Request, executor: Executor, preempted_running: bool = False) -> bool:
-    """Send the request's next attempt to an executor, if it may go there; whether it did."""
+    """Send the next attempt of a request to an executor if permitted, and return whether it was sent."""
     if not retries.may_send(state, request, executor):
         return False
     outliers.record_send(state, executor)
--- a/cedarmill/decisions/settings.py
+++ b/cedarmill/decisions/settings.py
@@ -1,6 +1,6 @@
-"""The operators' settings object, as the wire and the node's configuration hold it, to `Settings`.
+"""Converts the operators' settings object, from the wire or the node's configuration, to `Settings`.
 
-Its keys are the operators' own and stay as they are.
+The keys of the object are a public format and must not change.
 """
 
 from typing import Any
@@ -9,9 +9,9 @@
 
 from cedarmill.decisions.settings_types import Settings
 
-# What the operators call the effect of a second run.
+# Effects of a repetition, by the operators' names.
 _EFFECTS = {"free": "safe", "guarded": "keyed", "single_shot": "unsafe"}
-# What they call the fields of a load report.
+# Fields of a load report, by the operators' names.
 _FIELDS = {
     "served_ps": "served_per_s",
     "failed_ps": "errors_per_s",
@@ -20,8 +20,8 @@
 }
 
 
-class _Table:
-    """A JSON object of the settings that names what is missing."""
+class _JsonObject:
+    """A JSON object of the settings; errors name the path of a missing key."""
 
     def __init__(self, value: Any, path: str) -> None:
         if not isinstance(value, dict):
@@ -36,16 +36,16 @@
     def get(self, key: str, default: Any = None) -> Any:
         return self._value.get(key, default)
 
-    def table(self, key: str) -> "_Table":
-        return _Table(self[key], f"{self._path}{key}.")
+    def child(self, key: str) -> "_JsonObject":
+        return _JsonObject(self[key], f"{self._path}{key}.")
 
-    def tables(self, key: str) -> list["_Table"]:
+    def children(self, key: str) -> list["_JsonObject"]:
         if not isinstance(items := self[key], list):
             raise ValueError(f"{self._path}{key} is not a list")
-        return [_Table(item, f"{self._path}{key}[{n}].") for n, item in enumerate(items)]
+        return [_JsonObject(item, f"{self._path}{key}[{n}].") for n, item in enumerate(items)]
 
 
-def _request_class(raw: _Table, stretch: float, kind: int) -> dict[str, Any]:
+def _request_class(raw: _JsonObject, default_stretch: float, kind: int) -> dict[str, Any]:
     effect = raw["repeat"]
     if effect not in _EFFECTS:
         raise ValueError(f"repeat {effect!r} is not known")
@@ -57,42 +57,47 @@
         effect=_EFFECTS[effect],
         group=raw.get("group") or "all",
         repeat_window_us=raw.get("repeat_window", 0),
-        aim_stretch=raw.get("aim_stretch", stretch),
+        aim_stretch=raw.get("aim_stretch", default_stretch),
         late_worth=raw.get("late_value", 0.0),
         worker_kind=kind,
     )
 
 
 def from_operator(value: Any) -> Settings:
-    """Fill `Settings`; raise ValueError naming what is missing or wrong. Unknown keys are passed over."""
-    top = _Table(value, "")
-    caps, rules, report = top.table("caps"), top.table("rules"), top.table("report")
-    family = _Table(top.get("family_info") or {}, "family_info.")
-    prices = _Table(top.get("tariffs") or {}, "tariffs.")
-    filled = _deployment(top, caps, rules, family)
-    filled |= _executors(caps, report, family)
-    filled |= _adapters(top, caps, report, prices)
+    """Convert a settings object to `Settings`; unknown keys are ignored.
+
+    Raise ValueError naming a missing or invalid key.
+    """
+    top = _JsonObject(value, "")
+    capabilities, rules, report = top.child("caps"), top.child("rules"), top.child("report")
+    family = _JsonObject(top.get("family_info") or {}, "family_info.")
+    prices = _JsonObject(top.get("tariffs") or {}, "tariffs.")
+    fields = _deployment(top, capabilities, rules, family)
+    fields |= _executors(capabilities, report, family)
+    fields |= _adapters(top, capabilities, report, prices)
     try:
-        return msgspec.convert(filled, Settings)
+        return msgspec.convert(fields, Settings)
     except msgspec.ValidationError as error:
         raise ValueError(str(error)) from None
 
 
-def _deployment(top: _Table, caps: _Table, rules: _Table, family: _Table) -> dict[str, Any]:
-    """What is deployed, for whom, and the protocol's rules."""
-    classes = top.tables("request_classes")
-    stretches = family.get("class_stretch") or [0.0] * len(classes)
+def _deployment(
+    top: _JsonObject, capabilities: _JsonObject, rules: _JsonObject, family: _JsonObject
+) -> dict[str, Any]:
+    """Return the fields for the deployment, its classes and tenants, and the rules of the protocol."""
+    classes = top.children("request_classes")
+    default_stretches = family.get("class_stretch") or [0.0] * len(classes)
     kinds = family.get("class_kind") or [-1] * len(classes)
     return dict(
         instances=top["instances"],
         zone=top["zone"],
-        classes=list(map(_request_class, classes, stretches, kinds)),
+        classes=list(map(_request_class, classes, default_stretches, kinds)),
         cold_us=rules["cold"],
         cold_share=rules["cold_share"],
         fall_multiple=rules["fall_multiple"],
         overload_window_us=rules["overload_for"],
-        max_attempts=caps["try_limit"],
-        tenants=[dict(name=raw["name"], quota_per_s=raw["quota_per_s"]) for raw in top.tables("tenants")],
+        max_attempts=capabilities["try_limit"],
+        tenants=[dict(name=raw["name"], quota_per_s=raw["quota_per_s"]) for raw in top.children("tenants")],
         over_share_worth=top["over_share_worth"],
         worth_by_work=top["value_by"] == "work",
         on_request_discovery=top["registry_mode"] == "on_request",
@@ -100,24 +105,26 @@
     )
 
 
-def _executors(caps: _Table, report: _Table, family: _Table) -> dict[str, Any]:
-    """What executors tell, and what may be done with them."""
+def _executors(capabilities: _JsonObject, report: _JsonObject, family: _JsonObject) -> dict[str, Any]:
+    """Return the fields for the executors' load reports and capabilities."""
     meanings = {name: str(family.get(f"report_{name}", name)).replace(" ", "_") for name in ("x0", "x1")}
     return dict(
         report_fields=[meanings.get(name) or _FIELDS.get(name, name) for name in report["names"]],
         report_by_probe=report["via"] == "pull",
-        may_duplicate=caps["may_duplicate"],
-        can_cancel=caps["cancelling"],
-        can_probe=caps["probes"],
-        max_retry_after_us=caps["max_retry_after"] if caps["retry_after"] else 0,
-        connect_timeout_us=caps["connect_timeout"],
+        may_duplicate=capabilities["may_duplicate"],
+        can_cancel=capabilities["cancelling"],
+        can_probe=capabilities["probes"],
+        max_retry_after_us=capabilities["max_retry_after"] if capabilities["retry_after"] else 0,
+        connect_timeout_us=capabilities["connect_timeout"],
         tells_start=family.get("tells_start", False),
         progress_us=family.get("progress", 0),
     )
 
 
-def _adapters(top: _Table, caps: _Table, report: _Table, prices: _Table) -> dict[str, Any]:
-    """The clock's tick, prices, and what only adapters need."""
+def _adapters(
+    top: _JsonObject, capabilities: _JsonObject, report: _JsonObject, prices: _JsonObject
+) -> dict[str, Any]:
+    """Return the fields for the clock tick, prices and adapters."""
     return dict(
         tick_us=top["quantum"],
         cross_zone_price=prices.get("cross_zone", 0.0),
@@ -125,5 +132,5 @@
         zones=top.get("localities", []),
         kinds=top.get("kinds", []),
         report_names=report["names"],
-        conn_idle_us=caps.get("conn_idle", 10_000_000),
+        conn_idle_us=capabilities.get("conn_idle", 10_000_000),
     )
--- a/cedarmill/decisions/settings_types.py
+++ b/cedarmill/decisions/settings_types.py
@@ -1,7 +1,7 @@
-"""What a balancer is told at its start: the settings as typed values, checked as they are made.
+"""Settings of a balancer as typed values, validated by their constructors.
 
-Times are whole microseconds. The operators' JSON is turned into these by `settings.py`. Operators see the
-names of the fields where a value is refused, so those stay as they are.
+Times are whole microseconds. `settings.py` converts the operators' JSON to these types. Validation errors
+name the fields, so the field names are visible to operators and must not change.
 """
 
 import math
@@ -10,34 +10,33 @@
 
 
 class Effect(StrEnum):
-    """What a second run of a request would do."""
+    """Effect of running a request twice."""
 
-    SAFE = "safe"  # nothing: it may run again anywhere
-    KEYED = "keyed"  # nothing where its idempotency key is known, which a window and a scope bound
-    UNSAFE = "unsafe"  # harm: it must not run twice
+    SAFE = "safe"  # none: it may run again anywhere
+    KEYED = "keyed"  # none where its idempotency key is known, within a window and a scope
+    UNSAFE = "unsafe"  # harmful: it must not run twice
 
 
 class DeduplicationScope(StrEnum):
-    """Which executors know the idempotency key of an attempt, and so discard a repeat of it."""
+    """Executors that know the idempotency key of an attempt and discard a repetition."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
-def _check(ok: bool, field: str, value: object) -> None:
-    """Raise ValueError naming the field, unless its value is valid."""
-    if not ok:
+def _check(is_valid: bool, field: str, value: object) -> None:
+    """Raise ValueError naming the field unless its value is valid."""
+    if not is_valid:
         raise ValueError(f"{field}: {value!r} is not valid")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests; raises ValueError naming the field that is not valid.
+    """A class of requests; raises ValueError naming an invalid field.
 
-    `worth` is its priority weight, `aim_us` its latency objective, to which `aim_stretch` times the
-    request's own work is added; `repeat_window_us` is how long its idempotency key is known, within
-    `group`.
+    `worth` is the priority weight. `aim_us` is the latency objective, to which `aim_stretch` times the
+    request's own work is added. Executors know an idempotency key for `repeat_window_us`, within `group`.
     """
 
     name: str
@@ -49,7 +48,7 @@
     repeat_window_us: int = 0
     aim_stretch: float = 0.0
     late_worth: float = 0.0
-    worker_kind: int = -1  # the one kind of executor that it needs; -1: any
+    worker_kind: int = -1  # required kind of executor; -1: any
 
     def __post_init__(self) -> None:
         _check(math.isfinite(self.worth) and self.worth >= 0, "worth", self.worth)
@@ -63,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant; `quota_per_s` is its request rate within its share, over all balancers."""
+    """A tenant; `quota_per_s` is the request rate of its share, over all balancers."""
 
     name: str
     quota_per_s: float
@@ -74,34 +73,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a balancer is told at its start; raises ValueError naming the field that is not valid."""
+    """Settings of a balancer; raises ValueError naming an invalid field."""
 
-    instances: int  # balancers of the deployment, this one included
-    zone: int  # this balancer's own
+    instances: int  # balancers of the deployment, including this one
+    zone: int  # zone of this balancer
     classes: tuple[RequestClass, ...]
-    cold_us: int  # how long an executor warms up; 0: there is no slow start
-    cold_share: float  # of its capacity at its start
-    fall_multiple: float  # of its capacity, which it stands for `overload_window_us`
+    cold_us: int  # duration of slow start; 0 disables it
+    cold_share: float  # share of full capacity at the start
+    fall_multiple: float  # multiple of its capacity that an executor sustains for `overload_window_us`
     overload_window_us: int
     max_attempts: int
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0  # factor on the weight of what a tenant sends beyond its share
+    over_share_worth: float = 1.0  # factor on the weight of a tenant's requests beyond its share
     worth_by_work: bool = False
-    on_request_discovery: bool = False  # the endpoint list has to be asked for
+    on_request_discovery: bool = False  # the endpoint list must be requested
     ask_within_us: int = 10_000_000
     report_fields: tuple[str, ...] = ()
     report_by_probe: bool = False
-    may_duplicate: bool = False  # a second attempt may run while the first does
+    may_duplicate: bool = False  # a second attempt may run concurrently with the first
     can_cancel: bool = False
     can_probe: bool = False
     max_retry_after_us: int = 0
     connect_timeout_us: int = 250_000
-    tells_start: bool = False  # executors tell when an attempt begins to run
+    tells_start: bool = False  # executors report the start of an attempt
     progress_us: int = 0
     tick_us: int = 1_000
     cross_zone_price: float = 0.0
     probe_price: float = 0.0
-    # What the balancer does not read: names and limits that an adapter needs.
+    # Not read by the balancer: names and limits for adapters.
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
     report_names: tuple[str, ...] = ()
--- a/cedarmill/decisions/slow_start.py
+++ b/cedarmill/decisions/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: this balancer's part of what an executor that warms up may be sent, in every overload window.
+"""Slow start: limits what this balancer sends to an executor that is warming up in each overload window.
 
-An executor that warms up falls when it gets more than N + 2 * sqrt(N) + 2 requests of mean work in the
-overload window (N under 30: N + 3 * sqrt(N) + 3), N being what the settings allow it then, whoever sent
-them. So each balancer keeps to a part of a budget for all, counted as work and as requests. Work is
-slot-time in microseconds.
+An executor that is warming up fails when it receives more than N + 2 * sqrt(N) + 2 requests of mean work in
+an overload window (for N under 30: N + 3 * sqrt(N) + 3). N is the number of requests that the settings allow
+at its age, from all balancers together. Each balancer therefore keeps to its share of a common budget, both
+in work and in requests. Work is slot-time in microseconds.
 """
 
 import math
@@ -12,30 +12,23 @@
 from cedarmill.decisions.quotas import record_served, served_share, traffic_share
 from cedarmill.decisions.state import Attempt, BalancerState, Executor, Request, WorkSent
 
-SAFETY_DEVIATIONS = 1.5  # standard deviations of what all balancers send by chance that stay within the bound
-SHARE_HEADROOM = 1.25  # times its known part that a balancer may take in a burst
-MAX_SHARE_SUM = (
-    1.4  # what the parts that all take may add up to: an even part is open to those that serve less
-)
-SMALL_WINDOW_REQUESTS = 30  # in a window, under which the slack for chance is wider
-SMALL_WINDOW_SLACK, LARGE_WINDOW_SLACK = (
-    3,
-    2,
-)  # factor on the root of N, and constant, of the slack for chance
-MIN_WORK_SHARE = (
-    0.5  # of the class's mean, taken for each request: what fells an executor may be short ones all
-)
+SAFETY_DEVIATIONS = 1.5  # standard deviations of the total load that must fit below the limit
+SHARE_HEADROOM = 1.25  # multiple of its served share that a balancer may use in a burst
+MAX_SHARE_SUM = 1.4  # bound on the sum of all shares, since each balancer may use at least an even share
+SMALL_WINDOW_REQUESTS = 30  # below, the limit has a wider margin for random variation
+SMALL_WINDOW_SLACK, LARGE_WINDOW_SLACK = 3, 2  # factor of sqrt(N), and constant, of that margin
+MIN_WORK_SHARE = 0.5  # lower bound of a request's expected work, as a share of its class's mean
 MIN_MEAN_WORK_US = 1.0  # requests may need no slots at all
-WORK_ESTIMATE_SAMPLES = 20 * EXECUTOR_SAMPLES  # requests that the usual work is the mean of
+WORK_ESTIMATE_SAMPLES = 20 * EXECUTOR_SAMPLES  # window of the estimate, in requests
 
 
 def is_warming_up(state: BalancerState, executor: Executor) -> bool:
-    """Whether an executor started so lately that its capacity is not all there."""
+    """Whether an executor started so recently that it has not reached full capacity."""
     return executor.started_at > 0 and state.now - executor.started_at < state.settings.cold_us > 0
 
 
-def admits(state: BalancerState, executor: Executor, request: Request) -> bool:
-    """Whether this balancer may send a request to an executor: always, where that is warm."""
+def is_within_budget(state: BalancerState, executor: Executor, request: Request) -> bool:
+    """Whether sending a request to an executor keeps to this balancer's budget; true for a warm one."""
     if not is_warming_up(state, executor):
         return True
     settings, usage = state.settings, executor.slow_start
@@ -50,29 +43,31 @@
     work_budget_us = min(
         threshold_us, mean_work_us * _safe_mean_requests(allowed, settings.instances, relative_variance)
     )
-    if (
-        state.now - usage.sampled_at > settings.overload_window_us
-    ):  # parts of a request: by chance, once a window
-        usage.sampled_at, usage.sample = state.now, state.random.random()
+    # Fractional requests are rounded at random, once per window.
+    if state.now - usage.sampled_at > settings.overload_window_us:
+        usage.sampled_at, usage.rounding_sample = state.now, state.random.random()
     work_us, sent_us = expected_work_us(state, request), sum(sent.work_us for sent in usage.sends)
     share = _budget_share(state)
-    if sent_us + work_us > work_budget_us * share + usage.sample * min(work_us, work_budget_us):
+    if sent_us + work_us > work_budget_us * share + usage.rounding_sample * min(work_us, work_budget_us):
         return False
-    # it falls by work or by the number of requests, each taken for a usual one
+    # The executor is overloaded by work or by the number of requests, each of mean work.
     requests_us = (len(usage.sends) + 1) * mean_work_us
-    return requests_us <= requests_budget_us * share + usage.sample * min(mean_work_us, requests_budget_us)
+    return requests_us <= requests_budget_us * share + usage.rounding_sample * min(
+        mean_work_us, requests_budget_us
+    )
 
 
 def _overload_threshold_us(state: BalancerState, executor: Executor) -> float:
-    """Work in one overload window under which an executor that warms up does not fall, as settings say."""
+    """Return the work (us) per overload window that a warming executor sustains by the settings."""
     settings = state.settings
-    age_us = max(0, state.now - executor.started_at - settings.overload_window_us)  # at the window's start
+    # Age at the start of the window, when the executor has the least capacity.
+    age_us = max(0, state.now - executor.started_at - settings.overload_window_us)
     share = settings.cold_share + (1 - settings.cold_share) * age_us / settings.cold_us
     return settings.fall_multiple * share * _warm_slots(state, executor) * settings.overload_window_us
 
 
 def _warm_slots(state: BalancerState, executor: Executor) -> float:
-    """What executors of its kind have shown, less where it is listed as smaller."""
+    """Return the slots that executors of the same kind have shown, reduced for a smaller listed size."""
     learned = state.learned
     if executor.kind not in learned.slots_by_kind:
         return executor.slots
@@ -81,12 +76,12 @@
 
 
 def _safe_mean_requests(allowed: float, instances: int, relative_variance: float = 0.0) -> float:
-    """Requests that all balancers may aim to send in a window, where the settings allow so many.
+    """Return the mean number of requests per window that balancers may aim for, per unit of share.
 
-    Each balancer samples for itself: CHANCE_DEVIATIONS standard deviations of the sum must fit below the
-    bound. Where most send one or none, the sum's variance is that of a Poisson count; where each sends many,
-    only its last one is a matter of chance, with a variance of at most 1/4 for each balancer. Either grows
-    by the unforeseen `variation` of work (in squares of the mean) for each request.
+    Each balancer samples independently, so SAFETY_DEVIATIONS standard deviations of the sum must fit below
+    the limit. If most balancers send one request or none, the sum has the variance of a Poisson count. If
+    each sends many, only its last request is random, with a variance of at most 1/4 per balancer. Either
+    variance grows by `relative_variance` (in squares of the mean) per request.
     """
     slack = SMALL_WINDOW_SLACK if allowed < SMALL_WINDOW_REQUESTS else LARGE_WINDOW_SLACK
     bound = allowed + slack * math.sqrt(allowed) + slack
@@ -96,9 +91,9 @@
 
 
 def _largest_safe_mean(bound: float, base_variance: float, variance_per_unit: float) -> float:
-    """The mean of a sum with variance `fixed + each * mean` that stays CHANCE_DEVIATIONS below a bound.
+    """Return the largest mean of a sum that stays SAFETY_DEVIATIONS standard deviations below `bound`.
 
-    It solves mean + CHANCE_DEVIATIONS * sqrt(fixed + each * mean) = bound.
+    It solves mean + SAFETY_DEVIATIONS * sqrt(base_variance + variance_per_unit * mean) = bound.
     """
     half = SAFETY_DEVIATIONS**2 * variance_per_unit / 2
     root = SAFETY_DEVIATIONS * math.sqrt(
@@ -108,35 +103,35 @@
 
 
 def _budget_share(state: BalancerState) -> float:
-    """This balancer's part of the budget: what it sees of the quotas, bounded by its known part.
+    """Return this balancer's share of the budget: its traffic share, limited by its served share.
 
-    More than that may be a burst that all balancers see: each would take its part of several budgets.
+    In a burst, the traffic shares of all balancers add up to several budgets.
     """
     even_share = 1 / state.settings.instances
     return min(traffic_share(state), SHARE_HEADROOM * max(even_share, served_share(state)))
 
 
 def expected_work_us(state: BalancerState, request: Request) -> float:
-    """Slot-time that a request is likely to take, by its hint; what a rough one calls short runs longer."""
+    """Return the expected slot-time (us) of a request by its hint, bounded below by its class."""
     min_us = request.slots * state.class_times(request).mean_us * MIN_WORK_SHARE
     return max(hinted_work_us(state, request), min_us)
 
 
 def record_send(state: BalancerState, executor: Executor, request: Request) -> None:
-    """An attempt of a request goes to an executor, which may be warming up."""
+    """Record the work of an attempt that is sent to an executor that is warming up."""
     if is_warming_up(state, executor):
         executor.slow_start.sends.append(WorkSent(state.now, expected_work_us(state, request)))
 
 
 def record_sibling_sends(state: BalancerState, executor: Executor, slots: float) -> None:
-    """The sibling process holds so many slots more than before: a send for each."""
+    """Record a send of mean work for each additional slot that the sibling process holds."""
     if slots > 0 and is_warming_up(state, executor):
         sent = WorkSent(state.now, state.learned.work_estimate.mean_us)
         executor.slow_start.sends += [sent] * math.ceil(slots)
 
 
 def record_arrival(state: BalancerState, request: Request) -> None:
-    """Let a request count for the usual work, once running times of its class are known."""
+    """Update the mean work by a request, if running times of its class are known."""
     times, estimate, served = state.class_times(request), state.learned.work_estimate, state.learned.served
     served.since = served.since or state.now
     if not times.count:
@@ -148,9 +143,9 @@
 
 
 def record_run(state: BalancerState, attempt: Attempt) -> None:
-    """An attempt was served: it counts for this balancer's part, and tells how far work strays from hints.
+    """Record a served attempt: update the served load and the variance that hints do not explain.
 
-    Those of executors that warm up tell nothing of that: they may run the slower.
+    Attempts at executors that are warming up do not count for the variance, as they may run slower.
     """
     record_served(state)
     if is_warming_up(state, attempt.executor):
--- a/cedarmill/decisions/snapshot.py
+++ b/cedarmill/decisions/snapshot.py
@@ -1,10 +1,9 @@
-"""What a balancer has learned, as plain values that outlive its process and are laid over a new balancer.
+"""Snapshot of what a balancer has learned, as plain values to restore into a new balancer.
 
-Nothing is decided here. Times are ages (us before the moment of taking out), so that a process on another
-clock can lay them over; old reports then fade as they always do. Executors go by discovery's names, since
-numbers are a process's own. Attempts in flight stay with the balancer that sent them; what they hold is
-told apart (`held_now`), again and again while both processes live. The documents keep the keys of their
-first form (`rename`).
+This module makes no decisions. Times are stored as ages (us before the snapshot), so that a process with
+another clock can restore them. Executors are identified by their names in discovery, because their numbers
+differ between processes. Attempts in flight stay with the balancer that sent them, which reports separately
+what they hold (`held_now`) while both processes run. `rename` keeps the keys of the stored format.
 """
 
 import math
@@ -16,10 +15,9 @@
 from cedarmill.decisions.learned import ClassRunningTimes, TenantLoad
 from cedarmill.decisions.state import Executor, WorkSent
 
-START_TOLERANCE_US = (
-    20_000  # two processes tell one start by so much apart: it is listed in whole milliseconds
-)
-_START_AGE_KEY = "since"  # the key of an executor's start among its ages
+# Processes may differ by this much on a start, which is listed in whole milliseconds.
+START_TOLERANCE_US = 20_000
+_START_AGE_KEY = "since"  # key of an executor's start among its ages
 _AGE_FIELDS = {
     _START_AGE_KEY: "started_at",
     "heard_at": "heard_at",
@@ -41,7 +39,7 @@
         "slow_start_sends": "cold_log",
     },
 ):
-    """One executor, attempts in flight counted in `capacity` and `memory_capacity` (None: unbounded)."""
+    """Snapshot of an executor; its capacities include own attempts in flight (None: unbounded memory)."""
 
     slots: float
     queue_places: float
@@ -52,8 +50,8 @@
     consecutive_failures: int
     capacity: float
     memory_capacity: float | None
-    ages: dict[str, int]  # of _TIMES; a time to come has a negative age
-    slow_start_sends: list[tuple[int, float]]  # age and work of what it was sent while it warmed up
+    ages: dict[str, int]  # by the keys of _AGE_FIELDS; times in the future have a negative age
+    slow_start_sends: list[tuple[int, float]]  # age and work of each send while warming up
 
 
 class Snapshot(
@@ -71,14 +69,14 @@
         "preemption_gain": "pays",
     },
 ):
-    """All that is worth keeping of a balancer."""
+    """Snapshot of a balancer."""
 
     executors: dict[str, ExecutorSnapshot]
-    class_times: list[tuple[float, float, int]]  # mean, mean log of the ratio to hints, count
+    class_times: list[tuple[float, float, int]]  # mean, mean log ratio to hints, number of samples
     tenant_loads: list[tuple[float, int]]  # requests and age
     slots_by_kind: dict[int, float]
     held_slots: tuple[float, float]  # by own attempts, by all
-    idle_by_zone: tuple[float, float]  # the own, the others
+    idle_by_zone: tuple[float, float]  # local zone, remote zones
     error_share: float
     idle_slots: float
     mean_run_us: float
@@ -86,11 +84,9 @@
 
 
 def take_snapshot(balancer: Balancer, names: Mapping[int, str], now: int) -> Snapshot:
-    """What `balancer` has learned by `now` (us); `names` are discovery's, by the balancer's numbers."""
+    """Return what `balancer` has learned by `now` (us); `names` are the executors' names in discovery."""
     learned = balancer.state.learned
-    executors = (
-        (names[number], executor) for number, executor in balancer.executors.items() if number in names
-    )
+    executors = ((names[number], record) for number, record in balancer.executors.items() if number in names)
     return Snapshot(
         executors={name: _snapshot_executor(executor, now) for name, executor in executors},
         class_times=[(times.mean_us, times.log_ratio, times.count) for times in learned.class_times],
@@ -123,14 +119,14 @@
 
 
 def restore(balancer: Balancer, snapshot: Snapshot, now: int) -> bool:
-    """Lay what was learned of requests over a new balancer; False if it is of other settings."""
+    """Restore everything but executors; return False if the snapshot has other classes or tenants."""
     learned, settings = balancer.state.learned, balancer.settings
     classes, tenants = len(learned.class_times), len(learned.tenant_loads)
     if len(snapshot.class_times) != classes or len(snapshot.tenant_loads) != tenants:
         return False
     learned.class_times = [ClassRunningTimes(*times) for times in snapshot.class_times]
     learned.tenant_loads = [TenantLoad(requests, now - age) for requests, age in snapshot.tenant_loads]
-    named_kinds = range(len(settings.kinds))  # other kinds are numbered as each process meets them
+    named_kinds = range(len(settings.kinds))  # numbers of other kinds differ between processes
     learned.slots_by_kind = {
         kind: slots for kind, slots in snapshot.slots_by_kind.items() if kind in named_kinds
     }
@@ -143,9 +139,9 @@
 
 
 def restore_executor(executor: Executor, saved: ExecutorSnapshot, now: int) -> bool:
-    """Lay what was learned of an executor over its record; False if that is of an earlier process of it.
+    """Restore an executor; return False if the snapshot is of an earlier process or the executor is in use.
 
-    A start later than the listed one is of an executor put back by hand: it warms up from then on.
+    A snapshot start later than the listed one belongs to a reinstated executor, which warms up from then on.
     """
     listed = executor.started_at
     started_at = now - saved.ages[_START_AGE_KEY] if _START_AGE_KEY in saved.ages else 0
@@ -165,7 +161,7 @@
 
 
 def held_now(balancer: Balancer, names: Mapping[int, str]) -> dict[str, tuple[float, float]]:
-    """Slots and memory that this balancer's own attempts hold, by discovery's names."""
+    """Return the slots and memory that this balancer's own attempts hold, by discovery's names."""
     return {
         names[number]: (
             executor.held_slots - executor.sibling_slots,
--- a/cedarmill/decisions/state.py
+++ b/cedarmill/decisions/state.py
@@ -1,6 +1,6 @@
-"""What a balancer remembers of executors, requests and attempts: typed records that all its decisions share.
+"""State of a balancer: records of executors, requests and attempts that all decision modules share.
 
-Nothing is decided here. Times are whole microseconds of the caller's clock; 0 stands for never.
+This module makes no decisions. Times are whole microseconds of the caller's clock; 0 means never.
 """
 
 import math
@@ -13,7 +13,7 @@
 
 
 class WorkSent(NamedTuple):
-    """One send to an executor that warms up: when (us), and the slot-time that it was taken for (us)."""
+    """A send to an executor that is warming up: its time (us) and the expected slot-time (us)."""
 
     at: int
     work_us: float
@@ -21,57 +21,55 @@
 
 @dataclass(slots=True, eq=False)
 class SlowStartUsage:
-    """What an executor that warms up was sent, and the sample that decides on parts of a request."""
+    """Work sent to an executor that is warming up, and the random sample that rounds fractional requests."""
 
-    sends: list[WorkSent] = field(default_factory=list)  # of the last overload window
+    sends: list[WorkSent] = field(default_factory=list)  # within the last overload window
     sampled_at: int = 0
-    sample: float = 0.0  # uniform in 0 to 1, drawn anew for each window
+    rounding_sample: float = 0.0  # uniform in [0, 1), redrawn in each window
 
 
 @dataclass(slots=True, eq=False)
 class Executor:
-    """One executor process as this balancer knows it; slots and memory are in the units of its reports."""
+    """State of one executor process; slots and memory are in the units of its load reports."""
 
     id: int
     zone: int
     cell: int
     kind: int
-    started_at: int  # as listed, 0: long ago
-    slots: float  # the most ever seen
-    capacity: float  # slots that are this balancer's now
-    queue_places: float  # requests that may wait there, learned
-    size: float = 1.0  # as listed, against other executors
+    started_at: int  # from the endpoint list; 0: long ago
+    slots: float  # most slots ever observed
+    capacity: float  # slots available to this balancer now
+    queue_places: float  # learned number of requests that may queue there
+    size: float = 1.0  # from the endpoint list, relative to other executors
     memory_capacity: float = math.inf
-    held_slots: float = 0.0  # of own attempts in flight, of stale reservations and of the sibling process
+    held_slots: float = 0.0  # held by own in-flight attempts, stale reservations and the sibling process
     held_memory: float = 0.0
-    sibling_slots: float = 0.0  # of `held_slots`: those of the sibling process
+    sibling_slots: float = 0.0  # part of `held_slots` that belongs to the sibling process
     sibling_memory: float = 0.0
     listed: bool = True
-    attempts: "dict[tuple[int, int], Attempt]" = field(default_factory=dict)  # own ones in flight
-    stale_reservations: "list[Attempt]" = field(default_factory=list)  # given up, perhaps still running
+    attempts: "dict[tuple[int, int], Attempt]" = field(default_factory=dict)  # own attempts in flight
+    stale_reservations: "list[Attempt]" = field(default_factory=list)  # abandoned attempts that may still run
     report: api.LoadReport | None = None
-    heard_at: int = 0  # its last report or answer
-    probing_request: "Request | None" = None  # waits for the answer to a probe of it
+    heard_at: int = 0  # time of the last report or response
+    probing_request: "Request | None" = None  # waits for the answer to a probe of this executor
     slow_start: SlowStartUsage = field(default_factory=SlowStartUsage)
-    backed_off_at: int = 0  # its queue places were lowered last
-    probation_at: int = 0  # from then on a probation attempt or probe may go there
-    error_share: float = 0.0  # of attempts that failed
-    reported_errors: float = 0.0  # in a mean running time, as last reported: those of all balancers
-    slowdown: float = 0.0  # log of its running times against those of its peers
-    health: float = 1.0  # less for one that fails requests or is slower than its peers
-    consecutive_failures: int = (
-        0  # signs of a dead or unreachable one since an attempt started or ended there
-    )
-
-    def release_stale(self, before: int) -> None:
-        """Release what attempts that were given up by then (us) still hold."""
+    backed_off_at: int = 0  # last decrease of `queue_places`
+    probation_at: int = 0  # earliest time of the next probation attempt or probe
+    error_share: float = 0.0  # share of attempts that failed
+    reported_errors: float = 0.0  # errors of all balancers per mean running time, from the last report
+    slowdown: float = 0.0  # log of the ratio of its running times to those of its peers
+    health: float = 1.0  # reduced by failures and by slowness relative to its peers
+    consecutive_failures: int = 0  # connection failures since the last sign that an attempt ran there
+
+    def release_stale_reservations(self, before: int) -> None:
+        """Release the stale reservations of attempts that ended at or before `before` (us)."""
         for attempt in [stale for stale in self.stale_reservations if stale.ended_at <= before]:
             self.stale_reservations.remove(attempt)
             attempt.release()
 
 
 class ExecutorPools:
-    """Listed executors of the own zone, of the others, of each zone and of each cell, in random order."""
+    """Listed executors in random order, pooled by local zone, remote zones, zone and cell."""
 
     def __init__(self, zone: int) -> None:
         self.zone = zone
@@ -81,18 +79,18 @@
         self.zones: dict[int, list[Executor]] = {}
 
     def pools_of(self, executor: Executor) -> tuple[list[Executor], ...]:
-        """The pools of an executor: near or far, its cell's, its zone's."""
+        """Return the pools that contain an executor: local or remote, its cell and its zone."""
         zone_pool = self.local if executor.zone == self.zone else self.remote
         return zone_pool, self.cells.setdefault(executor.cell, []), self.zones.setdefault(executor.zone, [])
 
     def add(self, executor: Executor, sample: float) -> None:
-        """Enter an executor at a random place; `sample` is uniform in 0 to 1."""
+        """Insert an executor at a random position of its pools; `sample` is uniform in [0, 1)."""
         executor.listed = True
         for pool in self.pools_of(executor):
             pool.insert(int(sample * (len(pool) + 1)), executor)
 
     def remove(self, executor: Executor | None) -> None:
-        """Take an executor out, if it is in."""
+        """Remove an executor from its pools if it is listed."""
         if executor is not None and executor.listed:
             executor.listed = False
             for pool in self.pools_of(executor):
@@ -100,7 +98,10 @@
 
     @staticmethod
     def wrapping_slice(pool: list[Executor], size: int, count: int, sample: float) -> list[Executor]:
-        """So many of the first `size` of a pool, from a random place on; `sample` is uniform in 0 to 1."""
+        """Return up to `count` of the first `size` executors from a random offset, wrapping around.
+
+        `sample` is uniform in [0, 1) and selects the offset.
+        """
         offset = int(sample * size)
         found = pool[offset : min(size, offset + count)]
         return found + pool[: min(offset, count - len(found))]
@@ -108,34 +109,34 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request that this balancer has accepted."""
+    """An unfinished request of this balancer."""
 
     id: int
     class_index: int
     slots: float
     memory: float
-    hint_us: int  # how long it runs by its client's hint, 0: no hint
+    hint_us: int  # running time by the client's hint; 0: no hint
     request_class: api.RequestClass
     deadline: int
-    priority: float  # its weight, after its tenant's quota
-    allowed_zones: tuple[int, ...] = ()  # empty: all
+    priority: float  # priority weight, reduced when the tenant exceeds its share
+    allowed_zones: tuple[int, ...] = ()  # empty: all zones
     max_attempts: int = api.UNLIMITED_ATTEMPTS
-    retry_after_factor: float = 0.0  # of its slack, after which its client may come back if it is refused
+    retry_after_factor: float = 0.0  # Retry-After of a refusal, as a multiple of the slack
     attempts: "list[Attempt]" = field(default_factory=list)
     done: bool = False
     queued: bool = False
-    probe_rounds: int = 0  # times that executors were probed for it since its last attempt
-    probes_pending: int = 0  # answers that it still waits for
+    probe_rounds: int = 0  # rounds of probes since the last attempt
+    probes_pending: int = 0  # probe answers that the request still waits for
 
     @property
     def in_flight(self) -> bool:
-        """Whether an attempt of it has not ended."""
+        """Whether the request has an attempt that has not ended."""
         return any(attempt.in_flight for attempt in self.attempts)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt; its zone and cell are those of the executor at the time of the send."""
+    """One attempt; its zone and cell are those of the executor when the attempt was sent."""
 
     request: Request
     executor: Executor
@@ -143,50 +144,50 @@
     sent_at: int
     zone: int
     cell: int
-    after_preemption: bool = False  # sent in place of running work that was preempted
+    after_preemption: bool = False  # sent in place of a preempted running attempt
     started_at: int = 0
     ended_at: int = 0
     progress: float = 0.0
     in_flight: bool = True
-    may_have_run: bool = True  # until an outcome proves that it did not
-    not_preemptible: bool = False  # it is being cancelled, or its answer has begun
+    may_have_run: bool = True  # False once the outcome proves that it did not run
+    not_preemptible: bool = False  # being cancelled, or its response has begun
 
     def reserve(self) -> None:
-        """Count what the attempt holds of its executor."""
+        """Reserve the request's slots and memory at the executor."""
         self.executor.held_slots += self.request.slots
         self.executor.held_memory += self.request.memory
 
     def release(self) -> None:
-        """Give back what the attempt holds of its executor."""
+        """Release the request's slots and memory at the executor."""
         self.executor.held_slots -= self.request.slots
         self.executor.held_memory -= self.request.memory
 
 
-# What a timer was set for.
+# Purposes of timers.
 
 
 class QueueTimeout(NamedTuple):
-    """A queued request has to be answered."""
+    """The time of a queued request has run out."""
 
     request: Request
 
 
 class ProbeTimeout(NamedTuple):
-    """The time to answer a round of probes is over."""
+    """The time to answer a round of probes has run out."""
 
     request: Request
     round: int
 
 
 class SubscribeDue(NamedTuple):
-    """The endpoint list is to be asked for."""
+    """The endpoint list must be requested."""
 
 
 TimerPurpose = QueueTimeout | ProbeTimeout | SubscribeDue
 
 
 class ReportColumns(NamedTuple):
-    """Where in a load report each field stands; None: reports do not tell it."""
+    """Position of each field in a load report; None if reports lack the field."""
 
     free_slots: int | None
     free_memory: int | None
@@ -195,7 +196,7 @@
 
 
 class BalancerState:
-    """All that the decisions read and change: one object for each balancer."""
+    """Mutable state of one balancer, which the decision modules read and update."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -205,17 +206,17 @@
         self.executors: dict[int, Executor] = {}
         self.pools = ExecutorPools(settings.zone)
         self.requests: dict[int, Request] = {}
-        self.queue: list[Request] = []  # preempted or lost requests that wait for room
+        self.queue: list[Request] = []  # preempted or lost requests that wait for capacity
         self.timers: dict[int, TimerPurpose] = {}
         self.last_token = 0
-        self.list_failures = 0  # in a row
-        self.is_successor = False  # of a process of this node that lives, not started with all the others
+        self.list_failures = 0  # consecutive failed calls to discovery
+        self.is_successor = False  # replaces a running process of this node
         self.zone_shares: dict[
             tuple[int, ...], dict[int, float]
         ] = {}  # by the zones in which requests may run
-        self.recently_used: list[Executor] = []  # where own attempts ended last
-        self.reinstated: list[Executor] = []  # by hand, a short while ago, and not sent anything yet
-        self.preempting_attempt: Attempt | None = None  # the last one sent in place of running work
+        self.recently_used: list[Executor] = []  # executors of the last attempts that ended
+        self.reinstated: list[Executor] = []  # recently reinstated by operators, with nothing sent since
+        self.preempting_attempt: Attempt | None = None  # last one sent in place of a preempted running one
         self.highest_weight = max(request_class.worth for request_class in settings.classes) or 1.0
         columns = {name: place for place, name in enumerate(settings.report_fields)}
         self.report_columns = ReportColumns(*(columns.get(name) for name in ReportColumns._fields))
@@ -229,11 +230,11 @@
         )
 
     def class_times(self, request: Request) -> ClassRunningTimes:
-        """Running times of the request's class."""
+        """Return the running times of a request's class."""
         return self.learned.class_times[request.class_index]
 
     def set_timer(self, delay_us: int, purpose: TimerPurpose) -> None:
-        """Ask for a timer; when it fires, the balancer acts by its purpose."""
-        self.last_token = (self.last_token + 1) & 0xFFFFFFFF  # the wire's tokens have 32 bits
+        """Set a timer and remember its purpose."""
+        self.last_token = (self.last_token + 1) & 0xFFFFFFFF  # tokens have 32 bits on the wire
         self.timers[self.last_token] = purpose
         self.actions.append(api.SetTimer(self.last_token, max(0, delay_us)))
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -854,7 +854,7 @@
         d.now += 1_000_000
         d.report(1, 10)
         use = d.balancer.executors[1].slow_start
-        use.sampled_at, use.sample = d.now, 0.999  # the luckiest of a thousand
+        use.sampled_at, use.rounding_sample = d.now, 0.999  # the luckiest of a thousand
         assert not sends(d.arrive(0, hint_us=int(heavy)))
         assert sends(d.arrive(0, hint_us=100_000))
 
