--- a/cedarmill/decisions/quotas.py
+++ b/cedarmill/decisions/quotas.py
@@ -1,72 +1,78 @@
-"""Tenant quotas: a request's priority by what its tenant sends, and this balancer's part of all traffic."""
+"""Tenant quotas: request priorities by tenant load, and this balancer's share of all traffic."""
 
 import math
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.state import BalancerState
 
-OVER_SHARE = 1.2  # times this balancer's part of a tenant's quota: above it, traffic is over its share
-LEAST_ALLOWED = 2.0  # requests of a tenant in the window that are never over its share
-TENANT_WINDOW_US = 4e6  # in which a tenant's load decays
-SERVED_WINDOW_US = 30e6  # in which what was served here decays: longer than most bursts
-LEAST_COUNTED_US = 2e6  # a shorter time since the first request says little of a balancer's part
+SHARE_TOLERANCE = 1.2  # multiple of the own share of a tenant's quota that the tenant may send
+MIN_ALLOWED_REQUESTS = 2.0  # requests per tenant and window that are always within its share
+TENANT_WINDOW_US = 4e6  # decay time of a tenant's load
+SERVED_WINDOW_US = 30e6  # decay time of served load; longer than most bursts
+MIN_COUNTED_US = 2e6  # a shorter time since the first request gives no reliable rate
 
 
-def _in_window(quota_per_s: float) -> float:
-    """Requests that a quota allows in the tenants' window."""
+def _requests_per_window(quota_per_s: float) -> float:
+    """Return the requests that a quota allows in the tenant window."""
     return quota_per_s * TENANT_WINDOW_US / 1e6
 
 
-def _current_load(state: BalancerState, tenant: int) -> float:
-    """Requests of a tenant that came here in its window, the older ones counting less."""
+def _decayed_requests(state: BalancerState, tenant: int) -> float:
+    """Return the exponentially decayed number of requests from a tenant."""
     load = state.learned.tenant_loads[tenant]
     return load.requests * math.exp((load.at - state.now) / TENANT_WINDOW_US)
 
 
-def count_and_weigh(state: BalancerState, event: api.RequestArrived) -> float:
-    """Count a request for its tenant; its priority: its class's weight, less for what is over the share.
+def record_and_prioritize(state: BalancerState, event: api.RequestArrived) -> float:
+    """Count a request for its tenant and return its priority weight.
 
-    The more a tenant sends beyond its share, the likelier each of its requests weighs less.
+    The weight is that of its class. The more a tenant exceeds its share, the likelier the weight is reduced.
     """
     request_class = state.settings.classes[event.job_class]
     loads = state.learned.tenant_loads
     if event.tenant >= len(loads):
         return request_class.worth
-    requests = _current_load(state, event.tenant) + 1.0
+    requests = _decayed_requests(state, event.tenant) + 1.0
     loads[event.tenant].requests, loads[event.tenant].at = requests, state.now
-    part = state.learned.own_held_slots / state.learned.all_held_slots
-    allowed = _in_window(OVER_SHARE * part * state.settings.tenants[event.tenant].quota_per_s)
-    over = requests > max(allowed, LEAST_ALLOWED) and state.random.random() > allowed / requests
-    return request_class.worth * (state.settings.over_share_worth if over else 1.0)
-
-
-def traffic_part(state: BalancerState) -> float:
-    """This balancer's part of all traffic: at least an even one, else what it sees of the quotas."""
-    even = 1 / state.settings.instances
-    quota = _in_window(sum(tenant.quota_per_s for tenant in state.settings.tenants))
-    if not quota:
-        return even
-    seen = sum(_current_load(state, tenant) for tenant in range(len(state.learned.tenant_loads)))
-    return max(even, min(1.0, seen / quota))
+    own_share = state.learned.own_held_slots / state.learned.all_held_slots
+    allowed = _requests_per_window(
+        SHARE_TOLERANCE * own_share * state.settings.tenants[event.tenant].quota_per_s
+    )
+    is_over_share = (
+        requests > max(allowed, MIN_ALLOWED_REQUESTS) and state.random.random() > allowed / requests
+    )
+    return request_class.worth * (state.settings.over_share_worth if is_over_share else 1.0)
+
+
+def traffic_share(state: BalancerState) -> float:
+    """Return this balancer's share of all traffic by tenant quotas; at least an even share."""
+    even_share = 1 / state.settings.instances
+    quota_requests = _requests_per_window(sum(tenant.quota_per_s for tenant in state.settings.tenants))
+    if not quota_requests:
+        return even_share
+    observed_requests = sum(
+        _decayed_requests(state, tenant) for tenant in range(len(state.learned.tenant_loads))
+    )
+    return max(even_share, min(1.0, observed_requests / quota_requests))
 
 
 def record_served(state: BalancerState) -> None:
-    """Count a request that was served here."""
+    """Count a served request."""
     served = state.learned.served
     served.requests = served.requests * math.exp((served.at - state.now) / SERVED_WINDOW_US) + 1.0
     served.at = state.now
 
 
-def served_part(state: BalancerState) -> float:
-    """What this balancer served lately, over the tenants' quotas.
+def served_share(state: BalancerState) -> float:
+    """Return the requests that this balancer served lately, relative to all tenant quotas.
 
-    All balancers serve no more than the executors can, however much comes: unlike what a balancer sees of the
-    quotas, these parts add up to about one in a burst and among retries too.
+    Unlike traffic shares, the served shares of all balancers add up to about 1 even in bursts and among
+    retries, because the executors' capacity limits what is served.
     """
     served = state.learned.served
     quota_per_s = sum(tenant.quota_per_s for tenant in state.settings.tenants)
     if not served.since or not quota_per_s:
         return 0.0
-    age_us = max(LEAST_COUNTED_US, state.now - served.since)
+    age_us = max(MIN_COUNTED_US, state.now - served.since)
     counted_s = SERVED_WINDOW_US * (1 - math.exp(-age_us / SERVED_WINDOW_US)) / 1e6
     return served.requests * math.exp((served.at - state.now) / SERVED_WINDOW_US) / (quota_per_s * counted_s)
