--- a/cedarmill/net/bounded_sessions.py
+++ b/cedarmill/net/bounded_sessions.py
@@ -1,6 +1,6 @@
-"""Listeners for a few callers: sessions bounded in number and in time, and one end for each.
+"""Listeners with a limited number of short-lived sessions, the base of the admin API and health listeners.
 
-The admin API and the health listeners are built on it. Times are whole microseconds.
+All times are whole microseconds.
 """
 
 import asyncio
@@ -15,79 +15,79 @@
 from cedarmill.net.loop import EventLoopDriver, callback
 from cedarmill.net.socket_state import TRANSPORT_ERRORS
 
-ABORT_AGAIN_US = 50_000  # after a connection could not be aborted
+ABORT_RETRY_US = 50_000  # delay after a failed abort
 
 
 class Overflow(enum.Enum):
-    """Who goes when a caller comes and all places are taken."""
+    """Which session is closed when a connection arrives at the session limit."""
 
-    OLDEST = enum.auto()  # it has had its answer, or has held its place longest without a call
+    OLDEST = enum.auto()
     NEWEST = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
 class SessionBounds:
-    """What a listener holds open, and how long (us)."""
+    """Limits of a listener."""
 
-    sessions: int  # open at once
-    accepts: int  # in one turn: so many descriptors more are held for a moment
+    max_sessions: int
+    accept_batch: int  # connections per loop iteration, held briefly beyond `max_sessions`
     backlog: int
     overflow: Overflow
-    first: int  # till a session has asked
+    first_request_us: int  # time for a session to send its first request
 
 
 class BoundedSession(asyncio.Protocol):
-    """One caller's connection, which ends at its deadline at the latest."""
+    """A connection that is closed at the latest when its deadline passes."""
 
-    transport: asyncio.Transport  # from `connection_made` on
+    transport: asyncio.Transport  # set by `connection_made`
 
     def __init__(self, listener: "BoundedListener[Any]") -> None:
-        """`listener` holds its place."""
+        """`listener`: the owner, which counts the session against its limit."""
         self.driver = listener.driver
-        self.over = False  # all has been said: what still comes is not read
+        self.over = False  # the last data was sent: further input is ignored
         self._listener = listener
         self._connected = False
         self._deadline: Timer | None = None
 
     @callback
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a place, or end at once where there is none."""
+        """Register the session, or abort the connection if the listener is at its limit."""
         self.transport, self._connected = cast(asyncio.Transport, transport), True
         if self._listener.add(self):
-            self.end_in(self._listener.bounds.first)
+            self.end_in(self._listener.bounds.first_request_us)
             self.opened()
         else:
             self.abort()
 
     @callback
     def connection_lost(self, error: Exception | None) -> None:
-        """Give the place back."""
+        """Unregister the session."""
         self.driver.timers.cancel(self._deadline)
         self._listener.remove(self)
         self.closed()
 
     @property
     def writable(self) -> bool:
-        """Whether something can be said to the caller."""
+        """Whether data can be sent."""
         return self._connected and not self.transport.is_closing()
 
     def opened(self) -> None:
-        """The caller has connected."""
+        """Hook: the connection is established."""
 
     def closed(self) -> None:
-        """The connection is lost: let go of what refers back to the session."""
+        """Hook: the connection is closed; subclasses drop references that form cycles."""
 
     def late(self) -> None:
-        """The deadline has passed."""
+        """Hook: the deadline has passed; aborts the connection by default."""
         self.abort()
 
     def end_in(self, span: int) -> None:
-        """Call `late` after that span, and not before (us)."""
+        """Set the deadline: `late` is called after `span` microseconds."""
         self.stay()
         self._deadline = self.driver.timers.add(self.driver.now() + span, self._on_deadline)
 
     def stay(self) -> None:
-        """Set no deadline for now."""
+        """Cancel the deadline."""
         self.driver.timers.cancel(self._deadline)
         self._deadline = None
 
@@ -96,17 +96,20 @@
         self.late()
 
     def finish(self, text: bytes) -> None:
-        """Say the last, and let the caller close: closed here, unread input would reset it away."""
+        """Send the last data and shut down the sending side, so that the peer closes the connection.
+
+        Closing a socket with unread input would reset the connection before the peer has read the data.
+        """
         self.over = True
         if not self.send(text):
             return
         try:
             self.transport.write_eof()
         except TRANSPORT_ERRORS:
-            self.transport.close()  # what was written still leaves
+            self.transport.close()  # Data already written is still sent.
 
     def send(self, text: bytes) -> bool:
-        """Whether it could be written: a connection that has just broken ends here, at once."""
+        """Write data and return whether that succeeded; a broken connection is aborted."""
         try:
             self.transport.write(text)
         except TRANSPORT_ERRORS:
@@ -115,7 +118,7 @@
         return True
 
     def abort(self) -> None:
-        """End the connection at once; what fails is tried again."""
+        """Abort the connection; a failed abort is retried."""
         if not self._connected:
             return
         try:
@@ -124,7 +127,7 @@
             self.over = True
             self.stay()
             self._deadline = self.driver.timers.add(
-                self.driver.now() + ABORT_AGAIN_US, lambda now: self.abort()
+                self.driver.now() + ABORT_RETRY_US, lambda now: self.abort()
             )
 
 
@@ -132,9 +135,9 @@
 
 
 class BoundedListener(Generic[AnySession]):
-    """One listening socket and its sessions, the oldest first."""
+    """A listening socket and its sessions, oldest first."""
 
-    _acceptor: Acceptor  # from `listen` on
+    _acceptor: Acceptor  # set by `listen`
 
     def __init__(
         self,
@@ -143,41 +146,41 @@
         bounds: SessionBounds,
         open_session: Callable[[], AnySession],
     ) -> None:
-        """`name` stands for it in the log."""
+        """`name`: the name of the listener in the log."""
         self.driver, self.name, self.bounds = driver, name, bounds
         self.port = 0
         self.sessions: dict[AnySession, None] = {}
         self._open_session = open_session
 
     def listen(self, address: Address) -> None:
-        """Bind and accept; raises OSError."""
+        """Bind the address and start accepting; raises OSError."""
         drops_oldest = self.bounds.overflow is Overflow.OLDEST
         self._acceptor = Acceptor(
             self.driver,
             listening_socket(address, self.bounds.backlog),
             self._open_session,
             listener=self.name,
-            batch=self.bounds.accepts,
+            batch=self.bounds.accept_batch,
             has_room=self._has_room,
-            exhausted=self._drop_oldest if drops_oldest else lambda: None,
+            on_exhausted=self._drop_oldest if drops_oldest else lambda: None,
         )
         self.port = self._acceptor.port
         self._acceptor.resume()
 
     def add(self, session: AnySession) -> bool:
-        """Take a place, if there is one."""
-        if self.bounds.overflow is Overflow.NEWEST and len(self.sessions) >= self.bounds.sessions:
+        """Register a session; return False if the listener is at its limit."""
+        if self.bounds.overflow is Overflow.NEWEST and len(self.sessions) >= self.bounds.max_sessions:
             return False
         self.sessions[session] = None
         return True
 
     def remove(self, session: AnySession) -> None:
-        """Give its place back, if it has one."""
+        """Unregister a session, if it is registered."""
         self.sessions.pop(session, None)
 
     def _has_room(self) -> bool:
-        """There always is: the session that comes, or the oldest one, goes."""
-        full = len(self.sessions) + self._acceptor.opening >= self.bounds.sessions
+        """Return True always; at the limit the oldest session is dropped here, or the newest in `add`."""
+        full = len(self.sessions) + self._acceptor.opening_count >= self.bounds.max_sessions
         if full and self.bounds.overflow is Overflow.OLDEST:
             self._drop_oldest()
         return True
--- a/cedarmill/net/clients/__init__.py
+++ b/cedarmill/net/clients/__init__.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listening socket, client connections (HTTP/1.1), and their final answers.
+"""Client side of the node: the listening socket, HTTP/1.1 client connections and their final responses.
 
-Nothing here chooses an executor, retries or refuses by itself: `decisions/` does, through `core/dispatch.py`.
+Selecting executors, retrying and rejecting requests is up to `decisions/`, through `core/dispatch.py`.
 """
--- a/cedarmill/net/clients/connection.py
+++ b/cedarmill/net/clients/connection.py
@@ -1,7 +1,7 @@
-"""One client's connection: the transport on one side, the lifecycle's table on the other.
+"""Base class of a client connection: connects an asyncio transport to the session state machine.
 
-What is decided about waiting, lateness, making room and closing stands in `core/client_session.py`; here it
-is carried out. What becomes of the requests is told by the hooks that `net/clients/session.py` fills in.
+The state machine in `core/client_session.py` decides about waiting, timeouts, eviction and closing; this
+module carries the decisions out. The subclass in `net/clients/session.py` implements the request hooks.
 """
 
 import asyncio
@@ -14,59 +14,64 @@
 from cedarmill.log import log_event
 from cedarmill.net.clients import limits
 from cedarmill.net.loop import EventLoopDriver
-from cedarmill.net.socket_state import TRANSPORT_ERRORS, bytes_unread, bytes_wait, peer_closed
+from cedarmill.net.socket_state import (
+    TRANSPORT_ERRORS,
+    has_unread_bytes,
+    is_peer_closed,
+    unacknowledged_bytes,
+)
 
 
 class ClientConnection(asyncio.Protocol):
-    """The owner of a client's transport, of its timers and of its end."""
+    """Owns the transport and the timers of one client connection, and closes it."""
 
-    transport: asyncio.Transport  # from `connection_made` on
+    transport: asyncio.Transport  # set by `connection_made`
 
     def __init__(self, driver: EventLoopDriver, half_close_leaves: bool, unread_since: int | None) -> None:
-        """`unread_since`: from when on its bytes may have waited unread in the backlog (us)."""
+        """`unread_since`: earliest time at which input may have been waiting in the accept backlog (us)."""
         self.driver = driver
-        self.unread_since = unread_since  # also while reading is paused
-        self.born = driver.now()
-        self.lifecycle = SessionLifecycle(self.born, limits.TIMES, half_close_leaves=half_close_leaves)
+        self.unread_since = unread_since  # also set while reading is paused
+        self.created_at = driver.now()
+        self.lifecycle = SessionLifecycle(self.created_at, limits.TIMES, half_close_leaves=half_close_leaves)
         self.connected = False
-        self._unwritten_before = 0  # while it closes: what the client had not read at the last look
-        self._deadline: Timer | None = None
+        self._last_unacknowledged_bytes = 0  # at the previous progress check while closing
+        self._deadline_timer: Timer | None = None
         self._deadline_at: int | None = None
-        self._hang_up_check: Timer | None = None
+        self._hang_up_check_timer: Timer | None = None
         self._hang_up_check_at: int | None = None
 
-    # What becomes of the requests.
+    # Hooks that the subclass implements.
 
     def withdraw(self) -> None:
-        """Nothing is owed to the client any more: it has left."""
+        """Withdraw the open request and discard the queued ones, because the client has disconnected."""
         raise NotImplementedError
 
-    def answer_late(self) -> None:
-        """The request that arrives has taken too long."""
+    def answer_timeout(self) -> None:
+        """Answer the incomplete request with a timeout error."""
         raise NotImplementedError
 
-    def answer_owed(self) -> None:
-        """The client has not read its answers for too long: what waits has an error, then the end."""
+    def answer_pending(self) -> None:
+        """Answer all pending requests with errors and close: the client did not read its output in time."""
         raise NotImplementedError
 
     def abort(self) -> None:
-        """Something raised: what was read has an error, then the end."""
+        """Answer all requests that were read with errors and close, after a callback raised an exception."""
         raise NotImplementedError
 
     def list_as_idle(self) -> None:
-        """The connection can make room for others from now on."""
+        """Register the connection as idle, so that the server may close it to make room for others."""
         raise NotImplementedError
 
-    # The lifecycle's events and actions.
+    # Events and actions of the state machine.
 
     def handle(self, event: SessionEvent) -> None:
-        """Take an event and do what follows of it."""
+        """Process an event and carry out the resulting action."""
         action = self.step(event)
         if action is not None:
-            ACTIONS[action](self)
+            ACTION_HANDLERS[action](self)
 
     def step(self, event: SessionEvent) -> SessionAction | None:
-        """Take an event whose action the caller carries out."""
+        """Process an event and return the resulting action, which the caller carries out."""
         lifecycle = self.lifecycle
         action = lifecycle.step(self.driver.now(), event)
         if lifecycle.deadline != self._deadline_at or lifecycle.hang_up_check_at != self._hang_up_check_at:
@@ -74,27 +79,27 @@
         return action
 
     def set_timers(self) -> None:
-        """Have the timers run as the lifecycle wants them."""
+        """Reschedule the timers that no longer match the deadlines of the lifecycle."""
         lifecycle, timers = self.lifecycle, self.driver.timers
         if lifecycle.deadline != self._deadline_at:
-            timers.cancel(self._deadline)
+            timers.cancel(self._deadline_timer)
             self._deadline_at = due = lifecycle.deadline
-            self._deadline = timers.add(due, self._deadline_passed) if due is not None else None
+            self._deadline_timer = timers.add(due, self._deadline_passed) if due is not None else None
         if lifecycle.hang_up_check_at != self._hang_up_check_at:
-            timers.cancel(self._hang_up_check)
+            timers.cancel(self._hang_up_check_timer)
             self._hang_up_check_at = due = lifecycle.hang_up_check_at
-            self._hang_up_check = timers.add(due, self._hang_up_check_due) if due is not None else None
+            self._hang_up_check_timer = timers.add(due, self._hang_up_check_due) if due is not None else None
 
     def _deadline_passed(self, now: int) -> None:
         self._deadline_at = None
-        self.guarded(lambda: self.handle(SessionEvent.DEADLINE_PASSED))
+        self.run_guarded(lambda: self.handle(SessionEvent.DEADLINE_PASSED))
 
     def _hang_up_check_due(self, now: int) -> None:
         self._hang_up_check_at = None
-        self.guarded(lambda: self.handle(SessionEvent.HANG_UP_CHECK_DUE))
+        self.run_guarded(lambda: self.handle(SessionEvent.HANG_UP_CHECK_DUE))
 
-    def guarded(self, call: Callable[[], object]) -> None:
-        """Make a call that the transport did not ask for: an exception costs this connection only."""
+    def run_guarded(self, call: Callable[[], object]) -> None:
+        """Run a call made outside of a transport callback; an exception aborts only this connection."""
         try:
             call()
         except Exception:
@@ -102,16 +107,22 @@
             self.abort()
 
     def _check_unread(self) -> None:
-        self.handle(SessionEvent.BYTES_UNREAD if self.unread() else SessionEvent.NOTHING_UNREAD)
+        self.handle(SessionEvent.BYTES_UNREAD if self.has_unread_input() else SessionEvent.NOTHING_UNREAD)
 
-    def _check_room(self) -> None:
-        if not self.unread():
+    def _check_can_make_room(self) -> None:
+        if not self.has_unread_input():
             self.handle(SessionEvent.ROOM_CONFIRMED)
 
-    def _check_reader(self) -> None:
-        """Whether it has read some of what the loop still holds: what the system holds leaves by itself."""
-        before, self._unwritten_before = self._unwritten_before, bytes_unread(self.transport)
-        progressed = self._unwritten_before < before and self.transport.get_write_buffer_size()
+    def _check_read_progress(self) -> None:
+        """Report whether the client has read any of the data still in the transport's write buffer.
+
+        Once the write buffer is empty, the kernel delivers the rest without the connection.
+        """
+        before, self._last_unacknowledged_bytes = (
+            self._last_unacknowledged_bytes,
+            unacknowledged_bytes(self.transport),
+        )
+        progressed = self._last_unacknowledged_bytes < before and self.transport.get_write_buffer_size()
         self.handle(SessionEvent.READER_PROGRESSED if progressed else SessionEvent.READER_STALLED)
 
     def _abort(self) -> None:
@@ -124,62 +135,62 @@
             self.handle(SessionEvent.ABORT_FAILED)
 
     def _end_sending(self) -> None:
-        """End it when all that was written has left and the client has closed, or soon.
+        """Shut down the sending side; the connection closes when the client closes or a deadline passes.
 
-        The sending side ends first, and what still comes is read and dropped: a close over bytes that were
-        not read resets the connection, and takes the last answer with it.
+        Input is still read and discarded: closing a socket with unread input resets the connection, and the
+        client may lose the last response.
         """
-        if self.transport.is_closing():  # the client was first
+        if self.transport.is_closing():  # The client closed first.
             return
-        self.pause(False)
-        self._unwritten_before = bytes_unread(self.transport)
+        self.set_reading_paused(False)
+        self._last_unacknowledged_bytes = unacknowledged_bytes(self.transport)
         try:
             self.transport.write_eof()
         except TRANSPORT_ERRORS:
-            self.transport.close()  # what was written still leaves
+            self.transport.close()  # Data already written is still sent.
 
-    def pause(self, pause: bool) -> None:
-        """Stop or resume reading; what the system fails to do is tried again."""
-        if pause == self.lifecycle.paused or self.transport.is_closing():
+    def set_reading_paused(self, paused: bool) -> None:
+        """Pause or resume reading; a failed call is retried later."""
+        if paused == self.lifecycle.paused or self.transport.is_closing():
             return
         try:
-            if pause:
+            if paused:
                 self.transport.pause_reading()
             else:
                 self.transport.resume_reading()
         except TRANSPORT_ERRORS:
-            if not pause:
+            if not paused:
                 self.handle(SessionEvent.READING_BROKEN)
-            return  # not paused: what comes is bounded by `MAX_PIPELINED`, and it is tried again
-        self.handle(SessionEvent.READING_PAUSED if pause else SessionEvent.READING_RESUMED)
-        if pause:
+            return  # Still reading: `MAX_PIPELINED_REQUESTS` bounds the input until the next try.
+        self.handle(SessionEvent.READING_PAUSED if paused else SessionEvent.READING_RESUMED)
+        if paused:
             self.unread_since = self.unread_since or self.driver.now()
 
-    # Whether the client is there.
+    # Connection status.
 
-    def client_left(self) -> bool | None:
-        """Whether the client has gone, as the system knows it; None: it does not say."""
+    def client_has_left(self) -> bool | None:
+        """Return whether the client has disconnected, or None if the kernel cannot be queried."""
         if self.transport.is_closing():
             return True
-        return peer_closed(self.transport, half_counts=self.lifecycle.half_close_leaves)
+        return is_peer_closed(self.transport, half_close_counts=self.lifecycle.half_close_leaves)
 
-    def drop_if_left(self) -> bool:
-        """Return whether the client has gone, though that is not read yet; then the session ends."""
-        left = self.client_left() is True
+    def drop_if_client_left(self) -> bool:
+        """End the session if the client has disconnected; return whether it has."""
+        left = self.client_has_left() is True
         if left:
             self.drop()
         return left
 
-    def unread(self) -> bool:
-        """Whether bytes wait at the socket: a loop that was held up runs its timers before it reads them."""
-        return bytes_wait(self.transport)
+    def has_unread_input(self) -> bool:
+        """Return whether the socket has unread input; a delayed event loop runs timers before it reads."""
+        return has_unread_bytes(self.transport)
 
     def drop(self) -> None:
-        """End the connection at once; what is not written stays so, what is open is withdrawn."""
+        """Abort the connection, discard unsent output and withdraw the open request."""
         self.handle(SessionEvent.CLIENT_LEFT)
 
     def send(self, text: bytes) -> bool:
-        """Whether it could be written: a connection that has just broken ends here, at once."""
+        """Write data and return whether that succeeded; a broken connection is aborted."""
         try:
             self.transport.write(text)
         except TRANSPORT_ERRORS:
@@ -188,17 +199,17 @@
         return True
 
 
-ACTIONS: dict[SessionAction, Callable[[ClientConnection], object]] = {
-    SessionAction.ANSWER_LATE: methodcaller("answer_late"),
-    SessionAction.ANSWER_OWED: methodcaller("answer_owed"),
+ACTION_HANDLERS: dict[SessionAction, Callable[[ClientConnection], object]] = {
+    SessionAction.ANSWER_LATE: methodcaller("answer_timeout"),
+    SessionAction.ANSWER_OWED: methodcaller("answer_pending"),
     SessionAction.END_SENDING: methodcaller("_end_sending"),
     SessionAction.WITHDRAW: methodcaller("withdraw"),
     SessionAction.ABORT: methodcaller("_abort"),
-    SessionAction.PAUSE_READING: methodcaller("pause", True),
-    SessionAction.RESUME_READING: methodcaller("pause", False),
+    SessionAction.PAUSE_READING: methodcaller("set_reading_paused", True),
+    SessionAction.RESUME_READING: methodcaller("set_reading_paused", False),
     SessionAction.LIST_AS_IDLE: methodcaller("list_as_idle"),
     SessionAction.CHECK_UNREAD: methodcaller("_check_unread"),
-    SessionAction.CHECK_ROOM: methodcaller("_check_room"),
-    SessionAction.CHECK_READER: methodcaller("_check_reader"),
-    SessionAction.CHECK_CLIENT: methodcaller("drop_if_left"),
+    SessionAction.CHECK_ROOM: methodcaller("_check_can_make_room"),
+    SessionAction.CHECK_READER: methodcaller("_check_read_progress"),
+    SessionAction.CHECK_CLIENT: methodcaller("drop_if_client_left"),
 }
--- a/cedarmill/net/clients/request.py
+++ b/cedarmill/net/clients/request.py
@@ -1,10 +1,10 @@
-"""One HTTP request of a client as it arrives, and what is wrong with it."""
+"""An HTTP request of a client and the error for a request that is rejected."""
 
 import math
 
 
-class MalformedRequest(Exception):
-    """A message that gets an error answer and goes no further."""
+class ClientRequestError(Exception):
+    """A request that is answered with an HTTP error and not dispatched."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -12,38 +12,51 @@
 
 
 class ClientRequest:
-    """One HTTP request as it arrives."""
-
-    __slots__ = ("began_at", "body", "fault", "head", "headers", "keep_alive", "method", "sent_at", "target")
+    """An HTTP request, filled in by the parser as its parts arrive."""
+
+    __slots__ = (
+        "body",
+        "earliest_sent_at",
+        "fault",
+        "first_byte_at",
+        "headers",
+        "is_reading_head",
+        "keep_alive",
+        "method",
+        "target",
+    )
 
     def __init__(self, now: int, unread_since: int | None = None) -> None:
-        """`unread_since`: from when on (us) it may have waited unread; the client's time ran meanwhile."""
-        self.began_at = now
-        self.sent_at = now if unread_since is None else unread_since
+        """`unread_since`: earliest time at which the request may have been waiting unread, or None (us).
+
+        The client's deadline counts from that time.
+        """
+        self.first_byte_at = now
+        self.earliest_sent_at = now if unread_since is None else unread_since
         self.method = self.target = b""
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
-        self.head = self.keep_alive = True  # the head arrives first
-        self.fault: MalformedRequest | None = None
+        self.is_reading_head = self.keep_alive = True
+        self.fault: ClientRequestError | None = None
 
-    def number(self, name: bytes) -> int | None:
-        """Return a header that holds a whole number; raises MalformedRequest."""
+    def integer_header(self, name: bytes) -> int | None:
+        """Return the value of an integer header or None; raises ClientRequestError for any other value."""
         text = self.headers.get(name)
         if text is None:
             return None
         if not text.isdigit() or len(text) > 15:
-            raise MalformedRequest(400, f"bad {name.decode()}")
+            raise ClientRequestError(400, f"bad {name.decode()}")
         return int(text)
 
-    def figures(self) -> dict[str, float]:
-        """Return the pairs of X-Call-Info; raises MalformedRequest."""
+    def call_info(self) -> dict[str, float]:
+        """Return the key-value pairs of X-Call-Info; raises ClientRequestError for an invalid value."""
         found = {}
         for pair in filter(None, self.headers.get(b"x-call-info", b"").decode("latin-1").split(",")):
             name, _, value = pair.partition("=")
             try:
                 found[name.strip()] = float(value)
             except ValueError:
-                raise MalformedRequest(400, "bad x-call-info") from None
+                raise ClientRequestError(400, "bad x-call-info") from None
         if not all(0 <= value < math.inf for value in found.values()):
-            raise MalformedRequest(400, "bad x-call-info")
+            raise ClientRequestError(400, "bad x-call-info")
         return found
--- a/cedarmill/net/clients/request_reader.py
+++ b/cedarmill/net/clients/request_reader.py
@@ -1,4 +1,4 @@
-"""Turns a client's bytes into whole requests, and into faults that have an error as their answer."""
+"""Parses the byte stream of a client into requests; a parse error becomes a request with an error."""
 
 from collections import deque
 from typing import Protocol
@@ -7,138 +7,149 @@
 
 from cedarmill.log import log_event
 from cedarmill.net.clients import limits
-from cedarmill.net.clients.request import ClientRequest, MalformedRequest
+from cedarmill.net.clients.request import ClientRequest, ClientRequestError
 from cedarmill.net.loop import EventLoopDriver
 
 
 class RequestSink(Protocol):
-    """What the reader tells of: the client's session."""
+    """Receives the events of a `RequestReader`; implemented by the client session."""
 
     driver: EventLoopDriver
-    unread_since: int | None  # from when on the bytes at hand may have waited unread (us)
+    unread_since: int | None  # earliest time at which the current input may have been waiting unread (us)
 
-    def request_begun(self) -> None:
-        """The first byte of a request has come."""
+    def on_request_begun(self) -> None:
+        """Called when the first byte of a request has been parsed."""
 
-    def request_read(self) -> None:
-        """One more request stands in `requests`, whole or with its fault."""
+    def on_request_read(self) -> None:
+        """Called when a request was added to `requests`, either complete or with an error."""
 
-    def continue_wanted(self) -> None:
-        """The client waits for word before it sends the body."""
+    def on_continue_expected(self) -> None:
+        """Called when the client expects `100 Continue` before it sends the body."""
 
 
 class RequestReader:
-    """The HTTP parser of one connection; `requests` are read and not served yet, `arriving` is half a one."""
-
-    __slots__ = ("_head_bytes", "_once", "_parser", "_sink", "arriving", "faulty", "requests")
-
-    def __init__(self, sink: RequestSink, once: frozenset[bytes]) -> None:
-        """`once`: headers, in small letters, that may not come twice."""
-        self._sink, self._once = sink, once
+    """The HTTP parser of one connection.
+
+    `requests` holds the parsed requests that are not served yet, `incomplete` the one being received.
+    """
+
+    __slots__ = (
+        "_head_bytes",
+        "_parser",
+        "_sink",
+        "_unrepeatable_headers",
+        "incomplete",
+        "is_stopped",
+        "requests",
+    )
+
+    def __init__(self, sink: RequestSink, unrepeatable_headers: frozenset[bytes]) -> None:
+        """`unrepeatable_headers`: lower-case names of the headers that may occur only once per request."""
+        self._sink, self._unrepeatable_headers = sink, unrepeatable_headers
         self._parser = httptools.HttpRequestParser(self)
         self._head_bytes = 0
-        self.arriving: ClientRequest | None = None
+        self.incomplete: ClientRequest | None = None
         self.requests: deque[ClientRequest] = deque()
-        self.faulty = False  # the input has gone wrong: nothing more is read from it
+        self.is_stopped = False  # True: further input is not parsed
 
     def close(self) -> None:
-        """Let go of the parser and the sink: cycles with them would keep bodies till a full collection."""
-        self.arriving = None
+        """Drop the parser and the sink: their reference cycles would keep bodies until a full collection."""
+        self.incomplete = None
         del self._parser, self._sink
 
     def feed(self, data: bytes) -> None:
-        """Read the next bytes; what is wrong with them becomes a request with its fault."""
+        """Parse input; a parse error queues a request that carries the error."""
         try:
             self._parser.feed_data(data)
-            if self.arriving is not None and not self.arriving.method:
-                self._head_bytes += len(data)  # a header is told only when it is whole
-                if self._head_bytes > limits.MAX_HEAD:
-                    raise MalformedRequest(431, "the head is too large")
-        except httptools.HttpParserUpgrade:  # the message is whole, what follows it is not read
-            self.faulty = True
+            if self.incomplete is not None and not self.incomplete.method:
+                self._head_bytes += len(data)  # The parser reports only complete headers.
+                if self._head_bytes > limits.MAX_HEAD_BYTES:
+                    raise ClientRequestError(431, "the head is too large")
+        except httptools.HttpParserUpgrade:  # The message is complete; data after it is not parsed.
+            self.is_stopped = True
             self.requests[-1].keep_alive = False
         except httptools.HttpParserCallbackError as error:
             self.reject(error.__context__)
         except httptools.HttpParserError:
-            self.reject(MalformedRequest(400, "malformed HTTP"))
-        except MalformedRequest as fault:
+            self.reject(ClientRequestError(400, "malformed HTTP"))
+        except ClientRequestError as fault:
             self.reject(fault)
 
     def reject(self, fault: BaseException | None) -> None:
-        """Make of the request that arrives one with an error as its answer, and read no more."""
-        if not isinstance(fault, MalformedRequest):
+        """Queue the incomplete request with an error as its answer, and stop parsing."""
+        if not isinstance(fault, ClientRequestError):
             log_event("defect", fault, what="callback on a message")
-            fault = MalformedRequest(500, "internal error")
-        message, self.arriving = self.arriving or ClientRequest(self._sink.driver.now()), None
-        message.body = bytearray()  # not kept for a client that may linger, nor in the error's frames
+            fault = ClientRequestError(500, "internal error")
+        message, self.incomplete = self.incomplete or ClientRequest(self._sink.driver.now()), None
+        message.body = bytearray()  # frees the memory: the client may stay connected for some time
         fault.__traceback__ = None
-        message.fault, message.keep_alive, self.faulty = fault, False, True
+        message.fault, message.keep_alive, self.is_stopped = fault, False, True
         self.requests.append(message)
-        self._sink.request_read()
+        self._sink.on_request_read()
 
-    def take_all(self) -> None:
-        """Read no more, and count half a request among those that have an answer to get."""
-        if self.arriving is not None:
-            self.requests.append(self.arriving)
-        self.arriving, self.faulty = None, True
+    def stop_parsing(self) -> None:
+        """Stop parsing, and queue the incomplete request so that it is answered as well."""
+        if self.incomplete is not None:
+            self.requests.append(self.incomplete)
+        self.incomplete, self.is_stopped = None, True
 
-    # httptools calls these.
+    # Callbacks of httptools.HttpRequestParser.
 
     def on_message_begin(self) -> None:
-        """Begin a request; raises MalformedRequest where too many wait already."""
+        """Start a new request; raises ClientRequestError if too many are queued."""
         if (
-            len(self.requests) >= limits.MAX_PIPELINED
-            or sum(len(ahead.body) for ahead in self.requests) > limits.MAX_BODY
+            len(self.requests) >= limits.MAX_PIPELINED_REQUESTS
+            or sum(len(ahead.body) for ahead in self.requests) > limits.MAX_BODY_BYTES
         ):
-            raise MalformedRequest(400, "too many requests at once")
-        self.arriving, self._head_bytes = ClientRequest(self._sink.driver.now(), self._sink.unread_since), 0
-        self._sink.request_begun()
+            raise ClientRequestError(400, "too many requests at once")
+        self.incomplete, self._head_bytes = ClientRequest(self._sink.driver.now(), self._sink.unread_since), 0
+        self._sink.on_request_begun()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
-        message = self.arriving
-        assert message is not None  # the parser began it
+        """Append a fragment of the request target."""
+        message = self.incomplete
+        assert message is not None
         message.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header; raises MalformedRequest where it is one too many."""
+        """Store a header; raises ClientRequestError for a repeated header or an oversized head."""
         self._head_bytes += len(name) + len(value)
-        if self._head_bytes > limits.MAX_HEAD:
-            raise MalformedRequest(431, "the head is too large")
-        name, message = name.lower(), self.arriving
+        if self._head_bytes > limits.MAX_HEAD_BYTES:
+            raise ClientRequestError(431, "the head is too large")
+        name, message = name.lower(), self.incomplete
         assert message is not None
-        if not message.head:
-            return  # a trailer changes nothing
-        if name in self._once and name in message.headers:
-            raise MalformedRequest(400, f"{name.decode()} comes twice")
+        if not message.is_reading_head:
+            return  # Trailers are ignored.
+        if name in self._unrepeatable_headers and name in message.headers:
+            raise ClientRequestError(400, f"{name.decode()} comes twice")
         message.headers[name] = value.strip()
 
     def on_headers_complete(self) -> None:
-        """Check the head before the body comes; raises MalformedRequest."""
-        message = self.arriving
+        """Validate the head before the body is received; raises ClientRequestError."""
+        message = self.incomplete
         assert message is not None
-        message.method, message.head = self._parser.get_method(), False
+        message.method, message.is_reading_head = self._parser.get_method(), False
         length = message.headers.get(b"content-length", b"0")
-        if length.isdigit() and int(length) > limits.MAX_BODY:
-            raise MalformedRequest(413, "the body is over 64 KiB")
+        if length.isdigit() and int(length) > limits.MAX_BODY_BYTES:
+            raise ClientRequestError(413, "the body is over 64 KiB")
         body = length != b"0" or b"transfer-encoding" in message.headers
-        if body and self._parser.should_upgrade():  # the parser would stop before it
-            raise MalformedRequest(400, "an offer to upgrade takes no body")
+        if body and self._parser.should_upgrade():  # The parser would stop before the body.
+            raise ClientRequestError(400, "an offer to upgrade takes no body")
         if message.headers.get(b"expect", b"").lower() == b"100-continue":
-            self._sink.continue_wanted()
+            self._sink.on_continue_expected()
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body; raises MalformedRequest where it is too large."""
-        message = self.arriving
+        """Append a fragment of the body; raises ClientRequestError if the body is too large."""
+        message = self.incomplete
         assert message is not None
         message.body += data
-        if len(message.body) > limits.MAX_BODY:
-            raise MalformedRequest(413, "the body is over 64 KiB")
+        if len(message.body) > limits.MAX_BODY_BYTES:
+            raise ClientRequestError(413, "the body is over 64 KiB")
 
     def on_message_complete(self) -> None:
-        """Count the request as read."""
-        message, self.arriving = self.arriving, None
+        """Queue the complete request."""
+        message, self.incomplete = self.incomplete, None
         assert message is not None
         message.keep_alive = self._parser.should_keep_alive()
         self.requests.append(message)
-        self._sink.request_read()
+        self._sink.on_request_read()
--- a/cedarmill/net/clients/response.py
+++ b/cedarmill/net/clients/response.py
@@ -1,8 +1,8 @@
-"""The bytes of an answer to a client (HTTP/1.1, RFC 9112)."""
+"""Serialization of HTTP/1.1 responses to clients (RFC 9112)."""
 
 from cedarmill.net.clients.request import ClientRequest
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -16,20 +16,23 @@
     503: b"Service Unavailable",
 }
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-HEAD = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n"
-LAST = b"Connection: close\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n"
+CONNECTION_CLOSE = b"Connection: close\r\n"
 
 
-def compose(request: ClientRequest, status: int, body: bytes, headers: bytes, last: bool) -> bytes:
-    """Compose the answer to a request; `headers` are whole lines, `last`: the connection ends with it."""
-    if last:
-        headers += LAST
+def compose(request: ClientRequest, status: int, body: bytes, headers: bytes, is_last: bool) -> bytes:
+    """Return the serialized response to a request.
+
+    `headers` holds complete header lines; `is_last` announces that the connection closes after this response.
+    """
+    if is_last:
+        headers += CONNECTION_CLOSE
     if status == 405:
         headers += b"Allow: GET\r\n" if request.target.startswith(b"/ready") else b"Allow: POST\r\n"
-    text = HEAD % (status, REASONS[status], len(body), headers)
-    return text if request.method == b"HEAD" else text + body
+    head = RESPONSE_HEAD % (status, REASON_PHRASES[status], len(body), headers)
+    return head if request.method == b"HEAD" else head + body
 
 
 def error_body(status: int) -> bytes:
-    """Return the body of an error that has no text of its own."""
-    return REASONS[status].lower() + b"\n"
+    """Return the default body of an error response."""
+    return REASON_PHRASES[status].lower() + b"\n"
--- a/cedarmill/net/clients/routes.py
+++ b/cedarmill/net/clients/routes.py
@@ -1,4 +1,4 @@
-"""What a client may ask: readiness, a request to be balanced, and to take such a request back."""
+"""Routes of the client API: readiness, balanced requests and their cancellation."""
 
 import re
 import time
@@ -7,107 +7,115 @@
 from cedarmill.deadlines.sources import ClocksDiffer, InvalidDeadline, granted_budget
 from cedarmill.decisions import interface as api
 from cedarmill.log import log_event
-from cedarmill.net.clients.request import ClientRequest, MalformedRequest
+from cedarmill.net.clients.request import ClientRequest, ClientRequestError
 
 if TYPE_CHECKING:
     from cedarmill.net.clients.server import ClientServer
     from cedarmill.net.clients.session import ClientSession
 
 CALL_ID = re.compile(rb"[!-~]{1,256}")
-API = b"/api"
-OPEN_CALL = b"/api/calls/"
+API_PATH = b"/api"
+CALL_PATH_PREFIX = b"/api/calls/"
 KEY_MASK = 0xFFFFFFFFFFFFFFFF
 
 
 def serve(session: "ClientSession", message: ClientRequest) -> None:
-    """Answer a request of a client, or hand it to the dispatch; raises MalformedRequest."""
-    clients = session.clients
+    """Answer a client request or dispatch it; raises ClientRequestError if it is rejected."""
+    server = session.server
     path = message.target.partition(b"?")[0]
     if path == b"/ready":
         if message.method != b"GET":
-            raise MalformedRequest(405, "GET only")
-        ready = clients.ready()
-        clients.prove(session)
+            raise ClientRequestError(405, "GET only")
+        ready = server.ready()
+        server.record_valid_request(session)
         session.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
-    elif clients.options.cancel_calls and message.method == b"DELETE":
-        _recall(session, message, path)
-    elif path == API or path.startswith(API + b"/"):  # without a key the path ends there
+    elif server.options.cancel_calls and message.method == b"DELETE":
+        _cancel_call(session, message, path)
+    elif path == API_PATH or path.startswith(API_PATH + b"/"):  # The key after the slash is optional.
         if message.method != b"POST":
-            raise MalformedRequest(405, "POST only")
+            raise ClientRequestError(405, "POST only")
         _dispatch(session, message, path)
     else:
-        raise MalformedRequest(404, "unknown path")
+        raise ClientRequestError(404, "unknown path")
 
 
-def _recall(session: "ClientSession", message: ClientRequest, path: bytes) -> None:
-    """`DELETE /api/calls/ID`, from a front that cannot close: the client of that call has left."""
-    call_id = path.removeprefix(OPEN_CALL)
-    other = session.clients.open_ids.get(call_id) if call_id != path else None
+def _cancel_call(session: "ClientSession", message: ClientRequest, path: bytes) -> None:
+    """Handle `DELETE /api/calls/ID`: cancel an open request of the same caller.
+
+    A proxy in front that cannot close the client's connection cancels a request in this way.
+    """
+    call_id = path.removeprefix(CALL_PATH_PREFIX)
+    other = session.server.sessions_by_call_id.get(call_id) if call_id != path else None
     caller = message.headers.get(b"x-caller")
-    if other is None or other.answering is None or other.answering.headers.get(b"x-caller") != caller:
-        raise MalformedRequest(404, "no such call is open")
-    session.clients.prove(session)
-    other.recalled()
+    if (
+        other is None
+        or other.current_message is None
+        or other.current_message.headers.get(b"x-caller") != caller
+    ):
+        raise ClientRequestError(404, "no such call is open")
+    session.server.record_valid_request(session)
+    other.cancel_request()
     session.answer(200, b"recalled\n")
 
 
 def _dispatch(session: "ClientSession", message: ClientRequest, path: bytes) -> None:
-    """Hand a request to the dispatch, unless its client has left meanwhile."""
-    clients, now = session.clients, session.driver.now()
-    _check_budget(clients, message)
+    """Validate a request and dispatch it, unless its client has disconnected."""
+    server, now = session.server, session.driver.now()
+    _check_budget(server, message)
     call_id = message.headers.get(b"x-call-id", b"")
     if not CALL_ID.fullmatch(call_id):
-        raise MalformedRequest(400, "bad x-call-id")
-    if call_id in clients.open_ids:
-        raise MalformedRequest(409, "a req with this x-call-id is open")
-    request_class = clients.classes.get(message.headers.get(b"x-call-class", b"").decode("latin-1"))
+        raise ClientRequestError(400, "bad x-call-id")
+    if call_id in server.sessions_by_call_id:
+        raise ClientRequestError(409, "a req with this x-call-id is open")
+    request_class = server.classes.get(message.headers.get(b"x-call-class", b"").decode("latin-1"))
     if request_class is None:
-        raise MalformedRequest(400, "unknown x-call-class")
-    figures = message.figures()
-    due = _due(clients, message, clients.deadlines[request_class], now)
+        raise ClientRequestError(400, "unknown x-call-class")
+    call_info = message.call_info()
+    due = _answer_deadline(server, message, server.deadlines[request_class], now)
     arrival = api.RequestArrived(
         0,
         request_class,
         max(0, due - now),
-        figures.get("slots", 1.0),
-        figures.get("memory", figures.get("mem", 0.0)),
-        message.number(b"x-call-cost") or 0,
-        clients.tenants.get(message.headers.get(b"x-caller", b"").decode("latin-1"), len(clients.tenants)),
-        _key(path),
+        call_info.get("slots", 1.0),
+        call_info.get("memory", call_info.get("mem", 0.0)),
+        message.integer_header(b"x-call-cost") or 0,
+        server.tenants.get(message.headers.get(b"x-caller", b"").decode("latin-1"), len(server.tenants)),
+        _request_key(path),
         message.headers.get(b"x-again") == b"1",
     )
-    clients.prove(session)
-    left = session.client_left()  # a loop that was held up may read a request long after its client closed
-    if left:
+    server.record_valid_request(session)
+    # A delayed event loop may read a request long after its client has disconnected.
+    has_left = session.client_has_left()
+    if has_left:
         session.drop()
         return
-    if left is None:
-        raise MalformedRequest(503, "refused")
+    if has_left is None:
+        raise ClientRequestError(503, "refused")
     session.open_request(now, call_id, due, arrival)
 
 
-def _key(path: bytes) -> int:
-    """Return what the request is about, the last part of the path; 0 where that is no number."""
+def _request_key(path: bytes) -> int:
+    """Return the hexadecimal key in the last path segment, or 0 if there is none."""
     try:
-        return int(path[len(API) + 1 :].rpartition(b"/")[2] or b"0", 16) & KEY_MASK
+        return int(path[len(API_PATH) + 1 :].rpartition(b"/")[2] or b"0", 16) & KEY_MASK
     except ValueError:
         return 0
 
 
-def _check_budget(clients: "ClientServer", message: ClientRequest) -> None:
-    """Check that the platform's header holds a budget, where it is read at all."""
-    if "x-budget-ms" in clients.options.sources and message.number(b"x-budget-ms") == 0:
-        raise MalformedRequest(400, "bad x-budget-ms")
+def _check_budget(server: "ClientServer", message: ClientRequest) -> None:
+    """Raise ClientRequestError if X-Budget-Ms is a configured deadline source and holds 0 or no integer."""
+    if "x-budget-ms" in server.options.sources and message.integer_header(b"x-budget-ms") == 0:
+        raise ClientRequestError(400, "bad x-budget-ms")
 
 
-def _due(clients: "ClientServer", message: ClientRequest, longest: int, now: int) -> int:
-    """Return when the answer has to leave (us): the client's deadline, less this node's margin."""
-    unix = time.time_ns() // 1000 - (now - message.sent_at)
+def _answer_deadline(server: "ClientServer", message: ClientRequest, max_budget: int, now: int) -> int:
+    """Return the time by which the response must be sent: the client's deadline less the node's margin."""
+    received_unix_us = time.time_ns() // 1000 - (now - message.earliest_sent_at)
     try:
-        budget = granted_budget(message.headers, clients.options, longest, unix)
+        budget = granted_budget(message.headers, server.options, max_budget, received_unix_us)
     except InvalidDeadline as error:
         if isinstance(error, ClocksDiffer):
             log_event("clock-off", reason=str(error))
-        raise MalformedRequest(400, str(error)) from None
-    due = message.sent_at + budget - clients.dispatch.deadline_tracker.margins.for_answer(budget)
-    return min(due, clients.answer_by) if clients.answer_by else due
+        raise ClientRequestError(400, str(error)) from None
+    due = message.earliest_sent_at + budget - server.dispatch.deadline_tracker.margins.for_answer(budget)
+    return min(due, server.answer_by) if server.answer_by else due
--- a/cedarmill/net/listener.py
+++ b/cedarmill/net/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and the one loop that takes connections from them."""
+"""Listening sockets and the accept loop that all listeners of the node share."""
 
 import asyncio
 import enum
@@ -11,8 +11,8 @@
 from cedarmill.net.config import Address
 from cedarmill.net.loop import EventLoopDriver, callback
 
-ACCEPT_AGAIN_US = 50_000  # after the system had no descriptor or memory for a connection
-# accept(2): these tell of the one connection, or of the call, and the next may be well
+ACCEPT_RETRY_US = 50_000  # delay after accept failed for lack of descriptors or memory
+# Errors of accept(2) that concern a single connection or call; the next call may succeed.
 SINGLE_CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
@@ -32,7 +32,7 @@
 
 
 def listening_socket(address: Address, backlog: int) -> socket.socket:
-    """Bound, listening and without blocking; raises OSError."""
+    """Return a non-blocking socket that is bound and listening; raises OSError."""
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -46,78 +46,78 @@
     return sock
 
 
-class Taken(enum.Enum):
-    """What one round of accepting came to."""
+class AcceptResult(enum.Enum):
+    """Why a batch of accept calls ended."""
 
-    EMPTY = enum.auto()  # nobody waits any more
-    MORE = enum.auto()  # the batch is full: others may wait
-    NO_ROOM = enum.auto()  # the owner has no room for one more
-    EXHAUSTED = enum.auto()  # the system has no descriptor or memory, or fails otherwise: later
+    BACKLOG_EMPTY = enum.auto()  # no connection is pending
+    BATCH_FULL = enum.auto()  # more connections may be pending
+    NO_ROOM = enum.auto()  # the owner is at its session limit
+    EXHAUSTED = enum.auto()  # no descriptors or memory, or another system error: retry later
 
 
 class Acceptor:
-    """Takes connections from one listening socket and opens a session for each.
+    """Accepts connections on one listening socket and opens a session for each.
 
-    Connections that fail by themselves (`SINGLE_CONNECTION_ERRNOS`) are passed over. Where the system has no
-    descriptor or memory, accepting rests for `ACCEPT_AGAIN_US`. A connection whose session does not open is
-    closed. `has_room` is asked before each accept; an owner that says no resumes by `resume` or
-    `resume_later`. `exhausted` hears that the system had nothing: an owner may let something go.
+    Errors of a single connection (`SINGLE_CONNECTION_ERRNOS`) are skipped. If the system has no descriptors
+    or memory, accepting pauses for `ACCEPT_RETRY_US`. A connection whose session does not open is closed.
+    `has_room` is called before each accept; if it returns False, its owner calls `resume` or `resume_later`.
+    `on_exhausted` is called when the system has no descriptors or memory, so that the owner can free some.
     """
 
     def __init__(
         self,
         driver: EventLoopDriver,
         sock: socket.socket,
-        session: Callable[[], asyncio.Protocol],
+        open_session: Callable[[], asyncio.Protocol],
         *,
         listener: str,
         batch: int,
         has_room: Callable[[], bool] = lambda: True,
-        exhausted: Callable[[], None] = lambda: None,
+        on_exhausted: Callable[[], None] = lambda: None,
     ) -> None:
         self.driver, self.listener, self.batch = driver, listener, batch
         self.port: int = sock.getsockname()[1]
         self._socket: socket.socket | None = sock
-        self._session, self._has_room, self._exhausted = session, has_room, exhausted
+        self._open_session, self._has_room, self._on_exhausted = open_session, has_room, on_exhausted
         self._opening: dict[asyncio.Task[Any], socket.socket] = {}
-        self._reads = False
-        # since when connections may have waited: none has been taken then for want of room or descriptors
-        self.held_since: int | None = None
+        self._is_reading = False
+        # Earliest time at which connections may have been waiting in the backlog, or None (us).
+        self.backlog_waiting_since: int | None = None
 
     @property
-    def opening(self) -> int:
-        """Connections that were accepted and whose session is not open yet."""
+    def opening_count(self) -> int:
+        """Number of accepted connections whose session is not open yet."""
         return len(self._opening)
 
     @property
-    def closed(self) -> bool:
-        """Whether the listening has ended."""
+    def is_closed(self) -> bool:
+        """Whether the listening socket is closed."""
         return self._socket is None
 
     def resume(self, now: int = 0) -> None:
-        """Take what comes; passed over once it is closed."""
-        if self._socket is not None and not self._reads:
-            self._reads = True
+        """Start accepting connections; ignored once closed."""
+        if self._socket is not None and not self._is_reading:
+            self._is_reading = True
             self.driver.loop.add_reader(self._socket.fileno(), self._readable)
 
     def pause(self) -> None:
-        """What comes waits in the backlog."""
-        self._hold()
-        if self._socket is not None and self._reads:
-            self._reads = False
+        """Stop accepting connections; new ones wait in the backlog."""
+        self._mark_backlog_waiting()
+        if self._socket is not None and self._is_reading:
+            self._is_reading = False
             self.driver.loop.remove_reader(self._socket.fileno())
 
-    def _hold(self) -> None:
-        if self.held_since is None:
-            self.held_since = self.driver.now()
+    def _mark_backlog_waiting(self) -> None:
+        if self.backlog_waiting_since is None:
+            self.backlog_waiting_since = self.driver.now()
 
     def resume_later(self) -> None:
-        """Pause, and resume after `ACCEPT_AGAIN_US`."""
+        """Pause accepting for `ACCEPT_RETRY_US`."""
         self.pause()
-        self.driver.timers.add(self.driver.now() + ACCEPT_AGAIN_US, self.resume)
+        self.driver.timers.add(self.driver.now() + ACCEPT_RETRY_US, self.resume)
 
     def close(self) -> None:
-        """End the listening; sessions stay. What still waits in the backlog is reset by the system."""
+        """Close the listening socket; the kernel resets pending connections, open sessions continue."""
         self.pause()
         if self._socket is not None:
             self._socket.close()
@@ -125,36 +125,36 @@
 
     @callback
     def _readable(self) -> None:
-        if self.take() is Taken.EXHAUSTED:
+        if self.accept_batch() is AcceptResult.EXHAUSTED:
             self.resume_later()
 
-    def take(self) -> Taken:
-        """Accept one batch at most."""
+    def accept_batch(self) -> AcceptResult:
+        """Accept at most one batch of connections."""
         if self._socket is None:
-            return Taken.EMPTY
+            return AcceptResult.BACKLOG_EMPTY
         for _ in range(self.batch):
             if not self._has_room():
-                self._hold()
-                return Taken.NO_ROOM
+                self._mark_backlog_waiting()
+                return AcceptResult.NO_ROOM
             try:
                 sock, _ = self._socket.accept()
             except BlockingIOError:
-                self.held_since = None
-                return Taken.EMPTY
+                self.backlog_waiting_since = None
+                return AcceptResult.BACKLOG_EMPTY
             except OSError as error:
                 if error.errno in SINGLE_CONNECTION_ERRNOS:
                     continue
                 log_event("accept-failed", reason=error.strerror, listener=self.listener)
-                self._exhausted()
-                return Taken.EXHAUSTED
+                self._on_exhausted()
+                return AcceptResult.EXHAUSTED
             self._open(sock)
-        return Taken.MORE
+        return AcceptResult.BATCH_FULL
 
     def _open(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        session = self._session()
-        opening = self.driver.loop.connect_accepted_socket(lambda: session, sock)
-        task = self.driver.loop.create_task(opening)
+        session = self._open_session()
+        connecting = self.driver.loop.connect_accepted_socket(lambda: session, sock)
+        task = self.driver.loop.create_task(connecting)
         self._opening[task] = sock
         task.add_done_callback(self._opened)
 
@@ -162,10 +162,10 @@
     def _opened(self, task: asyncio.Task[Any]) -> None:
         sock = self._opening.pop(task)
         if task.cancelled() or task.exception() is not None:
-            sock.close()  # no transport has taken it over
+            sock.close()  # No transport owns the socket.
             reason = "cancelled" if task.cancelled() else task.exception()
             log_event("session-not-opened", reason=reason, listener=self.listener)
-            self.resume()  # its place is free again
+            self.resume()  # The failed session has freed its slot.
 
     def abort(self) -> None:
-        """`callback` asks for it: a defect in one round must not end the listening."""
+        """Do nothing: an exception in one batch must not end listening."""
--- a/cedarmill/net/loop.py
+++ b/cedarmill/net/loop.py
@@ -1,4 +1,4 @@
-"""The event loop's driver: the clock, the timers due, the one loop timer, the guard around callbacks."""
+"""The driver of the event loop: clock, timers and the decorator that guards callbacks."""
 
 import asyncio
 import functools
@@ -11,22 +11,22 @@
 from cedarmill.core.timers import Timers
 from cedarmill.log import log_event
 
-BOOT_ID = "/proc/sys/kernel/random/boot_id"  # random(4): a new one with each start of the kernel
-BOOT_ID_BYTES = 64
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"  # random(4): changes with each boot
+BOOT_ID_MAX_BYTES = 64
 
 
 def unix_us() -> int:
-    """Unix time, for people and for stamps of other machines: it may be stepped."""
+    """Return the wall clock time in microseconds since the Unix epoch; the clock may be stepped."""
     return time.time_ns() // 1000
 
 
 @functools.cache
 def boot_id() -> str:
-    """Which start of the machine the monotonic clock counts from; empty where that cannot be read."""
+    """Return the ID of the current boot, to which monotonic times belong; empty if it cannot be read."""
     try:
-        file = os.open(BOOT_ID, os.O_RDONLY | os.O_CLOEXEC)
+        file = os.open(BOOT_ID_PATH, os.O_RDONLY | os.O_CLOEXEC)
         try:
-            return os.read(file, BOOT_ID_BYTES).decode("ascii", "replace").strip()
+            return os.read(file, BOOT_ID_MAX_BYTES).decode("ascii", "replace").strip()
         finally:
             os.close(file)
     except OSError as error:
@@ -35,25 +35,25 @@
 
 
 def clock_reading(clock_us: int) -> ClockReading:
-    """That time of `EventLoopDriver.now`, as other processes of this machine can read it."""
+    """Return a time of `EventLoopDriver.now` with the wall clock and boot ID, for use by other processes."""
     return ClockReading(unix_us(), clock_us, boot_id())
 
 
 class EventLoopDriver:
-    """Runs what the loop calls; after each call it runs the timers due and sets the loop timer anew."""
+    """Runs due timers after each callback of the event loop, and schedules one loop timer for the next."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers) -> None:
         self.loop, self.timers = loop, timers
         self._timer: asyncio.TimerHandle | None = None
-        self._armed: int | None = None
+        self._timer_due: int | None = None
 
     @staticmethod
     def now() -> int:
-        """Return the balancer's clock: monotonic microseconds, the same for all processes of this machine."""
+        """Return the monotonic time in microseconds; the clock is shared by all processes of the machine."""
         return time.monotonic_ns() // 1000
 
     def end(self) -> None:
-        """Sweep what is due, then wait for the earliest of the rest."""
+        """Run the timers that are due and schedule the loop timer for the next one."""
         first = self.timers.next_due
         if first is not None and first <= (now := self.now()):
             for call in self.timers.sweep(now):
@@ -62,29 +62,29 @@
                 except Exception:
                     log_event("defect", True, what="deadline")
             first = self.timers.next_due
-        if first is None or (self._armed is not None and self._armed <= first):
-            return  # most are cancelled: to wake for one in vain costs less than a new timer
+        if first is None or (self._timer_due is not None and self._timer_due <= first):
+            return  # A spurious wake-up costs less than replacing the loop timer.
         if self._timer is not None:
             self._timer.cancel()
-        self._armed = first
-        # the loop counts whole milliseconds: rounded up, it never wakes before the deadline
+        self._timer_due = first
+        # The event loop has millisecond resolution: rounding up avoids a wake-up before the deadline.
         delay = max(0, first - self.now() + 999) // 1000 / 1000
         self._timer = self.loop.call_later(delay, self._wake)
 
     def _wake(self) -> None:
-        self._timer = self._armed = None
+        self._timer = self._timer_due = None
         self.end()
 
 
 class Guarded(Protocol):
-    """An object whose callbacks are guarded."""
+    """An object whose methods can be decorated with `callback`."""
 
     @property
     def driver(self) -> EventLoopDriver:
-        """Runs the timers due after each callback."""
+        """The driver that runs due timers after each callback."""
 
     def abort(self) -> object:
-        """Give up: one of its callbacks has raised."""
+        """Clean up after one of the callbacks has raised an exception."""
 
 
 Owner = TypeVar("Owner", bound=Guarded)
@@ -95,7 +95,7 @@
 def callback(
     method: Callable[Concatenate[Owner, Arguments], Result],
 ) -> Callable[Concatenate[Owner, Arguments], Result | None]:
-    """Wrap a callback that the loop makes: an exception costs its object only; what is due runs after it."""
+    """Decorate a callback of the event loop: an exception aborts only its object, then due timers run."""
 
     @functools.wraps(method)
     def run(self: Owner, *args: Arguments.args, **keywords: Arguments.kwargs) -> Result | None:
--- a/cedarmill/net/shutdown.py
+++ b/cedarmill/net/shutdown.py
@@ -1,7 +1,7 @@
-"""The end of a node's process: from SIGTERM on it takes what still comes, answers all, and leaves.
+"""Graceful shutdown of a node: after SIGTERM it accepts for a short time, answers all requests and exits.
 
-The platform kills the process `KILL_US` after SIGTERM and the longest deadline, of which it counts
-`KILL_DEADLINE_US` at most. So all that is open is answered before.
+The platform kills the process after the longest request deadline, of which at most
+`MAX_DEADLINE_BEFORE_KILL_US` counts, plus `KILL_DELAY_US`. All open requests are answered before that.
 """
 
 from collections.abc import Callable
@@ -11,20 +11,20 @@
 from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.loop import EventLoopDriver
 
-ACCEPT_ON_US = 600_000  # after SIGTERM: new connections come for up to 0.4 s more
-ACCEPT_LEAST_US = 450_000  # the same where the kill comes soon
-LAST_READ_US = 100_000  # then, for what the sessions taken last have sent to be read
-KILL_US = 700_000
-KILL_DEADLINE_US = 3_000_000
-KILL_MARGIN_US = 170_000  # between the last answers and the kill: the node may be held up for 0.15 s
-ANSWER_ALL_US = 10_000  # after the last answers are due: for requests that were promised more time
-CHECK_END_US = 10_000  # between two looks whether all has ended
+ACCEPT_GRACE_US = 600_000  # after SIGTERM; clients open new connections for up to 0.4 s
+MIN_ACCEPT_GRACE_US = 450_000  # used when the kill is close
+FINAL_READ_US = 100_000  # time for reading requests from the connections accepted last
+KILL_DELAY_US = 700_000
+MAX_DEADLINE_BEFORE_KILL_US = 3_000_000
+KILL_MARGIN_US = 170_000  # between the last answers and the kill; the process may be stalled for 0.15 s
+FORCED_ANSWER_DELAY_US = 10_000  # after `answer_by`, for requests that were given more time
+CHECK_END_US = 10_000  # interval of the checks whether all sessions have closed
 
 
 class Shutdown:
-    """Ends the process once; `leave` is called when nothing is open any longer."""
+    """Shuts the node down once; calls `leave` when no request or session is open."""
 
-    dispatch: Dispatch  # set by whoever wires the node
+    dispatch: Dispatch  # set by the owner before `begin`
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.on_draining: Callable[[], None] | None = None
 
     def begin(self) -> None:
-        """SIGTERM has come; a second one changes nothing."""
+        """Start the shutdown on SIGTERM; further calls have no effect."""
         if self.draining:
             return
         self.draining = True
@@ -49,25 +49,25 @@
         if self.on_draining is not None:
             self.on_draining()
         now, timers = self.driver.now(), self.driver.timers
-        kill_at = now + KILL_US + min(self.longest_deadline_us, KILL_DEADLINE_US)
+        kill_at = now + KILL_DELAY_US + min(self.longest_deadline_us, MAX_DEADLINE_BEFORE_KILL_US)
         answer_by = self.clients.answer_by = kill_at - KILL_MARGIN_US
         self.dispatch.answer_by(answer_by)
-        timers.add(answer_by + ANSWER_ALL_US, self.clients.answer_all)
-        accept_until = now  # a socket that the platform holds: its new process takes what comes
+        timers.add(answer_by + FORCED_ANSWER_DELAY_US, self.clients.answer_all)
+        accept_until = now  # An inherited socket stays open in the platform: a new process accepts on it.
         if not self.socket_is_inherited:
-            soon = max(now + ACCEPT_LEAST_US, answer_by - LAST_READ_US)
-            accept_until = min(now + ACCEPT_ON_US, soon)
+            accept_limit = max(now + MIN_ACCEPT_GRACE_US, answer_by - FINAL_READ_US)
+            accept_until = min(now + ACCEPT_GRACE_US, accept_limit)
         timers.add(accept_until, self._stop_listening)
         self.driver.end()
 
     def _stop_listening(self, now: int) -> None:
-        self.clients.stop_listening(take_backlog=not self.socket_is_inherited)
+        self.clients.stop_listening(accept_backlog=not self.socket_is_inherited)
         log_event("closed", held=self.dispatch.unanswered)
-        self.driver.timers.add(now + LAST_READ_US, self._leave_if_done)
+        self.driver.timers.add(now + FINAL_READ_US, self._leave_if_done)
 
     def _leave_if_done(self, now: int) -> None:
         self.clients.close_idle()
-        if self.dispatch.unanswered == 0 and self.clients.all_gone():
+        if self.dispatch.unanswered == 0 and self.clients.all_sessions_closed():
             self.leave()
         else:
             self.driver.timers.add(now + CHECK_END_US, self._leave_if_done)
--- a/cedarmill/net/socket_state.py
+++ b/cedarmill/net/socket_state.py
@@ -1,4 +1,4 @@
-"""What the system knows of a connection that the loop has not read yet: its end, and bytes that wait."""
+"""Queries to the kernel about a connection: closed by the peer, unread input, unacknowledged output."""
 
 import asyncio
 import contextlib
@@ -7,59 +7,60 @@
 import termios
 from array import array
 
-HALF_CLOSED = select.POLLRDHUP  # it sends no more
-BROKEN = select.POLLHUP | select.POLLERR  # both directions have ended, or it was reset
-ASKS = 2  # one that fails is made once more
-# what a method of a transport raises whose socket has broken or was closed
+HALF_CLOSE_EVENTS = select.POLLRDHUP  # the peer has shut down its sending side
+FULL_CLOSE_EVENTS = select.POLLHUP | select.POLLERR  # both directions are closed, or the connection was reset
+MAX_ATTEMPTS = 2
+# Errors that the methods of a transport raise when its socket is broken or closed.
 TRANSPORT_ERRORS = (OSError, RuntimeError, ValueError)
 
 
 def _descriptor(transport: asyncio.Transport) -> int:
-    """The socket's descriptor, -1 where it is closed; raises one of `TRANSPORT_ERRORS`."""
+    """Return the socket's descriptor or -1 if it is closed; raises one of `TRANSPORT_ERRORS`."""
     sock = transport.get_extra_info("socket")
     return sock.fileno() if sock is not None else -1
 
 
-def peer_closed(transport: asyncio.Transport, half_counts: bool = True) -> bool | None:
-    """Whether the peer has closed or reset; None where the system does not say.
+def is_peer_closed(transport: asyncio.Transport, half_close_counts: bool = True) -> bool | None:
+    """Return whether the peer has closed or reset the connection, or None if the kernel cannot be queried.
 
-    `half_counts`: also where it only sends no more.
+    `half_close_counts`: whether a peer that has only shut down its sending side counts as closed.
     """
-    wanted = BROKEN | (HALF_CLOSED if half_counts else 0)
-    for _ in range(ASKS):
+    closing_events = FULL_CLOSE_EVENTS | (HALF_CLOSE_EVENTS if half_close_counts else 0)
+    for _ in range(MAX_ATTEMPTS):
         try:
-            number = _descriptor(transport)
-            if number < 0:
+            descriptor = _descriptor(transport)
+            if descriptor < 0:
                 return True
             poll = select.poll()
-            poll.register(number, HALF_CLOSED if half_counts else 0)  # what is broken is told in any case
-            return any(events & wanted for _, events in poll.poll(0))
+            # POLLHUP and POLLERR are reported even if not requested.
+            poll.register(descriptor, HALF_CLOSE_EVENTS if half_close_counts else 0)
+            return any(events & closing_events for _, events in poll.poll(0))
         except TRANSPORT_ERRORS:
             continue
     return None
 
 
-def hung_up(transport: asyncio.Transport, half_counts: bool = True) -> bool:
-    """`peer_closed`, for a caller that uses no connection in doubt: unknown counts as closed."""
-    return peer_closed(transport, half_counts) is not False
+def hung_up(transport: asyncio.Transport, half_close_counts: bool = True) -> bool:
+    """Return whether the peer has closed the connection or its state cannot be queried."""
+    return is_peer_closed(transport, half_close_counts) is not False
 
 
-def bytes_unread(transport: asyncio.Transport) -> int:
-    """How much of what was written the peer's machine has not taken: here, and in the system's buffer."""
-    waiting = array("i", [0])
+def unacknowledged_bytes(transport: asyncio.Transport) -> int:
+    """Return the number of written bytes, buffered here or in the kernel, not acknowledged by the peer."""
+    byte_count = array("i", [0])
     with contextlib.suppress(*TRANSPORT_ERRORS):
-        fcntl.ioctl(_descriptor(transport), termios.TIOCOUTQ, waiting)
-    return transport.get_write_buffer_size() + waiting[0]
+        fcntl.ioctl(_descriptor(transport), termios.TIOCOUTQ, byte_count)
+    return transport.get_write_buffer_size() + byte_count[0]
 
 
-def bytes_wait(transport: asyncio.Transport) -> bool:
-    """Whether bytes wait to be read; also where the system does not say, as they may."""
-    waiting = array("i", [0])
+def has_unread_bytes(transport: asyncio.Transport) -> bool:
+    """Return whether the socket has unread input; True also if the kernel cannot be queried."""
+    byte_count = array("i", [0])
     try:
-        number = _descriptor(transport)
-        if number < 0:
+        descriptor = _descriptor(transport)
+        if descriptor < 0:
             return False
-        fcntl.ioctl(number, termios.FIONREAD, waiting)
+        fcntl.ioctl(descriptor, termios.FIONREAD, byte_count)
     except TRANSPORT_ERRORS:
         return True
-    return waiting[0] > 0
+    return byte_count[0] > 0
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -225,7 +225,7 @@
     def opened(self) -> tuple[ClientSession, FakeTransport]:
         session, transport = ClientSession(self.clients), FakeTransport()
         transport.sock = self.sock
-        session.client_left = lambda: False
+        session.client_has_left = lambda: False
         session.connection_made(transport)
         return session, transport
 
@@ -233,7 +233,7 @@
         """The session was reset, whatever it owed."""
         session, transport = self.opened()
         with self.assertLogs("cedarmill", "ERROR"):
-            session.pause = Mock(side_effect=KeyError)
+            session.set_reading_paused = Mock(side_effect=KeyError)
             session.data_received(raw(1) + raw(2) + raw(3)[:20])
         self.assertEqual(transport.text.count(b"HTTP/1.1 500"), 3)
         self.assertEqual(transport.text.count(b"Connection: close"), 1)
@@ -257,7 +257,7 @@
         """Its deadline had fired: nothing would have ended it."""
         session, transport = self.opened()
         session.data_received(raw(1)[:20])
-        session.unread = Mock(side_effect=KeyError)
+        session.has_unread_input = Mock(side_effect=KeyError)
         with self.assertLogs("cedarmill", "ERROR"):
             for due in self.timers.sweep(session.lifecycle.deadline):
                 due(session.lifecycle.deadline)
