--- a/cedarmill/net/clients/server.py
+++ b/cedarmill/net/clients/server.py
@@ -95,7 +95,7 @@
             for session in islice(self.unproven_sessions, ACCEPT_BATCH)
             if session.created_at <= now - limits.MIN_SESSION_AGE_US
         ]
-        leaving = [session for session in candidates if session.make_room()]
+        leaving = [session for session in candidates if session.give_way()]
         if not leaving:
             leaving = [
                 session
@@ -182,6 +182,6 @@
         ]:
             session.run_guarded(session.end_if_idle)
 
-    def all_sessions_closed(self) -> bool:
+    def all_gone(self) -> bool:
         """Return whether listening has ended and no session is open or opening."""
         return not self.sessions and not self._acceptor.opening_count and self._acceptor.is_closed
--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -77,7 +77,7 @@
     def resume_writing(self) -> None:
         """Serve queued requests again."""
         self.handle(SessionEvent.WRITING_RESUMED)
-        self.serve_queued_requests()
+        self.advance()
 
     @callback
     def data_received(self, data: bytes) -> None:
@@ -86,7 +86,7 @@
         lifecycle.heard_at = self.driver.now()
         if lifecycle.open and not reader.is_stopped:
             reader.feed(data)
-            self.serve_queued_requests()
+            self.advance()
         else:
             self.discarded_bytes += len(data)
             self.set_reading_paused(self.discarded_bytes > limits.MAX_DISCARDED_BYTES)
@@ -129,7 +129,7 @@
     def answer_timeout(self) -> None:
         """Answer the incomplete request with 408, after the responses that precede it."""
         self.reader.reject(_request_timeout_error())
-        self.serve_queued_requests()
+        self.advance()
 
     def list_as_idle(self) -> None:
         """Register the session as idle, so that the server may close it to make room."""
@@ -158,7 +158,7 @@
         """Close the session if it is idle; `for_room`: a new client waits for a free slot."""
         self.handle(SessionEvent.END_IDLE_FOR_ROOM if for_room else SessionEvent.END_IF_IDLE)
 
-    def make_room(self) -> bool:
+    def give_way(self) -> bool:
         """Close unless a request is complete or still arriving; return whether the session closes."""
         self.handle(SessionEvent.ROOM_WANTED)
         if self.lifecycle.open:
@@ -212,7 +212,7 @@
 
     # Requests in order.
 
-    def serve_queued_requests(self) -> None:
+    def advance(self) -> None:
         """Serve queued requests while the client reads its responses."""
         while True:
             action = self.step(_SERVICE_WANTED)
@@ -285,7 +285,7 @@
         self._forget_request()
         self.answer(status, body, headers)
         if self.reader.requests:
-            self.serve_queued_requests()
+            self.advance()
 
     def answer(self, status: int, body: bytes, headers: bytes = b"") -> None:
         """Send the response to the current request; ignored once the session is closing."""
--- a/cedarmill/net/shutdown.py
+++ b/cedarmill/net/shutdown.py
@@ -67,7 +67,7 @@
 
     def _leave_if_done(self, now: int) -> None:
         self.clients.close_idle()
-        if self.dispatch.unanswered == 0 and self.clients.all_sessions_closed():
+        if self.dispatch.unanswered == 0 and self.clients.all_gone():
             self.leave()
         else:
             self.driver.timers.add(now + CHECK_END_US, self._leave_if_done)
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -1,4 +1,4 @@
-"""Clients' sockets on which calls fail: one owner of each end, nothing left over."""
+"""Failing calls on client sockets: each session ends once, answers its requests and leaks nothing."""
 
 import contextlib
 import select
@@ -19,42 +19,42 @@
 from tests.support.node_case import WAIT
 from tests.support.system_call_faults import Fault
 
-NEVER_RAN = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-ERRORS = ("EPIPE", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS")
+REJECTED_RESPONSE = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+SOCKET_ERRORS = ("EPIPE", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS")
 
 
-class Broken(FaultyNodeCase):
+class FailingSocketCalls(FaultyNodeCase):
     def setUp(self) -> None:
         super().setUp()
         self.assertEqual(self.served_by(), 0)
-        self.kept = self.client()
-        self.kept.request("GET", "/ready")
-        self.assertEqual(self.kept.answer()[0], 200)
-        self.before = self.descriptors()
-        self.armed = 0
+        self.kept_client = self.client()
+        self.kept_client.request("GET", "/ready")
+        self.assertEqual(self.kept_client.answer()[0], 200)
+        self.descriptors_before = self.descriptors()
+        self.hits_before = 0
 
     def arm(self, call: str, error: str, times: int = 1) -> None:
-        self.armed = self.plan.hits(call)
+        self.hits_before = self.plan.hits(call)
         self.plan.arm(Fault(call, error, times=times))
 
-    def met(self, call: str) -> None:
-        self.wait_for(lambda: self.plan.hits(call) > self.armed)
+    def wait_for_fault(self, call: str) -> None:
+        self.wait_for(lambda: self.plan.hits(call) > self.hits_before)
 
-    def pipelined(self) -> tuple[socket.socket, object]:
-        """A session with one request in flight and one behind it, and the attempt."""
+    def pipelined_requests(self) -> tuple[socket.socket, object]:
+        """Send two requests on one connection; return the socket and the first request at the executor."""
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
         self.addCleanup(sock.close)
         sock.sendall(raw(1) + raw(2))
         return sock, self.executors[0].next_request()
 
-    def statuses(self, sock: socket.socket, most: int = 9) -> list[int]:
-        """Of its answers, till the node ends the connection or so many have come; executors serve."""
+    def statuses(self, sock: socket.socket, max_count: int = 9) -> list[int]:
+        """Serve requests; return the statuses of the responses until the close, `max_count` at most."""
         text, until = b"", time.monotonic() + WAIT
-        while text.count(b"HTTP/1.1 ") < most:
+        while text.count(b"HTTP/1.1 ") < max_count:
             if not self.executors[0].received.empty():
                 with contextlib.suppress(OSError):
                     self.executors[0].next_request().done()
-            self.assertLess(time.monotonic(), until, f"neither answers nor an end after {text!r}")
+            self.assertLess(time.monotonic(), until, f"neither a response nor a close after {text!r}")
             if not select.select([sock], [], [], 0.01)[0]:
                 continue
             try:
@@ -66,66 +66,67 @@
             text += chunk
         return [int(part[:3]) for part in text.split(b"HTTP/1.1 ")[1:]]
 
-    def serves_on(self) -> None:
-        """Served, once the module believes again that the executor has room."""
+    def check_node_serves(self) -> None:
+        """Check that a request is served once the balancer has a free slot, and that no descriptor leaks."""
         self.plan.arm()
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
         with contextlib.closing(sock):
-            found = []
+            statuses = []
             self.wait_for(
-                lambda: sock.sendall(raw(9)) or found.extend(self.statuses(sock, 1)) or 200 in found
+                lambda: sock.sendall(raw(9)) or statuses.extend(self.statuses(sock, 1)) or 200 in statuses
             )
-        self.wait_for(lambda: self.descriptors() <= self.before + 1)  # one more idle executor connection
+        # One more idle executor connection may be open.
+        self.wait_for(lambda: self.descriptors() <= self.descriptors_before + 1)
 
-    def answered(self, statuses: list[int]) -> None:
-        """Two requests, a final answer each: what is not served is refused by the module."""
+    def check_two_responses(self, statuses: list[int]) -> None:
+        """Check that the first request was served and the second one served or rejected by the balancer."""
         self.assertEqual(len(statuses), 2)
         self.assertTrue(set(statuses) <= {200, 503}, statuses)
         self.assertEqual(statuses[0], 200)
 
-    def test_a_write_that_fails_ends_the_session_and_starts_nothing_behind(self):
-        for error in ERRORS:
+    def test_a_failed_write_ends_the_session_and_drops_queued_requests(self):
+        for error in SOCKET_ERRORS:
             with self.subTest(errno=error):
-                sock, asked = self.pipelined()
+                sock, received = self.pipelined_requests()
                 self.arm("accepted.write", error)
-                asked.done()
+                received.done()
                 self.assertEqual(self.statuses(sock), [])
                 self.assertTrue(self.executors[0].received.empty())
-                self.serves_on()
+                self.check_node_serves()
 
-    def test_an_end_of_sending_that_fails_keeps_the_answer(self):
-        for error in ERRORS:
+    def test_a_failed_write_eof_does_not_lose_the_response(self):
+        for error in SOCKET_ERRORS:
             with self.subTest(errno=error):
                 sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
                 self.addCleanup(sock.close)
                 self.arm("accepted.write_eof", error)
                 sock.sendall(raw(1, more="Connection: close\r\n"))
                 self.assertEqual(self.statuses(sock), [200])
-                self.serves_on()
+                self.check_node_serves()
 
-    def test_reading_that_cannot_pause_or_resume_keeps_the_answers(self):
+    def test_a_failure_to_pause_or_resume_reading_does_not_lose_responses(self):
         for call in ("accepted.pause_reading", "accepted.resume_reading"):
-            for error in ERRORS:
+            for error in SOCKET_ERRORS:
                 with self.subTest(call=call, errno=error):
                     self.arm(call, error, times=0)
-                    sock, asked = self.pipelined()
-                    asked.done()
-                    ends = call == "accepted.resume_reading"  # nothing more is read
-                    self.answered(self.statuses(sock, 9 if ends else 2))
-                    self.met(call)
+                    sock, received = self.pipelined_requests()
+                    received.done()
+                    closes = call == "accepted.resume_reading"  # The node can read no more requests.
+                    self.check_two_responses(self.statuses(sock, 9 if closes else 2))
+                    self.wait_for_fault(call)
                     sock.close()
-                    self.serves_on()
+                    self.check_node_serves()
 
-    def test_an_abort_that_fails_is_made_again(self):
-        sock, asked = self.pipelined()
+    def test_a_failed_abort_is_retried(self):
+        sock, received = self.pipelined_requests()
         self.arm("accepted.abort", "EIO", times=2)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.close()
-        self.assertTrue(asked.connection.ended.wait(WAIT))
-        self.serves_on()
+        self.assertTrue(received.connection.ended.wait(WAIT))
+        self.check_node_serves()
 
-    def test_a_system_that_does_not_say_whether_the_client_is_there(self):
-        """What cannot be known to be wanted is refused; one call that fails costs nothing."""
+    def test_a_request_whose_client_status_is_unknown_is_rejected(self):
+        """A single failed query is repeated; if all queries fail, the request gets 503."""
         for call in ("poll", "accepted.get_extra_info"):
             for times, status in ((1, 200), (0, 503)):
                 with self.subTest(call=call, times=times):
@@ -134,52 +135,51 @@
                     self.addCleanup(sock.close)
                     sock.sendall(raw(1, more="Connection: close\r\n"))
                     self.assertEqual(self.statuses(sock), [status])
-                    self.serves_on()
+                    self.check_node_serves()
 
-    def test_bytes_that_cannot_be_counted_close_nobody(self):
+    def test_a_failure_to_count_unread_bytes_closes_no_session(self):
         self.arm("ioctl", "EIO", times=0)
-        sock, asked = self.pipelined()
-        asked.done()
-        self.answered(self.statuses(sock, 2))
+        sock, received = self.pipelined_requests()
+        received.done()
+        self.check_two_responses(self.statuses(sock, 2))
         sock.close()
-        self.serves_on()
+        self.check_node_serves()
 
-    def test_a_client_that_breaks_under_its_answer_leaves_nothing(self):
-        """A real reset in the very moment of the answer."""
+    def test_a_reset_by_the_client_during_its_response_leaks_nothing(self):
         for _ in range(5):
-            sock, asked = self.pipelined()
+            sock, received = self.pipelined_requests()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             sock.close()
-            with contextlib.suppress(OSError):  # cancelled already
-                asked.done()
-            self.serves_on()
+            with contextlib.suppress(OSError):  # The attempt may already be cancelled.
+                received.done()
+            self.check_node_serves()
 
 
 class PresenceUnknown(FaultyNodeCase):
-    """A system that fails to say whether a client is there, once its request is in flight."""
+    """The connection status of a client cannot be queried while its request is in flight."""
 
     executor_count = 2
 
-    def test_no_retry_where_the_system_does_not_say_whether_the_client_is_there(self):
-        """A first attempt is not sent then; a retry was, though its client may have left long ago."""
+    def test_no_retry_is_sent_while_the_client_status_is_unknown(self):
+        """Guards against a retry for a client that may have disconnected."""
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
         self.addCleanup(sock.close)
         sock.sendall(raw(1, more="Connection: close\r\n"))
         self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
-        asked = next(server for server in self.executors if server.received.qsize()).next_request()
+        received = next(server for server in self.executors if server.received.qsize()).next_request()
         self.plan.arm(Fault("poll", "ENOMEM", times=0))
-        began = time.monotonic()
-        asked.connection.send(NEVER_RAN)
+        rejected_at = time.monotonic()
+        received.connection.send(REJECTED_RESPONSE)
         text = b""
         while chunk := sock.recv(4096):
             text += chunk
-        self.assertRegex(text, rb"^HTTP/1.1 50[23] ")  # which of them is the balancer's choice
-        self.assertLess(time.monotonic() - began, 1)  # at once, not when its time is up
+        self.assertRegex(text, rb"^HTTP/1.1 50[23] ")  # The balancer chooses between 502 and 503.
+        self.assertLess(time.monotonic() - rejected_at, 1)  # well before the deadline of the request
         self.assertFalse(any(server.received.qsize() for server in self.executors))
 
 
 class FakeTransport:
-    """A transport that keeps what is written."""
+    """A transport that records the written data."""
 
     def __init__(self) -> None:
         self.text, self.closing = b"", False
@@ -206,7 +206,7 @@
 
 
 class Defect(unittest.TestCase):
-    """What raises in one session costs that session only."""
+    """An exception in one session affects only that session."""
 
     def setUp(self) -> None:
         loop = SimpleNamespace(call_later=lambda delay, call: SimpleNamespace(cancel=lambda: None))
@@ -222,16 +222,16 @@
         clients.classes = {"pin": 0}
         clients._acceptor = Mock()
 
-    def opened(self) -> tuple[ClientSession, FakeTransport]:
+    def open_session(self) -> tuple[ClientSession, FakeTransport]:
         session, transport = ClientSession(self.clients), FakeTransport()
         transport.sock = self.sock
         session.client_has_left = lambda: False
         session.connection_made(transport)
         return session, transport
 
-    def test_a_callback_that_raises_leaves_no_request_without_its_answer(self):
-        """The session was reset, whatever it owed."""
-        session, transport = self.opened()
+    def test_all_requests_are_answered_after_a_callback_raises(self):
+        """Guards against a reset of the connection with requests unanswered."""
+        session, transport = self.open_session()
         with self.assertLogs("cedarmill", "ERROR"):
             session.set_reading_paused = Mock(side_effect=KeyError)
             session.data_received(raw(1) + raw(2) + raw(3)[:20])
@@ -239,23 +239,23 @@
         self.assertEqual(transport.text.count(b"Connection: close"), 1)
         self.clients.dispatch.withdraw.assert_called_once()
 
-    def test_before_the_kill_one_that_raises_leaves_no_other_without_its_answer(self):
-        """Sessions are answered one after the other: the rest were left to the kill."""
-        sessions = [self.opened() for _ in range(3)]
+    def test_an_exception_in_one_session_before_the_kill_leaves_no_other_unanswered(self):
+        """Guards against a loop over the sessions that ends at the first exception."""
+        sessions = [self.open_session() for _ in range(3)]
         for number, (session, _) in enumerate(sessions):
             session.data_received(raw(number))
             session.answer_before_kill = Mock(side_effect=KeyError, wraps=session.answer_before_kill)
-        whole = sessions[0][0]
-        del whole.answer_before_kill
-        self.clients.sessions = [sessions[1][0], sessions[2][0], whole]  # in this order
+        intact = sessions[0][0]
+        del intact.answer_before_kill
+        self.clients.sessions = [sessions[1][0], sessions[2][0], intact]  # a list fixes the order
         with self.assertLogs("cedarmill", "ERROR"):
             self.clients.answer_all(self.clients.driver.now())
         for _, transport in sessions:
             self.assertRegex(transport.text, rb"HTTP/1.1 50[03] ")
 
-    def test_a_timer_that_raises_leaves_no_session_without_an_end(self):
-        """Its deadline had fired: nothing would have ended it."""
-        session, transport = self.opened()
+    def test_a_session_ends_after_its_timer_raises(self):
+        """Guards against a session that stays open because its deadline has already fired."""
+        session, transport = self.open_session()
         session.data_received(raw(1)[:20])
         session.has_unread_input = Mock(side_effect=KeyError)
         with self.assertLogs("cedarmill", "ERROR"):
--- a/tests/net/test_stalled_clients.py
+++ b/tests/net/test_stalled_clients.py
@@ -1,4 +1,4 @@
-"""Clients that stop in the middle of a request and stay, and those that are only slow."""
+"""Clients that stop sending in the middle of a request but stay connected, and clients that are slow."""
 
 import select
 import socket
@@ -9,181 +9,182 @@
 from tests.net.test_client_cancellation import LeavingCase, raw
 from tests.support.node_case import WAIT
 
-OWED = 3.0  # seconds within which a client that has stopped gets its error or the close
-BIG = 200_000  # bytes of an answer
-SOON = 2.0  # a client that is slow is not taken for one that has stopped
+MAX_ERROR_DELAY_S = 3.0  # from the last byte of a stalled client to the error or the close
+LARGE_BODY_BYTES = 200_000
+MIN_ERROR_DELAY_S = 2.0  # time that a slow client has before it counts as stalled
 
 
-class Stopped(LeavingCase):
-    def proven(self):
-        """A session that has served before."""
+class StalledRequests(LeavingCase):
+    def client_with_served_request(self):
+        """Return a connection on which a valid request has been answered."""
         sock = self.raw_client()
         sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
         self.assertIn(b" 200 ", sock.recv(4096))
         return sock
 
-    def rest(self, seconds: float) -> None:
+    def wait_seconds(self, seconds: float) -> None:
         until = time.monotonic() + seconds
         self.wait_for(lambda: time.monotonic() > until)
 
-    def ended(self, sock, began: float) -> None:
-        """It gets 408 and the close in time, and not at once."""
+    def check_timeout_response(self, sock, stalled_at: float) -> None:
+        """Check that the client gets 408 and the close, neither too early nor too late."""
         text = b""
         while chunk := sock.recv(4096):
             text += chunk
         self.assertIn(b"HTTP/1.1 408", text)
-        self.assertLess(time.monotonic() - began, OWED)
-        self.assertGreater(time.monotonic() - began, SOON)
+        self.assertLess(time.monotonic() - stalled_at, MAX_ERROR_DELAY_S)
+        self.assertGreater(time.monotonic() - stalled_at, MIN_ERROR_DELAY_S)
 
-    def test_who_stops_on_a_proven_session_is_told_within_three_seconds(self):
-        """It held its place for 15 s: only a session's first request had a short bound."""
-        whole = raw(1)
-        for part in (whole[:5], whole[:60], whole[:-1]):
+    def test_a_client_that_stalls_after_a_served_request_gets_408_within_three_seconds(self):
+        """Guards against a short timeout that covers only the first request of a session."""
+        request = raw(1)
+        for part in (request[:5], request[:60], request[:-1]):
             with self.subTest(part=part):
-                sock = self.proven()
-                began = time.monotonic()
+                sock = self.client_with_served_request()
+                stalled_at = time.monotonic()
                 sock.sendall(part)
-                self.ended(sock, began)
+                self.check_timeout_response(sock, stalled_at)
 
-    def test_who_stops_on_a_new_session_is_told_within_three_seconds(self):
+    def test_a_client_that_stalls_in_its_first_request_gets_408_within_three_seconds(self):
         sock = self.raw_client()
-        began = time.monotonic()
+        stalled_at = time.monotonic()
         sock.sendall(raw(1)[:60])
-        self.ended(sock, began)
+        self.check_timeout_response(sock, stalled_at)
 
-    def test_half_a_request_behind_one_in_flight_is_told_too(self):
+    def test_an_incomplete_request_behind_one_in_flight_gets_408_within_three_seconds(self):
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2)[:60])
-        began = time.monotonic()
-        asked = self.executors[0].next_request()
-        self.rest(0.5)
-        asked.done("first")
-        self.ended(sock, began)
+        stalled_at = time.monotonic()
+        received = self.executors[0].next_request()
+        self.wait_seconds(0.5)
+        received.done("first")
+        self.check_timeout_response(sock, stalled_at)
 
-    def test_half_a_request_is_told_at_once_where_the_one_before_took_long(self):
+    def test_an_incomplete_request_past_its_timeout_gets_408_right_after_the_response_before_it(self):
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2)[:60])
-        asked = self.executors[0].next_request()
-        self.rest(3.0)
-        asked.done("first")
-        began = time.monotonic()
+        received = self.executors[0].next_request()
+        self.wait_seconds(3.0)
+        received.done("first")
+        answered_at = time.monotonic()
         text = b""
         while chunk := sock.recv(4096):
             text += chunk
         self.assertEqual((text.count(b"HTTP/1.1 200"), text.count(b"HTTP/1.1 408")), (1, 1))
-        self.assertLess(time.monotonic() - began, 0.5)
+        self.assertLess(time.monotonic() - answered_at, 0.5)
 
-    def test_a_slow_one_whose_bytes_keep_coming_is_served(self):
-        """Its request takes longer than a stopped one is given, a second one too."""
-        sock = self.proven()
-        whole = raw(1)
+    def test_a_request_whose_bytes_keep_arriving_slowly_is_served(self):
+        """The request takes longer in total than the timeout of a stalled one."""
+        sock = self.client_with_served_request()
+        request = raw(1)
         for start in range(0, 120, 30):
-            sock.sendall(whole[start : start + 30])
-            self.rest(1.2)
-        sock.sendall(whole[120:])
+            sock.sendall(request[start : start + 30])
+            self.wait_seconds(1.2)
+        sock.sendall(request[120:])
         self.executors[0].next_request().done()
         self.assertIn(b" 200 ", sock.recv(4096))
 
-    def test_a_resting_session_keeps_its_time(self):
-        sock = self.proven()
-        self.assertEqual(select.select([sock], [], [], OWED + 0.3)[0], [])
+    def test_the_stall_timeout_does_not_end_an_idle_session(self):
+        sock = self.client_with_served_request()
+        self.assertEqual(select.select([sock], [], [], MAX_ERROR_DELAY_S + 0.3)[0], [])
         sock.sendall(raw(1))
         self.executors[0].next_request().done()
         self.assertIn(b" 200 ", sock.recv(4096))
 
-    def test_a_new_session_asks_again_in_pieces_after_an_error(self):
-        """Its first good request was measured from its birth, whatever it had been answered since."""
+    def test_after_an_error_response_a_session_has_new_time_for_its_first_valid_request(self):
+        """Guards against a timeout that runs from the opening of the connection instead."""
         sock = self.raw_client()
-        self.rest(1.5)
+        self.wait_seconds(1.5)
         sock.sendall(b"GET /nowhere HTTP/1.1\r\n\r\n")
         self.assertIn(b" 404 ", sock.recv(4096))
-        self.rest(1.5)
+        self.wait_seconds(1.5)
         for part in (raw(1)[:50], raw(1)[50:]):
             sock.sendall(part)
-            self.rest(0.05)
+            self.wait_seconds(0.05)
         self.executors[0].next_request().done()
         self.assertIn(b" 200 ", sock.recv(4096))
 
 
 class NotReading(LeavingCase):
-    """Clients that leave half a request behind answers that they do not read."""
+    """Clients that leave an incomplete request behind responses that they do not read."""
 
-    def stuck(self) -> socket.socket:
-        """A client whose first answer is stuck at the node, one whole request and a half behind it."""
-        sock, half = socket.socket(), 60
+    def client_with_blocked_response(self) -> socket.socket:
+        """Return a client with an unread response, one queued request and one incomplete request."""
+        sock, split = socket.socket(), 60
         self.addCleanup(sock.close)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 500)  # so the system holds little for it
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 500)  # keeps the kernel buffers small
         sock.connect(("127.0.0.1", self.port))
         sock.settimeout(WAIT)
-        sock.sendall(raw(1) + raw(2)[:half])
-        self.executors[0].next_request().done("x" * BIG)
+        sock.sendall(raw(1) + raw(2)[:split])
+        self.executors[0].next_request().done("x" * LARGE_BODY_BYTES)
         self.wait_for(lambda: select.select([sock], [], [], 0)[0])
-        sock.sendall(raw(2)[half:] + raw(3)[:half])
+        sock.sendall(raw(2)[split:] + raw(3)[:split])
         return sock
 
-    def test_half_a_request_behind_them_is_told_too(self):
-        """Nothing ever ended such a session: its error waited for the client to read, without a bound."""
-        sock = self.stuck()
-        stopped = time.monotonic()
-        self.wait_for(lambda: time.monotonic() > stopped + OWED)
+    def test_queued_and_incomplete_requests_behind_an_unread_response_get_errors(self):
+        """Guards against a session that waits without limit for its client to read."""
+        sock = self.client_with_blocked_response()
+        stalled_at = time.monotonic()
+        self.wait_for(lambda: time.monotonic() > stalled_at + MAX_ERROR_DELAY_S)
         text = b""
         while chunk := sock.recv(1 << 20):
             text += chunk
         statuses = [int(part[:3]) for part in text.split(b"HTTP/1.1 ")[1:]]
         self.assertEqual(statuses, [200, 503, 408])
-        self.assertNotIn(b"Retry-After", text)  # it is not the balancer that refuses
-        self.assertEqual(text.count(b"x"), BIG)
-        self.assertTrue(self.executors[0].received.empty())  # no work for a client that does not read
-
-    def test_one_that_never_reads_holds_no_place(self):
-        sock = self.stuck()
-        stopped = time.monotonic()
-        self.assertTrue(self.held_by_node(sock))
-        self.wait_for(lambda: not self.held_by_node(sock))
-        self.assertLess(time.monotonic() - stopped, OWED + 1.5)  # the error has 1 s to leave
-
-    def held_by_node(self, sock: socket.socket) -> bool:
-        """Whether the node still holds its end: the system lists one without an owner with no inode."""
-        ends = [f"0100007F:{port:04X}" for port in (self.port, sock.getsockname()[1])]
+        self.assertNotIn(b"Retry-After", text)  # The balancer has not rejected the request.
+        self.assertEqual(text.count(b"x"), LARGE_BODY_BYTES)
+        self.assertTrue(self.executors[0].received.empty())  # Nothing is forwarded for this client.
+
+    def test_the_connection_of_a_client_that_never_reads_is_closed(self):
+        sock = self.client_with_blocked_response()
+        stalled_at = time.monotonic()
+        self.assertTrue(self.is_open_at_node(sock))
+        self.wait_for(lambda: not self.is_open_at_node(sock))
+        # The node waits 1 s for the client to read the error.
+        self.assertLess(time.monotonic() - stalled_at, MAX_ERROR_DELAY_S + 1.5)
+
+    def is_open_at_node(self, sock: socket.socket) -> bool:
+        """Return whether the node has its end open: a socket without an owner is listed with inode 0."""
+        endpoints = [f"0100007F:{port:04X}" for port in (self.port, sock.getsockname()[1])]
         rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()]
-        return any(row[1:3] == ends and row[9] != "0" for row in rows)
+        return any(row[1:3] == endpoints and row[9] != "0" for row in rows)
 
 
 class MakingRoom(LeavingCase):
-    """At the bound, new sessions in the middle of their first request make room, if they have stopped."""
+    """At the session limit, sessions that stall in their first request are closed for new connections."""
 
-    sockets = 64  # 20 sessions
+    sockets = 64  # allows 20 sessions
 
-    def test_half_a_request_that_was_read_gets_its_error_as_it_makes_room(self):
-        """It was reset, with what it had sent."""
-        socks = [self.raw_client() for _ in range(20)]
-        for sock in socks:
+    def test_a_stalled_session_that_makes_room_gets_408(self):
+        """Guards against a reset of the connection in place of a response."""
+        stalled = [self.raw_client() for _ in range(20)]
+        for sock in stalled:
             sock.sendall(raw(1)[:60])
-        began = time.monotonic()
-        self.wait_for(lambda: time.monotonic() > began + 0.4)
+        stalled_at = time.monotonic()
+        self.wait_for(lambda: time.monotonic() > stalled_at + 0.4)
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertLess(time.monotonic() - began, 2)
-        answers = [sock.recv(4096) for sock in socks]
+        self.assertLess(time.monotonic() - stalled_at, 2)
+        answers = [sock.recv(4096) for sock in stalled]
         self.assertEqual([answer[:12] for answer in answers], [b"HTTP/1.1 408"] * 20)
 
-    def test_one_whose_bytes_keep_coming_is_left_in_peace(self):
-        """It was reset 0.15 s after it had connected, its request half read."""
-        socks = [self.raw_client() for _ in range(19)]
-        slow, whole = self.raw_client(), raw(1)
+    def test_a_session_that_keeps_sending_does_not_make_room(self):
+        """Guards against closing a session by its age alone, while its request is arriving."""
+        idle = [self.raw_client() for _ in range(19)]
+        slow, request = self.raw_client(), raw(1)
         self.wait_for(lambda: self.descriptors() > 25)
-        slow.sendall(whole[:30])
-        others = [self.raw_client() for _ in range(20)]
+        slow.sendall(request[:30])
+        waiting = [self.raw_client() for _ in range(20)]
         for start in range(30, 130, 5):
-            slow.sendall(whole[start : start + 5])
+            slow.sendall(request[start : start + 5])
             until = time.monotonic() + 0.05
             self.wait_for(lambda until=until: time.monotonic() > until)
-        slow.sendall(whole[130:])
+        slow.sendall(request[130:])
         self.executors[0].next_request().done()
         self.assertIn(b" 200 ", slow.recv(4096))
-        self.assertEqual(len(socks + others), 39)
+        self.assertEqual(len(idle + waiting), 39)
 
 
 if __name__ == "__main__":
