--- a/cedarmill/net/bounded_sessions.py
+++ b/cedarmill/net/bounded_sessions.py
@@ -15,7 +15,7 @@
 from cedarmill.net.loop import EventLoopDriver, callback
 from cedarmill.net.socket_state import TRANSPORT_ERRORS
 
-ABORT_RETRY_US = 50_000  # delay after a failed abort
+ABORT_RETRY_US = 50_000
 
 
 class Overflow(enum.Enum):
@@ -30,21 +30,21 @@
     """Limits of a listener."""
 
     max_sessions: int
-    accept_batch: int  # connections per loop iteration, held briefly beyond `max_sessions`
+    accept_batch: int  # Connections per loop iteration, held briefly beyond `max_sessions`.
     backlog: int
     overflow: Overflow
-    first_request_us: int  # time for a session to send its first request
+    first_request_us: int  # Time for a session to send its first request.
 
 
 class BoundedSession(asyncio.Protocol):
     """A connection that is closed at the latest when its deadline passes."""
 
-    transport: asyncio.Transport  # set by `connection_made`
+    transport: asyncio.Transport  # Set by `connection_made`.
 
     def __init__(self, listener: "BoundedListener[Any]") -> None:
         """`listener`: the owner, which counts the session against its limit."""
         self.driver = listener.driver
-        self.over = False  # the last data was sent: further input is ignored
+        self.over = False  # The last data was sent; further input is ignored.
         self._listener = listener
         self._connected = False
         self._deadline: Timer | None = None
@@ -137,7 +137,7 @@
 class BoundedListener(Generic[AnySession]):
     """A listening socket and its sessions, oldest first."""
 
-    _acceptor: Acceptor  # set by `listen`
+    _acceptor: Acceptor  # Set by `listen`.
 
     def __init__(
         self,
--- a/cedarmill/net/clients/connection.py
+++ b/cedarmill/net/clients/connection.py
@@ -25,16 +25,16 @@
 class ClientConnection(asyncio.Protocol):
     """Owns the transport and the timers of one client connection, and closes it."""
 
-    transport: asyncio.Transport  # set by `connection_made`
+    transport: asyncio.Transport  # Set by `connection_made`.
 
     def __init__(self, driver: EventLoopDriver, half_close_leaves: bool, unread_since: int | None) -> None:
         """`unread_since`: earliest time at which input may have been waiting in the accept backlog (us)."""
         self.driver = driver
-        self.unread_since = unread_since  # also set while reading is paused
+        self.unread_since = unread_since  # Also set while reading is paused.
         self.created_at = driver.now()
         self.lifecycle = SessionLifecycle(self.created_at, limits.TIMES, half_close_leaves=half_close_leaves)
         self.connected = False
-        self._last_unacknowledged_bytes = 0  # at the previous progress check while closing
+        self._last_unacknowledged_bytes = 0  # Value of the previous progress check while closing.
         self._deadline_timer: Timer | None = None
         self._deadline_at: int | None = None
         self._hang_up_check_timer: Timer | None = None
--- a/cedarmill/net/clients/limits.py
+++ b/cedarmill/net/clients/limits.py
@@ -5,10 +5,11 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
 MAX_PIPELINED_REQUESTS = 8
-# Input that is read and discarded after the last response, before reading is paused.
+# Reading is paused after this much input has been discarded behind the last response.
 MAX_DISCARDED_BYTES = 1024 * 1024
-MIN_SESSION_AGE_US = 150_000  # younger sessions are not closed to make room for others
-# Time since the last byte of an incomplete request: 3 s less 0.15 s each for a late read and a late timer.
+# Younger sessions are not closed to make room for others.
+MIN_SESSION_AGE_US = 150_000
+# An incomplete request has 3 s after its last byte, less 0.15 s each for a late read and a late timer.
 STALLED_REQUEST_US = 2_700_000
 TIMES = SessionTimes(
     first_request=2_800_000,
--- a/cedarmill/net/clients/request_reader.py
+++ b/cedarmill/net/clients/request_reader.py
@@ -15,7 +15,7 @@
     """Receives the events of a `RequestReader`; implemented by the client session."""
 
     driver: EventLoopDriver
-    unread_since: int | None  # earliest time at which the current input may have been waiting unread (us)
+    unread_since: int | None  # Earliest time at which the input may have been waiting (us).
 
     def on_request_begun(self) -> None:
         """Called when the first byte of a request has been parsed."""
@@ -50,7 +50,7 @@
         self._head_bytes = 0
         self.incomplete: ClientRequest | None = None
         self.requests: deque[ClientRequest] = deque()
-        self.is_stopped = False  # True: further input is not parsed
+        self.is_stopped = False  # If True, further input is not parsed.
 
     def close(self) -> None:
         """Drop the parser and the sink: their reference cycles would keep bodies until a full collection."""
@@ -81,7 +81,7 @@
             log_event("defect", fault, what="callback on a message")
             fault = ClientRequestError(500, "internal error")
         message, self.incomplete = self.incomplete or ClientRequest(self._sink.driver.now()), None
-        message.body = bytearray()  # frees the memory: the client may stay connected for some time
+        message.body = bytearray()  # Frees memory, since the client may stay connected for some time.
         fault.__traceback__ = None
         message.fault, message.keep_alive, self.is_stopped = fault, False, True
         self.requests.append(message)
--- a/cedarmill/net/clients/server.py
+++ b/cedarmill/net/clients/server.py
@@ -13,10 +13,13 @@
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.values import DeadlineOptions
 
-BACKLOG_DRAIN_US = 500_000  # maximum time spent accepting the rest of the backlog at shutdown
+# At shutdown the rest of the backlog is accepted within this time, with retries at this interval.
+BACKLOG_DRAIN_US = 500_000
 BACKLOG_RETRY_US = 20_000
-BACKLOG_READ_US = 50_000  # time reserved for reading requests from the connections accepted last
-ACCEPT_BATCH = 32  # connections per loop iteration; bounds the delay of open requests
+# This time before `answer_by` is reserved for reading requests on the connections accepted last.
+BACKLOG_READ_US = 50_000
+# The number of connections per loop iteration is limited so that open requests are not delayed.
+ACCEPT_BATCH = 32
 LISTEN_BACKLOG = 1024
 UNREPEATABLE_HEADERS = frozenset(
     (
@@ -37,8 +40,8 @@
 class ClientServer:
     """Accepts client connections and keeps track of their sessions."""
 
-    dispatch: Dispatch  # set by the owner before `listen`
-    _acceptor: Acceptor  # set by `listen`
+    dispatch: Dispatch  # Set by the owner before `listen`.
+    _acceptor: Acceptor  # Set by `listen`.
 
     def __init__(
         self, driver: EventLoopDriver, settings: api.Settings, bound: int, options: DeadlineOptions
@@ -49,18 +52,19 @@
         self.deadlines = [spec.deadline_us for spec in settings.classes]
         self.tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         self.sessions: set[ClientSession] = set()
-        self.unproven_sessions: dict[ClientSession, None] = {}  # without a valid request so far, oldest first
-        self.idle_sessions: dict[ClientSession, None] = {}  # longest idle first
+        self.unproven_sessions: dict[ClientSession, None] = {}  # Oldest session first.
+        self.idle_sessions: dict[ClientSession, None] = {}  # Longest idle session first.
         self.sessions_by_call_id: dict[bytes, ClientSession] = {}
         self.draining = self.closing = False
-        self.draining_clients = False  # connections close after their next response
-        self.answer_by = 0  # set at shutdown: time by which all requests must be answered (us); else 0
+        self.draining_clients = False  # Connections close after their next response.
+        # Time by which all requests must be answered (us); 0 before the shutdown.
+        self.answer_by = 0
         self.port = 0
 
     def listen(self, address: Address, inherited: socket.socket | None = None) -> None:
         """Start accepting connections, on the inherited listening socket if there is one; raises OSError."""
         sock = inherited if inherited is not None else listening_socket(address, LISTEN_BACKLOG)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # accepted sockets inherit the option
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # Accepted sockets inherit the option.
         sock.setblocking(False)
         self._acceptor = Acceptor(
             self.driver,
--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -39,9 +39,9 @@
         self.server = server
         self.reader = RequestReader(self, server.unrepeatable_headers)
         self.current_message: ClientRequest | None = None
-        self.request: Request | None = None  # the dispatched request for `current_message`
-        self.call_id = b""  # X-Call-Id of the open request
-        self.discarded_bytes = 0  # input after the last response
+        self.request: Request | None = None  # The dispatched request for `current_message`.
+        self.call_id = b""  # The X-Call-Id of the open request.
+        self.discarded_bytes = 0  # Input after the last response.
 
     # Callbacks of the transport.
 
--- a/cedarmill/net/listener.py
+++ b/cedarmill/net/listener.py
@@ -11,7 +11,8 @@
 from cedarmill.net.config import Address
 from cedarmill.net.loop import EventLoopDriver, callback
 
-ACCEPT_RETRY_US = 50_000  # delay after accept failed for lack of descriptors or memory
+# Accepting pauses for this time when there are no descriptors or no memory.
+ACCEPT_RETRY_US = 50_000
 # Errors of accept(2) that concern a single connection or call; the next call may succeed.
 SINGLE_CONNECTION_ERRNOS = frozenset(
     (
@@ -49,10 +50,10 @@
 class AcceptResult(enum.Enum):
     """Why a batch of accept calls ended."""
 
-    BACKLOG_EMPTY = enum.auto()  # no connection is pending
-    BATCH_FULL = enum.auto()  # more connections may be pending
-    NO_ROOM = enum.auto()  # the owner is at its session limit
-    EXHAUSTED = enum.auto()  # no descriptors or memory, or another system error: retry later
+    BACKLOG_EMPTY = enum.auto()  # No connection is pending.
+    BATCH_FULL = enum.auto()  # More connections may be pending.
+    NO_ROOM = enum.auto()  # The owner is at its session limit.
+    EXHAUSTED = enum.auto()  # The system has no descriptors or memory, or accept failed otherwise.
 
 
 class Acceptor:
--- a/cedarmill/net/loop.py
+++ b/cedarmill/net/loop.py
@@ -11,7 +11,7 @@
 from cedarmill.core.timers import Timers
 from cedarmill.log import log_event
 
-BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"  # random(4): changes with each boot
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"  # It changes with each boot, see random(4).
 BOOT_ID_MAX_BYTES = 64
 
 
--- a/cedarmill/net/shutdown.py
+++ b/cedarmill/net/shutdown.py
@@ -11,20 +11,25 @@
 from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.loop import EventLoopDriver
 
-ACCEPT_GRACE_US = 600_000  # after SIGTERM; clients open new connections for up to 0.4 s
-MIN_ACCEPT_GRACE_US = 450_000  # used when the kill is close
-FINAL_READ_US = 100_000  # time for reading requests from the connections accepted last
+# Clients open new connections for up to 0.4 s after SIGTERM; if the kill is near, the minimum applies.
+ACCEPT_GRACE_US = 600_000
+MIN_ACCEPT_GRACE_US = 450_000
+# Requests on the connections accepted last are read in this time.
+FINAL_READ_US = 100_000
 KILL_DELAY_US = 700_000
 MAX_DEADLINE_BEFORE_KILL_US = 3_000_000
-KILL_MARGIN_US = 170_000  # between the last answers and the kill; the process may be stalled for 0.15 s
-FORCED_ANSWER_DELAY_US = 10_000  # after `answer_by`, for requests that were given more time
-CHECK_END_US = 10_000  # interval of the checks whether all sessions have closed
+# The last answers precede the kill by this margin, since the process may be stalled for 0.15 s.
+KILL_MARGIN_US = 170_000
+# Requests with an extended deadline are answered this long after `answer_by`.
+FORCED_ANSWER_DELAY_US = 10_000
+# All sessions are checked for having closed at this interval.
+CHECK_END_US = 10_000
 
 
 class Shutdown:
     """Shuts the node down once; calls `leave` when no request or session is open."""
 
-    dispatch: Dispatch  # set by the owner before `begin`
+    dispatch: Dispatch  # Set by the owner before `begin`.
 
     def __init__(
         self,
--- a/cedarmill/net/socket_state.py
+++ b/cedarmill/net/socket_state.py
@@ -7,8 +7,8 @@
 import termios
 from array import array
 
-HALF_CLOSE_EVENTS = select.POLLRDHUP  # the peer has shut down its sending side
-FULL_CLOSE_EVENTS = select.POLLHUP | select.POLLERR  # both directions are closed, or the connection was reset
+HALF_CLOSE_EVENTS = select.POLLRDHUP  # The peer has shut down its sending side.
+FULL_CLOSE_EVENTS = select.POLLHUP | select.POLLERR  # Both directions are closed or reset.
 MAX_ATTEMPTS = 2
 # Errors that the methods of a transport raise when its socket is broken or closed.
 TRANSPORT_ERRORS = (OSError, RuntimeError, ValueError)
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -174,7 +174,7 @@
         while chunk := sock.recv(4096):
             text += chunk
         self.assertRegex(text, rb"^HTTP/1.1 50[23] ")  # The balancer chooses between 502 and 503.
-        self.assertLess(time.monotonic() - rejected_at, 1)  # well before the deadline of the request
+        self.assertLess(time.monotonic() - rejected_at, 1)  # This is well before the deadline.
         self.assertFalse(any(server.received.qsize() for server in self.executors))
 
 
@@ -247,7 +247,7 @@
             session.answer_before_kill = Mock(side_effect=KeyError, wraps=session.answer_before_kill)
         intact = sessions[0][0]
         del intact.answer_before_kill
-        self.clients.sessions = [sessions[1][0], sessions[2][0], intact]  # a list fixes the order
+        self.clients.sessions = [sessions[1][0], sessions[2][0], intact]  # A list fixes the order.
         with self.assertLogs("cedarmill", "ERROR"):
             self.clients.answer_all(self.clients.driver.now())
         for _, transport in sessions:
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -52,7 +52,7 @@
             if not self.executors[0].received.empty():
                 self.executors[0].next_request().done()
         status = self.read_status(sock)
-        self.assertEqual(select.select([sock], [], [], 0.02)[0], [])  # no second response
+        self.assertEqual(select.select([sock], [], [], 0.02)[0], [])  # There is no second response.
         return status
 
     def check_requests_during_fault(self, fault: Fault) -> None:
@@ -75,7 +75,7 @@
                 raise ConnectionResetError  # A regular close is accepted as well.
             self.assertTrue(self.executors[0].received.empty())
         else:
-            self.assertIn(self.serve_until_answered(new_socket), (200, 503))  # 503 if the executor is full
+            self.assertIn(self.serve_until_answered(new_socket), (200, 503))  # 503: executor full.
         new_socket.close()
         self.assertEqual(self.served_by(), 0)
         # One more client connection and one more executor connection stay open.
@@ -165,7 +165,7 @@
         self.terminate()
         self.wait_log("draining")
         self.process.send_signal(signal.SIGSTOP)
-        resume_at = time.monotonic() + 0.7  # later than the node closes its listening socket
+        resume_at = time.monotonic() + 0.7  # By then the node's accept period is over.
         self.wait_for(lambda: time.monotonic() > resume_at)
         sockets = [self.raw_client(raw(number, budget=2000)) for number in range(count)]
         self.process.send_signal(signal.SIGCONT)
--- a/tests/net/test_stalled_clients.py
+++ b/tests/net/test_stalled_clients.py
@@ -9,9 +9,10 @@
 from tests.net.test_client_cancellation import LeavingCase, raw
 from tests.support.node_case import WAIT
 
-MAX_ERROR_DELAY_S = 3.0  # from the last byte of a stalled client to the error or the close
+# A stalled client gets its error or the close between MIN_ERROR_DELAY_S and this time after its last byte.
+MAX_ERROR_DELAY_S = 3.0
 LARGE_BODY_BYTES = 200_000
-MIN_ERROR_DELAY_S = 2.0  # time that a slow client has before it counts as stalled
+MIN_ERROR_DELAY_S = 2.0
 
 
 class StalledRequests(LeavingCase):
@@ -113,7 +114,7 @@
         sock, split = socket.socket(), 60
         self.addCleanup(sock.close)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 500)  # keeps the kernel buffers small
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 500)  # Keeps the kernel buffers small.
         sock.connect(("127.0.0.1", self.port))
         sock.settimeout(WAIT)
         sock.sendall(raw(1) + raw(2)[:split])
@@ -154,7 +155,7 @@
 class MakingRoom(LeavingCase):
     """At the session limit, sessions that stall in their first request are closed for new connections."""
 
-    sockets = 64  # allows 20 sessions
+    sockets = 64  # This allows 20 sessions.
 
     def test_a_stalled_session_that_makes_room_gets_408(self):
         """Guards against a reset of the connection in place of a response."""
