--- a/cedarmill/net/upstream/__init__.py
+++ b/cedarmill/net/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""Connections to executors: a pool for each, and the attempts and probes that they carry.
+"""Connection pools for executors, and the attempts and probes that their connections carry.
 
-Nothing here chooses an executor or retries: that is `decisions/`, by way of `core/dispatch.py`.
+Selection and retries are decided in `decisions/`; `core/dispatch.py` passes the decisions on to these pools.
 """
--- a/cedarmill/net/upstream/answer_reader.py
+++ b/cedarmill/net/upstream/answer_reader.py
@@ -1,4 +1,4 @@
-"""Reads the answers of one connection to an executor, for the exchange that each belongs to."""
+"""HTTP parser for the answers on one connection to an executor."""
 
 from typing import TYPE_CHECKING
 
@@ -7,69 +7,69 @@
 if TYPE_CHECKING:
     from cedarmill.net.upstream.exchange import Exchange
 
-MAX_ANSWER_BYTES = 1024 * 1024  # of one answer, with all its lines
+MAX_ANSWER_BYTES = 1024 * 1024  # size limit of one whole answer
 
 
 class AnswerReader:
-    """One connection's HTTP parser; `exchange` is whose answer comes, None where none is expected."""
+    """Parses a connection's answers and passes them to `exchange`, which is None if no answer is expected."""
 
     def __init__(self) -> None:
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.exchange: Exchange | None = None
         self.complete = self.keep_alive = False
-        self._bytes = 0  # of this answer
+        self._answer_bytes = 0  # received so far of the current answer
 
     def expect(self, exchange: "Exchange") -> None:
-        """The next answer is to this exchange."""
-        self.exchange, self.complete, self._bytes = exchange, False, 0
+        """Assign the next answer to an exchange."""
+        self.exchange, self.complete, self._answer_bytes = exchange, False, 0
 
     def feed(self, data: bytes) -> bool:
-        """Whether what has come is an answer so far, and of a bounded size: it need never end."""
+        """Parse received bytes; return False for malformed data and for an answer over MAX_ANSWER_BYTES."""
         try:
             self._open_parser().feed_data(data)
-        except Exception:  # an answer that is no HTTP, or not of this protocol
+        except Exception:  # malformed HTTP, or an answer that violates the protocol
             return False
         finally:
-            self._bytes += len(data)
-        return self._bytes <= MAX_ANSWER_BYTES
+            self._answer_bytes += len(data)
+        return self._answer_bytes <= MAX_ANSWER_BYTES
 
     def close(self) -> None:
-        """Nothing more comes: the cycle with the parser would stay till a full collection."""
+        """Drop the parser, which would otherwise form a reference cycle with this object."""
         self._parser = None
 
     def _open_parser(self) -> httptools.HttpResponseParser:
         if self._parser is None:
-            raise ValueError("the connection is lost")
+            raise ValueError("the connection is closed")
         return self._parser
 
-    def _expected(self) -> "Exchange":
+    def _current_exchange(self) -> "Exchange":
         if self.exchange is None:
-            raise ValueError("given up meanwhile")
+            raise ValueError("answer to an abandoned request")
         return self.exchange
 
-    # httptools calls these.
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Refuse a second answer to one request."""
+        """Raise ValueError for a second answer to one request."""
         if self.complete:
-            raise ValueError("a second answer")
+            raise ValueError("second answer to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header of the answer."""
-        self._expected().headers[name.lower()] = value
+        """Store a header of the answer."""
+        self._current_exchange().headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """Pass the status on."""
-        exchange = self._expected()
+        """Store the status and notify the exchange."""
+        exchange = self._current_exchange()
         exchange.status = self._open_parser().get_status_code()
-        exchange.on_head()
+        exchange.on_headers()
 
     def on_body(self, data: bytes) -> None:
-        """Pass a part of the body on."""
-        self._expected().on_body(data)
+        """Pass a part of the body to the exchange."""
+        self._current_exchange().on_body(data)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole."""
-        self.keep_alive = self._open_parser().should_keep_alive()  # told only here: later it is always false
-        self._expected().on_complete()
+        """Mark the answer as complete."""
+        self.keep_alive = self._open_parser().should_keep_alive()  # valid only within this callback
+        self._current_exchange().on_complete()
         self.complete = True
--- a/cedarmill/net/upstream/connection.py
+++ b/cedarmill/net/upstream/connection.py
@@ -1,13 +1,14 @@
-"""One HTTP/1.1 connection to an executor, from its opening to its one end; it carries exchanges in turn.
+"""One HTTP/1.1 connection to an executor, which carries one exchange at a time.
 
-A connection opens (it may first wait for the cluster's permission), then is busy with one exchange or idle in
-its pool. While it is busy, three moments matter to what the exchange's end means:
+A connection opens, possibly after waiting for the cluster's permission. From then on it either carries an
+exchange or is idle in its pool. Three flags determine the outcome of an exchange whose connection breaks:
 
-* `handed_over`: the transport was given the last byte. Before that a break proves that nothing ran.
+* `handed_to_transport`: the transport has received the last byte. A break before that proves that nothing
+  ran.
 * `written`: the last byte has left this process. From then on the attempt may run.
-* `answer.complete`: the answer's message has ended; the connection is free, if both sides keep it alive.
+* `answer.complete`: the answer has ended. The connection is reusable if both sides keep it alive.
 
-All ends go through `abort_quietly`, the only owner of the transport's end; `_lost` tells the exchange before.
+`discard` is the only place that ends a connection; `_terminate` also reports the end to the exchange.
 """
 
 import asyncio
@@ -25,21 +26,27 @@
     from cedarmill.net.upstream.exchange import Exchange
     from cedarmill.net.upstream.pool import UpstreamPool
 
-IDLE_SHARE = 0.5  # of the time after which the executor's machine closes an idle connection
-LAST_BYTE_DELAY_US = 2_000  # between an unsafe attempt but for its last byte, and that byte
-PERMISSION_RETRY_US = 20_000  # till it is asked again whether the cluster allows a connection
-DISTRUST_IDLE_US = 30_000_000  # after an idle one broke under a request, unsafe attempts take new ones
-LATE_ANSWER_US = 50_000  # a second answer may come so long after the first: it must not meet the next request
-WRITE_AT_ONCE_BYTES = 8 * 1024  # the system takes so much at once; of more the last byte is held back
-SEND_TIMEOUT_US = 50_000  # for a request's last byte to leave: the time that it tells was reckoned before
-ABORT_RETRY_US = 20_000  # till a transport that could not be aborted is tried again
-ANSWER_TAIL_US = 1_000_000  # for an answer's message to end after its last line
-# connect fails so for want of descriptors, memory or ports of this machine: that says nothing of the executor
-OWN_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+IDLE_TIMEOUT_FRACTION = 0.5  # fraction of the executor's own idle timeout after which a connection closes
+# An unsafe attempt's last byte follows its other bytes after this delay.
+LAST_BYTE_DELAY_US = 2_000
+CONNECT_PERMISSION_RETRY_US = 20_000  # interval between checks whether the cluster permits a connection
+# Unsafe attempts use new connections for this time after an idle connection broke under a request.
+IDLE_REUSE_PAUSE_US = 30_000_000
+# An executor may send a second answer up to this time after the first; the next request must not take it.
+DUPLICATE_ANSWER_WINDOW_US = 50_000
+MAX_SINGLE_WRITE_BYTES = 8 * 1024  # longer requests are sent without their last byte first
+# Time for a request's last byte to leave: a later one would overstate the remaining time in its header.
+SEND_TIMEOUT_US = 50_000
+ABORT_RETRY_US = 20_000  # delay before a failed abort of a transport is repeated
+ANSWER_END_TIMEOUT_US = 1_000_000  # time for an HTTP message to end after its final line
+# A connect that fails with one of these lacks a resource of this machine, so the executor is not at fault.
+LOCAL_RESOURCE_ERRORS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+)
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection of an executor's pool."""
+    """One connection in an executor's pool."""
 
     def __init__(self, pool: "UpstreamPool", exchange: "Exchange") -> None:
         self.pool, self.pools, self.driver = pool, pool.pools, pool.pools.driver
@@ -47,28 +54,30 @@
         self.answer = AnswerReader()
         self.exchange: Exchange | None = exchange
         exchange.connection = self
-        self.last_byte = b""  # of the request, while it is held back
-        self.reused = False  # whether it has served before
-        self.handed_over = False
+        self.held_last_byte = b""  # last byte of the request while it is held back
+        self.reused = False  # whether the connection has carried an exchange before
+        self.handed_to_transport = False
         self.written = False
         self.closed = False
         self.opened_at = self.idle_since = 0  # us
-        self.deadline: Timer | None = None  # of the state that it is in
-        self.sent_at = 0  # us: when the request's text was made, and the time that it tells
-        self._send_timeout: Timer | None = None  # while the system has not taken all that was handed over
+        self.deadline: Timer | None = None  # timer of the current state
+        self.request_built_at = 0  # us; the remaining time in the request's header counts from here
+        self._send_timeout: Timer | None = None  # runs while the request is partly unsent
         self._connecting: asyncio.Task[object] | None = None
 
     def open(self) -> None:
-        """Connect; the task is this connection's, whatever it will carry.
+        """Connect, once the cluster permits another connection.
 
-        Where the cluster allows no further one, it waits for that, as long as what it carries has time.
+        The wait for the permission has no limit of its own: the exchange ends by its own deadline.
         """
         driver = self.driver
         self.opened_at = driver.now()
         if not self.pools.dispatch.may_connect(self.opened_at):
-            self.deadline = driver.timers.add(self.opened_at + PERMISSION_RETRY_US, lambda now: self.open())
+            self.deadline = driver.timers.add(
+                self.opened_at + CONNECT_PERMISSION_RETRY_US, lambda now: self.open()
+            )
             return
-        self._end_at(driver.now() + self.pools.settings.connect_timeout_us)
+        self._schedule_abort(driver.now() + self.pools.settings.connect_timeout_us)
         address = self.pool.address
         opening = driver.loop.create_connection(lambda: self, address.host, address.port)
         self._connecting = driver.loop.create_task(opening)
@@ -79,163 +88,169 @@
         self._connecting = None
         error = None if task.cancelled() else task.exception()
         if task.cancelled() or error is not None:
-            own = isinstance(error, OSError) and error.errno in OWN_ERRORS
-            self._lost(Outcome.DROPPED if own else Outcome.CONNECT_FAILED)
+            own = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS
+            self._terminate(Outcome.DROPPED if own else Outcome.CONNECT_FAILED)
 
     @callback
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send what the connection was opened for."""
+        """Send the exchange that the connection was opened for."""
         self.driver.timers.cancel(self.deadline)
         self.transport = cast(asyncio.Transport, transport)
         if self.closed:
             self._abort_transport()
             return
         try:
-            self.transport.set_write_buffer_limits(high=0)  # resume_writing then tells that all has left
-        except TRANSPORT_ERRORS:  # it has broken meanwhile
+            # resume_writing is called once the buffer is empty.
+            self.transport.set_write_buffer_limits(high=0)
+        except TRANSPORT_ERRORS:  # the socket broke since the connect
             self.abort()
             return
         round_trip_us = self.driver.now() - self.opened_at
         margins = self.pools.dispatch.deadline_tracker.margins
-        margins.record_round_trip(self.pool.number, round_trip_us)
+        margins.record_round_trip(self.pool.executor_number, round_trip_us)
         exchange, self.exchange = self.exchange, None
         assert exchange is not None
-        self.carry(exchange)
+        self.send_exchange(exchange)
 
     # Sending.
 
-    def carry(self, exchange: "Exchange") -> None:
-        """Send an exchange out, if it still may be sent."""
+    def send_exchange(self, exchange: "Exchange") -> None:
+        """Send an exchange's request, unless the exchange is blocked by now."""
         now = self.driver.now()
         self.driver.timers.cancel(self.deadline)
-        outcome = exchange.barred(now)
+        outcome = exchange.outcome_if_blocked(now)
         if outcome is not None:
-            self._release()
+            self._return_to_pool()
             exchange.finish(now, ExchangeEnd(outcome))
             return
-        text = exchange.request(now)
+        request_bytes = exchange.encode_request(now)
         self.exchange, exchange.connection = exchange, self
         self.answer.expect(exchange)
-        self.handed_over = self.written = False
-        self.sent_at = now
-        if not exchange.unsafe and len(text) <= WRITE_AT_ONCE_BYTES:
-            self._write(text)
+        self.handed_to_transport = self.written = False
+        self.request_built_at = now
+        if not exchange.is_unsafe and len(request_bytes) <= MAX_SINGLE_WRITE_BYTES:
+            self._write(request_bytes)
             return
-        # a break that the request itself brings about comes before its last byte: then it never ran; and
-        # what leaves slowly may lose its right meanwhile
-        self.last_byte = text[-1:]
-        self._write(text[:-1])
+        # Hold back the last byte: if the request itself breaks the connection, it provably never ran. A
+        # request that leaves slowly is checked again before its last byte.
+        self.held_last_byte = request_bytes[-1:]
+        self._write(request_bytes[:-1])
         if not self.closed:
-            wait = LAST_BYTE_DELAY_US if exchange.unsafe else 0
+            wait = LAST_BYTE_DELAY_US if exchange.is_unsafe else 0
             self.deadline = self.driver.timers.add(now + wait, self._send_last_byte)
 
-    def _write(self, text: bytes) -> None:
-        """Hand bytes to the transport, and give up what it does not let go of in time."""
+    def _write(self, request_bytes: bytes) -> None:
+        """Write bytes to the transport, and abort if they do not leave within SEND_TIMEOUT_US."""
         assert self.transport is not None
         try:
-            self.transport.write(text)
+            self.transport.write(request_bytes)
             waiting = self.transport.get_write_buffer_size() > 0
-        except TRANSPORT_ERRORS:  # it has broken: nothing of this has left
+        except TRANSPORT_ERRORS:  # the socket broke, and none of these bytes has left
             self.abort()
             return
-        if self.last_byte or self.transport.is_closing():  # closing: it broke, and connection_lost comes
+        # A closing transport is broken, and connection_lost follows.
+        if self.held_last_byte or self.transport.is_closing():
             return
-        self.handed_over = True
+        self.handed_to_transport = True
         if waiting:
-            due = self.sent_at + SEND_TIMEOUT_US
+            due = self.request_built_at + SEND_TIMEOUT_US
             self._send_timeout = self.driver.timers.add(due, lambda now: self.abort())
         else:
-            self._has_left()
+            self._on_flushed()
 
-    def _has_left(self) -> None:
+    def _on_flushed(self) -> None:
         self.driver.timers.cancel(self._send_timeout)
         self.written = True
         if self.exchange is not None:
             self.exchange.on_written(self.driver.now())
 
     def _send_last_byte(self, now: int) -> None:
-        """Send the last byte once the rest has left, if the attempt still may be sent."""
+        """Send the last byte after all other bytes have left, unless the exchange is blocked by now."""
         exchange, transport = self.exchange, self.transport
         assert exchange is not None and transport is not None
-        outcome = Outcome.DROPPED if now - self.sent_at > SEND_TIMEOUT_US else exchange.barred(now)
+        outcome = (
+            Outcome.DROPPED
+            if now - self.request_built_at > SEND_TIMEOUT_US
+            else exchange.outcome_if_blocked(now)
+        )
         if outcome is not None:
-            self.abort_quietly()
+            self.discard()
             exchange.finish(now, ExchangeEnd(outcome))
         elif transport.get_write_buffer_size():
             self.deadline = self.driver.timers.add(now + LAST_BYTE_DELAY_US, self._send_last_byte)
         else:
-            last_byte, self.last_byte = self.last_byte, b""
+            last_byte, self.held_last_byte = self.held_last_byte, b""
             self._write(last_byte)
 
     def resume_writing(self) -> None:
-        """All that was written has left."""
-        if self.handed_over and not self.written:
-            self._has_left()
+        """Handle the transport's write buffer becoming empty."""
+        if self.handed_to_transport and not self.written:
+            self._on_flushed()
 
     # Reading the answer.
 
     @callback
     def data_received(self, data: bytes) -> None:
-        """Take a part of the answer; its end is passed on after the connection is free or gone."""
+        """Parse a part of the answer; the exchange finishes after the connection is reusable or closed."""
         exchange = self.exchange
-        if exchange is None:  # nothing was asked
+        if exchange is None:  # unsolicited data
             self.abort()
             return
         readable = self.answer.feed(data)
         now = self.driver.now()
         if not readable:
-            self.abort_quietly()
-        elif self.answer.complete:  # free before the balancer hears of it: it may send here at once
+            self.discard()
+        elif self.answer.complete:  # released first: the balancer may reuse the connection at once
             self._free_after_answer()
-        elif exchange.ending is not None and not exchange.ended:  # only its message's end may still come
+        elif exchange.pending_end is not None and not exchange.finished:  # only the message's end is missing
             self.driver.timers.cancel(self.deadline)
-            self._end_at(now + ANSWER_TAIL_US)
-        if exchange.ending is not None or not readable:
-            exchange.finish(now, exchange.ending or ExchangeEnd(Outcome.RESET))
+            self._schedule_abort(now + ANSWER_END_TIMEOUT_US)
+        if exchange.pending_end is not None or not readable:
+            exchange.finish(now, exchange.pending_end or ExchangeEnd(Outcome.RESET))
 
     def _free_after_answer(self) -> None:
         assert self.transport is not None
         if self.answer.keep_alive and self.written and not self.transport.is_closing():
-            self._release()
+            self._return_to_pool()
         else:
-            self.abort_quietly()
+            self.discard()
 
-    # Its end.
+    # Ending.
 
     @callback
     def eof_received(self) -> None:
-        """The other side has closed: out of the pool at once, and nothing more leaves on it."""
+        """Remove the connection from the pool, and abort a request that is not fully sent."""
         if self.exchange is not None and not self.written:
-            self.abort()  # or the loop would first let all leave that it still holds
-        self.pool.forget(self)
+            self.abort()  # otherwise the event loop would send the rest of its buffer first
+        self.pool.remove_connection(self)
 
     @callback
     def connection_lost(self, error: Exception | None) -> None:
-        """The transport has ended."""
-        self._lost()
+        """Report the end of the transport to the exchange."""
+        self._terminate()
         self.answer.close()
 
-    def _lost(self, unopened: Outcome = Outcome.CONNECT_FAILED) -> None:
-        """The one end that what it carries hears of; `unopened`: what it means where it never came up."""
+    def _terminate(self, unopened_outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
+        """Close the connection and finish its exchange; `unopened_outcome` applies if it never opened."""
         exchange = self.exchange
-        self.abort_quietly()
+        self.discard()
         if exchange is None:
             return
         now = self.driver.now()
         if self.reused and not exchange.status:
-            self.pools.distrust_idle_until = now + DISTRUST_IDLE_US
+            self.pools.idle_reuse_paused_until = now + IDLE_REUSE_PAUSE_US
         if self.transport is None:
-            outcome = unopened
+            outcome = unopened_outcome
         else:
-            outcome = Outcome.RESET if self.handed_over else Outcome.DROPPED
+            outcome = Outcome.RESET if self.handed_to_transport else Outcome.DROPPED
         exchange.finish(now, ExchangeEnd(outcome))
 
-    def abort_quietly(self) -> None:
-        """End the connection; what it carries hears nothing of that."""
+    def discard(self) -> None:
+        """Close the connection without finishing its exchange."""
         self.exchange = self.answer.exchange = None
         self.closed = True
         self._cancel_timers()
-        self.pool.forget(self)
+        self.pool.remove_connection(self)
         if self._connecting is not None:
             self._connecting.cancel()
         if self.transport is not None:
@@ -249,48 +264,48 @@
         assert self.transport is not None
         try:
             self.transport.abort()
-        except TRANSPORT_ERRORS:  # its descriptor must not stay
+        except TRANSPORT_ERRORS:  # retry, otherwise the descriptor would leak
             self.driver.timers.add(self.driver.now() + ABORT_RETRY_US, self._abort_transport)
 
     def abort(self) -> None:
-        """End the connection, and what it carries with it."""
+        """Close the connection and finish its exchange."""
         if not self.closed:
-            self._lost()
+            self._terminate()
 
-    def end_sending(self) -> None:
-        """Give up what it carries by ending the sending: the executor stops, and closes."""
+    def half_close(self) -> None:
+        """Drop the exchange and shut down the sending side, which makes the executor stop and close."""
         assert self.transport is not None
         self.exchange = self.answer.exchange = None
         self._cancel_timers()
         try:
             self.transport.write_eof()
         except TRANSPORT_ERRORS:
-            self.abort_quietly()
+            self.discard()
             return
-        self._end_at(self.driver.now() + ANSWER_TAIL_US)
+        self._schedule_abort(self.driver.now() + ANSWER_END_TIMEOUT_US)
 
-    def _end_at(self, due: int) -> None:
-        """End it at that time (us), unless its state changes before."""
+    def _schedule_abort(self, due: int) -> None:
+        """Abort at `due` (us), unless the state changes before."""
         self.deadline = self.driver.timers.add(due, lambda now: self.abort())
 
-    # Between two exchanges.
+    # Idle.
 
-    def _release(self) -> None:
-        """Into the pool."""
+    def _return_to_pool(self) -> None:
+        """Put the connection into its pool's idle list."""
         self.exchange = self.answer.exchange = None
         self.reused = True
         self.idle_since = self.driver.now()
         self.pool.idle.append(self)
-        self._end_at(self.idle_since + int(self.pools.settings.conn_idle_us * IDLE_SHARE))
+        self._schedule_abort(self.idle_since + int(self.pools.settings.conn_idle_us * IDLE_TIMEOUT_FRACTION))
 
-    def past_late_answers(self, now: int) -> bool:
-        """Whether no second answer to its last request can come any more."""
-        return now - self.idle_since >= LATE_ANSWER_US
+    def is_past_duplicate_answers(self, now: int) -> bool:
+        """Return whether a second answer to the last request is ruled out by now."""
+        return now - self.idle_since >= DUPLICATE_ANSWER_WINDOW_US
 
     def is_closing(self) -> bool:
-        """Whether this side has given it up."""
+        """Return whether this side has closed the connection or is closing it."""
         return self.transport is None or self.transport.is_closing()
 
-    def hung_up(self) -> bool:
-        """Whether the other side has closed it, though that may not have been read yet; one system call."""
+    def is_closed_by_peer(self) -> bool:
+        """Return whether the executor has closed the connection, read or not; makes one system call."""
         return self.transport is None or hung_up(self.transport)
--- a/cedarmill/net/upstream/exchange.py
+++ b/cedarmill/net/upstream/exchange.py
@@ -1,7 +1,7 @@
-"""Exchanges: what a connection to an executor carries, an attempt or a probe, from its request to its end.
+"""Exchanges on a connection to an executor: an attempt or a probe, from its request to its end.
 
-They read answers and hold the state of an attempt; the sockets are in `net/upstream/connection.py`. The forms
-are those of the platform's protocol: an answer of JSON lines, or a load report.
+An exchange builds its request and interprets its answer, which is a stream of JSON lines or a load report.
+The sockets are in `net/upstream/connection.py`.
 """
 
 from typing import TYPE_CHECKING, NamedTuple
@@ -16,7 +16,7 @@
     from cedarmill.net.upstream.connection import UpstreamConnection
     from cedarmill.net.upstream.pool import UpstreamPool, UpstreamPools
 
-PROBE_TIMEOUTS = 2  # connect time-outs that a probe may take
+PROBE_CONNECT_TIMEOUTS = 2  # a probe's time limit in multiples of the connect timeout
 MAX_LINE_BYTES = 256 * 1024
 FORWARDED_HEADERS = (
     b"x-call-id",
@@ -38,13 +38,13 @@
     load: dict[str, float] | None = None
 
 
-_LINE = msgspec.json.Decoder(AttemptLine)
-_LOAD = msgspec.json.Decoder(dict[str, float])
-_END_STATES = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
+_LINE_DECODER = msgspec.json.Decoder(AttemptLine)
+_LOAD_DECODER = msgspec.json.Decoder(dict[str, float])
+_OUTCOME_BY_FINAL_STATE = {"failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 
 
 class ExchangeEnd(NamedTuple):
-    """How an exchange has ended, with what the executor said of its load, and the result of an attempt."""
+    """The outcome of an exchange, with the executor's load report and an attempt's result if any."""
 
     outcome: Outcome
     report: api.LoadReport | None = None
@@ -52,14 +52,14 @@
 
 
 def ordered_report(names: tuple[str, ...], load: dict[str, float] | None) -> api.LoadReport | None:
-    """A load report in the order of the settings, or None unless it is whole."""
+    """Return the load values in the order of the settings, or None unless every value is present."""
     if not names or load is None or not all(name in load for name in names):
         return None
     return tuple(load[name] for name in names)
 
 
 def parse_load_header(text: bytes) -> dict[str, float] | None:
-    """The load report of a header, `TEXT inflight=7, queue=2`; None where a value is no number."""
+    """Parse a load report header such as `TEXT inflight=7, queue=2`; return None for a non-numeric value."""
     load = {}
     for pair in text.decode("latin-1").removeprefix("TEXT ").split(","):
         name, _, value = pair.strip().partition("=")
@@ -71,40 +71,40 @@
 
 
 class Exchange:
-    """What a connection carries: it goes out as one request, and ends once."""
+    """One request on a connection and its answer; it ends exactly once."""
 
-    unsafe = False  # whether it must not run twice
-    guarded = False  # whether it may run twice only within bounds, or not at all
+    is_unsafe = False  # whether the request must not run twice
+    is_repeat_restricted = False  # whether the request may run twice only within limits, or not at all
 
     def __init__(self, pools: "UpstreamPools", pool: "UpstreamPool") -> None:
         self.pools, self.pool = pools, pool
         self.connection: UpstreamConnection | None = None
-        self.status = 0  # of the answer; 0: none has come
+        self.status = 0  # of the answer; 0 before it arrives
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
-        self.ending: ExchangeEnd | None = None  # as the answer says
-        self.ended = False  # whether the end has been reported
+        self.pending_end: ExchangeEnd | None = None  # read from the answer, not reported yet
+        self.finished = False  # whether the end has been reported
 
-    def barred(self, now: int) -> Outcome | None:
-        """The outcome where it may not be sent any longer, or None."""
+    def outcome_if_blocked(self, now: int) -> Outcome | None:
+        """Return the outcome with which to end an exchange that may no longer be sent, or None if it may."""
         raise NotImplementedError
 
-    def request(self, now: int) -> bytes:
-        """The text to write."""
+    def encode_request(self, now: int) -> bytes:
+        """Return the HTTP request as bytes."""
         raise NotImplementedError
 
     def on_written(self, now: int) -> None:
-        """The last byte has left."""
+        """Handle the request's last byte leaving this process."""
 
-    def on_head(self) -> None:
-        """The status and the headers have come."""
+    def on_headers(self) -> None:
+        """Handle the answer's status and headers."""
 
     def on_body(self, data: bytes) -> None:
-        """A part of the answer's body; raises ValueError for what is no answer."""
+        """Handle a part of the answer's body; raise ValueError if it is malformed."""
         raise NotImplementedError
 
     def on_complete(self) -> None:
-        """The whole answer has come; raises ValueError for what is no answer."""
+        """Handle the end of the answer; raise ValueError if it is malformed."""
         raise NotImplementedError
 
     def report_end(self, now: int, end: ExchangeEnd) -> None:
@@ -112,180 +112,187 @@
         raise NotImplementedError
 
     def finish(self, now: int, end: ExchangeEnd) -> None:
-        """The one end: later ones are passed over."""
-        if not self.ended:
-            self.ended = True
+        """Report the end once; later calls have no effect."""
+        if not self.finished:
+            self.finished = True
             self.report_end(now, end)
 
     def load_report(self, load: dict[str, float] | None) -> api.LoadReport | None:
-        """What an executor says of its load, in the order of the settings; None unless it is whole."""
+        """Return the load report in the order of the settings, or None unless every value is present."""
         return ordered_report(self.pools.settings.report_names, load)
 
 
 class AttemptExchange(Exchange):
-    """An attempt."""
+    """An exchange that carries an attempt."""
 
     def __init__(self, pools: "UpstreamPools", pool: "UpstreamPool", attempt: Attempt) -> None:
         super().__init__(pools, pool)
         self.attempt = attempt
         self.id = attempt.request.payload.headers[b"x-call-id"].decode("latin-1")
-        self.unsafe = attempt.request.spec.effect == api.Effect.UNSAFE
-        self.guarded = attempt.request.spec.effect != api.Effect.SAFE
+        self.is_unsafe = attempt.request.spec.effect == api.Effect.UNSAFE
+        self.is_repeat_restricted = attempt.request.spec.effect != api.Effect.SAFE
         attempt.exchange, attempt.end_unobserved = self, pool.kind.cancel not in ("close", "end")
 
-    def barred(self, now: int) -> Outcome | None:
-        """As the dispatch says: a drain, a deadline, a window for repeats, a client that left."""
+    def outcome_if_blocked(self, now: int) -> Outcome | None:
+        """Ask the dispatch, which checks drains, deadlines, repeat windows and the client's presence."""
         return self.pools.dispatch.blocking_outcome(now, self.attempt)
 
-    def request(self, now: int) -> bytes:
-        """The client's request, with the time that is left to the executor."""
+    def encode_request(self, now: int) -> bytes:
+        """Return the client's request with the executor's remaining time."""
         message = self.attempt.request.payload
         margins = self.pools.dispatch.deadline_tracker.margins
-        left_us = margins.remaining_for_executor(self.pool.number, self.attempt.request.due - now)
+        remaining_us = margins.remaining_for_executor(
+            self.pool.executor_number, self.attempt.request.due - now
+        )
         lines = [
             b"%s %s HTTP/1.1" % (message.method, message.target),
             b"Host: " + str(self.pool.address.host).encode(),
         ]
-        lines += [b"%s: %s" % (n, message.headers[n]) for n in FORWARDED_HEADERS if n in message.headers]
         lines += [
-            b"X-Budget-Ms: %d" % max(1, left_us // 1000),
+            b"%s: %s" % (name, message.headers[name]) for name in FORWARDED_HEADERS if name in message.headers
+        ]
+        lines += [
+            b"X-Budget-Ms: %d" % max(1, remaining_us // 1000),
             b"Content-Length: %d\r\n\r\n" % len(message.body),
         ]
         text: bytes = b"\r\n".join(lines) + message.body
         return text
 
     def on_written(self, now: int) -> None:
-        """From now on it may run."""
+        """Report to the dispatch that the attempt may run from now on."""
         self.pools.dispatch.attempt_written(now, self.attempt)
 
     def on_body(self, data: bytes) -> None:
-        """Read the lines that are whole."""
-        if self.status != 200 or self.ending is not None:
+        """Parse the lines that are complete."""
+        if self.status != 200 or self.pending_end is not None:
             return
         self.body += data
-        if b"\n" in data:  # searched alone: an answer may come in many small pieces
-            *lines, rest = bytes(self.body).split(b"\n")  # at once: there may be very many
+        if b"\n" in data:  # searches only the new bytes, since an answer may arrive in many small pieces
+            *lines, rest = bytes(self.body).split(b"\n")  # one split for all lines, which may be many
             self.body = bytearray(rest)
             for line in lines:
                 if line.strip():
                     self._read_line(line)
         if len(self.body) > MAX_LINE_BYTES:
-            raise ValueError("a line is too long")
+            raise ValueError("answer line is too long")
 
     def _read_line(self, raw: bytes) -> None:
-        line = _LINE.decode(raw)
+        line = _LINE_DECODER.decode(raw)
         if line.id and line.id != self.id:
-            raise ValueError("a line names another request")
+            raise ValueError("answer line names another request")
         dispatch, now = self.pools.dispatch, self.pools.driver.now()
-        if self.ending is not None:
+        if self.pending_end is not None:
             return
         if line.state == "done":
             text = bytes(line.result)
             result = msgspec.json.decode(text, type=str).encode() if text[:1] == b'"' else text
-            self.ending = ExchangeEnd(Outcome.OK, self.load_report(line.load), result)
-        elif line.state in _END_STATES:
-            self.ending = ExchangeEnd(_END_STATES[line.state], self.load_report(line.load))
+            self.pending_end = ExchangeEnd(Outcome.OK, self.load_report(line.load), result)
+        elif line.state in _OUTCOME_BY_FINAL_STATE:
+            self.pending_end = ExchangeEnd(_OUTCOME_BY_FINAL_STATE[line.state], self.load_report(line.load))
         elif line.state == "started":
             dispatch.attempt_started(now, self.attempt)
         elif line.state == "running":
             dispatch.attempt_progressed(now, self.attempt, line.share)
 
-    def on_head(self) -> None:
-        """Any status but 200 says it all; its body, if it ever ends, adds nothing."""
+    def on_headers(self) -> None:
+        """Derive the outcome from any status other than 200; the body adds nothing to it."""
         if self.status == 200:
             return
         text = self.headers.get(b"x-load-report")
         report = self.load_report(parse_load_header(text)) if text else None
         if self.status in (503, 504) and self.headers.get(b"x-rejected") == b"1":
-            outcome = Outcome.RESET if self._perhaps_late() else Outcome.FULL
+            outcome = Outcome.RESET if self._may_be_duplicate_answer() else Outcome.FULL
         else:
             outcome = Outcome.UNUSABLE if 400 <= self.status < 500 else Outcome.ERROR
-        self.ending = ExchangeEnd(outcome, report)
+        self.pending_end = ExchangeEnd(outcome, report)
+
+    def _may_be_duplicate_answer(self) -> bool:
+        """Return whether this answer may be a second answer to the previous request on this connection.
 
-    def _perhaps_late(self) -> bool:
-        """Whether this answer, which names no request, may be a second one to the request before it here."""
-        if not self.guarded or self.connection is None or not self.connection.reused:
+        A rejection does not name its request.
+        """
+        if not self.is_repeat_restricted or self.connection is None or not self.connection.reused:
             return False
-        return not self.connection.past_late_answers(self.pools.driver.now())
+        return not self.connection.is_past_duplicate_answers(self.pools.driver.now())
 
     def on_complete(self) -> None:
-        """A last line may come without its end; a stream without a line that ends it was cut."""
-        if self.ending is None and self.body.strip():
+        """Parse a last line without a newline; a stream without a final state counts as reset."""
+        if self.pending_end is None and self.body.strip():
             self._read_line(bytes(self.body))
-        self.ending = self.ending or ExchangeEnd(Outcome.RESET)
+        self.pending_end = self.pending_end or ExchangeEnd(Outcome.RESET)
 
     def report_end(self, now: int, end: ExchangeEnd) -> None:
-        """Tell the dispatch how the attempt ended."""
-        self.attempt.exchange = None  # or the cycle would wait for a full collection
+        """Report the attempt's end to the dispatch."""
+        self.attempt.exchange = None  # breaks a reference cycle
         self.pools.dispatch.attempt_ended(now, self.attempt, end.outcome, end.report, end.result)
 
 
 class RelayedAttemptExchange(AttemptExchange):
-    """An attempt at an executor that is a node itself: it gives one final answer, and no lines."""
+    """An attempt whose executor is itself a node: the answer is one final result instead of lines."""
 
     def on_body(self, data: bytes) -> None:
-        """Collect the answer."""
+        """Collect the answer's body."""
         self.body += data
         if len(self.body) > MAX_LINE_BYTES:
-            raise ValueError("an answer is too long")
+            raise ValueError("answer is too long")
 
-    def on_head(self) -> None:
-        """429 and 503 are refusals: that node promises that nothing ran. 502 is a failed request."""
+    def on_headers(self) -> None:
+        """Map the status to an outcome; 429 and 503 guarantee that nothing ran."""
         if self.status in (429, 503):
-            self.ending = ExchangeEnd(Outcome.FULL)
+            self.pending_end = ExchangeEnd(Outcome.FULL)
         elif self.status != 200:
-            self.ending = ExchangeEnd(Outcome.UNUSABLE if self.status == 400 else Outcome.ERROR)
+            self.pending_end = ExchangeEnd(Outcome.UNUSABLE if self.status == 400 else Outcome.ERROR)
 
     def on_complete(self) -> None:
-        """The body is the result."""
-        self.ending = self.ending or ExchangeEnd(Outcome.OK, None, bytes(self.body))
+        """Take the body as the result."""
+        self.pending_end = self.pending_end or ExchangeEnd(Outcome.OK, None, bytes(self.body))
 
 
 class ProbeExchange(Exchange):
-    """A probe."""
+    """An exchange that asks an executor for its load report."""
 
     def __init__(self, pools: "UpstreamPools", pool: "UpstreamPool", probe: Probe) -> None:
         super().__init__(pools, pool)
         self.probe, probe.exchange = probe, self
-        due = pools.driver.now() + PROBE_TIMEOUTS * pools.settings.connect_timeout_us
+        due = pools.driver.now() + PROBE_CONNECT_TIMEOUTS * pools.settings.connect_timeout_us
         self.deadline = pools.driver.timers.add(due, self._on_deadline)
 
     def _on_deadline(self, now: int) -> None:
         if self.connection is not None and self.connection.exchange is self:
-            self.connection.abort_quietly()
+            self.connection.discard()
         self.finish(now, ExchangeEnd(Outcome.TIMEOUT))
 
-    def barred(self, now: int) -> Outcome | None:
-        """MOOT where it was taken back, or nobody wants it any longer."""
+    def outcome_if_blocked(self, now: int) -> Outcome | None:
+        """Return MOOT for a probe that was recalled or is no longer needed."""
         wanted = self.probe.exchange is not None and self.pools.dispatch.may_probe(self.probe)
         return None if wanted else Outcome.MOOT
 
-    def request(self, now: int) -> bytes:
-        """The call for a load report."""
+    def encode_request(self, now: int) -> bytes:
+        """Return the request for a load report."""
         return b"GET /status/load HTTP/1.1\r\nHost: %s\r\n\r\n" % str(self.pool.address.host).encode()
 
     def on_written(self, now: int) -> None:
-        """It cannot be taken back any more."""
+        """Mark the probe as written: recalling it is no longer possible."""
         self.probe.written = True
 
     def on_body(self, data: bytes) -> None:
         """Collect the report."""
         self.body += data
         if len(self.body) > MAX_LINE_BYTES:
-            raise ValueError("a load report is too long")
+            raise ValueError("load report is too long")
 
     def on_complete(self) -> None:
-        """Read the report, as JSON or as the text of a header."""
+        """Parse the report, which is JSON or text in the format of the load report header."""
         load = None
         if self.body.lstrip()[:1] == b"{":
-            load = _LOAD.decode(self.body)
+            load = _LOAD_DECODER.decode(self.body)
         elif self.body:
             load = parse_load_header(bytes(self.body))
         outcome = {200: Outcome.OK, 503: Outcome.FULL}.get(self.status, Outcome.ERROR)
-        self.ending = ExchangeEnd(outcome, self.load_report(load))
+        self.pending_end = ExchangeEnd(outcome, self.load_report(load))
 
     def report_end(self, now: int, end: ExchangeEnd) -> None:
-        """Tell the dispatch how the probe ended."""
+        """Report the probe's end to the dispatch."""
         self.pools.driver.timers.cancel(self.deadline)
-        self.probe.exchange = None  # or the cycle would wait for a full collection
+        self.probe.exchange = None  # breaks a reference cycle
         self.pools.dispatch.probe_ended(now, self.probe, end.outcome, end.report)
--- a/cedarmill/net/upstream/pool.py
+++ b/cedarmill/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pools of connections to executors, one for each; the dispatch's port to them."""
+"""Connection pools of the executors, which implement the dispatch's executor port."""
 
 from typing import cast
 
@@ -22,23 +22,25 @@
 
 
 class UpstreamPool:
-    """One executor's connections: the one used last is used first."""
+    """The connections to one executor; the most recently used idle connection is taken first."""
 
-    def __init__(self, pools: "UpstreamPools", number: int, address: Address, kind: KindOptions) -> None:
-        self.pools, self.number, self.address, self.kind = pools, number, address, kind
+    def __init__(
+        self, pools: "UpstreamPools", executor_number: int, address: Address, kind: KindOptions
+    ) -> None:
+        self.pools, self.executor_number, self.address, self.kind = pools, executor_number, address, kind
         self.connections: set[UpstreamConnection] = set()
         self.idle: list[UpstreamConnection] = []
 
-    def carry(self, exchange: Exchange) -> None:
-        """Give an exchange to an idle connection, or to a new one."""
+    def submit(self, exchange: Exchange) -> None:
+        """Send an exchange on an idle connection or on a new one."""
         now = self.pools.driver.now()
-        distrust_idle = exchange.unsafe and now < self.pools.distrust_idle_until
-        connection = None if distrust_idle else self._idle_for(exchange, now)
+        requires_new = exchange.is_unsafe and now < self.pools.idle_reuse_paused_until
+        connection = None if requires_new else self._select_idle(exchange, now)
         if connection is not None:
             self.idle.remove(connection)
-            connection.carry(exchange)
+            connection.send_exchange(exchange)
             return
-        if not self.pools.make_room():
+        if not self.pools.ensure_capacity():
             log_event("executor-connections-full", bound=self.pools.bound)
             exchange.finish(now, ExchangeEnd(Outcome.DROPPED))
             return
@@ -47,18 +49,22 @@
         self.pools.connections += 1
         connection.open()
 
-    def _idle_for(self, exchange: Exchange, now: int) -> UpstreamConnection | None:
-        """The one used last; for what must not run twice one that is past late answers, or none."""
-        usable = [connection for connection in reversed(self.idle) if not connection.is_closing()]
-        if not exchange.guarded:
-            return usable[0] if usable else None
-        past = [connection for connection in usable if connection.past_late_answers(now)]
-        choice = past if exchange.unsafe else past + usable
-        # its close may have come and not be read yet; one call of the system for each that is asked
-        return next((connection for connection in choice if not connection.hung_up()), None)
-
-    def forget(self, connection: UpstreamConnection) -> None:
-        """A connection has ended, or is about to."""
+    def _select_idle(self, exchange: Exchange, now: int) -> UpstreamConnection | None:
+        """Return a suitable idle connection, or None.
+
+        Exchanges with restricted repeats prefer, and unsafe ones require, a connection that can receive no
+        second answer to its previous request.
+        """
+        open_idle = [connection for connection in reversed(self.idle) if not connection.is_closing()]
+        if not exchange.is_repeat_restricted:
+            return open_idle[0] if open_idle else None
+        settled = [connection for connection in open_idle if connection.is_past_duplicate_answers(now)]
+        candidates = settled if exchange.is_unsafe else settled + open_idle
+        # The peer's close may not have been read yet; each check is one system call.
+        return next((connection for connection in candidates if not connection.is_closed_by_peer()), None)
+
+    def remove_connection(self, connection: UpstreamConnection) -> None:
+        """Remove a connection that has ended or is about to."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.pools.connections -= 1
@@ -66,85 +72,88 @@
             self.idle.remove(connection)
 
     def close_idle(self) -> None:
-        """End the connections that carry nothing."""
+        """Close the idle connections."""
         for connection in list(self.idle):
             connection.abort()
 
 
 class UpstreamPools:
-    """The pools of all executors, under one bound of connections."""
+    """The pools of all executors, with a common limit on connections."""
 
-    dispatch: Dispatch  # set by whoever wires the node
+    dispatch: Dispatch  # set by the node after construction
 
     def __init__(self, driver: EventLoopDriver, settings: api.Settings, bound: int, options: Options) -> None:
         self.driver, self.settings, self.bound, self.options = driver, settings, bound, options
-        self.by_number: dict[int, UpstreamPool] = {}
-        self.connections = 0  # of all pools together: a sum over the fleet for each new one cost too much
-        self.distrust_idle_until = 0  # us: an idle connection has broken under a request lately
-
-    def update(self, number: int, endpoint: Endpoint) -> None:
-        """Learn where an executor listens; raises ValueError."""
-        if endpoint.status != "SERVING":  # it may go without an address, and must not be passed over
-            if number in self.by_number:
-                self.by_number[number].close_idle()
+        self.pools_by_number: dict[int, UpstreamPool] = {}
+        self.connections = 0  # total of all pools, kept up to date instead of summed for each new connection
+        self.idle_reuse_paused_until = 0  # us; set when an idle connection breaks under a request
+
+    def update(self, executor_number: int, endpoint: Endpoint) -> None:
+        """Set an executor's address from its endpoint list entry; raise ValueError if it is invalid."""
+        if endpoint.status != "SERVING":  # such an entry may lack an address and is still valid
+            if executor_number in self.pools_by_number:
+                self.pools_by_number[executor_number].close_idle()
             return
         address = Address.parse(endpoint.address)
-        if (pool := self.by_number.get(number)) is None:
+        if (pool := self.pools_by_number.get(executor_number)) is None:
             kind = self.options.kind(endpoint.type)
-            pool = self.by_number[number] = UpstreamPool(self, number, address, kind)
+            pool = self.pools_by_number[executor_number] = UpstreamPool(self, executor_number, address, kind)
         if pool.address != address:
             pool.address = address
             pool.close_idle()
 
-    def make_room(self) -> bool:
-        """Keep to the bound: idle connections elsewhere give way to a new one."""
+    def ensure_capacity(self) -> bool:
+        """Close idle connections until a new one fits the limit; return False if that is not possible."""
         while self.connections >= self.bound:
-            fullest = max(self.by_number.values(), key=lambda pool: len(pool.idle), default=None)
+            fullest = max(self.pools_by_number.values(), key=lambda pool: len(pool.idle), default=None)
             if fullest is None or not fullest.idle:
                 return False
             fullest.idle[0].abort()
         return True
 
-    # The dispatch's port.
+    # The dispatch's executor port.
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt to its executor."""
-        pool = self.by_number.get(attempt.executor)
-        if pool is None:  # it was never listed with an address
+        pool = self.pools_by_number.get(attempt.executor)
+        if pool is None:  # the executor was never listed with an address
             self.dispatch.attempt_ended(self.driver.now(), attempt, Outcome.CONNECT_FAILED)
             return
         exchange_kind = RelayedAttemptExchange if pool.kind.speaks == "node" else AttemptExchange
-        pool.carry(exchange_kind(self, pool, attempt))
+        pool.submit(exchange_kind(self, pool, attempt))
 
     def cancel(self, attempt: Attempt, now_or_never: bool = False) -> bool:
-        """By what the executor honours; what has not gone out whole only needs its connection closed."""
+        """Cancel an attempt in the way its executor supports; return whether the attempt is over here.
+
+        An attempt that is not fully sent is cancelled by closing its connection.
+        """
         exchange = cast(AttemptExchange | None, attempt.exchange)
         connection = exchange.connection if exchange is not None else None
         if exchange is None or connection is None or connection.exchange is not exchange:
             return True
-        how = exchange.pool.kind.cancel if attempt.written else "blind"
-        if how == "none" and not now_or_never:
+        cancel_mode = exchange.pool.kind.cancel if attempt.written else "blind"
+        if cancel_mode == "none" and not now_or_never:
             return False
-        if how == "end":
-            connection.end_sending()
+        if cancel_mode == "end":
+            connection.half_close()
         else:
-            connection.abort_quietly()
+            connection.discard()
         return True
 
     def probe(self, probe: Probe) -> None:
         """Ask an executor for its load report."""
-        pool = self.by_number.get(probe.executor)
+        pool = self.pools_by_number.get(probe.executor)
         if pool is None:
             self.dispatch.probe_ended(self.driver.now(), probe, Outcome.CONNECT_FAILED)
             return
-        pool.carry(ProbeExchange(self, pool, probe))
+        pool.submit(ProbeExchange(self, pool, probe))
 
     def recall(self, probe: Probe) -> None:
-        """Take back a probe that has not been written."""
+        """Withdraw a probe that has not been written."""
         exchange, probe.exchange = cast(ProbeExchange | None, probe.exchange), None
         if exchange is None:
             return
-        exchange.ended = True
+        exchange.finished = True
         self.driver.timers.cancel(exchange.deadline)
         if exchange.connection is not None and exchange.connection.exchange is exchange:
-            exchange.connection.abort_quietly()
+            exchange.connection.discard()
--- a/tests/net/test_upstream_faults.py
+++ b/tests/net/test_upstream_faults.py
@@ -15,8 +15,8 @@
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.net.upstream.connection import (
     LAST_BYTE_DELAY_US,
+    MAX_SINGLE_WRITE_BYTES,
     SEND_TIMEOUT_US,
-    WRITE_AT_ONCE_BYTES,
     UpstreamConnection,
 )
 from cedarmill.net.upstream.exchange import Exchange, ExchangeEnd
@@ -360,10 +360,10 @@
 
     text, bar = b"x" * 100, None
 
-    def barred(self, now: int) -> Outcome | None:
+    def outcome_if_blocked(self, now: int) -> Outcome | None:
         return self.bar
 
-    def request(self, now: int) -> bytes:
+    def encode_request(self, now: int) -> bytes:
         return self.text
 
     def report_end(self, now: int, end: ExchangeEnd) -> None:
@@ -381,7 +381,7 @@
     def send(self, taken: int, size: int, unsafe: bool = False, breaks: bool = False):
         """The connection and the exchange that it sent, of so many bytes."""
         exchange = Noted(self.pools, self.executor_pool())
-        exchange.text, exchange.unsafe, exchange.outcome = b"x" * size, unsafe, None
+        exchange.text, exchange.is_unsafe, exchange.outcome = b"x" * size, unsafe, None
         connection = UpstreamConnection(exchange.pool, exchange)
         exchange.pool.connections.add(connection)
         connection.connection_made(SlowTransport(taken, breaks))
@@ -396,10 +396,10 @@
 
     def test_the_last_byte_waits_for_all_others(self):
         """It went behind them into the buffer, and left whenever the executor read: it may have run then."""
-        for size, unsafe in ((WRITE_AT_ONCE_BYTES + 1, False), (100, True)):
+        for size, unsafe in ((MAX_SINGLE_WRITE_BYTES + 1, False), (100, True)):
             with self.subTest(size):
                 connection, exchange = self.send(50, size, unsafe)
-                at = connection.sent_at
+                at = connection.request_built_at
                 self.sweep(at + LAST_BYTE_DELAY_US)
                 self.assertEqual(len(connection.transport.writes), 1)
                 connection.transport.waiting, connection.transport.taken = 0, size
@@ -411,11 +411,11 @@
 
     def test_what_does_not_leave_in_time_ends_at_once(self):
         """Its last byte held back, it never ran; handed over whole, nothing proves that."""
-        for size, outcome in ((WRITE_AT_ONCE_BYTES + 1, Outcome.DROPPED), (100, Outcome.RESET)):
+        for size, outcome in ((MAX_SINGLE_WRITE_BYTES + 1, Outcome.DROPPED), (100, Outcome.RESET)):
             with self.subTest(size):
                 connection, exchange = self.send(50, size)
                 for step in range(SEND_TIMEOUT_US // LAST_BYTE_DELAY_US + 2):
-                    self.sweep(connection.sent_at + step * LAST_BYTE_DELAY_US)
+                    self.sweep(connection.request_built_at + step * LAST_BYTE_DELAY_US)
                 self.assertEqual((exchange.outcome, connection.transport.aborted), (outcome, True))
                 self.assertEqual(exchange.pool.connections, set())
 
@@ -428,29 +428,29 @@
     def test_the_right_to_send_is_asked_for_again_before_the_last_byte(self):
         connection, exchange = self.send(10_000, 100, unsafe=True)
         exchange.bar = Outcome.MOOT
-        self.sweep(connection.sent_at + LAST_BYTE_DELAY_US)
+        self.sweep(connection.request_built_at + LAST_BYTE_DELAY_US)
         self.assertEqual(b"".join(connection.transport.writes), exchange.text[:-1])
         self.assertEqual((exchange.outcome, connection.transport.aborted), (Outcome.MOOT, True))
 
     def test_an_executor_that_ends_its_sending_gets_nothing_more(self):
         """The loop would first have let all leave that it still held."""
-        connection, exchange = self.send(50, WRITE_AT_ONCE_BYTES + 1)
+        connection, exchange = self.send(50, MAX_SINGLE_WRITE_BYTES + 1)
         connection.eof_received()
         self.assertEqual((exchange.outcome, connection.transport.aborted), (Outcome.DROPPED, True))
 
     def test_an_early_answer_leaves_no_connection_that_still_sends(self):
         """The next request would have followed what was still held of this one."""
         connection, exchange = self.send(50, 100)
-        exchange.ending = ExchangeEnd(Outcome.ERROR)
-        exchange.on_body = exchange.on_head = exchange.on_complete = Mock()
+        exchange.pending_end = ExchangeEnd(Outcome.ERROR)
+        exchange.on_body = exchange.on_headers = exchange.on_complete = Mock()
         connection.data_received(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual((exchange.pool.idle, connection.transport.aborted), ([], True))
 
     def test_no_room_is_no_error_where_no_executor_is_known(self):
         """Beside a sibling the bound may be 0."""
-        self.assertFalse(self.pools.make_room())
+        self.assertFalse(self.pools.ensure_capacity())
         exchange = Noted(self.pools, self.executor_pool())
-        exchange.pool.carry(exchange)
+        exchange.pool.submit(exchange)
         self.assertIs(exchange.outcome, Outcome.DROPPED)  # the bound is this node's: it blames no executor
         attempt = Mock(executor=7)
         self.pools.send(attempt)  # listed, and never with an address
