--- a/cedarmill/net/discovery/__init__.py
+++ b/cedarmill/net/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""The discovery client: the endpoint list, by a watch or by polls, and the body that it comes in.
+"""Discovery client: watches or polls the endpoint list and parses its stream.
 
-When to call, and what a failure means, is decided without I/O in `core/discovery_watch.py`.
+When to call and what a failure means is decided without I/O in `core/discovery_watch.py`.
 """
--- a/cedarmill/net/discovery/client.py
+++ b/cedarmill/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""The discovery client: the endpoint list, first as the configuration holds it, then by a watch."""
+"""Discovery client: keeps the endpoint list, first from the configuration and then by a watch."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -23,14 +23,14 @@
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.net.upstream.pool import UpstreamPools
 
-NO_CALL_LEFT = "no list call left to this node by the fleet's budget"
-WATCH_LOST_QUIET_US = 30_000_000  # between two lines that tell of a lost watch: a discovery may come and go
+CALL_BUDGET_EXHAUSTED = "the fleet's budget leaves this node no list call"
+WATCH_LOST_QUIET_US = 30_000_000  # shortest interval between two log lines on a lost watch
 
 
 class DiscoveryClient:
-    """Holds the list's version and at most one watch; the dispatch's port to discovery."""
+    """Keeps the endpoint list and at most one watch connection; implements the dispatch's discovery port."""
 
-    dispatch: Dispatch  # set by whoever wires the node
+    dispatch: Dispatch  # set by the node after construction
 
     def __init__(
         self,
@@ -43,40 +43,43 @@
         self.driver, self.address, self.pools = driver, address, pools
         self.reader = EndpointReader(settings)
         self.index = 0
-        self.pushed = not settings.on_request_discovery
-        self.watch_machine = DiscoveryWatch(settings.instances, self.pushed, random or Random())
+        self.is_pushed = not settings.on_request_discovery
+        self.watch_machine = DiscoveryWatch(settings.instances, self.is_pushed, random or Random())
         self.connection: WatchConnection | None = None
         self._deadline: Timer | None = None
-        self.logged_watching: bool | None = None  # what the log said last; None: nothing
-        self.quiet_until = 0  # us: till then a lost watch is not logged
-        self.entries: dict[int, api.EndpointEntry] = {}  # the list as it stands, as discovery has it
+        self.logged_watching: bool | None = None  # last state in the log; None before the first line
+        self.loss_log_quiet_until = 0  # us; losses before this time are not logged
+        self.entries: dict[int, api.EndpointEntry] = {}  # by executor's number, as discovery lists them
         self.on_change: Callable[[], None] | None = None  # called after each change of the list
-        self.excluded: dict[str, int] = {}  # out by hand, and since when (us): to the balancer they drain
-        self.held = False  # nothing may be sent: to the balancer all drain
-        self.hidden: set[str] = set()  # not used here, by the cluster's plan: to the balancer they drain
-        self.listed_start: dict[int, int] = {}  # by executor's number; Unix ms, as discovery writes it
-        self.current_at: int | None = None  # us: when the list was last known to be the newest
+        # For the balancer, `excluded` and `hidden` executors drain; all do while sending is suspended.
+        self.excluded: dict[str, int] = {}  # by name: since when operators exclude the executor (us)
+        self.sending_suspended = False
+        self.hidden: set[str] = set()  # executors that the cluster's plan does not assign to this node
+        self.listed_start: dict[int, int] = {}  # by executor's number: discovery's start stamp (Unix ms)
+        self.current_at: int | None = None  # us; when the list was last known to be up to date
 
     def start(self, known: Listing) -> None:
-        """The list of the configuration; an agent that pushes the list is asked for changes at once."""
-        self._take(known, api.EndpointListKind.CACHED)
-        if self.pushed:
+        """Apply the configured list, and start the watch at once if an agent pushes the list."""
+        self._apply_listing(known, api.EndpointListKind.CACHED)
+        if self.is_pushed:
             self.watch()
 
     def inherit(self, starts: dict[str, ExecutorStart], current_at: int | None) -> None:
-        """What the process before this one knew: the executors' starts, and when its list was the newest."""
+        """Take over the predecessor's executor starts and the time when its list was last up to date."""
         self.reader.starts.update(starts)
         self.current_at = current_at
 
     def on_listing(self, listing: Listing) -> None:
-        """A list that the watch has brought."""
+        """Apply a list received by the watch."""
         self.watch_machine.list_received()
         if not self.logged_watching:
             log_event("watching", index=listing.index, host=self.address.host, port=self.address.port)
             self.logged_watching = True
-        self._take(listing, api.EndpointListKind.FULL if listing.snapshot else api.EndpointListKind.DELTA)
+        self._apply_listing(
+            listing, api.EndpointListKind.FULL if listing.snapshot else api.EndpointListKind.DELTA
+        )
 
-    def _take(self, listing: Listing, kind: api.EndpointListKind) -> None:
+    def _apply_listing(self, listing: Listing, kind: api.EndpointListKind) -> None:
         now, entries = self.driver.now(), []
         for endpoint in listing.endpoints:
             entry = self.reader.entry(endpoint, now, self.current_at)
@@ -84,7 +87,7 @@
                 self.pools.update(entry.executor, endpoint)
             except ValueError as error:
                 log_event("entry-passed-over", name=endpoint.name, reason=error)
-                entry = replace(entry, state=api.ExecutorState.DRAINING)  # nothing new goes where it was
+                entry = replace(entry, state=api.ExecutorState.DRAINING)  # stops use of the previous address
             entries.append(entry)
         self.index = listing.index
         if kind != api.EndpointListKind.DELTA:
@@ -93,105 +96,108 @@
         self.listed_start.update((self.reader.numbers[e.name], e.since_ms) for e in listing.endpoints)
         if kind != api.EndpointListKind.CACHED:
             self.current_at = now
-        self._pass_on(now, kind, entries)
+        self._publish(now, kind, entries)
         if self.on_change is not None:
             self.on_change()
 
-    def _restricted(self, entry: api.EndpointEntry) -> api.EndpointEntry:
-        """The entry as the balancer has it: one that is out by hand drains."""
+    def _with_restrictions(self, entry: api.EndpointEntry) -> api.EndpointEntry:
+        """Return the entry as given to the balancer: a ready executor under a restriction is draining."""
         name = self.reader.names.get(entry.executor)
-        out = self.held or name in self.excluded or name in self.hidden
-        if out and entry.state == api.ExecutorState.READY:
+        is_restricted = self.sending_suspended or name in self.excluded or name in self.hidden
+        if is_restricted and entry.state == api.ExecutorState.READY:
             return replace(entry, state=api.ExecutorState.DRAINING)
         return entry
 
-    def _pass_on(self, now: int, kind: api.EndpointListKind, entries: list[api.EndpointEntry]) -> None:
-        """Give the balancer entries as they stand under what is out by hand or by the cluster's plan."""
-        restricted = [self._restricted(entry) for entry in entries]
+    def _publish(self, now: int, kind: api.EndpointListKind, entries: list[api.EndpointEntry]) -> None:
+        """Pass entries to the balancer, with exclusions, hidden executors and the suspension applied."""
+        restricted = [self._with_restrictions(entry) for entry in entries]
         self.dispatch.on_endpoint_list(now, api.EndpointList(kind, restricted))
 
-    def _entry_of(self, name: str) -> api.EndpointEntry | None:
+    def _find_entry(self, name: str) -> api.EndpointEntry | None:
         number = self.reader.numbers.get(name)
         return None if number is None else self.entries.get(number)
 
-    def hold(self, held: bool) -> None:
-        """Nothing may be sent from now on, or what the list says holds again."""
-        if held == self.held:
+    def hold(self, suspended: bool) -> None:
+        """Suspend sending to all executors, or resume it."""
+        if suspended == self.sending_suspended:
             return
-        self.held = held
+        self.sending_suspended = suspended
         if self.entries:
-            self._pass_on(self.driver.now(), api.EndpointListKind.DELTA, list(self.entries.values()))
+            self._publish(self.driver.now(), api.EndpointListKind.DELTA, list(self.entries.values()))
 
     def hide(self, names: set[str]) -> None:
-        """These are not used from now on, others that were hidden are again; none of them was restarted."""
-        before, self.hidden = self.hidden, names
-        changed = [entry for name in sorted(before ^ names) if (entry := self._entry_of(name)) is not None]
+        """Replace the set of hidden executors; one that is shown again does not count as restarted."""
+        previous, self.hidden = self.hidden, names
+        changed = [
+            entry for name in sorted(previous ^ names) if (entry := self._find_entry(name)) is not None
+        ]
         if changed:
-            self._pass_on(self.driver.now(), api.EndpointListKind.DELTA, changed)
+            self._publish(self.driver.now(), api.EndpointListKind.DELTA, changed)
 
     def knows(self, name: str) -> bool:
-        """Whether discovery has named this executor since the start, or the configuration did."""
+        """Return whether discovery or the configuration has listed this executor since the start."""
         return name in self.reader.numbers
 
     def mark(self, marks: dict[str, int]) -> None:
-        """These are out by hand now, since those times (us); the balancer hears of each that changed.
+        """Replace the exclusions and pass each changed executor to the balancer.
 
-        One that comes back was restarted by hand while it was out: to the balancer it is a new process. It
-        started when the list says, if that is after it went out, else now; an older start says nothing.
+        `marks` gives the exclusion times by name (us). An executor that returns counts as restarted: its
+        start is the listed one if that is later than the exclusion, else now.
         """
-        now, before, changed = self.driver.now(), self.excluded, []
+        now, previous, changed = self.driver.now(), self.excluded, []
         self.excluded = marks
-        for name in sorted(before.keys() ^ marks.keys()):
-            if (entry := self._entry_of(name)) is None:
+        for name in sorted(previous.keys() ^ marks.keys()):
+            if (entry := self._find_entry(name)) is None:
                 continue
-            if name in before and entry.started_at <= before[name]:
+            if name in previous and entry.started_at <= previous[name]:
                 entry = self.entries[entry.executor] = replace(entry, started_at=now)
-            changed.append(replace(entry, by_hand=name in before))
+            changed.append(replace(entry, by_hand=name in previous))
         if changed:
-            self._pass_on(now, api.EndpointListKind.DELTA, changed)
+            self._publish(now, api.EndpointListKind.DELTA, changed)
 
     def watch(self) -> None:
-        """Ask for changes from now on, and again whenever the watch is lost."""
+        """Start the watch, which is renewed whenever it is lost."""
         self.on_watch_event(WatchEvent.LIST_WANTED)
 
     def move(self, address: Address) -> None:
-        """Discovery is elsewhere now and may count otherwise: the list is out of date till all of it came."""
+        """Switch to another discovery address; the list is stale until the new discovery has sent it."""
         self.address, self.index = address, 0
-        self.logged_watching, self.quiet_until = None, 0
-        self.current_at = None  # the new one may know executors that the old one never named
+        self.logged_watching, self.loss_log_quiet_until = None, 0
+        self.current_at = None  # the new discovery may list executors that the old one did not
         self.on_watch_event(WatchEvent.ADDRESS_CHANGED)
-        self._pass_on(self.driver.now(), api.EndpointListKind.CACHED, list(self.entries.values()))
+        self._publish(self.driver.now(), api.EndpointListKind.CACHED, list(self.entries.values()))
 
     def on_watch_event(self, event: WatchEvent, reason: str = "") -> None:
-        """Let the state machine take an event, and carry out what it orders."""
-        before = self.watch_machine.deadline
+        """Pass an event to the state machine and execute its actions."""
+        previous_deadline = self.watch_machine.deadline
         actions = self.watch_machine.step(self.driver.now(), event)
-        if self.watch_machine.deadline != before:  # first: whatever fails below, the watch is asked for again
+        # Schedule the deadline first: the watch is renewed even if an action below fails.
+        if self.watch_machine.deadline != previous_deadline:
             self.driver.timers.cancel(self._deadline)
             due = self.watch_machine.deadline
             self._deadline = None if due is None else self.driver.timers.add(due, self._on_deadline)
         for action in actions:
-            self._do(action, reason)
+            self._execute(action, reason)
 
     def _on_deadline(self, now: int) -> None:
         self.on_watch_event(WatchEvent.TIMER_FIRED)
 
-    def _do(self, action: Action, reason: str) -> None:
+    def _execute(self, action: Action, reason: str) -> None:
         match action:
             case Connect():
-                self._connect(paid=action.requested)
+                self._connect(is_budgeted=action.requested)
             case SendCall():
-                assert self.connection is not None  # the watch has just heard that it is up
-                self.connection.call(self.index)
+                assert self.connection is not None  # set since Connect
+                self.connection.send_call(self.index)
             case CloseConnection():
                 self._close()
             case ReportLoss():
-                self._lost(action.reason or reason)
+                self._log_loss(action.reason or reason)
 
-    def _connect(self, paid: bool) -> None:
-        """Open a connection, if this node may call; what the dispatch asked for it has paid already."""
-        if not (paid or self.dispatch.may_call_discovery(self.driver.now())):
-            self.on_watch_event(WatchEvent.CALL_FAILED, NO_CALL_LEFT)
+    def _connect(self, is_budgeted: bool) -> None:
+        """Open a connection if the call budget allows it, or if the dispatch has counted the call already."""
+        if not (is_budgeted or self.dispatch.may_call_discovery(self.driver.now())):
+            self.on_watch_event(WatchEvent.CALL_FAILED, CALL_BUDGET_EXHAUSTED)
             return
         self.connection = WatchConnection(self)
         self.connection.open(self.address)
@@ -201,9 +207,9 @@
         if connection is not None:
             connection.close()
 
-    def _lost(self, reason: str) -> None:
-        """Tell the log, late if it stays lost."""
+    def _log_loss(self, reason: str) -> None:
+        """Log the loss of the watch, at most once per WATCH_LOST_QUIET_US."""
         now = self.driver.now()
-        if self.logged_watching is not False and now >= self.quiet_until:
+        if self.logged_watching is not False and now >= self.loss_log_quiet_until:
             log_event("watch-lost", reason=reason)
-            self.logged_watching, self.quiet_until = False, now + WATCH_LOST_QUIET_US
+            self.logged_watching, self.loss_log_quiet_until = False, now + WATCH_LOST_QUIET_US
--- a/cedarmill/net/discovery/endpoints.py
+++ b/cedarmill/net/discovery/endpoints.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list: its entries as they are written, and as the balancer takes them."""
+"""Discovery's endpoint list, and its conversion to the balancer's entries."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.net.loop import EventLoopDriver, unix_us
 
-STAMP_SLACK_US = 1_000_000  # an executor may be listed so much later than it started, as lists may come late
+LISTING_DELAY_US = 1_000_000  # longest assumed time between an executor's start and its listing
 
 _STATES = {
     "SERVING": api.ExecutorState.READY,
@@ -30,7 +30,7 @@
 
 
 class Listing(msgspec.Struct):
-    """The whole list, or what has changed in it."""
+    """The whole list if `snapshot`, else the changed entries."""
 
     index: int
     snapshot: bool
@@ -38,60 +38,60 @@
 
 
 class ExecutorStart(NamedTuple):
-    """When an executor's process started: discovery's stamp (Unix ms), and that on the node's clock (us)."""
+    """When an executor's process started: discovery's stamp (Unix ms) and the node's clock (us)."""
 
     since_ms: int
     at_us: int
 
 
 class EndpointReader:
-    """Turns discovery's entries into the balancer's; executors are numbered as they become known.
+    """Converts discovery's entries to the balancer's, and numbers the executors.
 
-    Discovery stamps starts in Unix time. The wall clock of this machine may be stepped against it, before or
-    while this process runs, so a stamp is read once, when it is new: the same stamp is the same process,
-    whose start does not move. It is read by the wall clock as it stood at the start and as it stands now,
-    and the later start of the two holds: an executor that is taken for too young gets too little for a
-    while, one that is taken for too old gets more than one that warms up bears.
+    Discovery stamps starts in Unix time, while this machine's wall clock may be stepped at any time. A stamp
+    is therefore converted once, when it is new: an unchanged stamp is the same process with the same start.
+    The conversion uses the wall clock's offset at this process's start and the present one, and takes the
+    later result: an executor taken for too young gets too little load for a while, one taken for too old gets
+    more than it can serve while warming up.
     """
 
     def __init__(self, settings: api.Settings) -> None:
         self.numbers: dict[str, int] = {}
-        self.names: dict[int, str] = {}  # the other way round
+        self.names: dict[int, str] = {}  # the inverse of `numbers`
         self.zones = {name: n for n, name in enumerate(settings.zones)}
         self.kinds = {name: n for n, name in enumerate(settings.kinds)}
-        self.starts: dict[str, ExecutorStart] = {}  # by name; none of those that started long ago
-        self._first_offset_us = unix_us() - EventLoopDriver.now()  # of Unix time against the node's clock
+        self.starts: dict[str, ExecutorStart] = {}  # by name; without executors that have no stamp
+        self._initial_unix_offset_us = unix_us() - EventLoopDriver.now()  # Unix time minus the node's clock
 
-    def entry(self, raw: Endpoint, now: int, listed_before: int | None = None) -> api.EndpointEntry:
-        """Read an entry at `now` (us); a zone or kind that the settings do not name is one of its own.
+    def entry(self, endpoint: Endpoint, now: int, list_current_at: int | None = None) -> api.EndpointEntry:
+        """Convert an entry at `now` (us); a zone or kind missing in the settings gets a number of its own.
 
-        `listed_before`: a time at which the list was known to be the newest; whoever is new since, or has a
-        new stamp, started later.
+        `list_current_at` is a time at which the list was known to be up to date: executors and stamps that
+        are new since then are taken as started later.
         """
-        number = self.numbers.setdefault(raw.name, len(self.numbers) + 1)
-        self.names[number] = raw.name
+        number = self.numbers.setdefault(endpoint.name, len(self.numbers) + 1)
+        self.names[number] = endpoint.name
         return api.EndpointEntry(
             number,
-            _STATES.get(raw.status, api.ExecutorState.DRAINING),  # one not known yet: nothing new goes there
-            self.zones.setdefault(raw.zone, len(self.zones)),
-            raw.group,
-            self._started_at(raw, now, listed_before) if raw.since_ms else 0,
-            raw.weight,
-            self.kinds.setdefault(raw.type, len(self.kinds)),
+            _STATES.get(endpoint.status, api.ExecutorState.DRAINING),  # an unknown status counts as draining
+            self.zones.setdefault(endpoint.zone, len(self.zones)),
+            endpoint.group,
+            self._started_at(endpoint, now, list_current_at) if endpoint.since_ms else 0,
+            endpoint.weight,
+            self.kinds.setdefault(endpoint.type, len(self.kinds)),
         )
 
-    def _started_at(self, raw: Endpoint, now: int, listed_before: int | None) -> int:
-        known = self.starts.get(raw.name)
-        if known is None or raw.since_ms != known.since_ms:
-            older = known is not None and raw.since_ms < known.since_ms  # an old list: it tells of the past
-            at_us = self._read_stamp(raw.since_ms, now, None if older else listed_before)
-            known = self.starts[raw.name] = ExecutorStart(raw.since_ms, at_us)
-        return known.at_us
-
-    def _read_stamp(self, since_ms: int, now: int, listed_before: int | None) -> int:
-        """A new stamp in the node's clock, bounded by what this node saw itself."""
-        offset_us = min(self._first_offset_us, unix_us() - now)
+    def _started_at(self, endpoint: Endpoint, now: int, list_current_at: int | None) -> int:
+        start = self.starts.get(endpoint.name)
+        if start is None or endpoint.since_ms != start.since_ms:
+            is_older = start is not None and endpoint.since_ms < start.since_ms  # from an outdated list
+            at_us = self._to_node_clock(endpoint.since_ms, now, None if is_older else list_current_at)
+            start = self.starts[endpoint.name] = ExecutorStart(endpoint.since_ms, at_us)
+        return start.at_us
+
+    def _to_node_clock(self, since_ms: int, now: int, list_current_at: int | None) -> int:
+        """Convert a new stamp to the node's clock, within the bounds that this node has observed."""
+        offset_us = min(self._initial_unix_offset_us, unix_us() - now)
         at_us = since_ms * 1000 - offset_us
-        if listed_before is not None and at_us < listed_before - STAMP_SLACK_US:
-            at_us = listed_before  # the clocks differ: the stamp says nothing
+        if list_current_at is not None and at_us < list_current_at - LISTING_DELAY_US:
+            at_us = list_current_at  # the clocks differ, so the stamp is unusable
         return max(1, min(at_us, now))
--- a/cedarmill/net/discovery/list_stream.py
+++ b/cedarmill/net/discovery/list_stream.py
@@ -1,4 +1,4 @@
-"""The body of discovery's answer, split into lists: one JSON document a line, or indented over many lines."""
+"""Splits the body of discovery's answer into lists: JSON documents on one line each or indented over many."""
 
 from typing import Any
 
@@ -6,12 +6,12 @@
 
 from cedarmill.net.discovery.endpoints import Endpoint, Listing
 
-MAX_LIST = 4 * 1024 * 1024  # bytes of one list
-_LISTING = msgspec.json.Decoder(Listing)
+MAX_LIST_BYTES = 4 * 1024 * 1024
+_LISTING_DECODER = msgspec.json.Decoder(Listing)
 
 
 class _LooseListing(msgspec.Struct):
-    """A list of which one entry or more cannot be read."""
+    """A list with at least one entry that does not match `Endpoint`."""
 
     index: int
     snapshot: bool
@@ -19,32 +19,32 @@
 
 
 class _NamedEntry(msgspec.Struct):
-    """What an entry has to hold for anything to follow of it."""
+    """The minimum that an entry must hold to be usable."""
 
     name: str
 
 
-_LOOSE = msgspec.json.Decoder(_LooseListing)
-_ENTRY = msgspec.json.Decoder(Endpoint)
-_NAMED = msgspec.json.Decoder(_NamedEntry)
-UNREADABLE = "UNREADABLE"  # the status of an entry that names an executor and cannot be read beyond that
+_LOOSE_LISTING_DECODER = msgspec.json.Decoder(_LooseListing)
+_ENDPOINT_DECODER = msgspec.json.Decoder(Endpoint)
+_NAMED_ENTRY_DECODER = msgspec.json.Decoder(_NamedEntry)
+UNREADABLE = "UNREADABLE"  # status of an entry of which only the executor's name can be read
 
 
 class Incomplete(Exception):
-    """The text is the beginning of a document."""
+    """Raised for a JSON document that is cut off."""
 
 
 class _WrongShape(ValueError):
-    """A JSON document that does not have the fields of a list."""
+    """Raised for a JSON document that does not match the expected fields."""
 
 
 def decode_listing(text: bytes) -> Listing:
-    """One list; an entry that cannot be read spoils itself only. Raises ValueError or Incomplete."""
+    """Decode a list, without the entries that cannot be read. Raise ValueError or Incomplete."""
     try:
-        listing: Listing = _decode(_LISTING, text)
+        listing: Listing = _decode(_LISTING_DECODER, text)
         return listing
     except _WrongShape:
-        loose = _decode(_LOOSE, text)
+        loose = _decode(_LOOSE_LISTING_DECODER, text)
     entries = [_decode_entry(bytes(raw)) for raw in loose.endpoints]
     return Listing(loose.index, loose.snapshot, [entry for entry in entries if entry is not None])
 
@@ -62,71 +62,71 @@
 
 def _decode_entry(text: bytes) -> Endpoint | None:
     try:
-        return _ENTRY.decode(text)
+        return _ENDPOINT_DECODER.decode(text)
     except msgspec.ValidationError:
         pass
     try:
-        return Endpoint(_NAMED.decode(text).name, UNREADABLE)
+        return Endpoint(_NAMED_ENTRY_DECODER.decode(text).name, UNREADABLE)
     except msgspec.ValidationError:
         return None
 
 
 class ListStream:
-    """Takes the body as it comes, cut anywhere, and gives the lists that are whole."""
+    """Collects the body in chunks of any size and returns the complete lists."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._line_start = 0  # in the buffer, of the line that is not whole yet
-        self._searched = 0  # in the buffer: no line ends between its start and there
-        self._blank = True  # whether the line that is not whole yet holds only white space so far
-        self._begun = False  # whether a line of a document has come
+        self._line_start = 0  # buffer offset of the incomplete line
+        self._searched_to = 0  # buffer offset up to which the incomplete line holds no newline
+        self._line_is_blank = True  # whether the incomplete line holds only white space so far
+        self._document_started = False  # whether the buffer holds a complete line of an unfinished document
 
     @property
     def partial(self) -> bool:
-        """Whether a list has begun that is not whole yet."""
-        return self._begun or not self._blank
+        """Return whether a list has started that is not complete yet."""
+        return self._document_started or not self._line_is_blank
 
     def feed(self, data: bytes) -> list[Listing]:
-        """Take some bytes; raises ValueError for what is no list."""
+        """Add bytes and return the lists that they complete; raise ValueError for malformed data."""
         self._buffer += data
-        found = []
-        while (end := self._buffer.find(b"\n", self._searched)) >= 0:
-            listing = self._line(end)
+        listings = []
+        while (end := self._buffer.find(b"\n", self._searched_to)) >= 0:
+            listing = self._finish_line(end)
             if listing is not None:
-                found.append(listing)
-        # only what is new is looked at: a long list may come in pieces of a byte
-        self._blank = self._blank and not self._buffer[self._searched :].strip()
-        self._searched = len(self._buffer)
-        if len(self._buffer) > MAX_LIST:
-            raise ValueError("a list is too long")
-        return found
+                listings.append(listing)
+        # Examines only the new bytes, since a long list may arrive byte by byte.
+        self._line_is_blank = self._line_is_blank and not self._buffer[self._searched_to :].strip()
+        self._searched_to = len(self._buffer)
+        if len(self._buffer) > MAX_LIST_BYTES:
+            raise ValueError("endpoint list is too long")
+        return listings
 
     def finish(self) -> list[Listing]:
-        """The body has ended: what is left is a whole list, or none."""
-        listing = self._line(len(self._buffer))
+        """Handle the end of the body; return the list in the remaining bytes, if any."""
+        listing = self._finish_line(len(self._buffer))
         return [listing] if listing is not None else []
 
-    def _line(self, end: int) -> Listing | None:
-        """Take the line that ends there; the list, if its document is whole now."""
+    def _finish_line(self, end: int) -> Listing | None:
+        """Process the line that ends at `end`; return the list if the line completes its document."""
         line = self._buffer[self._line_start : end].strip()
-        self._line_start = self._searched = end + 1
-        self._blank = True
-        if not self._begun and not line:
-            self._drop()
+        self._line_start = self._searched_to = end + 1
+        self._line_is_blank = True
+        if not self._document_started and not line:
+            self._discard_document()
             return None
-        if not self._begun and not line.startswith(b"{"):
-            raise ValueError("not a list")
-        self._begun = True
+        if not self._document_started and not line.startswith(b"{"):
+            raise ValueError("not an endpoint list")
+        self._document_started = True
         if not line.endswith(b"}"):
             return None
         try:
             listing = decode_listing(bytes(self._buffer[:end]))
         except Incomplete:
             return None
-        self._drop()
+        self._discard_document()
         return listing
 
-    def _drop(self) -> None:
-        """Forget the lines of a document that is whole."""
+    def _discard_document(self) -> None:
+        """Remove the complete document's lines from the buffer."""
         del self._buffer[: self._line_start]
-        self._line_start, self._searched, self._begun = 0, 0, False
+        self._line_start, self._searched_to, self._document_started = 0, 0, False
--- a/cedarmill/net/discovery/watch_connection.py
+++ b/cedarmill/net/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery, which carries one call for changes of the endpoint list."""
+"""Connection to discovery that carries one watch call for changes of the endpoint list."""
 
 import asyncio
 import contextlib
@@ -17,27 +17,28 @@
     from cedarmill.net.discovery.client import DiscoveryClient
 
 
-def abort_quietly(transport: asyncio.Transport) -> None:
-    """End a connection of which nothing more is wanted, in whatever state its socket is."""
+def abort_ignoring_errors(transport: asyncio.Transport) -> None:
+    """Abort a transport, whatever state its socket is in."""
     with contextlib.suppress(*TRANSPORT_ERRORS):
         transport.abort()
 
 
 class WatchConnection(asyncio.Protocol):
-    """One connection to discovery, which carries one call for changes."""
+    """A connection to discovery that carries one watch call and parses its answer."""
 
     def __init__(self, client: "DiscoveryClient") -> None:
         self.client, self.driver = client, client.driver
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.lists = ListStream()
-        self.body = bytearray()  # of the bytes read at once: one chunk may hold one byte only
-        self.listed = False  # whether a list has come: from then on an empty line says that it is the newest
-        self.over = False
+        self.body = bytearray()  # chunks of one read, which may be single bytes, collected for one pass
+        # Set after the first list; from then on an empty line confirms that the list is up to date.
+        self.has_listing = False
+        self.closed = False
         self._connecting: asyncio.Task[object] | None = None
 
     def open(self, address: Address) -> None:
-        """Connect to discovery there."""
+        """Connect to discovery at `address`."""
         opening = self.driver.loop.create_connection(lambda: self, address.host, address.port)
         self._connecting = self.driver.loop.create_task(opening)
         self._connecting.add_done_callback(self._opened)
@@ -46,93 +47,93 @@
     def _opened(self, task: "asyncio.Task[object]") -> None:
         self._connecting = None
         if task.cancelled() or task.exception() is not None:
-            self.broken("no connection")
+            self.fail("no connection")
 
     @callback
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The call can be written."""
+        """Report the connection to the client, which sends the call."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.over:
-            abort_quietly(self.transport)
+        if self.closed:
+            abort_ignoring_errors(self.transport)
             return
         self.client.on_watch_event(WatchEvent.CONNECTED)
 
-    def call(self, index: int) -> None:
-        """Ask for what has changed since that version."""
+    def send_call(self, index: int) -> None:
+        """Send the call for changes since list version `index`."""
         path = b"/v1/endpoints?watch=1&from=%d" % index
         assert self.transport is not None
         try:
             self.transport.write(b"GET %s HTTP/1.1\r\nHost: discovery\r\n\r\n" % path)
         except TRANSPORT_ERRORS as error:
-            self.broken(f"not asked: {error}")
+            self.fail(f"call not sent: {error}")
 
     @callback
     def data_received(self, data: bytes) -> None:
-        """Take a part of the answer: lists, and signs of life."""
-        if self.over:
+        """Parse a part of the answer, which holds lists and empty keep-alive lines."""
+        if self.closed:
             return
         try:
             self.parser.feed_data(data)
-            self._take_body()
+            self._process_body()
         except Exception as error:
-            self.broken(f"malformed answer: {error.__context__ or error}")
-        if not self.over:
+            self.fail(f"malformed answer: {error.__context__ or error}")
+        if not self.closed:
             self.client.on_watch_event(
                 WatchEvent.PARTIAL_LIST_RECEIVED if self.lists.partial else WatchEvent.DATA_RECEIVED
             )
-            if self.listed and not self.lists.partial:
+            if self.has_listing and not self.lists.partial:
                 self.client.current_at = self.driver.now()
 
-    # httptools calls these.
+    # Callbacks of httptools.
 
     def on_headers_complete(self) -> None:
-        """Any status but 200 is a failure."""
+        """Treat any status other than 200 as a failure."""
         if self.parser.get_status_code() != 200:
-            self.broken(f"status {self.parser.get_status_code()}")
+            self.fail(f"status {self.parser.get_status_code()}")
 
     def on_body(self, data: bytes) -> None:
-        """Keep it until all that was read at once has been parsed."""
+        """Collect the chunk until all bytes of this read are parsed."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """A watch has no end of its own; what is left may be one more list."""
-        self._take_body()
-        if not self.over:
-            self._take(self.lists.finish())
-            self.broken("ended by discovery")
-
-    def _take_body(self) -> None:
-        """Pass the lists on that are whole."""
+        """Deliver a remaining list, then fail: a watch normally has no end."""
+        self._process_body()
+        if not self.closed:
+            self._deliver(self.lists.finish())
+            self.fail("ended by discovery")
+
+    def _process_body(self) -> None:
+        """Deliver the lists that the collected chunks complete."""
         body, self.body = bytes(self.body), bytearray()
-        if body and not self.over:
-            self._take(self.lists.feed(body))
+        if body and not self.closed:
+            self._deliver(self.lists.feed(body))
 
-    def _take(self, listings: list[Listing]) -> None:
+    def _deliver(self, listings: list[Listing]) -> None:
         for listing in listings:
             self.client.on_listing(listing)
-            self.listed = True
+            self.has_listing = True
 
     def eof_received(self) -> None:
-        """The loop closes the transport, and connection_lost does the rest."""
+        """Leave the closing to the event loop, which calls connection_lost."""
 
     @callback
     def connection_lost(self, error: Exception | None) -> None:
-        """The transport has ended."""
-        self.broken("connection lost")
+        """Report the end of the transport."""
+        self.fail("connection lost")
 
     def abort(self) -> None:
-        """A callback has raised."""
-        self.broken("internal error")
+        """Fail after an exception in a callback."""
+        self.fail("internal error")
 
-    def broken(self, reason: str) -> None:
-        """The connection is of no more use."""
-        if not self.over:
+    def fail(self, reason: str) -> None:
+        """Report the failure, upon which the client closes the connection."""
+        if not self.closed:
             self.client.on_watch_event(WatchEvent.CALL_FAILED, reason)
 
     def close(self) -> None:
-        """The one end of a connection, as the state machine orders it."""
-        self.over = True
+        """Close the connection, as ordered by the state machine."""
+        self.closed = True
         if self._connecting is not None:
             self._connecting.cancel()
         if self.transport is not None:
-            abort_quietly(self.transport)
+            abort_ignoring_errors(self.transport)
--- a/cedarmill/net/framing.py
+++ b/cedarmill/net/framing.py
@@ -1,8 +1,8 @@
-"""Frames between our processes: length, version and MessagePack; on loopback or a trusted network only.
+"""Frames between processes of this program, for loopback or a trusted network only.
 
-One connection a pair. A frame is four bytes of length, one of the version, and an array of a number and a
-message; a request's number comes back with its answer, 0 goes with what wants none. What cannot be read ends
-the connection with a line in the log, never the process.
+Each pair of processes shares one connection. A frame is four bytes of length, one byte of version, and a
+MessagePack array of a request number and a message; a reply repeats its request's number, and 0 marks a
+message without a reply. Unreadable bytes end the connection with a log line, never the process.
 """
 
 import asyncio
@@ -25,13 +25,13 @@
 from cedarmill.net.config import Address
 from cedarmill.net.loop import EventLoopDriver, callback
 
-VERSION = 1
+FRAME_VERSION = 1
 HEADER = struct.Struct(">IB")  # the body's length in bytes, the version
-MAX_BODY_BYTES = 16 * 1024 * 1024  # a part of a snapshot is 32 KiB, all that is agreed some 100 KiB
-MAX_UNSENT_BYTES = 4 * 1024 * 1024  # that the other side has not taken: more is dropped, and asked for again
-CONNECT_US = 1_000_000  # for a connection to open
-HELLO_US = 2_000_000  # for the first frame of a connection
-SILENT_US = 4_000_000  # without a byte between replicas, whose heartbeats come ten times a second
+MAX_BODY_BYTES = 16 * 1024 * 1024  # far above a part of a snapshot (32 KiB) and the replicated state
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # above this, frames are dropped and have to be requested again
+CONNECT_TIMEOUT_US = 1_000_000
+HELLO_US = 2_000_000  # time limit for a connection's first frame
+SILENT_US = 4_000_000  # longest silence between replicas, which send ten heartbeats a second
 
 Message = Hello | ConnectionRejected | ReplicaMessage | ClientRequest | ClientReply | GossipMessage
 _DECODER = msgspec.msgpack.Decoder(tuple[int, Message])
@@ -39,38 +39,38 @@
 
 
 class Frame(NamedTuple):
-    """What one frame carries: a request's number, which its answer repeats (0: none), and the message."""
+    """The content of a frame: a request number, repeated in the reply (0: no reply), and a message."""
 
     number: int
-    message: Any  # one of Message
+    message: Any  # an instance of Message
 
 
 def encode_frame(number: int, message: object) -> bytes:
-    """One frame as it is written."""
+    """Return the frame's bytes."""
     body = _ENCODER.encode((number, message))
-    return HEADER.pack(len(body), VERSION) + body
+    return HEADER.pack(len(body), FRAME_VERSION) + body
 
 
 class InvalidFrame(ValueError):
-    """What came is no frame of ours, in one line."""
+    """Raised for bytes that are not a valid frame."""
 
 
 class FrameReader:
-    """Cuts what comes into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that are whole now; raises InvalidFrame."""
+        """Add bytes and return the frames that they complete; raise InvalidFrame."""
         self._buffer += data
         frames = []
         while len(self._buffer) >= HEADER.size:
             length, version = HEADER.unpack_from(self._buffer)
-            if version != VERSION:
-                raise InvalidFrame(f"version {version}, this program speaks {VERSION}")
+            if version != FRAME_VERSION:
+                raise InvalidFrame(f"frame version {version}, this program supports {FRAME_VERSION}")
             if length > MAX_BODY_BYTES:
-                raise InvalidFrame(f"a frame of {length} bytes, at most {MAX_BODY_BYTES} are taken")
+                raise InvalidFrame(f"frame of {length} bytes, at most {MAX_BODY_BYTES} are accepted")
             if len(self._buffer) < HEADER.size + length:
                 break
             body = bytes(self._buffer[HEADER.size : HEADER.size + length])
@@ -83,9 +83,10 @@
 
 
 class FramedConnection(asyncio.Protocol):
-    """One connection. Its owner hears of each frame (`on_message`), of its opening, and once of its end.
+    """A connection that sends and receives frames.
 
-    `name` is the other side's: set by the owner, when it dials or when a hello has come.
+    It calls `on_message` for each frame, `on_open` when it opens and `on_end` once when it ends. `name` is
+    the peer's name, set by the owner when it dials or receives a hello.
     """
 
     def __init__(
@@ -100,30 +101,30 @@
         self.transport: asyncio.Transport | None = None
         self.ended = False
         self.name = ""
-        self.received_at = driver.now()  # when something came last (us)
-        self.dropped = 0  # frames that the other side would not take
+        self.received_at = driver.now()  # us; when bytes last arrived
+        self.dropped_frames = 0  # frames discarded because the peer reads too slowly
         self._reader = FrameReader()
-        self._opening: asyncio.Task[object] | None = None
+        self._connecting: asyncio.Task[object] | None = None
         self._deadline: Timer | None = None
 
     def dial(self, address: Address) -> None:
-        """Open the connection; it ends where that takes longer than CONNECT_US."""
+        """Open the connection, or end it after CONNECT_TIMEOUT_US."""
         self._deadline = self.driver.timers.add(
-            self.driver.now() + CONNECT_US, lambda now: self.end("no connection")
+            self.driver.now() + CONNECT_TIMEOUT_US, lambda now: self.end("no connection")
         )
         opening = self.driver.loop.create_connection(lambda: self, address.host, address.port)
-        self._opening = self.driver.loop.create_task(opening)
-        self._opening.add_done_callback(self._opened)
+        self._connecting = self.driver.loop.create_task(opening)
+        self._connecting.add_done_callback(self._opened)
 
     @callback
     def _opened(self, task: asyncio.Task[object]) -> None:
-        self._opening = None
+        self._connecting = None
         if task.cancelled() or task.exception() is not None:
             self.end("no connection")
 
     @callback
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """The connection is open."""
+        """Notify the owner that the connection is open."""
         self.driver.timers.cancel(self._deadline)
         self.transport = transport
         if self.ended:
@@ -135,7 +136,7 @@
 
     @callback
     def data_received(self, data: bytes) -> None:
-        """Pass on the frames that are whole now."""
+        """Pass the complete frames to the owner."""
         if self.ended:
             return
         self.received_at = self.driver.now()
@@ -151,41 +152,41 @@
 
     @callback
     def connection_lost(self, error: Exception | None) -> None:
-        """The other side or the system has ended it."""
+        """End the connection after its transport has ended."""
         self.end("connection lost")
 
     def send(self, number: int, message: object) -> bool:
-        """Write a frame; False where it was dropped: the other side takes nothing, or the transport broke."""
+        """Write a frame; return False if it is dropped: the peer reads too slowly, or the transport broke."""
         if self.ended or self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.dropped += 1
+            self.dropped_frames += 1
             return False
         try:
             self.transport.write(encode_frame(number, message))
-        except OSError as error:  # it costs this connection only, never the timer or turn that writes
+        except OSError as error:  # ends this connection only, and must not interrupt the caller
             self.end(f"write failed: {error.strerror or error}")
             return False
         return True
 
     def abort(self) -> None:
-        """`callback` asks for it: a defect costs this connection only."""
+        """End the connection after an exception in a callback, which affects no other connection."""
         self.end("internal error")
 
     def end(self, reason: str) -> None:
-        """The one end of a connection."""
+        """End the connection once, and notify the owner."""
         if self.ended:
             return
         self.ended = True
         self.driver.timers.cancel(self._deadline)
-        if self._opening is not None:
-            self._opening.cancel()
+        if self._connecting is not None:
+            self._connecting.cancel()
         if self.transport is not None:
             self.transport.abort()
         self.on_end(self, reason)
 
     def refuse(self, reason: str) -> None:
-        """Say why, and close."""
+        """Send the reason for a rejection, and close the connection."""
         if not self.send(0, ConnectionRejected(reason)):
             self.end(reason)
             return
--- a/cedarmill/net/upstream/connection.py
+++ b/cedarmill/net/upstream/connection.py
@@ -88,8 +88,8 @@
         self._connecting = None
         error = None if task.cancelled() else task.exception()
         if task.cancelled() or error is not None:
-            own = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS
-            self._terminate(Outcome.DROPPED if own else Outcome.CONNECT_FAILED)
+            is_local_error = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS
+            self._terminate(Outcome.DROPPED if is_local_error else Outcome.CONNECT_FAILED)
 
     @callback
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -136,15 +136,15 @@
         self.held_last_byte = request_bytes[-1:]
         self._write(request_bytes[:-1])
         if not self.closed:
-            wait = LAST_BYTE_DELAY_US if exchange.is_unsafe else 0
-            self.deadline = self.driver.timers.add(now + wait, self._send_last_byte)
+            delay_us = LAST_BYTE_DELAY_US if exchange.is_unsafe else 0
+            self.deadline = self.driver.timers.add(now + delay_us, self._send_last_byte)
 
     def _write(self, request_bytes: bytes) -> None:
         """Write bytes to the transport, and abort if they do not leave within SEND_TIMEOUT_US."""
         assert self.transport is not None
         try:
             self.transport.write(request_bytes)
-            waiting = self.transport.get_write_buffer_size() > 0
+            has_unsent_bytes = self.transport.get_write_buffer_size() > 0
         except TRANSPORT_ERRORS:  # the socket broke, and none of these bytes has left
             self.abort()
             return
@@ -152,7 +152,7 @@
         if self.held_last_byte or self.transport.is_closing():
             return
         self.handed_to_transport = True
-        if waiting:
+        if has_unsent_bytes:
             due = self.request_built_at + SEND_TIMEOUT_US
             self._send_timeout = self.driver.timers.add(due, lambda now: self.abort())
         else:
@@ -196,19 +196,19 @@
         if exchange is None:  # unsolicited data
             self.abort()
             return
-        readable = self.answer.feed(data)
+        is_valid = self.answer.feed(data)
         now = self.driver.now()
-        if not readable:
+        if not is_valid:
             self.discard()
         elif self.answer.complete:  # released first: the balancer may reuse the connection at once
-            self._free_after_answer()
+            self._release_after_answer()
         elif exchange.pending_end is not None and not exchange.finished:  # only the message's end is missing
             self.driver.timers.cancel(self.deadline)
             self._schedule_abort(now + ANSWER_END_TIMEOUT_US)
-        if exchange.pending_end is not None or not readable:
+        if exchange.pending_end is not None or not is_valid:
             exchange.finish(now, exchange.pending_end or ExchangeEnd(Outcome.RESET))
 
-    def _free_after_answer(self) -> None:
+    def _release_after_answer(self) -> None:
         assert self.transport is not None
         if self.answer.keep_alive and self.written and not self.transport.is_closing():
             self._return_to_pool()
--- a/cedarmill/net/upstream/pool.py
+++ b/cedarmill/net/upstream/pool.py
@@ -105,10 +105,10 @@
     def ensure_capacity(self) -> bool:
         """Close idle connections until a new one fits the limit; return False if that is not possible."""
         while self.connections >= self.bound:
-            fullest = max(self.pools_by_number.values(), key=lambda pool: len(pool.idle), default=None)
-            if fullest is None or not fullest.idle:
+            most_idle_pool = max(self.pools_by_number.values(), key=lambda pool: len(pool.idle), default=None)
+            if most_idle_pool is None or not most_idle_pool.idle:
                 return False
-            fullest.idle[0].abort()
+            most_idle_pool.idle[0].abort()
         return True
 
     # The dispatch's executor port.
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -200,7 +200,7 @@
         self.now = 50_000_000
         self.discovery = DiscoveryClient(self.driver, settings(), Address("127.0.0.1", 1), mock.Mock())
         self.discovery.dispatch = mock.Mock()
-        self.discovery.reader._first_offset_us = 0  # Unix time counts from the clock's start
+        self.discovery.reader._initial_unix_offset_us = 0  # Unix time counts from the clock's start
         self.discovery.logged_watching = True
         self.list(since_ms=1_000)
 
