--- a/cedarmill/net/discovery/list_stream.py
+++ b/cedarmill/net/discovery/list_stream.py
@@ -39,7 +39,7 @@
 
 
 def decode_listing(text: bytes) -> Listing:
-    """Decode a list, without the entries that cannot be read. Raise ValueError or Incomplete."""
+    """Decode a list; an unreadable entry affects no other entry. Raise ValueError or Incomplete."""
     try:
         listing: Listing = _decode(_LISTING_DECODER, text)
         return listing
--- a/cedarmill/net/upstream/connection.py
+++ b/cedarmill/net/upstream/connection.py
@@ -3,8 +3,7 @@
 A connection opens, possibly after waiting for the cluster's permission. From then on it either carries an
 exchange or is idle in its pool. Three flags determine the outcome of an exchange whose connection breaks:
 
-* `handed_to_transport`: the transport has received the last byte. A break before that proves that nothing
-  ran.
+* `handed_to_transport`: the transport has the last byte. A break before that proves that nothing ran.
 * `written`: the last byte has left this process. From then on the attempt may run.
 * `answer.complete`: the answer has ended. The connection is reusable if both sides keep it alive.
 
@@ -27,22 +26,16 @@
     from cedarmill.net.upstream.pool import UpstreamPool
 
 IDLE_TIMEOUT_FRACTION = 0.5  # fraction of the executor's own idle timeout after which a connection closes
-# An unsafe attempt's last byte follows its other bytes after this delay.
-LAST_BYTE_DELAY_US = 2_000
-CONNECT_PERMISSION_RETRY_US = 20_000  # interval between checks whether the cluster permits a connection
-# Unsafe attempts use new connections for this time after an idle connection broke under a request.
-IDLE_REUSE_PAUSE_US = 30_000_000
-# An executor may send a second answer up to this time after the first; the next request must not take it.
-DUPLICATE_ANSWER_WINDOW_US = 50_000
+LAST_BYTE_DELAY_US = 2_000  # an unsafe attempt's last byte follows its other bytes after this delay
+PERMISSION_RETRY_US = 20_000  # interval of the checks whether the cluster permits a connection
+IDLE_REUSE_PAUSE_US = 30_000_000  # unsafe attempts avoid idle connections after one broke under a request
+DUPLICATE_ANSWER_WINDOW_US = 50_000  # an executor may send a second answer this long after the first
 MAX_SINGLE_WRITE_BYTES = 8 * 1024  # longer requests are sent without their last byte first
-# Time for a request's last byte to leave: a later one would overstate the remaining time in its header.
-SEND_TIMEOUT_US = 50_000
+SEND_TIMEOUT_US = 50_000  # a request that leaves later overstates the remaining time in its header
 ABORT_RETRY_US = 20_000  # delay before a failed abort of a transport is repeated
 ANSWER_END_TIMEOUT_US = 1_000_000  # time for an HTTP message to end after its final line
 # A connect that fails with one of these lacks a resource of this machine, so the executor is not at fault.
-LOCAL_RESOURCE_ERRORS = frozenset(
-    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-)
+LOCAL_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -61,7 +54,7 @@
         self.closed = False
         self.opened_at = self.idle_since = 0  # us
         self.deadline: Timer | None = None  # timer of the current state
-        self.request_built_at = 0  # us; the remaining time in the request's header counts from here
+        self.built_at = 0  # us; when the current request was encoded
         self._send_timeout: Timer | None = None  # runs while the request is partly unsent
         self._connecting: asyncio.Task[object] | None = None
 
@@ -73,9 +66,7 @@
         driver = self.driver
         self.opened_at = driver.now()
         if not self.pools.dispatch.may_connect(self.opened_at):
-            self.deadline = driver.timers.add(
-                self.opened_at + CONNECT_PERMISSION_RETRY_US, lambda now: self.open()
-            )
+            self.deadline = driver.timers.add(self.opened_at + PERMISSION_RETRY_US, lambda now: self.open())
             return
         self._schedule_abort(driver.now() + self.pools.settings.connect_timeout_us)
         address = self.pool.address
@@ -88,7 +79,7 @@
         self._connecting = None
         error = None if task.cancelled() else task.exception()
         if task.cancelled() or error is not None:
-            is_local_error = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS
+            is_local_error = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
             self._terminate(Outcome.DROPPED if is_local_error else Outcome.CONNECT_FAILED)
 
     @callback
@@ -100,8 +91,7 @@
             self._abort_transport()
             return
         try:
-            # resume_writing is called once the buffer is empty.
-            self.transport.set_write_buffer_limits(high=0)
+            self.transport.set_write_buffer_limits(high=0)  # resume_writing then signals an empty buffer
         except TRANSPORT_ERRORS:  # the socket broke since the connect
             self.abort()
             return
@@ -127,7 +117,7 @@
         self.exchange, exchange.connection = exchange, self
         self.answer.expect(exchange)
         self.handed_to_transport = self.written = False
-        self.request_built_at = now
+        self.built_at = now
         if not exchange.is_unsafe and len(request_bytes) <= MAX_SINGLE_WRITE_BYTES:
             self._write(request_bytes)
             return
@@ -148,12 +138,11 @@
         except TRANSPORT_ERRORS:  # the socket broke, and none of these bytes has left
             self.abort()
             return
-        # A closing transport is broken, and connection_lost follows.
-        if self.held_last_byte or self.transport.is_closing():
+        if self.held_last_byte or self.transport.is_closing():  # if closing, connection_lost follows
             return
         self.handed_to_transport = True
         if has_unsent_bytes:
-            due = self.request_built_at + SEND_TIMEOUT_US
+            due = self.built_at + SEND_TIMEOUT_US
             self._send_timeout = self.driver.timers.add(due, lambda now: self.abort())
         else:
             self._on_flushed()
@@ -169,9 +158,7 @@
         exchange, transport = self.exchange, self.transport
         assert exchange is not None and transport is not None
         outcome = (
-            Outcome.DROPPED
-            if now - self.request_built_at > SEND_TIMEOUT_US
-            else exchange.outcome_if_blocked(now)
+            Outcome.DROPPED if now - self.built_at > SEND_TIMEOUT_US else exchange.outcome_if_blocked(now)
         )
         if outcome is not None:
             self.discard()
--- a/cedarmill/net/upstream/exchange.py
+++ b/cedarmill/net/upstream/exchange.py
@@ -155,8 +155,8 @@
             b"X-Budget-Ms: %d" % max(1, remaining_us // 1000),
             b"Content-Length: %d\r\n\r\n" % len(message.body),
         ]
-        text: bytes = b"\r\n".join(lines) + message.body
-        return text
+        request_bytes: bytes = b"\r\n".join(lines) + message.body
+        return request_bytes
 
     def on_written(self, now: int) -> None:
         """Report to the dispatch that the attempt may run from now on."""
@@ -264,8 +264,8 @@
 
     def outcome_if_blocked(self, now: int) -> Outcome | None:
         """Return MOOT for a probe that was recalled or is no longer needed."""
-        wanted = self.probe.exchange is not None and self.pools.dispatch.may_probe(self.probe)
-        return None if wanted else Outcome.MOOT
+        is_wanted = self.probe.exchange is not None and self.pools.dispatch.may_probe(self.probe)
+        return None if is_wanted else Outcome.MOOT
 
     def encode_request(self, now: int) -> bytes:
         """Return the request for a load report."""
--- a/tests/net/cluster/test_framing.py
+++ b/tests/net/cluster/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames between our processes: cut anywhere, of another version, too long; and peers that are silent."""
+"""Frames between processes: split, invalid or too long ones, failed writes, and silent peers."""
 
 import asyncio
 import errno
@@ -32,31 +32,31 @@
 )
 
 
-class Frames(unittest.TestCase):
-    def test_cut_at_any_byte_they_come_whole(self):
-        text = b"".join(encode_frame(number, message) for number, message in enumerate(MESSAGES))
-        for cut in range(len(text) + 1):
+class FrameCodec(unittest.TestCase):
+    def test_frames_split_at_any_byte_are_complete(self):
+        data = b"".join(encode_frame(number, message) for number, message in enumerate(MESSAGES))
+        for offset in range(len(data) + 1):
             reader = FrameReader()
-            found = reader.feed(text[:cut]) + reader.feed(text[cut:])
-            self.assertEqual(found, list(enumerate(MESSAGES)))
+            frames = reader.feed(data[:offset]) + reader.feed(data[offset:])
+            self.assertEqual(frames, list(enumerate(MESSAGES)))
 
-    def test_what_is_no_frame_is_refused_with_its_reason(self):
+    def test_invalid_frame_is_rejected_with_reason(self):
         cases = (
             (HEADER.pack(3, 9) + b"abc", "version 9"),
             (HEADER.pack(MAX_BODY_BYTES + 1, 1), "at most"),
             (HEADER.pack(3, 1) + b"abc", ""),
             (b"GET / HTTP/1.1\r\n\r\n", "version"),
         )
-        for text, words in cases:
-            with self.assertRaisesRegex(InvalidFrame, words):
-                FrameReader().feed(text)
+        for data, pattern in cases:
+            with self.assertRaisesRegex(InvalidFrame, pattern):
+                FrameReader().feed(data)
 
 
 class BrokenTransport:
-    """A transport whose writes fail as send(2) does."""
+    """A transport whose writes raise an OSError."""
 
-    def __init__(self, number: int) -> None:
-        self.number, self.aborted = number, 0
+    def __init__(self, error_number: int) -> None:
+        self.error_number, self.aborted = error_number, 0
 
     def is_closing(self) -> bool:
         return False
@@ -65,37 +65,37 @@
         return 0
 
     def write(self, data: bytes) -> None:
-        raise OSError(self.number, os.strerror(self.number))
+        raise OSError(self.error_number, os.strerror(self.error_number))
 
     def abort(self) -> None:
         self.aborted += 1
 
 
-class BrokenWrites(unittest.TestCase):
-    """A write that fails ends its connection, once, and nothing that its owner does at that time."""
+class FailedWrites(unittest.TestCase):
+    """A failed write ends its connection once, and does not interrupt the caller."""
 
     def setUp(self) -> None:
         self.loop = asyncio.new_event_loop()
         self.addCleanup(self.loop.close)
         self.driver = EventLoopDriver(self.loop, Timers())
 
-    def test_each_way_to_write_ends_the_connection_once(self):
-        for number in (errno.EPIPE, errno.ECONNRESET, errno.ENOBUFS):
+    def test_failed_send_or_refusal_ends_connection_once(self):
+        for error_number in (errno.EPIPE, errno.ECONNRESET, errno.ENOBUFS):
             for write in (
                 lambda connection: connection.send(0, ReadRequest("status")),
                 lambda connection: connection.refuse("not here"),
             ):
-                with self.subTest(number=number):
+                with self.subTest(error_number=error_number):
                     on_end = mock.Mock()
                     connection = FramedConnection(self.driver, None, on_end)
-                    connection.transport = BrokenTransport(number)
+                    connection.transport = BrokenTransport(error_number)
                     self.assertFalse(write(connection))
-                    on_end.assert_called_once_with(connection, f"write failed: {os.strerror(number)}")
+                    on_end.assert_called_once_with(connection, f"write failed: {os.strerror(error_number)}")
                     self.assertEqual(connection.transport.aborted, 1)
                     self.assertFalse(connection.send(0, ReadRequest("status")))
 
-    def test_a_member_s_session_goes_on(self):
-        """Its timer stands behind the write: without it there would be no beat ever again."""
+    def test_member_session_continues_after_failed_write(self):
+        """Guards against skipping the heartbeat timer, which is set after the write."""
         member = Membership(
             self.driver, "main", MemberIdentity("node", "n0", "1"), {"k0": Address("127.0.0.1", 1)},
             MemberReport, lambda orders: None,
@@ -108,28 +108,28 @@
         self.assertIsNotNone(self.driver.timers.next_due)
 
 
-class Silent(ReplicaCase):
-    """A replica whose peer accepts and says nothing dials it anew when it is back."""
+class SilentPeers(ReplicaCase):
+    """A replica dials a peer again that accepts connections and sends nothing."""
 
     replicas = 2
 
-    def test_a_peer_that_never_greets_is_dialled_anew(self):
+    def test_peer_that_sends_no_hello_is_dialled_again(self):
         self.wait_for(lambda: self.look("status")["leader"])
         self.kill("k1")
-        with socket.create_server(("127.0.0.1", self.ports["k1"])) as dumb:
-            dumb.settimeout(LONG)
-            held = [dumb.accept()[0]]  # the first dial of k0, and what it says is read by nobody
-            held.append(dumb.accept()[0])  # it gave that one up
-            for sock in held:
+        with socket.create_server(("127.0.0.1", self.ports["k1"])) as server:
+            server.settimeout(LONG)
+            connections = [server.accept()[0]]  # the first connection from k0, which gets no reply
+            connections.append(server.accept()[0])  # k0 has given up the first one
+            for sock in connections:
                 sock.close()
         self.start_replica("k1")
         self.wait_for(lambda: self.look("status")["leader"])
 
-    def test_a_stranger_s_bytes_cost_it_its_connection_and_nobody_else(self):
+    def test_invalid_bytes_end_only_their_own_connection(self):
         self.wait_for(lambda: self.look("status")["leader"])
-        for text in (b"\0" * 40, b"GET / HTTP/1.1\r\n\r\n", encode_frame(1, ReadRequest("status"))):
+        for data in (b"\0" * 40, b"GET / HTTP/1.1\r\n\r\n", encode_frame(1, ReadRequest("status"))):
             with socket.create_connection(("127.0.0.1", self.ports["k0"]), LONG) as sock:
-                sock.sendall(text)
+                sock.sendall(data)
                 self.assertEqual(sock.recv(1), b"")
         self.wait_for(lambda: self.look("status")["leader"])
 
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery client's log and its calls, without sockets."""
+"""The discovery client's log lines, calls, executor starts and exclusions, without sockets."""
 
 import unittest
 from random import Random
@@ -13,11 +13,11 @@
 from tests.support.builders import settings
 
 
-class Flapping(unittest.TestCase):
-    """A discovery that sends a good line and breaks, again and again."""
+class UnstableDiscovery(unittest.TestCase):
+    """A discovery whose watch repeatedly opens, delivers a list and fails."""
 
     def setUp(self) -> None:
-        self.driver, self.lines = mock.Mock(), []
+        self.driver, self.logged_events = mock.Mock(), []
         self.driver.timers = Timers()
         self.discovery = DiscoveryClient(
             self.driver, settings(on_request_discovery=True), Address("127.0.0.1", 1), mock.Mock(), Random(1)
@@ -25,63 +25,64 @@
         self.discovery.dispatch = mock.Mock()
         patches = (
             mock.patch(
-                "cedarmill.net.discovery.client.log_event", lambda name, *_, **__: self.lines.append(name)
+                "cedarmill.net.discovery.client.log_event",
+                lambda name, *_, **__: self.logged_events.append(name),
             ),
             mock.patch("cedarmill.net.discovery.client.WatchConnection"),
         )
         for patch in patches:
             patch.start()
             self.addCleanup(patch.stop)
-        self.connections = 0
+        self.calls = 0
 
-    def lose(self, at: int) -> None:
-        """The watch that is up, or that opens, breaks; then it is asked for anew, at its deadline."""
+    def fail_watch(self, at: int) -> None:
+        """Fail the watch, then advance the time to its deadline, when it is renewed."""
         self.driver.now.return_value = at
         self.discovery.on_watch_event(WatchEvent.CALL_FAILED, "silence")
         due = self.driver.timers.next_due
         self.driver.now.return_value = due
         for call in self.driver.timers.sweep(due):
             call(due)
-        self.connections += self.discovery.connection is not None
+        self.calls += self.discovery.connection is not None
 
-    def flap(self, at: int) -> None:
+    def connect_and_fail(self, at: int) -> None:
         self.driver.now.return_value = at
         self.discovery.watch()
         self.discovery.on_watch_event(WatchEvent.CONNECTED)
         self.discovery.on_watch_event(WatchEvent.DATA_RECEIVED)
         self.discovery.on_listing(Listing(1, False, []))
-        self.lose(at)
+        self.fail_watch(at)
 
-    def test_the_log_has_one_line_and_not_two_a_second(self) -> None:
-        for n in range(20):
-            self.flap(1 + n * 300_000)
-        self.assertEqual(self.lines, ["watching", "watch-lost", "watching"])
-        self.assertEqual(self.connections, 20)  # each loss is followed by a call, whoever else asks
+    def test_repeated_losses_log_one_line(self) -> None:
+        for attempt in range(20):
+            self.connect_and_fail(1 + attempt * 300_000)
+        self.assertEqual(self.logged_events, ["watching", "watch-lost", "watching"])
+        self.assertEqual(self.calls, 20)  # every loss is followed by a call
 
-    def test_a_loss_that_lasts_is_told_in_the_end(self) -> None:
-        self.flap(1)
-        self.flap(2)
-        self.lose(WATCH_LOST_QUIET_US + 2)
-        self.assertEqual(self.lines, ["watching", "watch-lost", "watching", "watch-lost"])
+    def test_lasting_loss_is_logged_again(self) -> None:
+        self.connect_and_fail(1)
+        self.connect_and_fail(2)
+        self.fail_watch(WATCH_LOST_QUIET_US + 2)
+        self.assertEqual(self.logged_events, ["watching", "watch-lost", "watching", "watch-lost"])
 
-    def test_a_call_that_the_fleet_has_no_budget_for_waits_as_a_failed_one(self) -> None:
+    def test_call_without_budget_waits_like_a_failed_call(self) -> None:
         self.discovery.dispatch.may_call_discovery.return_value = False
-        self.flap(1)
+        self.connect_and_fail(1)
         self.assertIsNone(self.discovery.connection)
         self.assertIs(self.discovery.watch_machine.state, WatchState.WAITING)
 
 
-S = 1_000_000
-STEPS_S = (-3600, -5, 5, 3600)
+SECOND_US = 1_000_000
+CLOCK_STEPS_S = (-3600, -5, 5, 3600)
 
 
-class Starts(unittest.TestCase):
-    """When an executor started, by discovery's stamp and a wall clock of ours that may be stepped."""
+class ExecutorStarts(unittest.TestCase):
+    """Executor starts derived from discovery's stamps while this machine's wall clock is stepped."""
 
-    TRUE_OFFSET = 1_700_000_000 * S  # of Unix time, as all other machines read it, against our clock
+    UNIX_OFFSET_US = 1_700_000_000 * SECOND_US  # correct Unix time minus the node's clock
 
     def setUp(self) -> None:
-        self.driver, self.now, self.step_s = mock.Mock(), 10_000 * S, 0
+        self.driver, self.now, self.step_s = mock.Mock(), 10_000 * SECOND_US, 0
         self.driver.now.side_effect = lambda: self.now
         for name, value in (("unix_us", self.unix_us), ("EventLoopDriver", self.driver)):
             patch = mock.patch(f"cedarmill.net.discovery.endpoints.{name}", value)
@@ -89,110 +90,122 @@
             self.addCleanup(patch.stop)
 
     def unix_us(self) -> int:
-        return self.now + self.TRUE_OFFSET + self.step_s * S
+        return self.now + self.UNIX_OFFSET_US + self.step_s * SECOND_US
 
-    def begin(self, step_s: int = 0) -> None:
-        """A node that starts while its wall clock is so far off."""
+    def start_client(self, step_s: int = 0) -> None:
+        """Create and start a client while the wall clock is off by `step_s` seconds."""
         self.step_s = step_s
         self.discovery = DiscoveryClient(self.driver, settings(), Address("127.0.0.1", 1), mock.Mock())
         self.discovery.dispatch = mock.Mock()
         self.discovery.logged_watching = True
         self.discovery.start(self.listing({"s-1": 0}))
 
-    def listing(self, starts: dict[str, int], snapshot: bool = True) -> Listing:
-        """By name, how long ago in truth each has started (us); 0: long ago."""
-        stamps = {n: (self.now - ago + self.TRUE_OFFSET) // 1000 if ago else 0 for n, ago in starts.items()}
+    def listing(self, true_ages: dict[str, int], snapshot: bool = True) -> Listing:
+        """Return a list from the executors' true ages by name (us); 0: no stamp."""
+        stamps = {
+            name: (self.now - age_us + self.UNIX_OFFSET_US) // 1000 if age_us else 0
+            for name, age_us in true_ages.items()
+        }
         return Listing(
-            1, snapshot, [Endpoint(n, "SERVING", "127.0.0.1:1", since_ms=s) for n, s in stamps.items()]
+            1,
+            snapshot,
+            [Endpoint(name, "SERVING", "127.0.0.1:1", since_ms=stamp) for name, stamp in stamps.items()],
         )
 
-    def ages(self, starts: dict[str, int], snapshot: bool = True) -> dict[str, int]:
-        """Discovery tells this list; how old (us) the module then takes each for."""
-        self.discovery.on_listing(self.listing(starts, snapshot))
+    def ages_after_listing(self, true_ages: dict[str, int], snapshot: bool = True) -> dict[str, int]:
+        """Receive a list with these true ages; return the ages by name (us) that the balancer is given."""
+        self.discovery.on_listing(self.listing(true_ages, snapshot))
         entries, names = (
             self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries,
             self.discovery.reader.names,
         )
-        return {names[e.executor]: self.now - e.started_at for e in entries if e.started_at}
-
-    def test_who_is_new_on_a_watch_that_holds_is_as_young_as_its_list(self) -> None:
-        """Whenever the clock was stepped; by the stamp alone, one an hour ahead made it warm."""
-        for at_start, later in (
-            [(s, s) for s in STEPS_S] + [(0, s) for s in STEPS_S] + [(s, 0) for s in STEPS_S]
+        return {names[entry.executor]: self.now - entry.started_at for entry in entries if entry.started_at}
+
+    def test_new_executor_on_live_watch_starts_after_previous_list(self) -> None:
+        """Guards against a wall clock that is ahead making a new executor appear warmed up."""
+        for initial_step_s, later_step_s in (
+            [(step_s, step_s) for step_s in CLOCK_STEPS_S]
+            + [(0, step_s) for step_s in CLOCK_STEPS_S]
+            + [(step_s, 0) for step_s in CLOCK_STEPS_S]
         ):
-            with self.subTest(at_start=at_start, later=later):
-                self.begin(at_start)
-                self.ages({"s-1": 0, "s-2": 20 * S})
-                self.now += 2 * S
-                self.step_s = later
-                for starts in ({"s-3": S // 2}, {"s-1": S // 2}):  # a new one, and one that was restarted
-                    (age,) = self.ages(starts, snapshot=False).values()
-                    self.assertTrue(0 <= age <= 2 * S, age)
-
-    def test_with_the_clock_right_the_stamp_holds_also_where_it_was_listed_late(self) -> None:
-        self.begin()
-        self.ages({"s-1": 0})
-        self.now += S
-        self.assertEqual(self.ages({"s-2": 3 * S // 2}, snapshot=False), {"s-2": 3 * S // 2})
-
-    def test_the_same_stamp_is_the_same_start_whatever_the_clock_does(self) -> None:
-        self.begin()
-        self.ages({"s-1": 3 * S})
-        for step in STEPS_S:
-            self.step_s = step
-            self.now += S
-            ago = self.now - (10_000 - 3) * S
-            self.assertEqual(self.ages({"s-1": ago}), {"s-1": ago})
-
-    def test_a_whole_list_after_an_outage_makes_cold_only_who_came_meanwhile(self) -> None:
-        for step in (0, *STEPS_S):
-            with self.subTest(step=step):
-                self.begin(step)
-                before = self.ages({"s-1": 0, "s-2": 600 * S})
-                self.now += 60 * S
-                ages = self.ages({"s-1": 0, "s-2": 660 * S, "s-3": 30 * S})
-                self.assertEqual(ages["s-2"], before["s-2"] + 60 * S)
-                self.assertTrue(0 <= ages["s-3"] <= 60 * S, ages)
-                self.assertEqual("s-1" in ages, False)  # long ago needs no clock
-
-    def test_the_first_whole_list_and_one_from_elsewhere_make_nobody_cold(self) -> None:
-        """The list of the configuration may be old: who is new against it may have run for long."""
-        self.begin()
-        self.now += S
-        self.assertEqual(self.ages({"s-1": 0, "s-2": 600 * S}), {"s-2": 600 * S})
+            with self.subTest(initial_step_s=initial_step_s, later_step_s=later_step_s):
+                self.start_client(initial_step_s)
+                self.ages_after_listing({"s-1": 0, "s-2": 20 * SECOND_US})
+                self.now += 2 * SECOND_US
+                self.step_s = later_step_s
+                # A new executor, and a restarted one.
+                for starts in ({"s-3": SECOND_US // 2}, {"s-1": SECOND_US // 2}):
+                    (age,) = self.ages_after_listing(starts, snapshot=False).values()
+                    self.assertTrue(0 <= age <= 2 * SECOND_US, age)
+
+    def test_stamp_holds_for_late_listing_with_correct_clock(self) -> None:
+        self.start_client()
+        self.ages_after_listing({"s-1": 0})
+        self.now += SECOND_US
+        self.assertEqual(
+            self.ages_after_listing({"s-2": 3 * SECOND_US // 2}, snapshot=False), {"s-2": 3 * SECOND_US // 2}
+        )
+
+    def test_unchanged_stamp_keeps_start_through_clock_steps(self) -> None:
+        self.start_client()
+        self.ages_after_listing({"s-1": 3 * SECOND_US})
+        for clock_step_s in CLOCK_STEPS_S:
+            self.step_s = clock_step_s
+            self.now += SECOND_US
+            age_us = self.now - (10_000 - 3) * SECOND_US
+            self.assertEqual(self.ages_after_listing({"s-1": age_us}), {"s-1": age_us})
+
+    def test_list_after_outage_makes_only_new_executors_cold(self) -> None:
+        for clock_step_s in (0, *CLOCK_STEPS_S):
+            with self.subTest(clock_step_s=clock_step_s):
+                self.start_client(clock_step_s)
+                previous_ages = self.ages_after_listing({"s-1": 0, "s-2": 600 * SECOND_US})
+                self.now += 60 * SECOND_US
+                ages = self.ages_after_listing({"s-1": 0, "s-2": 660 * SECOND_US, "s-3": 30 * SECOND_US})
+                self.assertEqual(ages["s-2"], previous_ages["s-2"] + 60 * SECOND_US)
+                self.assertTrue(0 <= ages["s-3"] <= 60 * SECOND_US, ages)
+                self.assertEqual("s-1" in ages, False)  # without a stamp there is no start
+
+    def test_first_list_and_list_from_new_address_make_no_executor_cold(self) -> None:
+        """Executors missing in an old configured list may have been running for long."""
+        self.start_client()
+        self.now += SECOND_US
+        self.assertEqual(
+            self.ages_after_listing({"s-1": 0, "s-2": 600 * SECOND_US}), {"s-2": 600 * SECOND_US}
+        )
         self.discovery.move(Address("127.0.0.1", 2))
-        self.now += S
-        self.assertEqual(self.ages({"s-3": 500 * S}), {"s-3": 500 * S})
-
-    def test_a_stamp_from_the_future_is_a_start_right_now(self) -> None:
-        self.begin(-3600)
-        self.assertEqual(self.ages({"s-2": 600 * S}), {"s-2": 0})
-        self.now += S
-        self.assertEqual(self.ages({"s-2": 601 * S}), {"s-2": S})
-
-    def test_an_older_stamp_is_of_an_older_process(self) -> None:
-        """A discovery that was set back tells of the past: nothing has started."""
-        self.begin()
-        self.ages({"s-2": 5 * S})
-        self.assertEqual(self.ages({"s-2": 700 * S}), {"s-2": 700 * S})
-
-    def test_the_next_process_goes_by_what_the_one_before_knew(self) -> None:
-        """Its own reading of the same stamps, by a clock stepped meanwhile, does not count."""
-        for step in STEPS_S:
-            with self.subTest(step=step):
-                self.begin()
-                self.ages({"s-2": 3 * S})
+        self.now += SECOND_US
+        self.assertEqual(self.ages_after_listing({"s-3": 500 * SECOND_US}), {"s-3": 500 * SECOND_US})
+
+    def test_future_stamp_counts_as_start_now(self) -> None:
+        self.start_client(-3600)
+        self.assertEqual(self.ages_after_listing({"s-2": 600 * SECOND_US}), {"s-2": 0})
+        self.now += SECOND_US
+        self.assertEqual(self.ages_after_listing({"s-2": 601 * SECOND_US}), {"s-2": SECOND_US})
+
+    def test_older_stamp_restores_older_start(self) -> None:
+        """A discovery that was reset to an older state reports no new start."""
+        self.start_client()
+        self.ages_after_listing({"s-2": 5 * SECOND_US})
+        self.assertEqual(self.ages_after_listing({"s-2": 700 * SECOND_US}), {"s-2": 700 * SECOND_US})
+
+    def test_successor_uses_starts_of_predecessor(self) -> None:
+        """The successor must not convert the same stamps again by a clock that was stepped."""
+        for clock_step_s in CLOCK_STEPS_S:
+            with self.subTest(clock_step_s=clock_step_s):
+                self.start_client()
+                self.ages_after_listing({"s-2": 3 * SECOND_US})
                 starts, current_at = dict(self.discovery.reader.starts), self.discovery.current_at
-                self.now += S
-                self.begin(step)
+                self.now += SECOND_US
+                self.start_client(clock_step_s)
                 self.discovery.inherit(starts, current_at)
-                ages = self.ages({"s-1": 0, "s-2": 4 * S, "s-3": S // 2})
-                self.assertEqual(ages["s-2"], 4 * S)
-                self.assertTrue(0 <= ages["s-3"] <= S, ages)
+                ages = self.ages_after_listing({"s-1": 0, "s-2": 4 * SECOND_US, "s-3": SECOND_US // 2})
+                self.assertEqual(ages["s-2"], 4 * SECOND_US)
+                self.assertTrue(0 <= ages["s-3"] <= SECOND_US, ages)
 
 
-class Marks(unittest.TestCase):
-    """What the module hears of an executor that operators took out and put back."""
+class Exclusions(unittest.TestCase):
+    """Entries that the balancer gets for an executor that operators exclude and include again."""
 
     def setUp(self) -> None:
         self.driver = mock.Mock()
@@ -200,46 +213,46 @@
         self.now = 50_000_000
         self.discovery = DiscoveryClient(self.driver, settings(), Address("127.0.0.1", 1), mock.Mock())
         self.discovery.dispatch = mock.Mock()
-        self.discovery.reader._initial_unix_offset_us = 0  # Unix time counts from the clock's start
+        self.discovery.reader._initial_unix_offset_us = 0  # Unix time equals the node's clock
         self.discovery.logged_watching = True
-        self.list(since_ms=1_000)
+        self.receive_list(since_ms=1_000)
 
-    def list(self, **fields) -> None:
+    def receive_list(self, **fields) -> None:
         entry = Endpoint("s-1", "SERVING", "127.0.0.1:1", **fields)
         self.discovery.on_listing(Listing(1, True, [entry]))
 
-    def heard(self) -> api.EndpointEntry:
+    def last_published_entry(self) -> api.EndpointEntry:
         return self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries[-1]
 
-    def test_out_it_drains_whatever_the_list_says(self) -> None:
+    def test_excluded_executor_drains_despite_list(self) -> None:
         self.discovery.mark({"s-1": 50_000_000})
-        self.assertEqual(self.heard().state, api.ExecutorState.DRAINING)
-        self.list(since_ms=52_000)
-        self.assertEqual(self.heard().state, api.ExecutorState.DRAINING)
+        self.assertEqual(self.last_published_entry().state, api.ExecutorState.DRAINING)
+        self.receive_list(since_ms=52_000)
+        self.assertEqual(self.last_published_entry().state, api.ExecutorState.DRAINING)
 
-    def test_back_in_it_counts_from_the_restart_that_the_list_told(self) -> None:
-        """Counted from the call, it stayed cold to the module for seconds after it was warm."""
+    def test_included_executor_starts_at_listed_restart(self) -> None:
+        """Guards against counting the start from the operator's call, which prolongs the warm-up."""
         self.discovery.mark({"s-1": 50_000_000})
-        self.now = 53_000_000  # a start that is still to come would count as one right now
-        self.list(since_ms=52_000)
+        self.now = 53_000_000  # after the listed start, since a future stamp counts as now
+        self.receive_list(since_ms=52_000)
         self.now = 60_000_000
         self.discovery.mark({})
-        told = self.heard()
-        self.assertEqual((told.state, told.started_at), (api.ExecutorState.READY, 52_000_000))
-        self.assertTrue(told.by_hand)
+        entry = self.last_published_entry()
+        self.assertEqual((entry.state, entry.started_at), (api.ExecutorState.READY, 52_000_000))
+        self.assertTrue(entry.by_hand)
 
-    def test_back_in_before_the_list_tells_its_restart_it_counts_from_the_call(self) -> None:
+    def test_included_executor_without_listed_restart_starts_now(self) -> None:
         self.discovery.mark({"s-1": 50_000_000})
         self.now = 60_000_000
         self.discovery.mark({})
-        self.assertEqual(self.heard().started_at, 60_000_000)
+        self.assertEqual(self.last_published_entry().started_at, 60_000_000)
 
-    def test_back_in_after_the_list_dropped_it_nothing_is_told(self) -> None:
+    def test_including_unlisted_executor_publishes_nothing(self) -> None:
         self.discovery.mark({"s-1": 50_000_000})
         self.discovery.on_listing(Listing(2, True, []))
-        before = self.discovery.dispatch.on_endpoint_list.call_count
+        previous_call_count = self.discovery.dispatch.on_endpoint_list.call_count
         self.discovery.mark({})
-        self.assertEqual(self.discovery.dispatch.on_endpoint_list.call_count, before)
+        self.assertEqual(self.discovery.dispatch.on_endpoint_list.call_count, previous_call_count)
 
 
 if __name__ == "__main__":
--- a/tests/net/test_discovery_stream.py
+++ b/tests/net/test_discovery_stream.py
@@ -1,4 +1,4 @@
-"""Long lists in small pieces: what a piece costs does not grow with the list that it belongs to."""
+"""Long lists in small pieces: the cost of a piece must not grow with the length of its list."""
 
 import json
 import unittest
@@ -6,49 +6,54 @@
 from cedarmill.net.discovery.list_stream import ListStream
 
 EXECUTORS = 800
-TIMES_LOOKED_AT = (
-    4  # each byte: as it comes, for white space, as its line is taken, as its document is decoded
-)
+# On arrival, in the check for white space, as a part of its line, and in the decoding of the document.
+MAX_VISITS_PER_BYTE = 4
 
 
 class CountingBuffer(bytearray):
-    """Counts the bytes that searches and slices of it go over."""
+    """A buffer that counts the bytes visited by searches and slices."""
 
-    looked_at = 0
+    visited_bytes = 0
 
     def find(self, part: bytes, start: int = 0) -> int:
-        """Search from a place on."""
-        self.looked_at += len(self) - start
+        """Search from `start` on, and count the bytes up to the end."""
+        self.visited_bytes += len(self) - start
         return super().find(part, start)
 
     def __getitem__(self, key):
-        """A slice, mostly."""
-        found = super().__getitem__(key)
-        self.looked_at += len(found) if isinstance(key, slice) else 1
-        return found
+        """Return an item or a slice, and count its bytes."""
+        result = super().__getitem__(key)
+        self.visited_bytes += len(result) if isinstance(key, slice) else 1
+        return result
 
 
 def list_text(executors: int) -> bytes:
-    """A whole list in one line."""
+    """Return a full list on one line."""
     endpoints = [
-        {"name": f"s-{n:05}", "address": "127.0.0.1:8080", "zone": "here", "type": "box", "status": "SERVING"}
-        for n in range(executors)
+        {
+            "name": f"s-{number:05}",
+            "address": "127.0.0.1:8080",
+            "zone": "here",
+            "type": "box",
+            "status": "SERVING",
+        }
+        for number in range(executors)
     ]
     return json.dumps({"index": 1, "snapshot": True, "endpoints": endpoints}).encode() + b"\n"
 
 
-class ByBytes(unittest.TestCase):
-    def test_each_byte_is_looked_at_a_few_times_only(self):
-        """For each byte the whole line before it was searched again."""
+class BytewiseFeed(unittest.TestCase):
+    def test_each_byte_is_visited_a_bounded_number_of_times(self):
+        """Guards against searching the incomplete line again for each byte."""
         text, stream = list_text(EXECUTORS), ListStream()
         stream._buffer = buffer = CountingBuffer()
-        found = []
-        for at in range(len(text)):
-            found += stream.feed(text[at : at + 1])
-            self.assertEqual(stream.partial, not found)
-        self.assertEqual([len(listing.endpoints) for listing in found], [EXECUTORS])
-        self.assertIs(stream._buffer, buffer)  # or nothing was counted
-        self.assertLessEqual(buffer.looked_at, TIMES_LOOKED_AT * len(text))
+        listings = []
+        for offset in range(len(text)):
+            listings += stream.feed(text[offset : offset + 1])
+            self.assertEqual(stream.partial, not listings)
+        self.assertEqual([len(listing.endpoints) for listing in listings], [EXECUTORS])
+        self.assertIs(stream._buffer, buffer)  # the stream has used the counting buffer
+        self.assertLessEqual(buffer.visited_bytes, MAX_VISITS_PER_BYTE * len(text))
 
 
 if __name__ == "__main__":
