--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -1,4 +1,4 @@
-"""Decisions of the balancer, driven by hand-made events."""
+"""Decisions of one balancer: each test feeds events to a balancer and checks the returned actions."""
 
 import math
 from dataclasses import replace
@@ -9,522 +9,531 @@
 from cedarmill.decisions import learning, retries
 from cedarmill.decisions.admission import MIN_PREEMPTION_GAIN
 from cedarmill.decisions.interface import DeduplicationScope as DeduplicationScope
-from cedarmill.decisions.interface import Effect, Outcome
-from cedarmill.decisions.interface import ExecutorState as WorkerState
+from cedarmill.decisions.interface import Effect, ExecutorState, Outcome
 from cedarmill.decisions.learned import ClassRunningTimes
 from tests.support.builders import SAFE, UNSAFE, Driver, entry, keyed, kinds, sends
 
 
-def fill(d: Driver, worker: int, job_class: int = 0) -> list[int]:
-    """Send and start jobs until the worker is full; they are kept running."""
-    ids = []
-    while sends(actions := d.arrive(job_class)):
-        assert sends(actions)[0].executor == worker
-        ids.append(d.requests)
-        d.start(d.requests, worker)
-    return ids
+def fill_executor(driver: Driver, executor: int, job_class: int = 0) -> list[int]:
+    """Send and start requests until the executor is full; return the numbers of the requests."""
+    request_ids = []
+    while sends(actions := driver.arrive(job_class)):
+        assert sends(actions)[0].executor == executor
+        request_ids.append(driver.requests)
+        driver.start(driver.requests, executor)
+    return request_ids
 
 
-def past_room(d: Driver, job_class: int):
-    """The first answer to arrivals of a class that is not a plain send; what was sent runs on."""
-    while kinds(answer := d.arrive(job_class)) == ["Send"]:
-        d.start(d.requests, sends(answer)[0].executor)
-    return answer
+def arrive_until_full(driver: Driver, job_class: int):
+    """Send and start requests until an arrival is not just sent, and return the actions for that arrival."""
+    while kinds(actions := driver.arrive(job_class)) == ["Send"]:
+        driver.start(driver.requests, sends(actions)[0].executor)
+    return actions
 
 
 # Admission and preemption.
 
 
 def test_idle_slots_admit_any_class_in_order_of_arrival():
-    d = Driver(workers=1)
-    d.report(1, 3)
-    assert [kinds(d.arrive(n)) for n in (0, 1, 0)] == [["Send"]] * 3
-
-
-def test_full_pool_refuses_the_lowest_worth_at_once_with_advice():
-    d = Driver(workers=1)
-    d.report(1, 1)
-    fill(d, 1)
-    answer = d.arrive(0)
-    assert kinds(answer) == ["Refuse"]
-    assert 0 < answer[0].retry_after_us <= 1_000_000
-
-
-def test_full_pool_cuts_lower_worth_for_higher_and_never_the_reverse():
-    d = Driver(workers=1)
-    d.report(1, 1)
-    fill(d, 1)
-    assert kinds(past_room(d, 1)) == ["Cancel", "Send"]
-    d = Driver(workers=1)
-    d.report(1, 1)
-    fill(d, 1, job_class=1)
-    assert kinds(d.arrive(0)) == ["Refuse"]
-    assert kinds(d.arrive(1)) == ["Refuse"]
-
-
-def test_victim_is_the_lowest_worth_then_the_one_not_started():
-    low = api.RequestClass("low", 0.5, 200_000, 5_000_000, Effect.SAFE)
-    d = Driver(SAFE, UNSAFE, low, workers=1)
-    d.report(1, 2)
-    d.balancer.executors[1].queue_places = 2.0
-    d.arrive(2)
-    d.start(1, 1)
-    d.arrive(0)
-    d.start(2, 1)
-    assert sends(d.arrive(2))  # waits: not started
-    cut = [a for a in past_room(d, 1) if isinstance(a, api.Cancel)]
-    assert [a.request for a in cut] == [3]
-
-
-def test_cut_safe_job_is_tried_again_and_cut_unsafe_job_fails():
-    for effect, end in ((Effect.SAFE, ["Refuse"]), (Effect.UNSAFE, ["Fail"])):
-        low = api.RequestClass("low", 0.5, 200_000, 5_000_000, effect)
-        d = Driver(low, UNSAFE, workers=1)
-        d.report(1, 1)
-        ids = fill(d, 1)
-        (cut,) = [a for a in past_room(d, 1) if isinstance(a, api.Cancel)]
-        assert cut.request in ids
-        answer = kinds(d.end(cut.request, 1, Outcome.CANCELLED, final=False))
-        assert answer in (end, ["Send"]) if effect == Effect.SAFE else answer == end
-
-
-def test_slots_of_cut_running_work_count_until_a_report_shows_them_free():
-    d = Driver(workers=1)
-    d.report(1, 1)
-    ids = fill(d, 1)
-    worker = d.balancer.executors[1]
-    past_room(d, 1)
-    held = worker.held_slots
-    cut = next(a for i in ids for a in d.balancer.requests[i].attempts if a.not_preemptible)
-    d.end(cut.request.id, 1, Outcome.CANCELLED, final=False)
-    assert worker.held_slots == held
-    d.now += 1_000_000
-    d.report(1, 0.5)
-    assert worker.held_slots == held - 1
-
-
-def test_running_work_is_not_cut_once_cancelling_was_seen_to_leave_it_running():
-    d = Driver(workers=1)
-    d.report(1, 1)
-    fill(d, 1)
-    d.balancer.state.learned.preemption_gain = 0.1
-    assert kinds(past_room(d, 1)) == ["Refuse"]
-
-
-def test_cuts_end_where_they_are_seen_to_make_no_room():
-    """i359ab1, i225357: where cancelled work goes on, each cut lost a job and made no room."""
-    d = Driver(workers=3)
-    for worker in (1, 2, 3):
-        d.report(worker, 30)
-    while sends(d.arrive(0)):
-        d.start(d.requests, d.balancer.requests[d.requests].attempts[0].executor.id)
-    cuts = 0
+    driver = Driver(workers=1)
+    driver.report(1, 3)
+    assert [kinds(driver.arrive(n)) for n in (0, 1, 0)] == [["Send"]] * 3
+
+
+def test_full_pool_refuses_the_lowest_priority_at_once_with_retry_after():
+    driver = Driver(workers=1)
+    driver.report(1, 1)
+    fill_executor(driver, 1)
+    actions = driver.arrive(0)
+    assert kinds(actions) == ["Refuse"]
+    assert 0 < actions[0].retry_after_us <= 1_000_000
+
+
+def test_full_pool_preempts_lower_priority_for_higher_and_never_the_reverse():
+    driver = Driver(workers=1)
+    driver.report(1, 1)
+    fill_executor(driver, 1)
+    assert kinds(arrive_until_full(driver, 1)) == ["Cancel", "Send"]
+    driver = Driver(workers=1)
+    driver.report(1, 1)
+    fill_executor(driver, 1, job_class=1)
+    assert kinds(driver.arrive(0)) == ["Refuse"]
+    assert kinds(driver.arrive(1)) == ["Refuse"]
+
+
+def test_victim_has_the_lowest_priority_and_then_has_not_started():
+    lowest_class = api.RequestClass("low", 0.5, 200_000, 5_000_000, Effect.SAFE)
+    driver = Driver(SAFE, UNSAFE, lowest_class, workers=1)
+    driver.report(1, 2)
+    driver.balancer.executors[1].queue_places = 2.0
+    driver.arrive(2)
+    driver.start(1, 1)
+    driver.arrive(0)
+    driver.start(2, 1)
+    assert sends(driver.arrive(2))  # queued at the executor, not started
+    cancellations = [a for a in arrive_until_full(driver, 1) if isinstance(a, api.Cancel)]
+    assert [a.request for a in cancellations] == [3]
+
+
+def test_preempted_safe_request_is_retried_or_refused_and_unsafe_one_fails():
+    for effect, expected in ((Effect.SAFE, ["Refuse"]), (Effect.UNSAFE, ["Fail"])):
+        low_class = api.RequestClass("low", 0.5, 200_000, 5_000_000, effect)
+        driver = Driver(low_class, UNSAFE, workers=1)
+        driver.report(1, 1)
+        request_ids = fill_executor(driver, 1)
+        (cancellation,) = [a for a in arrive_until_full(driver, 1) if isinstance(a, api.Cancel)]
+        assert cancellation.request in request_ids
+        answers = kinds(driver.end(cancellation.request, 1, Outcome.CANCELLED, final=False))
+        assert answers in (expected, ["Send"]) if effect == Effect.SAFE else answers == expected
+
+
+def test_slots_of_preempted_running_attempts_stay_held_until_the_next_report():
+    driver = Driver(workers=1)
+    driver.report(1, 1)
+    request_ids = fill_executor(driver, 1)
+    executor = driver.balancer.executors[1]
+    arrive_until_full(driver, 1)
+    held_before = executor.held_slots
+    preempted = next(
+        attempt
+        for request_id in request_ids
+        for attempt in driver.balancer.requests[request_id].attempts
+        if attempt.not_preemptible
+    )
+    driver.end(preempted.request.id, 1, Outcome.CANCELLED, final=False)
+    assert executor.held_slots == held_before
+    driver.now += 1_000_000
+    driver.report(1, 0.5)
+    assert executor.held_slots == held_before - 1
+
+
+def test_running_attempts_are_not_preempted_when_the_learned_gain_is_low():
+    driver = Driver(workers=1)
+    driver.report(1, 1)
+    fill_executor(driver, 1)
+    driver.balancer.state.learned.preemption_gain = 0.1
+    assert kinds(arrive_until_full(driver, 1)) == ["Refuse"]
+
+
+def test_preemption_stops_when_late_starts_show_that_it_frees_no_slots():
+    """Where cancelled attempts keep running, each preemption fails a request and frees no slot."""
+    driver = Driver(workers=3)
+    for executor in (1, 2, 3):
+        driver.report(executor, 30)
+    while sends(driver.arrive(0)):
+        driver.start(driver.requests, driver.balancer.requests[driver.requests].attempts[0].executor.id)
+    preemptions = 0
     for _ in range(30):
-        actions = d.arrive(1)
-        cuts += kinds(actions).count("Cancel")
+        actions = driver.arrive(1)
+        preemptions += kinds(actions).count("Cancel")
         if sends(actions):
-            d.now += 400_000
-            d.start(d.requests, sends(actions)[0].executor)
-            for worker in (1, 2, 3):
-                d.report(worker, 0, 90 - cuts / 100)
-    assert 0 < cuts <= 4
-
-
-def test_cuts_end_where_starts_go_untold_and_the_job_in_place_is_late():
-    """Without start notices nothing told that cancelled work goes on: each cut lost a job for nothing."""
-    d = Driver(workers=1, tells_start=False)
-    d.report(1, 1)
-    fill(d, 1)
-    assert kinds(past_room(d, 1)) == ["Cancel", "Send"]
-    d.now += 3_000_000
-    d.end(d.requests, 1, Outcome.OK)
-    assert d.balancer.state.learned.preemption_gain < MIN_PREEMPTION_GAIN
-
-
-def test_one_put_back_by_hand_gets_a_job_though_the_own_zone_has_room():
-    """Operators look for 5 s whether it serves; a node with room near it never went there."""
-    near = [entry(n, zone=0) for n in (1, 2, 3)]
-    d = Driver(entries=[*near, entry(4, zone=1)], instances=1, tells_start=False)
-    for worker in (1, 2, 3):
-        d.report(worker, 5)
-    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(4, api.ExecutorState.DRAINING, zone=1)]))
-    back = entry(4, zone=1, started_at=d.now - 8_000_000, by_hand=True)
-    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [back]))
-    first, second = (sends(d.arrive(0))[0].executor for _ in range(2))
+            driver.now += 400_000
+            driver.start(driver.requests, sends(actions)[0].executor)
+            for executor in (1, 2, 3):
+                driver.report(executor, 0, 90 - preemptions / 100)
+    assert 0 < preemptions <= 4
+
+
+def test_preemption_stops_when_the_replacement_ends_late_without_reported_starts():
+    """Without reported starts, only a late end shows that a cancelled attempt kept its slot."""
+    driver = Driver(workers=1, tells_start=False)
+    driver.report(1, 1)
+    fill_executor(driver, 1)
+    assert kinds(arrive_until_full(driver, 1)) == ["Cancel", "Send"]
+    driver.now += 3_000_000
+    driver.end(driver.requests, 1, Outcome.OK)
+    assert driver.balancer.state.learned.preemption_gain < MIN_PREEMPTION_GAIN
+
+
+def test_reinstated_executor_gets_one_request_although_the_local_zone_has_idle_slots():
+    """Operators expect a reinstated executor to receive a request within seconds."""
+    local_entries = [entry(n, zone=0) for n in (1, 2, 3)]
+    driver = Driver(entries=[*local_entries, entry(4, zone=1)], instances=1, tells_start=False)
+    for executor in (1, 2, 3):
+        driver.report(executor, 5)
+    driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(4, api.ExecutorState.DRAINING, zone=1)]))
+    reinstated = entry(4, zone=1, started_at=driver.now - 8_000_000, by_hand=True)
+    driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [reinstated]))
+    first, second = (sends(driver.arrive(0))[0].executor for _ in range(2))
     assert first == 4
     assert second != 4
 
 
-QUEUED = {"tells_start": False, "report_fields": ("free_slots", "free_memory", "queue")}
+QUEUE_REPORTING = {"tells_start": False, "report_fields": ("free_slots", "free_memory", "queue")}
 
 
-def queued_driver(*classes: api.RequestClass) -> Driver:
-    """One worker of two slots that holds four own jobs, as sent before any report told of a queue."""
-    d = Driver(*classes, workers=1, **QUEUED)
-    d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
-    d.balancer.executors[1].capacity = 4.0
+def driver_with_queued_attempts(*classes: api.RequestClass) -> Driver:
+    """Return a driver whose only executor, of two slots, got four requests before it reported a queue."""
+    driver = Driver(*classes, workers=1, **QUEUE_REPORTING)
+    driver.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
+    driver.balancer.executors[1].capacity = 4.0
     for _ in range(4):
-        assert sends(d.arrive(0))
-    return d
-
-
-def test_own_jobs_that_wait_by_report_are_no_slots_learned():
-    """The pool grew with every job that waited: half of all jobs came late once the fleet was full."""
-    d = queued_driver()
-    d.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 2.0)))
-    assert d.balancer.executors[1].capacity == 2.0
-    d.end(1, 1, Outcome.OK)
-    assert not sends(d.arrive(0))  # three are left: two run, one waits
-
-
-def test_a_worker_full_of_others_jobs_has_one_slot_at_most_and_none_without_own_jobs():
-    """With a slot believed at every full worker, a fleet of 200 nodes queued where none of it was served."""
-    d = queued_driver()
-    d.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 40.0)))
-    assert d.balancer.executors[1].capacity == 1.0
-    d = Driver(workers=1, **QUEUED)
-    d.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 5.0)))
-    assert d.balancer.executors[1].capacity == 0.0
-    assert not sends(d.arrive(0))
-
-
-def test_a_job_with_little_time_to_spare_does_not_wait_where_a_usual_one_may():
-    """A job of 50 ms behind one of a second came late, and the slot it then took served nobody."""
-    late = api.RequestClass("l", 1.0, 100_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
-    d = Driver(late, workers=1, **QUEUED)
-    d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
-    d.balancer.state.learned.class_times[0] = ClassRunningTimes(1_000_000.0, 0.0, 50)
-    d.balancer.executors[1].queue_places = 1.0
-    d.arrive(0, hint_us=1_000_000)
-    d.arrive(0, hint_us=1_000_000)
-    assert kinds(d.arrive(0, hint_us=50_000)) == ["Refuse"]
-    assert sends(d.arrive(0, hint_us=1_000_000))
-
-
-def test_places_to_wait_fall_when_jobs_miss_their_own_wanted_time():
-    """Against the class's mean, which late jobs raise, a fleet that was late throughout looked well."""
-    late = api.RequestClass("l", 1.0, 200_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
-    d = Driver(late, UNSAFE, workers=1, **QUEUED)
-    d.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
-    d.balancer.state.learned.class_times[0] = ClassRunningTimes(3_000_000.0, 3.0, 50)
-    before = d.balancer.executors[1].queue_places
-    d.arrive(0, hint_us=100_000)
-    d.now += 3_000_000
-    d.end(1, 1, Outcome.OK)
-    assert d.balancer.executors[1].queue_places < before
-
-
-def test_one_cut_at_a_time_is_tried_till_cuts_are_known_to_pay():
-    """Ten running jobs were cut and failed before the first job in place had ended and shown no gain."""
-    d = Driver(workers=3, tells_start=False)
-    for worker in (1, 2, 3):
-        d.report(worker, 4)
-    while sends(d.arrive(0)):
+        assert sends(driver.arrive(0))
+    return driver
+
+
+def test_own_attempts_in_the_reported_queue_do_not_raise_the_capacity():
+    """Counting queued attempts as slots makes the capacity of a full executor grow with its queue."""
+    driver = driver_with_queued_attempts()
+    driver.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 2.0)))
+    assert driver.balancer.executors[1].capacity == 2.0
+    driver.end(1, 1, Outcome.OK)
+    assert not sends(driver.arrive(0))  # of the three remaining, two run and one is queued
+
+
+def test_executor_with_a_long_queue_has_capacity_one_with_own_attempts_and_zero_without():
+    """One assumed slot at every full executor makes the balancers of a large cluster overfill the queues."""
+    driver = driver_with_queued_attempts()
+    driver.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 40.0)))
+    assert driver.balancer.executors[1].capacity == 1.0
+    driver = Driver(workers=1, **QUEUE_REPORTING)
+    driver.feed(api.ProbeEnded(1, Outcome.OK, (0.0, 98.0, 5.0)))
+    assert driver.balancer.executors[1].capacity == 0.0
+    assert not sends(driver.arrive(0))
+
+
+def test_request_with_little_slack_does_not_queue_where_one_with_usual_slack_may():
+    """A short request that queues behind a long one misses its latency objective and wastes a slot."""
+    stretched_class = api.RequestClass("l", 1.0, 100_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
+    driver = Driver(stretched_class, workers=1, **QUEUE_REPORTING)
+    driver.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
+    driver.balancer.state.learned.class_times[0] = ClassRunningTimes(1_000_000.0, 0.0, 50)
+    driver.balancer.executors[1].queue_places = 1.0
+    driver.arrive(0, hint_us=1_000_000)
+    driver.arrive(0, hint_us=1_000_000)
+    assert kinds(driver.arrive(0, hint_us=50_000)) == ["Refuse"]
+    assert sends(driver.arrive(0, hint_us=1_000_000))
+
+
+def test_queue_places_fall_when_a_request_misses_its_own_latency_objective():
+    """Late requests raise the mean running time of their class, so that mean must not define lateness."""
+    stretched_class = api.RequestClass("l", 1.0, 200_000, 5_000_000, Effect.SAFE, aim_stretch=2.0)
+    driver = Driver(stretched_class, UNSAFE, workers=1, **QUEUE_REPORTING)
+    driver.feed(api.ProbeEnded(1, Outcome.OK, (2.0, 100.0, 0.0)))
+    driver.balancer.state.learned.class_times[0] = ClassRunningTimes(3_000_000.0, 3.0, 50)
+    places_before = driver.balancer.executors[1].queue_places
+    driver.arrive(0, hint_us=100_000)
+    driver.now += 3_000_000
+    driver.end(1, 1, Outcome.OK)
+    assert driver.balancer.executors[1].queue_places < places_before
+
+
+def test_only_one_preemption_is_pending_until_its_gain_is_confirmed():
+    """Otherwise many requests are preempted before the first replacement shows that this gains nothing."""
+    driver = Driver(workers=3, tells_start=False)
+    for executor in (1, 2, 3):
+        driver.report(executor, 4)
+    while sends(driver.arrive(0)):
         pass
-    cuts = [kinds(d.arrive(1)).count("Cancel") for _ in range(8)]
-    assert sum(cuts) == 1
-    d.balancer.state.learned.preemption_gain = 0.9  # seen to pay: each arrival of higher worth has its room
-    assert sum(kinds(d.arrive(1)).count("Cancel") for _ in range(3)) >= 3
+    preemptions = [kinds(driver.arrive(1)).count("Cancel") for _ in range(8)]
+    assert sum(preemptions) == 1
+    driver.balancer.state.learned.preemption_gain = 0.9  # confirmed: each arrival may preempt
+    assert sum(kinds(driver.arrive(1)).count("Cancel") for _ in range(3)) >= 3
 
 
-@pytest.mark.parametrize("hint", [100_000, 1_000_000])
-def test_a_refused_client_comes_back_while_its_job_can_be_in_time(hint):
-    """Advice of some 30 ms used up a client's two retries in 75 ms, with the pool as full as before."""
-    d = Driver(replace(SAFE, aim_stretch=2.0), workers=1, max_retry_after_us=2_000_000)
-    d.report(1, 1)
-    fill(d, 1)
-    refusal = d.arrive(0, hint_us=hint)[0]
-    assert refusal.retry_after_us == (SAFE.aim_us + hint) / 4
+@pytest.mark.parametrize("hint_us", [100_000, 1_000_000])
+def test_retry_after_of_a_refusal_is_a_quarter_of_the_slack(hint_us):
+    """A much shorter Retry-After uses up the client's retries while the pool is still full."""
+    driver = Driver(replace(SAFE, aim_stretch=2.0), workers=1, max_retry_after_us=2_000_000)
+    driver.report(1, 1)
+    fill_executor(driver, 1)
+    refusal = driver.arrive(0, hint_us=hint_us)[0]
+    assert refusal.retry_after_us == (SAFE.aim_us + hint_us) / 4
 
 
-def test_failures_that_befall_all_leave_no_worker_out():
-    """Where all workers break a part of their connections, most were distrusted at the same time."""
-    d = Driver(workers=4)
+def test_failures_common_to_all_executors_eject_none():
+    """Where every executor breaks some connections, most of them would be ejected at the same time."""
+    driver = Driver(workers=4)
     for n in range(400):
-        to = sends(d.arrive(1, left=60_000_000))
-        if to:
-            d.end(d.requests, to[0].executor, Outcome.RESET if n % 5 == 0 else Outcome.OK)
-    assert min(worker.health for worker in d.balancer.executors.values()) > 0.5
+        sent = sends(driver.arrive(1, left=60_000_000))
+        if sent:
+            driver.end(driver.requests, sent[0].executor, Outcome.RESET if n % 5 == 0 else Outcome.OK)
+    assert min(executor.health for executor in driver.balancer.executors.values()) > 0.5
 
 
-def test_places_to_wait_are_fewer_for_lower_worth_and_idle_slots_are_not():
-    """Where cuts free nothing, this alone keeps the lowest worth the first to be shed."""
-    d = Driver(workers=1)
-    d.report(1, 2)
+def test_lower_priority_may_use_fewer_queue_places_but_all_idle_slots():
+    """Where preemption frees no slots, only the queue places shed the lowest priority first."""
+    driver = Driver(workers=1)
+    driver.report(1, 2)
     for n in range(2):
-        assert kinds(d.arrive(0)) == ["Send"]
-        d.start(n + 1, 1)
-    d.balancer.state.learned.preemption_gain = 0.0
-    d.balancer.executors[1].queue_places = 1.2
-    assert kinds(d.arrive(0)) == ["Refuse"]
-    assert kinds(d.arrive(1)) == ["Send"]
+        assert kinds(driver.arrive(0)) == ["Send"]
+        driver.start(n + 1, 1)
+    driver.balancer.state.learned.preemption_gain = 0.0
+    driver.balancer.executors[1].queue_places = 1.2
+    assert kinds(driver.arrive(0)) == ["Refuse"]
+    assert kinds(driver.arrive(1)) == ["Send"]
 
 
-# The pool.
+# Learned capacity.
 
 
-def test_own_running_jobs_are_credited_to_the_pool():
-    d = Driver(workers=1)
-    d.report(1, 4)
-    d.run(2)
-    d.now += 1_000_000
-    d.report(1, 1)  # two of ours run, one slot is free: three are ours, one belongs to others
-    assert d.balancer.executors[1].capacity == 3
+def test_own_running_attempts_count_towards_the_capacity():
+    driver = Driver(workers=1)
+    driver.report(1, 4)
+    driver.run(2)
+    driver.now += 1_000_000
+    driver.report(1, 1)  # two own attempts and one free slot; another balancer uses the fourth slot
+    assert driver.balancer.executors[1].capacity == 3
 
 
-def test_few_own_jobs_draw_more_than_many():
-    """i45a555: own jobs tell the truth also where reports do not."""
-    d = Driver(workers=2)
-    for worker, held in ((1, 2.0), (2, 0.0)):
-        d.report(worker, 30)
-        d.balancer.executors[worker].held_slots = held
-    drawn = d.draw(100)
+def test_executor_with_fewer_held_slots_is_drawn_more_often():
+    """Own attempts are known exactly, even where load reports are wrong."""
+    driver = Driver(workers=2)
+    for executor, held_slots in ((1, 2.0), (2, 0.0)):
+        driver.report(executor, 30)
+        driver.balancer.executors[executor].held_slots = held_slots
+    drawn = driver.draw(100)
     assert drawn.count(2) > 4 * drawn.count(1)
 
 
-def test_memory_is_counted_with_slots():
-    d = Driver(workers=2)
-    d.report(1, 4, memory=0.2)
-    d.report(2, 1, memory=4.0)
-    assert sends(d.arrive(0, memory=0.5))[0].executor == 2
+def test_request_goes_only_where_its_memory_fits():
+    driver = Driver(workers=2)
+    driver.report(1, 4, memory=0.2)
+    driver.report(2, 1, memory=4.0)
+    assert sends(driver.arrive(0, memory=0.5))[0].executor == 2
 
 
-def test_refusals_and_prompt_starts_move_the_waiting_places():
-    d = Driver(workers=1)
-    worker = d.balancer.executors[1]
-    d.report(1, 4)
-    d.arrive(0)
-    d.start(1, 1)
-    assert worker.queue_places == pytest.approx(0.6)
-    d.arrive(0)
-    d.now += 1_000_000
-    d.end(2, 1, Outcome.FULL, final=False)
-    assert worker.queue_places == pytest.approx(0.45)
+def test_prompt_starts_raise_and_refusals_lower_the_queue_places():
+    driver = Driver(workers=1)
+    executor = driver.balancer.executors[1]
+    driver.report(1, 4)
+    driver.arrive(0)
+    driver.start(1, 1)
+    assert executor.queue_places == pytest.approx(0.6)
+    driver.arrive(0)
+    driver.now += 1_000_000
+    driver.end(2, 1, Outcome.FULL, final=False)
+    assert executor.queue_places == pytest.approx(0.45)
 
 
-def test_waiting_places_grow_past_what_others_report_where_no_report_comes():
-    """A copy of a deployment without reports never used more than two slots of a worker."""
-    d = Driver(workers=1)
-    d.balancer.executors[1].queue_places = 1.0
+def test_queue_places_grow_beyond_the_slots_when_no_reports_arrive():
+    """Otherwise a deployment without load reports uses two slots of an executor at most."""
+    driver = Driver(workers=1)
+    driver.balancer.executors[1].queue_places = 1.0
     for _ in range(30):
-        d.arrive(0)
-        d.start(d.requests, 1)
-        d.end(d.requests, 1, Outcome.OK)
-    assert d.balancer.executors[1].queue_places > 3
+        driver.arrive(0)
+        driver.start(driver.requests, 1)
+        driver.end(driver.requests, 1, Outcome.OK)
+    assert driver.balancer.executors[1].queue_places > 3
 
 
 @pytest.mark.parametrize("report", [None, (), (1.0,), (-1.0, 2.0), (math.nan, 1.0), (math.inf, 1.0)])
-def test_unsound_reports_are_no_news(report):
-    d = Driver(workers=1)
-    before = d.balancer.executors[1].capacity
-    d.feed(api.ProbeEnded(1, Outcome.OK, report))
-    assert d.balancer.executors[1].capacity == before
-
-
-def test_stale_reservations_fade_where_no_report_ever_comes():
-    """i00273e: workers without reports stayed full of cut jobs for good."""
-    d = Driver(workers=1)
-    d.arrive(0)
-    d.start(1, 1)
-    d.feed(api.RequestWithdrawn(1))
-    d.end(1, 1, Outcome.CANCELLED, final=True)
-    assert d.balancer.executors[1].held_slots == 1
-    d.now += 3_000_000
-    assert kinds(d.arrive(0)) == ["Send"]
-    assert d.balancer.executors[1].held_slots == 1
-
-
-def test_only_the_job_that_ends_with_a_report_ran_when_it_was_measured():
-    """Jobs that ended up to half an aim earlier were counted too: slots that others had taken looked idle."""
-    d = Driver(workers=1)
-    d.report(1, 3)
-    d.run(3)
-    d.now += 150_000
-    d.end(1, 1, Outcome.OK)
-    d.now += 20_000
-    d.end(2, 1, Outcome.OK, report=(0.0, 100.0))  # job 2 and job 3 hold a slot each; that of job 1 was taken
-    assert d.balancer.executors[1].capacity == 2
-
-
-def test_equal_reports_for_long_do_not_shrink_the_pool():
-    """Equal reports were read as a long refresh period, so running jobs were not credited."""
-    d = Driver(workers=1)
+def test_invalid_reports_are_ignored(report):
+    driver = Driver(workers=1)
+    capacity_before = driver.balancer.executors[1].capacity
+    driver.feed(api.ProbeEnded(1, Outcome.OK, report))
+    assert driver.balancer.executors[1].capacity == capacity_before
+
+
+def test_stale_reservations_expire_when_no_reports_arrive():
+    """Otherwise executors without load reports stay full of cancelled attempts."""
+    driver = Driver(workers=1)
+    driver.arrive(0)
+    driver.start(1, 1)
+    driver.feed(api.RequestWithdrawn(1))
+    driver.end(1, 1, Outcome.CANCELLED, final=True)
+    assert driver.balancer.executors[1].held_slots == 1
+    driver.now += 3_000_000
+    assert kinds(driver.arrive(0)) == ["Send"]
+    assert driver.balancer.executors[1].held_slots == 1
+
+
+def test_only_the_attempt_that_ends_with_a_report_counts_as_running_in_it():
+    """The slot of an attempt that ended earlier may already be in use by another balancer."""
+    driver = Driver(workers=1)
+    driver.report(1, 3)
+    driver.run(3)
+    driver.now += 150_000
+    driver.end(1, 1, Outcome.OK)
+    driver.now += 20_000
+    # Requests 2 and 3 hold a slot each; another balancer uses the slot of request 1.
+    driver.end(2, 1, Outcome.OK, report=(0.0, 100.0))
+    assert driver.balancer.executors[1].capacity == 2
+
+
+def test_identical_reports_do_not_reduce_the_capacity():
+    """Identical reports do not mean that the next report is too old to include running attempts."""
+    driver = Driver(workers=1)
     for _ in range(5):
-        d.report(1, 4)
-        d.now += 1_000_000
-    d.run(3)
-    d.now += 500_000
-    d.report(1, 1)
-    assert d.balancer.executors[1].capacity == 4
-
-
-def test_where_starts_are_not_told_jobs_count_as_started_when_sent():
-    """Without start notices every own job seemed to wait, and half of all traffic was refused."""
-    d = Driver(workers=1, tells_start=False)
-    d.report(1, 4)
-    d.arrive(0)
-    d.now += 1_000_000
-    assert kinds(d.arrive(0)) == ["Send"]
-    d.report(1, 2)
-    assert d.balancer.executors[1].capacity == 4
-    before = d.balancer.executors[1].queue_places
-    d.end(1, 1, Outcome.FULL, final=False)
-    assert d.balancer.executors[1].queue_places < before
-
-
-def test_own_jobs_that_wait_are_not_taken_for_slots_where_starts_go_untold():
-    """Slots grew to 5 and 6 where there are 2, and 4 to 6 jobs were sent there while others stood idle."""
-    d = Driver(workers=1, tells_start=False)
-    d.report(1, 2)
-    d.balancer.executors[1].queue_places = 4.0
+        driver.report(1, 4)
+        driver.now += 1_000_000
+    driver.run(3)
+    driver.now += 500_000
+    driver.report(1, 1)
+    assert driver.balancer.executors[1].capacity == 4
+
+
+def test_attempts_count_as_started_when_sent_if_executors_report_no_starts():
+    """Otherwise every own attempt seems to be queued, and requests are refused although slots are idle."""
+    driver = Driver(workers=1, tells_start=False)
+    driver.report(1, 4)
+    driver.arrive(0)
+    driver.now += 1_000_000
+    assert kinds(driver.arrive(0)) == ["Send"]
+    driver.report(1, 2)
+    assert driver.balancer.executors[1].capacity == 4
+    places_before = driver.balancer.executors[1].queue_places
+    driver.end(1, 1, Outcome.FULL, final=False)
+    assert driver.balancer.executors[1].queue_places < places_before
+
+
+def test_queued_attempts_do_not_count_as_slots_without_reported_starts():
+    """Otherwise the learned slots exceed the real ones, and requests queue while other executors are idle."""
+    driver = Driver(workers=1, tells_start=False)
+    driver.report(1, 2)
+    driver.balancer.executors[1].queue_places = 4.0
     for _ in range(4):
-        assert sends(d.arrive(1))
-    d.report(1, 0)
-    assert d.balancer.executors[1].slots == 2
+        assert sends(driver.arrive(1))
+    driver.report(1, 0)
+    assert driver.balancer.executors[1].slots == 2
 
 
 # Health.
 
 
-def test_connect_failures_stop_traffic_until_a_trial():
-    d = Driver(workers=2)
-    d.report(1, 9)
-    d.report(2, 9)
-    first = sends(d.arrive(0))[0].executor
-    again = d.end(1, first, Outcome.CONNECT_FAILED, final=False)
-    assert sends(again)[0].executor == 3 - first
+def test_connection_failure_stops_traffic_until_a_probation_attempt():
+    driver = Driver(workers=2)
+    driver.report(1, 9)
+    driver.report(2, 9)
+    failed = sends(driver.arrive(0))[0].executor
+    retry_actions = driver.end(1, failed, Outcome.CONNECT_FAILED, final=False)
+    assert sends(retry_actions)[0].executor == 3 - failed
     for _ in range(5):
-        assert sends(d.arrive(0))[0].executor == 3 - first
-        d.end(d.requests, 3 - first, Outcome.OK)
-    d.end(1, 3 - first, Outcome.OK, attempt=1)
-    d.now += 10_000_000
-    d.report(first, 9)
-    d.report(3 - first, 9)
-    assert first in {sends(d.arrive(0))[0].executor for _ in range(9)}
-
-
-def test_a_fast_failer_does_not_draw_traffic_by_looking_idle():
-    d = Driver(workers=2, max_attempts=1)
-    d.report(2, 20)
+        assert sends(driver.arrive(0))[0].executor == 3 - failed
+        driver.end(driver.requests, 3 - failed, Outcome.OK)
+    driver.end(1, 3 - failed, Outcome.OK, attempt=1)
+    driver.now += 10_000_000
+    driver.report(failed, 9)
+    driver.report(3 - failed, 9)
+    assert failed in {sends(driver.arrive(0))[0].executor for _ in range(9)}
+
+
+def test_executor_that_fails_fast_does_not_attract_traffic_by_being_idle():
+    driver = Driver(workers=2, max_attempts=1)
+    driver.report(2, 20)
     for _ in range(60):
-        d.report(1, 20 + d.requests / 1000)
-        worker = sends(d.arrive(0))[0].executor
-        d.end(d.requests, worker, Outcome.ERROR if worker == 1 else Outcome.OK, final=worker == 2)
-    seen = d.draw(20)
-    assert seen.count(1) <= 2
+        driver.report(1, 20 + driver.requests / 1000)
+        executor = sends(driver.arrive(0))[0].executor
+        driver.end(
+            driver.requests, executor, Outcome.ERROR if executor == 1 else Outcome.OK, final=executor == 2
+        )
+    drawn = driver.draw(20)
+    assert drawn.count(1) <= 2
 
 
-def test_a_silent_worker_is_left_alone():
-    d = Driver(workers=2)
-    d.report(1, 9)
-    d.report(2, 9)
-    silent = sends(d.arrive(0))[0].executor
-    d.now += 1_000_000
-    assert {sends(d.arrive(0))[0].executor for _ in range(5)} == {3 - silent}
+def test_executor_with_an_attempt_that_does_not_start_gets_no_further_requests():
+    driver = Driver(workers=2)
+    driver.report(1, 9)
+    driver.report(2, 9)
+    unanswered = sends(driver.arrive(0))[0].executor
+    driver.now += 1_000_000
+    assert {sends(driver.arrive(0))[0].executor for _ in range(5)} == {3 - unanswered}
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.DROPPED])
-def test_a_broken_connection_is_no_sign_of_a_dead_worker(outcome):
-    """Where kept connections break now and then, each break once left a worker out for a second and more."""
-    d = Driver(workers=1)
-    assert sends(d.arrive(1))
-    d.end(1, 1, outcome, final=False)
-    assert sends(d.arrive(1))
+def test_broken_connection_does_not_eject_the_executor(outcome):
+    """Established connections break now and then although their executor is healthy."""
+    driver = Driver(workers=1)
+    assert sends(driver.arrive(1))
+    driver.end(1, 1, outcome, final=False)
+    assert sends(driver.arrive(1))
 
 
-def test_a_struck_worker_is_no_last_resort():
-    """ica311e: jobs burned their attempts on workers whose connections fail at once."""
-    d = Driver(workers=2)
-    d.report(1, 9)
-    d.report(2, 1)
-    while kinds(answer := d.arrive(1)) == ["Send"]:
-        worker = sends(answer)[0].executor
-        if worker == 1:
-            d.end(d.requests, 1, Outcome.CONNECT_FAILED, final=False)
-    assert kinds(answer) == ["Refuse"]
-    assert d.balancer.executors[1].capacity > d.balancer.executors[1].held_slots
+def test_unreachable_executor_is_not_a_last_resort():
+    """Otherwise requests use up their attempts at executors whose connections fail at once."""
+    driver = Driver(workers=2)
+    driver.report(1, 9)
+    driver.report(2, 1)
+    while kinds(actions := driver.arrive(1)) == ["Send"]:
+        executor = sends(actions)[0].executor
+        if executor == 1:
+            driver.end(driver.requests, 1, Outcome.CONNECT_FAILED, final=False)
+    assert kinds(actions) == ["Refuse"]
+    assert driver.balancer.executors[1].capacity > driver.balancer.executors[1].held_slots
 
 
-def test_class_that_needs_a_kind_of_worker_goes_only_there():
-    special = api.RequestClass("g", 1.0, 200_000, 5_000_000, Effect.SAFE, worker_kind=2)
-    d = Driver(special, entries=[entry(1, kind=0), entry(2, kind=2)])
-    d.report(1, 9)
-    d.report(2, 1)
-    assert {a.executor for _ in range(5) for a in sends(d.arrive(0))} == {2}
+def test_class_that_requires_a_kind_of_executor_is_sent_only_to_that_kind():
+    class_of_kind_2 = api.RequestClass("g", 1.0, 200_000, 5_000_000, Effect.SAFE, worker_kind=2)
+    driver = Driver(class_of_kind_2, entries=[entry(1, kind=0), entry(2, kind=2)])
+    driver.report(1, 9)
+    driver.report(2, 1)
+    assert {a.executor for _ in range(5) for a in sends(driver.arrive(0))} == {2}
 
 
-# Rule 1: one final answer.
+# Rule 1: each request gets one final answer.
 
 
-def test_no_worker_on_the_list_refuses():
-    d = Driver(entries=[entry(1, WorkerState.GONE)])
-    assert kinds(d.arrive(0)) == ["Refuse"]
+def test_request_is_refused_when_no_executor_is_listed():
+    driver = Driver(entries=[entry(1, ExecutorState.GONE)])
+    assert kinds(driver.arrive(0)) == ["Refuse"]
 
 
 @pytest.mark.parametrize("job_class", [0, 1])
-def test_every_worker_unreachable_gives_each_request_one_refusal(job_class):
-    d = Driver(workers=3)
+def test_each_request_is_refused_once_when_every_executor_is_unreachable(job_class):
+    driver = Driver(workers=3)
     for _ in range(5):
-        actions = d.arrive(job_class)
-        answers = kinds(actions)
+        actions = driver.arrive(job_class)
+        answer_kinds = kinds(actions)
         while sends(actions):
-            attempt = len(d.balancer.requests[d.requests].attempts) - 1
-            worker = sends(actions)[0].executor
-            actions = d.end(d.requests, worker, Outcome.CONNECT_FAILED, attempt, final=False)
-            answers += kinds(actions)
-        assert answers[-1] == "Refuse" and answers.count("Refuse") == 1
-    assert d.balancer.requests == {} and all(w.held_slots == 0 for w in d.balancer.executors.values())
-
-
-def test_timeout_at_the_deadline_fails_once():
-    d = Driver(workers=1)
-    d.arrive(1)
-    d.now += 5_000_000
-    assert kinds(d.end(1, 1, Outcome.TIMEOUT, final=False)) == ["Fail"]
-    assert d.balancer.requests == {}
-
-
-def test_held_job_gets_its_answer_before_the_deadline():
-    d = Driver(keyed(DeduplicationScope.CELL), workers=1)
-    d.arrive(0)
-    d.start(1, 1)
-    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, WorkerState.GONE)]))
-    actions = d.end(1, 1, Outcome.RESET, final=False)
+            attempt = len(driver.balancer.requests[driver.requests].attempts) - 1
+            executor_id = sends(actions)[0].executor
+            actions = driver.end(driver.requests, executor_id, Outcome.CONNECT_FAILED, attempt, final=False)
+            answer_kinds += kinds(actions)
+        assert answer_kinds[-1] == "Refuse" and answer_kinds.count("Refuse") == 1
+    assert driver.balancer.requests == {} and all(
+        executor.held_slots == 0 for executor in driver.balancer.executors.values()
+    )
+
+
+def test_request_that_times_out_at_its_deadline_fails_once():
+    driver = Driver(workers=1)
+    driver.arrive(1)
+    driver.now += 5_000_000
+    assert kinds(driver.end(1, 1, Outcome.TIMEOUT, final=False)) == ["Fail"]
+    assert driver.balancer.requests == {}
+
+
+def test_queued_request_fails_before_its_deadline():
+    driver = Driver(keyed(DeduplicationScope.CELL), workers=1)
+    driver.arrive(0)
+    driver.start(1, 1)
+    driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, ExecutorState.GONE)]))
+    actions = driver.end(1, 1, Outcome.RESET, final=False)
     assert kinds(actions) == []
     delay = max(a.delay_us for a in actions if isinstance(a, api.SetTimer))
     assert delay < 5_000_000
-    assert kinds(d.fire_all(actions, delay)) == ["Fail"]
+    assert kinds(driver.fire_all(actions, delay)) == ["Fail"]
 
 
-def test_withdrawn_request_is_cancelled_and_timers_of_it_do_nothing():
-    d = Driver(workers=1)
-    actions = d.arrive(0)
-    assert kinds(d.feed(api.RequestWithdrawn(1))) == ["Cancel"]
-    assert kinds(d.fire_all(actions, 1_000_000)) == []
-    assert kinds(d.end(1, 1, Outcome.CANCELLED, final=True)) == []
-    assert d.balancer.requests == {} and d.balancer.executors[1].held_slots == 0
+def test_withdrawn_request_is_cancelled_and_its_timers_do_nothing():
+    driver = Driver(workers=1)
+    actions = driver.arrive(0)
+    assert kinds(driver.feed(api.RequestWithdrawn(1))) == ["Cancel"]
+    assert kinds(driver.fire_all(actions, 1_000_000)) == []
+    assert kinds(driver.end(1, 1, Outcome.CANCELLED, final=True)) == []
+    assert driver.balancer.requests == {} and driver.balancer.executors[1].held_slots == 0
 
 
-def test_unknown_requests_attempts_workers_and_tokens_are_ignored():
-    d = Driver(workers=1)
-    d.arrive(0)
-    held = d.balancer.executors[1].held_slots
+def test_unknown_requests_attempts_executors_and_tokens_are_ignored():
+    driver = Driver(workers=1)
+    driver.arrive(0)
+    held_before = driver.balancer.executors[1].held_slots
     for event in (
         api.AttemptEnded(9, 0, 1, Outcome.OK, True), api.AttemptEnded(1, 7, 1, Outcome.OK, True),
         api.AttemptEnded(1, 0, 8, Outcome.OK, True), api.AttemptStarted(9, 0, 1), api.AttemptStarted(1, 0, 8),
         api.AttemptProgress(9, 0, 1, 0.5), api.StreamStarted(9, 0, 1), api.ProbeEnded(8, Outcome.OK),
         api.TimerFired(99), api.RequestWithdrawn(9), api.PeerMessage(1, b"x"),
     ):  # fmt: skip
-        assert d.feed(event) == []
-    assert d.balancer.executors[1].held_slots == held
+        assert driver.feed(event) == []
+    assert driver.balancer.executors[1].held_slots == held_before
 
 
-# Rule 2: effects. What may follow each outcome, for each kind of effect.
+# Rule 2: effects are not repeated. Permitted retries and refusals after each outcome, by effect.
 
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DROPPED)
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.RESET, Outcome.CANCELLED)
-PLACES = {1: (0, 0), 2: (0, 0), 3: (0, 1), 4: (1, 2)}  # worker: zone, cell
-ALLOWED = {
+LOCATIONS = {1: (0, 0), 2: (0, 0), 3: (0, 1), 4: (1, 2)}  # executor: zone, cell
+PERMITTED_EXECUTORS = {
     (Effect.SAFE, None): {1, 2, 3, 4},
     (Effect.KEYED, DeduplicationScope.ALL): {1, 2, 3, 4},
     (Effect.KEYED, DeduplicationScope.ZONE): {1, 2, 3},
@@ -533,338 +542,361 @@
 }
 
 
-def _class(effect, group):
+def _request_class(effect, group):
     if group:
         return keyed(group)
     return api.RequestClass("c", 3.0, 200_000, 5_000_000, effect, repeat_window_us=3_000_000)
 
 
-@pytest.mark.parametrize("effect,group", ALLOWED)
+@pytest.mark.parametrize("effect,group", PERMITTED_EXECUTORS)
 @pytest.mark.parametrize("outcome", [*NEVER_RAN, *MAY_HAVE_RUN, None])
-@pytest.mark.parametrize("late", [False, True])
-@pytest.mark.parametrize("duplicate", [False, True])
-def test_what_may_be_sent_and_refused(effect, group, outcome, late, duplicate):
-    d = Driver(_class(effect, group), may_duplicate=duplicate,
-               entries=[entry(1, zone=0, cell=0)])  # fmt: skip
-    assert sends(d.arrive(0))[0].executor == 1
-    d.feed(
+@pytest.mark.parametrize("is_after_window", [False, True])
+@pytest.mark.parametrize("may_duplicate", [False, True])
+def test_permitted_retries_and_refusals_by_effect_and_outcome(
+    effect, group, outcome, is_after_window, may_duplicate
+):
+    driver = Driver(_request_class(effect, group), may_duplicate=may_duplicate,
+                    entries=[entry(1, zone=0, cell=0)])  # fmt: skip
+    assert sends(driver.arrive(0))[0].executor == 1
+    driver.feed(
         api.EndpointList(
-            api.EndpointListKind.DELTA, [entry(n, zone=z, cell=c) for n, (z, c) in PLACES.items()]
+            api.EndpointListKind.DELTA,
+            [entry(n, zone=zone, cell=cell) for n, (zone, cell) in LOCATIONS.items()],
         )
     )
-    d.feed(
-        api.EndpointList(api.EndpointListKind.DELTA, [entry(1, WorkerState.GONE)])
-    )  # the group outlives the worker
-    request = d.balancer.requests[1]
+    driver.feed(
+        api.EndpointList(api.EndpointListKind.DELTA, [entry(1, ExecutorState.GONE)])
+    )  # the attempt keeps the zone and cell of its executor
+    request = driver.balancer.requests[1]
     attempt = request.attempts[0]
     if outcome is not None:
         attempt.in_flight, attempt.may_have_run = False, outcome not in NEVER_RAN
-    d.balancer.state.now = d.now + (3_000_000 if late else 0)
-    allowed = {n for n in PLACES if retries.may_send(d.balancer.state, request, d.balancer.executors[n])}
-    expected = {1, 2, 3, 4} if outcome in NEVER_RAN else ALLOWED[effect, group]
-    if outcome not in NEVER_RAN and late and effect == Effect.KEYED:
+    driver.balancer.state.now = driver.now + (3_000_000 if is_after_window else 0)
+    permitted = {
+        n for n in LOCATIONS if retries.may_send(driver.balancer.state, request, driver.balancer.executors[n])
+    }
+    expected = {1, 2, 3, 4} if outcome in NEVER_RAN else PERMITTED_EXECUTORS[effect, group]
+    if outcome not in NEVER_RAN and is_after_window and effect == Effect.KEYED:
         expected = set()
-    if outcome is None and not duplicate:
+    if outcome is None and not may_duplicate:
         expected = set()
-    assert allowed == expected - {1}
-    harmless = outcome in NEVER_RAN or effect == Effect.SAFE or group == DeduplicationScope.ALL
-    assert retries.may_refuse(request) == harmless
+    assert permitted == expected - {1}
+    is_harmless = outcome in NEVER_RAN or effect == Effect.SAFE or group == DeduplicationScope.ALL
+    assert retries.may_refuse(request) == is_harmless
 
 
-def broken(
-    after: int, window: int, left: int = 5_000_000, group: DeduplicationScope = DeduplicationScope.ZONE
+def driver_after_reset(
+    elapsed_us: int,
+    window_us: int,
+    time_left_us: int = 5_000_000,
+    scope: DeduplicationScope = DeduplicationScope.ZONE,
 ):
-    """What follows when the one attempt of a keyed job breaks so long after it was sent."""
-    d = Driver(keyed(group, window), workers=2)
-    assert sends(d.arrive(0, left=left))
-    worker = d.balancer.requests[1].attempts[0].executor.id
-    d.now += after
-    return d, d.end(1, worker, Outcome.RESET)
+    """Reset the only attempt of a keyed request after `elapsed_us`; return the driver and the actions."""
+    driver = Driver(keyed(scope, window_us), workers=2)
+    assert sends(driver.arrive(0, left=time_left_us))
+    executor = driver.balancer.requests[1].attempts[0].executor.id
+    driver.now += elapsed_us
+    return driver, driver.end(1, executor, Outcome.RESET)
 
 
-@pytest.mark.parametrize("after,window", [(0, 155_000), (1_000, 100_000), (2_845_000, 3_000_000)])
-def test_a_repeat_that_may_be_written_after_its_window_is_not_chosen_and_answered_at_once(after, window):
-    """Chosen two ticks before the end, it was written 0.15 s later, or taken back and held to the end."""
-    assert kinds(broken(after, window)[1]) == ["Fail"]
-    assert kinds(broken(after, window, group=DeduplicationScope.ALL)[1]) == ["Refuse"]
+@pytest.mark.parametrize("elapsed_us,window_us", [(0, 155_000), (1_000, 100_000), (2_845_000, 3_000_000)])
+def test_request_is_answered_when_its_retry_could_be_written_after_the_deduplication_window(
+    elapsed_us, window_us
+):
+    """A delayed write could make the retry run twice, so the request fails or is refused at once."""
+    assert kinds(driver_after_reset(elapsed_us, window_us)[1]) == ["Fail"]
+    assert kinds(driver_after_reset(elapsed_us, window_us, scope=DeduplicationScope.ALL)[1]) == ["Refuse"]
 
 
-def test_a_repeat_within_its_window_is_chosen_as_before():
-    assert kinds(broken(2_830_000, 3_000_000)[1]) == ["Send"]
+def test_retry_within_the_deduplication_window_is_sent():
+    assert kinds(driver_after_reset(2_830_000, 3_000_000)[1]) == ["Send"]
 
 
-def test_a_further_attempt_does_not_begin_when_its_client_is_about_to_give_up():
-    """Held up for 0.15 s, it began later than 0.1 s after its client had gone."""
-    assert kinds(broken(955_000, 3_000_000, left=1_000_000)[1]) == ["Fail"]
-    assert kinds(broken(940_000, 3_000_000, left=1_000_000)[1]) == ["Send"]
+def test_no_retry_is_sent_just_before_the_deadline():
+    """A delayed write would start the attempt after the client has disconnected."""
+    assert kinds(driver_after_reset(955_000, 3_000_000, time_left_us=1_000_000)[1]) == ["Fail"]
+    assert kinds(driver_after_reset(940_000, 3_000_000, time_left_us=1_000_000)[1]) == ["Send"]
 
 
-def test_a_held_job_is_answered_when_its_window_closes():
-    """It was held to its deadline, though nothing could follow any longer."""
-    d = Driver(keyed(DeduplicationScope.ZONE, 1_000_000), workers=1)
-    d.arrive(0)
-    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, WorkerState.GONE)]))
-    actions = d.end(1, 1, Outcome.RESET)
+def test_queued_request_fails_when_its_deduplication_window_closes():
+    """No retry may follow after that, so waiting for the deadline only delays the answer."""
+    driver = Driver(keyed(DeduplicationScope.ZONE, 1_000_000), workers=1)
+    driver.arrive(0)
+    driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, ExecutorState.GONE)]))
+    actions = driver.end(1, 1, Outcome.RESET)
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
-    assert timer.delay_us == 1_000_000 - 150_000 - 2 * d.balancer.settings.tick_us
-    assert kinds(d.fire_all([timer], timer.delay_us)) == ["Fail"]
+    assert timer.delay_us == 1_000_000 - 150_000 - 2 * driver.balancer.settings.tick_us
+    assert kinds(driver.fire_all([timer], timer.delay_us)) == ["Fail"]
 
 
-def test_nothing_follows_the_end_or_the_last_attempt():
-    d = Driver(workers=2, max_attempts=1)
-    d.arrive(0)
-    request = d.balancer.requests[1]
+def test_no_attempt_follows_the_last_one_and_no_refusal_follows_completion():
+    driver = Driver(workers=2, max_attempts=1)
+    driver.arrive(0)
+    request = driver.balancer.requests[1]
     request.attempts[0].in_flight = request.attempts[0].may_have_run = False
-    assert not retries.may_send(d.balancer.state, request, d.balancer.executors[1])
+    assert not retries.may_send(driver.balancer.state, request, driver.balancer.executors[1])
     request.done = True
     assert not retries.may_refuse(request)
 
 
-def test_streamed_answer_is_neither_cut_nor_repeated():
-    d = Driver(workers=1)
-    d.report(1, 1)
-    for request in fill(d, 1):
-        d.feed(api.StreamStarted(request, 0, 1))
-    assert kinds(past_room(d, 1)) == ["Refuse"]
+def test_attempt_whose_response_has_begun_is_not_preempted():
+    driver = Driver(workers=1)
+    driver.report(1, 1)
+    for request in fill_executor(driver, 1):
+        driver.feed(api.StreamStarted(request, 0, 1))
+    assert kinds(arrive_until_full(driver, 1)) == ["Refuse"]
 
 
-# Rule 3: drains, and the worker list.
+# Rule 3: draining executors get no new attempts; changes of the endpoint list.
 
 
-@pytest.mark.parametrize("state", [WorkerState.DRAINING, WorkerState.GONE])
-def test_nothing_goes_to_a_draining_or_gone_worker(state):
-    d = Driver(workers=2)
-    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, state)]))
-    assert {a.executor for _ in range(20) for a in sends(d.arrive(0))} <= {2}
+@pytest.mark.parametrize("state", [ExecutorState.DRAINING, ExecutorState.GONE])
+def test_no_request_is_sent_to_a_draining_or_gone_executor(state):
+    driver = Driver(workers=2)
+    driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, state)]))
+    assert {a.executor for _ in range(20) for a in sends(driver.arrive(0))} <= {2}
 
 
-def test_a_worker_missing_in_a_full_list_has_gone():
-    d = Driver(workers=2)
-    d.feed(api.EndpointList(api.EndpointListKind.FULL, [entry(2)]))
-    assert {a.executor for _ in range(20) for a in sends(d.arrive(0))} <= {2}
+def test_executor_missing_from_a_full_list_gets_no_requests():
+    driver = Driver(workers=2)
+    driver.feed(api.EndpointList(api.EndpointListKind.FULL, [entry(2)]))
+    assert {a.executor for _ in range(20) for a in sends(driver.arrive(0))} <= {2}
 
 
-def test_a_worker_that_the_list_moves_to_another_zone_is_there():
-    """The old zone stood for good: a keyed job could be sent again where its repeat is not known."""
-    d = Driver(keyed(DeduplicationScope.ZONE), workers=3)
-    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(2, api.ExecutorState.DRAINING)]))
-    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(3, api.ExecutorState.DRAINING)]))
-    assert sends(d.arrive(0))[0].executor == 1
-    d.feed(api.EndpointList(api.EndpointListKind.FULL, [entry(2, zone=1), entry(3, zone=0)]))
-    assert [w.id for w in d.balancer.state.pools.remote] == [2] and [
-        w.id for w in d.balancer.state.pools.local
+def test_executor_that_the_list_moves_to_another_zone_changes_pools():
+    """With the old zone, a keyed request could be retried where its idempotency key is unknown."""
+    driver = Driver(keyed(DeduplicationScope.ZONE), workers=3)
+    driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(2, api.ExecutorState.DRAINING)]))
+    driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(3, api.ExecutorState.DRAINING)]))
+    assert sends(driver.arrive(0))[0].executor == 1
+    driver.feed(api.EndpointList(api.EndpointListKind.FULL, [entry(2, zone=1), entry(3, zone=0)]))
+    assert [executor.id for executor in driver.balancer.state.pools.remote] == [2] and [
+        executor.id for executor in driver.balancer.state.pools.local
     ] == [3]
-    assert [a.executor for a in sends(d.end(1, 1, Outcome.RESET))] == [3]
+    assert [a.executor for a in sends(driver.end(1, 1, Outcome.RESET))] == [3]
 
 
-def test_an_empty_whole_list_is_true():
-    d = Driver(workers=2)
-    d.feed(api.EndpointList(api.EndpointListKind.FULL, []))
-    assert kinds(d.arrive(0)) == ["Refuse"]
+def test_empty_full_list_removes_every_executor():
+    driver = Driver(workers=2)
+    driver.feed(api.EndpointList(api.EndpointListKind.FULL, []))
+    assert kinds(driver.arrive(0)) == ["Refuse"]
 
 
-def test_subscription_is_asked_for_and_renewed_with_growing_jittered_waits():
-    d = Driver(on_request_discovery=True, instances=4)
-    assert kinds(d.first) == []
-    assert kinds(d.fire_all(d.first, 200_000)) == ["Subscribe"]
+def test_endpoint_list_is_requested_again_with_growing_jittered_delays_after_failures():
+    driver = Driver(on_request_discovery=True, instances=4)
+    assert kinds(driver.first) == []
+    assert kinds(driver.fire_all(driver.first, 200_000)) == ["Subscribe"]
     delays = []
     for _ in range(6):
-        actions = d.feed(api.EndpointList(api.EndpointListKind.FAILED, []))
+        actions = driver.feed(api.EndpointList(api.EndpointListKind.FAILED, []))
         delays.append(actions[0].delay_us)
         assert kinds(actions) == []
-        assert kinds(d.fire_all(actions, delays[-1])) == ["Subscribe"]
-    assert max(delays) < 2 * d.balancer.settings.ask_within_us
+        assert kinds(driver.fire_all(actions, delays[-1])) == ["Subscribe"]
+    assert max(delays) < 2 * driver.balancer.settings.ask_within_us
     assert len(set(delays)) == 6 and sum(delays[3:]) > sum(delays[:3])
 
 
-def test_a_new_process_of_a_large_fleet_asks_for_its_list_soon():
-    """Over 10 s at 200 processes, restarted ones sent to executors that had drained 6 s and more before."""
+def test_new_process_of_a_large_cluster_soon_requests_its_endpoint_list():
+    """A restarted process with an old list sends requests to executors that are draining."""
     for seed in range(20):
-        d = Driver(on_request_discovery=True, instances=200, seed=seed)
-        (timer,) = d.first
-        assert timer.delay_us <= d.balancer.settings.ask_within_us / 5
+        driver = Driver(on_request_discovery=True, instances=200, seed=seed)
+        (timer,) = driver.first
+        assert timer.delay_us <= driver.balancer.settings.ask_within_us / 5
 
 
-def test_discovery_that_is_away_for_hours_is_still_asked():
-    """The doubled wait was a float without bound: the 1,024th failure raised, and nothing was asked again."""
-    d = Driver(on_request_discovery=True)
+def test_endpoint_list_is_still_requested_after_hours_of_failures():
+    """The delay doubles with each failure; it must not overflow a float and end the retries."""
+    driver = Driver(on_request_discovery=True)
     for _ in range(1200):
-        actions = d.feed(api.EndpointList(api.EndpointListKind.FAILED, []))
-    assert kinds(d.fire_all(actions, actions[0].delay_us)) == ["Subscribe"]
+        actions = driver.feed(api.EndpointList(api.EndpointListKind.FAILED, []))
+    assert kinds(driver.fire_all(actions, actions[0].delay_us)) == ["Subscribe"]
 
 
-# Rule 4: cold workers.
+# Rule 4: an executor that is warming up is not overloaded.
 
 
-def test_a_hint_says_nothing_of_the_time_a_job_takes_before_one_has_ended():
-    """The ratio to the hint starts as if hints were 1: 0.4 s stood for a day, and cold workers got none."""
-    d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=1, tells_start=False)
-    d.balancer.executors[1].slots = 10.0
-    d.report(1, 10)
-    assert sends(d.arrive(0, hint_us=400_000))
+def test_hint_is_ignored_until_a_request_of_its_class_has_ended():
+    """The initial ratio of running times to hints assumes hints of 1 us and overestimates all others."""
+    driver = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=1, tells_start=False)
+    driver.balancer.executors[1].slots = 10.0
+    driver.report(1, 10)
+    assert sends(driver.arrive(0, hint_us=400_000))
 
 
-def test_cold_worker_gets_no_more_than_this_dispatchers_part_of_its_budget():
-    d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=2)
-    worker = d.balancer.executors[1]
-    worker.slots = 10.0
-    d.report(1, 10)
-    sent = sum(len(sends(d.arrive(0))) for _ in range(50))
-    budget = 3.0 * 0.2 * 10 * 2_000_000 / 2  # slot-time in a window for this dispatcher
+def test_warming_executor_gets_no_more_than_this_balancers_share_of_its_budget():
+    driver = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=2)
+    executor = driver.balancer.executors[1]
+    executor.slots = 10.0
+    driver.report(1, 10)
+    sent = sum(len(sends(driver.arrive(0))) for _ in range(50))
+    budget = 3.0 * 0.2 * 10 * 2_000_000 / 2  # slot-time (us) per window for this balancer
     assert 0 < sent * 200_000 <= budget
     for request in range(1, sent + 1):
-        d.end(request, 1, Outcome.OK)
-    d.now += 11_000_000
-    d.report(1, 9)
-    assert len([a for _ in range(9) for a in sends(d.arrive(0))]) == 9
-
-
-def test_a_restart_under_the_same_id_is_cold_and_forgets_the_old_process():
-    d = Driver(workers=1)
-    d.report(1, 4)
-    d.arrive(0)
-    d.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, started_at=d.now)]))
-    worker = d.balancer.executors[1]
-    assert (worker.started_at, worker.held_slots, worker.slots, worker.report) == (d.now, 0, 4, None)
-    assert kinds(d.end(1, 1, Outcome.RESET, final=False)) in (["Refuse"], ["Send"])
-    assert worker.held_slots in (0, 1)
+        driver.end(request, 1, Outcome.OK)
+    driver.now += 11_000_000
+    driver.report(1, 9)
+    assert len([a for _ in range(9) for a in sends(driver.arrive(0))]) == 9
+
+
+def test_restarted_executor_keeps_its_slots_but_not_its_reservations_or_report():
+    driver = Driver(workers=1)
+    driver.report(1, 4)
+    driver.arrive(0)
+    driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(1, started_at=driver.now)]))
+    executor = driver.balancer.executors[1]
+    assert (executor.started_at, executor.held_slots, executor.slots, executor.report) == (
+        driver.now,
+        0,
+        4,
+        None,
+    )
+    assert kinds(driver.end(1, 1, Outcome.RESET, final=False)) in (["Refuse"], ["Send"])
+    assert executor.held_slots in (0, 1)
 
 
 # Tenants.
 
 
-def test_over_share_traffic_counts_its_lower_worth():
+def test_requests_of_a_tenant_over_its_share_get_a_lower_priority():
     tenants = (api.Tenant("a", 10.0), api.Tenant("b", 10.0))
-    d = Driver(workers=1, tenants=tenants, over_share_worth=0.1)
-    d.report(1, 1000)
+    driver = Driver(workers=1, tenants=tenants, over_share_worth=0.1)
+    driver.report(1, 1000)
     for n in range(200):
-        d.now += 10_000
-        if sends(d.arrive(0, tenant=0 if n % 8 else 1)):
-            d.start(d.requests, 1)
-    ranks = [(0 if r.id % 8 != 1 else 1, r.priority) for r in list(d.balancer.requests.values())[-80:]]
-    assert sum(rank < 1 for tenant, rank in ranks if tenant == 0) > 30
-    assert all(rank == 1 for tenant, rank in ranks if tenant == 1)
+        driver.now += 10_000
+        if sends(driver.arrive(0, tenant=0 if n % 8 else 1)):
+            driver.start(driver.requests, 1)
+    priorities = [
+        (0 if r.id % 8 != 1 else 1, r.priority) for r in list(driver.balancer.requests.values())[-80:]
+    ]
+    assert sum(priority < 1 for tenant, priority in priorities if tenant == 0) > 30
+    assert all(priority == 1 for tenant, priority in priorities if tenant == 1)
 
 
 def test_same_events_give_the_same_actions():
     def run():
-        d = Driver(workers=5, seed=7)
-        return [repr(d.arrive(n % 2)) for n in range(40)]
+        driver = Driver(workers=5, seed=7)
+        return [repr(driver.arrive(n % 2)) for n in range(40)]
 
     assert run() == run()
 
 
-def test_the_larger_of_two_idle_workers_gets_more_and_is_asked_first_more_often():
-    """Both show two slots, but a slot of the larger is free again in half the time."""
-    d = Driver(entries=[entry(1, size=4.0), entry(2, size=2.0)])
-    for worker in (1, 2):
-        d.report(worker, 2)
-    assert 1.5 < (drawn := d.draw(300)).count(1) / drawn.count(2) < 8
-    asked = []
+def test_larger_of_two_idle_executors_is_drawn_and_probed_more_often():
+    """Both report two free slots, but a slot of the larger one becomes free again in half the time."""
+    driver = Driver(entries=[entry(1, size=4.0), entry(2, size=2.0)])
+    for executor in (1, 2):
+        driver.report(executor, 2)
+    assert 1.5 < (drawn := driver.draw(300)).count(1) / drawn.count(2) < 8
+    probed = []
     for seed in range(60):
         entries = [entry(n, size=4.0 if n % 2 else 1.0) for n in range(1, 9)]
         actions = Driver(entries=entries, seed=seed, can_probe=True).arrive(0)
-        asked += [a.executor % 2 for a in actions if isinstance(a, api.Probe)]
-    assert sum(asked) > 0.6 * len(asked) > 0
+        probed += [a.executor % 2 for a in actions if isinstance(a, api.Probe)]
+    assert sum(probed) > 0.6 * len(probed) > 0
 
 
-# Full size: most workers are not heard of for long, and the cost of an event does not grow with the fleet.
+# Large clusters: most reports are old, and the cost of an event does not grow with the number of executors.
 
 
-def big(workers: int, **changes) -> Driver:
-    """A dispatcher among many, over many workers of the own zone."""
-    return Driver(entries=[entry(n, cell=n // 4) for n in range(1, workers + 1)], instances=200, **changes)
+def large_cluster_driver(executor_count: int, **changes) -> Driver:
+    """Return a driver for one of 200 balancers, with all executors in the local zone."""
+    return Driver(
+        entries=[entry(n, cell=n // 4) for n in range(1, executor_count + 1)], instances=200, **changes
+    )
 
 
-def test_a_job_without_fresh_news_is_held_for_two_probes_and_sent_where_a_slot_is_free():
-    """2e1e9500, 0ee33f7b: jobs went by news of a minute ago, and half of them came late."""
-    d = big(100, can_probe=True)
-    asked = [a.executor for a in d.arrive(0) if isinstance(a, api.Probe)]
-    assert len(asked) == 2
-    assert sends(d.report(asked[0], 0)) == []
-    assert [a.executor for a in sends(d.report(asked[1], 2))] == [asked[1]]
+def test_request_without_fresh_reports_waits_for_two_probes_and_goes_to_the_idle_executor():
+    """Requests that are placed by old reports miss their latency objectives."""
+    driver = large_cluster_driver(100, can_probe=True)
+    probed = [a.executor for a in driver.arrive(0) if isinstance(a, api.Probe)]
+    assert len(probed) == 2
+    assert sends(driver.report(probed[0], 0)) == []
+    assert [a.executor for a in sends(driver.report(probed[1], 2))] == [probed[1]]
 
 
-def test_a_held_job_is_placed_when_no_answer_comes():
-    d = big(100, can_probe=True)
-    actions, sent = d.arrive(0), []
+def test_request_is_sent_when_its_probes_are_not_answered():
+    driver = large_cluster_driver(100, can_probe=True)
+    actions, sent = driver.arrive(0), []
     for _ in range(4):
-        actions = d.fire_all(actions, 20_000)
+        actions = driver.fire_all(actions, 20_000)
         sent += sends(actions)
     assert len(sent) == 1
 
 
-def test_news_fade_into_what_workers_show_on_the_mean():
-    """58229bdd: a report held for good, so a worker once seen full was refused for minutes."""
-    d = big(1)
+def test_weight_of_an_old_report_decays_in_favour_of_the_mean():
+    """Otherwise an executor that was full once gets no requests for minutes."""
+    driver = large_cluster_driver(1)
     for n in range(40):
-        d.report(1, 2 + n % 2)
-    d.report(1, 0)
-    worker = d.balancer.executors[1]
-    d.arrive(0)
-    assert worker.capacity - worker.held_slots <= 0
-    d.now += 60_000_000
-    assert sends(d.arrive(0))
-
-
-@pytest.mark.parametrize("workers", [20, 2000])
-def test_the_workers_looked_at_for_a_job_do_not_grow_with_the_fleet(workers, monkeypatch):
-    """ia09bca, i8f5702: a walk over the fleet for each job had the day cut off."""
-    d = big(workers, can_probe=True)
-    looked = []
+        driver.report(1, 2 + n % 2)
+    driver.report(1, 0)
+    executor = driver.balancer.executors[1]
+    driver.arrive(0)
+    assert executor.capacity - executor.held_slots <= 0
+    driver.now += 60_000_000
+    assert sends(driver.arrive(0))
+
+
+@pytest.mark.parametrize("executor_count", [20, 2000])
+def test_executors_examined_per_request_do_not_grow_with_the_cluster(executor_count, monkeypatch):
+    """Examining every executor for each request takes too much CPU time in a large cluster."""
+    driver = large_cluster_driver(executor_count, can_probe=True)
+    examined = []
     free_capacity = learning.free_capacity
-    monkeypatch.setattr(learning, "free_capacity", lambda *about: looked.append(1) or free_capacity(*about))
+    monkeypatch.setattr(
+        learning, "free_capacity", lambda *arguments: examined.append(1) or free_capacity(*arguments)
+    )
     for _ in range(20):
-        d.arrive(0)
-    assert 0 < len(looked) <= 20 * 8 * 2
+        driver.arrive(0)
+    assert 0 < len(examined) <= 20 * 8 * 2
 
 
-def test_cold_sends_of_hundreds_of_dispatchers_keep_the_budget_and_use_it():
-    """A part of the budget below one job was never used: cold zones stayed idle for all their warm-up."""
+def test_hundreds_of_balancers_use_and_keep_the_budget_of_a_warming_executor():
+    """A share below one request is rounded at random; otherwise the executor stays idle while it warms up."""
     sent = 0.0
     for seed in range(300):
-        d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=300, seed=seed)
-        d.balancer.executors[1].slots = 10.0
-        d.now += 1_000_000
-        d.report(1, 10)
-        sent += 200_000 * sum(len(sends(d.arrive(0))) for _ in range(3))
-    budget = 3.0 * 0.2 * 10 * 2_000_000  # of all together in a window, at the cold share
+        driver = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=300, seed=seed)
+        driver.balancer.executors[1].slots = 10.0
+        driver.now += 1_000_000
+        driver.report(1, 10)
+        sent += 200_000 * sum(len(sends(driver.arrive(0))) for _ in range(3))
+    budget = 3.0 * 0.2 * 10 * 2_000_000  # slot-time (us) per window for all balancers, at the start
     assert 0.2 * budget < sent < budget
 
 
-def test_the_draw_of_a_cold_worker_is_one_for_each_window():
-    """Asked again for each job, many dispatchers would all win it in the end."""
-    wins = []
+def test_rounding_sample_of_a_warming_executor_is_drawn_once_per_window():
+    """With a new sample for each request, every balancer would send one in the end."""
+    sent_counts = []
     for seed in range(60):
-        d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=300, seed=seed)
-        d.balancer.executors[1].slots = 10.0
-        d.now += 1_000_000
-        wins.append(sum(len(sends(d.arrive(0))) for _ in range(50)))
-    assert max(wins) <= 1 and sum(wins) < 20
+        driver = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=300, seed=seed)
+        driver.balancer.executors[1].slots = 10.0
+        driver.now += 1_000_000
+        sent_counts.append(sum(len(sends(driver.arrive(0))) for _ in range(50)))
+    assert max(sent_counts) <= 1 and sum(sent_counts) < 20
 
 
-def test_a_job_that_alone_would_push_a_cold_worker_over_is_never_drawn_for_it():
-    """Drawn by chance for its part, one of 19 s went to a worker that stands 2.1 s of work in a window."""
-    heavy = 10 * 3.0 * 0.2 * 10 * 2_000_000  # slot-time: ten times what all together may send in a window
+def test_request_larger_than_the_budget_is_never_sent_to_a_warming_executor():
+    """Random rounding must not admit a request that overloads the executor by itself."""
+    oversized_us = 10 * 3.0 * 0.2 * 10 * 2_000_000  # ten times the budget of all balancers in a window
     for seed in range(300):
-        d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=30, seed=seed, tells_start=False)
-        d.balancer.executors[1].slots = 10.0
-        times = d.balancer.state.learned.class_times[0]
-        times.log_ratio, times.count = 0.0, 1  # one has ended: hints count as they are
-        d.now += 1_000_000
-        d.report(1, 10)
-        use = d.balancer.executors[1].slow_start
-        use.sampled_at, use.rounding_sample = d.now, 0.999  # the luckiest of a thousand
-        assert not sends(d.arrive(0, hint_us=int(heavy)))
-        assert sends(d.arrive(0, hint_us=100_000))
-
-
-def test_short_hints_do_not_fill_a_cold_worker_with_more_than_it_stands():
-    """Rough hints that call jobs short are mostly wrong: 2.3 s by nine of them were over 6 s."""
-    for hint, least in ((2_000, 100_000), (50_000, 100_000), (800_000, 800_000)):
-        d = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=1, tells_start=False)
-        times = d.balancer.state.learned.class_times[0]
-        times.log_ratio, times.count = 0.0, 1  # one of 0.2 s has ended: hints count as they are
-        d.report(1, 10)
-        assert sends(d.arrive(0, hint_us=hint))
-        assert d.balancer.executors[1].slow_start.sends[0].work_us >= least
+        driver = Driver(
+            entries=[entry(1, started_at=1_000_000_000)], instances=30, seed=seed, tells_start=False
+        )
+        driver.balancer.executors[1].slots = 10.0
+        times = driver.balancer.state.learned.class_times[0]
+        times.log_ratio, times.count = 0.0, 1  # one request has ended, with a ratio of 1
+        driver.now += 1_000_000
+        driver.report(1, 10)
+        usage = driver.balancer.executors[1].slow_start
+        usage.sampled_at, usage.rounding_sample = driver.now, 0.999  # extreme sample
+        assert not sends(driver.arrive(0, hint_us=int(oversized_us)))
+        assert sends(driver.arrive(0, hint_us=100_000))
+
+
+def test_expected_work_of_a_short_hint_has_a_lower_bound():
+    """Imprecise hints of short running times are mostly too short and would overload the executor."""
+    for hint_us, min_work_us in ((2_000, 100_000), (50_000, 100_000), (800_000, 800_000)):
+        driver = Driver(entries=[entry(1, started_at=1_000_000_000)], instances=1, tells_start=False)
+        times = driver.balancer.state.learned.class_times[0]
+        times.log_ratio, times.count = 0.0, 1  # one request of 0.2 s has ended, with a ratio of 1
+        driver.report(1, 10)
+        assert sends(driver.arrive(0, hint_us=hint_us))
+        assert driver.balancer.executors[1].slow_start.sends[0].work_us >= min_work_us
--- a/tests/decisions/test_many_balancers.py
+++ b/tests/decisions/test_many_balancers.py
@@ -1,188 +1,212 @@
-"""Faults of a large fleet: many modules side by side on one seeded clock, counted over all of them."""
+"""Faults of a large cluster: a simulation of many balancers, with results over all of them."""
 
 import unittest
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.interface import ExecutorState
-from tests.support.balancer_simulation import SLOTS, Fleet, S
+from tests.support.balancer_simulation import SECOND_US, SLOTS, SimulatedCluster
 
 
-def replace(fleet: Fleet, count: int, at: float) -> list:
-    """Drain so many executors, and start as many cold ones in their places half a second later."""
-    old, new = fleet.random.sample(fleet.untouched, count), []
-    fleet.untouched = [executor for executor in fleet.untouched if executor not in old]
+def replace_executors(cluster: SimulatedCluster, count: int, at: float) -> list:
+    """Drain some executors at time `at` (s), and start a new one for each in its zone 0.5 s later."""
+    old, new = cluster.random.sample(cluster.fault_candidates, count), []
+    cluster.fault_candidates = [executor for executor in cluster.fault_candidates if executor not in old]
 
-    def come() -> None:
-        new.extend(fleet.add_executor(executor.kind, executor.zone, since=fleet.now) for executor in old)
-        fleet.at(fleet.now + S, lambda: fleet.news(*new))
+    def start_new() -> None:
+        new.extend(
+            cluster.add_executor(executor.kind, executor.zone, started_at=cluster.now) for executor in old
+        )
+        cluster.schedule(cluster.now + SECOND_US, lambda: cluster.send_list_changes(*new))
 
-    fleet.at(at * S, lambda: fleet.news(*old, state=ExecutorState.DRAINING))
-    fleet.at((at + 0.5) * S, come)
+    cluster.schedule(at * SECOND_US, lambda: cluster.send_list_changes(*old, state=ExecutorState.DRAINING))
+    cluster.schedule((at + 0.5) * SECOND_US, start_new)
     return new
 
 
-class Newcomers:
-    """What holds for the cold executors of `new`, over all nodes together."""
+class WarmingExecutorTests:
+    """Tests of the executors `new`, which warm up, under the load of all nodes together."""
 
     new: list
 
-    def test_cold_newcomers_carry_jobs_before_they_are_warm(self) -> None:
-        """Each node took an even part of one slot's budget, so nearly all stayed idle for 9 s."""
+    def test_warming_executors_serve_requests(self) -> None:
+        """With too small a share of the budget for each node, they stay idle until they are warm."""
         used = sum(
             work
             for executor in self.new
-            for at, work in executor.taken
-            if 2 * S < at - executor.since < 6 * S
+            for at, work in executor.received_work
+            if 2 * SECOND_US < at - executor.started_at < 6 * SECOND_US
         )
-        could = sum(
-            SLOTS * executor.speed * executor.share(executor.since + 4 * S) * 4 * S for executor in self.new
+        capacity = sum(
+            SLOTS
+            * executor.speed
+            * executor.capacity_share(executor.started_at + 4 * SECOND_US)
+            * 4
+            * SECOND_US
+            for executor in self.new
         )
-        self.assertGreater(used / could, 0.2)
+        self.assertGreater(used / capacity, 0.2)
 
-    def test_all_nodes_together_send_them_no_more_than_they_stand(self) -> None:
-        """By windows: single heavy jobs are beyond any budget, so the mean of the executors counts."""
+    def test_all_nodes_together_do_not_overload_warming_executors(self) -> None:
+        """A single large request may exceed any budget, so the mean over the executors is checked."""
         for age in (1.5, 3, 4.5, 6):
-            pressures = [executor.pressure(executor.since + int(age * S)) for executor in self.new]
-            self.assertLess(sum(pressures) / len(pressures), 0.6)
+            ratios = [
+                executor.overload_ratio(executor.started_at + int(age * SECOND_US)) for executor in self.new
+            ]
+            self.assertLess(sum(ratios) / len(ratios), 0.6)
 
 
-class MassReplacement(Newcomers, unittest.TestCase):
-    """Six in ten executors are replaced within 7 s, as in a release."""
+class MassReplacement(WarmingExecutorTests, unittest.TestCase):
+    """Six in ten executors are replaced within a few seconds, as in a release."""
 
     @classmethod
     def setUpClass(cls) -> None:
-        cls.fleet = Fleet(load=0.62, seed=3)
-        first, second = replace(cls.fleet, 18, 6), replace(cls.fleet, 18, 9)
-        cls.fleet.run(24)
+        cls.cluster = SimulatedCluster(load=0.62, seed=3)
+        first, second = replace_executors(cls.cluster, 18, 6), replace_executors(cls.cluster, 18, 9)
+        cls.cluster.run(24)
         cls.new = first + second
 
-    def test_the_fleet_serves_on_while_it_is_replaced(self) -> None:
-        self.assertGreater(self.fleet.in_time(8, 14), 0.72)
+    def test_most_work_is_served_in_time_during_the_replacement(self) -> None:
+        self.assertGreater(self.cluster.share_in_time(8, 14), 0.72)
 
 
 class FastErrors(unittest.TestCase):
-    """Some executors fail most jobs at once, and so look idle to all."""
+    """Some executors fail most requests at once, and so appear idle."""
 
     @classmethod
     def setUpClass(cls) -> None:
-        cls.fleet = Fleet(load=0.68, seed=3)
-        cls.bad = cls.fleet.random.sample(cls.fleet.untouched, 7)
-        for executor in cls.bad:
-            cls.fleet.at(4 * S, lambda executor=executor: setattr(executor, "error_share", 0.6))
-        cls.fleet.run(16)
+        cls.cluster = SimulatedCluster(load=0.68, seed=3)
+        cls.failing = cls.cluster.random.sample(cls.cluster.fault_candidates, 7)
+        for executor in cls.failing:
+            cls.cluster.schedule(
+                4 * SECOND_US, lambda executor=executor: setattr(executor, "error_share", 0.6)
+            )
+        cls.cluster.run(16)
 
-    def test_a_node_learns_of_errors_that_others_met(self) -> None:
-        """Own jobs alone told each node anew: 2.7 times a executor's part went to those that failed."""
-        late = [executor for at, _, executor, _ in self.fleet.sent if at > 7 * S]
-        to_bad = sum(executor in self.bad for executor in late) / len(late)
-        self.assertLess(to_bad, 0.7 * len(self.bad) / len(self.fleet.executors))
+    def test_failing_executors_get_less_than_their_share_of_attempts(self) -> None:
+        """Nodes learn from reported errors; own attempts alone would show the errors too late."""
+        late = [executor for at, _, executor, _ in self.cluster.sent if at > 7 * SECOND_US]
+        failing_share = sum(executor in self.failing for executor in late) / len(late)
+        self.assertLess(failing_share, 0.7 * len(self.failing) / len(self.cluster.executors))
 
 
-class ThinTraffic(unittest.TestCase):
-    """No node sees much of any executor, so news of each are seldom fresh."""
+class SparseTraffic(unittest.TestCase):
+    """Each node sends few requests to each executor, so its reports are seldom fresh."""
 
-    def test_probes_stay_in_proportion_when_the_fleet_is_busy(self) -> None:
-        """Two probes for nearly each job sent all nodes to what a report of a second ago showed idle."""
-        fleet = Fleet(load=0.85, seed=3)
-        fleet.run(20)
-        self.assertLess(fleet.probes / len(fleet.sent), 1.5)
-        self.assertGreater(fleet.in_time(4, 14), 0.8)
+    def test_probes_per_attempt_stay_bounded_when_the_cluster_is_busy(self) -> None:
+        """Probes for nearly every request would send all nodes to the executors last reported as idle."""
+        cluster = SimulatedCluster(load=0.85, seed=3)
+        cluster.run(20)
+        self.assertLess(cluster.probe_count / len(cluster.sent), 1.5)
+        self.assertGreater(cluster.share_in_time(4, 14), 0.8)
 
 
 class BusyZone(unittest.TestCase):
-    """Seven tenths of the traffic come to the nodes of one zone, which has a quarter of the executors."""
+    """The nodes of one zone get 70% of the traffic, and the zone has a quarter of the executors."""
 
-    def test_a_busy_zone_is_spared_while_others_idle(self) -> None:
-        """Its nodes found an idle slot at home for most jobs: 6.5 jobs a executor there, 0.5 elsewhere."""
-        parts = []
+    def test_busy_zone_sends_requests_to_idle_zones(self) -> None:
+        """Otherwise its nodes take an idle local slot for most requests and overload their own zone."""
+        relative_loads = []
         for seed in (1, 2, 3, 4):
-            fleet = Fleet(load=0.6, seed=seed, skew=(0.7, 0.1, 0.1, 0.1))
-            fleet.run(16)
-            work = [(executor.zone, job.work) for at, _, executor, job in fleet.sent if at > 4 * S]
-            speeds = [(executor.zone, executor.speed) for executor in fleet.executors.values()]
-            parts.append(own_part(work) / own_part(speeds))
-        self.assertLess(sum(parts) / len(parts), 1.3)
-
-
-def own_part(pairs: list[tuple[int, float]]) -> float:
-    """The part of zone 0."""
+            cluster = SimulatedCluster(load=0.6, seed=seed, traffic_by_zone=(0.7, 0.1, 0.1, 0.1))
+            cluster.run(16)
+            work = [
+                (executor.zone, request.work_us)
+                for at, _, executor, request in cluster.sent
+                if at > 4 * SECOND_US
+            ]
+            speeds = [(executor.zone, executor.speed) for executor in cluster.executors.values()]
+            relative_loads.append(share_of_zone_0(work) / share_of_zone_0(speeds))
+        self.assertLess(sum(relative_loads) / len(relative_loads), 1.3)
+
+
+def share_of_zone_0(pairs: list[tuple[int, float]]) -> float:
+    """Return the share of zone 0 in the sum of values; each pair is a zone and a value."""
     return sum(value for zone, value in pairs if zone == 0) / sum(value for _, value in pairs)
 
 
 class ZoneLoss(unittest.TestCase):
-    """All executors of one zone vanish; the list tells 8 s later."""
+    """All executors of one zone are lost, and the endpoint list still contains them."""
 
-    def test_a_probe_that_does_not_connect_counts_as_much_as_a_job(self) -> None:
-        """Probes failed 200 times a second, and each node went on to probe and to send there."""
-        met = 0
+    def test_failed_probes_and_attempts_at_a_lost_zone_stay_few(self) -> None:
+        """A probe that cannot connect counts as a failed attempt; otherwise nodes keep probing the zone."""
+        unanswered = 0
         for seed in (1, 2, 3):
-            fleet = Fleet(load=0.6, seed=seed)
-            lost = [executor for executor in fleet.executors.values() if executor.zone == 2]
-            fleet.at(6 * S, lambda lost=lost: [setattr(executor, "gone", True) for executor in lost])
-            fleet.run(14)
-            met += fleet.unanswered
-        self.assertLess(met / 3 / len(fleet.balancers), 13)  # attempts and probes a node, for 15 executors
+            cluster = SimulatedCluster(load=0.6, seed=seed)
+            lost = [executor for executor in cluster.executors.values() if executor.zone == 2]
+            cluster.schedule(
+                6 * SECOND_US,
+                lambda lost=lost: [setattr(executor, "is_lost", True) for executor in lost],
+            )
+            cluster.run(14)
+            unanswered += cluster.unanswered_count
+        # Attempts and probes per node; the zone has 15 executors.
+        self.assertLess(unanswered / 3 / len(cluster.balancers), 13)
 
 
-class ZoneReturn(Newcomers, unittest.TestCase):
-    """A zone that was lost comes back cold, idle by its reports and near to its nodes."""
+class ZoneReturn(WarmingExecutorTests, unittest.TestCase):
+    """The executors of a lost zone start again: idle by their reports, local to some nodes, warming up."""
 
     @classmethod
     def setUpClass(cls) -> None:
-        cls.fleet = fleet = Fleet(load=0.6, seed=4)
-        lost, cls.new = [executor for executor in fleet.executors.values() if executor.zone == 0], []
+        cls.cluster = cluster = SimulatedCluster(load=0.6, seed=4)
+        lost, cls.new = [executor for executor in cluster.executors.values() if executor.zone == 0], []
 
-        def come() -> None:
+        def start_new() -> None:
             cls.new.extend(
-                fleet.add_executor(executor.kind, executor.zone, since=fleet.now) for executor in lost
+                cluster.add_executor(executor.kind, executor.zone, started_at=cluster.now)
+                for executor in lost
             )
-            fleet.at(fleet.now + S, lambda: fleet.news(*cls.new))
+            cluster.schedule(cluster.now + SECOND_US, lambda: cluster.send_list_changes(*cls.new))
 
-        fleet.at(4 * S, lambda: [setattr(executor, "gone", True) for executor in lost])
-        fleet.at(8 * S, lambda: fleet.news(*lost, state=ExecutorState.GONE))
-        fleet.at(10 * S, come)
-        fleet.run(20)
+        cluster.schedule(4 * SECOND_US, lambda: [setattr(executor, "is_lost", True) for executor in lost])
+        cluster.schedule(8 * SECOND_US, lambda: cluster.send_list_changes(*lost, state=ExecutorState.GONE))
+        cluster.schedule(10 * SECOND_US, start_new)
+        cluster.run(20)
 
 
-class Overbooked(Fleet):
-    """Its discovery takes 0.3 s for a call, in turn: one that has waited for 2 s fails, as does a ninth."""
+class ClusterWithSlowDiscovery(SimulatedCluster):
+    """Discovery serves one call at a time in 0.3 s; calls fail after 2 s, and at once if eight wait."""
 
     def __init__(self, **more) -> None:
-        self.free_at = self.calls = 0
-        self.listed: dict[int, int] = {}
+        self.discovery_free_at = self.discovery_calls = 0
+        self.first_listed_at: dict[int, int] = {}
         super().__init__(**more)
 
     def _subscribe(self, node: int, action: api.Subscribe) -> None:
-        self.calls += 1
-        waits = max(0, self.free_at - self.now)
-        if waits > 8 * 0.3 * S:
-            self.at(self.now, lambda: self.tell(node, api.EndpointList(api.EndpointListKind.FAILED, [])))
+        self.discovery_calls += 1
+        wait_us = max(0, self.discovery_free_at - self.now)
+        if wait_us > 8 * 0.3 * SECOND_US:
+            self.schedule(
+                self.now, lambda: self.deliver(node, api.EndpointList(api.EndpointListKind.FAILED, []))
+            )
             return
-        self.free_at = self.now + waits + 0.3 * S  # whether or not somebody still waits for it
-        if waits > 2 * S:
-            self.at(
-                self.now + 2 * S, lambda: self.tell(node, api.EndpointList(api.EndpointListKind.FAILED, []))
+        # Discovery serves a call even if its caller no longer waits.
+        self.discovery_free_at = self.now + wait_us + 0.3 * SECOND_US
+        if wait_us > 2 * SECOND_US:
+            self.schedule(
+                self.now + 2 * SECOND_US,
+                lambda: self.deliver(node, api.EndpointList(api.EndpointListKind.FAILED, [])),
             )
         else:
-            self.at(self.free_at, lambda: self._answer(node))
+            self.schedule(self.discovery_free_at, lambda: self._answer_subscribe(node))
 
-    def _answer(self, node: int) -> None:
-        self.listed.setdefault(node, self.now)
-        self.tell(node, api.EndpointList(api.EndpointListKind.DELTA, []))
+    def _answer_subscribe(self, node: int) -> None:
+        self.first_listed_at.setdefault(node, self.now)
+        self.deliver(node, api.EndpointList(api.EndpointListKind.DELTA, []))
 
 
 class SynchronisedRestart(unittest.TestCase):
-    """All nodes start at once, and discovery serves a few calls a second."""
+    """All nodes start at once, and discovery serves only a few calls per second."""
 
-    def test_every_node_has_its_list_before_rule_3_counts_it_as_told(self) -> None:
-        """Asking again within 1.5 s kept it overbooked: 521 of 569 calls failed, and lists stayed old."""
+    def test_every_node_gets_its_endpoint_list_within_bounded_time_and_calls(self) -> None:
+        """Retries without long jittered delays keep discovery overloaded, and nodes keep old lists."""
         for seed in range(5):
-            fleet = Overbooked(load=0.01, seed=seed)
-            fleet.run(40)
-            self.assertEqual(len(fleet.listed), 40)
-            self.assertLess(max(fleet.listed.values()), 4 * fleet.settings[0].ask_within_us)
-            self.assertLess(sorted(fleet.listed.values())[30], 25 * S)
-            self.assertLess(fleet.calls, 4 * 40)
+            cluster = ClusterWithSlowDiscovery(load=0.01, seed=seed)
+            cluster.run(40)
+            self.assertEqual(len(cluster.first_listed_at), 40)
+            self.assertLess(max(cluster.first_listed_at.values()), 4 * cluster.settings[0].ask_within_us)
+            self.assertLess(sorted(cluster.first_listed_at.values())[30], 25 * SECOND_US)
+            self.assertLess(cluster.discovery_calls, 4 * 40)
 
 
 if __name__ == "__main__":
--- a/tests/decisions/test_sequences.py
+++ b/tests/decisions/test_sequences.py
@@ -1,4 +1,4 @@
-"""Long random but legal event sequences with fixed seeds: rules 1 to 3 and the count of slots held."""
+"""Random sequences of legal events with fixed seeds, checked against rules 1 to 3 and the held slots."""
 
 import random
 from dataclasses import dataclass, field
@@ -18,144 +18,164 @@
     keyed(DeduplicationScope.ZONE),
     keyed(DeduplicationScope.CELL),
 )
-SURE_NOT_RUN = {Outcome.FULL, Outcome.CONNECT_FAILED}
+NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED}
 
 
 @dataclass
-class Out:
-    """An attempt as the outside world sees it."""
+class ModelAttempt:
+    """An attempt as its executor and the network see it."""
 
     number: int
-    worker: int
-    group: tuple[int, int]
-    sent: int
-    started: bool = False
+    executor_id: int
+    location: tuple[int, int]  # zone and cell
+    sent_at: int
+    is_started: bool = False
     outcome: Outcome | None = None
-    cut: bool = False
+    is_cancelled: bool = False
 
 
 @dataclass
-class Job:
-    """A request as the outside world sees it."""
+class ModelRequest:
+    """A request as its client sees it."""
 
-    spec: api.RequestClass
+    request_class: api.RequestClass
     deadline: int
-    answered: bool = False
-    attempts: list[Out] = field(default_factory=list)
+    is_answered: bool = False
+    attempts: list[ModelAttempt] = field(default_factory=list)
 
 
-class World:
-    """Draws the next legal event, and checks each action against the rules."""
+class Model:
+    """Draws the next legal event at random, and checks every action of the balancer against the rules."""
 
     def __init__(self, seed: int, **changes) -> None:
         self.random = random.Random(seed)
         self.settings = settings(*CLASSES, **changes)
         self.balancer = Balancer(self.settings, seed)
         self.now = 1_000_000_000
-        self.jobs: dict[int, Job] = {}
+        self.requests: dict[int, ModelRequest] = {}
         self.timers: dict[int, int] = {}
         self.states = {n: api.ExecutorState.READY for n in range(1, 6)}
-        self.feed(api.EndpointList(api.EndpointListKind.FULL, [self.entry(n) for n in self.states]))
+        self.feed(api.EndpointList(api.EndpointListKind.FULL, [self.list_entry(n) for n in self.states]))
 
-    def entry(self, worker: int) -> api.EndpointEntry:
-        return entry(worker, self.states[worker], zone=worker % 2, cell=worker % 3)
+    def list_entry(self, executor: int) -> api.EndpointEntry:
+        """Return the entry of an executor in the endpoint list."""
+        return entry(executor, self.states[executor], zone=executor % 2, cell=executor % 3)
 
     def feed(self, event: api.Event) -> None:
+        """Feed an event to the balancer, and check the returned actions and the held slots."""
         for action in self.balancer.handle(self.now, event):
             match action:
                 case api.Send():
-                    self.check_send(self.jobs[action.request], action.executor)
+                    self.check_send(self.requests[action.request], action.executor)
                 case api.Refuse() | api.Fail():
-                    job = self.jobs[action.request]
-                    assert not job.answered and self.now < job.deadline  # rule 1
-                    job.answered = True
-                    if isinstance(action, api.Refuse):  # rule 2: a refusal says that it may be tried again
-                        harmless = job.spec.effect == Effect.SAFE or job.spec.group == DeduplicationScope.ALL
-                        keyed_all = harmless and job.spec.effect != Effect.UNSAFE
-                        assert keyed_all or all(a.outcome in SURE_NOT_RUN for a in job.attempts)
+                    request = self.requests[action.request]
+                    assert not request.is_answered and self.now < request.deadline  # rule 1
+                    request.is_answered = True
+                    if isinstance(action, api.Refuse):  # rule 2: a retry by the client must be harmless
+                        is_harmless = (
+                            request.request_class.effect == Effect.SAFE
+                            or request.request_class.group == DeduplicationScope.ALL
+                        )
+                        may_repeat = is_harmless and request.request_class.effect != Effect.UNSAFE
+                        assert may_repeat or all(a.outcome in NEVER_RAN for a in request.attempts)
                 case api.Cancel():
-                    attempt = self.jobs[action.request].attempts[action.attempt]
+                    attempt = self.requests[action.request].attempts[action.attempt]
                     assert attempt.outcome is None
-                    attempt.cut = True
+                    attempt.is_cancelled = True
                 case api.SetTimer():
                     self.timers[action.token] = self.now + action.delay_us
-        for worker in self.balancer.executors.values():
-            held = sum(a.request.slots for a in (*worker.attempts.values(), *worker.stale_reservations))
-            assert worker.held_slots == pytest.approx(held)
-        out = {(r, a.number) for r, j in self.jobs.items() for a in j.attempts if a.outcome is None}
-        assert out == {key for worker in self.balancer.executors.values() for key in worker.attempts}
-
-    def check_send(self, job: Job, worker: int) -> None:
-        spec, group = job.spec, (worker % 2, worker % 3)
-        assert not job.answered and self.now < job.deadline  # rule 1
-        assert self.states[worker] == api.ExecutorState.READY  # rule 3
-        assert len(job.attempts) < self.settings.max_attempts
-        for attempt in job.attempts:  # rule 2
+        for executor in self.balancer.executors.values():
+            held_slots = sum(
+                a.request.slots for a in (*executor.attempts.values(), *executor.stale_reservations)
+            )
+            assert executor.held_slots == pytest.approx(held_slots)
+        in_flight = {(n, a.number) for n, r in self.requests.items() for a in r.attempts if a.outcome is None}
+        assert in_flight == {
+            key for executor in self.balancer.executors.values() for key in executor.attempts
+        }
+
+    def check_send(self, request: ModelRequest, executor: int) -> None:
+        """Check that a new attempt keeps to the rules, and record it."""
+        request_class, location = request.request_class, (executor % 2, executor % 3)
+        assert not request.is_answered and self.now < request.deadline  # rule 1
+        assert self.states[executor] == api.ExecutorState.READY  # rule 3
+        assert len(request.attempts) < self.settings.max_attempts
+        for attempt in request.attempts:  # rule 2
             assert self.settings.may_duplicate or attempt.outcome is not None
-            if attempt.outcome in SURE_NOT_RUN or spec.effect == Effect.SAFE:
+            if attempt.outcome in NEVER_RAN or request_class.effect == Effect.SAFE:
                 continue
-            assert spec.effect == Effect.KEYED and self.now < attempt.sent + spec.repeat_window_us
-            if spec.group != DeduplicationScope.ALL:
-                side = 0 if spec.group == DeduplicationScope.ZONE else 1
-                assert attempt.group[side] == group[side]
-        job.attempts.append(Out(len(job.attempts), worker, group, self.now))
+            assert (
+                request_class.effect == Effect.KEYED
+                and self.now < attempt.sent_at + request_class.repeat_window_us
+            )
+            if request_class.group != DeduplicationScope.ALL:
+                index = 0 if request_class.group == DeduplicationScope.ZONE else 1
+                assert attempt.location[index] == location[index]
+        request.attempts.append(ModelAttempt(len(request.attempts), executor, location, self.now))
 
     def arrive(self) -> None:
-        number, kind = len(self.jobs) + 1, self.random.randrange(len(CLASSES))
-        left = CLASSES[kind].deadline_us
-        self.jobs[number] = Job(CLASSES[kind], self.now + left)
+        """Feed the arrival of a request of a random class."""
+        number, class_index = len(self.requests) + 1, self.random.randrange(len(CLASSES))
+        time_left_us = CLASSES[class_index].deadline_us
+        self.requests[number] = ModelRequest(CLASSES[class_index], self.now + time_left_us)
         slots, memory = self.random.choice((1.0, 1.0, 2.0)), self.random.choice((0.0, 0.5, 2.0))
-        self.feed(api.RequestArrived(number, kind, left, slots=slots, memory=memory))
+        self.feed(api.RequestArrived(number, class_index, time_left_us, slots=slots, memory=memory))
 
-    def move(self, request: int, job: Job, attempt: Out) -> None:
-        if not attempt.started and self.random.random() < 0.85:
-            attempt.started = True
-            self.feed(api.AttemptStarted(request, attempt.number, attempt.worker))
+    def advance(self, number: int, request: ModelRequest, attempt: ModelAttempt) -> None:
+        """Start an attempt, or end it with a random outcome."""
+        if not attempt.is_started and self.random.random() < 0.85:
+            attempt.is_started = True
+            self.feed(api.AttemptStarted(number, attempt.number, attempt.executor_id))
             return
-        after = [Outcome.OK] * 12 + [Outcome.ERROR, Outcome.RESET]
-        before = [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET]
-        self.end(request, job, attempt, self.random.choice(after if attempt.started else before))
-
-    def end(self, request: int, job: Job, attempt: Out, outcome: Outcome) -> None:
+        after_start = [Outcome.OK] * 12 + [Outcome.ERROR, Outcome.RESET]
+        before_start = [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET]
+        self.end(
+            number, request, attempt, self.random.choice(after_start if attempt.is_started else before_start)
+        )
+
+    def end(self, number: int, request: ModelRequest, attempt: ModelAttempt, outcome: Outcome) -> None:
+        """Feed the end of an attempt, with or without a load report."""
         attempt.outcome = outcome
-        final = not job.answered and outcome == Outcome.OK
+        is_final = not request.is_answered and outcome == Outcome.OK
         report = self.random.choice((None, (float(self.random.randrange(5)), self.random.random() * 6)))
-        job.answered |= final
-        self.feed(api.AttemptEnded(request, attempt.number, attempt.worker, outcome, final, report))
+        request.is_answered |= is_final
+        self.feed(api.AttemptEnded(number, attempt.number, attempt.executor_id, outcome, is_final, report))
 
     def step(self) -> None:
+        """Advance the clock, fire the due timers and feed one random event."""
         self.now += self.random.choice((0, 1_000, 5_000, 20_000, 80_000))
         for token in [t for t, due in self.timers.items() if due <= self.now]:
             del self.timers[token]
             self.feed(api.TimerFired(token))
-        for request, job in self.jobs.items():
-            if not job.answered and self.now >= job.deadline - 5_000:  # the host ends what is out by then
-                for attempt in [a for a in job.attempts if a.outcome is None]:
-                    self.end(request, job, attempt, Outcome.TIMEOUT)
-                assert job.answered  # rule 1: every request has its answer while the client waits
-        out = [(r, j, a) for r, j in self.jobs.items() for a in j.attempts if a.outcome is None]
-        draw = self.random.random()
-        if cut := [item for item in out if item[2].cut]:
-            self.end(*cut[0], Outcome.CANCELLED)
-        elif draw < 0.5:
+        for number, request in self.requests.items():
+            # The host of the balancer ends all attempts shortly before the deadline.
+            if not request.is_answered and self.now >= request.deadline - 5_000:
+                for attempt in [a for a in request.attempts if a.outcome is None]:
+                    self.end(number, request, attempt, Outcome.TIMEOUT)
+                assert request.is_answered  # rule 1: every request is answered before its deadline
+        in_flight = [(n, r, a) for n, r in self.requests.items() for a in r.attempts if a.outcome is None]
+        sample = self.random.random()
+        if cancelled := [item for item in in_flight if item[2].is_cancelled]:
+            self.end(*cancelled[0], Outcome.CANCELLED)
+        elif sample < 0.5:
             self.arrive()
-        elif draw < 0.95 and out:
-            self.move(*self.random.choice(out))
-        elif draw < 0.97:
-            worker = self.random.choice(list(self.states))
-            self.states[worker] = self.random.choice([*api.ExecutorState, *[api.ExecutorState.READY] * 4])
-            self.feed(api.EndpointList(api.EndpointListKind.DELTA, [self.entry(worker)]))
-        elif waiting := [r for r, j in self.jobs.items() if not j.answered]:
-            self.jobs[waiting[0]].answered = True
-            self.feed(api.RequestWithdrawn(waiting[0]))
+        elif sample < 0.95 and in_flight:
+            self.advance(*self.random.choice(in_flight))
+        elif sample < 0.97:
+            executor = self.random.choice(list(self.states))
+            self.states[executor] = self.random.choice([*api.ExecutorState, *[api.ExecutorState.READY] * 4])
+            self.feed(api.EndpointList(api.EndpointListKind.DELTA, [self.list_entry(executor)]))
+        elif unanswered := [n for n, r in self.requests.items() if not r.is_answered]:
+            self.requests[unanswered[0]].is_answered = True
+            self.feed(api.RequestWithdrawn(unanswered[0]))
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("duplicate", [False, True])
-@pytest.mark.parametrize("cancel", [False, True])
-def test_rules_and_slots_hold_over_long_random_sequences(seed, duplicate, cancel):
-    world = World(seed, may_duplicate=duplicate, can_cancel=cancel)
+@pytest.mark.parametrize("may_duplicate", [False, True])
+@pytest.mark.parametrize("can_cancel", [False, True])
+def test_rules_and_held_slots_are_correct_over_long_random_sequences(seed, may_duplicate, can_cancel):
+    model = Model(seed, may_duplicate=may_duplicate, can_cancel=can_cancel)
     for _ in range(1_200):
-        world.step()
-    assert sum(bool(job.attempts) for job in world.jobs.values()) > 100
-    assert sum(len(job.attempts) > 1 for job in world.jobs.values()) > 3
+        model.step()
+    assert sum(bool(request.attempts) for request in model.requests.values()) > 100
+    assert sum(len(request.attempts) > 1 for request in model.requests.values()) > 3
