--- a/cedarmill/net/__init__.py
+++ b/cedarmill/net/__init__.py
@@ -1,1 +1,1 @@
-"""The node's sockets: client sessions, backends, discovery, and the node that wires them."""
+"""The node's network side: client sessions, upstream connections, discovery, and the wiring of a node."""
--- a/cedarmill/net/config.py
+++ b/cedarmill/net/config.py
@@ -1,4 +1,4 @@
-"""The node's configuration, as the platform gives it at the start and with SIGHUP (JSON, environment)."""
+"""The node's configuration: the platform's JSON file, read at start and on SIGHUP, and the environment."""
 
 import os
 import socket
@@ -11,18 +11,18 @@
 
 
 class ConfigError(Exception):
-    """A configuration that the node cannot start with, in one line."""
+    """The configuration is invalid; the message is one line."""
 
 
 class Address(msgspec.Struct, frozen=True):
-    """A numeric host and a port."""
+    """A numeric IP address and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """The address of HOST:PORT; raises ValueError."""
+        """Parse HOST:PORT; raise ValueError if `text` is anything else."""
         host, colon, port = text.rpartition(":")
         if not (colon and host and port.isdecimal() and int(port) < 65536):
             raise ValueError(f"{text!r} is not HOST:PORT")
@@ -30,13 +30,15 @@
 
 
 class Limits(msgspec.Struct):
-    """What the machine grants the node."""
+    """Resource limits that the machine grants the node."""
 
-    sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024  # fewer leave no room to serve
+    sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024  # below 64 none are left for clients
     memory_mb: Annotated[float, msgspec.Meta(ge=32)] = 192.0
 
 
 class _File(msgspec.Struct):
+    """The configuration file's keys."""
+
     name: str
     listen: str
     discovery: str
@@ -48,7 +50,7 @@
 
 
 class Config:
-    """All that a node is told at its start."""
+    """A node's decoded configuration."""
 
     def __init__(self, text: bytes) -> None:
         try:
@@ -59,24 +61,24 @@
         except (ValueError, msgspec.MsgspecError) as error:
             raise ConfigError(f"configuration: {error}") from None
         self.name, self.known, self.limits = raw.name, raw.known, raw.limits
-        self.mgmt = _mgmt(raw.mgmt)
+        self.mgmt = _admin_api_address(raw.mgmt)
 
     @classmethod
     def load(cls, path: str) -> "Config":
-        """Read and decode a file; raises ConfigError or OSError."""
+        """Read and decode a configuration file; raise ConfigError or OSError."""
         with open(path, "rb") as file:
             return cls(file.read())
 
-    def fixed_changes(self, other: "Config") -> list[str]:
-        """What differs there of all that a running node keeps as it is."""
-        fixed = ("name", "listen", "limits", "settings")
-        return [name for name in fixed if getattr(self, name) != getattr(other, name)]
+    def changes_needing_restart(self, other: "Config") -> list[str]:
+        """Return the names of settings that differ in `other` and that a running node cannot change."""
+        unchangeable = ("name", "listen", "limits", "settings")
+        return [name for name in unchangeable if getattr(self, name) != getattr(other, name)]
 
 
-def _mgmt(configured: str) -> Address | None:
-    """Where the admin API listens: `$LB_MGMT`, else the configuration's `mgmt`, else nowhere."""
-    by_environment = os.environ.get("LB_MGMT")
-    text, source = (by_environment, "LB_MGMT") if by_environment else (configured, "mgmt")
+def _admin_api_address(configured: str) -> Address | None:
+    """Return the admin API's address from `$LB_MGMT`, else from `mgmt`; None if neither is set."""
+    from_environment = os.environ.get("LB_MGMT")
+    text, source = (from_environment, "LB_MGMT") if from_environment else (configured, "mgmt")
     try:
         return Address.parse(text) if text else None
     except ValueError as error:
@@ -84,22 +86,22 @@
 
 
 def inherited_socket() -> socket.socket | None:
-    """The clients' listening socket that the platform holds, named by `$LB_SOCKET_FD`; raises ConfigError."""
+    """Return the listening socket whose descriptor is `$LB_SOCKET_FD`, None if unset; raise ConfigError."""
     text = os.environ.get("LB_SOCKET_FD")
     if not text:
         return None
     if not text.isdecimal():
-        raise ConfigError(f"LB_SOCKET_FD={text}: not a descriptor's number")
+        raise ConfigError(f"LB_SOCKET_FD={text}: not a file descriptor number")
     try:
         sock = socket.socket(fileno=int(text))
     except OSError as error:
         raise ConfigError(f"LB_SOCKET_FD={text}: {error.strerror or error}") from None
     try:
-        accepts = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-        listening = sock.type == socket.SOCK_STREAM and accepts
+        accepts_connections = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        is_listening = sock.type == socket.SOCK_STREAM and accepts_connections
     except OSError:
-        listening = False
-    if not listening:
-        sock.detach()  # not ours to close
+        is_listening = False
+    if not is_listening:
+        sock.detach()  # the descriptor belongs to the platform, so it stays open
         raise ConfigError(f"LB_SOCKET_FD={text}: not a listening TCP socket")
     return sock
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -1,4 +1,4 @@
-"""The node: wires balancer, dispatch and sockets, and runs them till a signal ends the process."""
+"""Wires a node's balancer, dispatch and sockets, and runs them until a signal ends the process."""
 
 import gc
 import os
@@ -35,41 +35,41 @@
     from cedarmill.net.cluster.node_role import NodeRole
     from cedarmill.net.health.listener import HealthListener
 
-OWN_DESCRIPTORS = 24  # the loop's, the log, the listening socket, discovery: 14 were counted
-CLUSTER_DESCRIPTORS = 8  # a replica, the gossip's listener and some that ask there
-HEALTH_DESCRIPTORS = 33  # of a health listener: its socket and 32 sessions
-OWN_MEMORY_MB = 24  # measured: 16 to 20 before the first session
-SESSION_MB = 0.096  # measured: 0.07 with a body of 64 KiB that waits for its end
+OWN_DESCRIPTORS = 24  # event loop, log, listening socket, discovery, and a reserve
+CLUSTER_DESCRIPTORS = 8  # connection to a replica, gossip listener and its connections
+HEALTH_DESCRIPTORS = 33  # each health listener: its socket and 32 sessions
+OWN_MEMORY_MB = 24  # each process, before its first session
+SESSION_MB = 0.096  # each session, with a request body of 64 KiB
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
 class Node:
-    """One node on one loop."""
+    """One load balancer node on one event loop."""
 
     def __init__(self, path: str, options: Options) -> None:
         self.config, self.options = Config.load(path), options
         config, settings = self.config, self.config.settings
         self.loop = uvloop.new_event_loop()
-        self.loop.set_exception_handler(self._exception)
+        self.loop.set_exception_handler(self._log_loop_exception)
         self.timers = Timers()
         self.driver = EventLoopDriver(self.loop, self.timers)
-        self.limits = self._limits()
-        room = split_limits(self.limits, [])
+        self.limits = self._node_limits()
+        own_limits = split_limits(self.limits, [])
         deadline_tracker = DeadlineTracker(options.deadlines, len(settings.classes))
-        self.clients = ClientServer(self.driver, settings, room.sessions, options.deadlines)
-        self.pools = UpstreamPools(self.driver, settings, room.connections, options)
+        self.clients = ClientServer(self.driver, settings, own_limits.sessions, options.deadlines)
+        self.pools = UpstreamPools(self.driver, settings, own_limits.connections, options)
         self.discovery = DiscoveryClient(
             self.driver, settings, config.discovery, self.pools, Random(config.seed)
         )
         balancer = Balancer(settings, config.seed)
         self.dispatch = Dispatch(balancer, self.timers, self.pools, self.discovery, deadline_tracker)
         self.sibling = SiblingProcess(
-            self.driver, self.discovery, config.name, self._count_own, self._share_limits
+            self.driver, self.discovery, config.name, self._count_own_connections, self._apply_sibling_counts
         )
-        self.inherited = inherited_socket()
-        longest_us = max(spec.deadline_us for spec in settings.classes)
+        self.held_socket = inherited_socket()
+        longest_deadline_us = max(spec.deadline_us for spec in settings.classes)
         self.shutdown = Shutdown(
-            self.driver, self.clients, longest_us, self.inherited is not None, self._leave
+            self.driver, self.clients, longest_deadline_us, self.held_socket is not None, self._stop
         )
         for adapter in (self.clients, self.pools, self.discovery, self.sibling, self.shutdown):
             adapter.dispatch = self.dispatch
@@ -83,40 +83,41 @@
         self.warm_state = WarmStateSaver(
             self.driver, balancer, self.discovery, config.name, self._is_draining
         )
-        self.cluster_role = self._cluster_role(options.cluster) if options.cluster is not None else None
-
-    def _limits(self) -> NodeLimits:
-        """What the node may use in all, by the platform, the system and what the options take."""
-        health, granted = self.options.health, self.config.limits
-        sockets = min(granted.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        own = OWN_DESCRIPTORS + (admin.DESCRIPTORS if self.config.mgmt else 0)
-        own += CLUSTER_DESCRIPTORS if self.options.cluster is not None else 0
-        own += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
-        return NodeLimits(sockets, own, granted.memory_mb, OWN_MEMORY_MB, SESSION_MB)
-
-    def _cluster_role(self, options: ClusterOptions) -> "NodeRole":
-        """The node's part in the cluster; the platform's run has none, and loads nothing of it."""
+        self.cluster_role = self._create_role(options.cluster) if options.cluster is not None else None
+
+    def _node_limits(self) -> NodeLimits:
+        """Return the limits shared by all processes of the node, and what each process uses itself."""
+        health, configured = self.options.health, self.config.limits
+        sockets = min(configured.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        own_descriptors = OWN_DESCRIPTORS + (admin.DESCRIPTORS if self.config.mgmt else 0)
+        own_descriptors += CLUSTER_DESCRIPTORS if self.options.cluster is not None else 0
+        own_descriptors += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
+        return NodeLimits(sockets, own_descriptors, configured.memory_mb, OWN_MEMORY_MB, SESSION_MB)
+
+    def _create_role(self, options: ClusterOptions) -> "NodeRole":
+        """Create the node's role in the cluster; only nodes of a cluster import its modules."""
         from cedarmill.net.cluster.node_role import NodeRole
 
         return NodeRole(self.driver, self.config, options, self.clients, self.discovery, self.admin_handlers)
 
     def _is_draining(self) -> bool:
+        """Return whether the process has begun to shut down."""
         return self.shutdown.draining
 
-    def _count_own(self) -> ConnectionCounts:
-        """What counts against the node's limits, for its other processes."""
+    def _count_own_connections(self) -> ConnectionCounts:
+        """Return the client sessions and upstream connections that this process holds."""
         return ConnectionCounts(len(self.clients.sessions), self.pools.connections)
 
-    def _share_limits(self, siblings: list[ConnectionCounts]) -> None:
-        """The node's other processes hold so much: take what they leave."""
+    def _apply_sibling_counts(self, siblings: list[ConnectionCounts]) -> None:
+        """Limit this process to the sessions and connections that the node's other processes leave."""
         self.clients.bound, self.pools.bound = split_limits(self.limits, siblings)
 
     def _listen_for_health_checks(self) -> None:
-        """The listeners of other installations; raises OSError."""
+        """Open the configured health check listeners; raise OSError."""
         options = self.options.health
         if not (options.agent or options.http or options.grpc):
             return
-        from cedarmill.net.health import listener as health  # the platform's run has no use for it
+        from cedarmill.net.health import listener as health  # loaded only where configured
 
         node_health = health.NodeHealth(self.config.name, self.clients)
         listeners: dict[str, HealthListener[Any]] = {}
@@ -140,58 +141,59 @@
         self.shutdown.on_draining = report_draining
 
     def run(self) -> None:
-        """Serve until a signal has been obeyed; raises OSError where the address cannot be had."""
+        """Serve until a signal ends the process; raise OSError if an address cannot be bound."""
         handlers = {signal.SIGHUP: self.reload.begin, signal.SIGUSR1: self.waste_log.tell}
         for number in SIGNALS:
             self.loop.add_signal_handler(number, handlers.get(number, self.shutdown.begin))
-        self._listen()
+        self._open_listeners()
         self.admin_handlers.start()
-        if self.inherited is not None:  # a second process can be started while this one serves
-            self.warm_state.start()  # before the list: a successor asks discovery at once
+        if self.held_socket is not None:  # a second process can be started while this one serves
+            self.warm_state.start()  # before discovery starts: a successor asks it at once
         self.discovery.start(self.config.known)
         if self.cluster_role is not None:
             self.cluster_role.start()
-        if self.inherited is not None:
+        if self.held_socket is not None:
             self.sibling.start()
         self.waste_log.start()
-        self.loop.call_soon(self._started)
+        self.loop.call_soon(self._on_loop_started)
         gc.collect()
         gc.freeze()
         self.driver.end()
         self.loop.run_forever()
-        self.sibling.end()
+        self.sibling.remove_document()
         log_event("ended", name=self.config.name)
 
-    def _listen(self) -> None:
-        """Open all listeners; raises OSError."""
-        self.clients.listen(self.config.listen, self.inherited)
-        if self.inherited is not None:
-            log_event("inherited", fd=self.inherited.fileno())
+    def _open_listeners(self) -> None:
+        """Open all listeners; raise OSError."""
+        self.clients.listen(self.config.listen, self.held_socket)
+        if self.held_socket is not None:
+            log_event("inherited", fd=self.held_socket.fileno())
         if (mgmt := self.config.mgmt) is not None:
             self.admin_server.listen(mgmt)
             log_event("admin-listening", host=mgmt.host, port=self.admin_server.port)
         self._listen_for_health_checks()
 
-    def _started(self) -> None:
-        """The loop runs: only now does it hear of signals, those that came before included."""
+    def _on_loop_started(self) -> None:
+        """Unblock signals once the loop can handle them, those received before included."""
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         log_event("serves", name=self.config.name, host=self.config.listen.host, port=self.clients.port)
 
-    def _leave(self) -> None:
-        """Nothing is open any longer: the process ends."""
+    def _stop(self) -> None:
+        """Stop the loop when all sessions are closed, after leaving the cluster if there is one."""
         if self.cluster_role is not None:
             self.cluster_role.leave(self.loop.stop)
         else:
             self.loop.stop()
 
     @staticmethod
-    def _exception(_loop: object, context: dict[str, Any]) -> None:
+    def _log_loop_exception(_loop: object, context: dict[str, Any]) -> None:
+        """Log an exception that the event loop has caught."""
         log_event("loop", context.get("exception"), what=context.get("message"))
 
 
 def main(log_format: str = "text", options: Options | None = None) -> int:
-    """Start the node that the environment describes; the exit code."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # till the loop runs
+    """Run the node that `$LB_CONFIG` configures; return the exit code."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the loop runs
     log.begin(log_format)
     try:
         if not (path := os.environ.get("LB_CONFIG")):
--- a/cedarmill/net/reload.py
+++ b/cedarmill/net/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the node reads its configuration anew and asks for the endpoint list where that says."""
+"""Reloads the node's configuration on SIGHUP and moves discovery to the configured address."""
 
 import functools
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 from cedarmill.net.discovery.client import DiscoveryClient
 from cedarmill.net.loop import EventLoopDriver
 
-RELOAD_AGAIN_US = 100_000  # till a configuration file that could not be read is read again
-RELOAD_FOR_US = 30_000_000  # then that takes another signal
+RETRY_INTERVAL_US = 100_000  # between attempts to read a configuration file that could not be read
+RETRY_TIMEOUT_US = 30_000_000  # after this, the node waits for another SIGHUP
 
 
 class ConfigurationReload:
-    """Reads the configuration file whenever a signal asks for it."""
+    """Reads the configuration file on SIGHUP and applies it."""
 
     def __init__(
         self,
@@ -26,20 +26,20 @@
     ) -> None:
         self.driver, self.path, self.config, self.discovery = driver, path, config, discovery
         self.is_draining = is_draining
-        self._again: Timer | None = None  # while the file waits to be read once more
+        self._retry_timer: Timer | None = None
 
     def begin(self) -> None:
-        """A signal asks for the new configuration."""
+        """Read the configuration after a SIGHUP, in place of a retry that is still scheduled."""
         now = self.driver.now()
-        self.driver.timers.cancel(self._again)
-        self._read(now, until=now + RELOAD_FOR_US)
+        self.driver.timers.cancel(self._retry_timer)
+        self._read(now, retry_until=now + RETRY_TIMEOUT_US)
         self.driver.end()
 
-    def _read(self, now: int, until: int) -> None:
-        """Take up a new configuration; one that cannot be used changes nothing.
+    def _read(self, now: int, retry_until: int) -> None:
+        """Read and apply the configuration; an invalid one is logged and changes nothing.
 
-        A file that cannot be read (no descriptor, memory or disk just then) is read again soon: the signal
-        comes once, and where discovery is counts from then on.
+        A file that cannot be read (no descriptor or memory free, or an I/O error) is retried, since the
+        platform sends SIGHUP only once and expects the new discovery address to be used from then on.
         """
         if self.is_draining():
             return
@@ -50,11 +50,11 @@
             return
         except OSError as error:
             log_event("reload-failed", reason=error)
-            if now < until:
-                again = functools.partial(self._read, until=until)
-                self._again = self.driver.timers.add(now + RELOAD_AGAIN_US, again)
+            if now < retry_until:
+                retry = functools.partial(self._read, retry_until=retry_until)
+                self._retry_timer = self.driver.timers.add(now + RETRY_INTERVAL_US, retry)
             return
-        if fixed := self.config.fixed_changes(config):
-            log_event("reload-ignored", names=", ".join(fixed))
+        if ignored := self.config.changes_needing_restart(config):
+            log_event("reload-ignored", names=", ".join(ignored))
         log_event("reloaded", host=config.discovery.host, port=config.discovery.port)
         self.discovery.move(config.discovery)
--- a/cedarmill/net/upgrade/__init__.py
+++ b/cedarmill/net/upgrade/__init__.py
@@ -1,5 +1,5 @@
-"""What one process of a node leaves to the next, and tells a sibling process, by state files in `$TMPDIR`.
+"""State files in `$TMPDIR`: warm state for the node's next process, and attempts in flight for siblings.
 
-Nothing here interprets the documents: their form is `admin/sealed_document.py`, their content
-`decisions/snapshot.py`.
+This package only stores and transports the documents. `admin/sealed_document.py` defines their format,
+`decisions/snapshot.py` their content.
 """
--- a/cedarmill/net/upgrade/sibling.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -1,10 +1,11 @@
-"""Two processes of one node side by side: each tells the other what its attempts hold at the executors.
-
-An upgrade runs both for seconds, and an executor's report is a second old: without this, the new process
-takes the old one's attempts for other nodes' and learns late that they have ended. Each process keeps a small
-document of its own in `$TMPDIR`, claims it with a lock as long as it lives, and reads the others'. One that
-is silent because it cannot write (a full disk) goes on to count with what it told last. One that is silent
-without a claim (it died; an older program; a file system without locks) counts for nothing.
+"""Exchanges the executor capacity in use between the processes of one node during an upgrade.
+
+An upgrade runs two processes for some seconds, and executors' load reports are up to a second old. Without
+this exchange, the new process counts the old one's attempts as other nodes' load and releases their slots
+late. Each process writes a small document in `$TMPDIR`, holds a lock on it while it runs, and reads the
+documents of its siblings. A sibling that stops writing but still holds its lock (its disk is full) counts
+with its last document. A sibling that stops writing and holds no lock (it has died, runs an older program, or
+the file system has no locks) counts for nothing.
 """
 
 import os
@@ -22,17 +23,17 @@
 from cedarmill.net.loop import EventLoopDriver, clock_reading
 from cedarmill.net.upgrade.state_file import InPlaceStateFile, state_file_path
 
-KIND = "out"
-LOOK_ALONE_US = 100_000  # between two looks while no other process is seen
-LOOK_TOGETHER_US = 30_000  # while one is: an attempt's end should be known well before the next decision
-SIGN_OF_LIFE_US = 500_000  # between two writings without a change: a sign of life
-SILENT_US = 2_000_000  # without one and without a claim its process is dead, and what it held is free
-GONE_US = 20_000_000  # then a dead one's file is removed
-ExecutorUsage = dict[str, tuple[float, float]]  # slots and memory that attempts hold, by executor's name
+DOCUMENT_KIND = "out"
+POLL_INTERVAL_ALONE_US = 100_000  # while no sibling is alive
+POLL_INTERVAL_WITH_SIBLINGS_US = 30_000  # short, so that slots that a sibling releases are soon used
+HEARTBEAT_INTERVAL_US = 500_000  # longest time between two writes of an unchanged document
+HEARTBEAT_TIMEOUT_US = 2_000_000  # a sibling without a lock counts as dead after this
+DEAD_FILE_RETENTION_US = 20_000_000  # a dead sibling's file is removed after this
+ExecutorUsage = dict[str, tuple[float, float]]  # slots and memory in use by attempts, by executor name
 
 
 class SiblingDocument(msgspec.Struct):
-    """What a process tells of itself."""
+    """The resources that one process holds."""
 
     usage: ExecutorUsage = msgspec.field(name="out")
     connections: ConnectionCounts = msgspec.field(name="room")
@@ -42,98 +43,103 @@
 
 
 class SiblingView:
-    """What another process last told in its file, and when it last gave a sign of life.
+    """The last document read from a sibling's file, and the time of the sibling's last heartbeat.
 
-    A change that this process sees is a sign of life now, whatever any clock says. Only what stood there at
-    the first sight is judged by the time in it: by the machine's clock, which both processes share. Where
-    that cannot be read (an older program's document), it counts from the first sight.
+    Every change seen after the first read is a heartbeat at the time of reading, regardless of the time in
+    the document. For the first document read, the heartbeat is the time in the document on the machine's
+    monotonic clock, or the time of reading if the document has no such time (an older program wrote it).
     """
 
     def __init__(self, path: str) -> None:
         self.file = InPlaceStateFile(path)
-        self.texts: list[bytes] = []
-        self.alive_at: int | None = None  # us; None: nothing whole was read yet
+        self.last_texts: list[bytes] = []
+        self.last_heartbeat_us: int | None = None  # None until a complete document was read
         self.document = SiblingDocument({}, ConnectionCounts(0, 0))
 
     def read(self, node: str, now: ClockReading) -> None:
-        """Take up what is new; raises ValueError (what held goes on) or OSError."""
-        if (texts := self.file.texts()) == self.texts:
+        """Read the document if it has changed; on ValueError or OSError the last one is kept."""
+        if (texts := self.file.texts()) == self.last_texts:
             return
-        self.texts = texts
-        written, body = sealed_document.unseal_newest(texts, KIND, node, now)
+        self.last_texts = texts
+        written_at, body = sealed_document.unseal_newest(texts, DOCUMENT_KIND, node, now)
         self.document = _DECODER.decode(body)
-        if self.alive_at is None and written.is_comparable(now):
-            self.alive_at = written.monotonic_us
-        elif self.alive_at is None and written.is_of_other_boot(now):
-            self.alive_at = now.monotonic_us - SILENT_US - 1  # of no process of this machine, till it changes
+        if self.last_heartbeat_us is None and written_at.is_comparable(now):
+            self.last_heartbeat_us = written_at.monotonic_us
+        elif self.last_heartbeat_us is None and written_at.is_of_other_boot(now):
+            # No running process wrote a document of another boot: the sibling is dead until a change.
+            self.last_heartbeat_us = now.monotonic_us - HEARTBEAT_TIMEOUT_US - 1
         else:
-            self.alive_at = now.monotonic_us
+            self.last_heartbeat_us = now.monotonic_us
 
-    def lives(self, now_us: int) -> bool:
-        """Whether it has told anything, and has given a sign of life lately or still claims its document."""
-        if self.alive_at is None:
+    def is_alive(self, now_us: int) -> bool:
+        """Return whether a document was read and its process sends heartbeats or holds the file's lock."""
+        if self.last_heartbeat_us is None:
             return False
-        return not self.silent_for(now_us, SILENT_US) or self.file.is_claimed()
+        return not self.is_silent_for(now_us, HEARTBEAT_TIMEOUT_US) or self.file.is_claimed()
 
-    def silent_for(self, now_us: int, span_us: int) -> bool:
-        """Whether it has given no sign of life for that long; a file that was only just made is none yet."""
-        return self.alive_at is not None and now_us - self.alive_at > span_us
+    def is_silent_for(self, now_us: int, span_us: int) -> bool:
+        """Return whether the last heartbeat is older than `span_us`; False while no document was read."""
+        return self.last_heartbeat_us is not None and now_us - self.last_heartbeat_us > span_us
 
 
 class SiblingProcess:
-    """This process's document, and what the others' tell."""
+    """Publishes this process's resources in use to its siblings, and passes theirs to the balancer."""
 
-    dispatch: Dispatch  # set by whoever wires the node
+    dispatch: Dispatch  # set by the node after construction
 
     def __init__(
         self,
         driver: EventLoopDriver,
         discovery: DiscoveryClient,
         node: str,
-        count_own: Callable[[], ConnectionCounts],
-        share_limits: Callable[[list[ConnectionCounts]], None],
+        count_own_connections: Callable[[], ConnectionCounts],
+        on_sibling_counts: Callable[[list[ConnectionCounts]], None],
     ) -> None:
         self.driver, self.discovery, self.node = driver, discovery, node
-        self.count_own = count_own  # what this process holds of the node's limits
-        self.share_limits = share_limits  # called with what each sibling holds, when that has changed
-        self.own_file = InPlaceStateFile(state_file_path(node, f"{KIND}-{os.getpid()}"))
+        self.count_own_connections = count_own_connections
+        self.on_sibling_counts = on_sibling_counts  # called with one entry per live sibling on each change
+        self.own_file = InPlaceStateFile(state_file_path(node, f"{DOCUMENT_KIND}-{os.getpid()}"))
         self.folder, name = os.path.split(self.own_file.path)
-        self.prefix = name[: name.rindex(KIND)] + f"{KIND}-"
-        self.views: dict[str, SiblingView] = {}  # of all files that there are, by name
-        self.siblings: dict[str, SiblingView] = {}  # those of them that live
-        self.reported_usage: ExecutorUsage = {}  # to the balancer
-        self.last_written: tuple[int, SiblingDocument | None] = (0, None)  # us, and what
+        self.file_prefix = name[: name.rindex(DOCUMENT_KIND)] + f"{DOCUMENT_KIND}-"
+        self.views: dict[str, SiblingView] = {}  # by file name, dead siblings included
+        self.live_siblings: dict[str, SiblingView] = {}
+        self.reported_usage: ExecutorUsage = {}  # the siblings' total, as last reported to the balancer
+        self.last_written: tuple[int, SiblingDocument | None] = (0, None)  # time in us, document
         self.sibling_counts: list[ConnectionCounts] = []
 
     def start(self) -> None:
-        """Look for other processes from now on."""
-        self._look(self.driver.now())
+        """Start the periodic exchange with siblings."""
+        self._poll(self.driver.now())
 
-    def end(self) -> None:
-        """Nothing is held any longer."""
+    def remove_document(self) -> None:
+        """Remove this process's document when the process ends."""
         self.own_file.remove()
 
-    def _look(self, now: int) -> None:
-        """The one chain of looks."""
-        self.driver.timers.add(now + (LOOK_TOGETHER_US if self.siblings else LOOK_ALONE_US), self._look)
+    def _poll(self, now: int) -> None:
+        """Read all siblings' documents, write this process's, and schedule the next poll."""
+        self.driver.timers.add(
+            now + (POLL_INTERVAL_WITH_SIBLINGS_US if self.live_siblings else POLL_INTERVAL_ALONE_US),
+            self._poll,
+        )
         clock = clock_reading(now)
-        self._read(clock)
-        self._claim()
+        self._read_siblings(clock)
+        self._claim_own_file()
         try:
-            self._write(clock)
-        except OSError as error:  # what the others tell counts all the same
+            self._write_own_document(clock)
+        except OSError as error:  # a failed write must not keep the siblings' documents from being applied
             log_event("sibling-exchange-failed", reason=error)
-        self._count(now)
-        self._report(now)
-        counts = [sibling.document.connections for sibling in self.siblings.values()]
+        self._update_live_siblings(now)
+        self._report_usage(now)
+        counts = [sibling.document.connections for sibling in self.live_siblings.values()]
         if counts != self.sibling_counts:
             if len(counts) != len(self.sibling_counts):
                 log_event("sibling-processes", siblings=len(counts))
             self.sibling_counts = counts
-            self.share_limits(counts)
+            self.on_sibling_counts(counts)
 
-    def _read(self, clock: ClockReading) -> None:
-        names = self._names()
+    def _read_siblings(self, clock: ClockReading) -> None:
+        """Read the documents of all sibling files, and forget files that were removed."""
+        names = self._list_file_names()
         for name in names - {os.path.basename(self.own_file.path)}:
             view = self.views.setdefault(name, SiblingView(os.path.join(self.folder, name)))
             try:
@@ -143,49 +149,49 @@
         for name in self.views.keys() - names:
             self.views.pop(name).file.close()
 
-    def _names(self) -> set[str]:
-        """The files of this node's processes; those known already while the folder cannot be read."""
+    def _list_file_names(self) -> set[str]:
+        """Return the file names of all processes of this node, or the known ones if listing fails."""
         try:
             found = os.listdir(self.folder)
         except OSError as error:
             log_event("sibling-exchange-failed", reason=error)
             return set(self.views)
-        return {name for name in found if name.startswith(self.prefix) and name.endswith(".json")}
-
-    def _count(self, now: int) -> None:
-        """Those count that live; what is left of a dead one is removed in the end."""
-        self.siblings = {name: view for name, view in self.views.items() if view.lives(now)}
-        for name in self.views.keys() - self.siblings.keys():
-            self.views[name].file.close()  # opened anew at each look: its owner may have made it anew
-            if self.views[name].silent_for(now, GONE_US):
+        return {name for name in found if name.startswith(self.file_prefix) and name.endswith(".json")}
+
+    def _update_live_siblings(self, now: int) -> None:
+        """Select the siblings that are alive, and remove the files of those dead for long enough."""
+        self.live_siblings = {name: view for name, view in self.views.items() if view.is_alive(now)}
+        for name in self.views.keys() - self.live_siblings.keys():
+            self.views[name].file.close()  # reopened at each poll, since the owner may have recreated it
+            if self.views[name].is_silent_for(now, DEAD_FILE_RETENTION_US):
                 self.views.pop(name).file.remove()
 
-    def _claim(self) -> None:
-        """Claim this process's document, at the next look where it cannot be done now."""
+    def _claim_own_file(self) -> None:
+        """Lock this process's file; the next poll tries again if that fails."""
         try:
             self.own_file.claim()
-        except BlockingIOError:  # another process asks just now whether it is claimed
+        except BlockingIOError:  # a sibling is testing the lock at this moment
             pass
-        except OSError as error:  # then this process lives for the others as long as it writes
+        except OSError as error:  # without a lock, siblings go by this process's heartbeats alone
             log_event("sibling-exchange-failed", reason=error)
 
-    def _write(self, clock: ClockReading) -> None:
-        """Tell what is held: when it changed, for one that starts reads it at once; else now and then."""
-        at, before = self.last_written
+    def _write_own_document(self, clock: ClockReading) -> None:
+        """Write this process's document if it has changed or a heartbeat is due; raise OSError on failure."""
+        written_us, last_document = self.last_written
         usage = held_now(self.dispatch.balancer, self.discovery.reader.names)
-        document = SiblingDocument(usage, self.count_own())
-        if document != before or clock.monotonic_us - at >= SIGN_OF_LIFE_US:
+        document = SiblingDocument(usage, self.count_own_connections())
+        if document != last_document or clock.monotonic_us - written_us >= HEARTBEAT_INTERVAL_US:
             body = msgspec.json.encode(document)
-            self.own_file.write(sealed_document.seal(KIND, self.node, clock, body))
+            self.own_file.write(sealed_document.seal(DOCUMENT_KIND, self.node, clock, body))
             self.last_written = clock.monotonic_us, document
 
-    def _report(self, now: int) -> None:
-        """Tell the balancer of each executor where the sum has changed."""
+    def _report_usage(self, now: int) -> None:
+        """Report the siblings' total usage to the balancer for each executor where it has changed."""
         total: ExecutorUsage = {}
-        for sibling in self.siblings.values():
+        for sibling in self.live_siblings.values():
             for name, (slots, memory) in sibling.document.usage.items():
-                before = total.get(name, (0.0, 0.0))
-                total[name] = before[0] + slots, before[1] + memory
+                subtotal = total.get(name, (0.0, 0.0))
+                total[name] = subtotal[0] + slots, subtotal[1] + memory
         numbers = self.discovery.reader.numbers
         for name in self.reported_usage.keys() | total.keys():
             number, usage = numbers.get(name), total.get(name, (0.0, 0.0))
--- a/cedarmill/net/upgrade/state_file.py
+++ b/cedarmill/net/upgrade/state_file.py
@@ -1,10 +1,11 @@
-"""A small document in a file that outlives the process: written whole or not at all, read when changed.
+"""Files in `$TMPDIR` that hold one small document and outlive the process that wrote them.
 
-Two processes of one node (an old one and its replacement) share the folder; each writes its own temporary
-file and renames it over the document, so neither ever reads the other's half-written bytes.
+Two processes of one node (the old one and its replacement) share the folder. A `StateFile` is replaced
+atomically by renaming a temporary file over it, an `InPlaceStateFile` is written in place in two alternating
+halves.
 
-All of it runs on the loop's thread, so nothing here waits for another process, and only regular files of a
-bounded size are read. `$TMPDIR` is taken for a local file system: the calls themselves cannot be bounded.
+Everything here runs on the event loop's thread. No call waits for another process, and only regular files of
+limited size are read. `$TMPDIR` must be on a local file system, since file system calls have no timeout.
 """
 
 import contextlib
@@ -16,187 +17,196 @@
 
 
 def state_file_path(node: str, kind: str) -> str:
-    """Of a node's document of that kind, in `$TMPDIR`: its processes share that, and an upgrade leaves it."""
-    safe = "".join(char if char.isalnum() or char in "-_." else "_" for char in node)
-    return os.path.join(os.environ.get("TMPDIR") or "/tmp", f"cedarmill-{safe}-{kind}.json")
+    """Return the path in `$TMPDIR` of a node's document; all processes of the node share it."""
+    safe_name = "".join(char if char.isalnum() or char in "-_." else "_" for char in node)
+    return os.path.join(os.environ.get("TMPDIR") or "/tmp", f"cedarmill-{safe_name}-{kind}.json")
 
 
-def _open(path: str, flags: int) -> int:
-    """A regular file's descriptor; raises OSError, also for what a read or write could wait on."""
-    file = os.open(path, flags | os.O_CLOEXEC | os.O_NONBLOCK, 0o600)
+def _open_regular_file(path: str, flags: int) -> int:
+    """Return a descriptor of a regular file; raise OSError for any other kind, which reads could block on."""
+    descriptor = os.open(path, flags | os.O_CLOEXEC | os.O_NONBLOCK, 0o600)
     try:
-        if not stat.S_ISREG(os.fstat(file).st_mode):
+        if not stat.S_ISREG(os.fstat(descriptor).st_mode):
             raise OSError(errno.EINVAL, "not a regular file", path)
     except OSError:
-        os.close(file)
+        os.close(descriptor)
         raise
-    return file
+    return descriptor
 
 
-def _write_all(file: int, text: bytes, at: int) -> None:
-    """Write at that place, however short the system cuts it; raises OSError, and a part may be written."""
-    while text:
-        written = os.pwrite(file, text, at)
+def _write_all(descriptor: int, data: bytes, offset: int) -> None:
+    """Write all of `data` at `offset`; an OSError may leave a part of it written."""
+    while data:
+        written = os.pwrite(descriptor, data, offset)
         if not written:
-            raise OSError(errno.EIO, "nothing written")
-        text, at = text[written:], at + written
+            raise OSError(errno.EIO, "pwrite wrote 0 bytes")
+        data, offset = data[written:], offset + written
 
 
-def _read_all(file: int, length: int, at: int) -> bytes:
-    """So many bytes from there, fewer where the file ends; raises OSError."""
-    text = b""
-    while len(text) < length and (part := os.pread(file, length - len(text), at + len(text))):
-        text += part
-    return text
+def _read_all(descriptor: int, length: int, offset: int) -> bytes:
+    """Return `length` bytes from `offset`, or fewer at the end of the file; raise OSError on failure."""
+    data = b""
+    while len(data) < length and (chunk := os.pread(descriptor, length - len(data), offset + len(data))):
+        data += chunk
+    return data
 
 
 class StateFile:
-    """One document; `read` gives it only when the file changed since this process last saw it."""
+    """A document that is replaced atomically and read only when another process has changed it."""
 
-    MAX_BYTES = 1024 * 1024  # of a document: what is larger is none of ours, and is not read
+    MAX_BYTES = 1024 * 1024  # this program writes no larger document, so larger files are not read
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self._seen: tuple[int, int, int] | None = None  # inode, size, change time in ns
+        self._last_identity: tuple[int, int, int] | None = None  # inode, size, modification time in ns
 
     def read(self) -> bytes | None:
-        """The document if it is new to this process; None if unchanged or absent. Raises OSError."""
+        """Return the document, or None if it is absent or unchanged since the last call; raise OSError."""
         try:
-            if _identity(os.stat(self.path)) == self._seen:
+            if _file_identity(os.stat(self.path)) == self._last_identity:
                 return None
-            file = _open(self.path, os.O_RDONLY)
+            descriptor = _open_regular_file(self.path, os.O_RDONLY)
         except FileNotFoundError:
             return None
         try:
-            seen = os.fstat(file)
-            if seen.st_size > self.MAX_BYTES:
+            status = os.fstat(descriptor)
+            if status.st_size > self.MAX_BYTES:
                 raise OSError(errno.EFBIG, os.strerror(errno.EFBIG), self.path)
-            text = _read_all(file, self.MAX_BYTES, 0)
+            data = _read_all(descriptor, self.MAX_BYTES, 0)
         finally:
-            os.close(file)
-        self._seen = _identity(seen)
-        return text
+            os.close(descriptor)
+        self._last_identity = _file_identity(status)
+        return data
 
     @contextlib.contextmanager
     def alone(self) -> Iterator[None]:
-        """Between a read and the write that follows from it, no other process changes it.
+        """Hold an exclusive lock, so that no other process changes the document between a read and a write.
 
-        Raises BlockingIOError at once while another process holds it: for the time of one small write, or
-        for as long as that process stands still; a killed one lets go. Raises OSError where it fails.
+        Raises BlockingIOError at once if another process holds the lock: it does so for one small write, or
+        longer if it is stopped. The system releases the lock of a killed process. Raises OSError if locking
+        fails.
         """
-        file = _open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT)
+        descriptor = _open_regular_file(f"{self.path}.lock", os.O_RDWR | os.O_CREAT)
         try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             yield
         finally:
-            os.close(file)
+            os.close(descriptor)
 
-    def write(self, text: bytes) -> None:
-        """Replace the document whole; raises OSError, and the old document then stays."""
+    def write(self, data: bytes) -> None:
+        """Replace the document atomically; raise OSError and keep the old document on failure."""
         temporary = f"{self.path}.{os.getpid()}-{id(self)}.tmp"
         try:
-            file = _open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
+            descriptor = _open_regular_file(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
             try:
-                _write_all(file, text, 0)
-                seen = _identity(os.fstat(file))  # before the rename: after it nothing may fail any more
+                _write_all(descriptor, data, 0)
+                # Taken before the rename: once the document is replaced, no step may fail.
+                identity = _file_identity(os.fstat(descriptor))
             finally:
-                os.close(file)
+                os.close(descriptor)
             os.replace(temporary, self.path)
         except OSError:
-            _remove(temporary)
+            _remove_if_possible(temporary)
             raise
-        self._seen = seen
+        self._last_identity = identity
 
 
-def _identity(stat_result: os.stat_result) -> tuple[int, int, int]:
-    return stat_result.st_ino, stat_result.st_size, stat_result.st_mtime_ns
+def _file_identity(status: os.stat_result) -> tuple[int, int, int]:
+    """Return inode, size and modification time, which together change whenever the file is replaced."""
+    return status.st_ino, status.st_size, status.st_mtime_ns
 
 
 class InPlaceStateFile:
-    """A document that is written many times a second: in place, into two halves of its file in turn.
+    """A document that is written many times a second, in place, alternating between two halves of its file.
 
-    A rename makes some file systems write out at once: measured 0.6 ms, and 76 ms for one in a hundred,
-    against 0.03 ms and 0.08 ms in place. A half may be found torn: its checksum tells, and the other holds.
+    Writing in place avoids a rename, which some file systems flush to disk at once: that would block the
+    event loop. A process that dies during a write leaves a torn half, which the document's checksum reveals;
+    the other half then still holds the document before it.
     """
 
-    HALF_BYTES = 512 * 1024  # of the file for each half; only what is written takes room
-    HEADER_BYTES = 8  # the length, and a line's end
+    HALF_BYTES = 512 * 1024  # offset of the second half; the file is sparse, so unused bytes take no space
+    HEADER_BYTES = 8  # seven digits of the document's length and a newline
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self._file = -1
+        self._descriptor = -1  # -1 while the file is closed
         self._next_half = 0
-        self._claimed = False
+        self._holds_claim = False
 
     def texts(self) -> list[bytes]:
-        """What the halves hold, torn or not; none if there is no file. Raises OSError."""
+        """Return the content of each non-empty half, torn or not; [] if there is no file."""
         try:
-            self._open(os.O_RDWR)
+            self._ensure_open(os.O_RDWR)
         except FileNotFoundError:
             return []
-        return [text for half in range(2) if (text := self._half(half * self.HALF_BYTES))]
+        return [text for half in range(2) if (text := self._read_half(half * self.HALF_BYTES))]
 
-    def _half(self, at: int) -> bytes:
-        head = _read_all(self._file, self.HEADER_BYTES, at)
-        length = int(head) if head.strip().isdigit() else 0
-        return _read_all(self._file, min(length, self.HALF_BYTES - self.HEADER_BYTES), at + self.HEADER_BYTES)
+    def _read_half(self, offset: int) -> bytes:
+        """Return the content of the half that begins at `offset`; empty if its header is invalid."""
+        header = _read_all(self._descriptor, self.HEADER_BYTES, offset)
+        length = int(header) if header.strip().isdigit() else 0
+        return _read_all(
+            self._descriptor, min(length, self.HALF_BYTES - self.HEADER_BYTES), offset + self.HEADER_BYTES
+        )
 
-    def write(self, text: bytes) -> None:
-        """Put the document into the half not written last; raises OSError, and that half is then torn.
+    def write(self, data: bytes) -> None:
+        """Write the document into the half that was not written last; an OSError may leave that half torn.
 
-        The next document goes there again, so that the other half holds till one is whole.
+        After a failure the next document goes into the same half, so that the other half stays valid.
         """
-        if len(text) > self.HALF_BYTES - self.HEADER_BYTES:
+        if len(data) > self.HALF_BYTES - self.HEADER_BYTES:
             raise OSError(errno.EFBIG, os.strerror(errno.EFBIG), self.path)
-        if self._file >= 0 and not os.fstat(self._file).st_nlink:
-            self.close()  # removed under us: what is written there nobody would read
-        self._open(os.O_RDWR | os.O_CREAT)
-        _write_all(self._file, b"%07d\n" % len(text) + text, self._next_half * self.HALF_BYTES)
+        if self._descriptor >= 0 and not os.fstat(self._descriptor).st_nlink:
+            self.close()  # another process removed the file: readers cannot find it under its path
+        self._ensure_open(os.O_RDWR | os.O_CREAT)
+        _write_all(self._descriptor, b"%07d\n" % len(data) + data, self._next_half * self.HALF_BYTES)
         self._next_half = 1 - self._next_half
 
     def claim(self) -> None:
-        """Show that this process lives, whatever it can write, by a lock that ends with it.
+        """Lock the file until `close` or the end of the process, to show that the process is alive.
 
-        It holds till `close`. Raises BlockingIOError while another process asks, OSError where it fails.
+        Raises BlockingIOError while another process tests the lock, OSError if locking fails.
         """
-        if not self._claimed:
-            self._open(os.O_RDWR | os.O_CREAT)
-            fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self._claimed = True
+        if not self._holds_claim:
+            self._ensure_open(os.O_RDWR | os.O_CREAT)
+            fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self._holds_claim = True
 
     def is_claimed(self) -> bool:
-        """Whether the process that claimed the file read last lives; False also where nothing tells."""
-        if self._file < 0:
+        """Return whether another process has locked the open file; False if that cannot be determined."""
+        if self._descriptor < 0:
             return False
-        try:  # shared: those who ask do not see each other
-            fcntl.flock(self._file, fcntl.LOCK_SH | fcntl.LOCK_NB)
+        try:  # a shared lock, so that several processes can test at the same time
+            fcntl.flock(self._descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except BlockingIOError:
             return True
         except OSError:
             return False
         try:
-            fcntl.flock(self._file, fcntl.LOCK_UN)
+            fcntl.flock(self._descriptor, fcntl.LOCK_UN)
         except OSError:
-            self.close()  # or its owner could never claim it
+            self.close()  # closing releases the lock, which would keep the owner from claiming the file
         return False
 
-    def _open(self, flags: int) -> None:
-        if self._file < 0:
-            self._file = _open(self.path, flags)
+    def _ensure_open(self, flags: int) -> None:
+        """Open the file unless it is open already; raise OSError."""
+        if self._descriptor < 0:
+            self._descriptor = _open_regular_file(self.path, flags)
 
     def close(self) -> None:
-        """Let go of the file, and of the claim to it."""
-        if self._file >= 0:
-            os.close(self._file)
-            self._file = -1
-        self._claimed = False
+        """Close the file, which releases its lock."""
+        if self._descriptor >= 0:
+            os.close(self._descriptor)
+            self._descriptor = -1
+        self._holds_claim = False
 
     def remove(self) -> None:
-        """Close the file and take it away."""
+        """Close the file and delete it, ignoring errors of the deletion."""
         self.close()
-        _remove(self.path)
+        _remove_if_possible(self.path)
 
 
-def _remove(path: str) -> None:
+def _remove_if_possible(path: str) -> None:
+    """Delete a file, ignoring OSError."""
     with contextlib.suppress(OSError):
         os.remove(path)
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -10,7 +10,7 @@
 from cedarmill.admin import sealed_document
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import EventLoopDriver, boot_id
-from cedarmill.net.upgrade.sibling import SILENT_US
+from cedarmill.net.upgrade.sibling import HEARTBEAT_TIMEOUT_US
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.net import test_upgrade
 from tests.support.faulty_node_case import FaultyNodeCase
@@ -188,7 +188,7 @@
         self.old.kill()
         began = time.monotonic()
         self.wait_log("that live: 0")
-        self.assertLess(time.monotonic() - began, SILENT_US / 1e6 + 2.5)
+        self.assertLess(time.monotonic() - began, HEARTBEAT_TIMEOUT_US / 1e6 + 2.5)
 
     def each_step_of_the_clock(self, step: int) -> None:
         self.plan.step_clock(step)
@@ -198,7 +198,7 @@
 
     def test_a_folder_that_cannot_be_read_for_longer_than_a_silence(self) -> None:
         self.plan.arm(Fault("listdir", "EMFILE", times=0))
-        until = time.monotonic() + SILENT_US / 1e6 + 0.5
+        until = time.monotonic() + HEARTBEAT_TIMEOUT_US / 1e6 + 0.5
         self.wait_for(lambda: time.monotonic() > until)
         self.assertGreater(self.plan.hits("listdir"), 20)
         self.plan.arm()
--- a/tests/net/test_sibling_faults.py
+++ b/tests/net/test_sibling_faults.py
@@ -14,7 +14,12 @@
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.timers import Timers
 from cedarmill.net.loop import EventLoopDriver, boot_id
-from cedarmill.net.upgrade.sibling import GONE_US, LOOK_ALONE_US, SILENT_US, SiblingProcess
+from cedarmill.net.upgrade.sibling import (
+    DEAD_FILE_RETENTION_US,
+    HEARTBEAT_TIMEOUT_US,
+    POLL_INTERVAL_ALONE_US,
+    SiblingProcess,
+)
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.net.test_upgrade import LearnedSlots
 from tests.support.faulty_node_case import FaultyNodeCase
@@ -63,7 +68,7 @@
     def silence(self, name: str) -> None:
         """The old process's writes fail from now on, and for longer than it may be silent."""
         self.plan.arm(Fault("pwrite", name, match=f"out-{self.old.pid}.json", times=0))
-        until = time.monotonic() + SILENT_US / 1e6 + 0.5
+        until = time.monotonic() + HEARTBEAT_TIMEOUT_US / 1e6 + 0.5
         self.wait_for(lambda: time.monotonic() > until)
         self.assertGreater(self.plan.hits("pwrite"), 3)  # it tried, and failed
 
@@ -79,7 +84,7 @@
         began = time.monotonic()
         self.old.kill()
         self.wait_log("that live: 0")
-        self.assertLess(time.monotonic() - began, SILENT_US / 1e6 + LATE_S)
+        self.assertLess(time.monotonic() - began, HEARTBEAT_TIMEOUT_US / 1e6 + LATE_S)
 
 
 class CannotWrite(TwoProcesses):
@@ -130,7 +135,7 @@
         self.document = f"{self.tmpdir.name}/cedarmill-n0-out-{OTHER_PID}.json"
 
     def write_old(self) -> None:
-        write_document(f"{self.document}.new", EventLoopDriver.now() - GONE_US - 5_000_000)
+        write_document(f"{self.document}.new", EventLoopDriver.now() - DEAD_FILE_RETENTION_US - 5_000_000)
 
     def test_an_old_document_of_a_living_process_counts_and_stays(self):
         """It was removed: its owner wrote on, once it could, into a file that nobody read."""
@@ -175,12 +180,12 @@
         write_document(self.document, self.now)
         self.owner = claim(self.document)
         self.process.start()
-        self.addCleanup(self.process.end)
+        self.addCleanup(self.process.remove_document)
 
     def pass_by(self, span_us: int) -> None:
         until = self.now + span_us
         while self.now < until:
-            self.now += LOOK_ALONE_US
+            self.now += POLL_INTERVAL_ALONE_US
             for call in self.timers.sweep(self.now):
                 call(self.now)
 
@@ -188,26 +193,26 @@
         return [call.args[1:] for call in self.dispatch.set_sibling_usage.call_args_list]
 
     def test_slots_and_limits_are_held_as_told_last_till_the_claim_ends(self):
-        self.pass_by(GONE_US * 2)
+        self.pass_by(DEAD_FILE_RETENTION_US * 2)
         self.assertEqual(self.usage(), [(4, 5.0, 1.0)])
         self.assertEqual(self.shared, [[ConnectionCounts(3, 5)]])
         os.close(self.owner)
-        self.pass_by(LOOK_ALONE_US * 2)
+        self.pass_by(POLL_INTERVAL_ALONE_US * 2)
         self.assertEqual(self.usage()[1:], [(4, 0.0, 0.0)])
         self.assertEqual(self.shared[1:], [[]])
         self.assertFalse(os.path.exists(self.document))
 
     def test_what_it_tells_anew_counts_at_once(self):
-        self.pass_by(GONE_US)
+        self.pass_by(DEAD_FILE_RETENTION_US)
         write_document(self.document, self.now, slots=2.0)
-        self.pass_by(LOOK_ALONE_US * 2)
+        self.pass_by(POLL_INTERVAL_ALONE_US * 2)
         self.assertEqual(self.usage(), [(4, 5.0, 1.0), (4, 2.0, 1.0)])
         os.close(self.owner)
 
     def test_a_lock_that_cannot_be_asked_for_counts_as_none(self):
         """A process that nothing shows to live is judged by its signs of life alone."""
         with mock.patch("fcntl.flock", side_effect=OSError(37, "No locks available")):
-            self.pass_by(SILENT_US + LOOK_ALONE_US * 2)
+            self.pass_by(HEARTBEAT_TIMEOUT_US + POLL_INTERVAL_ALONE_US * 2)
         self.assertEqual(self.usage(), [(4, 5.0, 1.0), (4, 0.0, 0.0)])
         os.close(self.owner)
 
@@ -215,14 +220,14 @@
         os.close(self.owner)
         looker = os.open(self.document, os.O_RDWR)
         fcntl.flock(looker, fcntl.LOCK_SH)
-        self.pass_by(SILENT_US + LOOK_ALONE_US * 2)
+        self.pass_by(HEARTBEAT_TIMEOUT_US + POLL_INTERVAL_ALONE_US * 2)
         self.assertEqual(self.usage()[1:], [(4, 0.0, 0.0)])
         os.close(looker)
 
     def test_a_document_that_was_removed_is_claimed_anew(self):
         own = self.process.own_file.path
         os.remove(own)
-        self.pass_by(LOOK_ALONE_US * 10)
+        self.pass_by(POLL_INTERVAL_ALONE_US * 10)
         with self.assertRaises(BlockingIOError):
             claim(own)
         os.close(self.owner)
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -12,7 +12,7 @@
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import EventLoopDriver, boot_id
 from cedarmill.net.shutdown import CHECK_END_US
-from cedarmill.net.upgrade.sibling import LOOK_ALONE_US, LOOK_TOGETHER_US
+from cedarmill.net.upgrade.sibling import POLL_INTERVAL_ALONE_US, POLL_INTERVAL_WITH_SIBLINGS_US
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from cedarmill.net.upgrade.warm_state import SAVE_INTERVAL_US
 from tests.support.node_case import WAIT, Client, NodeCase, ReceivedRequest, call_admin_api
@@ -222,7 +222,7 @@
         held = [self.client().ask("issue", 12_000) for _ in range(5)]  # they outlast a slow start beside them
         asked = [self.executors[0].next_request() for _ in held]
         told = self.kept(f"out-{self.process.pid}")
-        self.let_pass(LOOK_ALONE_US)
+        self.let_pass(POLL_INTERVAL_ALONE_US)
         self.wait_for(lambda: any(b"[5.0," in text for text in told.texts()))
         told.close()
         return held, asked
@@ -259,7 +259,7 @@
         self.wait_for(ended)
         self.assertEqual(old.returncode, 0)
         old.stderr.close()
-        self.let_pass(LOOK_TOGETHER_US)
+        self.let_pass(POLL_INTERVAL_WITH_SIBLINGS_US)
         self.wait_log("that live: 0")
         client = self.client().ask()
         self.executors[0].next_request().done()
