--- a/tests/net/test_sibling_faults.py
+++ b/tests/net/test_sibling_faults.py
@@ -1,4 +1,4 @@
-"""A process that cannot write its own document: its sibling counts it while it lives, and no longer."""
+"""A process that cannot write its document: its sibling counts it while it is alive, and no longer."""
 
 import fcntl
 import json
@@ -21,16 +21,16 @@
     SiblingProcess,
 )
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
-from tests.net.test_upgrade import LearnedSlots
+from tests.net.test_upgrade import LearnedSlotsCase
 from tests.support.faulty_node_case import FaultyNodeCase
 from tests.support.system_call_faults import Fault
 
-LATE_S = 2.5  # from a death to the look that counts it: the silence, and what the machine may take
-OTHER_PID = 1  # no node of a test has it
+DETECTION_SLACK_S = 2.5  # beyond the heartbeat timeout, for a death to be detected on a busy machine
+OTHER_PID = 1  # never the process id of a test's node
 
 
 def write_document(path: str, clock_us: int, slots: float = 5.0) -> None:
-    """The document of another process, written at that time of the machine's clock."""
+    """Write another process's document, dated `clock_us` on the machine's monotonic clock."""
     body = json.dumps({"out": {"s-0": [slots, 1.0]}, "room": [3, 5]}).encode()
     file = InPlaceStateFile(path)
     file.write(sealed_document.seal("out", "n0", ClockReading(0, clock_us, boot_id()), body))
@@ -38,19 +38,19 @@
 
 
 def claim(path: str) -> int:
-    """The claim of the process that writes this document, as a descriptor that holds it."""
+    """Lock a document as its owner does; return the descriptor that holds the lock."""
     owner = os.open(path, os.O_RDWR)
     fcntl.flock(owner, fcntl.LOCK_EX | fcntl.LOCK_NB)
     return owner
 
 
-class TwoProcesses(LearnedSlots, FaultyNodeCase):
-    """An old process with five jobs out and a new one; the old one's writes can be made to fail."""
+class TwoProcessesCase(LearnedSlotsCase, FaultyNodeCase):
+    """An old process with five requests in flight, whose writes can be made to fail, and a new one."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.learn(free=5)
-        self.hold_all_slots()
+        self.learn_slots(free_slots=5)
+        self.occupy_all_slots()
         self.old = self.process
         self.addCleanup(self.end_old)
 
@@ -60,63 +60,64 @@
         self.old.communicate()
 
     def start_sibling(self) -> None:
-        """Start the new process, and wait till it counts the old one."""
-        self.next_process()
+        """Start the new process, and wait until it counts the old one."""
+        self.start_successor()
         if not any("that live: 1" in line for line in self.log):
             self.wait_log("that live: 1")
 
-    def silence(self, name: str) -> None:
-        """The old process's writes fail from now on, and for longer than it may be silent."""
-        self.plan.arm(Fault("pwrite", name, match=f"out-{self.old.pid}.json", times=0))
+    def fail_old_writes(self, error_name: str) -> None:
+        """Make the old process's writes fail, and wait for longer than the heartbeat timeout."""
+        self.plan.arm(Fault("pwrite", error_name, match=f"out-{self.old.pid}.json", times=0))
         until = time.monotonic() + HEARTBEAT_TIMEOUT_US / 1e6 + 0.5
         self.wait_for(lambda: time.monotonic() > until)
-        self.assertGreater(self.plan.hits("pwrite"), 3)  # it tried, and failed
+        self.assertGreater(self.plan.hits("pwrite"), 3)  # the fault was injected
 
-    def check_counted_till_killed(self) -> None:
-        """The new process never took the old one for dead; once killed, it counts no more."""
+    def check_counted_until_killed(self) -> None:
+        """Check that the new process never counted the old one as dead, and does so once it is killed."""
         self.reload("no configuration")
-        self.wait_log("reload failed")  # all that it had to say before has been read
+        self.wait_log("reload failed")  # all earlier lines of the log have been read
         self.assertFalse([line for line in self.log if "that live: 0" in line])
         self.assertTrue(Path(f"{self.tmpdir.name}/cedarmill-n0-out-{self.old.pid}.json").exists())
-        self.check_counts_no_more_when_killed()
+        self.check_not_counted_once_killed()
 
-    def check_counts_no_more_when_killed(self) -> None:
-        began = time.monotonic()
+    def check_not_counted_once_killed(self) -> None:
+        """Kill the old process, and check that the new one soon counts no sibling."""
+        killed_at = time.monotonic()
         self.old.kill()
         self.wait_log("that live: 0")
-        self.assertLess(time.monotonic() - began, HEARTBEAT_TIMEOUT_US / 1e6 + LATE_S)
+        self.assertLess(time.monotonic() - killed_at, HEARTBEAT_TIMEOUT_US / 1e6 + DETECTION_SLACK_S)
 
 
-class CannotWrite(TwoProcesses):
-    def test_a_process_with_a_full_disk_counts_till_it_dies(self):
-        """It counted as gone after 2 s: the new process took its slots, and the node went over its limits."""
+class WriteFaults(TwoProcessesCase):
+    def test_process_with_a_full_disk_counts_until_it_dies(self):
+        """Guards against reusing the slots and exceeding the limits of a process that is still alive."""
         self.start_sibling()
-        self.silence("ENOSPC")
-        self.check_counted_till_killed()
+        self.fail_old_writes("ENOSPC")
+        self.check_counted_until_killed()
 
-    def test_a_process_whose_disk_is_broken_counts_till_it_dies(self):
+    def test_process_with_a_disk_error_counts_until_it_dies(self):
         self.start_sibling()
-        self.silence("EIO")
-        self.check_counted_till_killed()
+        self.fail_old_writes("EIO")
+        self.check_counted_until_killed()
 
-    def test_a_process_that_starts_meanwhile_counts_it(self):
-        self.silence("ENOSPC")
+    def test_process_with_a_full_disk_is_counted_by_a_sibling_started_later(self):
+        self.fail_old_writes("ENOSPC")
         self.start_sibling()
-        self.check_counted_till_killed()
+        self.check_counted_until_killed()
 
-    def test_it_tells_again_once_it_can(self):
+    def test_process_writes_its_document_again_once_the_disk_has_space(self):
         self.start_sibling()
-        self.silence("ENOSPC")
+        self.fail_old_writes("ENOSPC")
         self.plan.arm()
-        told = InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-out-{self.old.pid}.json")
-        self.addCleanup(told.close)
-        before = told.texts()
-        self.wait_for(lambda: told.texts() != before)
-        self.check_counted_till_killed()
+        document = InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-out-{self.old.pid}.json")
+        self.addCleanup(document.close)
+        before = document.texts()
+        self.wait_for(lambda: document.texts() != before)
+        self.check_counted_until_killed()
 
 
-class NoLocks(TwoProcesses):
-    """A file system that knows no locks: as before, a process lives as long as it writes."""
+class NoFileLocks(TwoProcessesCase):
+    """On a file system without locks, a process counts as alive while it writes heartbeats."""
 
     def arm_first(self) -> None:
         self.plan.arm(Fault("flock", "ENOLCK", times=0))
@@ -124,32 +125,32 @@
     def test_processes_count_while_they_write(self):
         self.start_sibling()
         self.assertGreater(self.plan.hits("flock"), 0)
-        self.check_counts_no_more_when_killed()
+        self.check_not_counted_once_killed()
 
 
-class LeftDocument(LearnedSlots, FaultyNodeCase):
-    """A document that the test holds, as the process of that number would."""
+class OldDocument(LearnedSlotsCase, FaultyNodeCase):
+    """A sibling's document older than the retention of dead files; the test acts as its owner."""
 
     def setUp(self) -> None:
         super().setUp()
         self.document = f"{self.tmpdir.name}/cedarmill-n0-out-{OTHER_PID}.json"
 
-    def write_old(self) -> None:
+    def write_old_document(self) -> None:
         write_document(f"{self.document}.new", EventLoopDriver.now() - DEAD_FILE_RETENTION_US - 5_000_000)
 
-    def test_an_old_document_of_a_living_process_counts_and_stays(self):
-        """It was removed: its owner wrote on, once it could, into a file that nobody read."""
-        self.write_old()
+    def test_old_document_of_a_live_process_counts_and_is_kept(self):
+        """Guards against removing it: its owner would go on writing to a file that nobody can open."""
+        self.write_old_document()
         owner = claim(f"{self.document}.new")
-        os.replace(f"{self.document}.new", self.document)  # found whole, and claimed already
+        os.replace(f"{self.document}.new", self.document)  # appears complete and already locked
         self.wait_log("that live: 1")
         self.assertTrue(os.path.exists(self.document))
-        os.close(owner)  # it has died
+        os.close(owner)  # releases the lock, as the death of the owner does
         self.wait_log("that live: 0")
         self.wait_for(lambda: not os.path.exists(self.document))
 
-    def test_an_old_document_of_a_dead_process_does_not_count_and_goes(self):
-        self.write_old()
+    def test_old_document_of_a_dead_process_does_not_count_and_is_removed(self):
+        self.write_old_document()
         os.replace(f"{self.document}.new", self.document)
         self.wait_for(lambda: not os.path.exists(self.document))
         self.reload("no configuration")
@@ -157,8 +158,8 @@
         self.assertFalse([line for line in self.log if "that live" in line])
 
 
-class Told(unittest.TestCase):
-    """What the balancer and the limits are told, on a clock of the test's."""
+class ReportedUsage(unittest.TestCase):
+    """What `SiblingProcess` reports to the balancer and to the limits, on a clock that the test advances."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -166,12 +167,12 @@
         patch = mock.patch.dict(os.environ, TMPDIR=folder.name)
         patch.start()
         self.addCleanup(patch.stop)
-        self.timers, self.shared = Timers(), []
+        self.timers, self.reported_counts = Timers(), []
         driver = EventLoopDriver(mock.Mock(), self.timers)
         discovery = mock.Mock()
         discovery.reader.numbers, discovery.reader.names = {"s-0": 4}, {4: "s-0"}
         self.process = SiblingProcess(
-            driver, discovery, "n0", lambda: ConnectionCounts(0, 0), self.shared.append
+            driver, discovery, "n0", lambda: ConnectionCounts(0, 0), self.reported_counts.append
         )
         self.process.dispatch = self.dispatch = mock.Mock()
         self.dispatch.balancer.executors = {}
@@ -182,54 +183,55 @@
         self.process.start()
         self.addCleanup(self.process.remove_document)
 
-    def pass_by(self, span_us: int) -> None:
+    def advance(self, span_us: int) -> None:
+        """Advance the clock in poll intervals, and run the timers due at each step."""
         until = self.now + span_us
         while self.now < until:
             self.now += POLL_INTERVAL_ALONE_US
             for call in self.timers.sweep(self.now):
                 call(self.now)
 
-    def usage(self) -> list[tuple]:
+    def reported_usage(self) -> list[tuple]:
+        """Return each report to the balancer: executor number, slots, memory."""
         return [call.args[1:] for call in self.dispatch.set_sibling_usage.call_args_list]
 
-    def test_slots_and_limits_are_held_as_told_last_till_the_claim_ends(self):
-        self.pass_by(DEAD_FILE_RETENTION_US * 2)
-        self.assertEqual(self.usage(), [(4, 5.0, 1.0)])
-        self.assertEqual(self.shared, [[ConnectionCounts(3, 5)]])
+    def test_last_usage_and_counts_hold_until_the_claim_ends(self):
+        self.advance(DEAD_FILE_RETENTION_US * 2)
+        self.assertEqual(self.reported_usage(), [(4, 5.0, 1.0)])
+        self.assertEqual(self.reported_counts, [[ConnectionCounts(3, 5)]])
         os.close(self.owner)
-        self.pass_by(POLL_INTERVAL_ALONE_US * 2)
-        self.assertEqual(self.usage()[1:], [(4, 0.0, 0.0)])
-        self.assertEqual(self.shared[1:], [[]])
+        self.advance(POLL_INTERVAL_ALONE_US * 2)
+        self.assertEqual(self.reported_usage()[1:], [(4, 0.0, 0.0)])
+        self.assertEqual(self.reported_counts[1:], [[]])
         self.assertFalse(os.path.exists(self.document))
 
-    def test_what_it_tells_anew_counts_at_once(self):
-        self.pass_by(DEAD_FILE_RETENTION_US)
+    def test_changed_document_is_reported_at_the_next_poll(self):
+        self.advance(DEAD_FILE_RETENTION_US)
         write_document(self.document, self.now, slots=2.0)
-        self.pass_by(POLL_INTERVAL_ALONE_US * 2)
-        self.assertEqual(self.usage(), [(4, 5.0, 1.0), (4, 2.0, 1.0)])
+        self.advance(POLL_INTERVAL_ALONE_US * 2)
+        self.assertEqual(self.reported_usage(), [(4, 5.0, 1.0), (4, 2.0, 1.0)])
         os.close(self.owner)
 
-    def test_a_lock_that_cannot_be_asked_for_counts_as_none(self):
-        """A process that nothing shows to live is judged by its signs of life alone."""
+    def test_sibling_whose_lock_cannot_be_tested_counts_by_its_heartbeats(self):
         with mock.patch("fcntl.flock", side_effect=OSError(37, "No locks available")):
-            self.pass_by(HEARTBEAT_TIMEOUT_US + POLL_INTERVAL_ALONE_US * 2)
-        self.assertEqual(self.usage(), [(4, 5.0, 1.0), (4, 0.0, 0.0)])
+            self.advance(HEARTBEAT_TIMEOUT_US + POLL_INTERVAL_ALONE_US * 2)
+        self.assertEqual(self.reported_usage(), [(4, 5.0, 1.0), (4, 0.0, 0.0)])
         os.close(self.owner)
 
-    def test_two_that_look_at_a_dead_process_do_not_take_each_other_for_it(self):
+    def test_lock_test_by_another_process_does_not_count_as_a_claim(self):
         os.close(self.owner)
-        looker = os.open(self.document, os.O_RDWR)
-        fcntl.flock(looker, fcntl.LOCK_SH)
-        self.pass_by(HEARTBEAT_TIMEOUT_US + POLL_INTERVAL_ALONE_US * 2)
-        self.assertEqual(self.usage()[1:], [(4, 0.0, 0.0)])
-        os.close(looker)
-
-    def test_a_document_that_was_removed_is_claimed_anew(self):
-        own = self.process.own_file.path
-        os.remove(own)
-        self.pass_by(POLL_INTERVAL_ALONE_US * 10)
+        other_tester = os.open(self.document, os.O_RDWR)
+        fcntl.flock(other_tester, fcntl.LOCK_SH)
+        self.advance(HEARTBEAT_TIMEOUT_US + POLL_INTERVAL_ALONE_US * 2)
+        self.assertEqual(self.reported_usage()[1:], [(4, 0.0, 0.0)])
+        os.close(other_tester)
+
+    def test_removed_document_is_recreated_and_claimed(self):
+        own_path = self.process.own_file.path
+        os.remove(own_path)
+        self.advance(POLL_INTERVAL_ALONE_US * 10)
         with self.assertRaises(BlockingIOError):
-            claim(own)
+            claim(own_path)
         os.close(self.owner)
 
 
--- a/tests/net/test_small_limits.py
+++ b/tests/net/test_small_limits.py
@@ -1,21 +1,21 @@
-"""Less room: halved limits, a crowd of idle and half-written connections, and a job on a new connection."""
+"""A node with minimal resource limits serves new clients despite many idle connections."""
 
 import socket
 
 from tests.support.node_case import WAIT, NodeCase
 
 
-class LessRoom(NodeCase):
-    sockets = 64  # half of 128, the least that the configuration takes
+class MinimalLimits(NodeCase):
+    sockets = 64  # the minimum that the configuration accepts
     descriptor_limit = 64
-    memory_mb = 32  # the least a node is given
+    memory_mb = 32  # the minimum that the configuration accepts
 
-    def test_a_job_on_a_new_connection_is_served_behind_a_crowd(self):
-        crowd = [socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) for _ in range(300)]
-        for number, sock in enumerate(crowd):
+    def test_new_client_is_served_despite_many_idle_connections(self):
+        idle_sockets = [socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) for _ in range(300)]
+        for number, sock in enumerate(idle_sockets):
             self.addCleanup(sock.close)
             if number % 2:
-                sock.sendall(b"POST /api HTTP/1.1\r\nX-Call-Class: pi")  # half-written, and never more
+                sock.sendall(b"POST /api HTTP/1.1\r\nX-Call-Class: pi")  # an incomplete request
         self.wait_log("client sessions at their bound")
         client = self.client().ask()
         self.executors[0].next_request().done()
--- a/tests/net/test_state_files.py
+++ b/tests/net/test_state_files.py
@@ -1,4 +1,4 @@
-"""Files that outlive a process: no call waits, and nothing torn is believed."""
+"""State files: calls never block, and a failed or torn write never replaces a valid document."""
 
 import errno
 import os
@@ -7,69 +7,74 @@
 import unittest
 from unittest import mock
 
-from cedarmill.net.upgrade import state_file as kept
+from cedarmill.net.upgrade import state_file
 from cedarmill.net.upgrade.state_file import InPlaceStateFile, StateFile
 from tests.support.node_case import WAIT
 
 
-def cut_short(real, most: int):
-    """The real `pwrite` or `pread`, doing so many bytes at most."""
+def limit_transfer(real_call, max_bytes: int):
+    """Return a `pwrite` or `pread` that transfers at most `max_bytes` per call."""
 
-    def call(file, what, at):
-        return real(file, what[:most] if isinstance(what, bytes) else min(what, most), at)
+    def call(descriptor, data, offset):
+        return real_call(
+            descriptor, data[:max_bytes] if isinstance(data, bytes) else min(data, max_bytes), offset
+        )
 
     return call
 
 
-def full_after(real, room: int):
-    """The real `pwrite` on a disk with so much room: it writes what fits, then fails."""
-    left = [room]
+def disk_full_after(real_pwrite, free_bytes: int):
+    """Return a `pwrite` on a disk with `free_bytes` free: it writes that many, then fails with ENOSPC."""
+    remaining = [free_bytes]
 
-    def call(file, text, at):
-        if not left[0]:
+    def call(descriptor, data, offset):
+        if not remaining[0]:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        done = real(file, text[: left[0]], at)
-        left[0] -= done
-        return done
+        written = real_pwrite(descriptor, data[: remaining[0]], offset)
+        remaining[0] -= written
+        return written
 
     return call
 
 
-class Folder(unittest.TestCase):
+class StateFileCase(unittest.TestCase):
+    """A test with a state file in a temporary folder."""
+
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.path = f"{folder.name}/kept.json"
+        self.path = f"{folder.name}/state.json"
 
-    def at_once(self, call):
-        """The call's result or error, which must not be waited for."""
-        got = []
+    def result_without_blocking(self, call):
+        """Run `call` and return its result or OSError; fail if it blocks."""
+        results = []
 
         def run() -> None:
             try:
-                got.append(call())
+                results.append(call())
             except OSError as error:
-                got.append(error)
+                results.append(error)
 
         thread = threading.Thread(target=run, daemon=True)
         thread.start()
         thread.join(WAIT / 4)
-        self.assertTrue(got, "it waits")
-        return got[0]
+        self.assertTrue(results, "the call blocks")
+        return results[0]
 
 
-class Whole(Folder):
-    """Replaced by a rename."""
+class ReplacedFile(StateFileCase):
+    """`StateFile`, replaced by a rename."""
 
-    def test_a_lock_that_another_holds_is_refused_at_once(self):
+    def test_lock_held_by_another_process_fails_without_blocking(self):
         with StateFile(self.path).alone():
             self.assertIsInstance(
-                self.at_once(lambda: StateFile(self.path).alone().__enter__()), BlockingIOError
+                self.result_without_blocking(lambda: StateFile(self.path).alone().__enter__()),
+                BlockingIOError,
             )
         with StateFile(self.path).alone():
             pass
 
-    def test_a_fifo_in_the_place_of_a_file_is_refused_at_once(self):
+    def test_fifo_in_place_of_the_file_fails_without_blocking(self):
         os.mkfifo(self.path)
         os.mkfifo(f"{self.path}.lock")
         for call in (
@@ -78,27 +83,27 @@
             InPlaceStateFile(self.path).texts,
             lambda: InPlaceStateFile(self.path).write(b""),
         ):
-            self.assertIsInstance(self.at_once(call), OSError)
+            self.assertIsInstance(self.result_without_blocking(call), OSError)
 
-    def test_a_huge_file_is_not_read(self):
+    def test_file_over_the_size_limit_is_not_read(self):
         with open(self.path, "wb") as file:
-            file.truncate(1 << 40)  # holds no room on the disk
+            file.truncate(1 << 40)  # sparse: takes no disk space
         with self.assertRaises(OSError) as raised:
             StateFile(self.path).read()
         self.assertEqual(raised.exception.errno, errno.EFBIG)
         self.assertEqual(InPlaceStateFile(self.path).texts(), [])
 
-    def test_short_writes_and_reads_are_carried_on(self):
-        with mock.patch.object(os, "pwrite", cut_short(os.pwrite, 3)):
+    def test_short_writes_and_reads_are_completed(self):
+        with mock.patch.object(os, "pwrite", limit_transfer(os.pwrite, 3)):
             StateFile(self.path).write(b"a document")
-        with mock.patch.object(os, "pread", cut_short(os.pread, 3)):
+        with mock.patch.object(os, "pread", limit_transfer(os.pread, 3)):
             self.assertEqual(StateFile(self.path).read(), b"a document")
 
-    def test_a_disk_that_is_full_leaves_the_old_document_and_nothing_else(self):
+    def test_failed_write_keeps_the_old_document_and_no_temporary_file(self):
         file = StateFile(self.path)
         file.write(b"old")
         for name, fault in (
-            ("pwrite", full_after(os.pwrite, 2)),
+            ("pwrite", disk_full_after(os.pwrite, 2)),
             ("replace", mock.Mock(side_effect=OSError)),
         ):
             with mock.patch.object(os, name, fault), self.assertRaises(OSError):
@@ -106,15 +111,15 @@
             self.assertEqual(StateFile(self.path).read(), b"old")
             self.assertEqual(os.listdir(os.path.dirname(self.path)), [os.path.basename(self.path)])
 
-    def test_once_replaced_the_write_does_not_fail_any_more(self):
-        """Told as failed, the mark in it was taken back, and came again with the next look at the file."""
-        with mock.patch.object(kept.os, "stat", side_effect=OSError(errno.EIO, "gone")):
+    def test_write_does_not_fail_after_the_document_was_replaced(self):
+        """A stored exclusion must not be reported as failed: the next read would bring it back."""
+        with mock.patch.object(state_file.os, "stat", side_effect=OSError(errno.EIO, "gone")):
             StateFile(self.path).write(b"new")
         self.assertEqual(StateFile(self.path).read(), b"new")
 
 
-class InPlace(Folder):
-    """Written into two halves in turn."""
+class InPlaceFile(StateFileCase):
+    """`InPlaceStateFile`, written into two alternating halves."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -122,21 +127,21 @@
         self.addCleanup(self.file.close)
         self.file.write(b"first")
 
-    def test_short_writes_and_reads_are_carried_on(self):
-        with mock.patch.object(os, "pwrite", cut_short(os.pwrite, 3)):
+    def test_short_writes_and_reads_are_completed(self):
+        with mock.patch.object(os, "pwrite", limit_transfer(os.pwrite, 3)):
             self.file.write(b"second")
-        with mock.patch.object(os, "pread", cut_short(os.pread, 3)):
+        with mock.patch.object(os, "pread", limit_transfer(os.pread, 3)):
             self.assertEqual(InPlaceStateFile(self.path).texts(), [b"first", b"second"])
 
-    def test_writes_that_fail_half_way_never_spoil_the_half_that_holds(self):
+    def test_failed_writes_keep_the_valid_half(self):
         for _ in range(3):
-            with mock.patch.object(os, "pwrite", full_after(os.pwrite, 10)), self.assertRaises(OSError):
+            with mock.patch.object(os, "pwrite", disk_full_after(os.pwrite, 10)), self.assertRaises(OSError):
                 self.file.write(b"never whole")
             self.assertEqual(InPlaceStateFile(self.path).texts()[0], b"first")
         self.file.write(b"second")
         self.assertEqual(InPlaceStateFile(self.path).texts(), [b"first", b"second"])
 
-    def test_a_file_that_was_removed_under_its_writer_is_made_anew(self):
+    def test_write_recreates_a_file_that_another_process_removed(self):
         os.remove(self.path)
         self.file.write(b"second")
         self.assertIn(b"second", InPlaceStateFile(self.path).texts())
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Replacing the process: the clients' socket inherited by descriptor, and a hand-over under load."""
+"""Upgrades: a new process inherits the listening socket and takes over from the old one without losses."""
 
 import json
 import os
@@ -19,37 +19,37 @@
 from tests.support.slow_clock import SlowClock
 
 
-class HeldSocket(NodeCase):
-    """The platform holds the clients' socket; each process gets it by the number in `$LB_SOCKET_FD`."""
+class InheritedSocketCase(NodeCase):
+    """The test holds the clients' listening socket; each process inherits it through `$LB_SOCKET_FD`."""
 
     executor_count = 1
 
     def setUp(self) -> None:
-        self.held = socket.create_server(("127.0.0.1", 0))  # the platform's
-        self.addCleanup(self.held.close)
-        self.pass_fds = (self.held.fileno(),)
-        self.environment = {"LB_SOCKET_FD": str(self.held.fileno())}
+        self.listening_socket = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(self.listening_socket.close)
+        self.pass_fds = (self.listening_socket.fileno(),)
+        self.environment = {"LB_SOCKET_FD": str(self.listening_socket.fileno())}
         super().setUp()
 
-    def next_process(self) -> None:
-        """Start one more process of the node, beside the one that serves."""
+    def start_successor(self) -> None:
+        """Start another process of the node while the current one still serves."""
         self.log.clear()
         self.process = self.start(self.config())
         self.wait_log("serves on")
 
 
-class Inherited(HeldSocket):
-    def test_the_node_serves_on_the_socket_it_inherits(self):
+class InheritedSocket(InheritedSocketCase):
+    def test_node_serves_on_the_inherited_socket(self):
         self.assertTrue(any("inherited as descriptor" in line for line in self.log), self.log)
-        self.assertEqual(self.port, self.held.getsockname()[1])
+        self.assertEqual(self.port, self.listening_socket.getsockname()[1])
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
-    def test_an_upgrade_with_requests_in_flight_on_both_processes(self):
-        """The new process serves while the old one still holds a request; the old answers it and ends."""
+    def test_upgrade_with_requests_in_flight_answers_all(self):
+        """The new process serves while the old one has a request in flight; the old one answers and exits."""
         old_client = self.client().ask()
-        old_asked = self.executors[0].next_request()  # held by the old process
+        old_request = self.executors[0].next_request()
         old, old_log = self.process, list(self.log)
         self.log.clear()
         self.process = new = self.start(self.config())
@@ -60,7 +60,7 @@
         new_client.ask()
         self.executors[0].next_request().done()
         self.assertEqual(new_client.answer()[0], 200)
-        old_asked.done()
+        old_request.done()
         self.assertEqual(old_client.answer()[0], 200)
         self.assertEqual(old.wait(WAIT), 0)
         old.stderr.close()
@@ -68,8 +68,8 @@
         self.assertIsNone(new.poll())
 
 
-class TwoDoors(HeldSocket):
-    """Two processes with a admin API each, as during an upgrade."""
+class TwoAdminApis(InheritedSocketCase):
+    """Two processes of one node, each with its own admin API, as during an upgrade."""
 
     executor_count = 2
 
@@ -80,10 +80,10 @@
         super().setUp()
         self.old, self.old_admin_port = self.process, self.admin_port()
         self.addCleanup(self.end_old)
-        self.kept_session = self.client()  # of the old process: the only one so far
-        self.kept_session.request("GET", "/ready")
-        self.assertEqual(self.kept_session.answer()[0], 200)
-        self.next_process()
+        self.old_session = self.client()  # accepted by the old process, the only one so far
+        self.old_session.request("GET", "/ready")
+        self.assertEqual(self.old_session.answer()[0], 200)
+        self.start_successor()
         self.new_admin_port = self.admin_port()
 
     def end_old(self) -> None:
@@ -91,73 +91,76 @@
             self.old.kill()
         self.old.communicate()
 
-    def told(self, process, words: str) -> None:
-        """Read that process's log up to a line with those words."""
+    def wait_process_log(self, process, words: str) -> None:
+        """Read the log of `process` up to a line that contains `words`."""
         while words not in (line := process.stderr.readline()):
             self.assertTrue(line, f"no {words!r}")
 
-    def old_sends_to(self) -> int:
-        """Where the old process sends the next request of its kept session."""
-        self.kept_session.ask()
+    def old_process_served_by(self) -> int:
+        """Send a request on the old process's session; return the number of the executor that served it."""
+        self.old_session.ask()
         self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
         number = next(n for n, server in enumerate(self.executors) if not server.received.empty())
         self.executors[number].next_request().done()
-        self.assertEqual(self.kept_session.answer()[0], 200)
+        self.assertEqual(self.old_session.answer()[0], 200)
         return number
 
-    def test_each_process_is_told_of_the_other_and_of_its_end(self):
-        self.told(self.old, "sibling processes of this node that live: 1")
+    def test_each_process_detects_the_start_and_the_end_of_its_sibling(self):
+        self.wait_process_log(self.old, "sibling processes of this node that live: 1")
         self.assertTrue(any("that live: 1" in line for line in self.log), self.log)
-        self.kept_session.close()
+        self.old_session.close()
         self.old.terminate()
         self.assertEqual(self.old.wait(WAIT), 0)
         self.wait_log("sibling processes of this node that live: 0")
 
-    def test_a_mark_made_at_the_new_admin_api_holds_in_the_old_process(self):
+    def test_exclusion_made_in_the_new_process_applies_in_the_old_one(self):
         self.assertEqual(call_admin_api(self.new_admin_port, "PUT", "/api/exclude/s-0")[0], 200)
-        self.told(self.old, "state file: s-0")
-        self.assertEqual({self.old_sends_to() for _ in range(6)}, {1})
+        self.wait_process_log(self.old, "state file: s-0")
+        self.assertEqual({self.old_process_served_by() for _ in range(6)}, {1})
 
-    def test_a_mark_made_at_the_old_admin_api_holds_in_the_new_process_after_the_old_one(self):
+    def test_exclusion_made_in_the_old_process_applies_in_the_new_one_after_the_old_one_exits(self):
         self.assertEqual(call_admin_api(self.old_admin_port, "PUT", "/api/exclude/s-0")[0], 200)
         self.wait_log("state file: s-0")
         self.old.terminate()
         self.assertEqual(self.old.wait(WAIT), 0)
         self.assertEqual({self.served_by() for _ in range(6)}, {1})
 
-    def test_marks_made_at_both_doors_one_after_the_other_both_hold(self):
+    def test_exclusions_made_in_both_processes_in_turn_are_all_stored(self):
         self.assertEqual(call_admin_api(self.new_admin_port, "PUT", "/api/exclude/s-0")[0], 200)
         self.assertEqual(call_admin_api(self.old_admin_port, "PUT", "/api/exclude/s-1")[0], 200)
         self.assertEqual(call_admin_api(self.new_admin_port, "PUT", "/api/include/s-1")[0], 200)
-        marks = Exclusions("n0")
-        marks.adopt(Path(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json").read_bytes(), ClockReading(0))
-        self.assertEqual(set(marks.since), {"s-0"})
-
-    def test_a_third_start_while_two_live_loses_nothing(self):
-        """The second ends before the first, which still holds a job; the third serves on."""
-        both = self.process
-        self.kept_session.ask()
+        exclusions = Exclusions("n0")
+        exclusions.adopt(
+            Path(f"{self.tmpdir.name}/cedarmill-n0-exclusions.json").read_bytes(), ClockReading(0)
+        )
+        self.assertEqual(set(exclusions.since), {"s-0"})
+
+    def test_third_process_started_while_two_run_loses_no_request(self):
+        """The second process exits before the first, which has a request in flight; the third serves on."""
+        second = self.process
+        self.old_session.ask()
         self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
-        self.next_process()
-        third = self.admin_port()
-        both.terminate()
-        self.assertEqual(both.wait(WAIT), 0)
-        both.stderr.close()
+        self.start_successor()
+        third_admin_port = self.admin_port()
+        second.terminate()
+        self.assertEqual(second.wait(WAIT), 0)
+        second.stderr.close()
         self.old.terminate()
         next(server for server in self.executors if server.received.qsize()).next_request().done()
-        self.assertEqual(self.kept_session.answer()[0], 200)
+        self.assertEqual(self.old_session.answer()[0], 200)
         self.assertEqual(self.old.wait(WAIT), 0)
-        self.assertEqual(call_admin_api(third, "GET", "/api/ready"), (200, b"ready\n"))
+        self.assertEqual(call_admin_api(third_admin_port, "GET", "/api/ready"), (200, b"ready\n"))
         self.served_by()
 
 
-class BadDescriptor(NodeCase):
-    """A descriptor that is no listening socket is a one-line error and exit 2, before anything listens."""
+class InvalidDescriptor(NodeCase):
+    """A descriptor that is no listening socket ends the start with one line of error and exit code 2."""
 
     def setUp(self) -> None:
         self.prepare()
 
-    def refused(self, fd: int, pass_fds: tuple = ()) -> str:
+    def start_error(self, fd: int, pass_fds: tuple = ()) -> str:
+        """Start a node with `fd` as its listening socket; return the error of the failed start."""
         self.environment, self.pass_fds = {"LB_SOCKET_FD": str(fd)}, pass_fds
         process = self.start(self.config())
         error = process.communicate(timeout=WAIT)[1]
@@ -166,48 +169,49 @@
         self.assertNotIn("Traceback", error)
         return error
 
-    def test_a_closed_descriptor(self):
+    def test_closed_descriptor_is_refused(self):
         read, write = os.pipe()
         os.close(read)
-        os.close(write)  # a number that nobody holds
-        self.assertRegex(self.refused(read), rf"^cedarmill: LB_SOCKET_FD={read}: ")
+        os.close(write)
+        self.assertRegex(self.start_error(read), rf"^cedarmill: LB_SOCKET_FD={read}: ")
 
-    def test_a_descriptor_that_is_no_socket(self):
+    def test_descriptor_of_a_pipe_is_refused(self):
         read, write = os.pipe()
         self.addCleanup(os.close, read)
         self.addCleanup(os.close, write)
-        self.assertIn("non-socket", self.refused(read, (read,)))
+        self.assertIn("non-socket", self.start_error(read, (read,)))
 
-    def test_a_socket_that_does_not_listen(self):
+    def test_socket_that_does_not_listen_is_refused(self):
         sock = socket.socket()
         self.addCleanup(sock.close)
-        self.assertIn("not a listening TCP socket", self.refused(sock.fileno(), (sock.fileno(),)))
+        self.assertIn("not a listening TCP socket", self.start_error(sock.fileno(), (sock.fileno(),)))
 
 
-class LearnedSlots(HeldSocket):
-    """A node that has learned how many slots its one executor has, and can be replaced."""
+class LearnedSlotsCase(InheritedSocketCase):
+    """A node that has learned how many slots its one executor has, and whose process can be replaced."""
 
-    def kept(self, kind: str = "memory") -> InPlaceStateFile:
+    def state_file(self, kind: str = "memory") -> InPlaceStateFile:
+        """Return the node's state file of one kind."""
         return InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-{kind}.json")
 
-    def learn(self, free: int) -> None:
-        """Two jobs, whose answers report so many free slots; then wait till that is kept."""
+    def learn_slots(self, free_slots: int) -> None:
+        """Serve two requests whose answers report `free_slots`, and wait until the warm state holds them."""
         for _ in range(2):
             client = self.client().ask()
-            asked = self.executors[0].next_request()
-            asked.send_head()
-            asked.send_state("done", result="fine", load={"x0": free, "x1": 100.0})
-            asked.connection.send("0\r\n\r\n")
+            request = self.executors[0].next_request()
+            request.send_head()
+            request.send_state("done", result="fine", load={"x0": free_slots, "x1": 100.0})
+            request.connection.send("0\r\n\r\n")
             self.assertEqual(client.answer()[0], 200)
-        self.let_pass(SAVE_INTERVAL_US)
-        self.wait_for(lambda: self.slots() >= free)
+        self.advance_clock(SAVE_INTERVAL_US)
+        self.wait_for(lambda: self.saved_slots() >= free_slots)
 
-    def let_pass(self, span_us: int) -> None:
-        """So much time is to pass for the node; here it passes by itself."""
+    def advance_clock(self, span_us: int) -> None:
+        """Advance the node's clock; the real clock, used here, advances by itself."""
 
-    def slots(self) -> float:
-        """Of the one executor, as kept last."""
-        texts = self.kept().texts()
+    def saved_slots(self) -> float:
+        """Return the slots of the one executor in the saved warm state; 0 while none is saved."""
+        texts = self.state_file().texts()
         body = (
             sealed_document.unseal_newest(
                 texts, "memory", "n0", ClockReading(0, EventLoopDriver.now(), boot_id())
@@ -217,60 +221,62 @@
         )
         return json.loads(body)["workers"].get("s-0", {}).get("slots", 0)
 
-    def hold_all_slots(self) -> tuple[list[Client], list[ReceivedRequest]]:
-        """Five clients whose jobs hold the executor's five slots, as the process's document tells."""
-        held = [self.client().ask("issue", 12_000) for _ in range(5)]  # they outlast a slow start beside them
-        asked = [self.executors[0].next_request() for _ in held]
-        told = self.kept(f"out-{self.process.pid}")
-        self.let_pass(POLL_INTERVAL_ALONE_US)
-        self.wait_for(lambda: any(b"[5.0," in text for text in told.texts()))
-        told.close()
-        return held, asked
-
-    def drain(self, old: subprocess.Popen) -> None:
-        """From then on only the new process accepts."""
+    def occupy_all_slots(self) -> tuple[list[Client], list[ReceivedRequest]]:
+        """Send five requests that occupy the executor's five slots; wait until the document lists them."""
+        clients = [self.client().ask("issue", 12_000) for _ in range(5)]  # outlast a sibling's slow start
+        requests = [self.executors[0].next_request() for _ in clients]
+        document = self.state_file(f"out-{self.process.pid}")
+        self.advance_clock(POLL_INTERVAL_ALONE_US)
+        self.wait_for(lambda: any(b"[5.0," in text for text in document.texts()))
+        document.close()
+        return clients, requests
+
+    def start_drain(self, old: subprocess.Popen) -> None:
+        """Send SIGTERM to the old process and wait until it accepts no more connections."""
         old.send_signal(signal.SIGTERM)
         while (line := old.stderr.readline()) and "no new sessions" not in line:
             pass
 
-    def check_slots_are_held(self) -> None:
-        """Of five jobs more the new process sends fewer than five, and refuses the others.
+    def check_occupied_slots_are_not_reused(self) -> None:
+        """Check that the new process sends fewer than five of five requests, and refuses the others.
 
-        How many it may try as the last report grows old is for `tests/decisions/test_snapshot.py` to say.
+        `tests/decisions/test_snapshot.py` checks how many it may try as the last load report grows old.
         """
-        more = [self.client().ask() for _ in range(5)]
+        clients = [self.client().ask() for _ in range(5)]
         server = self.executors[0]
-        self.wait_for(lambda: server.received.qsize() + sum(c.answered(0) for c in more) == 5)
+        self.wait_for(lambda: server.received.qsize() + sum(c.answered(0) for c in clients) == 5)
         self.assertLess(server.received.qsize(), 5)
-        self.assertEqual({c.answer()[0] for c in more if c.answered(0)}, {503})
+        self.assertEqual({c.answer()[0] for c in clients if c.answered(0)}, {503})
         for _ in range(server.received.qsize()):
             server.next_request().done()
 
-    def check_jobs_end(self, held: list[Client], asked: list[ReceivedRequest], old: subprocess.Popen) -> None:
-        """The old process answers what it holds and ends; then the slots are free."""
-        for job in asked:
-            job.done()
-        self.assertEqual([client.answer()[0] for client in held], [200] * 5)
+    def check_old_process_exits(
+        self, clients: list[Client], requests: list[ReceivedRequest], old: subprocess.Popen
+    ) -> None:
+        """Check that the old process answers its requests and exits, which makes its slots usable."""
+        for request in requests:
+            request.done()
+        self.assertEqual([client.answer()[0] for client in clients], [200] * 5)
 
-        def ended() -> bool:
-            self.let_pass(CHECK_END_US)
+        def has_exited() -> bool:
+            self.advance_clock(CHECK_END_US)
             return old.poll() is not None
 
-        self.wait_for(ended)
+        self.wait_for(has_exited)
         self.assertEqual(old.returncode, 0)
         old.stderr.close()
-        self.let_pass(POLL_INTERVAL_WITH_SIBLINGS_US)
+        self.advance_clock(POLL_INTERVAL_WITH_SIBLINGS_US)
         self.wait_log("that live: 0")
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
 
-class SlowHandOver(LearnedSlots):
-    """The hand-over on a clock that hardly moves by itself.
+class UpgradeOnSlowClock(LearnedSlotsCase):
+    """An upgrade on a clock that the test advances.
 
-    The old process answers all that is open 3.53 s after SIGTERM, and the new one tries more and more as the
-    executor's last report grows old: on a busy machine either came before the test was done.
+    On a busy machine's real clock, the old process's shutdown deadline passes, or the executor's load report
+    expires, before the test has finished.
     """
 
     def prepare(self) -> None:
@@ -280,65 +286,65 @@
     def command(self, module: str, *arguments: str) -> list[str]:
         return self.clock.command(module, *arguments)
 
-    def let_pass(self, span_us: int) -> None:
+    def advance_clock(self, span_us: int) -> None:
         self.clock.move_on(span_us)
 
-    def test_jobs_out_at_the_old_process_hold_their_slots_in_the_new_one_till_they_end(self):
-        """Without the hand-over the new process sends five jobs more to the five slots, to wait there."""
-        self.learn(free=5)
-        held, asked = self.hold_all_slots()
+    def test_slots_occupied_by_the_old_process_are_not_reused_until_its_requests_end(self):
+        """Guards against a new process that sends requests to slots which the old one still occupies."""
+        self.learn_slots(free_slots=5)
+        clients, requests = self.occupy_all_slots()
         old = self.process
-        self.next_process()
+        self.start_successor()
         self.assertTrue(any("took up what" in line for line in self.log), self.log)
-        self.drain(old)
-        self.check_slots_are_held()
-        self.check_jobs_end(held, asked, old)
+        self.start_drain(old)
+        self.check_occupied_slots_are_not_reused()
+        self.check_old_process_exits(clients, requests, old)
 
 
-class HandOver(LearnedSlots):
-    """What the old process learned, and what it still has out, is the new one's from its start."""
+class Upgrade(LearnedSlotsCase):
+    """State files of an old process that was killed or whose document is damaged."""
 
-    def test_the_old_process_killed_in_the_hand_over_holds_nothing_for_long(self):
-        self.learn(free=5)
+    def test_slots_of_an_old_process_killed_during_the_upgrade_become_usable(self):
+        self.learn_slots(free_slots=5)
         for _ in range(5):
             self.client().ask()
             self.executors[0].next_request()
         old = self.process
-        self.next_process()
+        self.start_successor()
         old.kill()
         old.wait(WAIT)
         old.stderr.close()
 
-        def served() -> bool:
-            """Whether a new request is; one that the old process had sent again may still be queued."""
+        def is_served() -> bool:
+            """Return whether a new request is served; a retry by the old process may be queued before it."""
             client = self.client().ask()
             call_id = f"{Client.count:016x}"
 
-            def answered() -> bool:
+            def is_answered() -> bool:
                 while not client.answered(0) and self.executors[0].received.qsize():
-                    if (asked := self.executors[0].next_request()).headers["X-Call-Id"] == call_id:
-                        asked.done()
+                    if (request := self.executors[0].next_request()).headers["X-Call-Id"] == call_id:
+                        request.done()
                 return client.answered(0)
 
-            self.wait_for(answered)
+            self.wait_for(is_answered)
             return client.answer()[0] == 200
 
-        self.wait_for(served)
+        self.wait_for(is_served)
 
-    def test_a_file_that_another_process_has_only_just_made_is_left(self):
-        """Taken for a dead process's and removed, its owner would write on unseen."""
-        made = Path(f"{self.tmpdir.name}/cedarmill-n0-out-1.json")
-        made.touch()
-        told = self.kept(f"out-{self.process.pid}")
-        before = told.texts()
-        self.wait_for(lambda: told.texts() != before)  # written after a look at all files
-        self.assertTrue(made.exists())
+    def test_new_empty_file_of_another_process_is_not_removed(self):
+        """Guards against removing it as a dead process's file: its owner would write where nobody reads."""
+        empty_file = Path(f"{self.tmpdir.name}/cedarmill-n0-out-1.json")
+        empty_file.touch()
+        document = self.state_file(f"out-{self.process.pid}")
+        before = document.texts()
+        self.wait_for(lambda: document.texts() != before)  # written after a poll of all files
+        self.assertTrue(empty_file.exists())
 
-    def test_a_torn_document_is_said_and_not_taken_up(self):
-        self.learn(free=5)
-        self.process.kill()  # or it would write the document anew
+    def test_torn_document_is_logged_and_not_restored(self):
+        self.learn_slots(free_slots=5)
+        self.process.kill()  # a running process would overwrite the document
         self.process.communicate()
-        path = Path(self.kept().path)
+        path = Path(self.state_file().path)
         path.write_bytes(path.read_bytes().replace(b'"slots":5', b'"slots":9'))
-        self.next_process()
+        self.start_successor()
         self.assertTrue(any("not taken up: torn" in line for line in self.log), self.log)
