--- a/cedarmill/net/config.py
+++ b/cedarmill/net/config.py
@@ -32,7 +32,7 @@
 class Limits(msgspec.Struct):
     """Resource limits that the machine grants the node."""
 
-    sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024  # below 64 none are left for clients
+    sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024  # below 64, too few are left for clients
     memory_mb: Annotated[float, msgspec.Meta(ge=32)] = 192.0
 
 
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -66,10 +66,10 @@
         self.sibling = SiblingProcess(
             self.driver, self.discovery, config.name, self._count_own_connections, self._apply_sibling_counts
         )
-        self.held_socket = inherited_socket()
+        self.inherited_socket = inherited_socket()
         longest_deadline_us = max(spec.deadline_us for spec in settings.classes)
         self.shutdown = Shutdown(
-            self.driver, self.clients, longest_deadline_us, self.held_socket is not None, self._stop
+            self.driver, self.clients, longest_deadline_us, self.inherited_socket is not None, self._stop
         )
         for adapter in (self.clients, self.pools, self.discovery, self.sibling, self.shutdown):
             adapter.dispatch = self.dispatch
@@ -147,12 +147,12 @@
             self.loop.add_signal_handler(number, handlers.get(number, self.shutdown.begin))
         self._open_listeners()
         self.admin_handlers.start()
-        if self.held_socket is not None:  # a second process can be started while this one serves
+        if self.inherited_socket is not None:  # a second process can be started while this one serves
             self.warm_state.start()  # before discovery starts: a successor asks it at once
         self.discovery.start(self.config.known)
         if self.cluster_role is not None:
             self.cluster_role.start()
-        if self.held_socket is not None:
+        if self.inherited_socket is not None:
             self.sibling.start()
         self.waste_log.start()
         self.loop.call_soon(self._on_loop_started)
@@ -165,9 +165,9 @@
 
     def _open_listeners(self) -> None:
         """Open all listeners; raise OSError."""
-        self.clients.listen(self.config.listen, self.held_socket)
-        if self.held_socket is not None:
-            log_event("inherited", fd=self.held_socket.fileno())
+        self.clients.listen(self.config.listen, self.inherited_socket)
+        if self.inherited_socket is not None:
+            log_event("inherited", fd=self.inherited_socket.fileno())
         if (mgmt := self.config.mgmt) is not None:
             self.admin_server.listen(mgmt)
             log_event("admin-listening", host=mgmt.host, port=self.admin_server.port)
--- a/cedarmill/net/upgrade/sibling.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -25,7 +25,7 @@
 
 DOCUMENT_KIND = "out"
 POLL_INTERVAL_ALONE_US = 100_000  # while no sibling is alive
-POLL_INTERVAL_WITH_SIBLINGS_US = 30_000  # short, so that slots that a sibling releases are soon used
+POLL_INTERVAL_WITH_SIBLINGS_US = 30_000  # short, so that slots released by a sibling are soon reused
 HEARTBEAT_INTERVAL_US = 500_000  # longest time between two writes of an unchanged document
 HEARTBEAT_TIMEOUT_US = 2_000_000  # a sibling without a lock counts as dead after this
 DEAD_FILE_RETENTION_US = 20_000_000  # a dead sibling's file is removed after this
--- a/tests/net/test_state_files.py
+++ b/tests/net/test_state_files.py
@@ -15,9 +15,13 @@
 def limit_transfer(real_call, max_bytes: int):
     """Return a `pwrite` or `pread` that transfers at most `max_bytes` per call."""
 
-    def call(descriptor, data, offset):
+    def call(descriptor, data_or_length, offset):
         return real_call(
-            descriptor, data[:max_bytes] if isinstance(data, bytes) else min(data, max_bytes), offset
+            descriptor,
+            data_or_length[:max_bytes]
+            if isinstance(data_or_length, bytes)
+            else min(data_or_length, max_bytes),
+            offset,
         )
 
     return call
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -154,7 +154,7 @@
 
 
 class InvalidDescriptor(NodeCase):
-    """A descriptor that is no listening socket ends the start with one line of error and exit code 2."""
+    """A node whose descriptor is no listening socket prints a one-line error and exits with code 2."""
 
     def setUp(self) -> None:
         self.prepare()
@@ -223,7 +223,7 @@
 
     def occupy_all_slots(self) -> tuple[list[Client], list[ReceivedRequest]]:
         """Send five requests that occupy the executor's five slots; wait until the document lists them."""
-        clients = [self.client().ask("issue", 12_000) for _ in range(5)]  # outlast a sibling's slow start
+        clients = [self.client().ask("issue", 12_000) for _ in range(5)]  # longer than a slow process start
         requests = [self.executors[0].next_request() for _ in clients]
         document = self.state_file(f"out-{self.process.pid}")
         self.advance_clock(POLL_INTERVAL_ALONE_US)
