--- a/cedarmill/net/upgrade/sibling.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -52,16 +52,16 @@
 
     def __init__(self, path: str) -> None:
         self.file = InPlaceStateFile(path)
-        self.last_texts: list[bytes] = []
+        self.last_halves: list[bytes] = []
         self.last_heartbeat_us: int | None = None  # None until a complete document was read
         self.document = SiblingDocument({}, ConnectionCounts(0, 0))
 
     def read(self, node: str, now: ClockReading) -> None:
         """Read the document if it has changed; on ValueError or OSError the last one is kept."""
-        if (texts := self.file.texts()) == self.last_texts:
+        if (halves := self.file.read_halves()) == self.last_halves:
             return
-        self.last_texts = texts
-        written_at, body = sealed_document.unseal_newest(texts, DOCUMENT_KIND, node, now)
+        self.last_halves = halves
+        written_at, body = sealed_document.unseal_newest(halves, DOCUMENT_KIND, node, now)
         self.document = _DECODER.decode(body)
         if self.last_heartbeat_us is None and written_at.is_comparable(now):
             self.last_heartbeat_us = written_at.monotonic_us
--- a/cedarmill/net/upgrade/state_file.py
+++ b/cedarmill/net/upgrade/state_file.py
@@ -133,7 +133,7 @@
         self._next_half = 0
         self._holds_claim = False
 
-    def texts(self) -> list[bytes]:
+    def read_halves(self) -> list[bytes]:
         """Return the content of each non-empty half, torn or not; [] if there is no file."""
         try:
             self._ensure_open(os.O_RDWR)
--- a/cedarmill/net/upgrade/warm_state.py
+++ b/cedarmill/net/upgrade/warm_state.py
@@ -59,16 +59,16 @@
         """Restore the last process's warm state if there is any, and schedule the first save."""
         now = self.driver.now()
         try:
-            if texts := self.file.texts():
-                self._restore(texts, now)
+            if halves := self.file.read_halves():
+                self._restore(halves, now)
         except (OSError, ValueError) as error:
             log_event("warm-state-unread", reason=error)
         self.driver.timers.add(now + SAVE_INTERVAL_US, self._save)
 
-    def _restore(self, texts: list[bytes], now: int) -> None:
+    def _restore(self, halves: list[bytes], now: int) -> None:
         """Restore the newest valid document; raise ValueError if none is valid, recent and compatible."""
         clock = clock_reading(now)
-        written_at, body = sealed_document.unseal_newest(texts, DOCUMENT_KIND, self.node, clock)
+        written_at, body = sealed_document.unseal_newest(halves, DOCUMENT_KIND, self.node, clock)
         age_us = sealed_document.age_us(written_at, clock, MAX_AGE_US)
         try:
             state = _DECODER.decode(body)
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -62,10 +62,10 @@
         saved_executors = {}
 
         def is_saved() -> bool:
-            if not (texts := state_file.texts()):
+            if not (halves := state_file.read_halves()):
                 return False
             now = ClockReading(0, EventLoopDriver.now(), boot_id())
-            sealed = sealed_document.unseal_newest(texts, "memory", "n0", now)
+            sealed = sealed_document.unseal_newest(halves, "memory", "n0", now)
             saved_executors.update(json.loads(sealed.body)["workers"])
             return name in saved_executors and sealed.written_at.monotonic_us >= saved_after_s * 1e6
 
@@ -178,9 +178,11 @@
     def wait_heartbeats(self, count: int) -> None:
         """Wait until both processes have written their documents `count` times."""
         for _ in range(count):
-            before = [document.texts() for document in self.documents]
+            before = [document.read_halves() for document in self.documents]
             self.wait_for(
-                lambda before=before: all(f.texts() != b for f, b in zip(self.documents, before, strict=True))
+                lambda before=before: all(
+                    f.read_halves() != b for f, b in zip(self.documents, before, strict=True)
+                )
             )
 
     def check_both_counted_so_far(self) -> None:
--- a/tests/net/test_sibling_faults.py
+++ b/tests/net/test_sibling_faults.py
@@ -111,8 +111,8 @@
         self.plan.arm()
         document = InPlaceStateFile(f"{self.tmpdir.name}/cedarmill-n0-out-{self.old.pid}.json")
         self.addCleanup(document.close)
-        before = document.texts()
-        self.wait_for(lambda: document.texts() != before)
+        before = document.read_halves()
+        self.wait_for(lambda: document.read_halves() != before)
         self.check_counted_until_killed()
 
 
--- a/tests/net/test_state_files.py
+++ b/tests/net/test_state_files.py
@@ -84,7 +84,7 @@
         for call in (
             StateFile(self.path).read,
             StateFile(self.path).alone().__enter__,
-            InPlaceStateFile(self.path).texts,
+            InPlaceStateFile(self.path).read_halves,
             lambda: InPlaceStateFile(self.path).write(b""),
         ):
             self.assertIsInstance(self.result_without_blocking(call), OSError)
@@ -95,7 +95,7 @@
         with self.assertRaises(OSError) as raised:
             StateFile(self.path).read()
         self.assertEqual(raised.exception.errno, errno.EFBIG)
-        self.assertEqual(InPlaceStateFile(self.path).texts(), [])
+        self.assertEqual(InPlaceStateFile(self.path).read_halves(), [])
 
     def test_short_writes_and_reads_are_completed(self):
         with mock.patch.object(os, "pwrite", limit_transfer(os.pwrite, 3)):
@@ -135,20 +135,20 @@
         with mock.patch.object(os, "pwrite", limit_transfer(os.pwrite, 3)):
             self.file.write(b"second")
         with mock.patch.object(os, "pread", limit_transfer(os.pread, 3)):
-            self.assertEqual(InPlaceStateFile(self.path).texts(), [b"first", b"second"])
+            self.assertEqual(InPlaceStateFile(self.path).read_halves(), [b"first", b"second"])
 
     def test_failed_writes_keep_the_valid_half(self):
         for _ in range(3):
             with mock.patch.object(os, "pwrite", disk_full_after(os.pwrite, 10)), self.assertRaises(OSError):
                 self.file.write(b"never whole")
-            self.assertEqual(InPlaceStateFile(self.path).texts()[0], b"first")
+            self.assertEqual(InPlaceStateFile(self.path).read_halves()[0], b"first")
         self.file.write(b"second")
-        self.assertEqual(InPlaceStateFile(self.path).texts(), [b"first", b"second"])
+        self.assertEqual(InPlaceStateFile(self.path).read_halves(), [b"first", b"second"])
 
     def test_write_recreates_a_file_that_another_process_removed(self):
         os.remove(self.path)
         self.file.write(b"second")
-        self.assertIn(b"second", InPlaceStateFile(self.path).texts())
+        self.assertIn(b"second", InPlaceStateFile(self.path).read_halves())
 
 
 if __name__ == "__main__":
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -211,12 +211,12 @@
 
     def saved_slots(self) -> float:
         """Return the slots of the one executor in the saved warm state; 0 while none is saved."""
-        texts = self.state_file().texts()
+        halves = self.state_file().read_halves()
         body = (
             sealed_document.unseal_newest(
-                texts, "memory", "n0", ClockReading(0, EventLoopDriver.now(), boot_id())
+                halves, "memory", "n0", ClockReading(0, EventLoopDriver.now(), boot_id())
             )[1]
-            if texts
+            if halves
             else b'{"workers":{}}'
         )
         return json.loads(body)["workers"].get("s-0", {}).get("slots", 0)
@@ -227,7 +227,7 @@
         requests = [self.executors[0].next_request() for _ in clients]
         document = self.state_file(f"out-{self.process.pid}")
         self.advance_clock(POLL_INTERVAL_ALONE_US)
-        self.wait_for(lambda: any(b"[5.0," in text for text in document.texts()))
+        self.wait_for(lambda: any(b"[5.0," in text for text in document.read_halves()))
         document.close()
         return clients, requests
 
@@ -336,8 +336,8 @@
         empty_file = Path(f"{self.tmpdir.name}/cedarmill-n0-out-1.json")
         empty_file.touch()
         document = self.state_file(f"out-{self.process.pid}")
-        before = document.texts()
-        self.wait_for(lambda: document.texts() != before)  # written after a poll of all files
+        before = document.read_halves()
+        self.wait_for(lambda: document.read_halves() != before)  # written after a poll of all files
         self.assertTrue(empty_file.exists())
 
     def test_torn_document_is_logged_and_not_restored(self):
