--- a/cedarmill/cluster/raft/__init__.py
+++ b/cedarmill/cluster/raft/__init__.py
@@ -1,4 +1,4 @@
-"""A replicated log after Raft (Ongaro, 2014), as a core without I/O or clock: `step(now, event) -> actions`.
+"""A replicated log that follows Raft (Ongaro, 2014), without I/O or a clock: `step(now, event) -> actions`.
 
-Nothing here opens a file or a socket, reads a clock, or knows what the commands in the log mean.
+This package opens no file or socket, reads no clock, and treats the commands in the log as opaque bytes.
 """
--- a/cedarmill/cluster/raft/actions.py
+++ b/cedarmill/cluster/raft/actions.py
@@ -1,7 +1,7 @@
-"""The actions that `RaftNode.step` returns, for its host to carry out in order.
+"""The actions that `RaftNode.step` returns, for the host to carry out in order.
 
-All PersistTermAndVote, PersistEntries and RestoreSnapshot have to be on the disk before any SendMessage
-leaves.
+The host must finish every PersistTermAndVote, PersistEntries and RestoreSnapshot durably before it carries
+out any SendMessage.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class RejectionReason(enum.StrEnum):
-    """Why a request was rejected, in the words that its caller is shown."""
+    """Reason for a rejected request; the value is the text shown to the caller."""
 
     NOT_LEADER = "not the leader"
     LEADERSHIP_LOST = "no longer the leader"
@@ -23,39 +23,42 @@
 
 
 class PersistTermAndVote(msgspec.Struct, frozen=True):
-    """Write the current term, and who got this replica's vote in it."""
+    """Write the current term and the candidate that this replica voted for in that term."""
 
     term: int
     vote: str
 
 
 class PersistEntries(msgspec.Struct, frozen=True):
-    """Write these entries; they replace all of the log from the first one's index on."""
+    """Write entries, which replace the log from the index of the first entry onwards."""
 
     entries: tuple[Entry, ...]
 
 
 class RestoreSnapshot(msgspec.Struct, frozen=True):
-    """Write this snapshot, drop the log that it covers, and replace the state machine's state by it."""
+    """Write a snapshot, drop the entries it covers, and replace the state of the state machine with it."""
 
     snapshot: Snapshot
 
 
 class SendMessage(msgspec.Struct, frozen=True):
-    """Send a message to the replica `target`; it may get lost."""
+    """Send a message to the replica `target`, without a guarantee of delivery."""
 
     target: str
     message: Message
 
 
 class ApplyEntries(msgspec.Struct, frozen=True):
-    """These entries are committed: apply them to the state machine."""
+    """Apply committed entries to the state machine."""
 
     entries: tuple[Entry, ...]
 
 
 class ProposalAccepted(msgspec.Struct, frozen=True):
-    """The proposal is in the log at `index`; it is committed once an entry of this term is applied there."""
+    """Report that a proposal was appended at `index`.
+
+    The proposal is committed when the entry applied at `index` has the term `term`.
+    """
 
     token: int
     index: int
@@ -63,7 +66,7 @@
 
 
 class RequestRejected(msgspec.Struct, frozen=True):
-    """The request was not taken; `leader` is the replica to ask instead, empty if not known."""
+    """Report that a request was rejected; `leader` is the replica to retry at, or empty if unknown."""
 
     token: int
     reason: RejectionReason
@@ -71,14 +74,18 @@
 
 
 class LeadershipConfirmed(msgspec.Struct, frozen=True):
-    """This replica led when the request came, and all entries committed by then are up to `index`."""
+    """Report that this replica was the leader when the request arrived.
+
+    `index` is at least the commit index of that moment, so a read that has applied the log up to `index` is
+    linearizable.
+    """
 
     token: int
     index: int
 
 
 class RoleChanged(msgspec.Struct, frozen=True):
-    """The replica's role, its leader or its term has changed; `leads`: this replica is the leader."""
+    """Report a change of the role, the leader or the term; `leads` means that this replica is the leader."""
 
     leads: bool
     leader: str
@@ -86,7 +93,7 @@
 
 
 class RaiseAlarm(msgspec.Struct, frozen=True):
-    """Tell an operator."""
+    """Alert an operator."""
 
     text: str
 
--- a/cedarmill/cluster/raft/election.py
+++ b/cedarmill/cluster/raft/election.py
@@ -1,25 +1,25 @@
-"""Elections: pre-vote, votes, and the beginning of a leader's term (thesis, 3.4, 3.6.1, 4.2.3 and 9.6)."""
+"""Leader election: pre-votes, votes, and the start of a leader's term (thesis, 3.4, 3.6.1, 4.2.3 and 9.6)."""
 
 from cedarmill.cluster.raft.actions import RoleChanged
 from cedarmill.cluster.raft.messages import EntryKind, RequestVote, RequestVoteReply, TimeoutNow
 from cedarmill.cluster.raft.progress import FollowerProgress
 from cedarmill.cluster.raft.replication import Replicator
 from cedarmill.cluster.raft.roles import Role
-from cedarmill.cluster.raft.state import NOBODY, NodeState
+from cedarmill.cluster.raft.state import NO_REPLICA, NodeState
 
 
 class Election:
-    """Asks for votes, counts them, and gives this replica's own."""
+    """Requests and counts votes as a candidate, and grants votes as a voter."""
 
     def __init__(self, state: NodeState, replicator: Replicator) -> None:
         self._state = state
         self._replicator = replicator
-        self._votes: dict[str, bool] = {}  # of the present election, or the questions before it
+        self._votes: dict[str, bool] = {}  # replies of the current election or pre-vote, by voter
 
-    # As a candidate.
+    # Candidate.
 
     def on_election_timeout(self, now: int) -> None:
-        """No leader has spoken in time: ask for votes, if this replica may be elected."""
+        """Start a pre-vote if this replica is electable; otherwise restart the election timer."""
         state = self._state
         if state.cluster.is_voter and not state.needs_catch_up:
             self._start_pre_vote(now)
@@ -27,17 +27,17 @@
             state.restart_election_timer(now)
 
     def on_timeout_now(self, now: int, source: str, message: TimeoutNow) -> None:
-        """The leader transfers its leadership to this replica."""
+        """Start an election without a pre-vote when the leader transfers its leadership to this replica."""
         state = self._state
-        may_stand = state.cluster.is_voter and not state.needs_catch_up
-        if message.term == state.term and state.leader == source and may_stand:
-            state.leader = NOBODY
+        is_electable = state.cluster.is_voter and not state.needs_catch_up
+        if message.term == state.term and state.leader == source and is_electable:
+            state.leader = NO_REPLICA
             self._start_election(now, leadership_transfer=True)
 
     def _start_pre_vote(self, now: int) -> None:
-        """Ask whether there would be a majority, with the term as it is (9.6)."""
+        """Ask the voters whether they would vote for this replica, without raising the term (9.6)."""
         state = self._state
-        state.leader = NOBODY
+        state.leader = NO_REPLICA
         state.change_role(Role.PRE_CANDIDATE)
         self._votes = {state.name: True}
         state.restart_election_timer(now)
@@ -45,7 +45,7 @@
         self._count_votes(now)
 
     def _start_election(self, now: int, leadership_transfer: bool = False) -> None:
-        """Raise the term, and ask for votes in it."""
+        """Raise the term and request votes in the new term."""
         state = self._state
         state.change_role(Role.CANDIDATE)
         self._votes = {state.name: True}
@@ -61,16 +61,16 @@
             self._state.send(name, message)
 
     def on_request_vote_reply(self, now: int, source: str, reply: RequestVoteReply) -> None:
-        """Count a vote, if it was given to what this replica asks now."""
+        """Count the reply to a request of the current election or pre-vote; ignore any other reply."""
         state = self._state
         if not reply.vote_granted and reply.term > state.term:
-            state.become_follower(now, reply.term, NOBODY)
+            state.become_follower(now, reply.term, NO_REPLICA)
             return
         if state.role is Role.PRE_CANDIDATE:
-            awaited = reply.pre_vote and reply.term == state.term + 1
+            is_awaited = reply.pre_vote and reply.term == state.term + 1
         else:
-            awaited = state.role is Role.CANDIDATE and not reply.pre_vote and reply.term == state.term
-        if awaited:
+            is_awaited = state.role is Role.CANDIDATE and not reply.pre_vote and reply.term == state.term
+        if is_awaited:
             self._votes[source] = reply.vote_granted
             self._count_votes(now)
 
@@ -90,15 +90,18 @@
         leader_state.reset()
         leader_state.quorum_confirmed_at = now
         next_index = state.log.last_index + 1
-        leader_state.progress = {name: FollowerProgress(next_index, now) for name in state.cluster.others}
+        leader_state.progress = {
+            name: FollowerProgress(next_index, now) for name in state.cluster.other_replicas
+        }
         state.emit(RoleChanged(True, state.name, state.term))
-        state.append_entry(EntryKind.NOOP, b"")  # commits the entries of earlier terms with it (3.6.2)
+        # The commit of the no-op entry also commits the entries of earlier terms (3.6.2).
+        state.append_entry(EntryKind.NOOP, b"")
         self._replicator.send_heartbeats(now)
 
-    # As a voter.
+    # Voter.
 
     def on_request_vote(self, now: int, source: str, message: RequestVote) -> None:
-        """Vote for a candidate whose log is at least as up to date (3.6.1), unless a leader is alive."""
+        """Vote for a candidate with a log at least as up to date (3.6.1), unless there is a live leader."""
         state = self._state
         if self._has_live_leader(now) and not message.leadership_transfer:
             state.send(source, RequestVoteReply(state.term, False, message.pre_vote))
@@ -107,27 +110,32 @@
             term = message.term if granted else state.term
             state.send(source, RequestVoteReply(term, granted, True))
         else:
-            granted = self._vote(now, source, message)
+            granted = self._grant_vote(now, source, message)
             state.send(source, RequestVoteReply(state.term, granted, False))
 
     def _has_live_leader(self, now: int) -> bool:
-        """Whether a leader has spoken within an election timeout, or this replica leads (4.2.3)."""
+        """Return whether a leader made contact within the election timeout, or this replica leads (4.2.3)."""
         state = self._state
         return now - state.last_leader_contact < state.timing.election_timeout or state.leads(now)
 
     def _may_vote_for(self, message: RequestVote) -> bool:
-        """Whether the candidate's log has all that this replica's has, which it knows for certain (3.6.1)."""
+        """Return whether the candidate's log is at least as up to date as this replica's log (3.6.1).
+
+        A replica that needs to catch up cannot compare the logs and never votes.
+        """
         state = self._state
-        candidates_end = (message.last_log_term, message.last_log_index)
-        return candidates_end >= (state.log.last_term, state.log.last_index) and not state.needs_catch_up
+        candidate_last_entry = (message.last_log_term, message.last_log_index)
+        return (
+            candidate_last_entry >= (state.log.last_term, state.log.last_index) and not state.needs_catch_up
+        )
 
-    def _vote(self, now: int, source: str, message: RequestVote) -> bool:
-        """Give the vote of the message's term, if it is not given to another; whether it was."""
+    def _grant_vote(self, now: int, source: str, message: RequestVote) -> bool:
+        """Grant the vote unless another candidate has it in this term; return whether it was granted."""
         state = self._state
         if message.term > state.term:
-            state.become_follower(now, message.term, NOBODY)
+            state.become_follower(now, message.term, NO_REPLICA)
         granted = (
-            message.term == state.term and state.vote in (NOBODY, source) and self._may_vote_for(message)
+            message.term == state.term and state.vote in (NO_REPLICA, source) and self._may_vote_for(message)
         )
         if granted:
             state.set_term_and_vote(state.term, source)
--- a/cedarmill/cluster/raft/events.py
+++ b/cedarmill/cluster/raft/events.py
@@ -1,6 +1,6 @@
-"""The events that `RaftNode.step` takes: requests of the replica that hosts the log, and what has happened.
+"""The events that `RaftNode.step` handles: requests, messages, timeouts and completed disk writes.
 
-Each request has a `token` of the caller's choice that comes back in the action that answers it.
+The caller chooses the `token` of a request; the action that answers the request carries the same token.
 """
 
 import msgspec
@@ -9,27 +9,28 @@
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """A message has arrived from the replica `source`."""
+    """A message arrived from the replica `source`."""
 
     source: str
     message: Message
 
 
 class TimeAdvanced(msgspec.Struct, frozen=True):
-    """Time has passed; to be told at the node's `deadline` at the latest."""
+    """Time has passed. The host sends this event no later than the `deadline` of the node."""
 
 
 class ProposeCommand(msgspec.Struct, frozen=True):
-    """Append a command to the log; answered by ProposalAccepted or RequestRejected."""
+    """Request to append a command to the log; answered by ProposalAccepted or RequestRejected."""
 
     data: bytes
     token: int
 
 
 class ChangeMembership(msgspec.Struct, frozen=True):
-    """Add the replica `name`, which votes once it is up to date; with `peer` None: remove it.
+    """Request to add the replica `name`, or to remove it if `peer` is None.
 
-    Answered by ProposalAccepted or RequestRejected.
+    An added non-voter is promoted to voter once its log has caught up. Answered by ProposalAccepted or
+    RequestRejected.
     """
 
     name: str
@@ -38,10 +39,10 @@
 
 
 class ConfirmLeadership(msgspec.Struct, frozen=True):
-    """Ask up to which index a read has to have applied the log to be linearizable (thesis, 6.4).
+    """Request the index up to which a linearizable read must have applied the log (thesis, 6.4).
 
-    Answered by LeadershipConfirmed or RequestRejected. Unless `immediate`, the answer waits for the next
-    regular heartbeat, so that frequent requests do not cause more heartbeats.
+    Answered by LeadershipConfirmed or RequestRejected. If `immediate` is false, the request waits for the
+    next regular heartbeat, so that frequent requests cause no extra heartbeats.
     """
 
     token: int
@@ -49,19 +50,19 @@
 
 
 class TransferLeadership(msgspec.Struct, frozen=True):
-    """Let the voter `target` lead; an empty name: the one whose log is most up to date."""
+    """Request to transfer the leadership to the voter `target`, or to the most up-to-date voter if empty."""
 
     target: str = ""
 
 
 class PersistenceCompleted(msgspec.Struct, frozen=True):
-    """All entries up to `index` that PersistEntries named are on the disk."""
+    """The host has durably written the entries of PersistEntries up to `index`."""
 
     index: int
 
 
 class SnapshotPersisted(msgspec.Struct, frozen=True):
-    """The host has written this snapshot: the log up to its index may be dropped."""
+    """The host has durably written a snapshot, so the entries it covers can be dropped."""
 
     snapshot: Snapshot
 
--- a/cedarmill/cluster/raft/messages.py
+++ b/cedarmill/cluster/raft/messages.py
@@ -1,8 +1,7 @@
-"""The log's entries and snapshots, and the messages that replicas send each other (Raft, figures 2 and 13).
+"""Log entries, snapshots and the messages between replicas (Raft, figures 2 and 13).
 
-All of it is encoded as MessagePack between processes and on disk. A renamed message keeps its old tag, and a
-renamed field its old key (`rename`), so that replicas of different versions understand each other and old
-logs can be read.
+These types are encoded as MessagePack on the wire and on disk. Tags and `rename` keep the encoded names
+stable, so that replicas of different versions stay compatible and old logs stay readable.
 """
 
 import enum
@@ -11,17 +10,18 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log is for."""
+    """Purpose of a log entry."""
 
-    NOOP = 0  # the first entry of a leader's term, which commits those of earlier terms
-    COMMAND = 1  # a command of the state machine
-    CONFIG = 2  # a new cluster configuration, in effect from the moment it is in the log
+    NOOP = 0  # first entry of a leader's term; its commit also commits the entries of earlier terms
+    COMMAND = 1  # a command for the state machine
+    CONFIG = 2  # a new cluster configuration, in effect once it is appended to the log
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of the log.
+    """One log entry.
 
-    `kind` is an `EntryKind`, decoded as a plain integer so that kinds of later versions can be read.
+    `kind` holds an `EntryKind` as a plain integer, so that entries of kinds added by later versions can be
+    decoded.
     """
 
     index: int
@@ -31,10 +31,10 @@
 
 
 class Peer(msgspec.Struct, array_like=True, frozen=True):
-    """A replica of the cluster; one that is not a voter yet is still being brought up to date.
+    """A replica in the cluster configuration; a non-voter is still catching up with the log.
 
-    `address` is HOST:PORT. `disk` identifies the disk that holds the votes and entries that this replica has
-    acknowledged; a replica of the same name on another disk is a stranger.
+    `address` is HOST:PORT. `disk` identifies the disk that holds the votes and entries which the replica has
+    acknowledged; a process with the same name and another disk is not the same replica.
     """
 
     address: str
@@ -42,11 +42,11 @@
     disk: str = ""
 
 
-Config = dict[str, Peer]  # the cluster configuration: the replicas by name
+Config = dict[str, Peer]  # the cluster configuration: replicas by name
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state machine after the entry at `index`, with that entry's term and the configuration at it."""
+    """State of the state machine after the entry at `index`, with the term and configuration there."""
 
     index: int
     term: int
@@ -54,8 +54,8 @@
     data: bytes
 
 
-# Every message carries its sender's term. `heartbeat_round` counts the heartbeats that a leader has sent; a
-# follower returns the number that it received.
+# Every message carries the sender's term. `heartbeat_round` counts the heartbeat rounds of a leader, and a
+# follower returns the number from the message that it replies to.
 
 
 class RequestVote(
@@ -69,11 +69,11 @@
     },
     frozen=True,
 ):
-    """A candidate asks for a vote (thesis, 3.4).
+    """Request for a vote from a candidate (thesis, 3.4).
 
-    With `pre_vote` it asks whether the vote would be granted, without having raised its term (9.6). With
-    `leadership_transfer` the leader itself has asked for the election, so that a live leader is no reason to
-    refuse (4.2.3).
+    With `pre_vote`, the sender asks whether the vote would be granted and has not raised its term (9.6). With
+    `leadership_transfer`, the leader itself started the election, so voters grant the vote although there is
+    a live leader (4.2.3).
     """
 
     term: int
@@ -86,7 +86,7 @@
 class RequestVoteReply(
     msgspec.Struct, tag="voted", rename={"vote_granted": "granted", "pre_vote": "pre"}, frozen=True
 ):
-    """The answer to RequestVote."""
+    """Reply to RequestVote."""
 
     term: int
     vote_granted: bool
@@ -104,7 +104,7 @@
     },
     frozen=True,
 ):
-    """The entries that follow `previous_log_index`, none for a heartbeat (thesis, 3.5)."""
+    """Entries that follow `previous_log_index`; a heartbeat may have none (thesis, 3.5)."""
 
     term: int
     previous_log_index: int
@@ -120,9 +120,10 @@
     rename={"success": "ok", "match_index": "index", "heartbeat_round": "round"},
     frozen=True,
 ):
-    """The answer to AppendEntries, and to the last chunk of InstallSnapshot.
+    """Reply to AppendEntries and to the last chunk of InstallSnapshot.
 
-    `match_index` is the last index at which the logs match, or without `success` the last at which they may.
+    `match_index` is the last index at which the logs match. Without `success`, it is the last index at which
+    the logs may match.
     """
 
     term: int
@@ -141,7 +142,7 @@
     },
     frozen=True,
 ):
-    """A chunk of a snapshot, `offset` bytes from its beginning; `done` with the last one (thesis, 5.1)."""
+    """Chunk of a snapshot at `offset` (bytes); `done` marks the last chunk (thesis, 5.1)."""
 
     term: int
     last_included_index: int
@@ -159,7 +160,7 @@
     rename={"last_included_index": "index", "next_offset": "offset", "heartbeat_round": "round"},
     frozen=True,
 ):
-    """The answer to a chunk that was not the last one: the offset (bytes) of the chunk to send next."""
+    """Reply to a chunk when the snapshot is not complete; `next_offset` (bytes) is the next chunk to send."""
 
     term: int
     last_included_index: int
@@ -168,7 +169,7 @@
 
 
 class TimeoutNow(msgspec.Struct, tag="lead", frozen=True):
-    """The leader transfers its leadership: start an election at once (thesis, 3.10)."""
+    """Request from the leader to start an election at once, to transfer the leadership (thesis, 3.10)."""
 
     term: int
 
--- a/cedarmill/cluster/raft/node.py
+++ b/cedarmill/cluster/raft/node.py
@@ -1,11 +1,12 @@
-"""One replica of the log: routes events to the modules that decide, and returns what is to be done.
+"""A Raft node: passes events to the modules of the protocol and returns the actions for the host.
 
-After Raft (Ongaro, `Consensus: Bridging Theory and Practice`, 2014), whose sections the modules name. No I/O
-and no clock: `step(now, event) -> actions`, with times in microseconds of this replica's own monotonic clock.
+The implementation follows Ongaro, `Consensus: Bridging Theory and Practice` (2014); "thesis" and section
+numbers in this package refer to it. A node has no I/O and no clock: `step(now, event)` returns actions, and
+times are microseconds of the replica's own monotonic clock.
 
-The host carries the actions out in order, by one rule: all that is to be persisted is on the disk before any
-message is sent. It then says PersistenceCompleted, and only then does this replica count itself among those
-that have the entries.
+The host carries out the actions in order, but writes everything that has to be persisted to the disk before
+it sends any message. It then sends PersistenceCompleted; until then, the node does not count its own copy
+of the entries towards a majority.
 """
 
 from typing import assert_never
@@ -42,98 +43,101 @@
 from cedarmill.cluster.raft.replication import EntriesReceiver, Replicator
 from cedarmill.cluster.raft.roles import Role
 from cedarmill.cluster.raft.snapshots import SnapshotReceiver
-from cedarmill.cluster.raft.state import NOBODY, NodeState, PersistentState, Timing
+from cedarmill.cluster.raft.state import NO_REPLICA, NodeState, PersistentState, Timing
 from cedarmill.cluster.raft.transfer import LeadershipTransfer
 
-_FROM_STRANGERS = (AppendEntries, InstallSnapshot, RequestVote)  # taken from outside the configuration
+_ACCEPTED_FROM_NON_MEMBERS = (AppendEntries, InstallSnapshot, RequestVote)
 
 
 class RaftNode:
-    """One replica."""
+    """One replica of the Raft log."""
 
     def __init__(
         self, name: str, persistent: PersistentState, now: int, seed: int, timing: Timing | None = None
     ) -> None:
-        """Start as a follower; `seed` and the name decide the random part of election timeouts."""
+        """Start as a follower; `seed` and `name` seed the random part of election timeouts."""
         self.name = name
         self.state = NodeState(name, persistent, now, seed, timing or Timing())
         self._membership = MembershipChanges(self.state)
         self._reads = ReadIndex(self.state)
         self._transfer = LeadershipTransfer(self.state)
         self._replicator = Replicator(self.state, self._membership, self._reads, self._transfer)
-        self._receiver = EntriesReceiver(self.state)
-        self._snapshots = SnapshotReceiver(self.state)
+        self._entries_receiver = EntriesReceiver(self.state)
+        self._snapshot_receiver = SnapshotReceiver(self.state)
         self._election = Election(self.state, self._replicator)
 
-    # What the host may ask.
+    # State for the host.
 
     @property
     def role(self) -> Role:
-        """The present role; a leader may have lost its leadership without knowing it yet, see `leads`."""
+        """Current role; a leader that has been superseded may still have the role LEADER, see `leads`."""
         return self.state.role
 
     @property
     def term(self) -> int:
-        """The newest term that this replica knows of."""
+        """Current term of this replica."""
         return self.state.term
 
     @property
     def leader(self) -> str:
-        """The leader of the present term; empty where it is not known."""
+        """Leader of the current term, or empty if unknown."""
         return self.state.leader
 
     @property
     def needs_catch_up(self) -> bool:
-        """Whether the disk may have lost what was acknowledged; ends once the log is complete again."""
+        """Whether the disk may have lost acknowledged votes or entries.
+
+        False again once the log holds all committed entries.
+        """
         return self.state.needs_catch_up
 
     @property
     def deadline(self) -> int:
-        """When TimeAdvanced has to come at the latest, in microseconds of the own clock."""
+        """Latest time for the next TimeAdvanced, in microseconds of the replica's clock."""
         return self.state.deadline
 
     @property
     def log(self) -> Log:
-        """The log; only to be read."""
+        """The log; callers must not modify it."""
         return self.state.log
 
     @property
     def commit_index(self) -> int:
-        """The last entry that is known to be committed; ApplyEntries has named all up to it."""
+        """Index of the last entry known to be committed; ApplyEntries has covered all entries up to it."""
         return self.state.commit_index
 
     @property
     def config(self) -> Config:
-        """The cluster configuration in effect."""
+        """Cluster configuration in effect."""
         return self.state.cluster.peers
 
     @property
     def config_index(self) -> int:
-        """The index of the entry or the snapshot that holds the configuration."""
+        """Log index of the entry or snapshot that holds the configuration in effect."""
         return self.state.cluster.index
 
     @property
     def voters(self) -> list[str]:
-        """The names of the replicas that vote."""
+        """Names of the voters."""
         return self.state.cluster.voters
 
     @property
     def progress(self) -> dict[str, FollowerProgress]:
-        """As the leader: how far each of the others has got."""
+        """Replication progress of each follower; empty unless this replica is the leader."""
         return self.state.leader_state.progress
 
     def leads(self, now: int) -> bool:
-        """Whether this replica may act as the leader at this moment."""
+        """Return whether this replica is the leader and has been in contact with a majority recently."""
         return self.state.leads(now)
 
     # Events.
 
     def step(self, now: int, event: Event) -> list[Action]:
-        """Take an event; the actions that follow from it, to be carried out in their order."""
+        """Handle an event and return the resulting actions in the order to carry them out."""
         state = self.state
         state.actions = []
         if state.role is Role.LEADER and state.lost_quorum_contact(now):
-            state.become_follower(now, state.term, NOBODY)
+            state.become_follower(now, state.term, NO_REPLICA)
         self._route(now, event)
         return state.actions
 
@@ -150,7 +154,7 @@
             case PersistenceCompleted():
                 self._replicator.on_persistence_completed(now, event)
             case SnapshotPersisted():
-                self._snapshots.on_persisted(event)
+                self._snapshot_receiver.on_persisted(event)
             case ChangeMembership():
                 if self._accepts_proposals(now, event.token):
                     self._membership.propose(event)
@@ -160,15 +164,16 @@
                 assert_never(event)
 
     def _on_message(self, now: int, source: str, message: Message) -> None:
-        """Route a message; of a replica outside the configuration only those are taken that may teach it.
+        """Pass a message to its handler; drop replies and TimeoutNow from non-members.
 
-        Such a replica may not know yet that it was added or removed.
+        Other messages from non-members are handled, because the configuration here may be out of date.
+        Without a configuration, all messages are handled.
         """
-        if self.config and source not in self.config and not isinstance(message, _FROM_STRANGERS):
+        if self.config and source not in self.config and not isinstance(message, _ACCEPTED_FROM_NON_MEMBERS):
             return
         match message:
             case AppendEntries():
-                self._receiver.on_append_entries(now, source, message)
+                self._entries_receiver.on_append_entries(now, source, message)
             case AppendEntriesReply():
                 self._replicator.on_append_entries_reply(now, source, message)
             case RequestVote():
@@ -176,7 +181,7 @@
             case RequestVoteReply():
                 self._election.on_request_vote_reply(now, source, message)
             case InstallSnapshot():
-                self._snapshots.on_install_snapshot(now, source, message)
+                self._snapshot_receiver.on_install_snapshot(now, source, message)
             case InstallSnapshotReply():
                 self._replicator.on_install_snapshot_reply(now, source, message)
             case TimeoutNow():
@@ -198,7 +203,10 @@
             self.state.emit(ProposalAccepted(event.token, index, self.state.term))
 
     def _accepts_proposals(self, now: int, token: int) -> bool:
-        """Whether this replica leads and goes on leading; otherwise the proposal is rejected."""
+        """Return whether proposals are accepted now; reject the one with `token` otherwise.
+
+        Only a leader that is not transferring its leadership accepts proposals.
+        """
         state = self.state
         if not state.leads(now):
             state.emit(RequestRejected(token, RejectionReason.NOT_LEADER, state.leader))
@@ -210,6 +218,6 @@
         return True
 
     def _on_confirm_leadership(self, now: int, event: ConfirmLeadership) -> None:
-        registered = self._reads.register(now, event)
-        if registered and len(self.voters) == 1:
-            self._replicator.send_heartbeats(now)  # nobody else has to answer it
+        is_registered = self._reads.register(now, event)
+        if is_registered and len(self.voters) == 1:
+            self._replicator.send_heartbeats(now)  # A single voter confirms the read without replies.
--- a/cedarmill/cluster/raft/reads.py
+++ b/cedarmill/cluster/raft/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads without entries in the log: read index (thesis, 6.4)."""
+"""Linearizable reads without log entries, by the read index method (thesis, 6.4)."""
 
 from cedarmill.cluster.raft.actions import LeadershipConfirmed, RejectionReason, RequestRejected
 from cedarmill.cluster.raft.events import ConfirmLeadership
@@ -6,13 +6,16 @@
 
 
 class ReadIndex:
-    """Answers reads once a majority has answered a heartbeat that left after they came."""
+    """Confirms a read once a majority has answered a heartbeat that was sent after the read arrived."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
 
     def register(self, now: int, event: ConfirmLeadership) -> bool:
-        """Let a read wait for the next heartbeat; False where it is rejected, since another replica leads."""
+        """Queue a read for the next heartbeat round and return True.
+
+        Reject the read and return False if this replica is not the leader.
+        """
         state = self._state
         if not state.leads(now):
             state.emit(RequestRejected(event.token, RejectionReason.NOT_LEADER, state.leader))
@@ -24,15 +27,18 @@
         return True
 
     def answer_confirmed(self) -> None:
-        """Answer the reads whose heartbeat a majority has answered, once this term has committed an entry."""
+        """Confirm the reads whose heartbeat round a majority has answered.
+
+        No read is confirmed before an entry of the current term is committed.
+        """
         state, leader_state = self._state, self._state.leader_state
-        if not state.committed_in_term:
+        if not state.has_committed_in_term:
             return
-        confirmed = state.cluster.reached_by_majority(
+        confirmed_round = state.cluster.reached_by_majority(
             leader_state.heartbeat_round, leader_state.heartbeat_round_of
         )
         pending = leader_state.pending_reads
-        leader_state.pending_reads = [read for read in pending if read.heartbeat_round > confirmed]
+        leader_state.pending_reads = [read for read in pending if read.heartbeat_round > confirmed_round]
         for read in pending:
-            if read.heartbeat_round <= confirmed:
+            if read.heartbeat_round <= confirmed_round:
                 state.emit(LeadershipConfirmed(read.token, state.commit_index))
--- a/cedarmill/cluster/raft/roles.py
+++ b/cedarmill/cluster/raft/roles.py
@@ -1,48 +1,48 @@
-"""The roles of a replica, and which may follow which (Raft, figure 4, with the role that pre-vote adds)."""
+"""Roles of a replica and the allowed transitions (Raft, figure 4, with an additional pre-candidate role)."""
 
 import enum
 
 
 class RaftError(Exception):
-    """Base of the errors of the replicated log."""
+    """Base class of the errors of the replicated log."""
 
 
 class InvalidTransition(RaftError):
-    """A replica was about to take a role that cannot follow its present one: a defect of this package."""
+    """An attempted role transition that Raft does not allow; indicates a bug in this package."""
 
 
 class Role(enum.Enum):
-    """What a replica is at present."""
+    """Role of a replica."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre-candidate"  # asks whether it would be elected, before it raises its term
+    PRE_CANDIDATE = "pre-candidate"  # requests pre-votes before it raises its term
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 NEXT_ROLES = {
     Role.FOLLOWER: {
-        Role.FOLLOWER,  # another leader, or a newer term
-        Role.PRE_CANDIDATE,  # the election timeout
-        Role.CANDIDATE,  # TimeoutNow: the leader transfers its leadership
+        Role.FOLLOWER,  # another leader or a newer term
+        Role.PRE_CANDIDATE,  # election timeout
+        Role.CANDIDATE,  # TimeoutNow from a leader that transfers its leadership
     },
     Role.PRE_CANDIDATE: {
         Role.FOLLOWER,  # a leader or a newer term
-        Role.PRE_CANDIDATE,  # the election timeout, once more
-        Role.CANDIDATE,  # a majority would vote for it
+        Role.PRE_CANDIDATE,  # another election timeout
+        Role.CANDIDATE,  # a majority granted the pre-vote
     },
     Role.CANDIDATE: {
         Role.FOLLOWER,  # a leader or a newer term
-        Role.PRE_CANDIDATE,  # the election timeout: the vote was split
-        Role.LEADER,  # a majority has voted for it
+        Role.PRE_CANDIDATE,  # election timeout after a split vote
+        Role.LEADER,  # a majority granted the vote
     },
     Role.LEADER: {
-        Role.FOLLOWER,  # a newer term, no contact to a majority, or no member of the cluster any longer
+        Role.FOLLOWER,  # a newer term, lost contact with a majority, or removal from the cluster
     },
 }
 
 
 def check_transition(before: Role, after: Role) -> None:
-    """Raise InvalidTransition where `after` is not one of the roles that may follow `before`."""
+    """Raise InvalidTransition if the role `after` must not follow the role `before`."""
     if after not in NEXT_ROLES[before]:
-        raise InvalidTransition(f"a {before.value} cannot become a {after.value}")
+        raise InvalidTransition(f"invalid role transition: {before.value} -> {after.value}")
--- a/cedarmill/cluster/raft/snapshots.py
+++ b/cedarmill/cluster/raft/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: compaction of the log, and transfer to followers that lack compacted entries (thesis, 5.1)."""
+"""Log compaction, and snapshot transfer to followers that need compacted entries (thesis, 5.1)."""
 
 from dataclasses import dataclass, field
 
@@ -14,25 +14,25 @@
 from cedarmill.cluster.raft.progress import FollowerProgress
 from cedarmill.cluster.raft.state import NodeState
 
-CHUNK_BYTES = 32 * 1024  # of a snapshot's data in one message
+CHUNK_BYTES = 32 * 1024  # bytes of snapshot data in one message
 
 
 class SnapshotSender:
-    """Sends the leader's snapshot, one chunk at a time; the next heartbeat repeats a lost one."""
+    """Sends the leader's snapshot one chunk at a time; a heartbeat sends an unanswered chunk again."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
 
     def send_chunk(self, name: str, progress: FollowerProgress) -> None:
-        """Send the next chunk, unless one is in flight."""
-        if progress.chunk_in_flight:
+        """Send the next chunk unless one is in flight."""
+        if progress.is_chunk_in_flight:
             return
         state, snapshot = self._state, self._state.log.snapshot
         if progress.snapshot_offset >= max(1, len(snapshot.data)):
             progress.snapshot_offset = 0
         offset = progress.snapshot_offset
         data = snapshot.data[offset : offset + CHUNK_BYTES]
-        progress.chunk_in_flight = True
+        progress.is_chunk_in_flight = True
         message = InstallSnapshot(
             term=state.term,
             last_included_index=snapshot.index,
@@ -46,22 +46,22 @@
         state.send(name, message)
 
     def on_reply(self, progress: FollowerProgress, reply: InstallSnapshotReply) -> None:
-        """Go on where the follower says; from the beginning where it speaks of an older snapshot."""
-        progress.chunk_in_flight = False
+        """Continue at the offset in the reply, or restart if the reply refers to another snapshot."""
+        progress.is_chunk_in_flight = False
         is_current = reply.last_included_index == self._state.log.snapshot.index
         progress.snapshot_offset = reply.next_offset if is_current else 0
 
 
 @dataclass(slots=True)
 class _IncomingSnapshot:
-    """A snapshot of which some chunks have arrived."""
+    """A partially received snapshot."""
 
     leader: str
     term: int
     last_included_index: int
     data: bytearray = field(default_factory=bytearray)
 
-    def belongs_to(self, leader: str, message: InstallSnapshot) -> bool:
+    def matches(self, leader: str, message: InstallSnapshot) -> bool:
         return (self.leader, self.term, self.last_included_index) == (
             leader,
             message.term,
@@ -70,20 +70,20 @@
 
 
 class SnapshotReceiver:
-    """Puts a leader's chunks together and replaces the log; compacts the log by the own snapshots."""
+    """Installs snapshots from the leader, and compacts the log with snapshots made by the host."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
         self._incoming: _IncomingSnapshot | None = None
 
     def on_persisted(self, event: SnapshotPersisted) -> None:
-        """The host has made a snapshot: drop the entries that it covers."""
+        """Drop the entries covered by a snapshot that the host has persisted."""
         snapshot, log = event.snapshot, self._state.log
         if log.snapshot.index < snapshot.index <= self._state.commit_index:
             log.compact(snapshot)
 
     def on_install_snapshot(self, now: int, source: str, message: InstallSnapshot) -> None:
-        """Take a chunk, and the whole snapshot with the last one."""
+        """Append a chunk to the incoming snapshot, and install the snapshot after the last chunk."""
         state = self._state
         if message.term < state.term:
             self._reply_next_offset(source, message, 0)
@@ -102,9 +102,9 @@
         self._reply_next_offset(source, message, len(data))
 
     def _incoming_data(self, source: str, message: InstallSnapshot) -> bytearray:
-        """What has arrived of this message's snapshot; only one is taken at a time."""
+        """Return the received data of the message's snapshot; a new snapshot replaces an incomplete one."""
         incoming = self._incoming
-        if incoming is None or not incoming.belongs_to(source, message):
+        if incoming is None or not incoming.matches(source, message):
             incoming = _IncomingSnapshot(source, message.term, message.last_included_index)
             self._incoming = incoming
         return incoming.data
--- a/cedarmill/cluster/raft/state.py
+++ b/cedarmill/cluster/raft/state.py
@@ -1,7 +1,7 @@
-"""The state of one replica of the log, and the steps that change it (Raft, figure 2).
+"""The Raft state of one replica and the operations that change it (Raft, figure 2).
 
-The modules that decide (election, replication, snapshots, membership, reads, transfer) share one `NodeState`.
-Times are microseconds of this replica's own monotonic clock; clocks of two replicas are never compared.
+Election, replication, snapshots, membership, reads and leadership transfer share one `NodeState`. Times are
+microseconds of the replica's own monotonic clock; clocks of different replicas are never compared.
 """
 
 import random
@@ -23,14 +23,14 @@
 from cedarmill.cluster.raft.progress import FollowerProgress
 from cedarmill.cluster.raft.roles import Role, check_transition
 
-NOBODY = ""  # in place of a replica's name: no vote given, no leader known
+NO_REPLICA = ""  # replica name that means "no vote granted" or "leader unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
     """Intervals of the protocol, in microseconds.
 
-    A follower waits for a leader between one and two times `election_timeout`.
+    A follower starts an election after a random time between one and two times `election_timeout`.
     """
 
     heartbeat_interval: int = 100_000
@@ -39,10 +39,10 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a replica starts from: what it had on its disk (thesis, 3.8).
+    """State that a replica restores from its disk at startup (thesis, 3.8).
 
-    With `needs_catch_up` the disk may have lost votes or entries that the replica had acknowledged: it takes
-    no part in elections until it has again all that is committed.
+    `needs_catch_up` means that the disk may have lost acknowledged votes or entries. Such a replica neither
+    votes nor stands for election until it holds all committed entries again.
     """
 
     term: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that waits until a majority has answered a heartbeat that left after it came."""
+    """A read that waits for a majority to answer a heartbeat sent after the read arrived."""
 
     token: int
     heartbeat_round: int
@@ -62,34 +62,34 @@
 
 @dataclass(slots=True)
 class LeaderState:
-    """What only a leader needs; all but `heartbeat_round` begins anew with each term that it leads."""
+    """State of a leader; everything except `heartbeat_round` is reset when a term of leadership starts."""
 
-    quorum_confirmed_at: int  # when the newest heartbeat that a majority has answered was sent
-    heartbeat_round: int = 0  # the number of the newest heartbeat
-    heartbeats_sent_at: dict[int, int] = field(default_factory=dict)  # by round, until a majority answers
+    quorum_confirmed_at: int  # send time of the newest heartbeat that a majority has answered
+    heartbeat_round: int = 0  # number of the newest heartbeat
+    heartbeats_sent_at: dict[int, int] = field(default_factory=dict)  # send times by round, until confirmed
     progress: dict[str, FollowerProgress] = field(default_factory=dict)
     pending_reads: list[PendingRead] = field(default_factory=list)
-    transfer_target: str | None = None  # to whom leadership is being transferred
+    transfer_target: str | None = None  # receiver of an ongoing leadership transfer
     transfer_deadline: int = 0
 
     def reset(self) -> None:
-        """Forget followers, reads and a transfer."""
+        """Clear the followers, the pending reads and the leadership transfer."""
         self.heartbeats_sent_at.clear()
         self.progress = {}
         self.pending_reads = []
         self.transfer_target = None
 
     def match_index_of(self, name: str) -> int:
-        """Up to which index a follower's log is known to match."""
+        """Return the index up to which a follower's log is known to match, or 0."""
         return self.progress[name].match_index if name in self.progress else 0
 
     def heartbeat_round_of(self, name: str) -> int:
-        """The newest heartbeat that a follower has answered."""
+        """Return the newest heartbeat round that a follower has answered, or 0."""
         return self.progress[name].heartbeat_round if name in self.progress else 0
 
 
 class NodeState:
-    """All that a replica knows, and the actions of the present step."""
+    """Raft state of a replica, and the actions collected during the current step."""
 
     def __init__(self, name: str, persistent: PersistentState, now: int, seed: int, timing: Timing) -> None:
         self.name = name
@@ -100,65 +100,65 @@
         self.log = Log(persistent.snapshot, persistent.entries)
         self.cluster = ClusterConfiguration(name, self.log)
         self.commit_index = persistent.snapshot.index
-        self.persisted_index = self.log.last_index  # up to which the log is on the disk
+        self.persisted_index = self.log.last_index  # last index known to be on the disk
         self.role = Role.FOLLOWER
-        self.leader = NOBODY
+        self.leader = NO_REPLICA
         self.leader_state = LeaderState(quorum_confirmed_at=now)
         self.last_leader_contact = now - 2 * timing.election_timeout
-        self.deadline = 0  # when the host has to say that time has advanced
+        self.deadline = 0  # time when the host has to send TimeAdvanced
         self.actions: list[Action] = []
         self._random = random.Random(f"{seed}/{name}")
         self.restart_election_timer(now)
 
     def emit(self, action: Action) -> None:
-        """Add an action for the host."""
+        """Add an action to the result of the current step."""
         self.actions.append(action)
 
     def send(self, target: str, message: Message) -> None:
-        """Send a message to a replica."""
+        """Emit a SendMessage action."""
         self.emit(SendMessage(target, message))
 
     # Time.
 
     def restart_election_timer(self, now: int) -> None:
-        """Wait for a leader, for a random time so that few replicas stand at once (thesis, 3.4)."""
+        """Restart the election timer with a random timeout, to make split votes unlikely (thesis, 3.4)."""
         self.deadline = (
             now + self.timing.election_timeout + self._random.randrange(self.timing.election_timeout)
         )
 
     def lost_quorum_contact(self, now: int) -> bool:
-        """Whether a leader has been out of touch for so long that another may have been elected (6.2)."""
+        """Return whether a majority has been silent so long that another leader may be elected (6.2)."""
         elapsed = now - self.leader_state.quorum_confirmed_at
         return elapsed > self.timing.election_timeout and len(self.cluster.voters) > 1
 
     def leads(self, now: int) -> bool:
-        """Whether this replica may act as the leader at this moment."""
+        """Return whether this replica is the leader and has not lost contact with a majority."""
         return self.role is Role.LEADER and not self.lost_quorum_contact(now)
 
     # Term, vote and role.
 
     def set_term_and_vote(self, term: int, vote: str) -> None:
-        """Change them, and have them persisted."""
+        """Set the term and the vote, and persist them if they change."""
         if (term, vote) != (self.term, self.vote):
             self.term, self.vote = term, vote
             self.emit(PersistTermAndVote(term, vote))
 
     def change_role(self, role: Role) -> None:
-        """Take a role; raises InvalidTransition."""
+        """Change the role; raise InvalidTransition if the change is not allowed."""
         check_transition(self.role, role)
         self.role = role
 
     def become_follower(self, now: int, term: int, leader: str) -> None:
-        """Follow a leader, or NOBODY, in a term that is at least the present one."""
-        before = self.role, self.leader, self.term
-        led = self.role is Role.LEADER
+        """Become a follower of `leader`, or of NO_REPLICA if unknown, in the current or a newer term."""
+        previous_state = self.role, self.leader, self.term
+        was_leader = self.role is Role.LEADER
         self.change_role(Role.FOLLOWER)
         self.leader = leader
         if term > self.term:
-            self.set_term_and_vote(term, NOBODY)
-        if led:
+            self.set_term_and_vote(term, NO_REPLICA)
+        if was_leader:
             self._stop_leading(now)
-        if (self.role, self.leader, self.term) != before:
+        if (self.role, self.leader, self.term) != previous_state:
             self.emit(RoleChanged(False, leader, self.term))
 
     def _stop_leading(self, now: int) -> None:
@@ -168,7 +168,7 @@
         self.restart_election_timer(now)
 
     def accept_leader(self, now: int, leader: str, term: int) -> None:
-        """A leader of this term or a newer one has spoken."""
+        """Record contact from a leader of the current or a newer term, and follow that leader."""
         if term > self.term or self.role is not Role.FOLLOWER or self.leader != leader:
             self.become_follower(now, term, leader)
         self.last_leader_contact = now
@@ -177,7 +177,7 @@
     # The log.
 
     def append_entry(self, kind: EntryKind, data: bytes) -> int:
-        """Append an entry of this term, as its leader; its index."""
+        """Append an entry of the current term as the leader, and return its index."""
         entry = Entry(self.log.last_index + 1, self.term, kind, data)
         self.log.replace_from((entry,))
         self.emit(PersistEntries((entry,)))
@@ -186,14 +186,14 @@
         return entry.index
 
     def store_entries(self, entries: tuple[Entry, ...]) -> None:
-        """Put a leader's entries in place of what the log holds from the first one's index on."""
+        """Replace the log from the index of the first entry onwards with entries from the leader."""
         self.log.replace_from(entries)
         self.persisted_index = min(self.persisted_index, entries[0].index - 1)
         self.emit(PersistEntries(entries))
         self.cluster.reload(self.log)
 
     def commit_up_to(self, index: int) -> None:
-        """The entries up to `index` are committed, as far as this log has them."""
+        """Commit the entries up to `index`, as far as they are in the log."""
         index = min(index, self.log.last_index)
         if index <= self.commit_index:
             return
@@ -202,6 +202,9 @@
         self.emit(ApplyEntries(entries))
 
     @property
-    def committed_in_term(self) -> bool:
-        """Whether an entry of the present term is committed, so that a leader knows all that is (3.6.2)."""
+    def has_committed_in_term(self) -> bool:
+        """Whether an entry of the current term is committed.
+
+        From then on, the commit index of a leader includes all committed entries (3.6.2).
+        """
         return self.log.term(self.commit_index) == self.term
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -1,4 +1,4 @@
-"""The replicated log: its messages keep their form on the wire, and roles follow each other by the table."""
+"""Tests of the encoded form of Raft messages, of rejection reasons and of role transitions."""
 
 import itertools
 import unittest
@@ -12,7 +12,7 @@
 
 PEER = Peer("127.0.0.1:1", False, "d0")
 ENTRIES = (Entry(3, 2, EntryKind.COMMAND, b"xy"), Entry(4, 2, EntryKind.NOOP))
-WIRE_FORMS = (
+ENCODED_MESSAGES = (
     (
         messages.RequestVote(1, 2, 3, True, False),
         b'{"type":"vote","term":1,"last_index":2,"last_term":3,"pre":true,"forced":false}',
@@ -40,24 +40,24 @@
 )
 
 
-class WireForms(unittest.TestCase):
-    """JSON stands for MessagePack here: the tags and keys are the same, and can be read."""
+class MessageEncoding(unittest.TestCase):
+    """The tests encode as JSON, which is readable and has the same tags and keys as MessagePack."""
 
-    def test_each_message_keeps_its_tag_and_its_keys(self):
-        self.assertEqual({type(message) for message, _ in WIRE_FORMS}, set(messages.Message.__args__))
-        for message, text in WIRE_FORMS:
+    def test_each_message_is_encoded_with_stable_tag_and_keys(self):
+        self.assertEqual({type(message) for message, _ in ENCODED_MESSAGES}, set(messages.Message.__args__))
+        for message, text in ENCODED_MESSAGES:
             with self.subTest(type(message).__name__):
                 self.assertEqual(msgspec.json.encode(message), text)
                 self.assertEqual(msgspec.json.decode(text, type=messages.Message), message)
 
-    def test_a_reason_is_the_sentence_that_its_caller_is_shown(self):
+    def test_rejection_reason_is_encoded_as_the_text_shown_to_the_caller(self):
         reason = RejectionReason.CHANGE_PENDING
         self.assertEqual(msgspec.json.decode(msgspec.json.encode(reason)), f"{reason}")
         self.assertEqual(f"{reason}", "another change of the keepers is not agreed yet")
 
 
-class Roles(unittest.TestCase):
-    def test_only_the_transitions_of_the_table_are_taken(self):
+class RoleTransitions(unittest.TestCase):
+    def test_only_transitions_in_the_table_are_accepted(self):
         for before, after in itertools.product(Role, Role):
             if after in NEXT_ROLES[before]:
                 check_transition(before, after)
@@ -65,6 +65,6 @@
                 with self.assertRaisesRegex(InvalidTransition, f"{before.value} .* {after.value}"):
                     check_transition(before, after)
 
-    def test_none_leads_but_by_an_election_and_each_may_be_deposed(self):
+    def test_only_a_candidate_can_become_leader_and_every_role_can_become_follower(self):
         self.assertEqual([role for role in Role if Role.LEADER in NEXT_ROLES[role]], [Role.CANDIDATE])
         self.assertEqual([role for role in Role if Role.FOLLOWER in NEXT_ROLES[role]], list(Role))
