--- a/cedarmill/cluster/state_machine/__init__.py
+++ b/cedarmill/cluster/state_machine/__init__.py
@@ -1,3 +1,5 @@
-"""The replicated state machine: the commands of the log, by concern, and how each changes the agreed state.
-No I/O, no clock, no randomness: replicas that apply the same entries hold the same state to the last byte.
+"""The replicated state machine: log commands, grouped by concern, and their effect on the agreed state.
+
+The package does no I/O and reads neither a clock nor a random source, so replicas that apply the same entries
+hold byte-identical state. The texts of notes and outcomes are part of that state.
 """
--- a/cedarmill/cluster/state_machine/budgets.py
+++ b/cedarmill/cluster/state_machine/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of the cluster, leased to nodes: demand, acknowledgement of smaller leases, and settings."""
+"""Commands for the cluster's budgets: demand of members, acknowledged orders, and budget settings."""
 
 from cedarmill.cluster import budget_grants
 from cedarmill.cluster.budget_grants import Budget, InvalidBudgetError
@@ -9,39 +9,39 @@
 
 
 class SetBudgetDemand(Command, tag="wants", frozen=True):
-    """A member's demand of each budget, in thousandths a second, has changed."""
+    """Record a member's changed demand for each budget, in thousandths per second."""
 
     member_key: str
     demand: dict[str, int]
 
 
 class AcknowledgeOrders(Command, tag="follows", frozen=True):
-    """A member follows orders of that epoch, and spends no longer by older ones."""
+    """Record that a member follows the orders of an epoch and no longer spends grants of earlier orders."""
 
     member_key: str
     epoch: int
 
 
 class SetBudgets(OperatorRequest, tag="budgets", frozen=True):
-    """Replace the budgets."""
+    """Replace all budgets of the cluster."""
 
     budgets: tuple[Budget, ...]
 
 
 def set_demand(state: ClusterState, command: SetBudgetDemand) -> None:
-    """Deal the budgets anew; the demand of a member without a session is passed over."""
+    """Store a member's demand and redistribute the budgets; ignore members without a live session."""
     member = state.members.get(command.member_key)
     if member is not None and member.state == MemberState.LIVE:
         budget_grants.set_demand(state, command.member_key, command.demand)
 
 
 def acknowledge_orders(state: ClusterState, command: AcknowledgeOrders) -> None:
-    """What the member could spend by older orders is free."""
+    """Release the part of each budget that the member held only under earlier orders."""
     budget_grants.acknowledge(state, command.member_key, command.epoch)
 
 
 def set_budgets(state: ClusterState, request: SetBudgets) -> RequestOutcome:
-    """Replace the budgets; raises RequestRejected naming what is wrong with them."""
+    """Replace all budgets; raise RequestRejected with the reason if they are invalid."""
     try:
         budget_grants.set_budgets(state, list(request.budgets))
     except InvalidBudgetError as error:
--- a/cedarmill/cluster/state_machine/command.py
+++ b/cedarmill/cluster/state_machine/command.py
@@ -1,7 +1,7 @@
-"""Base types of all commands, and the type of the functions that apply them.
+"""Base types of commands, and the type of the functions that apply commands.
 
-Commands are encoded as MessagePack arrays, so field names may change while the order of fields and the tags
-may not.
+Commands are encoded as MessagePack arrays: fields may be renamed, but their order and the tags must not
+change.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,20 +11,20 @@
 
 from cedarmill.cluster.state import ClusterState, RequestOutcome
 
-DEFAULT_WAIT_US = 600_000_000  # how long a request for a permit waits to be granted
+DEFAULT_PERMIT_WAIT_US = 600_000_000
 
 
 class Command(msgspec.Struct, array_like=True, frozen=True):
-    """An entry of the replicated log. `time_us` is the cluster's time at the leader that proposed it."""
+    """A command in the replicated log; `time_us` is the cluster time at which the leader proposed it."""
 
     time_us: int
 
 
 class OperatorRequest(Command, frozen=True):
-    """A command that an operator, or a node on its behalf, has asked for.
+    """A command requested by an operator, or by a node on an operator's behalf.
 
-    The pair of `requester` and `request_id` is the idempotency key: a repeated request gets the outcome of
-    the first and changes nothing.
+    The pair of `requester` and `request_id` is the idempotency key: a repeated request changes nothing and
+    gets the outcome of the first one.
     """
 
     requester: str
@@ -36,5 +36,5 @@
 
 
 def accepted(state: ClusterState, text: str, created_ids: list[int] | None = None) -> RequestOutcome:
-    """The outcome of a request that was carried out."""
+    """Return the outcome of a successful request."""
     return RequestOutcome(state.clock, True, text, created_ids or [])
--- a/cedarmill/cluster/state_machine/commands.py
+++ b/cedarmill/cluster/state_machine/commands.py
@@ -1,4 +1,4 @@
-"""All commands in one place: `AnyRequest` is what operators send, `AnyCommand` what the log holds."""
+"""All command types; `AnyRequest` is the union of operator requests, `AnyCommand` that of log commands."""
 
 from cedarmill.cluster.state_machine.budgets import AcknowledgeOrders, SetBudgetDemand, SetBudgets
 from cedarmill.cluster.state_machine.command import Command, OperatorRequest
--- a/cedarmill/cluster/state_machine/dispatch.py
+++ b/cedarmill/cluster/state_machine/dispatch.py
@@ -1,7 +1,7 @@
-"""Applies entries of the replicated log to the agreed state, by a table of command types.
+"""Applies entries of the replicated log to the agreed state through a table of handlers by command type.
 
-The agreed clock is the greatest time that any leader has written; it never goes back. A request with the
-idempotency key of an earlier one gets that one's outcome.
+The agreed clock is the latest time of any applied command and never goes back. A request whose idempotency
+key was used before gets the stored outcome.
 """
 
 import msgspec
@@ -25,25 +25,25 @@
 from cedarmill.cluster.state_machine.commands import AnyCommand
 from cedarmill.cluster.traffic_control import schedule, shedding
 
-OUTCOMES_KEPT = 5000  # of requests, the oldest of which are forgotten first
-OUTCOME_KEPT_US = 3_600_000_000  # how long an outcome is remembered
-OUTCOMES_CHECKED = 4  # of the oldest, that are looked at after each request
+MAX_OUTCOMES = 5000  # oldest outcomes are removed first
+OUTCOME_RETENTION_US = 3_600_000_000
+EXPIRY_CHECKS_PER_REQUEST = 4  # oldest outcomes checked for expiry after each request
 
 
-def _answering(handler: Handler) -> Handler:
-    """The same handler, with a rejection as its outcome."""
+def _with_rejection_as_outcome(handler: Handler) -> Handler:
+    """Wrap a handler so that RequestRejected becomes the outcome of the request."""
 
-    def answer(state: ClusterState, request: OperatorRequest) -> RequestOutcome:
+    def handle(state: ClusterState, request: OperatorRequest) -> RequestOutcome:
         try:
             outcome = handler(state, request)
         except RequestRejected as error:
             return RequestOutcome(state.clock, False, str(error))
         return outcome or RequestOutcome(state.clock, True, "")
 
-    return answer
+    return handle
 
 
-_BY_CONCERN: dict[type[Command], Handler] = {
+_RAW_HANDLERS: dict[type[Command], Handler] = {
     **setup.HANDLERS,
     **sessions.HANDLERS,
     **targets.HANDLERS,
@@ -55,22 +55,25 @@
     **zones.HANDLERS,
 }
 HANDLERS: dict[type[Command], Handler] = {
-    command_type: _answering(handler) if issubclass(command_type, OperatorRequest) else handler
-    for command_type, handler in _BY_CONCERN.items()
+    command_type: _with_rejection_as_outcome(handler)
+    if issubclass(command_type, OperatorRequest)
+    else handler
+    for command_type, handler in _RAW_HANDLERS.items()
 }
 
 _DECODER = msgspec.msgpack.Decoder(AnyCommand)
 
 
 def encode(command: Command) -> bytes:
-    """A command as the log holds it."""
+    """Return a command as encoded in the log."""
     return msgspec.msgpack.encode(command)
 
 
 def apply(state: ClusterState, index: int, data: bytes) -> RequestOutcome:
-    """Apply the entry at that index; the outcome.
+    """Apply the log entry at `index` and return its outcome.
 
-    Raises msgspec.MsgspecError where the data is no command, UnknownCommand where the type has no handler.
+    Raise msgspec.MsgspecError if the data is not a valid command, and UnknownCommand if its type has no
+    handler.
     """
     state.index = index
     command = _DECODER.decode(data)
@@ -85,33 +88,34 @@
 def _handler_of(command: Command) -> Handler:
     handler = HANDLERS.get(type(command))
     if handler is None:
-        raise UnknownCommand(f"no handler for commands of the type {type(command).__name__}")
+        raise UnknownCommand(f"no handler for command type {type(command).__name__}")
     return handler
 
 
 def _apply_request(state: ClusterState, request: OperatorRequest) -> RequestOutcome:
-    """Carry a request out once; a repeated one gets the first outcome."""
+    """Apply a request, or return the stored outcome if its idempotency key was used before."""
     key = f"{request.requester}/{request.request_id}"
-    if (known := state.outcomes.get(key)) is not None:
-        return known
+    if (previous_outcome := state.outcomes.get(key)) is not None:
+        return previous_outcome
     outcome = _handler_of(request)(state, request) or RequestOutcome(state.clock, True, "")
     advance(state)
     state.outcomes[key] = outcome
-    _forget_outcomes(state)
+    _evict_outcomes(state)
     return outcome
 
 
-def _forget_outcomes(state: ClusterState) -> None:
-    excess = max(0, len(state.outcomes) - OUTCOMES_KEPT)
+def _evict_outcomes(state: ClusterState) -> None:
+    """Remove outcomes in excess of the maximum, and expired ones among the oldest."""
+    excess = max(0, len(state.outcomes) - MAX_OUTCOMES)
     for key in list(state.outcomes)[:excess]:
         del state.outcomes[key]
-    for key, outcome in list(state.outcomes.items())[:OUTCOMES_CHECKED]:
-        if state.clock - outcome.time_us > OUTCOME_KEPT_US:
+    for key, outcome in list(state.outcomes.items())[:EXPIRY_CHECKS_PER_REQUEST]:
+        if state.clock - outcome.time_us > OUTCOME_RETENTION_US:
             del state.outcomes[key]
 
 
 def advance(state: ClusterState) -> None:
-    """What follows of any change: waiting permits may be granted, releases and the traffic plan move on."""
+    """Re-evaluate permits, releases, the traffic plan and the admission level after a change of the state."""
     permit_queue.expire_waiting(state)
     permit_queue.grant_waiting(state)
     rollout.advance(state)
@@ -120,7 +124,7 @@
 
 
 def next_due(state: ClusterState) -> int | None:
-    """When something changes by itself, in the cluster's time (us); None: not before another command."""
+    """Return the next cluster time (us) at which the state changes without a command; None if never."""
     times = [*rollout.due_times(state), *schedule.due_times(state)]
     if (time_us := permit_queue.next_due(state)) is not None:
         times.append(time_us)
--- a/cedarmill/cluster/state_machine/drains.py
+++ b/cedarmill/cluster/state_machine/drains.py
@@ -1,12 +1,12 @@
-"""Drains: which members have to confirm that they are done with a target before it counts as drained."""
+"""Drains: a target is drained once every member that may send to it has confirmed the drain."""
 
 from cedarmill.cluster.state import ClusterState, Permit
 
 
 def members_to_drain(state: ClusterState, permit: Permit) -> list[str]:
-    """Keys of the members that have to be done with a target.
+    """Return the keys of the members that have to confirm the drain of a permit's target.
 
-    A release starts a node's new process while the old one still answers what it holds: nobody is waited for.
+    A release needs no confirmation: it starts a node's new process while the old one finishes its requests.
     """
     if permit.holder.startswith("release:"):
         return []
@@ -18,8 +18,8 @@
     return []
 
 
-def confirm(state: ClusterState, key: str, target: str, epoch: int) -> None:
-    """A member has nothing left at a target and sends nothing there, by the grant of that epoch."""
+def confirm_drain(state: ClusterState, key: str, target: str, epoch: int) -> None:
+    """Record a member's confirmation that it has drained a target under the grant of an epoch."""
     for permit in state.permits.values():
         if permit.out and permit.target == target and permit.epoch == epoch:
             if key in permit.undrained_members:
@@ -28,14 +28,14 @@
 
 
 def check_drained(state: ClusterState, permit: Permit) -> None:
-    """A target is drained once nobody is left to wait for."""
+    """Mark a permit's target as drained if no confirmation is outstanding."""
     if permit.out and not permit.undrained_members and not permit.drained_at:
         permit.drained_at = state.clock
         state.note(f"{permit.kind} {permit.target} is drained (permit {permit.id})")
 
 
 def member_ended(state: ClusterState, key: str) -> None:
-    """Its process is known to have ended: it has nothing in flight any longer."""
+    """Stop waiting for the confirmations of a member whose process has certainly ended."""
     for permit in state.permits.values():
         if key in permit.undrained_members:
             permit.undrained_members.remove(key)
@@ -43,7 +43,7 @@
 
 
 def member_joined(state: ClusterState, key: str) -> None:
-    """It gets its orders before it sends; until it confirms, what is not drained yet waits for it too."""
+    """Require a new member's confirmation for each drain in progress that involves the member."""
     for permit in state.permits.values():
         if not permit.out or permit.drained_at or key in permit.undrained_members:
             continue
--- a/cedarmill/cluster/state_machine/limits.py
+++ b/cedarmill/cluster/state_machine/limits.py
@@ -1,7 +1,7 @@
-"""What may be out at once: the limits of operators against all that is out, planned or not.
+"""Decides whether a target may be taken out of service under the operators' limits.
 
-Out counts what is out by a permit, silent, ill, draining by discovery's word, and in part what is still in
-its slow start. What is unknown counts as out. Shares are rounded down, the safe side.
+A target counts as out of service if a permit for it is granted or lost, if its health is not `well`, or if it
+is a flapping node. An executor in slow start counts in part. Shares are rounded down, the safe direction.
 """
 
 import enum
@@ -13,14 +13,14 @@
 from cedarmill.cluster.state_machine.permit_states import target_key
 from cedarmill.cluster.states import TargetHealth
 
-FLAP_WINDOW_US = 60_000_000  # in which lease expiries are counted
-FLAP_EXPIRIES = 3  # of a node in that window: it counts as out until they are fewer
+FLAP_WINDOW_US = 60_000_000
+FLAP_EXPIRIES = 3  # lease expiries within the window from which a node counts as out of service
 
-OutShares = dict[str, int]  # thousandths of each target that are out, by its key
+OutShares = dict[str, int]  # out-of-service share of each target in thousandths, by target key
 
 
 class Answer(enum.StrEnum):
-    """What a request for a permit is told."""
+    """The answer to a request for a permit."""
 
     NOW = "now"
     LATER = "later"
@@ -28,22 +28,22 @@
 
 
 class Verdict(NamedTuple):
-    """The answer, its reasons, and the scopes of limits that have no room."""
+    """The answer to a request, its reasons, and the limit scopes that are at capacity."""
 
     word: Answer
     reasons: tuple[str, ...] = ()
-    full: frozenset[tuple[Limit, str]] = frozenset()
+    full_scopes: frozenset[tuple[Limit, str]] = frozenset()
 
 
 class Objection(NamedTuple):
-    """What one limit says against a target's being out."""
+    """The reason why one limit forbids taking a target out of service."""
 
     answer: Answer
     reason: str
 
 
 def scope_of(limit: Limit, target: Target) -> str | None:
-    """The scope of a limit in which a target is counted; None: in none."""
+    """Return the scope in which a limit counts a target; None if the limit does not apply to the target."""
     if limit.kind != target.kind:
         return None
     if limit.per == "fleet":
@@ -53,7 +53,7 @@
 
 
 def slow_start_part(state: ClusterState, target: Target) -> int:
-    """Thousandths of a target that are not there yet, since it has only returned."""
+    """Return the thousandths of a target's capacity that are still missing during its slow start."""
     if target.kind != "executor" or target.slow_start_from < 0 or state.slow_start_us <= 0:
         return 0
     age = state.clock - target.slow_start_from
@@ -63,7 +63,7 @@
 
 
 def is_flapping(state: ClusterState, node: str) -> bool:
-    """Whether a node came and went so often lately that it does not count as there."""
+    """Return whether a node had enough recent lease expiries to count as out of service."""
     expiries = 0
     for member in state.members.values():
         if member.kind == "node" and member.name == node:
@@ -72,75 +72,79 @@
 
 
 def out_shares(state: ClusterState) -> OutShares:
-    """Of each target of which any part is out."""
-    found: OutShares = {}
+    """Return the out-of-service share of each target that is wholly or partly out."""
+    shares: OutShares = {}
     well = TargetHealth.WELL
     for key, target in state.targets.items():
         if target.health != well or (target.kind == "node" and is_flapping(state, target.name)):
-            found[key] = PER_MILLE
-        elif part := slow_start_part(state, target):
-            found[key] = part
+            shares[key] = PER_MILLE
+        elif missing_share := slow_start_part(state, target):
+            shares[key] = missing_share
     for permit in state.permits.values():
         if permit.out:
-            found[target_key(permit.kind, permit.target)] = PER_MILLE
-    return found
+            shares[target_key(permit.kind, permit.target)] = PER_MILLE
+    return shares
 
 
 def allowed(limit: Limit, count: int) -> int:
-    """How many of so many targets may be out."""
-    most = count
+    """Return how many of `count` targets the limit allows to be out at once."""
+    max_out = count
     if limit.most >= 0:
-        most = min(most, limit.most)
+        max_out = min(max_out, limit.most)
     if limit.share >= 0:
-        most = min(most, count * limit.share // PER_MILLE)
-    return most
+        max_out = min(max_out, count * limit.share // PER_MILLE)
+    return max_out
 
 
 @dataclass(slots=True)
-class _Scope:
-    """One scope of a limit, with the target that is asked for."""
+class _LimitScope:
+    """One scope of a limit, and a requested target in the scope."""
 
     limit: Limit
     name: str
-    key: str  # of the target asked for
-    targets: list[tuple[str, Target]]  # all in the scope, with their keys
+    requested_key: str  # key of the requested target
+    targets: list[tuple[str, Target]]  # all targets in the scope, with their keys
     out: OutShares
 
     @property
-    def where(self) -> str:
+    def suffix(self) -> str:
         return f" of {self.limit.per} {self.name}" if self.name else ""
 
-    def against_count(self) -> Objection | None:
-        """By the number or the share of targets."""
+    def count_objection(self) -> Objection | None:
+        """Return the objection of a limit on the number or share of targets; None if there is none."""
         limit, count = self.limit, len(self.targets)
         if limit.most < 0 and limit.share < 0:
             return None
-        most = allowed(limit, count)
-        if most < 1:
-            return Objection(Answer.NEVER, f"{limit.text()}: none of {count}{self.where} may be out")
-        taken = sum(self.out.get(key, 0) for key, _ in self.targets if key != self.key)
-        if taken + PER_MILLE <= most * PER_MILLE:
+        max_out = allowed(limit, count)
+        if max_out < 1:
+            return Objection(Answer.NEVER, f"{limit.text()}: none of {count}{self.suffix} may be out")
+        total_out = sum(self.out.get(key, 0) for key, _ in self.targets if key != self.requested_key)
+        if total_out + PER_MILLE <= max_out * PER_MILLE:
             return None
-        taken_by = [key for key, _ in self.targets if key != self.key and self.out.get(key)]
-        names = ", ".join(sorted(key.partition(":")[2] for key in taken_by))
-        out = f"{taken / PER_MILLE:g} of {most}{self.where} are out ({names})"
-        return Objection(Answer.LATER, f"{limit.text()}: {out}")
+        out_keys = [key for key, _ in self.targets if key != self.requested_key and self.out.get(key)]
+        names = ", ".join(sorted(key.partition(":")[2] for key in out_keys))
+        usage = f"{total_out / PER_MILLE:g} of {max_out}{self.suffix} are out ({names})"
+        return Objection(Answer.LATER, f"{limit.text()}: {usage}")
 
-    def against_capacity(self) -> Objection | None:
-        """By the slots that would be left, in thousandths."""
+    def capacity_objection(self) -> Objection | None:
+        """Return the objection of a limit on the remaining slots (thousandths); None if there is none."""
         if self.limit.capacity_left < 0:
             return None
-        whole = sum(target.slots for _, target in self.targets) * PER_MILLE
-        needed = -(-whole * self.limit.capacity_left // PER_MILLE)
-        others = [(key, target) for key, target in self.targets if key != self.key]
-        if_alone = sum(target.slots for _, target in others) * PER_MILLE
-        left = sum(target.slots * (PER_MILLE - self.out.get(key, 0)) for key, target in others)
-        if if_alone < needed:
-            return Objection(Answer.NEVER, self._slots_text(if_alone, needed))
-        return Objection(Answer.LATER, self._slots_text(left, needed)) if left < needed else None
-
-    def _slots_text(self, left: int, needed: int) -> str:
-        slots = f"{left / PER_MILLE:g} slots{self.where} would be left, {needed / PER_MILLE:g} are needed"
+        total = sum(target.slots for _, target in self.targets) * PER_MILLE
+        required = -(-total * self.limit.capacity_left // PER_MILLE)
+        others = [(key, target) for key, target in self.targets if key != self.requested_key]
+        best_case = sum(target.slots for _, target in others) * PER_MILLE
+        remaining = sum(target.slots * (PER_MILLE - self.out.get(key, 0)) for key, target in others)
+        if best_case < required:
+            return Objection(Answer.NEVER, self._slots_reason(best_case, required))
+        return (
+            Objection(Answer.LATER, self._slots_reason(remaining, required)) if remaining < required else None
+        )
+
+    def _slots_reason(self, remaining: int, required: int) -> str:
+        slots = (
+            f"{remaining / PER_MILLE:g} slots{self.suffix} would be left, {required / PER_MILLE:g} are needed"
+        )
         return f"{self.limit.text()}: {slots}"
 
 
@@ -150,15 +154,17 @@
     scope = scope_of(limit, target)
     if scope is None:
         return
-    targets = [(other, one) for other, one in state.targets.items() if scope_of(limit, one) == scope]
-    counted = _Scope(limit, scope, key, targets, out)
-    for objection in (counted.against_count(), counted.against_capacity()):
+    targets = [
+        (other_key, other) for other_key, other in state.targets.items() if scope_of(limit, other) == scope
+    ]
+    limit_scope = _LimitScope(limit, scope, key, targets, out)
+    for objection in (limit_scope.count_objection(), limit_scope.capacity_objection()):
         if objection is not None:
             yield objection
 
 
-def _against_any(state: ClusterState, kind: str, name: str) -> Verdict | None:
-    """What no limit is asked for."""
+def _decide_without_limits(state: ClusterState, kind: str, name: str) -> Verdict | None:
+    """Return the verdict on a target that is unknown, already out or subject to a halt; None otherwise."""
     if target_key(kind, name) not in state.targets:
         return Verdict(Answer.NEVER, (f"no {kind} of the name {name} is known",))
     for permit in state.permits.values():
@@ -171,32 +177,32 @@
 
 
 def decide(state: ClusterState, kind: str, name: str, out: OutShares | None = None) -> Verdict:
-    """What would be answered now to a request for a target; `out` as it is to be counted."""
-    if (verdict := _against_any(state, kind, name)) is not None:
+    """Return the verdict on a request for a target; `out` defaults to the current out-of-service shares."""
+    if (verdict := _decide_without_limits(state, kind, name)) is not None:
         return verdict
     key = target_key(kind, name)
     target = state.targets[key]
     out = out_shares(state) if out is None else out
-    never: list[str] = []
-    later: list[str] = []
-    full: set[tuple[Limit, str]] = set()
+    never_reasons: list[str] = []
+    later_reasons: list[str] = []
+    full_scopes: set[tuple[Limit, str]] = set()
     for limit in state.limits:
         for objection in _objections(state, limit, target, key, out):
-            (never if objection.answer == Answer.NEVER else later).append(objection.reason)
-            full.add((limit, scope_of(limit, target) or ""))
-    if never:
-        return Verdict(Answer.NEVER, tuple(never))
-    if later:
-        return Verdict(Answer.LATER, tuple(later), frozenset(full))
+            (never_reasons if objection.answer == Answer.NEVER else later_reasons).append(objection.reason)
+            full_scopes.add((limit, scope_of(limit, target) or ""))
+    if never_reasons:
+        return Verdict(Answer.NEVER, tuple(never_reasons))
+    if later_reasons:
+        return Verdict(Answer.LATER, tuple(later_reasons), frozenset(full_scopes))
     return Verdict(Answer.NOW)
 
 
 def dry_run(state: ClusterState, kind: str, names: Iterable[str]) -> list[tuple[str, Verdict]]:
-    """What each of these would be answered, one after the other, as things stand now."""
-    out, found = out_shares(state), []
+    """Return the verdict on each target in turn, counting those granted earlier in the list as out."""
+    out, verdicts = out_shares(state), []
     for name in names:
         verdict = decide(state, kind, name, out)
         if verdict.word == Answer.NOW:
             out[target_key(kind, name)] = PER_MILLE
-        found.append((name, verdict))
-    return found
+        verdicts.append((name, verdict))
+    return verdicts
--- a/cedarmill/cluster/state_machine/operator_statements.py
+++ b/cedarmill/cluster/state_machine/operator_statements.py
@@ -1,4 +1,4 @@
-"""Statements of operators about what no process can prove: they count as facts, with a stated reason."""
+"""Statements of operators that the state machine accepts as facts because no process can verify them."""
 
 from collections.abc import Callable
 
@@ -6,13 +6,13 @@
 from cedarmill.cluster.state import ClusterState, RequestOutcome
 from cedarmill.cluster.state_machine import drains
 from cedarmill.cluster.state_machine.command import Handlers, OperatorRequest, accepted
-from cedarmill.cluster.state_machine.permit_states import give_back
+from cedarmill.cluster.state_machine.permit_states import return_to_service
 from cedarmill.cluster.state_machine.sessions import end_member
 from cedarmill.cluster.states import MemberState, PermitState, TargetHealth
 
 
 class OperatorStatement(OperatorRequest, tag="word", frozen=True):
-    """`drained` and `found` (a target), `ended` (a member), `forget` (a target), `go-on` (grants)."""
+    """A fact about a target (`drained`, `found`, `forget`), a member (`ended`) or the halt (`go-on`)."""
 
     statement: str
     name: str
@@ -20,7 +20,7 @@
 
 
 def apply_statement(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
-    """Take a statement for true; raises RequestRejected for one without a reason or against what is known."""
+    """Apply a statement; raise RequestRejected if it lacks a reason or contradicts the state."""
     if not request.reason.strip():
         raise RequestRejected("a word takes a reason")
     handler = STATEMENTS.get(request.statement)
@@ -32,8 +32,8 @@
     return outcome
 
 
-def _drained(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
-    """A target counts as drained, whoever has not confirmed it."""
+def _mark_drained(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """Mark a target as drained despite outstanding confirmations."""
     permit = next((p for p in state.permits.values() if p.out and p.target == request.name), None)
     if permit is None:
         raise RequestRejected(f"{request.name} is not out by a permit")
@@ -44,8 +44,8 @@
     return accepted(state, f"{request.name} counts as drained", [permit.id])
 
 
-def _ended(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
-    """All incarnations of a member, or the one named by its key, count as ended."""
+def _mark_ended(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """Mark all incarnations with a name, or the one with a key, as ended."""
     keys = [
         key
         for key, member in state.members.items()
@@ -61,19 +61,19 @@
     return accepted(state, f"{len(keys)} lives count as ended")
 
 
-def _found(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
-    """The target of a lost permit is known to serve again."""
+def _mark_found(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """Return the target of a lost permit to service."""
     permit = next(
         (p for p in state.permits.values() if p.state == PermitState.LOST and p.target == request.name), None
     )
     if permit is None:
         raise RequestRejected(f"no lost permit for {request.name}")
-    give_back(state, permit, f"{request.requester} says it is back: {request.reason}")
+    return_to_service(state, permit, f"{request.requester} says it is back: {request.reason}")
     return accepted(state, f"permit {permit.id} is returned", [permit.id])
 
 
-def _forget(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
-    """A target that is gone for good counts no longer."""
+def _forget_target(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """Remove a target that is permanently gone."""
     keys = [
         key
         for key, target in state.targets.items()
@@ -86,8 +86,8 @@
     return accepted(state, f"{request.name} is forgotten")
 
 
-def _go_on(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
-    """End a halt of grants."""
+def _resume_grants(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
+    """End the halt of all grants."""
     if not state.halt_reason:
         raise RequestRejected("nothing was halted")
     state.halt_reason = ""
@@ -95,10 +95,10 @@
 
 
 STATEMENTS: dict[str, Callable[[ClusterState, OperatorStatement], RequestOutcome]] = {
-    "drained": _drained,
-    "ended": _ended,
-    "found": _found,
-    "forget": _forget,
-    "go-on": _go_on,
+    "drained": _mark_drained,
+    "ended": _mark_ended,
+    "found": _mark_found,
+    "forget": _forget_target,
+    "go-on": _resume_grants,
 }
 HANDLERS: Handlers = {OperatorStatement: apply_statement}
--- a/cedarmill/cluster/state_machine/permit_queue.py
+++ b/cedarmill/cluster/state_machine/permit_queue.py
@@ -1,7 +1,7 @@
-"""Who is granted a permit, in which order, and for how long a request waits.
+"""The queue of permit requests: the order of grants, refusals and expiry of waiting requests.
 
-Every decision is made while an entry of the replicated log is applied, so two requests at two replicas are
-decided in one order, and a leader that is none any longer grants nothing.
+Decisions are made only while an entry of the replicated log is applied. All replicas therefore decide in the
+same order, and a deposed leader cannot grant a permit.
 """
 
 from dataclasses import dataclass
@@ -12,13 +12,14 @@
 from cedarmill.cluster.state_machine.permit_states import OPEN_STATES, move, target_key
 from cedarmill.cluster.states import PermitState
 
-ENDED_KEPT = 500  # permits that have ended and are still listed
-WARM_UP_CHECK_US = 500_000  # between two looks at targets in slow start while a request waits
+MAX_ENDED_PERMITS = 500  # oldest ended permits in excess of this number are removed
+# Interval at which targets in slow start are counted again while a request waits.
+SLOW_START_CHECK_INTERVAL_US = 500_000
 
 
 @dataclass(frozen=True, slots=True)
 class PermitRequest:
-    """A request for one target to be out. Higher priorities are served first."""
+    """A request to take one target out of service. Higher priorities are granted first."""
 
     kind: str
     target: str
@@ -28,9 +29,9 @@
     wait_us: int
 
 
-def enter(state: ClusterState, request: PermitRequest) -> Permit:
-    """Enter a request; it is decided with all that wait, or refused where it never can be granted."""
-    same = _waiting_for(state, request.kind, request.target)
+def submit(state: ClusterState, request: PermitRequest) -> Permit:
+    """Add a request to the queue; refuse a request that can never be granted or duplicates a waiting one."""
+    duplicate = _find_waiting(state, request.kind, request.target)
     permit = Permit(
         state.new_id(),
         request.kind,
@@ -43,44 +44,48 @@
     )
     state.permits[permit.id] = permit
     verdict = limits.decide(state, request.kind, request.target)
-    if verdict.word == Answer.NEVER or same is not None:
-        waits = f"{request.target} waits already, by permit {same.id}" if same is not None else ""
-        permit.notes = list(verdict.reasons) or [waits]
+    if verdict.word == Answer.NEVER or duplicate is not None:
+        duplicate_text = (
+            f"{request.target} waits already, by permit {duplicate.id}" if duplicate is not None else ""
+        )
+        permit.notes = list(verdict.reasons) or [duplicate_text]
         move(state, permit, "refuse")
     return permit
 
 
-def _waiting_for(state: ClusterState, kind: str, target: str) -> Permit | None:
-    for permit in _waiting(state):
+def _find_waiting(state: ClusterState, kind: str, target: str) -> Permit | None:
+    for permit in _waiting_permits(state):
         if (permit.kind, permit.target) == (kind, target):
             return permit
     return None
 
 
-def _waiting(state: ClusterState) -> list[Permit]:
+def _waiting_permits(state: ClusterState) -> list[Permit]:
     waiting = PermitState.WAITING
     return [permit for permit in state.permits.values() if permit.state == waiting]
 
 
 def in_order(state: ClusterState) -> list[Permit]:
-    """Waiting permits in the order in which they are looked at.
+    """Return the waiting permits in the order in which they are considered.
 
-    Higher priority first; then who holds least now, so that one who asks for much does not starve the
-    others; then who asked first.
+    The order is by priority, then by the fewest permits that the holder has out, so that a holder with many
+    requests does not starve the others, then by age.
     """
-    held: dict[str, int] = {}
+    out_counts: dict[str, int] = {}
     for permit in state.permits.values():
         if permit.out:
-            held[permit.holder] = held.get(permit.holder, 0) + 1
+            out_counts[permit.holder] = out_counts.get(permit.holder, 0) + 1
     return sorted(
-        _waiting(state), key=lambda permit: (-permit.priority, held.get(permit.holder, 0), permit.id)
+        _waiting_permits(state),
+        key=lambda permit: (-permit.priority, out_counts.get(permit.holder, 0), permit.id),
     )
 
 
 def grant_waiting(state: ClusterState) -> list[Permit]:
-    """Grant what may be granted now, one at a time, each counted before the next is looked at.
+    """Grant permits one at a time until none can be granted, and return the granted ones.
 
-    One that finds no room keeps later ones out of the scopes that it waits for: it is not overtaken for ever.
+    Each grant is counted before the next decision. A permit that must wait blocks later permits in the limit
+    scopes that it waits for, so that later permits cannot starve it.
     """
     granted: list[Permit] = []
     while (permit := _next_to_grant(state)) is not None:
@@ -93,50 +98,51 @@
 
 
 def _next_to_grant(state: ClusterState) -> Permit | None:
-    blocked: set[tuple[Limit, str]] = set()
+    blocked_scopes: set[tuple[Limit, str]] = set()
     out = limits.out_shares(state)
     for permit in in_order(state):
         verdict = limits.decide(state, permit.kind, permit.target, out)
-        if verdict.word == Answer.NOW and not _is_blocked(state, permit, blocked):
+        if verdict.word == Answer.NOW and not _is_blocked(state, permit, blocked_scopes):
             return permit
         if verdict.word == Answer.NEVER:
             permit.notes = list(verdict.reasons)
             move(state, permit, "refuse")
             continue
         permit.notes = list(verdict.reasons) or ["an earlier one waits for the same room"]
-        blocked |= verdict.full
+        blocked_scopes |= verdict.full_scopes
     return None
 
 
-def _is_blocked(state: ClusterState, permit: Permit, blocked: set[tuple[Limit, str]]) -> bool:
-    """Whether an earlier request waits for room in a scope of this one."""
+def _is_blocked(state: ClusterState, permit: Permit, blocked_scopes: set[tuple[Limit, str]]) -> bool:
+    """Return whether an earlier permit waits for capacity in a limit scope of this permit's target."""
     target = state.targets[target_key(permit.kind, permit.target)]
-    return any(limits.scope_of(limit, target) == scope for limit, scope in blocked)
+    return any(limits.scope_of(limit, target) == scope for limit, scope in blocked_scopes)
 
 
 def expire_waiting(state: ClusterState) -> None:
-    """End what has waited long enough, and forget the oldest permits that have ended."""
-    for permit in _waiting(state):
+    """Expire requests whose waiting time is over, and remove the oldest ended permits."""
+    for permit in _waiting_permits(state):
         if state.clock >= permit.waits_until:
             permit.notes = [*permit.notes, "waited as long as was asked"]
             move(state, permit, "expire")
-    ended = [permit.id for permit in state.permits.values() if permit.state not in OPEN_STATES]
-    for permit_id in ended[:-ENDED_KEPT]:
+    ended_ids = [permit.id for permit in state.permits.values() if permit.state not in OPEN_STATES]
+    for permit_id in ended_ids[:-MAX_ENDED_PERMITS]:
         del state.permits[permit_id]
 
 
 def next_due(state: ClusterState) -> int | None:
-    """When something changes by itself (us of the cluster): a wait ends, or what is out becomes less."""
-    times = [permit.waits_until for permit in _waiting(state)]
+    """Return the next cluster time (us) at which a waiting request may change state; None if none waits."""
+    times = [permit.waits_until for permit in _waiting_permits(state)]
     if not times:
         return None
-    warm_ups = [
+    slow_start_ends = [
         target.slow_start_from + state.slow_start_us
         for target in state.targets.values()
         if target.slow_start_from >= 0
     ]
-    pending = [end for end in warm_ups if end > state.clock][:1]
-    times += [min(end, state.clock + WARM_UP_CHECK_US) for end in pending]  # it warms up all the while
+    pending_end = [end for end in slow_start_ends if end > state.clock][:1]
+    # The missing share shrinks throughout the slow start, so a request may be granted before its end.
+    times += [min(end, state.clock + SLOW_START_CHECK_INTERVAL_US) for end in pending_end]
     expiries = [at for member in state.members.values() for at in member.lease_expiries]
     times += [at + FLAP_WINDOW_US for at in expiries if at + FLAP_WINDOW_US > state.clock]
     return min(times)
--- a/cedarmill/cluster/state_machine/permit_states.py
+++ b/cedarmill/cluster/state_machine/permit_states.py
@@ -1,9 +1,9 @@
-"""The states of a permit: whatever changes one stands in this table."""
+"""State machine of a permit: all transitions are in `STATES`."""
 
 from cedarmill.cluster.state import ClusterState, Permit
 from cedarmill.cluster.states import PermitState
 
-# (state, event) -> state
+# Transitions: (state, event) -> state.
 STATES: dict[tuple[str, str], PermitState] = {
     (PermitState.WAITING, "grant"): PermitState.GRANTED,
     (PermitState.WAITING, "expire"): PermitState.EXPIRED,
@@ -18,12 +18,12 @@
 
 
 def target_key(kind: str, name: str) -> str:
-    """The key of a target in the state."""
+    """Return the key of a target in `ClusterState.targets`."""
     return f"{kind}:{name}"
 
 
 def move(state: ClusterState, permit: Permit, event: str) -> bool:
-    """Take a permit to its next state; whether there is one."""
+    """Apply an event to a permit; return whether the permit's state allows the event."""
     new_state = STATES.get((permit.state, event))
     if new_state is None:
         return False
@@ -37,14 +37,18 @@
 
 
 def open_permit(state: ClusterState, kind: str, name: str) -> Permit | None:
-    """The permit by which a target is out, or for which it waits."""
-    found = [permit for permit in state.permits.values() if (permit.kind, permit.target) == (kind, name)]
-    granted = next((permit for permit in found if permit.out), None)
-    return granted or next((permit for permit in found if permit.state == PermitState.WAITING), None)
-
-
-def give_back(state: ClusterState, permit: Permit, reason: str = "") -> bool:
-    """The target may serve again; an executor begins its slow start. Whether the permit was out."""
+    """Return the permit by which a target is out of service, or else its waiting permit, if any."""
+    matching_permits = [
+        permit for permit in state.permits.values() if (permit.kind, permit.target) == (kind, name)
+    ]
+    granted = next((permit for permit in matching_permits if permit.out), None)
+    return granted or next(
+        (permit for permit in matching_permits if permit.state == PermitState.WAITING), None
+    )
+
+
+def return_to_service(state: ClusterState, permit: Permit, reason: str = "") -> bool:
+    """Return a permit and start an executor's slow start; return whether the permit was out."""
     if not move(state, permit, "give"):
         return False
     if reason:
--- a/cedarmill/cluster/state_machine/permits.py
+++ b/cedarmill/cluster/state_machine/permits.py
@@ -1,65 +1,65 @@
-"""Permits to take targets out of service: requests, returns, confirmations of drains, and limits."""
+"""Commands for permits to take targets out of service: requests, returns, drain confirmations and limits."""
 
 from cedarmill.cluster.errors import RequestRejected
 from cedarmill.cluster.state import ClusterState, Limit, Permit, RequestOutcome
 from cedarmill.cluster.state_machine import drains, permit_queue, zones
 from cedarmill.cluster.state_machine.command import (
-    DEFAULT_WAIT_US,
+    DEFAULT_PERMIT_WAIT_US,
     Command,
     Handlers,
     OperatorRequest,
     accepted,
 )
 from cedarmill.cluster.state_machine.permit_queue import PermitRequest
-from cedarmill.cluster.state_machine.permit_states import give_back, move, open_permit
+from cedarmill.cluster.state_machine.permit_states import move, open_permit, return_to_service
 from cedarmill.cluster.states import PermitState
 
 
 class ConfirmDrained(Command, tag="cleared", frozen=True):
-    """A member has nothing left at these targets and sends them nothing, by the epochs of their grants."""
+    """Record that a member has drained targets; `drained` maps each target to the epoch of its grant."""
 
     member_key: str
     drained: dict[str, int]
 
 
 class AdoptUnknownGrants(Command, tag="held", frozen=True):
-    """A member follows grants that the state does not know: the replicas were restored from an older one."""
+    """Report grants that a member follows and a state restored from an older backup does not contain."""
 
     member_key: str
-    grants: dict[str, int]  # epoch of the grant by `kind:name`
+    grants: dict[str, int]  # epoch of each grant, by target key (`kind:name`)
 
 
 class SetLimits(OperatorRequest, tag="limits", frozen=True):
-    """Replace the limits of what may be out at once."""
+    """Replace the limits on targets that may be out of service at once."""
 
     limits: tuple[Limit, ...]
 
 
 class RequestPermits(OperatorRequest, tag="ask", frozen=True):
-    """Ask that targets may be out; each is decided by itself. `wait_us` bounds the wait for a grant."""
+    """Request to take targets out of service, each decided separately; `wait_us` limits the wait."""
 
     kind: str
     names: tuple[str, ...]
     reason: str = ""
     priority: int = 0
-    wait_us: int = DEFAULT_WAIT_US
+    wait_us: int = DEFAULT_PERMIT_WAIT_US
 
 
 class ReturnPermit(OperatorRequest, tag="give", frozen=True):
-    """Put a target back into service, or withdraw the request for it."""
+    """Return a target to service, or withdraw the waiting request for the target."""
 
     kind: str
     name: str
 
 
 def confirm_drained(state: ClusterState, command: ConfirmDrained) -> None:
-    """Note each target that the member is done with."""
+    """Record the confirmation for each drained target."""
     for target, epoch in command.drained.items():
-        drains.confirm(state, command.member_key, target, epoch)
+        drains.confirm_drain(state, command.member_key, target, epoch)
 
 
 def adopt_unknown_grants(state: ClusterState, command: AdoptUnknownGrants) -> None:
-    """Enter a lost permit for each target that is out by a grant which nobody here knows."""
+    """Add a lost permit for each reported target that no known permit covers."""
     for key, epoch in command.grants.items():
         kind, _, name = key.partition(":")
         if _is_out(state, kind, name):
@@ -88,16 +88,16 @@
 
 
 def set_limits(state: ClusterState, request: SetLimits) -> RequestOutcome:
-    """Replace all limits."""
+    """Replace all limits on targets out of service."""
     state.limits = list(request.limits)
     state.note(f"limits set by {request.requester}: {len(request.limits)}")
     return accepted(state, f"{len(request.limits)} limits hold")
 
 
 def request_permits(state: ClusterState, request: RequestPermits) -> RequestOutcome:
-    """Enter a permit for each target, once where it is named twice."""
-    made = [
-        permit_queue.enter(
+    """Submit a permit request for each distinct target."""
+    permits = [
+        permit_queue.submit(
             state,
             PermitRequest(
                 request.kind, name, request.requester, request.reason, request.priority, request.wait_us
@@ -105,12 +105,12 @@
         )
         for name in dict.fromkeys(request.names)
     ]
-    any_open = not all(permit.state == PermitState.REFUSED for permit in made)
-    return RequestOutcome(state.clock, any_open, "", [permit.id for permit in made])
+    is_any_accepted = not all(permit.state == PermitState.REFUSED for permit in permits)
+    return RequestOutcome(state.clock, is_any_accepted, "", [permit.id for permit in permits])
 
 
 def return_permit(state: ClusterState, request: ReturnPermit) -> RequestOutcome:
-    """Return the permit of a target; raises RequestRejected where there is none to return."""
+    """Return or withdraw the permit of a target; raise RequestRejected if that is not possible."""
     permit = open_permit(state, request.kind, request.name)
     if permit is None:
         raise RequestRejected(f"{request.name} is not out by a permit, and waits for none")
@@ -122,7 +122,7 @@
     if permit.state == PermitState.WAITING:
         move(state, permit, "withdraw")
         return accepted(state, f"permit {permit.id} is withdrawn", [permit.id])
-    give_back(state, permit, reason)
+    return_to_service(state, permit, reason)
     return accepted(state, f"permit {permit.id} is returned", [permit.id])
 
 
--- a/cedarmill/cluster/state_machine/release_states.py
+++ b/cedarmill/cluster/state_machine/release_states.py
@@ -1,9 +1,9 @@
-"""The states of a release and of each unit within it: whatever changes one stands in these tables."""
+"""State machines of a release and of each unit's step: all transitions are in `STATES` and `STEPS`."""
 
 from cedarmill.cluster.state import ClusterState, Release, UnitStep
 from cedarmill.cluster.states import ReleaseState, StepState
 
-# (state, event) -> state, of a release
+# Transitions of a release: (state, event) -> state.
 STATES: dict[tuple[str, str], ReleaseState] = {
     (ReleaseState.PLANNED, "start"): ReleaseState.RUNNING,
     (ReleaseState.PLANNED, "halt"): ReleaseState.HALTED,
@@ -24,7 +24,7 @@
 }
 END_STATES = (ReleaseState.DONE, ReleaseState.ROLLED_BACK)
 
-# (state, event) -> state, of a unit within it
+# Transitions of a unit's step within a release: (state, event) -> state.
 STEPS: dict[tuple[str, str], StepState] = {
     (StepState.OLD, "ask"): StepState.REQUESTING,
     (StepState.REQUESTING, "granted"): StepState.CHANGING,
@@ -42,10 +42,8 @@
     (StepState.FAILED, "back"): StepState.ROLLING_BACK,
     (StepState.NEW, "ask-back"): StepState.ROLL_BACK_REQUESTING,
     (StepState.ROLL_BACK_REQUESTING, "granted"): StepState.ROLLING_BACK,
-    (
-        StepState.ROLL_BACK_REQUESTING,
-        "turned-down",
-    ): StepState.FAILED,  # seen as new again at once, if it serves
+    # A unit that runs the new version becomes NEW again with its next "ready" event.
+    (StepState.ROLL_BACK_REQUESTING, "turned-down"): StepState.FAILED,
     (StepState.ROLLING_BACK, "ready"): StepState.RESTORED,
     (StepState.ROLLING_BACK, "late"): StepState.STUCK,
     (StepState.ROLLING_BACK, "exits"): StepState.STUCK,
@@ -55,7 +53,7 @@
 
 
 def move(state: ClusterState, release: Release, event: str, reason: str = "") -> bool:
-    """Take a release to its next state; whether there is one."""
+    """Apply an event to a release; return whether the release's state allows the event."""
     new_state = STATES.get((release.state, event))
     if new_state is None:
         return False
@@ -69,7 +67,7 @@
 
 
 def move_step(state: ClusterState, step: UnitStep, event: str) -> bool:
-    """Take a unit's step to its next state; whether there is one."""
+    """Apply an event to a unit's step; return whether the step's state allows the event."""
     new_state = STEPS.get((step.state, event))
     if new_state is None:
         return False
--- a/cedarmill/cluster/state_machine/releases.py
+++ b/cedarmill/cluster/state_machine/releases.py
@@ -1,4 +1,4 @@
-"""Releases of new versions: plans, operators' control, and the comparison of versions."""
+"""Commands for releases of new versions: plans, operators' actions, and results of version comparisons."""
 
 from cedarmill.cluster.errors import RequestRejected
 from cedarmill.cluster.state import ClusterState, Release, ReleasePlan, RequestOutcome, UnitStep
@@ -9,9 +9,10 @@
 
 
 class RecordComparison(Command, tag="judged", frozen=True):
-    """The new version of a release was compared with the rest over `requests` on the smaller side.
+    """Record the comparison of a release's new version with the other units.
 
-    `worse` says in what the new version is worse; empty: in nothing.
+    `worse` describes in what respect the new version is worse, and is empty if it is not. `requests` is the
+    number of requests on the side with fewer of them.
     """
 
     release_id: int
@@ -20,13 +21,13 @@
 
 
 class PlanRelease(OperatorRequest, tag="plan", frozen=True):
-    """Enter the plan of a release; it starts by `ControlRelease`."""
+    """Add a planned release, which `ControlRelease` starts."""
 
     plan: ReleasePlan
 
 
 class ControlRelease(OperatorRequest, tag="act", frozen=True):
-    """`start`, `halt`, `resume` or `back` (roll back)."""
+    """Control a release; `action` is `start`, `halt`, `resume` or `back` (roll back)."""
 
     release_id: int
     action: str
@@ -34,7 +35,7 @@
 
 
 def record_comparison(state: ClusterState, command: RecordComparison) -> None:
-    """Halt a release whose new version is worse; a release that is unknown is passed over."""
+    """Halt a running release whose new version is worse; ignore unknown releases."""
     release = state.releases.get(command.release_id)
     if release is None:
         return
@@ -44,7 +45,7 @@
 
 
 def plan_release(state: ClusterState, request: PlanRelease) -> RequestOutcome:
-    """Enter the plan; raises RequestRejected naming what is wrong with it."""
+    """Add a planned release; raise RequestRejected with the reason if the plan is invalid."""
     plan = request.plan
     names = [name for group in plan.groups for name in group]
     _check_plan(state, plan, names)
@@ -68,24 +69,24 @@
     if plan.max_concurrent < 1:
         raise RequestRejected("width: at least one unit at once")
     for other in state.releases.values():
-        busy = set(names) & {step.unit for step in other.steps}
-        if other.state not in END_STATES and busy:
-            held = ", ".join(sorted(busy))
-            raise RequestRejected(f"release {other.id} is not at its end and holds {held}")
+        shared_units = set(names) & {step.unit for step in other.steps}
+        if other.state not in END_STATES and shared_units:
+            shared_names = ", ".join(sorted(shared_units))
+            raise RequestRejected(f"release {other.id} is not at its end and holds {shared_names}")
 
 
 def control_release(state: ClusterState, request: ControlRelease) -> RequestOutcome:
-    """Carry out an operator's action; raises RequestRejected where it is not possible now."""
+    """Apply an operator's action to a release; raise RequestRejected if the action is not possible now."""
     release = state.releases.get(request.release_id)
     if release is None:
         raise RequestRejected(f"no release {request.release_id}")
     if request.action == "back":
-        _check_no_newer(state, release)
-    before = release.state
+        _check_no_newer_release(state, release)
+    previous_state = release.state
     reason = f"by {request.requester}" + (f", {request.reason}" if request.reason else "")
     if not move(state, release, request.action, reason):
         raise RequestRejected(
-            f"release {release.id} is {before}: {request.action} is not possible from there"
+            f"release {release.id} is {previous_state}: {request.action} is not possible from there"
         )
     release.paused_until = 0
     if request.action == "resume":
@@ -94,19 +95,19 @@
     return accepted(state, f"release {release.id} is {release.state}", [release.id])
 
 
-def _check_no_newer(state: ClusterState, release: Release) -> None:
-    """A newer release of the same units has to be taken back first."""
+def _check_no_newer_release(state: ClusterState, release: Release) -> None:
+    """Raise RequestRejected if a newer release of the same units has not been rolled back."""
     units = {step.unit for step in release.steps}
     for other in state.releases.values():
-        shared = units & {step.unit for step in other.steps}
-        if other.id > release.id and shared and other.state != ReleaseState.ROLLED_BACK:
+        common_units = units & {step.unit for step in other.steps}
+        if other.id > release.id and common_units and other.state != ReleaseState.ROLLED_BACK:
             raise RequestRejected(
                 f"release {other.id} came after it on the same units: take that one back first"
             )
 
 
 def _retry_failed(state: ClusterState, release: Release) -> None:
-    """Failed units go on; one that failed after it had been ready has returned its permit and asks again."""
+    """Retry failed units; a unit that has already returned its permit starts over with a new request."""
     for step in release.steps:
         if not rollout.holds_permit(state, step):
             move_step(state, step, "again")
--- a/cedarmill/cluster/state_machine/rollout.py
+++ b/cedarmill/cluster/state_machine/rollout.py
@@ -1,8 +1,7 @@
-"""How releases proceed by what is agreed: groups, permits, readiness, bake, halt, and the way back.
+"""Progress of releases: groups, permits, readiness, bake time, halts and rollbacks.
 
-`advance` moves each release on whenever an entry has been applied, so it outlives any leader. A unit is
-changed under a permit for its node, asked for and returned like any other. The way back is the same machine
-with the old version as its aim.
+`advance` runs after each applied log entry, so a release continues across changes of the leader. A unit is
+updated under a regular permit for its node. A rollback uses the same steps with the old version as target.
 """
 
 from collections.abc import Iterator
@@ -10,19 +9,19 @@
 from cedarmill.cluster.state import ClusterState, Release, UnitOrder, UnitOrderFields, UnitStep
 from cedarmill.cluster.state_machine import permit_queue
 from cedarmill.cluster.state_machine.permit_queue import PermitRequest
-from cedarmill.cluster.state_machine.permit_states import give_back
 from cedarmill.cluster.state_machine.permit_states import move as move_permit
+from cedarmill.cluster.state_machine.permit_states import return_to_service
 from cedarmill.cluster.state_machine.release_states import move, move_step
 from cedarmill.cluster.states import PermitState, ReleaseState, StepState
 
-MAX_EXITS = 2  # unexpected ends of a unit that was just changed, at which it has failed: one may be chance
-MAX_BAKE_FACTOR = 4  # times the bake of the plan, while too few requests have come to compare
-PERMIT_WAIT_US = 3_600_000_000  # that a unit's request waits: a release waits for room as long as it takes
-REFUSED_AGAIN_US = 1_000_000  # after which a unit whose request was refused asks again
+MAX_UNEXPECTED_EXITS = 2  # exits since the order at which a unit has failed; a single exit is tolerated
+MAX_BAKE_FACTOR = 4  # limit of the bake time, as a multiple of the plan's, with too few requests to compare
+RELEASE_PERMIT_WAIT_US = 3_600_000_000
+REFUSED_RETRY_DELAY_US = 1_000_000  # delay before a refused permit request is repeated
 
 
 def advance(state: ClusterState) -> None:
-    """Move each release on as far as it goes by what is known."""
+    """Advance each release as far as the current state allows."""
     for release in state.releases.values():
         _observe_units(state, release)
         if release.state == ReleaseState.RUNNING:
@@ -33,49 +32,49 @@
             _withdraw_requests(state, release)
     permit_queue.grant_waiting(state)
     for release in state.releases.values():
-        _use_grants(state, release)
+        _apply_permit_decisions(state, release)
 
 
-# What is reported of units.
+# Observation of units.
 
 
 def _observe_units(state: ClusterState, release: Release) -> None:
-    """What the supervisors report of the units that are being changed or have been."""
+    """Update steps by the supervisors' reports, and check the ready timeout of units being updated."""
     for step in release.steps:
         unit = state.units.get(step.unit)
-        acted = unit is not None and unit.applied_epoch == unit.ordered_epoch
-        if unit is None or not acted or step.state in (StepState.OLD, StepState.RESTORED):
-            _check_late(state, release, step)
-        elif unit.unexpected_exits >= MAX_EXITS and move_step(state, step, "exits"):
+        has_applied_order = unit is not None and unit.applied_epoch == unit.ordered_epoch
+        if unit is None or not has_applied_order or step.state in (StepState.OLD, StepState.RESTORED):
+            _check_ready_timeout(state, release, step)
+        elif unit.unexpected_exits >= MAX_UNEXPECTED_EXITS and move_step(state, step, "exits"):
             reason = f"{step.unit} ended {unit.unexpected_exits} times by itself"
             move(state, release, "failed", reason)
         elif (
             unit.state == "ready"
             and unit.version == unit.ordered_version
-            and unit.unexpected_exits < MAX_EXITS
+            and unit.unexpected_exits < MAX_UNEXPECTED_EXITS
         ):
             if move_step(state, step, "ready"):
                 _return_permit(state, step)
         else:
-            _check_late(state, release, step)
+            _check_ready_timeout(state, release, step)
 
 
-def _check_late(state: ClusterState, release: Release, step: UnitStep) -> None:
+def _check_ready_timeout(state: ClusterState, release: Release, step: UnitStep) -> None:
     timeout_us = release.plan.ready_timeout_us
-    changing = step.state in (StepState.CHANGING, StepState.ROLLING_BACK)
-    late = changing and state.clock - step.state_since >= timeout_us
-    if late and move_step(state, step, "late"):
+    is_changing = step.state in (StepState.CHANGING, StepState.ROLLING_BACK)
+    is_late = is_changing and state.clock - step.state_since >= timeout_us
+    if is_late and move_step(state, step, "late"):
         move(state, release, "failed", f"{step.unit} was not ready after {timeout_us / 1e6:g} s")
 
 
 def _return_permit(state: ClusterState, step: UnitStep) -> None:
     permit = state.permits.get(step.permit_id)
     if permit is not None:
-        give_back(state, permit)
+        return_to_service(state, permit)
     step.permit_id = 0
 
 
-# The way forward.
+# Rolling forward.
 
 
 def _roll_forward(state: ClusterState, release: Release) -> None:
@@ -85,8 +84,8 @@
     if state.clock < release.paused_until:
         return
     group = release.plan.groups[release.group]
-    by_unit = {step.unit: step for step in release.steps}
-    steps = [by_unit[name] for name in group]
+    steps_by_unit = {step.unit: step for step in release.steps}
+    steps = [steps_by_unit[name] for name in group]
     if all(step.state == StepState.NEW for step in steps):
         _bake(state, release)
         return
@@ -95,14 +94,14 @@
 
 
 def _bake(state: ClusterState, release: Release) -> None:
-    """Watch a finished group, and go on to the next one when its time is over."""
+    """Wait for the bake time of a finished group, then continue with the next group."""
     if not release.bake_started_at:
         release.bake_started_at = state.clock
     plan = release.plan
-    enough = release.compared_requests >= plan.min_sample
-    if state.clock - release.bake_started_at < plan.bake_us * (1 if enough else MAX_BAKE_FACTOR):
+    has_enough_requests = release.compared_requests >= plan.min_sample
+    if state.clock - release.bake_started_at < plan.bake_us * (1 if has_enough_requests else MAX_BAKE_FACTOR):
         return
-    if not enough:
+    if not has_enough_requests:
         state.note(f"release {release.id}: too few jobs to compare, it goes on by readiness alone")
     release.group += 1
     release.bake_started_at, release.paused_until = 0, state.clock + plan.pause_us
@@ -113,28 +112,28 @@
 def _request_permits(
     state: ClusterState, release: Release, steps: list[UnitStep], from_state: StepState, event: str
 ) -> None:
-    """Ask for permits for as many units as may be on their way at once."""
-    idle = (StepState.OLD, StepState.NEW, StepState.RESTORED, from_state)
-    on_their_way = sum(step.state not in idle for step in steps)
+    """Request permits for units in `from_state`, up to the number that may be updated at once."""
+    idle_states = (StepState.OLD, StepState.NEW, StepState.RESTORED, from_state)
+    units_in_progress = sum(step.state not in idle_states for step in steps)
     for step in steps:
-        due = state.clock >= step.state_since + _retry_delay_us(state, step)
-        if step.state != from_state or on_their_way >= release.plan.max_concurrent or not due:
+        is_due = state.clock >= step.state_since + _retry_delay_us(state, step)
+        if step.state != from_state or units_in_progress >= release.plan.max_concurrent or not is_due:
             continue
         move_step(state, step, event)
-        on_their_way += 1
+        units_in_progress += 1
         holder = f"release:{release.id}"
-        request = PermitRequest("node", step.unit, holder, release.plan.version, 0, PERMIT_WAIT_US)
-        step.permit_id = permit_queue.enter(state, request).id
+        request = PermitRequest("node", step.unit, holder, release.plan.version, 0, RELEASE_PERMIT_WAIT_US)
+        step.permit_id = permit_queue.submit(state, request).id
 
 
 def _retry_delay_us(state: ClusterState, step: UnitStep) -> int:
-    """How long after a refusal a unit asks again."""
+    """Return the delay before a unit repeats a permit request: 0 unless the last one was refused."""
     permit = state.permits.get(step.permit_id)
-    return REFUSED_AGAIN_US if permit is not None and permit.state == PermitState.REFUSED else 0
+    return REFUSED_RETRY_DELAY_US if permit is not None and permit.state == PermitState.REFUSED else 0
 
 
-def _use_grants(state: ClusterState, release: Release) -> None:
-    """What was granted is used: the unit's supervisor is ordered what to run."""
+def _apply_permit_decisions(state: ClusterState, release: Release) -> None:
+    """Order units whose permits are granted, and reset units whose requests have ended without a grant."""
     for step in release.steps:
         permit = state.permits.get(step.permit_id)
         if permit is None or step.state not in (StepState.REQUESTING, StepState.ROLL_BACK_REQUESTING):
@@ -146,17 +145,17 @@
 
 
 def order_unit(state: ClusterState, release: Release, step: UnitStep) -> None:
-    """Order a unit's supervisor to run what the step is on its way to."""
+    """Order the unit's supervisor to run the version that the step leads to."""
     unit = state.units[step.unit]
-    forward = step.state == StepState.CHANGING
-    unit.ordered_version = release.plan.version if forward else step.old_version
+    is_forward = step.state == StepState.CHANGING
+    unit.ordered_version = release.plan.version if is_forward else step.old_version
     unit.ordered_epoch, unit.ordered_at, unit.unexpected_exits = state.epoch, state.clock, 0
-    release.started_units += forward
+    release.started_units += is_forward
     state.orders_epoch = state.epoch
 
 
 def _withdraw_requests(state: ClusterState, release: Release) -> None:
-    """Halted: what only waits for a permit stops waiting; what is on its way comes to its end."""
+    """Withdraw the waiting permit requests of a halted release; units already being updated continue."""
     for step in release.steps:
         permit = state.permits.get(step.permit_id)
         if step.state not in (StepState.REQUESTING, StepState.ROLL_BACK_REQUESTING) or permit is None:
@@ -165,11 +164,11 @@
             move_step(state, step, "turned-down")
 
 
-# The way back.
+# Rolling back.
 
 
 def holds_permit(state: ClusterState, step: UnitStep) -> bool:
-    """Whether the unit is out by its step's permit."""
+    """Return whether the unit is out of service under its step's permit."""
     permit = state.permits.get(step.permit_id)
     return permit is not None and permit.out
 
@@ -179,7 +178,7 @@
         if step.state == StepState.REQUESTING:
             _cancel_request(state, step)
         elif holds_permit(state, step) and move_step(state, step, "back"):
-            order_unit(state, release, step)  # under the permit that it still holds
+            order_unit(state, release, step)  # the unit still holds its permit
     for from_state in (StepState.FAILED, StepState.NEW):
         _request_permits(state, release, release.steps, from_state, "ask-back")
     if all(step.state in (StepState.OLD, StepState.RESTORED) for step in release.steps):
@@ -189,15 +188,15 @@
 def _cancel_request(state: ClusterState, step: UnitStep) -> None:
     permit = state.permits.get(step.permit_id)
     if permit is not None and not move_permit(state, permit, "withdraw"):
-        give_back(state, permit)
+        return_to_service(state, permit)
     move_step(state, step, "back")
 
 
-# What supervisors are ordered, what is compared, and when something is due.
+# Queries for supervisors, the version comparison and timers.
 
 
 def orders_for_supervisor(state: ClusterState, supervisor: str) -> dict[str, UnitOrderFields]:
-    """Orders for each of its units that a release has ever changed."""
+    """Return the orders for each of a supervisor's units that a release has ever updated."""
     return {
         unit.name: UnitOrder(unit.ordered_version, unit.ordered_epoch)
         for unit in state.units.values()
@@ -206,13 +205,13 @@
 
 
 def to_compare(state: ClusterState) -> list[Release]:
-    """Running releases with units of the new version."""
+    """Return the running releases with at least one unit on the new version."""
     running = [release for release in state.releases.values() if release.state == ReleaseState.RUNNING]
     return [release for release in running if any(step.state == StepState.NEW for step in release.steps)]
 
 
 def due_times(state: ClusterState) -> Iterator[int]:
-    """Times (us of the cluster) at which a release goes on by itself."""
+    """Yield the cluster times (us) at which a release may advance without a command."""
     for release in state.releases.values():
         if release.state == ReleaseState.RUNNING:
             if release.paused_until > state.clock:
--- a/cedarmill/cluster/state_machine/sessions.py
+++ b/cedarmill/cluster/state_machine/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of members (nodes and process supervisors): joining, lease expiry, return and end."""
+"""Commands for member sessions (nodes and process supervisors): registration, expiry, restoration and end."""
 
 from cedarmill.cluster import budget_grants
 from cedarmill.cluster.state import ClusterState, Member, Target
@@ -7,12 +7,12 @@
 from cedarmill.cluster.state_machine.permit_states import move, target_key
 from cedarmill.cluster.states import MemberState, PermitState, TargetHealth
 
-ENDED_KEPT_US = 600_000_000  # how long an incarnation that has ended is still listed
-LAPSES_KEPT = 8  # lease expiries remembered of each member
+ENDED_MEMBER_RETENTION_US = 600_000_000
+MAX_LEASE_EXPIRIES = 8  # latest lease expiries kept for each member
 
 
 class RegisterMember(Command, tag="joined", frozen=True):
-    """A process has opened a session; `incarnation` tells it from earlier processes of the same name."""
+    """Register a process that has opened a session; `incarnation` distinguishes processes of one name."""
 
     kind: str
     name: str
@@ -25,10 +25,10 @@
 
 
 class ExpireSessions(Command, tag="lapsed", frozen=True):
-    """Leases have expired, by member key.
+    """Record expired leases, by member key.
 
-    `unreachable` members are still reached by others. `certainly_stopped` members stop sending when their
-    lease has expired, and have done so by now.
+    Other members still reach the `unreachable` members, and are not known to reach the `silent` ones. The
+    `certainly_stopped` members stop sending at lease expiry and have done so by now.
     """
 
     silent: tuple[str, ...]
@@ -37,20 +37,20 @@
 
 
 class RestoreSession(Command, tag="back", frozen=True):
-    """A session whose lease had expired is renewed."""
+    """Restore the session of a member whose lease had expired."""
 
     member_key: str
 
 
 class EndMember(Command, tag="ended", frozen=True):
-    """A process has ended, as it or its process supervisor reports."""
+    """Record that a process has ended, as reported by the process or its supervisor."""
 
     member_key: str
     reason: str
 
 
-def register(state: ClusterState, command: RegisterMember) -> None:
-    """Enter a new incarnation of a member; one that has ended does not return."""
+def register_member(state: ClusterState, command: RegisterMember) -> None:
+    """Add an incarnation of a member; ignore an incarnation that has ended."""
     member = Member(
         kind=command.kind,
         name=command.name,
@@ -62,8 +62,8 @@
         state_since=state.clock,
         joined_at=state.clock,
     )
-    known = state.members.get(member.key)
-    if known is not None and known.state == MemberState.ENDED:
+    existing = state.members.get(member.key)
+    if existing is not None and existing.state == MemberState.ENDED:
         return
     state.members[member.key] = member
     drains.member_joined(state, member.key)
@@ -83,24 +83,24 @@
 
 def _forget_ended(state: ClusterState) -> None:
     for key, member in list(state.members.items()):
-        if member.state == MemberState.ENDED and state.clock - member.state_since > ENDED_KEPT_US:
+        if member.state == MemberState.ENDED and state.clock - member.state_since > ENDED_MEMBER_RETENTION_US:
             del state.members[key]
 
 
 def _update_node_health(state: ClusterState, name: str) -> None:
-    """A node is there while any of its incarnations is."""
+    """Set a node's health: `well` if any incarnation is live or unreachable, and `silent` otherwise."""
     target = state.targets.get(target_key("node", name))
     if target is None:
         return
     incarnations = [m for m in state.members.values() if m.kind == "node" and m.name == name]
-    present = any(member.state in (MemberState.LIVE, MemberState.UNREACHABLE) for member in incarnations)
-    health = TargetHealth.WELL if present else TargetHealth.SILENT
+    is_present = any(member.state in (MemberState.LIVE, MemberState.UNREACHABLE) for member in incarnations)
+    health = TargetHealth.WELL if is_present else TargetHealth.SILENT
     if target.health != health:
         target.health, target.health_since = health, state.clock
 
 
 def _change_state(state: ClusterState, key: str, new_state: MemberState) -> Member | None:
-    """Set a member's state; None where it is unknown, has ended, or is in that state already."""
+    """Set a member's state; return None if the member is unknown, has ended or is already in that state."""
     member = state.members.get(key)
     if member is None or member.state in (new_state, MemberState.ENDED):
         return None
@@ -112,16 +112,16 @@
 
 
 def _note_membership_change(state: ClusterState, member: Member) -> None:
-    """Nodes that gossip are to ask again who is there."""
+    """Make gossiping nodes refresh their peer lists after a change of the nodes."""
     if state.zoning.gossip and member.kind == "node":
         state.membership_epoch = state.orders_epoch = state.epoch
 
 
-def expire(state: ClusterState, command: ExpireSessions) -> None:
-    """Mark members whose lease has expired; their budget leases end with it."""
+def expire_sessions(state: ClusterState, command: ExpireSessions) -> None:
+    """Mark members whose leases have expired, and release their budget leases."""
     for key in command.silent:
         if (member := _change_state(state, key, MemberState.SILENT)) is not None:
-            member.lease_expiries = [*member.lease_expiries, state.clock][-LAPSES_KEPT:]
+            member.lease_expiries = [*member.lease_expiries, state.clock][-MAX_LEASE_EXPIRIES:]
             state.note(f"{member.kind} {member.name} is silent")
             _lose_supervised_permits(state, member)
     for key in command.unreachable:
@@ -130,7 +130,7 @@
     for key in command.certainly_stopped:
         drains.member_ended(state, key)
     for key in (*command.silent, *command.unreachable):
-        budget_grants.release(state, key)  # the lease has ended at its holder before it ended here
+        budget_grants.release(state, key)  # a lease ends at the holder before it ends here
 
 
 def _supervises(state: ClusterState, member: Member, unit_name: str) -> bool:
@@ -139,17 +139,17 @@
 
 
 def _lose_supervised_permits(state: ClusterState, member: Member) -> None:
-    """A unit that a silent supervisor was replacing may be out, and nobody can tell: it counts as out."""
+    """Mark permits as lost for units that a silent supervisor was updating; they still count as out."""
     if member.kind != "steward":
         return
     for permit in state.permits.values():
-        by_release = permit.kind == "node" and permit.holder.startswith("release:")
-        if by_release and _supervises(state, member, permit.target):
+        is_held_by_release = permit.kind == "node" and permit.holder.startswith("release:")
+        if is_held_by_release and _supervises(state, member, permit.target):
             move(state, permit, "lose")
 
 
-def restore(state: ClusterState, command: RestoreSession) -> None:
-    """A silent member is back, and with a supervisor the permits of its units."""
+def restore_session(state: ClusterState, command: RestoreSession) -> None:
+    """Mark a member as live again; a supervisor also regains the lost permits of its units."""
     member = _change_state(state, command.member_key, MemberState.LIVE)
     if member is None:
         return
@@ -161,13 +161,13 @@
             move(state, permit, "find")
 
 
-def end(state: ClusterState, command: EndMember) -> None:
-    """The process is known to have ended: nothing waits for it any longer."""
+def record_end(state: ClusterState, command: EndMember) -> None:
+    """Mark a member as ended, as reported by its process or its supervisor."""
     end_member(state, command.member_key, command.reason)
 
 
 def end_member(state: ClusterState, key: str, reason: str) -> None:
-    """Mark a member as ended and free what it held."""
+    """Mark a member as ended, drop its outstanding drain confirmations and release its budget leases."""
     member = _change_state(state, key, MemberState.ENDED)
     if member is None:
         return
@@ -177,8 +177,8 @@
 
 
 HANDLERS: Handlers = {
-    RegisterMember: register,
-    ExpireSessions: expire,
-    RestoreSession: restore,
-    EndMember: end,
+    RegisterMember: register_member,
+    ExpireSessions: expire_sessions,
+    RestoreSession: restore_session,
+    EndMember: record_end,
 }
--- a/cedarmill/cluster/state_machine/setup.py
+++ b/cedarmill/cluster/state_machine/setup.py
@@ -1,17 +1,18 @@
-"""The first entry of a cluster, and the passing of time."""
+"""Commands that initialize the cluster and advance its clock."""
 
 from cedarmill.cluster.state import ClusterState
 from cedarmill.cluster.state_machine.command import Command, Handlers
 
 
 class AdvanceTime(Command, tag="tick", frozen=True):
-    """Something is due at this time: applying any command carries it out."""
+    """Advance the cluster's clock, so that timed changes of the state are applied."""
 
 
 class InitializeCluster(Command, tag="setup", frozen=True):
-    """The first entry of a new or restored cluster: its name, generation, and slow start of executors.
+    """Initialize a new or restored cluster with its name, generation and slow start settings.
 
-    `slow_start_share` is the part of its slots, in thousandths, that a returned executor counts at first.
+    `slow_start_share` is the share of its slots, in thousandths, that a returned executor counts with at the
+    beginning of its slow start.
     """
 
     cluster: str
@@ -21,11 +22,11 @@
 
 
 def advance_time(state: ClusterState, command: AdvanceTime) -> None:
-    """Nothing of its own."""
+    """Do nothing: the dispatcher advances the clock and applies timed changes after every command."""
 
 
 def initialize(state: ClusterState, command: InitializeCluster) -> None:
-    """Take over the settings of the cluster; the generation never falls."""
+    """Store the settings of the cluster; the generation never decreases."""
     state.cluster = command.cluster
     state.generation = max(state.generation, command.generation)
     state.slow_start_us, state.slow_start_share = command.slow_start_us, command.slow_start_share
--- a/cedarmill/cluster/state_machine/traffic.py
+++ b/cedarmill/cluster/state_machine/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic over all zones: evidence of the nodes, and an operator's override of the admission level."""
+"""Commands for traffic across zones: observed zone evidence, and the operators' admission override."""
 
 from cedarmill.cluster.admission_level import controller
 from cedarmill.cluster.admission_level.state import SheddingThreshold
@@ -11,15 +11,16 @@
 
 
 class RecordZoneEvidence(Command, tag="observed", frozen=True):
-    """What all nodes together observe of the zones, where it differs from what was agreed."""
+    """Record the nodes' combined observations of the zones when they differ from the agreed ones."""
 
     evidence: ClusterAssessment
 
 
 class OverrideAdmission(OperatorRequest, tag="cut", frozen=True):
-    """Reject requests below a priority weight (thousandths) and `part` thousandths of those at it.
+    """Override the shedding threshold for `duration_us`; a negative weight ends the override.
 
-    Holds for `duration_us`; a weight below 0 ends an override.
+    Requests below the priority weight (thousandths) are rejected, and so are `part` thousandths of the
+    requests with exactly that weight.
     """
 
     weight: int
@@ -29,20 +30,20 @@
 
 
 def record_evidence(state: ClusterState, command: RecordZoneEvidence) -> None:
-    """Take over the newest evidence."""
+    """Store the newest evidence."""
     intake.record_assessment(state, command.evidence)
 
 
 def override_admission(state: ClusterState, request: OverrideAdmission) -> RequestOutcome:
-    """Set or end the override; raises RequestRejected where it has no reason, no end or no valid part."""
-    begins = request.weight >= 0
-    complete = bool(request.reason.strip()) and request.duration_us > 0 and 0 <= request.part <= WHOLE
-    if begins and not complete:
+    """Set or end the override; raise RequestRejected for one without reason, duration or valid part."""
+    is_set = request.weight >= 0
+    is_complete = bool(request.reason.strip()) and request.duration_us > 0 and 0 <= request.part <= WHOLE
+    if is_set and not is_complete:
         raise RequestRejected("a cut takes a reason, an end, and a part of at most the whole")
     author = f"{request.requester} ({request.reason})" if request.reason else request.requester
     threshold = SheddingThreshold(request.weight, request.part)
     controller.override(state, threshold, request.duration_us, author)
-    return accepted(state, "the cut holds" if begins else "the cut by hand has ended")
+    return accepted(state, "the cut holds" if is_set else "the cut by hand has ended")
 
 
 HANDLERS: Handlers = {RecordZoneEvidence: record_evidence, OverrideAdmission: override_admission}
