--- a/cedarmill/cluster/state_machine/limits.py
+++ b/cedarmill/cluster/state_machine/limits.py
@@ -14,7 +14,7 @@
 from cedarmill.cluster.states import TargetHealth
 
 FLAP_WINDOW_US = 60_000_000
-FLAP_EXPIRIES = 3  # lease expiries within the window from which a node counts as out of service
+MIN_FLAP_EXPIRIES = 3  # lease expiries within the window from which a node counts as out of service
 
 OutShares = dict[str, int]  # out-of-service share of each target in thousandths, by target key
 
@@ -68,7 +68,7 @@
     for member in state.members.values():
         if member.kind == "node" and member.name == node:
             expiries += sum(state.clock - at < FLAP_WINDOW_US for at in member.lease_expiries)
-    return expiries >= FLAP_EXPIRIES
+    return expiries >= MIN_FLAP_EXPIRIES
 
 
 def out_shares(state: ClusterState) -> OutShares:
--- a/cedarmill/cluster/state_machine/rollout.py
+++ b/cedarmill/cluster/state_machine/rollout.py
@@ -220,10 +220,10 @@
                 bake_us = release.plan.bake_us
                 yield from (release.bake_started_at + bake_us * factor for factor in (1, MAX_BAKE_FACTOR))
         if release.state in (ReleaseState.RUNNING, ReleaseState.ROLLING_BACK):
-            yield from _due_steps(state, release)
+            yield from _step_due_times(state, release)
 
 
-def _due_steps(state: ClusterState, release: Release) -> Iterator[int]:
+def _step_due_times(state: ClusterState, release: Release) -> Iterator[int]:
     for step in release.steps:
         if step.state in (StepState.CHANGING, StepState.ROLLING_BACK):
             yield step.state_since + release.plan.ready_timeout_us
--- a/cedarmill/cluster/state_machine/sessions.py
+++ b/cedarmill/cluster/state_machine/sessions.py
@@ -71,7 +71,7 @@
     if member.kind == "node":
         _register_node_target(state, member, command.unit_type)
     state.orders_epoch = state.epoch
-    _forget_ended(state)
+    _remove_ended_members(state)
 
 
 def _register_node_target(state: ClusterState, member: Member, unit_type: str) -> None:
@@ -81,7 +81,7 @@
     _update_node_health(state, member.name)
 
 
-def _forget_ended(state: ClusterState) -> None:
+def _remove_ended_members(state: ClusterState) -> None:
     for key, member in list(state.members.items()):
         if member.state == MemberState.ENDED and state.clock - member.state_since > ENDED_MEMBER_RETENTION_US:
             del state.members[key]
