--- a/cedarmill/cluster/errors.py
+++ b/cedarmill/cluster/errors.py
@@ -1,13 +1,13 @@
-"""The errors of this package: one base, each with a sentence that says what went wrong."""
+"""Errors of this package; each message is one sentence for an operator."""
 
 
 class ClusterError(ValueError):
-    """Base of all errors of the cluster's cores; its text is one sentence for an operator."""
+    """Base of the errors of the cluster's state machine and protocol code."""
 
 
 class RequestRejected(ClusterError):
-    """An operator's request that cannot be carried out as things stand; nothing was changed by it."""
+    """Raised when an operator's request conflicts with the current state; the state is left unchanged."""
 
 
 class UnknownCommand(ClusterError):
-    """An entry of the log whose command type has no handler."""
+    """Raised when the command type of a log entry has no handler."""
--- a/cedarmill/cluster/leader_duties.py
+++ b/cedarmill/cluster/leader_duties.py
@@ -1,6 +1,4 @@
-"""What a leader does by itself, ten times a second: expired leases, observed targets, due changes, evidence
-of zones, and the comparison of versions in a release.
-"""
+"""The leader's periodic work: proposing commands for expired leases, target health, zones and releases."""
 
 from typing import TYPE_CHECKING
 
@@ -23,21 +21,22 @@
 if TYPE_CHECKING:
     from cedarmill.cluster.replica import Replica
 
-INTERVAL_US = 100_000  # between two rounds
-COMPARE_INTERVAL_US = 1_000_000
-EVIDENCE_INTERVAL_US = 500_000  # between two looks at what nodes report of zones
-ADMISSION_INTERVAL_US = 1_000_000  # between two reports of evidence while the admission level moves by it
-REPLICA_SILENT_US = 2_000_000  # a replica that does not answer for so long counts as silent
+ROUND_INTERVAL_US = 100_000
+COMPARISON_INTERVAL_US = 1_000_000
+ZONE_EVIDENCE_INTERVAL_US = 500_000
+# While admission control is active, zone evidence is proposed this often even if it has not changed.
+ADMISSION_EVIDENCE_INTERVAL_US = 1_000_000
+REPLICA_SILENCE_TIMEOUT_US = 2_000_000
 NEW_LEADER_HALT = "the new leader has not heard most nodes yet"
 
 
-def ends_by_itself(halt_reason: str) -> bool:
-    """Whether a halt ends once what was observed is gone. The reason is all of it that the state holds."""
+def ends_automatically(halt_reason: str) -> bool:
+    """Return whether a halt ends without an operator, judging by its reason: the state stores no more."""
     return halt_reason == NEW_LEADER_HALT or AT_ONCE in halt_reason
 
 
 class LeaderDuties:
-    """Those of one replica, while it leads."""
+    """Runs the periodic work of a replica while it is the leader."""
 
     def __init__(self, replica: "Replica", now: int) -> None:
         self._replica = replica
@@ -46,44 +45,47 @@
         self._last_evidence = now
 
     def begin(self, now: int) -> None:
-        """The replica has been elected."""
+        """Schedule the first round one interval after the replica's election."""
         self._last_round = now
 
     @property
     def due(self) -> int:
-        """When the next round is due."""
-        return self._last_round + INTERVAL_US
+        """Time of the next round (us of the replica's monotonic clock)."""
+        return self._last_round + ROUND_INTERVAL_US
 
     def is_due(self, now: int) -> bool:
-        """Whether a round is due."""
+        """Return whether a round is due."""
         return now >= self.due
 
     def carry_out(self, now: int) -> None:
-        """One round."""
+        """Run one round of the leader's periodic work."""
         replica = self._replica
         state, sessions = replica.state, replica.leadership.sessions
         sessions.excuse_stall(now)
         self._last_round = now
         sessions.forget_ended(state)
         if replica.raft.log.term(replica.raft.commit_index) != replica.raft.term:
-            return  # entries of earlier terms are not known to be agreed yet
+            return  # Entries of earlier terms may not be committed before one of this term is.
         expired = sessions.expired(now, state)
-        targets, mass = replica.leadership.executors.changes(now, sessions, state)
-        halt = mass or expired.disbelieved or self._new_leader_halt(now)
-        self._expire(now, expired)
+        targets, mass_failure = replica.leadership.executors.changes(now, sessions, state)
+        halt_reason = mass_failure or expired.disbelieved or self._new_leader_halt(now)
+        self._expire_sessions(now, expired)
         self._update_targets(now, targets)
-        self._halt_grants(now, halt)  # after the targets: the end of a halt grants at once
-        self._record_zone_evidence(now, halt)
+        # The end of a halt grants permits immediately, so the targets have to be up to date before.
+        self._halt_grants(now, halt_reason)
+        self._record_zone_evidence(now, halt_reason)
         self._advance_time(now)
-        if now - self._last_comparison >= COMPARE_INTERVAL_US:
+        if now - self._last_comparison >= COMPARISON_INTERVAL_US:
             self._last_comparison = now
             self._compare_releases(now)
 
-    def _expire(self, now: int, expired: ExpiredLeases) -> None:
+    def _expire_sessions(self, now: int, expired: ExpiredLeases) -> None:
         state = self._replica.state
         silent = tuple(key for key in expired.silent if state.members[key].state != MemberState.SILENT)
-        awaited = {key for permit in state.permits.values() if permit.out for key in permit.undrained_members}
-        stopped = tuple(key for key in expired.certainly_stopped if key in awaited)
+        undrained = {
+            key for permit in state.permits.values() if permit.out for key in permit.undrained_members
+        }
+        stopped = tuple(key for key in expired.certainly_stopped if key in undrained)
         if silent or expired.unreachable or stopped:
             command = ExpireSessions(self._replica.cluster_time(now), silent, expired.unreachable, stopped)
             self._replica.propose(now, command)
@@ -94,24 +96,27 @@
             self._replica.propose(now, UpdateTargets(self._replica.cluster_time(now), targets))
 
     def _replica_targets(self, now: int) -> tuple[Target, ...]:
-        """Replicas whose health has changed: taking them down is limited like anything else."""
-        replica, found = self._replica, []
+        """Return the replicas whose health has changed; limits apply to them as to other targets."""
+        replica, changed = self._replica, []
         for name in replica.raft.config:
             follower = replica.raft.progress.get(name)
-            heard = follower is not None and now - follower.last_contact <= REPLICA_SILENT_US
-            health = TargetHealth.WELL if heard or name == replica.name else TargetHealth.SILENT
-            known = replica.state.targets.get(target_key("keeper", name))
-            if known is None or known.health != health:
-                found.append(Target("keeper", name, health=health))
-        return tuple(found)
+            is_responsive = follower is not None and now - follower.last_contact <= REPLICA_SILENCE_TIMEOUT_US
+            health = TargetHealth.WELL if is_responsive or name == replica.name else TargetHealth.SILENT
+            recorded = replica.state.targets.get(target_key("keeper", name))
+            if recorded is None or recorded.health != health:
+                changed.append(Target("keeper", name, health=health))
+        return tuple(changed)
 
     def _halt_grants(self, now: int, reason: str) -> None:
         current = self._replica.state.halt_reason
-        if reason != current and (reason or ends_by_itself(current)):
+        if reason != current and (reason or ends_automatically(current)):
             self._replica.propose(now, HaltGrants(self._replica.cluster_time(now), reason))
 
     def _new_leader_halt(self, now: int) -> str:
-        """A new leader grants nothing before most nodes have reported all: the state may be old."""
+        """Return the reason to halt grants until most nodes have sent a full report, or "" if they have.
+
+        A new leader's state may be outdated. The halt ends after one lease time even without these reports.
+        """
         replica = self._replica
         leadership = replica.leadership
         if replica.state.halt_reason != NEW_LEADER_HALT or now - leadership.elected_at > LEASE_US:
@@ -121,14 +126,14 @@
         reported = sum(node.key in sessions and sessions[node.key].reported_all for node in nodes)
         return "" if 2 * reported > len(nodes) or not nodes else NEW_LEADER_HALT
 
-    def _record_zone_evidence(self, now: int, halt: str) -> None:
-        """What nodes report of zones, where it differs; nothing while it is not to be believed."""
+    def _record_zone_evidence(self, now: int, halt_reason: str) -> None:
+        """Propose changed zone evidence from the nodes' reports, unless a halt makes them unreliable."""
         replica = self._replica
         state, zones = replica.state, replica.leadership.zones
-        if now - self._last_evidence < EVIDENCE_INTERVAL_US or not state.zoning.regions:
+        if now - self._last_evidence < ZONE_EVIDENCE_INTERVAL_US or not state.zoning.regions:
             return
         self._last_evidence = now
-        if halt or state.halt_reason == NEW_LEADER_HALT:
+        if halt_reason or state.halt_reason == NEW_LEADER_HALT:
             return
         members = state.members
         zones.forget(
@@ -136,8 +141,10 @@
         )
         evidence = zones.assess(now, state.zoning.zones)
         time_us = replica.cluster_time(now)
-        moves = state.admission.active and time_us - state.traffic.assessed_at >= ADMISSION_INTERVAL_US
-        if moves or not are_similar(state.traffic.latest_assessment, evidence):
+        is_admission_update_due = (
+            state.admission.active and time_us - state.traffic.assessed_at >= ADMISSION_EVIDENCE_INTERVAL_US
+        )
+        if is_admission_update_due or not are_similar(state.traffic.latest_assessment, evidence):
             replica.propose(now, RecordZoneEvidence(time_us, evidence))
 
     def _advance_time(self, now: int) -> None:
@@ -147,36 +154,38 @@
             self._replica.propose(now, AdvanceTime(time_us))
 
     def _compare_releases(self, now: int) -> None:
-        """Compare the new version of each running release with the rest, by what nodes report."""
+        """Compare the new version of each running release with the old one by the nodes' request counts."""
         state, comparisons = self._replica.state, self._replica.leadership.comparisons
-        running = {found.id for found in rollout.to_compare(state)}
+        running = {release.id for release in rollout.to_compare(state)}
         for release_id in [release_id for release_id in comparisons if release_id not in running]:
             del comparisons[release_id]
         counts = self._request_counts()
         for release_id in sorted(running):
-            self._compare(now, release_id, counts)
+            self._compare_release(now, release_id, counts)
 
-    def _compare(self, now: int, release_id: int, counts: dict[str, canary_comparison.RequestCounts]) -> None:
-        found = self._replica.state.releases[release_id]
-        sides = self._replica.leadership.comparisons.setdefault(
+    def _compare_release(
+        self, now: int, release_id: int, counts: dict[str, canary_comparison.RequestCounts]
+    ) -> None:
+        release = self._replica.state.releases[release_id]
+        comparison = self._replica.leadership.comparisons.setdefault(
             release_id, canary_comparison.CanaryComparison(counts)
         )
-        sides.update(counts, {step.unit for step in found.steps if step.state == StepState.NEW})
-        worse = canary_comparison.reason_to_halt(found.plan, sides.new, sides.rest)
-        sample = min(sides.new.requests, sides.rest.requests)
-        if worse or found.compared_requests < found.plan.min_sample <= sample:
-            command = RecordComparison(self._replica.cluster_time(now), release_id, worse, sample)
+        comparison.update(counts, {step.unit for step in release.steps if step.state == StepState.NEW})
+        halt_reason = canary_comparison.reason_to_halt(release.plan, comparison.new, comparison.rest)
+        sample_size = min(comparison.new.requests, comparison.rest.requests)
+        if halt_reason or release.compared_requests < release.plan.min_sample <= sample_size:
+            command = RecordComparison(self._replica.cluster_time(now), release_id, halt_reason, sample_size)
             self._replica.propose_once(now, f"judged {release_id}", command)
 
     def _request_counts(self) -> dict[str, canary_comparison.RequestCounts]:
-        """Requests of each node's newest live incarnation, by the node's name."""
+        """Return the request counts of each node's newest live incarnation, by the node's name."""
         newest: dict[str, tuple[int, canary_comparison.RequestCounts]] = {}
         for key, session in self._replica.leadership.sessions.by_key.items():
             member = self._replica.state.members.get(key)
             if member is None or member.kind != "node" or member.state != MemberState.LIVE:
                 continue
-            known = newest.get(member.name)
-            if known is None or member.joined_at >= known[0]:
+            current = newest.get(member.name)
+            if current is None or member.joined_at >= current[0]:
                 newest[member.name] = (
                     member.joined_at,
                     canary_comparison.RequestCounts(*session.request_counts),
--- a/cedarmill/cluster/leadership.py
+++ b/cedarmill/cluster/leadership.py
@@ -1,4 +1,4 @@
-"""What a leader knows in addition to the agreed state; a new leader begins without any of it."""
+"""A leader's volatile state, which is not replicated and starts empty after each election."""
 
 from cedarmill.cluster.canary_comparison import CanaryComparison
 from cedarmill.cluster.executor_health import ExecutorHealth
@@ -7,17 +7,20 @@
 
 
 class Leadership:
-    """Of one term in office. Times: us of the replica's monotonic clock, unless said otherwise."""
+    """The volatile state of one leadership term.
+
+    Times are microseconds of the replica's monotonic clock, except for the cluster's time.
+    """
 
     def __init__(self, now: int, elected_at: int = 0, time_at_election: int = 0) -> None:
-        """`time_at_election` is the cluster's time at `elected_at`."""
+        """Start a leadership term; `time_at_election` is the cluster's time (us) at `elected_at`."""
         self.elected_at = elected_at
         self.time_at_election = time_at_election
         self.sessions = SessionTracker(now)
         self.executors = ExecutorHealth()
         self.zones = ObservationCollector()
-        self.comparisons: dict[int, CanaryComparison] = {}  # of new and old versions, by release
+        self.comparisons: dict[int, CanaryComparison] = {}  # by release id
 
     def cluster_time(self, now: int) -> int:
-        """The cluster's time (us)."""
+        """Return the cluster's time (us) at a time of the replica's monotonic clock."""
         return self.time_at_election + now - self.elected_at
--- a/cedarmill/cluster/release_state.py
+++ b/cedarmill/cluster/release_state.py
@@ -1,4 +1,4 @@
-"""Units (processes that supervisors run) and releases of new versions, as the agreed state holds them.
+"""Units (processes run by supervisors) and releases of new versions, as part of the replicated state.
 
 Times are microseconds of the cluster's clock. `rename` maps each field to its stored key.
 """
@@ -9,21 +9,22 @@
 
 from cedarmill.cluster.states import ReleaseState, StepState
 
-UnitReportFields = tuple[str, str, int, int]  # those of a UnitReport, which comes as a plain array
-UnitOrderFields = tuple[str, int]  # those of a UnitOrder
+# A UnitReport and a UnitOrder as plain tuples, their form in messages.
+UnitReportFields = tuple[str, str, int, int]
+UnitOrderFields = tuple[str, int]
 
 
 class UnitReport(NamedTuple):
-    """A unit as its process supervisor reports it."""
+    """The state of a unit as reported by its supervisor."""
 
     version: str
     state: str
     unexpected_exits: int
-    applied_epoch: int  # of the order acted on last
+    applied_epoch: int  # Epoch of the order carried out last.
 
 
 class UnitOrder(NamedTuple):
-    """What a process supervisor is to run, and the epoch of that order."""
+    """An order to a supervisor to run a version of a unit, with the epoch of the order."""
 
     version: str
     epoch: int
@@ -40,21 +41,21 @@
         "ordered_at": "told",
     },
 ):
-    """A process that a supervisor runs: as it was reported last, and what it is ordered to run."""
+    """A process run by a supervisor, with its last reported state and the version it is ordered to run."""
 
     name: str
     supervisor: str
     version: str = ""
-    state: str = "stopped"  # stopped, starting, ready, failing
-    unexpected_exits: int = 0  # since the last order
+    state: str = "stopped"  # "stopped", "starting", "ready" or "failing".
+    unexpected_exits: int = 0  # Exits since the last order.
     applied_epoch: int = 0
-    ordered_version: str = ""  # empty: whatever it runs
+    ordered_version: str = ""  # Empty if no version has been ordered.
     ordered_epoch: int = 0
     ordered_at: int = 0
 
 
 class UnitStep(msgspec.Struct, rename={"old_version": "old", "permit_id": "permit", "state_since": "since"}):
-    """A unit's way through a release."""
+    """The progress of one unit through a release."""
 
     unit: str
     old_version: str
@@ -64,17 +65,17 @@
 
 
 class ReleasePlan(msgspec.Struct, array_like=True, frozen=True):
-    """How a release proceeds: groups one after the other, each at most `max_concurrent` units at once."""
+    """The plan of a release: groups in order, with at most `max_concurrent` units changing at once."""
 
     version: str
     groups: tuple[tuple[str, ...], ...]
     max_concurrent: int = 1
-    pause_us: int = 0  # between two groups
-    bake_us: int = 10_000_000  # for which a finished group is watched
-    ready_timeout_us: int = 30_000_000  # for a unit to become ready
-    min_sample: int = 50  # requests of the new version before it is compared
-    max_chance: int = 1  # ten thousandths: below this chance that a difference is random, halt
-    min_difference: int = 20  # thousandths that matter
+    pause_us: int = 0  # Pause between two groups.
+    bake_us: int = 10_000_000  # Time for which a finished group is observed.
+    ready_timeout_us: int = 30_000_000  # Time limit for a unit to become ready.
+    min_sample: int = 50  # Requests on each side of a comparison that are enough to rely on it.
+    max_chance: int = 1  # Ten-thousandths: halt if the chance that a difference is random is lower.
+    min_difference: int = 20  # Thousandths: smaller differences do not halt the release.
 
 
 class Release(
@@ -89,21 +90,21 @@
         "started_units": "touched",
     },
 ):
-    """A release on its way, or at its end."""
+    """A release that is planned, in progress or finished."""
 
     id: int
     plan: ReleasePlan
     requester: str
     state: str = ReleaseState.PLANNED
-    group: int = 0  # index of the group on its way
+    group: int = 0  # Index of the current group.
     steps: list[UnitStep] = msgspec.field(default_factory=list)
     state_since: int = 0
-    bake_started_at: int = 0  # 0: the group is not complete yet
+    bake_started_at: int = 0  # 0 until the current group is complete.
     paused_until: int = 0
     reasons: list[str] = msgspec.field(default_factory=list)
-    compared_requests: int = 0  # on the smaller side, when they were enough to compare
-    started_units: int = 0  # with the new version
+    compared_requests: int = 0  # Largest recorded sample: requests on the smaller side of a comparison.
+    started_units: int = 0  # Number of unit starts with the new version.
 
     def step(self, unit: str) -> UnitStep | None:
-        """The step of a unit; None where it is no part of the release."""
+        """Return the step of a unit, or None if the unit is not part of the release."""
         return next((step for step in self.steps if step.unit == unit), None)
--- a/cedarmill/cluster/state.py
+++ b/cedarmill/cluster/state.py
@@ -1,10 +1,10 @@
-"""The agreed state of the cluster as plain values: one tree, which a snapshot holds whole.
+"""The replicated state of the cluster: one tree of plain values, which a snapshot contains completely.
 
 Times are microseconds of the cluster's clock, which is part of the state: each command carries the leader's
-time, and the clock never goes back. Shares are whole thousandths, so that all replicas compute alike.
+time, and the clock never goes back. Shares are integers in thousandths, so that all replicas compute the same
+results.
 
-Snapshots and the command line's JSON keep the field names with which they began: `rename` maps each field
-to its stored key.
+The keys in snapshots and in the command line's JSON are fixed: `rename` maps each field to its stored key.
 """
 
 import msgspec
@@ -47,23 +47,24 @@
     "generation_of",
 ]
 
-PER_MILLE = 1000  # the whole, in thousandths
-EPOCH_INDEX_BITS = 40  # low bits of an epoch: the index of its entry; above them the cluster's generation
-OUT_STATES = frozenset({PermitState.GRANTED, PermitState.LOST})  # of permits whose targets are out
-OPERATOR_LOG_LINES = 200  # newest lines for operators that are kept
+PER_MILLE = 1000
+# The low bits of an epoch are the index of a log entry, the bits above are the cluster's generation.
+EPOCH_INDEX_BITS = 40
+OUT_OF_SERVICE_STATES = frozenset({PermitState.GRANTED, PermitState.LOST})
+MAX_OPERATOR_LOG_LINES = 200
 
 
 class Limit(msgspec.Struct, array_like=True, frozen=True):
-    """What may be out at once of a kind of target, by each scope of `per`; -1: not limited."""
+    """Limits on how many targets of a kind may be out of service at once in each scope; -1 means no limit."""
 
     kind: str
-    per: str = "fleet"  # fleet, zone, type or group
+    per: str = "fleet"  # The scope: "fleet", "zone", "type" or "group".
     most: int = -1  # targets
     share: int = -1  # thousandths of the targets
-    capacity_left: int = -1  # thousandths of the slots that have to stay
+    capacity_left: int = -1  # thousandths of the slots that must stay in service
 
     def text(self) -> str:
-        """As operators read it."""
+        """Return a description for operators."""
         parts = [f"at most {self.most}"] if self.most >= 0 else []
         parts += [f"at most {self.share / 10:g}%"] if self.share >= 0 else []
         parts += [f"{self.capacity_left / 10:g}% of the slots left"] if self.capacity_left >= 0 else []
@@ -71,7 +72,7 @@
 
 
 class Target(msgspec.Struct, rename={"health_since": "since", "slow_start_from": "cold_from"}):
-    """What a permit may be for: an executor, a node, a replica or a zone."""
+    """Something that a permit may take out of service: an executor, a node, a replica or a zone."""
 
     kind: str
     name: str
@@ -81,8 +82,8 @@
     slots: int = 1
     health: str = TargetHealth.WELL
     health_since: int = 0
-    slow_start_from: int = -1  # when it returned to service; -1: long ago
-    started_ms: int = 0  # Unix time, as discovery lists it
+    slow_start_from: int = -1  # Time of the last return to service; -1 if long ago or never.
+    started_ms: int = 0  # Unix time in milliseconds, from discovery.
 
 
 class Member(
@@ -95,7 +96,7 @@
         "lease_expiries": "lapses",
     },
 ):
-    """One incarnation of a process that has a session."""
+    """One incarnation of a process with a session."""
 
     kind: str
     name: str
@@ -103,15 +104,15 @@
     zone: str = ""
     address: str = ""
     version: str = ""
-    stops_at_lease_expiry: bool = False  # it stops sending by itself when its lease has expired
+    stops_at_lease_expiry: bool = False  # Whether the process stops sending requests when its lease expires.
     state: str = MemberState.LIVE
     state_since: int = 0
     joined_at: int = 0
-    lease_expiries: list[int] = msgspec.field(default_factory=list)  # the latest
+    lease_expiries: list[int] = msgspec.field(default_factory=list)  # Times of the latest expiries.
 
     @property
     def key(self) -> str:
-        """Its name in the state: kind, name and incarnation."""
+        """Key of the member in the state: kind, name and incarnation."""
         return f"{self.kind}:{self.name}:{self.incarnation}"
 
 
@@ -126,7 +127,7 @@
         "drained_at": "drained",
     },
 ):
-    """Leave for one target to be out of service."""
+    """A permit to take one target out of service."""
 
     id: int
     kind: str
@@ -139,24 +140,24 @@
     waits_until: int = 0
     granted_at: int = 0
     ended_at: int = 0
-    epoch: int = 0  # of the grant; whatever acts on the grant names it
-    undrained_members: list[str] = msgspec.field(default_factory=list)  # that have not confirmed the drain
-    drained_at: int = 0  # when all had confirmed, or an operator stated it; 0: not yet
-    notes: list[str] = msgspec.field(default_factory=list)  # why it waits, and what operators stated
+    epoch: int = 0  # Epoch of the grant, sent with every action based on it.
+    undrained_members: list[str] = msgspec.field(default_factory=list)  # Members yet to confirm the drain.
+    drained_at: int = 0  # When all members had confirmed or an operator declared the drain; 0 if not drained.
+    notes: list[str] = msgspec.field(default_factory=list)  # Reasons for waiting, and operators' statements.
 
     @property
     def out(self) -> bool:
-        """Whether its target counts as out of service."""
-        return self.state in OUT_STATES
+        """Whether the permit's target counts as out of service."""
+        return self.state in OUT_OF_SERVICE_STATES
 
 
 class RequestOutcome(msgspec.Struct, array_like=True):
-    """What came of a request that changes something: the same again for the same idempotency key."""
+    """The result of a request that changes the state, repeated for requests with the same idempotency key."""
 
     time_us: int
     ok: bool
     text: str
-    created_ids: list[int] = msgspec.field(default_factory=list)  # of permits, or of a release
+    created_ids: list[int] = msgspec.field(default_factory=list)  # Ids of the created permits or release.
 
 
 class ClusterState(
@@ -174,14 +175,14 @@
         "budgets_dealt_from": "deal_from",
     },
 ):
-    """The whole of it."""
+    """The complete replicated state of a cluster."""
 
     cluster: str = ""
-    generation: int = 1  # grows with each restore from a backup
-    index: int = 0  # of the entry applied last
+    generation: int = 1  # Increases with each restore from a backup.
+    index: int = 0  # Index of the last applied log entry.
     clock: int = 0
-    slow_start_us: int = 8_900_000  # for which a returned executor counts in part
-    slow_start_share: int = 300  # thousandths of its slots at first
+    slow_start_us: int = 8_900_000  # Time during which a returned executor counts as partly out of service.
+    slow_start_share: int = 300  # Thousandths of an executor's slots that count at the start of slow start.
     limits: list[Limit] = msgspec.field(default_factory=list)
     targets: dict[str, Target] = msgspec.field(default_factory=dict)  # by `kind:name`
     members: dict[str, Member] = msgspec.field(default_factory=dict)  # by key
@@ -189,38 +190,38 @@
     units: dict[str, Unit] = msgspec.field(default_factory=dict)
     releases: dict[int, Release] = msgspec.field(default_factory=dict)
     outcomes: dict[str, RequestOutcome] = msgspec.field(default_factory=dict)  # by idempotency key
-    halt_reason: str = ""  # why nothing is granted and no release proceeds, if so
-    last_id: int = 0  # of permits and releases
-    orders_epoch: int = 0  # of the newest change of what members are ordered
-    log: list[str] = msgspec.field(default_factory=list)  # the newest lines for operators
+    halt_reason: str = ""  # Why grants and releases are halted; empty if they are not.
+    last_id: int = 0  # The last id given to a permit or release.
+    orders_epoch: int = 0  # Epoch of the newest change to the members' orders.
+    log: list[str] = msgspec.field(default_factory=list)  # The newest log lines for operators.
     zoning: ZoneLayout = msgspec.field(default_factory=ZoneLayout)
     zones: dict[str, ZoneState] = msgspec.field(default_factory=dict)
     traffic: TrafficState = msgspec.field(default_factory=TrafficState)
     budgets: dict[str, Budget] = msgspec.field(default_factory=dict)
-    # By budget, then member.
+    # Budget grants by budget name, then by member key.
     budget_grants: dict[str, dict[str, BudgetGrant]] = msgspec.field(default_factory=dict)
     admission: AdmissionLevel = msgspec.field(default_factory=AdmissionLevel)
     scoped_admission: dict[str, AdmissionLevel] = msgspec.field(default_factory=dict)  # by `zone/bound`
-    membership_epoch: int = 0  # when a node came or went last, where nodes gossip
-    budgets_dealt_from: int = 0  # before that nothing is leased: leases of before a restore may still hold
+    membership_epoch: int = 0  # Epoch of the last membership change, for nodes that gossip.
+    budgets_dealt_from: int = 0  # No budget is leased before this time, set after a restore.
 
     @property
     def epoch(self) -> int:
-        """Of the entry that is being applied."""
+        """Epoch of the log entry that was applied last or is being applied."""
         return self.generation << EPOCH_INDEX_BITS | self.index
 
     def new_id(self) -> int:
-        """A number for a permit or a release."""
+        """Return a new id for a permit or a release."""
         self.last_id += 1
         return self.last_id
 
     def note(self, text: str) -> None:
-        """Add a line for operators."""
+        """Add a line to the log for operators, and drop the oldest lines beyond the maximum."""
         self.log.append(f"{self.clock / 1e6:.1f} {text}")
-        del self.log[:-OPERATOR_LOG_LINES]
+        del self.log[:-MAX_OPERATOR_LOG_LINES]
 
     def members_of(self, kind: str) -> list[Member]:
-        """Members of a kind that may still act: all but those that have ended."""
+        """Return the members of a kind that have not ended."""
         ended = MemberState.ENDED
         return [member for member in self.members.values() if member.kind == kind and member.state != ended]
 
@@ -229,15 +230,15 @@
 
 
 def generation_of(epoch: int) -> int:
-    """The cluster's generation in which an epoch was given."""
+    """Return the cluster's generation that an epoch belongs to."""
     return epoch >> EPOCH_INDEX_BITS
 
 
 def encode_snapshot(state: ClusterState) -> bytes:
-    """All of the state, as MessagePack."""
+    """Encode the complete state as MessagePack."""
     return msgspec.msgpack.encode(state)
 
 
 def decode_snapshot(data: bytes) -> ClusterState:
-    """The state again; raises msgspec.MsgspecError for what is none."""
+    """Decode a state; raise msgspec.MsgspecError if the data is not a valid state."""
     return _DECODER.decode(data)
--- a/cedarmill/cluster/state_views.py
+++ b/cedarmill/cluster/state_views.py
@@ -1,4 +1,4 @@
-"""Views of the agreed state for operators, as JSON; the keys are those of `cedarmill fleet --json`."""
+"""JSON views of the replicated state for operators, with the keys of `cedarmill cluster --json`."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -21,7 +21,7 @@
 
 
 def render(replica: "Replica", now: int, request: ReadRequest) -> bytes:
-    """The view that is asked for, as JSON; a backup is a snapshot in MessagePack."""
+    """Return the requested view as JSON, or for a backup the snapshot as MessagePack."""
     if request.view == "backup":
         return msgspec.msgpack.encode(replica.snapshot())
     view = VIEWS.get(request.view)
@@ -35,7 +35,7 @@
 
 def _status(replica: "Replica", now: int, request: ReadRequest) -> Row:
     state, raft = replica.state, replica.raft
-    live = [member.kind for member in state.members.values() if member.state == MemberState.LIVE]
+    live_kinds = [member.kind for member in state.members.values() if member.state == MemberState.LIVE]
     return {
         "cluster": state.cluster,
         "generation": state.generation,
@@ -48,7 +48,7 @@
         "keepers": _replicas(replica, now),
         "out": sorted(permit.target for permit in state.permits.values() if permit.out),
         "waiting": sum(permit.state == PermitState.WAITING for permit in state.permits.values()),
-        "members": {kind: live.count(kind) for kind in ("node", "steward")},
+        "members": {kind: live_kinds.count(kind) for kind in ("node", "steward")},
     }
 
 
@@ -75,24 +75,24 @@
 
 
 def _limits(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
-    """Each limit in each of its scopes, with what it allows and what is out."""
+    """Return a row for each limit and scope, with the number of targets allowed out and currently out."""
     state, rows = replica.state, []
-    out = limits.out_shares(state)
+    out_shares = limits.out_shares(state)
     for limit in state.limits:
-        found = {limits.scope_of(limit, target) for target in state.targets.values()}
-        scopes = sorted(scope for scope in found if scope is not None)
-        rows += [_limit_row(state, limit, scope, out) for scope in scopes or [""]]
+        target_scopes = {limits.scope_of(limit, target) for target in state.targets.values()}
+        scopes = sorted(scope for scope in target_scopes if scope is not None)
+        rows += [_limit_row(state, limit, scope, out_shares) for scope in scopes or [""]]
     return rows
 
 
-def _limit_row(state: ClusterState, limit: Limit, scope: str, out: dict[str, int]) -> Row:
-    members = [key for key, target in state.targets.items() if limits.scope_of(limit, target) == scope]
+def _limit_row(state: ClusterState, limit: Limit, scope: str, out_shares: dict[str, int]) -> Row:
+    target_keys = [key for key, target in state.targets.items() if limits.scope_of(limit, target) == scope]
     return {
         "limit": limit.text(),
         "scope": scope,
-        "of": len(members),
-        "allowed": limits.allowed(limit, len(members)),
-        "out": sum(out.get(key, 0) for key in members) / PER_MILLE,
+        "of": len(target_keys),
+        "allowed": limits.allowed(limit, len(target_keys)),
+        "out": sum(out_shares.get(key, 0) for key in target_keys) / PER_MILLE,
         "kind": limit.kind,
         "per": limit.per,
         "most": limit.most,
@@ -102,11 +102,11 @@
 
 
 def _permits(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
-    """All permits, or those whose numbers are asked for."""
+    """Return the permits whose ids are requested, or all permits if the request names none."""
     state = replica.state
-    wanted = request.names
-    found = [permit for permit in state.permits.values() if not wanted or str(permit.id) in wanted]
-    return [_permit_row(state, permit) for permit in found]
+    ids = request.names
+    permits = [permit for permit in state.permits.values() if not ids or str(permit.id) in ids]
+    return [_permit_row(state, permit) for permit in permits]
 
 
 def _permit_row(state: ClusterState, permit: Permit) -> Row:
@@ -124,21 +124,21 @@
     plan = release.plan
     row["plan"] = {"version": plan.version, "groups": plan.groups, "width": plan.max_concurrent}
     row["age_s"] = _seconds(replica.state.clock - release.state_since, 1)
-    sides = replica.leadership.comparisons.get(release.id)
-    row["new"] = list(sides.new) if sides is not None else []
-    row["rest"] = list(sides.rest) if sides is not None else []
+    comparison = replica.leadership.comparisons.get(release.id)
+    row["new"] = list(comparison.new) if comparison is not None else []
+    row["rest"] = list(comparison.rest) if comparison is not None else []
     return row
 
 
 def _peers(replica: "Replica", now: int, request: ReadRequest) -> dict[str, str]:
-    """Addresses of nodes that may be reached."""
+    """Return the addresses of live nodes, by name."""
     members = replica.state.members.values()
     nodes = [member for member in members if member.kind == "node" and member.state == MemberState.LIVE]
     return {node.name: node.address for node in nodes if node.address}
 
 
 def _budgets(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
-    """Of each budget: what it is, what is leased, to whom, and who wants how much."""
+    """Return each budget with its settings, its leases and the demand of each member."""
     state, rows = replica.state, []
     for name, budget in state.budgets.items():
         grants = state.budget_grants.get(name, {})
@@ -161,23 +161,23 @@
 
 def _admission(replica: "Replica", now: int, request: ReadRequest) -> Row:
     state = replica.state
-    return {"fleet": state.admission, "tight": state.scoped_admission, "offered": _offered(state)}
+    return {"fleet": state.admission, "tight": state.scoped_admission, "offered": _offered_load(state)}
 
 
-def _offered(state: ClusterState) -> dict[str, dict[int, int]]:
-    """Slots that the clients of each zone want, by priority weight, both in thousandths."""
-    found: dict[str, dict[int, int]] = {}
+def _offered_load(state: ClusterState) -> dict[str, dict[int, int]]:
+    """Return the clients' demand for slots by zone and priority weight, both numbers in thousandths."""
+    offered_by_zone: dict[str, dict[int, int]] = {}
     zones = state.traffic.assessment.zones if state.traffic.assessment is not None else {}
     for name, zone in zones.items():
-        offered = found.setdefault(name, {})
+        offered = offered_by_zone.setdefault(name, {})
         for by_weight in zone.demand_by_weight.values():
             for weight, slots in by_weight.items():
                 offered[weight] = offered.get(weight, 0) + slots
-    return found
+    return offered_by_zone
 
 
 def _dry_run(replica: "Replica", now: int, request: ReadRequest) -> list[Row]:
-    """What each target would be told now, one after the other."""
+    """Return the decision that a permit request for each target, taken in order, would get now."""
     verdicts = limits.dry_run(replica.state, request.kind or "executor", request.names)
     return [
         {"target": name, "verdict": verdict.word, "reasons": list(verdict.reasons)}
@@ -186,11 +186,12 @@
 
 
 def _zones(replica: "Replica", now: int, request: ReadRequest) -> Row:
-    """The traffic plan, and which of the nodes follow it or cannot."""
+    """Return the traffic plan, how many nodes follow it, and which zones the nodes cannot reach."""
     state = replica.state
     row: Row = msgspec.to_builtins(reports.traffic_report(state))
     if state.traffic.assessment is None:
-        row["groups"] = row.pop("groups")  # the order of keys in the answer to operators
+        # Moves the key to the end of the report, to keep the order of keys in the answer.
+        row["groups"] = row.pop("groups")
     digests = [digest for at, digest in replica.leadership.zones.digests.values() if now - at < LEASE_US]
     row["follow"] = sum(digest.plan_epoch == state.traffic.epoch for digest in digests)
     row["told"] = len(digests)
@@ -201,7 +202,7 @@
 
 
 def _what_if(replica: "Replica", now: int, request: ReadRequest) -> Row:
-    """Loads with a zone gone."""
+    """Return the forecast of loads after the loss of a zone."""
     zone = request.names[0] if request.names else ""
     try:
         row: Row = msgspec.to_builtins(reports.forecast_loss(replica.state, zone))
--- a/cedarmill/cluster/states.py
+++ b/cedarmill/cluster/states.py
@@ -1,37 +1,36 @@
-"""The states of members, targets, permits and releases; the values are those of snapshots and of JSON.
+"""The states of members, targets, permits and releases, with their values in snapshots and JSON.
 
-The state holds them as plain strings, as it always has: a snapshot with a value that is not known here is
-still read.
+`ClusterState` declares these fields as plain strings, so that snapshots with unknown values can be decoded.
 """
 
 import enum
 
 
 class MemberState(enum.StrEnum):
-    """Of one incarnation of a process that has a session."""
+    """State of a member: one incarnation of a process with a session."""
 
     LIVE = "live"
-    SILENT = "silent"  # its lease has expired
-    UNREACHABLE = "cut-off"  # its lease has expired, and others reach it: it serves on
+    SILENT = "silent"  # The lease has expired.
+    UNREACHABLE = "cut-off"  # The lease has expired, but other members reach the process, which still serves.
     ENDED = "ended"
 
 
 class TargetHealth(enum.StrEnum):
-    """Of an executor, a node, a replica or a zone."""
+    """Health of a target: an executor, a node, a replica or a zone."""
 
     WELL = "well"
-    ILL = "ill"  # most nodes that tried it find it failing
+    ILL = "ill"  # Most nodes that tried the target report failures.
     SILENT = "silent"
-    DRAINING = "draining"  # as discovery lists it
-    GONE = "gone"  # no longer listed
+    DRAINING = "draining"  # Discovery lists the target as draining.
+    GONE = "gone"  # Discovery no longer lists the target.
 
 
 class PermitState(enum.StrEnum):
-    """Of a permit; `permit_states.STATES` has the transitions."""
+    """State of a permit; `permit_states.STATES` defines the transitions."""
 
     WAITING = "waiting"
     GRANTED = "granted"
-    LOST = "lost"  # its holder fell silent: the target counts as out until it is found
+    LOST = "lost"  # The holder is lost; the target still counts as out of service.
     RETURNED = "returned"
     REFUSED = "refused"
     EXPIRED = "expired"
@@ -39,7 +38,7 @@
 
 
 class ReleaseState(enum.StrEnum):
-    """Of a release; `release_states.STATES` has the transitions."""
+    """State of a release; `release_states.STATES` defines the transitions."""
 
     PLANNED = "planned"
     RUNNING = "running"
@@ -51,14 +50,14 @@
 
 
 class StepState(enum.StrEnum):
-    """Of a unit within a release; `release_states.STEPS` has the transitions."""
+    """State of a unit within a release; `release_states.STEPS` defines the transitions."""
 
     OLD = "old"
-    REQUESTING = "asking"  # waits for its permit
+    REQUESTING = "asking"  # The unit waits for its permit.
     CHANGING = "changing"
     NEW = "new"
     FAILED = "failed"
     ROLL_BACK_REQUESTING = "back-asking"
     ROLLING_BACK = "back-changing"
     RESTORED = "restored"
-    STUCK = "stuck"  # failed on the way back
+    STUCK = "stuck"  # The unit failed while it was rolled back.
--- a/cedarmill/store/errors.py
+++ b/cedarmill/store/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the store; each message is one sentence naming the file or directory.
+"""Errors of the store; each message is one sentence that names the file or directory.
 
-Failed system calls are no StoreError but OSError.
+A failed system call raises OSError, not StoreError.
 """
 
 import errno
 
-# open(2), mkdir(2): of the path or its rights, which a change of the configuration mends and no waiting
+# Errors of open(2) and mkdir(2) about the path or its permissions: only a configuration change resolves them.
 CONFIGURATION_ERRNOS = frozenset(
     (
         errno.EACCES,
@@ -20,29 +20,29 @@
 
 
 def may_pass(error: Exception) -> bool:
-    """Whether what failed may succeed later by itself: a full or failing disk, a lack of descriptors."""
+    """Return whether a retry may succeed without a configuration change, as after a full or failing disk."""
     return isinstance(error, OSError) and error.errno not in CONFIGURATION_ERRNOS
 
 
 class StoreError(ValueError):
-    """What is stored cannot be used; base of this module's errors."""
+    """Base of the errors raised when stored data cannot be used."""
 
 
 class UnknownFormatError(StoreError):
-    """A file was not written by this program, or by a newer version of it."""
+    """Raised when a file was written by another program or by a newer version of this one."""
 
 
 class DamagedError(StoreError):
-    """Data that was once synced is damaged and cannot be recovered."""
+    """Raised when synced data is damaged and cannot be recovered."""
 
 
 class ForeignDiskError(StoreError):
-    """The directory belongs to another replica or another cluster."""
+    """Raised when the directory belongs to another replica or another cluster."""
 
 
 class DiskInUseError(StoreError):
-    """The directory already holds a disk, or another process uses it."""
+    """Raised when the directory already holds a formatted disk or another process has locked it."""
 
 
 class LogUnusableError(OSError):
-    """An earlier write or sync failed; the log has to be opened and read anew."""
+    """Raised when an earlier write or sync has failed and the log must be reopened."""
--- a/cedarmill/store/log.py
+++ b/cedarmill/store/log.py
@@ -1,10 +1,11 @@
-"""The log on disk: records one after the other, each with its length and checksum; group commit by the
-caller.
+"""The log file: a sequence of records, each with its length and checksum.
 
-An incomplete record at the end is a torn write: it was never synced, so nothing depends on it, and it is cut
-off. A complete record whose checksum does not fit was damaged after it was written. If others follow, the
-file is refused; at the very end the record is cut off and the replica needs to catch up, since it may have
-acknowledged what is lost.
+Callers append several records and then sync once (group commit).
+
+An incomplete record at the end of the file is a torn write: it was never synced, so nothing depends on it,
+and it is cut off. A complete record with a wrong checksum was damaged after it was written. If more data
+follows, reading the file fails. At the end of the file the record is cut off and the replica needs to catch
+up, because it may have acknowledged the lost record.
 """
 
 import contextlib
@@ -20,31 +21,32 @@
 
 LOG_NAME = "log"
 MAGIC = b"cedarmill log 1\n"
-RECORD_HEADER = struct.Struct(">IQ")  # the body's length in bytes, its XXH3 checksum
-MAX_RECORD_BYTES = 64 * 1024 * 1024
-MIN_RECORD_BYTES = 4  # of a body, where a record is looked for in damaged data
+RECORD_HEADER = struct.Struct(">IQ")  # length of the body in bytes, XXH3 checksum of the body
+MAX_BODY_BYTES = 64 * 1024 * 1024
+# A search for valid records in damaged data ignores shorter bodies.
+MIN_SEARCHED_BODY_BYTES = 4
 
 
 class RecoveredLog(NamedTuple):
-    """What reading a log has found."""
+    """The result of reading a log file."""
 
     records: list[bytes]
     last_record_damaged: bool
-    torn_bytes: int  # behind the last good record
-    valid_bytes: int  # up to the end of the last good record
+    torn_bytes: int  # bytes after the last valid record
+    valid_bytes: int  # bytes up to the end of the last valid record
 
 
 def encode_record(body: bytes) -> bytes:
-    """A record as it is written."""
+    """Return a record as written to the file: header and body."""
     return RECORD_HEADER.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body
 
 
 def read_records(data: bytes, path: str) -> RecoveredLog:
-    """Read the content of the log at `path`; raises UnknownFormatError or DamagedError."""
+    """Parse the content of the log file at `path`; raise UnknownFormatError or DamagedError."""
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):
-            return RecoveredLog([], False, len(data), 0)  # torn in its first line
-        raise UnknownFormatError(f"{path}: no log of this program, or of a newer format: {data[:16]!r}")
+            return RecoveredLog([], False, len(data), 0)  # The first write was torn within the magic bytes.
+        raise UnknownFormatError(f"{path}: no log of this program, or a newer format: {data[:16]!r}")
     position = len(MAGIC)
     records: list[bytes] = []
     while position < len(data):
@@ -53,17 +55,17 @@
         length, checksum = RECORD_HEADER.unpack_from(data, position)
         start = position + RECORD_HEADER.size
         end = start + length
-        if length > MAX_RECORD_BYTES or end > len(data):
-            if _has_record_behind(data, position + 1):
+        if length > MAX_BODY_BYTES or end > len(data):
+            if _has_valid_record(data, position + 1):
                 raise DamagedError(
-                    f"{path}: damaged at byte {position}: a length that cannot be, and good records after"
+                    f"{path}: damaged at byte {position}: invalid record length, followed by valid records"
                 )
             return RecoveredLog(records, False, len(data) - position, position)
         body = data[start:end]
         if xxhash.xxh3_64_intdigest(body) != checksum:
             if end < len(data):
                 raise DamagedError(
-                    f"{path}: damaged at byte {position}: the checksum does not fit, and more follows"
+                    f"{path}: damaged at byte {position}: checksum mismatch in a record before the last"
                 )
             return RecoveredLog(records, True, len(data) - position, position)
         records.append(body)
@@ -71,30 +73,30 @@
     return RecoveredLog(records, False, 0, position)
 
 
-def _has_record_behind(data: bytes, first: int) -> bool:
-    """Whether a good record starts anywhere from `first` on: then this is damage, not a torn write."""
-    for position in range(first, max(first, len(data) - RECORD_HEADER.size)):
+def _has_valid_record(data: bytes, offset: int) -> bool:
+    """Return whether a valid record starts at `offset` or later, which rules out a torn write before it."""
+    for position in range(offset, max(offset, len(data) - RECORD_HEADER.size)):
         length, checksum = RECORD_HEADER.unpack_from(data, position)
         start = position + RECORD_HEADER.size
         end = start + length
-        complete = length >= MIN_RECORD_BYTES and end <= len(data)
-        if complete and xxhash.xxh3_64_intdigest(data[start:end]) == checksum:
+        is_complete = length >= MIN_SEARCHED_BODY_BYTES and end <= len(data)
+        if is_complete and xxhash.xxh3_64_intdigest(data[start:end]) == checksum:
             return True
     return False
 
 
 class LogFile:
-    """An open log: `append` any number of records, then `sync` once.
+    """An open log file: callers `append` any number of records, then `sync` once.
 
-    A partly written record is cut off before another may follow it. After a failed sync, truncation or
-    rewrite the log is unusable until it is opened and read anew: Linux reports a failed sync once, marks
-    what was not written as clean, and lets the next sync succeed without it.
+    A partly written record is cut off before the next record is appended. After a failed sync, truncation or
+    rewrite the log is unusable until it is reopened: Linux reports a failed sync only once and marks the
+    unwritten pages as clean, so the next sync succeeds although the data is not on disk.
     """
 
     def __init__(self, directory: Directory, name: str = LOG_NAME) -> None:
-        """Open and read; nothing is changed before the first `append` or `rewrite`.
+        """Open and read the log; raise StoreError or OSError on failure.
 
-        Raises StoreError or OSError.
+        The file's content is unchanged until the first `append` or `rewrite`.
         """
         self.directory = directory
         self.name = name
@@ -111,7 +113,7 @@
         self._unusable = False
 
     def append(self, body: bytes) -> None:
-        """Append a record; after an OSError nothing more may be acknowledged."""
+        """Append a record; after an OSError the caller must not acknowledge anything more."""
         self._check_usable()
         if self._partly_written:
             self._truncate()
@@ -119,7 +121,7 @@
         if not self.size:
             record = MAGIC + record
         self._unsynced = True
-        self._partly_written = True  # until all of it is written
+        self._partly_written = True
         try:
             self.file.write(record)
         except OSError:
@@ -129,7 +131,7 @@
         self.size += len(record)
 
     def sync(self) -> bool:
-        """Make all that was appended durable; whether there was anything. Raises OSError."""
+        """Make all appended records durable, and return whether there were any; raise OSError on failure."""
         self._check_usable()
         if not self._unsynced:
             return False
@@ -139,28 +141,28 @@
         return True
 
     def rewrite(self, bodies: list[bytes]) -> None:
-        """Replace the whole log by these records.
+        """Replace all records of the log by the given ones.
 
-        After an OSError the directory holds the old log or the new one; opening it anew tells which.
+        After an OSError the directory holds either the old or the new log, and the log must be reopened.
         """
         self._check_usable()
         content = MAGIC + b"".join(map(encode_record, bodies))
         with self._unusable_on_error():
             self.directory.replace(self.name, content)
-            file = self.directory.open(self.name)
-            self.file, replaced = file, self.file
-            replaced.close()
+            new_file = self.directory.open(self.name)
+            self.file, old_file = new_file, self.file
+            old_file.close()
         self.size = len(content)
         self._unsynced = False
         self._partly_written = False
 
     def close(self) -> None:
-        """Close the file; the log is unusable from then on. Raises OSError."""
+        """Close the file and make the log unusable; raise OSError on failure."""
         self._unusable = True
         self.file.close()
 
     def _truncate(self) -> None:
-        """Cut off what was partly written; raises OSError."""
+        """Cut off a partly written record; raise OSError on failure."""
         with self._unusable_on_error():
             self.file.truncate(self.size)
         self._partly_written = False
@@ -168,12 +170,12 @@
     def _check_usable(self) -> None:
         if self._unusable:
             raise LogUnusableError(
-                errno.EIO, "an earlier write or sync failed, the log was not read since", self.name
+                errno.EIO, "the log must be reopened after a failed write or sync", self.name
             )
 
     @contextlib.contextmanager
     def _unusable_on_error(self) -> Iterator[None]:
-        """Mark the log as unusable where what is done here fails."""
+        """Mark the log as unusable if the block raises OSError."""
         try:
             yield
         except OSError:
--- a/cedarmill/store/log_content.py
+++ b/cedarmill/store/log_content.py
@@ -1,11 +1,11 @@
-"""What the records of a replica's log amount to."""
+"""The state that results from applying all records of a replica's log."""
 
 from cedarmill.cluster.raft.messages import Entry
 from cedarmill.store.records import DiskIdentity, EntriesRecord, PeerDiskRecord, Record, TermRecord
 
 
 class LogContent:
-    """The records that were applied, one after the other."""
+    """Accumulates identity, term, vote, entries and peers from records applied in order."""
 
     def __init__(self) -> None:
         self.identity: DiskIdentity | None = None
@@ -15,15 +15,15 @@
         self.peer_start_counts: dict[str, int] = {}
 
     def apply(self, record: Record) -> None:
-        """Read the next record."""
+        """Apply the next record."""
         match record:
             case DiskIdentity():
                 self.identity = record
             case TermRecord():
                 self.term, self.vote = record.term, record.vote
             case PeerDiskRecord():
-                known = self.peer_start_counts.get(record.disk, 0)
-                self.peer_start_counts[record.disk] = max(record.start_count, known)
+                highest_count = self.peer_start_counts.get(record.disk, 0)
+                self.peer_start_counts[record.disk] = max(record.start_count, highest_count)
             case EntriesRecord():
                 self._replace_from(record.entries)
 
--- a/cedarmill/store/records.py
+++ b/cedarmill/store/records.py
@@ -1,6 +1,6 @@
-"""The records of a replica's log on disk, encoded as MessagePack.
+"""The records of a replica's log file, encoded as MessagePack arrays.
 
-A renamed record keeps its tag; fields are told by their position.
+A record's type is identified by its tag, which must not change, and its fields by their position.
 """
 
 import msgspec
@@ -12,7 +12,7 @@
 
 
 class DiskIdentity(msgspec.Struct, tag="identity", array_like=True):
-    """Identifies a disk: written when it is formatted, and again at each start, which it counts."""
+    """The identity of a disk, written when it is formatted and, with the next start count, at each start."""
 
     format_version: int
     cluster: str
@@ -22,20 +22,20 @@
 
 
 class TermRecord(msgspec.Struct, tag="term", array_like=True):
-    """The current term, and who got this replica's vote in it (Raft, figure 2)."""
+    """The current term, and the candidate that this replica voted for in that term (Raft paper, figure 2)."""
 
     term: int
     vote: str
 
 
 class EntriesRecord(msgspec.Struct, tag="entries", array_like=True):
-    """Entries that replace all of the log from the first one's index on."""
+    """Raft entries that replace all entries from the first one's index on."""
 
     entries: tuple[Entry, ...]
 
 
 class PeerDiskRecord(msgspec.Struct, tag="met", array_like=True):
-    """Another replica's disk, and the highest start count that it has shown."""
+    """Another replica's disk, and the highest start count that it has reported."""
 
     disk: str
     start_count: int
@@ -46,13 +46,13 @@
 
 
 def encode(record: Record) -> bytes:
-    """A record as the body that is written to the log."""
+    """Return the body of a log record."""
     return msgspec.msgpack.encode(record)
 
 
 def decode(body: bytes, path: str) -> Record:
-    """Decode a record of the log at `path`; raises UnknownFormatError."""
+    """Decode the body of a record of the log at `path`; raise UnknownFormatError if it is invalid."""
     try:
         return _DECODER.decode(body)
     except msgspec.MsgspecError as error:
-        raise UnknownFormatError(f"{path}: a record of another format: {error}") from None
+        raise UnknownFormatError(f"{path}: record of an unknown format: {error}") from None
--- a/cedarmill/store/snapshots.py
+++ b/cedarmill/store/snapshots.py
@@ -1,6 +1,6 @@
-"""Snapshots of the state machine in LMDB, each with its checksum, and the form of a backup file.
+"""Snapshots of the state machine in LMDB, and the format of backup files.
 
-A checksummed snapshot is 8 bytes of XXH3 followed by the snapshot as MessagePack, in LMDB and in a backup.
+In both places a snapshot is stored as 8 bytes of XXH3 checksum followed by the snapshot as MessagePack.
 """
 
 import contextlib
@@ -18,94 +18,105 @@
 
 DATABASE_NAME = "snapshots"
 DATABASE_FILE = f"{DATABASE_NAME}/data.mdb"
-CREATED_BYTES = 2 * mmap.PAGESIZE  # of a database: its two meta pages, which LMDB writes first
-MAP_BYTES = 1 << 28  # of address space for LMDB; the file grows as needed
-SNAPSHOTS_KEPT = 2
+META_PAGES_BYTES = 2 * mmap.PAGESIZE  # LMDB writes two meta pages when it creates a database.
+LMDB_MAP_BYTES = 1 << 28  # address space reserved for LMDB; the file grows as needed
+MAX_STORED_SNAPSHOTS = 2
 CHECKSUM_BYTES = 8
 EMPTY_SNAPSHOT = Snapshot(0, 0, {}, b"")
 _DECODER = msgspec.msgpack.Decoder(Snapshot)
 
 
 def encode_checksummed(snapshot: Snapshot) -> bytes:
-    """A snapshot with its checksum; also the content of a backup file."""
+    """Return a checksum and the encoded snapshot, as stored in LMDB and in a backup file."""
     data = msgspec.msgpack.encode(snapshot)
     return xxhash.xxh3_64_digest(data) + data
 
 
 def is_intact(data: bytes) -> bool:
-    """Whether a checksummed snapshot is complete and undamaged."""
+    """Return whether the checksum matches the encoded snapshot."""
     return len(data) >= CHECKSUM_BYTES and (
         xxhash.xxh3_64_digest(data[CHECKSUM_BYTES:]) == data[:CHECKSUM_BYTES]
     )
 
 
 def decode_backup(data: bytes) -> Snapshot:
-    """The snapshot in a backup file; raises DamagedError, or msgspec.ValidationError for another format."""
+    """Return the snapshot in a backup file.
+
+    Raises DamagedError on a checksum mismatch, and msgspec.ValidationError if the format is unknown.
+    """
     if not is_intact(data):
-        raise DamagedError("torn or damaged: the checksum does not fit")
+        raise DamagedError("torn or damaged: checksum mismatch")
     return _DECODER.decode(data[CHECKSUM_BYTES:])
 
 
 def discard_unfinished_database(directory: Directory) -> None:
-    """Delete a database whose creation was cut short, by a full disk or a kill; raises OSError.
+    """Delete a database whose creation was interrupted by a full disk or a kill; raise OSError on failure.
 
-    LMDB would refuse it for ever. Only to be called where the replica's log is not there or empty: the log
-    is created after the database, so nothing can have been stored.
+    LMDB cannot open such a file. The caller must check that the replica's log is missing or empty: the log
+    is created after the database, so in that case nothing has been stored yet.
     """
-    if 0 < directory.size(DATABASE_FILE) < CREATED_BYTES:
+    if 0 < directory.size(DATABASE_FILE) < META_PAGES_BYTES:
         directory.remove(DATABASE_FILE)
 
 
 class SnapshotDatabase:
-    """Snapshots by the index up to which they go. Raises OSError where LMDB fails."""
+    """An LMDB database of snapshots, keyed by the index of the last entry that each snapshot covers.
+
+    Failures of LMDB raise OSError.
+    """
 
-    def __init__(self, directory: Directory, map_bytes: int = MAP_BYTES) -> None:
-        """Open or create it; raises OSError, DamagedError or UnknownFormatError."""
+    def __init__(self, directory: Directory, map_bytes: int = LMDB_MAP_BYTES) -> None:
+        """Open or create the database; raise OSError, DamagedError or UnknownFormatError on failure."""
         self.path = directory.path(DATABASE_NAME)
-        with self._lmdb_errors(), self._unreadable():
+        with self._lmdb_error_as_os_error(), self._unreadable_file_as_store_error():
             self._environment = lmdb.open(self.path, map_size=map_bytes, subdir=True, max_dbs=0)
 
     def write(self, snapshot: Snapshot) -> None:
-        """Write a snapshot durably, and delete all but the newest ones; raises OSError."""
-        with self._lmdb_errors(), self._environment.begin(write=True) as transaction:
+        """Write a snapshot durably, and delete all but the newest ones; raise OSError on failure."""
+        with self._lmdb_error_as_os_error(), self._environment.begin(write=True) as transaction:
             transaction.put(b"%020d" % snapshot.index, encode_checksummed(snapshot))
             keys = [bytes(key) for key, _ in transaction.cursor()]
-            for key in keys[:-SNAPSHOTS_KEPT]:
+            for key in keys[:-MAX_STORED_SNAPSHOTS]:
                 transaction.delete(key)
 
     def read_newest(self) -> Snapshot:
-        """The newest undamaged snapshot; an empty one where there is none at all.
+        """Return the newest undamaged snapshot, or an empty snapshot if the database is empty.
 
-        Raises OSError, DamagedError where all are damaged, UnknownFormatError for the newest.
+        Raises DamagedError if all snapshots are damaged, UnknownFormatError if the newest undamaged one
+        cannot be decoded, and OSError if LMDB fails.
         """
-        damaged = 0
-        with self._lmdb_errors(), self._unreadable(), self._environment.begin() as transaction:
+        damaged_count = 0
+        with (
+            self._lmdb_error_as_os_error(),
+            self._unreadable_file_as_store_error(),
+            self._environment.begin() as transaction,
+        ):
             for _, data in reversed(list(transaction.cursor())):
                 if is_intact(data):
                     return self._decode(data[CHECKSUM_BYTES:])
-                damaged += 1
-        if damaged:
-            raise DamagedError(f"{self.path}: {damaged} snapshots, all damaged")
+                damaged_count += 1
+        if damaged_count:
+            raise DamagedError(f"{self.path}: all {damaged_count} snapshots are damaged")
         return EMPTY_SNAPSHOT
 
     def _decode(self, data: bytes) -> Snapshot:
         try:
             return _DECODER.decode(data)
         except msgspec.MsgspecError as error:
-            raise UnknownFormatError(f"{self.path}: of another format: {error}") from None
+            raise UnknownFormatError(f"{self.path}: snapshot of an unknown format: {error}") from None
 
     @contextlib.contextmanager
-    def _lmdb_errors(self) -> Iterator[None]:
-        """LMDB's errors (a full map, or a system call that failed) as OSError."""
+    def _lmdb_error_as_os_error(self) -> Iterator[None]:
+        """Raise OSError in place of an LMDB error, such as a full map or a failed system call."""
         try:
             yield
         except lmdb.Error as error:
-            code = getattr(error, "code", 0) or 0  # errno(3) where it is above 0, else one of LMDB's own
+            code = getattr(error, "code", 0) or 0  # Positive codes are errno values, others are LMDB's own.
             raise OSError(max(code, 0) or errno.EIO, str(error), self.path) from None
 
     @contextlib.contextmanager
-    def _unreadable(self) -> Iterator[None]:
-        """LMDB's word that the file is none of its own, or damaged: no later try reads it."""
+    def _unreadable_file_as_store_error(self) -> Iterator[None]:
+        """Raise a StoreError if LMDB reports an unknown format or damage, which no retry resolves."""
         try:
             yield
         except lmdb.VersionMismatchError as error:
