--- a/cedarmill/cluster/__init__.py
+++ b/cedarmill/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What many processes of the program agree on: who lives, who may be out, releases; no I/O."""
+"""The replicated cluster state, without I/O: membership, permits for draining targets, and releases."""
--- a/cedarmill/cluster/hosting.py
+++ b/cedarmill/cluster/hosting.py
@@ -1,6 +1,6 @@
-"""Carries a replica's actions out in their order, whatever the disk and the network are; no I/O of its own.
+"""Carries out a replica's actions in order through a port that provides the disk and the network.
 
-All that came in a turn is kept by one sync, and nothing is sent or answered before it.
+One sync persists all writes of a turn, and messages and replies are sent only after that sync.
 """
 
 from typing import Protocol
@@ -19,65 +19,67 @@
 
 
 class Port(Protocol):
-    """A disk, a network, and a log for operators."""
+    """The interface to the disk, the network and the operators' log."""
 
     def save(self, action: PersistTermAndVote | PersistEntries) -> None:
-        """Append to the disk; it is kept after `sync`. Raises OSError."""
+        """Append the action's data to the disk, to be made durable by `sync`. Raises OSError."""
 
     def sync(self) -> bool:
-        """Keep all that was saved; whether there was anything. Raises OSError."""
+        """Make all saved data durable, and return whether there was any. Raises OSError."""
 
     def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
-        """Keep a snapshot and the entries after it. Raises OSError."""
+        """Store a snapshot and the log entries after it. Raises OSError."""
 
     def send(self, target: str, message: object) -> None:
-        """Send to another replica, if it is connected."""
+        """Send a message to another replica, or drop it if that replica is not connected."""
 
     def reply(self, token: int, answer: object) -> None:
-        """Answer a request of a member or an operator."""
+        """Send the reply to a member's or an operator's request."""
 
     def tell(self, action: RoleChanged | RaiseAlarm) -> None:
-        """Log for operators."""
+        """Write a role change or an alarm to the operators' log."""
 
 
 class Host:
-    """Runs one replica on a port."""
+    """Executes the actions of one replica through a port."""
 
     def __init__(self, replica: Replica, port: Port) -> None:
         self.replica, self.port = replica, port
         self.pending: Actions = []
 
     def take(self, actions: Actions) -> None:
-        """Actions of this turn; `flush` carries them out."""
+        """Queue actions of this turn for `flush`."""
         self.pending += actions
 
     def flush(self, now: int) -> None:
-        """Carry out all that is pending, and what follows of it.
+        """Carry out all pending actions, and the actions that result from them.
 
-        Raises OSError where the disk fails: nothing of this turn was sent or answered then, and nothing more
-        may be taken; a new host and core start from what the disk holds.
+        Raises OSError if the disk fails. Nothing of this turn has been sent then, and the host must not be
+        used further: a new host and a new replica start from the data on the disk.
         """
-        outward: Actions = []
+        outgoing: Actions = []
         while self.pending:
             actions, self.pending = self.pending, []
-            last = -1
+            last_index = -1
             for action in actions:
                 if isinstance(action, PersistTermAndVote | PersistEntries):
                     self.port.save(action)
-                    last = action.entries[-1].index if isinstance(action, PersistEntries) else last
+                    last_index = (
+                        action.entries[-1].index if isinstance(action, PersistEntries) else last_index
+                    )
                 elif isinstance(action, RestoreSnapshot):
                     self.port.put_snapshot(action.snapshot, list(self.replica.raft.log.entries))
                 elif isinstance(action, StoreSnapshot):
-                    self._snap(now, action.snapshot)
+                    self._store_snapshot(now, action.snapshot)
                 else:
-                    outward.append(action)
-            if self.port.sync() and last >= 0:
-                self.pending += self.replica.on_synced(now, last)
-        self._out(outward)
-
-    def _snap(self, now: int, snapshot: Snapshot) -> None:
-        rest = [entry for entry in self.replica.raft.log.entries if entry.index > snapshot.index]
-        self.port.put_snapshot(snapshot, rest)
+                    outgoing.append(action)
+            if self.port.sync() and last_index >= 0:
+                self.pending += self.replica.on_synced(now, last_index)
+        self._out(outgoing)
+
+    def _store_snapshot(self, now: int, snapshot: Snapshot) -> None:
+        later_entries = [entry for entry in self.replica.raft.log.entries if entry.index > snapshot.index]
+        self.port.put_snapshot(snapshot, later_entries)
         self.pending += self.replica.on_snapshot_stored(now, snapshot)
 
     def _out(self, actions: Actions) -> None:
--- a/cedarmill/cluster/member_messages.py
+++ b/cedarmill/cluster/member_messages.py
@@ -1,7 +1,7 @@
 """Messages between members and replicas: heartbeats, orders, and probes of one member by another.
 
-Tags and keys are those with which the protocol began: `rename` maps each field to its key. All times and
-ages are microseconds.
+Tags and keys on the wire are stable; `rename` maps each field to its key. All times and ages are
+microseconds.
 """
 
 import msgspec
@@ -13,11 +13,11 @@
 
 
 class ExecutorObservation(msgspec.Struct, array_like=True, frozen=True):
-    """An executor as one node observes it."""
+    """One node's observation of an executor."""
 
-    listing: str  # by discovery: ready, draining, gone
-    failing: bool = False  # by the node's own attempts
-    recently_tried: bool = True  # otherwise the node says nothing of whether it is failing
+    listing: str  # state listed by discovery: ready, draining or gone
+    failing: bool = False  # whether the node's own attempts fail
+    recently_tried: bool = True  # if false, `failing` is not known
     zone: str = ""
     type: str = ""
     group: str = ""
@@ -46,48 +46,50 @@
         "budget_demand": "wants",
     },
 ):
-    """A member renews its session, and reports what has changed since the last answered heartbeat."""
+    """Renews a member's session, and reports all changes since the last answered heartbeat."""
 
     kind: str
     name: str
-    incarnation: str  # each start of the process is another one
+    incarnation: str  # differs at each start of the process
     sequence: int
-    orders_epoch: int  # of the orders that it follows
-    term: int = 0  # of the leader that answered last: a new one is told everything
+    orders_epoch: int  # epoch of the orders that the member follows
+    term: int = 0  # term of the leader that answered last; a new leader needs a full report
     zone: str = ""
     address: str = ""
     version: str = ""
     unit_type: str = ""
     stops_at_lease_expiry: bool = False
-    was_suspended: bool = False  # it stood still itself, so what it observed then proves nothing
-    leaving: bool = False  # it ends, and has nothing in flight
-    drained: dict[str, int] = {}  # targets with which it is done: epochs of their grants
-    held_grants: dict[str, int] = {}  # `kind:name` of targets that it holds to be out: epochs of the grants
+    was_suspended: bool = False  # a recent suspension makes the member's observations unreliable
+    leaving: bool = False  # the process ends and has no requests in flight
+    drained: dict[str, int] = {}  # grant epochs of the targets that the member has drained
+    held_grants: dict[str, int] = {}  # epochs of the grants that the member follows, by `kind:name`
     executors: dict[str, ExecutorObservation] = {}
     units: dict[str, UnitReportFields] = {}
-    ended_members: list[str] = []  # keys of members that a process supervisor has seen end
-    request_counts: tuple[int, int, int, int] = (0, 0, 0, 0)  # all, failed, late, rejected since its start
-    probe_results: dict[str, bool] = {}  # whether members that it was asked to probe answered
-    digest: ObservationDigest | None = None  # what a node observes of zones, now and then
-    leader_timestamp: int = -1  # the newest of that term; with its age it tells the leader how old at most
-    timestamp_age_us: int = 0  # this heartbeat is, whatever the clocks show
-    budget_demand: dict[str, int] = {}  # thousandths a second, by budget
+    ended_members: list[str] = []  # keys of members whose end a process supervisor observed
+    request_counts: tuple[int, int, int, int] = (0, 0, 0, 0)  # all, failed, late, rejected since start
+    probe_results: dict[str, bool] = {}  # whether each probed member answered
+    digest: ObservationDigest | None = None  # a node's observations of zones, sent periodically
+    # The newest timestamp from the leader of `term`. With its age, it bounds the age of this heartbeat
+    # at the leader, independently of clock differences.
+    leader_timestamp: int = -1
+    timestamp_age_us: int = 0
+    budget_demand: dict[str, int] = {}  # thousandths per second, by budget
 
     @property
     def member_key(self) -> str:
-        """The key of the member in the state."""
+        """The key of the member in the replicated state."""
         return f"{self.kind}:{self.name}:{self.incarnation}"
 
 
 class RouteWeights(msgspec.Struct, array_like=True, frozen=True):
-    """Where nodes of one zone send requests, by how far these may go (bound); weights are thousandths."""
+    """Traffic weights for the nodes of one zone, by the bound on request locality; in thousandths."""
 
     epoch: int
     zone: str
-    reachable_zones: dict[str, list[str]]  # by bound, the zones in which a request may run
+    reachable_zones: dict[str, list[str]]  # zones in which a request may run, by bound
     weights: dict[str, WeightRow]  # by bound
-    fallback_weights: dict[str, dict[str, WeightRow]] = {}  # by zone that is not reached: the weights instead
-    closed_zones: dict[str, int] = {}  # that get nothing, whatever is lost: epochs of their permits
+    fallback_weights: dict[str, dict[str, WeightRow]] = {}  # by unreachable zone, then bound
+    closed_zones: dict[str, int] = {}  # permit epochs of zones that receive no traffic in any case
 
 
 class Orders(
@@ -103,17 +105,17 @@
         "membership_epoch": "peers",
     },
 ):
-    """All that a member is to follow, under one epoch."""
+    """The complete set of orders for one member, under one epoch."""
 
     epoch: int
-    excluded_executors: dict[str, int] = {}  # that get no new requests: epochs of their grants
-    drain_clients_epoch: int = 0  # of the grant by which this node is to drain its clients; 0: it serves
-    units: dict[str, UnitOrderFields] = {}  # what a process supervisor is to run
-    routes: RouteWeights | None = None  # of a node, where zones are planned
-    admission_cut: SheddingThreshold = SheddingThreshold()  # of a node: requests that it rejects at once
-    scoped_cuts: dict[str, SheddingThreshold] = {}  # by bound, where that is stricter
-    budget_leases: dict[str, tuple[int, int]] = {}  # by budget: lease and floor, thousandths a second
-    membership_epoch: int = 0  # of a node that gossips: asks who is there if this is new
+    excluded_executors: dict[str, int] = {}  # grant epochs of executors that get no new requests
+    drain_clients_epoch: int = 0  # epoch of the grant to drain this node's clients; 0: no drain
+    units: dict[str, UnitOrderFields] = {}  # units that a process supervisor has to run
+    routes: RouteWeights | None = None  # for a node, if a traffic plan is in use
+    admission_cut: SheddingThreshold = SheddingThreshold()  # below it, a node rejects requests
+    scoped_cuts: dict[str, SheddingThreshold] = {}  # stricter thresholds, by bound
+    budget_leases: dict[str, tuple[int, int]] = {}  # lease and floor in thousandths per second, by budget
+    membership_epoch: int = 0  # a change makes a gossiping node request the list of members
 
 
 class HeartbeatReply(
@@ -127,24 +129,24 @@
         "leader_timestamp": "stamp",
     },
 ):
-    """The session holds for `lease_us` from when the heartbeat was sent; 0: there is no session yet."""
+    """Grants a lease of `lease_us` from the sending of the heartbeat; 0 means that no session exists."""
 
     sequence: int
     lease_us: int
     term: int
     orders: Orders | None = None
-    members_to_probe: dict[str, str] = {}  # addresses of members of which nothing is heard
+    members_to_probe: dict[str, str] = {}  # addresses of suspected members, by member key
     leader_timestamp: int = -1  # by the leader's clock
 
 
 class Probe(msgspec.Struct, tag="ping", frozen=True):
-    """Asks which incarnation answers here; members probe each other."""
+    """Asks a member for its name and incarnation; sent by other members."""
 
     name: str
 
 
 class ProbeReply(msgspec.Struct, tag="pong", frozen=True, rename={"incarnation": "life"}):
-    """This one does."""
+    """Answers a probe with the name and incarnation of the receiving process."""
 
     name: str
     incarnation: str
--- a/cedarmill/cluster/member_orders.py
+++ b/cedarmill/cluster/member_orders.py
@@ -1,4 +1,4 @@
-"""What each member is ordered to follow, made from the agreed state."""
+"""Derives the orders for each member from the replicated state."""
 
 from cedarmill.cluster import budget_grants
 from cedarmill.cluster.admission_level import controller
@@ -11,7 +11,7 @@
 
 
 def orders_for(state: ClusterState, member: Member) -> Orders:
-    """All that a member is to follow now."""
+    """Return the complete current orders for a member."""
     if member.kind == "node":
         return _node_orders(state, member)
     drain_epoch = _drain_clients_epoch(state, member)
@@ -38,11 +38,11 @@
 
 
 def _drain_clients_epoch(state: ClusterState, member: Member) -> int:
-    """Of the permit by which this node is out; a release replaces nodes without draining their clients."""
+    """Return the epoch of the permit to drain this node's clients, or 0; releases drain no clients."""
     epoch = 0
     for permit in state.permits.values():
-        own = permit.out and permit.kind == "node" and permit.target == member.name
-        if own and not permit.holder.startswith("release:"):
+        is_for_member = permit.out and permit.kind == "node" and permit.target == member.name
+        if is_for_member and not permit.holder.startswith("release:"):
             epoch = permit.epoch
     return epoch
 
--- a/cedarmill/cluster/messages.py
+++ b/cedarmill/cluster/messages.py
@@ -1,7 +1,7 @@
-"""All messages between members, operators and replicas; the frames of `net/framing.py` carry them.
+"""Messages between members, operators and replicas, sent in the frames of `net/framing.py`.
 
-Tags and keys are those with which the protocol began: `rename` maps each field to its key. All times and
-ages are microseconds.
+Tags and keys on the wire are stable; `rename` maps each field to its key. All times and ages are
+microseconds.
 """
 
 from typing import Any, NamedTuple
@@ -49,7 +49,7 @@
     "Unavailable",
 ]
 
-# Requests of operators.
+# Operator requests.
 
 
 class SubmitRequest(msgspec.Struct, tag="do", frozen=True):
@@ -59,7 +59,7 @@
 
 
 class PermitSummary(NamedTuple):
-    """A permit that a request has made, as it stands."""
+    """The current state of a permit that a request created."""
 
     id: int
     target: str
@@ -70,20 +70,20 @@
 
 
 class SubmitReply(msgspec.Struct, tag="did", frozen=True, rename={"release_id": "release"}):
-    """The outcome of a request, with the permits or the release that it made."""
+    """The outcome of a request, with the permits or the release that the request created."""
 
     ok: bool
     text: str
-    permits: list[Any] = []  # PermitSummary, which comes as a list
+    permits: list[Any] = []  # PermitSummary tuples, decoded as lists
     release_id: int = 0
 
     def summaries(self) -> list[PermitSummary]:
-        """The permits that the request has made."""
+        """Return the permits that the request created."""
         return [PermitSummary(*permit) for permit in self.permits]
 
 
 class ReadRequest(msgspec.Struct, tag="look", frozen=True, rename={"view": "what"}):
-    """Asks for a view of the state by its name; see `views.VIEWS`."""
+    """Asks for a named view of the state; `state_views` defines the views."""
 
     view: str
     kind: str = ""
@@ -91,13 +91,13 @@
 
 
 class ReadReply(msgspec.Struct, tag="shown", frozen=True, rename={"body": "text"}):
-    """The view, as JSON (a backup: as MessagePack)."""
+    """Carries the view as JSON, or a backup as MessagePack."""
 
     body: bytes
 
 
 class ChangeReplicas(msgspec.Struct, tag="keepers", frozen=True, rename={"action": "act"}):
-    """Change the replicas by one (`add`, `remove`), or transfer the leadership (`lead`)."""
+    """Adds or removes one replica (`add`, `remove`), or transfers the leadership (`lead`)."""
 
     action: str
     name: str = ""
@@ -106,7 +106,7 @@
 
 
 class Unavailable(msgspec.Struct, tag="not-here", frozen=True):
-    """This replica cannot answer; another one may, asked with the same idempotency key."""
+    """This replica cannot answer; the client may retry elsewhere with the same idempotency key."""
 
     reason: str
     leader: str = ""
@@ -116,7 +116,7 @@
 
 
 class GossipSubscription(msgspec.Struct, tag="use", frozen=True):
-    """A node names the executors that it uses: what the other hears of these is to be sent to it."""
+    """A node subscribes to the load reports of the executors that it uses."""
 
     cluster: str
     name: str
@@ -134,13 +134,13 @@
         "echo_age_us": "since",
     },
 ):
-    """What a node heard from executors itself, never what it was told.
+    """Load reports that a node received directly from executors, never through gossip.
 
-    `timestamp` is by its clock; `echoed_timestamp` is the newest that came from the other side, and
-    `echo_age_us` how long ago: they bound the age of what is read, whatever the connection does.
+    `timestamp` is by the sender's clock. `echoed_timestamp` is the newest timestamp that the sender received
+    from the other side, `echo_age_us` ago. Together they bound the age of an update despite network delays.
     """
 
-    reports: list[tuple[str, int, tuple[float, ...]]]  # executor, age (us), load report
+    reports: list[tuple[str, int, tuple[float, ...]]]  # executor, age (us), load report values
     timestamp: int
     echoed_timestamp: int = -1
     echo_age_us: int = 0
@@ -151,11 +151,11 @@
 GossipMessage = GossipSubscription | GossipUpdate
 
 
-# Between replicas.
+# Messages between replicas.
 
 
 class ForwardRequest(msgspec.Struct, tag="relay", frozen=True, rename={"request": "ask"}):
-    """A replica forwards to the leader what it was asked."""
+    """Carries a client's request from the receiving replica to the leader."""
 
     id: int
     request: ClientRequest
@@ -171,23 +171,23 @@
 ReplicaMessage = Message | ForwardRequest | ForwardReply
 
 
-# The beginning of a connection.
+# Connection handshake.
 
-REPLICA_ROLE = "keeper"  # the role of a replica in a Hello
-MEMBER_ROLE = "client"  # that of a member or an operator
+REPLICA_ROLE = "keeper"  # of a replica, in a Hello
+MEMBER_ROLE = "client"  # of a member or an operator, in a Hello
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
-    """The first frame of a connection: who connects, as what, to which cluster."""
+    """The first frame of a connection: the cluster, and the name and role of the connecting process."""
 
     cluster: str
     name: str
     role: str  # REPLICA_ROLE or MEMBER_ROLE
-    disk: str = ""  # of a replica: the disk that has made its promises,
-    boot: int = 0  # and how often it has started on it
+    disk: str = ""  # identity of the disk that holds a replica's term, vote and log
+    boot: int = 0  # number of starts of the replica on this disk
 
 
 class ConnectionRejected(msgspec.Struct, tag="refused", frozen=True):
-    """The connection is not accepted."""
+    """Rejects a connection, with the reason."""
 
     reason: str
--- a/cedarmill/cluster/pending_requests.py
+++ b/cedarmill/cluster/pending_requests.py
@@ -1,4 +1,4 @@
-"""Whose request waits for what at one replica: for an index of the log, a confirmed read, or the leader."""
+"""Requests that wait at one replica for a log entry, a leadership confirmation or the leader's reply."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -7,29 +7,29 @@
 from cedarmill.cluster.messages import ClientRequest
 
 
-class Waiting(NamedTuple):
-    """A request, and the token under which its reply is expected."""
+class WaitingRequest(NamedTuple):
+    """A request, and the token that its reply has to carry."""
 
     token: int
     request: ClientRequest
 
 
-class Placed(NamedTuple):
-    """A request that stands in the log, and the term of its entry."""
+class LoggedRequest(NamedTuple):
+    """A request whose command is in the log, and the term of its log entry."""
 
     term: int
-    waiting: Waiting
+    waiting: WaitingRequest
 
 
-class Forwarded(NamedTuple):
-    """A request that was sent on to the leader: the asker's token, and when (us)."""
+class ForwardedRequest(NamedTuple):
+    """A request that was forwarded to the leader: the client's token, and the send time (us)."""
 
     token: int
     sent_at: int
 
 
-class Origin(NamedTuple):
-    """The replica that forwarded a request, and its number there."""
+class ForwardOrigin(NamedTuple):
+    """The replica that forwarded a request, and the number of the request at that replica."""
 
     replica: str
     number: int
@@ -37,38 +37,38 @@
 
 @dataclass(slots=True)
 class PendingRequests:
-    """Requests without a reply. Tokens of the adapter are positive, those made here negative."""
+    """Holds unanswered requests. Tokens of the adapter are positive; tokens created here are negative."""
 
-    proposed: dict[int, Waiting] = field(default_factory=dict)  # by own token
-    placed: dict[int, Placed] = field(default_factory=dict)  # by index of the log
-    reads: dict[int, Waiting] = field(default_factory=dict)  # by own token
-    forwarded: dict[int, Forwarded] = field(default_factory=dict)  # by number
-    origins: dict[int, Origin] = field(default_factory=dict)  # by own token, at the leader
+    proposed: dict[int, WaitingRequest] = field(default_factory=dict)  # by internal token
+    logged: dict[int, LoggedRequest] = field(default_factory=dict)  # by log index
+    reads: dict[int, WaitingRequest] = field(default_factory=dict)  # by internal token
+    forwarded: dict[int, ForwardedRequest] = field(default_factory=dict)  # by request number
+    origins: dict[int, ForwardOrigin] = field(default_factory=dict)  # by internal token, at the leader
     last_token: int = 0
 
     def new_token(self) -> int:
-        """A token of this replica's own."""
+        """Return a new, unique internal token."""
         self.last_token += 1
         return -self.last_token
 
     def forward(self, token: int, now: int) -> int:
-        """Note a request as sent on to the leader; its number."""
+        """Record a request as forwarded to the leader, and return its number."""
         number = -self.new_token()
-        self.forwarded[number] = Forwarded(token, now)
+        self.forwarded[number] = ForwardedRequest(token, now)
         return number
 
     def expire_forwarded(self, sent_before: int) -> Iterator[int]:
-        """Tokens of requests that were forwarded before that and not answered; they wait no longer."""
-        late = [number for number, one in self.forwarded.items() if one.sent_at < sent_before]
-        for number in late:
+        """Remove the requests that were forwarded before the given time, and yield their tokens."""
+        expired = [number for number, one in self.forwarded.items() if one.sent_at < sent_before]
+        for number in expired:
             yield self.forwarded.pop(number).token
 
-    def place(self, own_token: int, index: int, term: int) -> None:
-        """A proposal has got its place in the log."""
+    def record_log_index(self, own_token: int, index: int, term: int) -> None:
+        """Record the log index and term of a proposal."""
         waiting = self.proposed.pop(own_token, None)
         if waiting is not None:
-            self.placed[index] = Placed(term, waiting)
+            self.logged[index] = LoggedRequest(term, waiting)
 
-    def reject(self, own_token: int) -> Waiting | None:
-        """A proposal or a read was rejected; whose it was."""
+    def pop_rejected(self, own_token: int) -> WaitingRequest | None:
+        """Remove a rejected proposal or read, and return the request that waited for it."""
         return self.proposed.pop(own_token, None) or self.reads.pop(own_token, None)
--- a/cedarmill/cluster/replica.py
+++ b/cedarmill/cluster/replica.py
@@ -1,9 +1,9 @@
-"""One replica of the cluster's state, without I/O: the replicated log, the state, and the requests for them.
+"""One replica of the cluster state, without I/O: the replicated log, the state machine, and open requests.
 
 Each event (`on_message`, `on_request`, `on_time`, `on_synced`, `on_snapshot_stored`, `transfer_leadership`)
-returns actions for the adapter, to be carried out in order: those of `raft/actions.py`,
-Reply and StoreSnapshot. Between replicas, SendMessage also carries forwarded requests.
-All times are microseconds of the replica's monotonic clock, unless they are said to be the cluster's.
+returns actions for the adapter to carry out in order: the actions of `raft/actions.py`, Reply and
+StoreSnapshot. Between replicas, SendMessage also carries forwarded requests. All times are microseconds of
+the replica's monotonic clock, except where the cluster time is named.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
     SubmitRequest,
     Unavailable,
 )
-from cedarmill.cluster.pending_requests import Origin, PendingRequests, Placed, Waiting
+from cedarmill.cluster.pending_requests import ForwardOrigin, LoggedRequest, PendingRequests, WaitingRequest
 from cedarmill.cluster.raft.actions import (
     ApplyEntries,
     LeadershipConfirmed,
@@ -49,22 +49,22 @@
 from cedarmill.cluster.state_machine.command import Command
 from cedarmill.cluster.state_machine.commands import HaltGrants
 
-SNAPSHOT_ENTRIES = 2_000  # entries that the log may hold before a snapshot is made
-FORWARD_TIMEOUT_US = 3_000_000  # for the leader's reply to a forwarded request
+MAX_UNCOMPACTED_ENTRIES = 2_000  # A longer log is compacted into a snapshot.
+FORWARD_TIMEOUT_US = 3_000_000  # Forwarded requests without a reply then fail.
 
-LEADER_CHANGED = "the leader changed: ask again with the same id"
+LEADER_CHANGED_REASON = "the leader changed: ask again with the same id"
 
 Actions = list[Any]
 
 
 class StoreSnapshot(msgspec.Struct, frozen=True):
-    """Store this snapshot and drop the entries that it covers, then call `on_snapshot_stored`."""
+    """An action: store the snapshot, drop the log entries that it covers, and call `on_snapshot_stored`."""
 
     snapshot: Snapshot
 
 
 class Replica:
-    """One replica: a node of the replicated log, the state that its entries make, and open requests."""
+    """Combines a Raft node, the state that results from the log entries, and the open requests."""
 
     def __init__(
         self,
@@ -75,28 +75,28 @@
         timing: Timing | None = None,
         state: ClusterState | None = None,
     ) -> None:
-        """`state` is what to begin with where the saved snapshot is empty."""
+        """Restore from `saved`; `state` is the initial state if the saved snapshot is empty."""
         self.name = name
         self.raft = RaftNode(name, saved, now, seed, timing)
         data = saved.snapshot.data
         self.state: ClusterState = decode_snapshot(data) if data else state or ClusterState()
         self.leadership = Leadership(now)
-        # replies to what an earlier start forwarded may still come: tokens begin elsewhere at each start
+        # Tokens differ between starts, since replies to requests of an earlier start may still arrive.
         self.pending = PendingRequests(last_token=(seed & 0xFFFFFFFF) << 24)
         self.duties = LeaderDuties(self, now)
-        self.on_applied: Callable[[Entry], None] | None = None  # called for each entry before it is applied
+        self.on_applied: Callable[[Entry], None] | None = None  # called before each entry is applied
         self.router = RequestRouter(self)
         self._actions: Actions = []
-        self._open_proposals: set[str] = set()  # what waits to be agreed, so that it is proposed once
-        self._newly_elected = False
+        self._proposed_keys: set[str] = set()  # keys proposed since the last leader duties
+        self._is_newly_elected = False
 
     # Events.
 
     def on_message(self, now: int, source: str, message: ReplicaMessage) -> Actions:
-        """A message of another replica."""
+        """Process a message from another replica."""
         if isinstance(message, ForwardRequest):
             token = self.pending.new_token()
-            self.pending.origins[token] = Origin(source, message.id)
+            self.pending.origins[token] = ForwardOrigin(source, message.id)
             self.router.route(now, token, message.request)
         elif isinstance(message, ForwardReply):
             if (forwarded := self.pending.forwarded.pop(message.id, None)) is not None:
@@ -106,67 +106,67 @@
         return self.take_actions(now)
 
     def on_request(self, now: int, token: int, request: ClientRequest) -> Actions:
-        """A member or an operator asks; a Reply follows, or none while this replica is partitioned."""
+        """Process a member's or an operator's request; a partitioned replica may never reply."""
         self.router.route(now, token, request)
         return self.take_actions(now)
 
     def on_time(self, now: int) -> Actions:
-        """Time has passed; to be called at `due` at the latest."""
+        """Run due timers, and fail expired forwarded requests; has to be called at `due` at the latest."""
         self.run_raft(now, TimeAdvanced())
         for token in self.pending.expire_forwarded(now - FORWARD_TIMEOUT_US):
             self.router.reply(token, Unavailable("the leader did not answer"))
         return self.take_actions(now)
 
     def transfer_leadership(self, now: int) -> Actions:
-        """This replica is about to end: let another one lead."""
+        """Transfer the leadership to another replica before this replica ends."""
         self.run_raft(now, TransferLeadership())
         return self.take_actions(now)
 
     def on_synced(self, now: int, index: int) -> Actions:
-        """Everything to be saved up to that index is on the disk."""
+        """Process the completed write of all log entries up to the index."""
         self.run_raft(now, PersistenceCompleted(index))
         return self.take_actions(now)
 
     def on_snapshot_stored(self, now: int, snapshot: Snapshot) -> Actions:
-        """The snapshot is on the disk."""
+        """Process the completed write of the snapshot."""
         self.run_raft(now, SnapshotPersisted(snapshot))
         return self.take_actions(now)
 
     @property
     def due(self) -> int:
-        """When to call `on_time` at the latest."""
+        """The latest time at which `on_time` has to be called."""
         return min(self.raft.deadline, self.duties.due) if self.is_leader else self.raft.deadline
 
     @property
     def is_leader(self) -> bool:
-        """Whether it holds itself for the leader; `raft.leads(now)` asks whether that is certain."""
+        """Whether the replica has the leader role; `raft.leads(now)` also excludes an outdated leader."""
         return self.raft.role.value == "leader"
 
     def cluster_time(self, now: int) -> int:
-        """The cluster's time, at a leader."""
+        """Return the cluster time; valid at the leader only."""
         return self.leadership.cluster_time(now)
 
     def snapshot(self) -> Snapshot:
-        """The state with all that was applied, as a backup."""
+        """Return a snapshot of the state after the last applied log entry."""
         index = self.raft.commit_index
         return Snapshot(index, self.raft.log.term(index), self.raft.config, encode_snapshot(self.state))
 
     def store_snapshot(self) -> None:
-        """Ask for a snapshot to be stored; not while a change of the replicas is not agreed yet."""
+        """Request the storing of a snapshot, unless a change of the replicas is not committed yet."""
         if self.raft.config_index <= self.raft.commit_index:
             self.emit(StoreSnapshot(self.snapshot()))
 
     def emit(self, action: object) -> None:
-        """Add an action for the adapter."""
+        """Queue an action for the adapter."""
         self._actions.append(action)
 
     def take_actions(self, now: int) -> Actions:
-        """What is due after an event, and the actions since the last time; each event calls it."""
+        """Run the due leader duties, and return all queued actions; called at the end of each event."""
         if self.is_leader and self.duties.is_due(now) and self.raft.leads(now):
-            self._open_proposals.clear()
+            self._proposed_keys.clear()
             self.duties.carry_out(now)
         log = self.raft.log
-        if len(log.entries) > SNAPSHOT_ENTRIES and self.raft.commit_index > log.snapshot.index:
+        if len(log.entries) > MAX_UNCOMPACTED_ENTRIES and self.raft.commit_index > log.snapshot.index:
             self.store_snapshot()
         actions, self._actions = self._actions, []
         return actions
@@ -174,89 +174,89 @@
     # The replicated log.
 
     def run_raft(self, now: int, event: Event) -> None:
-        """Hand an event to the log and carry out what concerns the state; the rest is the adapter's."""
+        """Pass an event to the Raft node, handle its actions on the state, and emit all other actions."""
         for action in self.raft.step(now, event):
-            handler = self._RAFT_ACTIONS.get(type(action))
+            handler = self._RAFT_ACTION_HANDLERS.get(type(action))
             if handler is None:
                 self.emit(action)
             else:
                 handler(self, now, action)
-        if self._newly_elected:  # before anything else is proposed
-            self._newly_elected = False
+        if self._is_newly_elected:  # The halt has to precede all other proposals of the term.
+            self._is_newly_elected = False
             self.propose(now, HaltGrants(self.cluster_time(now), NEW_LEADER_HALT))
 
-    def propose(self, now: int, command: Command, waiting: Waiting | None = None) -> None:
-        """Propose a command; the request that waits for it, if any, gets its outcome."""
+    def propose(self, now: int, command: Command, waiting: WaitingRequest | None = None) -> None:
+        """Propose a command, and reply to the waiting request, if any, with the command's outcome."""
         own_token = self.pending.new_token()
         if waiting is not None:
             self.pending.proposed[own_token] = waiting
         self.run_raft(now, ProposeCommand(dispatch.encode(command), own_token))
 
     def propose_once(self, now: int, key: str, command: Command) -> None:
-        """Propose a command, unless one of that key was proposed since the leader's last duties."""
-        if key not in self._open_proposals:
-            self._open_proposals.add(key)
+        """Propose a command unless a command with the key was proposed since the last leader duties."""
+        if key not in self._proposed_keys:
+            self._proposed_keys.add(key)
             self.propose(now, command)
 
-    def _commit(self, now: int, action: ApplyEntries) -> None:
+    def _apply_entries(self, now: int, action: ApplyEntries) -> None:
         for entry in action.entries:
             if self.on_applied is not None:
                 self.on_applied(entry)
             outcome = None
             if entry.kind == EntryKind.COMMAND:
                 outcome = dispatch.apply(self.state, entry.index, entry.data)
-            placed = self.pending.placed.pop(entry.index, None)
-            if placed is not None:
-                self._reply_placed(entry, placed, outcome)
-
-    def _reply_placed(self, entry: Entry, placed: Placed, outcome: RequestOutcome | None) -> None:
-        token, request = placed.waiting
-        if placed.term != entry.term:
-            self.router.reply(token, Unavailable(LEADER_CHANGED))
+            logged = self.pending.logged.pop(entry.index, None)
+            if logged is not None:
+                self._reply_to_logged(entry, logged, outcome)
+
+    def _reply_to_logged(self, entry: Entry, logged: LoggedRequest, outcome: RequestOutcome | None) -> None:
+        token, request = logged.waiting
+        if logged.term != entry.term:
+            self.router.reply(token, Unavailable(LEADER_CHANGED_REASON))
         elif isinstance(request, SubmitRequest | ChangeReplicas):
-            self.router.reply(token, self.router.operator_requests.outcome(request, outcome))
+            self.router.reply(token, self.router.operator_requests.build_reply(request, outcome))
 
-    def _install(self, now: int, action: RestoreSnapshot) -> None:
+    def _restore_snapshot(self, now: int, action: RestoreSnapshot) -> None:
         data = action.snapshot.data
         self.state = decode_snapshot(data) if data else ClusterState()
-        self.pending.placed.clear()
+        self.pending.logged.clear()
         self.emit(action)
 
-    def _accepted(self, now: int, action: ProposalAccepted) -> None:
-        self.pending.place(action.token, action.index, action.term)
+    def _on_proposal_accepted(self, now: int, action: ProposalAccepted) -> None:
+        self.pending.record_log_index(action.token, action.index, action.term)
 
-    def _rejected(self, now: int, action: RequestRejected) -> None:
-        if (waiting := self.pending.reject(action.token)) is not None:
+    def _on_request_rejected(self, now: int, action: RequestRejected) -> None:
+        if (waiting := self.pending.pop_rejected(action.token)) is not None:
             self.router.reply(waiting.token, Unavailable(action.reason, action.leader))
 
-    def _confirmed(self, now: int, action: LeadershipConfirmed) -> None:
+    def _on_leadership_confirmed(self, now: int, action: LeadershipConfirmed) -> None:
         if (waiting := self.pending.reads.pop(action.token, None)) is not None:
-            self.router.answer_read(now, waiting)
+            self.router.reply_to_read(now, waiting)
 
-    def _role_changed(self, now: int, action: RoleChanged) -> None:
+    def _on_role_changed(self, now: int, action: RoleChanged) -> None:
         self.emit(action)
         if action.leads:
             self.leadership = Leadership(now, elected_at=now, time_at_election=self.state.clock)
             self.duties.begin(now)
-            self._newly_elected = True
+            self._is_newly_elected = True
         else:
-            self._reject_all(action.leader)
-        self._open_proposals.clear()
+            self._reject_pending(action.leader)
+        self._proposed_keys.clear()
 
-    def _reject_all(self, leader: str) -> None:
-        """No longer the leader: what was proposed here may or may not be agreed."""
+    def _reject_pending(self, leader: str) -> None:
+        """Reject all waiting requests after a loss of leadership; their outcome is unknown."""
         for waiting in self.pending.proposed.values():
             self.router.reply(waiting.token, Unavailable("no longer the leader", leader))
-        for placed in self.pending.placed.values():
-            self.router.reply(placed.waiting.token, Unavailable(LEADER_CHANGED, leader))
+        for logged in self.pending.logged.values():
+            self.router.reply(logged.waiting.token, Unavailable(LEADER_CHANGED_REASON, leader))
         self.pending.proposed.clear()
-        self.pending.placed.clear()
-
-    _RAFT_ACTIONS: ClassVar[dict[type, Callable[["Replica", int, Any], None]]] = {
-        ApplyEntries: _commit,
-        RestoreSnapshot: _install,
-        ProposalAccepted: _accepted,
-        RequestRejected: _rejected,
-        LeadershipConfirmed: _confirmed,
-        RoleChanged: _role_changed,
+        self.pending.logged.clear()
+
+    _RAFT_ACTION_HANDLERS: ClassVar[dict[type, Callable[["Replica", int, Any], None]]] = {
+        ApplyEntries: _apply_entries,
+        RestoreSnapshot: _restore_snapshot,
+        ProposalAccepted: _on_proposal_accepted,
+        RequestRejected: _on_request_rejected,
+        LeadershipConfirmed: _on_leadership_confirmed,
+        RoleChanged: _on_role_changed,
     }
--- a/cedarmill/cluster/request_router.py
+++ b/cedarmill/cluster/request_router.py
@@ -1,4 +1,4 @@
-"""The way of a request through a replica: to its handler at the leader, or on to the leader, and back."""
+"""Routes a replica's requests to its own handlers if it leads, or else to the leader, and routes replies."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -19,7 +19,7 @@
     Unavailable,
 )
 from cedarmill.cluster.operator_requests import OperatorRequests
-from cedarmill.cluster.pending_requests import Waiting
+from cedarmill.cluster.pending_requests import WaitingRequest
 from cedarmill.cluster.raft.actions import SendMessage
 from cedarmill.cluster.raft.events import ConfirmLeadership
 from cedarmill.cluster.state_views import render
@@ -29,14 +29,14 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """An action for the adapter: answer what was asked under that token."""
+    """An action for the adapter: send the reply to the request that has the token."""
 
     token: int
     reply: ClientReply
 
 
 class RequestRouter:
-    """Routes the requests of one replica."""
+    """Routes the requests and replies of one replica."""
 
     def __init__(self, replica: "Replica") -> None:
         self._replica = replica
@@ -44,7 +44,7 @@
         self.operator_requests = OperatorRequests(replica)
 
     def route(self, now: int, token: int, request: ClientRequest) -> None:
-        """Handle a request at the leader, or forward it."""
+        """Handle a request if this replica is the leader, or else forward it to the leader."""
         if isinstance(request, Probe):
             self.reply(token, ProbeReply(self._replica.name, ""))
         elif not self._replica.raft.leads(now):
@@ -52,7 +52,7 @@
         elif isinstance(request, Heartbeat):
             self.member_requests.on_heartbeat(now, token, request)
         elif isinstance(request, ReadRequest):
-            self.read(now, token, request)
+            self.reply_when_confirmed(now, token, request)
         elif isinstance(request, SubmitRequest):
             self.operator_requests.submit(now, token, request)
         else:
@@ -64,12 +64,12 @@
         if not leader or leader == replica.name or token in replica.pending.origins:
             self.reply(token, Unavailable("no leader is known here"))
             return
-        # Send is declared for messages of the log; the adapter passes on whatever stands in it.
+        # `SendMessage` is typed for Raft messages only; the adapter sends any message.
         message: Any = ForwardRequest(replica.pending.forward(token, now), request)
         replica.emit(SendMessage(leader, message))
 
     def reply(self, token: int, reply: ClientReply) -> None:
-        """Answer a request, by way of the replica that forwarded it if one did."""
+        """Send the reply to the client, or to the replica that forwarded the request."""
         origin = self._replica.pending.origins.pop(token, None)
         if origin is None:
             self._replica.emit(Reply(token, reply))
@@ -77,17 +77,17 @@
         message: Any = ForwardReply(origin.number, reply)
         self._replica.emit(SendMessage(origin.replica, message))
 
-    def read(self, now: int, token: int, request: Heartbeat | ReadRequest) -> None:
-        """Answer from the state once it is certain that this replica still leads.
+    def reply_when_confirmed(self, now: int, token: int, request: Heartbeat | ReadRequest) -> None:
+        """Reply from the state after this replica's leadership is confirmed.
 
-        A heartbeat waits for the next round of the log's own heartbeats, an operator does not.
+        A heartbeat waits for the next regular round of Raft heartbeats; an operator's read starts a round.
         """
         own_token = self._replica.pending.new_token()
-        self._replica.pending.reads[own_token] = Waiting(token, request)
+        self._replica.pending.reads[own_token] = WaitingRequest(token, request)
         self._replica.run_raft(now, ConfirmLeadership(own_token, not isinstance(request, Heartbeat)))
 
-    def answer_read(self, now: int, waiting: Waiting) -> None:
-        """It is certain by now."""
+    def reply_to_read(self, now: int, waiting: WaitingRequest) -> None:
+        """Reply to a read or a heartbeat after the confirmation of this replica's leadership."""
         if isinstance(waiting.request, Heartbeat):
             self.reply(waiting.token, self.member_requests.reply_to(now, waiting.request))
         elif isinstance(waiting.request, ReadRequest):
--- a/cedarmill/cluster/session.py
+++ b/cedarmill/cluster/session.py
@@ -1,8 +1,8 @@
 """A member's side of its session, without I/O: heartbeats, the lease, orders, and the choice of a replica.
 
-Nodes and process supervisors have one each. Orders are whole and have an epoch; older ones never replace
-newer ones. Whether the lease holds is asked at the moment of acting (`holds`), by a clock that goes on while
-the process stands still. All times are microseconds of that clock.
+Each node and each process supervisor has one session. Orders are complete and carry an epoch; older orders
+never replace newer ones. Callers check the lease (`holds`) immediately before they act on it, by a clock that
+keeps running while the process is suspended. All times are microseconds of that clock.
 """
 
 from collections.abc import Callable
@@ -24,43 +24,43 @@
 from cedarmill.cluster.session_tracker import holder_lease_end
 from cedarmill.cluster.state import UnitReportFields
 
-HEARTBEAT_US = 250_000  # between two heartbeats
-REPLY_TIMEOUT_US = 1_000_000  # for a reply, before another replica is tried
-STALL_US = 600_000  # between two calls: then this process stood still, and doubts what it observed
-DOUBT_US = 1_500_000  # for how long then
-FULL_REPORT_EVERY = 40  # heartbeats: one that reports all executors, should a change have been lost
+HEARTBEAT_INTERVAL_US = 250_000
+REPLY_TIMEOUT_US = 1_000_000  # The session then switches to another replica.
+STALL_THRESHOLD_US = 600_000  # A longer gap between two calls means that this process was suspended.
+SUSPENSION_EFFECT_US = 1_500_000  # Observations are unreliable for this long after a suspension.
+HEARTBEATS_PER_FULL_REPORT = 40  # A full report of all executors corrects lost updates.
 
 Actions = list[Any]
 
 
 class Connect(msgspec.Struct, frozen=True):
-    """An action: use that replica from now on, and close the connection to another one."""
+    """An action: connect to this replica, and close the connection to any other replica."""
 
     replica: str
 
 
 class SendRequest(msgspec.Struct, frozen=True):
-    """An action: send this to the replica in use."""
+    """An action: send the request to the connected replica."""
 
     request: ClientRequest
 
 
 class FollowOrders(msgspec.Struct, frozen=True):
-    """An action: follow these orders, which are newer than those followed."""
+    """An action: follow these orders, which replace the current, older ones."""
 
     orders: Orders
 
 
 class LeaseExpired(msgspec.Struct, frozen=True):
-    """An action, once: the lease has expired; `LeaseHolds` when it holds again."""
+    """An action, emitted once when the lease expires; `LeaseHolds` follows when the lease is renewed."""
 
 
 class LeaseHolds(msgspec.Struct, frozen=True):
-    """An action, once: the lease holds, for the first time or again."""
+    """An action, emitted once when the lease becomes valid, for the first time or after an expiry."""
 
 
 class ProbeMember(msgspec.Struct, frozen=True):
-    """An action: find out whether that member answers there, and call `on_probed`."""
+    """An action: probe the member at the address, and pass the result to `on_probed`."""
 
     key: str
     address: str
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class MemberReport:
-    """What this process reports of itself, as it stands at a heartbeat."""
+    """The contents of a heartbeat that the process provides, current at the time of the heartbeat."""
 
     drained: dict[str, int] = field(default_factory=dict)
     executors: dict[str, ExecutorObservation] = field(default_factory=dict)
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberIdentity:
-    """What does not change while a process runs."""
+    """The properties of a member that are constant while its process runs."""
 
     kind: str
     name: str
@@ -94,15 +94,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Sent:
-    """A heartbeat without a reply: when it was sent, and the executors that it reported."""
+class _UnansweredHeartbeat:
+    """A heartbeat that awaits its reply: its send time and the executors that it reported."""
 
-    at: int
+    sent_at: int
     executors: dict[str, ExecutorObservation]
 
 
 class MemberSession:
-    """One member's session."""
+    """Keeps one member's session: sends heartbeats, holds the lease and accepts orders."""
 
     def __init__(
         self,
@@ -112,82 +112,82 @@
         now: int,
         first: int = 0,
     ) -> None:
-        """`first` is the number of the replica that is tried first: members are spread over them."""
+        """Start without a lease; `first` selects the initial replica, which spreads members over replicas."""
         self.identity, self.replicas = identity, replicas
         self.orders: Orders | None = None
-        self.epoch = 0  # of the orders that are followed
+        self.epoch = 0  # epoch of the current orders
         self.lease_until = -1
         self.doubts_until = -1
-        self._report = report
-        self._replica = first % len(replicas)
-        self._connected = False
-        self._sequence = 0
-        self._sent: dict[int, _Sent] = {}  # by sequence
-        self._term = 0  # of the leader that replied last
-        self._leader_timestamp, self._timestamp_at = -1, now  # the newest, and when it came
-        self._reported: dict[str, ExecutorObservation] = {}  # executors as that leader knows them
-        self._probe_results: dict[str, bool] = {}  # for the next heartbeat
-        self._leaving = False
-        self._checked_at = now
-        self._replied_at = now  # when a replica last replied
+        self._build_report = report
+        self._replica_index = first % len(replicas)
+        self._is_connected = False
+        self._last_sequence = 0
+        self._unanswered: dict[int, _UnansweredHeartbeat] = {}  # by sequence number
+        self._term = 0  # term of the leader that sent the last reply
+        self._leader_timestamp, self._timestamp_received_at = -1, now  # the newest timestamp and its arrival
+        self._reported_executors: dict[str, ExecutorObservation] = {}  # executors as reported to that leader
+        self._probe_results: dict[str, bool] = {}  # results to send in the next heartbeat
+        self._is_leaving = False
+        self._last_check_at = now
+        self._last_reply_at = now
         self._next_heartbeat = now
-        self._announced = False  # whether `LeaseHolds` was the last word on the lease
+        self._announced = False  # whether the last lease action was `LeaseHolds`
 
     def holds(self, now: int) -> bool:
-        """Whether the lease holds at this moment."""
+        """Return whether the lease is valid at the given time."""
         return now < self.lease_until
 
     @property
     def due(self) -> int:
-        """When to call `on_time` at the latest."""
+        """The latest time at which `on_time` has to be called."""
         return min(self._next_heartbeat, self.lease_until) if self._announced else self._next_heartbeat
 
     def on_time(self, now: int) -> Actions:
-        """Time has passed."""
-        actions = self._check(now)
+        """Send a heartbeat if one is due, and report an expired lease."""
+        actions = self._check_stall_and_lease(now)
         if now < self._next_heartbeat:
             return actions
-        self._next_heartbeat = now + HEARTBEAT_US
-        if not self._connected or self._reply_is_late(now):
-            actions += self._connect(now)
-        actions.append(SendRequest(self._heartbeat(now)))
+        self._next_heartbeat = now + HEARTBEAT_INTERVAL_US
+        if not self._is_connected or self._is_reply_late(now):
+            actions += self._connect_to_replica(now)
+        actions.append(SendRequest(self._build_heartbeat(now)))
         return actions
 
-    def _reply_is_late(self, now: int) -> bool:
-        if not self._sent:
+    def _is_reply_late(self, now: int) -> bool:
+        if not self._unanswered:
             return False
-        oldest = min(sent.at for sent in self._sent.values())
-        return now - max(oldest, self._replied_at) > REPLY_TIMEOUT_US
-
-    def _check(self, now: int) -> Actions:
-        """Whether this process stood still, and whether the lease has expired."""
-        if now - self._checked_at > STALL_US:
-            self.doubts_until = now + DOUBT_US
-        self._checked_at = now
+        oldest = min(sent.sent_at for sent in self._unanswered.values())
+        return now - max(oldest, self._last_reply_at) > REPLY_TIMEOUT_US
+
+    def _check_stall_and_lease(self, now: int) -> Actions:
+        """Detect a suspension of this process, and return `LeaseExpired` if the lease has expired."""
+        if now - self._last_check_at > STALL_THRESHOLD_US:
+            self.doubts_until = now + SUSPENSION_EFFECT_US
+        self._last_check_at = now
         if self._announced and not self.holds(now):
             self._announced = False
             return [LeaseExpired()]
         return []
 
-    def _connect(self, now: int) -> Actions:
-        """To the next replica; heartbeats on their way to the last one are forgotten."""
-        if self._connected:
-            self._replica = (self._replica + 1) % len(self.replicas)
-        self._connected, self._replied_at = True, now
-        self._sent.clear()
-        return [Connect(self.replicas[self._replica])]
-
-    def _heartbeat(self, now: int) -> Heartbeat:
-        self._sequence += 1
-        report, identity = self._report(), self.identity
-        executors = self._changed(report.executors)
-        self._sent[self._sequence] = _Sent(now, executors)
+    def _connect_to_replica(self, now: int) -> Actions:
+        """Connect to a replica, to the next one if already connected, and drop all unanswered heartbeats."""
+        if self._is_connected:
+            self._replica_index = (self._replica_index + 1) % len(self.replicas)
+        self._is_connected, self._last_reply_at = True, now
+        self._unanswered.clear()
+        return [Connect(self.replicas[self._replica_index])]
+
+    def _build_heartbeat(self, now: int) -> Heartbeat:
+        self._last_sequence += 1
+        report, identity = self._build_report(), self.identity
+        executors = self._changed_executors(report.executors)
+        self._unanswered[self._last_sequence] = _UnansweredHeartbeat(now, executors)
         probe_results, self._probe_results = self._probe_results, {}
         return Heartbeat(
             kind=identity.kind,
             name=identity.name,
             incarnation=identity.incarnation,
-            sequence=self._sequence,
+            sequence=self._last_sequence,
             orders_epoch=self.epoch,
             term=self._term,
             zone=identity.zone,
@@ -196,7 +196,7 @@
             unit_type=identity.unit_type,
             stops_at_lease_expiry=identity.stops_at_lease_expiry,
             was_suspended=now < self.doubts_until,
-            leaving=self._leaving,
+            leaving=self._is_leaving,
             drained=report.drained,
             held_grants=self._held_grants(),
             executors=executors,
@@ -206,62 +206,62 @@
             probe_results=probe_results,
             digest=report.digest,
             leader_timestamp=self._leader_timestamp,
-            timestamp_age_us=now - self._timestamp_at,
+            timestamp_age_us=now - self._timestamp_received_at,
             budget_demand=report.budget_demand,
         )
 
-    def _changed(self, executors: dict[str, ExecutorObservation]) -> dict[str, ExecutorObservation]:
-        """Those that the leader does not know so yet; now and then all."""
-        if self._sequence % FULL_REPORT_EVERY == 1:
+    def _changed_executors(self, executors: dict[str, ExecutorObservation]) -> dict[str, ExecutorObservation]:
+        """Return the executors that differ from the last report, or periodically all executors."""
+        if self._last_sequence % HEARTBEATS_PER_FULL_REPORT == 1:
             return dict(executors)
-        return {name: one for name, one in executors.items() if self._reported.get(name) != one}
+        return {name: one for name, one in executors.items() if self._reported_executors.get(name) != one}
 
     def _held_grants(self) -> dict[str, int]:
-        """Epochs of the grants that are followed here, by `kind:name`."""
+        """Return the epochs of the grants that this member follows, by `kind:name`."""
         if self.orders is None:
             return {}
-        held = {f"executor:{name}": epoch for name, epoch in self.orders.excluded_executors.items()}
+        grants = {f"executor:{name}": epoch for name, epoch in self.orders.excluded_executors.items()}
         if self.orders.drain_clients_epoch:
-            held[f"node:{self.identity.name}"] = self.orders.drain_clients_epoch
-        return held
+            grants[f"node:{self.identity.name}"] = self.orders.drain_clients_epoch
+        return grants
 
     def on_disconnected(self, now: int) -> Actions:
-        """The connection is lost, or was rejected: another replica, at the next heartbeat and not sooner."""
-        if self._connected:
-            self._connected, self._replica = False, (self._replica + 1) % len(self.replicas)
-        self._next_heartbeat = max(now + HEARTBEAT_US // 2, self._next_heartbeat)
-        return self._check(now)
+        """Select the next replica after a lost or rejected connection, and delay the next heartbeat."""
+        if self._is_connected:
+            self._is_connected, self._replica_index = False, (self._replica_index + 1) % len(self.replicas)
+        self._next_heartbeat = max(now + HEARTBEAT_INTERVAL_US // 2, self._next_heartbeat)
+        return self._check_stall_and_lease(now)
 
     def on_reply(self, now: int, reply: ClientReply) -> Actions:
-        """A replica has replied."""
-        actions = self._check(now)
+        """Process a reply from a replica."""
+        actions = self._check_stall_and_lease(now)
         if isinstance(reply, HeartbeatReply):
             return actions + self._on_heartbeat_reply(now, reply)
-        if isinstance(reply, Unavailable) and now - self._replied_at > REPLY_TIMEOUT_US:
-            actions += self._connect(now)
+        if isinstance(reply, Unavailable) and now - self._last_reply_at > REPLY_TIMEOUT_US:
+            actions += self._connect_to_replica(now)
         return actions
 
     def _on_heartbeat_reply(self, now: int, reply: HeartbeatReply) -> Actions:
-        sent = self._sent.pop(reply.sequence, None)
+        sent = self._unanswered.pop(reply.sequence, None)
         if sent is None:
-            return []  # to a heartbeat that went to another replica, and was forgotten
-        self._replied_at = now
-        self._sent = {number: one for number, one in self._sent.items() if number > reply.sequence}
-        self._note_leader(now, reply, sent)
+            return []  # The heartbeat went to another replica and was dropped.
+        self._last_reply_at = now
+        self._unanswered = {n: one for n, one in self._unanswered.items() if n > reply.sequence}
+        self._record_leader(now, reply, sent)
         if reply.lease_us:
-            self.lease_until = max(self.lease_until, holder_lease_end(sent.at, reply.lease_us))
-        actions = self._take_orders(now, reply.orders)
+            self.lease_until = max(self.lease_until, holder_lease_end(sent.sent_at, reply.lease_us))
+        actions = self._accept_orders(now, reply.orders)
         return actions + [ProbeMember(key, address) for key, address in reply.members_to_probe.items()]
 
-    def _note_leader(self, now: int, reply: HeartbeatReply, sent: _Sent) -> None:
+    def _record_leader(self, now: int, reply: HeartbeatReply, sent: _UnansweredHeartbeat) -> None:
         if reply.leader_timestamp >= 0:
-            self._leader_timestamp, self._timestamp_at = reply.leader_timestamp, now
+            self._leader_timestamp, self._timestamp_received_at = reply.leader_timestamp, now
         if reply.term != self._term:
-            self._term, self._reported = reply.term, {}  # a new leader gets a full report
+            self._term, self._reported_executors = reply.term, {}  # A new leader gets a full report.
         else:
-            self._reported.update(sent.executors)
+            self._reported_executors.update(sent.executors)
 
-    def _take_orders(self, now: int, orders: Orders | None) -> Actions:
+    def _accept_orders(self, now: int, orders: Orders | None) -> Actions:
         actions: Actions = []
         if orders is not None and orders.epoch > self.epoch:
             self.epoch, self.orders = orders.epoch, orders
@@ -272,10 +272,10 @@
         return actions
 
     def on_probed(self, key: str, answered: bool) -> None:
-        """What came of a ProbeMember."""
+        """Record the result of a `ProbeMember` action for the next heartbeat."""
         self._probe_results[key] = answered
 
     def leave(self, now: int) -> Actions:
-        """This process ends, and has nothing in flight: a last heartbeat says so."""
-        self._leaving, self._next_heartbeat = True, now
+        """Send a last heartbeat that announces the end of this process, which has no requests in flight."""
+        self._is_leaving, self._next_heartbeat = True, now
         return self.on_time(now)
--- a/cedarmill/cluster/supervision.py
+++ b/cedarmill/cluster/supervision.py
@@ -1,10 +1,10 @@
-"""What a process supervisor does with the units on its machine, without I/O: start, replace on the held
-socket, stop.
+"""The decisions of a process supervisor about the units on its machine, without I/O: start a unit, replace
+a process on the same listening socket, and stop a process.
 
-A supervisor acts only on orders, by epoch, while its lease holds at that moment; what it is about to do is
-stored before it is done, so that one that dies in between goes on where it was. A unit that ends by itself is
-started again as what it was: for that it needs nobody's leave. All times are microseconds of a monotonic
-clock. `rename` maps each field to its key in the stored document.
+A supervisor applies only orders with a new epoch, while its lease is valid. Each intended action is stored
+first, so that a restarted supervisor continues from there. A unit whose process exits unexpectedly is
+restarted at the same version without an order. All times are microseconds of a monotonic clock. `rename` maps
+each field to its key in the stored document.
 """
 
 import enum
@@ -16,30 +16,33 @@
 from cedarmill.cluster.errors import ClusterError
 from cedarmill.cluster.state import UnitOrderFields, UnitReport, UnitReportFields
 
-RESTART_DELAY_US = 500_000  # before a unit that ended by itself is started again: at first,
-MAX_RESTART_DELAY_US = 8_000_000  # and at most; it doubles each time
-STOP_TIMEOUT_US = 6_000_000  # after SIGTERM, before SIGKILL: the platform's longest answer and its slack
-ENDED_KEPT = 32  # keys of members that have ended, as they are reported
+# The delay before the restart of a unit doubles with each unexpected exit.
+INITIAL_RESTART_DELAY_US = 500_000
+MAX_RESTART_DELAY_US = 8_000_000
+# The time from SIGTERM to SIGKILL, enough for the platform's longest response.
+STOP_TIMEOUT_US = 6_000_000
+# The number of ended members that are kept for reports.
+MAX_ENDED_MEMBERS = 32
 
 Actions = list[Any]
 
 
 class StoredUnitsError(ClusterError):
-    """The stored document of the units cannot be read."""
+    """The stored document of the units cannot be decoded."""
 
 
 class UnitState(enum.StrEnum):
-    """As it is reported."""
+    """The state of a unit, as reported in heartbeats."""
 
     STOPPED = "stopped"
     STARTING = "starting"
     READY = "ready"
-    REPLACING = "replacing"  # the new process starts while the old one serves
-    FAILING = "failing"  # it ended by itself, and waits to be started again
+    REPLACING = "replacing"  # The new process starts while the old process serves.
+    FAILING = "failing"  # The process exited unexpectedly, and its restart is pending.
 
 
 class StartProcess(msgspec.Struct, frozen=True):
-    """An action: start a unit's process of that version as that incarnation."""
+    """An action: start a process of the unit, with the given version and incarnation."""
 
     unit: str
     version: str
@@ -47,20 +50,20 @@
 
 
 class StopProcess(msgspec.Struct, frozen=True):
-    """An action: send SIGTERM; `to_kill` tells when it has not ended in time."""
+    """An action: send SIGTERM; `to_kill` returns the processes that do not exit in time."""
 
     unit: str
     incarnation: str
 
 
 class StoreUnits(msgspec.Struct, frozen=True):
-    """An action: store this before anything that follows; it says what each unit is to be."""
+    """An action: store the document of all units before any later action is carried out."""
 
     document: bytes
 
 
 class OrderApplied(msgspec.Struct, frozen=True):
-    """An action, for the history: the order acted on, and how long the lease still held (s)."""
+    """An action for the log: the epoch of the applied order, and the remaining lease time (s)."""
 
     unit: str
     epoch: int
@@ -87,21 +90,21 @@
         "restart_delay_us": "wait",
     },
 ):
-    """A unit as its supervisor knows it, and stores it."""
+    """The stored state of a unit at its supervisor."""
 
     name: str
-    version: str  # to run
-    applied_epoch: int = 0  # of the order that was acted on last
-    unexpected_exits: int = 0  # since then
+    version: str  # version to run
+    applied_epoch: int = 0  # epoch of the last applied order
+    unexpected_exits: int = 0  # unexpected exits since the last applied order
     processes: dict[str, Process] = {}  # by incarnation
-    current: str = ""  # the incarnation that is to serve
+    current: str = ""  # incarnation of the process that has to serve
     ready: bool = False
     restart_at: int = 0
-    restart_delay_us: int = RESTART_DELAY_US
+    restart_delay_us: int = INITIAL_RESTART_DELAY_US
 
     @property
     def state(self) -> UnitState:
-        """What it is doing."""
+        """The state of the unit, derived from its processes."""
         if not self.current:
             return UnitState.FAILING if self.restart_at else UnitState.STOPPED
         if self.ready:
@@ -109,7 +112,7 @@
         return UnitState.REPLACING if len(self.processes) > 1 else UnitState.STARTING
 
     def report(self) -> UnitReport:
-        """What a heartbeat reports of it."""
+        """Return the report on the unit for a heartbeat."""
         current = self.processes.get(self.current)
         version = current.version if current is not None else self.version
         return UnitReport(version, self.state.value, self.unexpected_exits, self.applied_epoch)
@@ -119,55 +122,57 @@
 
 
 class ProcessSupervisor:
-    """The units of one machine."""
+    """Decides on the processes of all units on one machine."""
 
     def __init__(
         self, versions: dict[str, str], new_incarnation: Callable[[], str], stored: bytes = b""
     ) -> None:
-        """`versions` is what each unit runs where nothing was stored; raises StoredUnitsError."""
+        """Load the stored units, with `versions` for units not stored yet. Raises StoredUnitsError."""
         self._new_incarnation = new_incarnation
         try:
-            known = _DECODER.decode(stored) if stored else {}
+            stored_units = _DECODER.decode(stored) if stored else {}
         except msgspec.MsgspecError as error:
-            raise StoredUnitsError(f"kept units: {error}") from None
-        self.units = {name: known.get(name) or Unit(name, version) for name, version in versions.items()}
-        self.ended_members: list[str] = []  # keys of members that are known to have ended, lately
+            raise StoredUnitsError(f"stored units cannot be decoded: {error}") from None
+        self.units = {
+            name: stored_units.get(name) or Unit(name, version) for name, version in versions.items()
+        }
+        self.ended_members: list[str] = []  # keys of members that have ended recently
         self._actions: Actions = []
 
     def begin(self, now: int, is_alive: Callable[[Process], bool]) -> Actions:
-        """Start: processes that outlived the last supervisor are adopted; others are known to have ended."""
+        """Adopt live processes of the previous supervisor, record the ended ones, and start missing ones."""
         for unit in self.units.values():
             for process in list(unit.processes.values()):
                 if not is_alive(process):
-                    self._forget(now, unit, process)
+                    self._remove_ended_process(now, unit, process)
             if unit.current not in unit.processes:
-                self._start(unit)
+                self._start_process(unit)
             for process in unit.processes.values():
                 if process.incarnation != unit.current and process.pid:
-                    self._stop(now, unit, process)
+                    self._stop_process(now, unit, process)
         return self._take_actions()
 
     def order(self, now: int, orders: Mapping[str, UnitOrderFields], lease_until: int) -> Actions:
-        """Orders have come; they are acted on only while the lease holds, and only newer ones."""
+        """Apply orders with a newer epoch, if the lease is valid."""
         for name, (version, epoch) in orders.items():
             unit = self.units.get(name)
             if unit is not None and epoch > unit.applied_epoch and now < lease_until:
                 self._actions.append(OrderApplied(name, epoch, (lease_until - now) / 1e6))
-                self._apply(unit, version, epoch)
+                self._apply_order(unit, version, epoch)
         return self._take_actions()
 
-    def _apply(self, unit: Unit, version: str, epoch: int) -> None:
+    def _apply_order(self, unit: Unit, version: str, epoch: int) -> None:
         unit.applied_epoch, unit.unexpected_exits = epoch, 0
-        unit.restart_delay_us, unit.restart_at = RESTART_DELAY_US, 0
-        runs_already = unit.version == version and unit.ready
+        unit.restart_delay_us, unit.restart_at = INITIAL_RESTART_DELAY_US, 0
+        is_already_running = unit.version == version and unit.ready
         unit.version = version
-        if runs_already:
+        if is_already_running:
             self._store()
         else:
-            self._start(unit)
+            self._start_process(unit)
 
     def on_started(self, unit_name: str, incarnation: str, pid: int) -> Actions:
-        """The process runs under that id."""
+        """Record the process id of a started process."""
         process = self.units[unit_name].processes.get(incarnation)
         if process is not None:
             process.pid = pid
@@ -175,67 +180,67 @@
         return self._take_actions()
 
     def on_ready(self, now: int, unit_name: str, incarnation: str) -> Actions:
-        """The process says that it is ready: the one before it may go."""
+        """Mark the unit as ready, and stop the processes that the ready process replaces."""
         unit = self.units[unit_name]
         if unit.current == incarnation and not unit.ready:
             unit.ready = True
             for process in unit.processes.values():
                 if process.incarnation != incarnation:
-                    self._stop(now, unit, process)
+                    self._stop_process(now, unit, process)
             self._store()
         return self._take_actions()
 
     def on_exited(self, now: int, unit_name: str, incarnation: str) -> Actions:
-        """A process has ended."""
+        """Record the exit of a process, and schedule a restart if the exit was unexpected."""
         unit = self.units[unit_name]
         process = unit.processes.get(incarnation)
         if process is not None:
-            self._forget(now, unit, process)
+            self._remove_ended_process(now, unit, process)
             self._store()
         return self._take_actions()
 
     def on_time(self, now: int) -> Actions:
-        """Time has passed: what ended by itself is started again."""
+        """Restart the units whose restart delay has passed."""
         for unit in self.units.values():
             if unit.restart_at and now >= unit.restart_at:
                 unit.restart_at = 0
-                self._start(unit)
+                self._start_process(unit)
         return self._take_actions()
 
     def to_kill(self, now: int) -> list[Process]:
-        """Processes that were told to stop and have had their time."""
-        return [process for process in self._processes() if process.kill_at and now >= process.kill_at]
+        """Return the stopping processes whose stop timeout has passed."""
+        return [process for process in self._all_processes() if process.kill_at and now >= process.kill_at]
 
-    def _processes(self) -> Iterator[Process]:
+    def _all_processes(self) -> Iterator[Process]:
         for unit in self.units.values():
             yield from unit.processes.values()
 
     def reports(self) -> dict[str, UnitReportFields]:
-        """What a heartbeat reports of the units."""
+        """Return the reports on all units for a heartbeat."""
         return {unit.name: unit.report() for unit in self.units.values()}
 
-    # One unit.
+    # Actions on a single unit.
 
-    def _start(self, unit: Unit) -> None:
+    def _start_process(self, unit: Unit) -> None:
         incarnation = self._new_incarnation()
-        old = unit.processes.get(unit.current)
-        if old is not None and not unit.ready and not old.stopping:
-            self._stop(0, unit, old)  # one that never became ready gets no time to stop
+        previous = unit.processes.get(unit.current)
+        if previous is not None and not unit.ready and not previous.stopping:
+            self._stop_process(0, unit, previous)  # A process that was never ready is killed at once.
         unit.processes[incarnation] = Process(incarnation, unit.version)
         unit.current, unit.ready = incarnation, False
         self._store()
         self._actions.append(StartProcess(unit.name, unit.version, incarnation))
 
-    def _stop(self, now: int, unit: Unit, process: Process) -> None:
+    def _stop_process(self, now: int, unit: Unit, process: Process) -> None:
         if not process.stopping:
             process.stopping, process.kill_at = True, now + STOP_TIMEOUT_US
             self._actions.append(StopProcess(unit.name, process.incarnation))
 
-    def _forget(self, now: int, unit: Unit, process: Process) -> None:
-        """A process has ended; one that nobody stopped is started again after a while."""
+    def _remove_ended_process(self, now: int, unit: Unit, process: Process) -> None:
+        """Remove an ended process, and schedule a restart if the current process exited unexpectedly."""
         del unit.processes[process.incarnation]
         key = f"node:{unit.name}:{process.incarnation}"
-        self.ended_members = [*self.ended_members, key][-ENDED_KEPT:]
+        self.ended_members = [*self.ended_members, key][-MAX_ENDED_MEMBERS:]
         if process.incarnation != unit.current:
             return
         unit.current, unit.ready = "", False
