--- a/cedarmill/conf/cluster.py
+++ b/cedarmill/conf/cluster.py
@@ -15,7 +15,7 @@
     read_named_addresses,
 )
 from cedarmill.values import (
-    NOT_SET,
+    UNUSED,
     BudgetOptions,
     LimitOptions,
     ReplicaOptions,
@@ -45,9 +45,9 @@
     return LimitOptions(
         attribute(element, "kind"),
         attribute(element, "per"),
-        NOT_SET if most is None else int(most),
-        NOT_SET if part is None else _thousandths(part),
-        NOT_SET if left is None else _thousandths(left),
+        UNUSED if most is None else int(most),
+        UNUSED if part is None else _thousandths(part),
+        UNUSED if left is None else _thousandths(left),
     )
 
 
--- a/cedarmill/conf/settings.py
+++ b/cedarmill/conf/settings.py
@@ -148,7 +148,9 @@
     def _ledger(self) -> int:
         """Microseconds between two `wasted-work` events."""
         every_us = int(
-            self._value(_Attribute("ledger", "every", microseconds, duration), Options().ledger_every_us)
+            self._value(
+                _Attribute("ledger", "every", microseconds, duration), Options().waste_log_interval_us
+            )
         )
         element = self._find("ledger")
         if element is not None and every_us < LEAST_LEDGER_EVERY_US:
--- a/cedarmill/core/actions.py
+++ b/cedarmill/core/actions.py
@@ -69,16 +69,16 @@
             return
         self.dispatch.deadline_tracker.step(now, propagation.AttemptAbandoned(request.claim, attempt.number))
         never_ran = request.claim.state is propagation.ClaimState.CLIENT_LEFT and not attempt.written
-        self.give_up(now, attempt, Outcome.MOOT if never_ran else Outcome.CANCELLED)
+        self.cancel_attempt(now, attempt, Outcome.MOOT if never_ran else Outcome.CANCELLED)
 
-    def give_up(self, now: int, attempt: Attempt, outcome: Outcome, now_or_never: bool = False) -> None:
+    def cancel_attempt(self, now: int, attempt: Attempt, outcome: Outcome, force: bool = False) -> None:
         """Cancel an attempt; one that its executor cannot stop keeps its slots until it ends."""
         has_ended = True
         try:
-            has_ended = self.dispatch.executors.cancel(attempt, now_or_never) is not False
+            has_ended = self.dispatch.executors.cancel(attempt, force) is not False
         except Exception:
             log_event("defect", True, what="cancel")
-        if has_ended or now_or_never:
+        if has_ended or force:
             self.dispatch.attempt_ended(now, attempt, outcome)
 
     def refuse(self, now: int, action: api.Refuse) -> None:
--- a/cedarmill/core/client_session_events.py
+++ b/cedarmill/core/client_session_events.py
@@ -14,15 +14,15 @@
     first_request: int  # time-out for receiving the first valid request completely
     idle: int  # time-out between requests after the first
     slow_request: int  # time-out for receiving a later request while bytes keep arriving
-    stopped: int  # time-out since the last byte of an incomplete request
-    unread: int  # extension of the deadline for bytes that wait in the socket buffer
+    stalled_request: int  # time-out since the last byte of an incomplete request
+    unread_extension: int  # extension of the deadline for bytes that wait in the socket buffer
     linger: int  # time for a client to read the last answer and close
     slow_reader: int  # the same while a slow client makes progress
-    room_linger: int  # time for an idle client to close when it is evicted
-    room_error_linger: int  # time to send the error to a stalled client when it is evicted
-    room_grace: int  # a client that sent a byte within this time is not evicted
-    abort_again: int  # interval before a failed abort is retried
-    hang_up_check: int  # interval between checks for a disconnect while reading is paused
+    eviction_linger: int  # time for an idle client to close when it is evicted
+    eviction_error_linger: int  # time to send the error to a stalled client when it is evicted
+    eviction_grace: int  # a client that sent a byte within this time is not evicted
+    abort_retry_interval: int  # interval before a failed abort is retried
+    presence_check_interval: int  # interval between checks for a disconnect while reading is paused
 
 
 class SessionState(IntEnum):
@@ -41,7 +41,7 @@
 
     REQUEST_BEGUN = auto()  # the first byte of a request was read
     REQUEST_READ = auto()  # a request is complete or known to be malformed, and needs an answer
-    SERVICE_WANTED = auto()  # all received bytes are parsed, or an answer was written
+    SERVE_REQUESTED = auto()  # all received bytes are parsed, or an answer was written
     ANSWER_WRITTEN = auto()
     LAST_ANSWER_WRITTEN = auto()  # the answer for which `is_last_answer` was true
     WRITING_BLOCKED = auto()  # the write buffer is full because the client does not read
@@ -58,11 +58,11 @@
     NOTHING_UNREAD = auto()
     READER_PROGRESSED = auto()  # result of CHECK_READER: the client has read some of the buffered bytes
     READER_STALLED = auto()
-    HANG_UP_CHECK_DUE = auto()  # the time `hang_up_check_at` is reached
+    PRESENCE_CHECK_DUE = auto()  # the time `presence_check_at` is reached
     END_IF_IDLE = auto()  # the node stops or drains; no bytes wait unread
-    END_IDLE_FOR_ROOM = auto()  # this idle connection is evicted; no bytes wait unread
-    ROOM_WANTED = auto()  # this connection, without a valid request so far, is to be evicted
-    ROOM_CONFIRMED = auto()  # result of CHECK_ROOM: no bytes wait unread
+    EVICT_IDLE = auto()  # this idle connection is evicted; no bytes wait unread
+    EVICTION_REQUESTED = auto()  # this connection, without a valid request so far, is to be evicted
+    EVICTION_CONFIRMED = auto()  # result of CHECK_EVICTABLE: no bytes wait unread
     ANSWER_ALL = auto()  # the process may be killed soon, or a callback has raised an exception
 
 
@@ -71,8 +71,8 @@
 
     SERVE = auto()  # serve the next queued request
     SERVE_IF_PRESENT = auto()  # the same, unless the client is found to be disconnected
-    ANSWER_LATE = auto()  # queue a time-out error for the incomplete request, then SERVICE_WANTED
-    ANSWER_OWED = auto()  # answer all requests with an error, in order, also an incomplete one
+    ANSWER_TIMED_OUT = auto()  # queue a time-out error for the incomplete request, then SERVE_REQUESTED
+    ANSWER_ALL_WITH_ERRORS = auto()  # answer all requests with an error, in order, also an incomplete one
     END_SENDING = auto()  # half-close after the pending writes, and wait for the client to close
     WITHDRAW = auto()  # withdraw all requests, because their client has left
     ABORT = auto()  # the same, and abort the connection without pending writes
@@ -80,6 +80,6 @@
     RESUME_READING = auto()
     LIST_AS_IDLE = auto()  # add the connection to those that can be evicted
     CHECK_UNREAD = auto()  # do bytes wait in the socket buffer: BYTES_UNREAD or NOTHING_UNREAD
-    CHECK_ROOM = auto()  # do bytes wait in the socket buffer: ROOM_CONFIRMED if not
+    CHECK_EVICTABLE = auto()  # do bytes wait in the socket buffer: EVICTION_CONFIRMED if not
     CHECK_READER = auto()  # does the client read: READER_PROGRESSED or READER_STALLED
     CHECK_CLIENT = auto()  # is the client still connected: CLIENT_LEFT if not
--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -56,7 +56,7 @@
         """Accept the request that `arrival` describes, and assign its number."""
         self._last_request_id += 1
         arrival.request = self._last_request_id
-        self.observer.place_request(arrival)
+        self.observer.constrain_request(arrival)
         claim = propagation.Claim(arrival.job_class, arrival.slots, due)
         spec = self.balancer.settings.classes[arrival.job_class]
         request = Request(self._last_request_id, client, payload, spec, claim)
@@ -86,11 +86,11 @@
             if not isinstance(recall, propagation.RecallAttempt):
                 continue
             if (attempt := request.attempts[recall.number]).outcome is None:
-                self.actions.give_up(now, attempt, Outcome.MOOT)
+                self.actions.cancel_attempt(now, attempt, Outcome.MOOT)
         for probe in [probe for probe in request.probes if not probe.written]:
             self.actions.recall(now, probe)
 
-    def answer_by(self, until: int) -> None:
+    def limit_deadlines(self, until: int) -> None:
         """Shorten the deadlines of open requests to `until` (us), before the process may be killed."""
         for request in list(self.requests.values()):
             if not request.answered and request.due > until:
@@ -195,7 +195,7 @@
         request = attempt.request
         if attempt.outcome is not None or not self.deadline_tracker.may_start(now, request.claim):
             return Outcome.MOOT
-        if not request.client.present():  # the event loop may not have read its close yet
+        if not request.client.is_connected():  # the event loop may not have read its close yet
             return Outcome.MOOT
         max_delay_us = MAX_WRITE_DELAY_US + TRANSIT_TICKS * self.balancer.settings.tick_us
         if not attempt.arrives_within_repeat_window(now + max_delay_us):
@@ -287,7 +287,7 @@
         self.deadline_tracker.step(now, propagation.DeadlinePassed(request.claim))
         for attempt in request.attempts:
             if attempt.outcome is None:
-                self.actions.give_up(now, attempt, Outcome.TIMEOUT, now_or_never=True)
+                self.actions.cancel_attempt(now, attempt, Outcome.TIMEOUT, force=True)
         if not request.answered:
             log_event("overdue-unanswered")
             self.give_final_answer(now, request.id, Failed())
--- a/cedarmill/core/observer.py
+++ b/cedarmill/core/observer.py
@@ -11,7 +11,7 @@
 class DispatchObserver:
     """Receives the dispatch's events, and is asked for permission before anything is sent."""
 
-    def place_request(self, arrival: api.RequestArrived) -> None:
+    def constrain_request(self, arrival: api.RequestArrived) -> None:
         """Set on an arriving request the zones where it may run and whether it is shed."""
 
     def on_report(self, now: int, executor: int, report: api.LoadReport) -> None:
--- a/cedarmill/core/ports.py
+++ b/cedarmill/core/ports.py
@@ -12,16 +12,16 @@
 class ClientPort(Protocol):
     """Receives the final answer of a request, exactly once."""
 
-    def served(self, result: Any) -> None:
+    def send_result(self, result: Any) -> None:
         """Send the result of the successful attempt to the client."""
 
-    def refused(self, retry_after_us: int) -> None:
+    def send_refusal(self, retry_after_us: int) -> None:
         """Answer that nothing ran and a retry is safe; 0 means that no retry time is suggested."""
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """Answer that the request failed and its effect is unknown."""
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether the client is known to be connected; withdraw the requests of one that has left."""
 
 
@@ -31,10 +31,10 @@
     def send(self, attempt: "Attempt") -> None:
         """Send an attempt to its executor."""
 
-    def cancel(self, attempt: "Attempt", now_or_never: bool = False) -> bool:
+    def cancel(self, attempt: "Attempt", force: bool = False) -> bool:
         """Cancel an attempt and return whether it has ended for this node.
 
-        False means that it cannot be cancelled and runs on until its own end; `now_or_never` forces the end.
+        False means that it cannot be cancelled and runs on until its own end; `force` forces the end.
         """
 
     def probe(self, probe: "Probe") -> None:
@@ -54,15 +54,15 @@
 class AbsentClient:
     """Client port of a disconnected client whose work continues, as the setting `on_leave` allows."""
 
-    def served(self, result: Any) -> None:
+    def send_result(self, result: Any) -> None:
         """Discard the answer."""
 
-    def refused(self, retry_after_us: int) -> None:
+    def send_refusal(self, retry_after_us: int) -> None:
         """Discard the answer."""
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """Discard the answer."""
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         """Return True, so that the work continues although nobody waits for the answer."""
         return True
--- a/cedarmill/core/requests.py
+++ b/cedarmill/core/requests.py
@@ -21,7 +21,7 @@
 
     def deliver_to(self, client: ClientPort) -> None:
         """Send the answer to the client."""
-        client.served(self.result)
+        client.send_result(self.result)
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
 
     def deliver_to(self, client: ClientPort) -> None:
         """Send the answer to the client."""
-        client.refused(self.retry_after_us)
+        client.send_refusal(self.retry_after_us)
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
 
     def deliver_to(self, client: ClientPort) -> None:
         """Send the answer to the client."""
-        client.failed()
+        client.send_failure()
 
 
 FinalAnswer = Served | Refused | Failed
--- a/cedarmill/deadlines/margins.py
+++ b/cedarmill/deadlines/margins.py
@@ -49,13 +49,13 @@
         margin = min(max(margin, options.margin_floor_us), options.margin_us)
         return min(margin, budget // MARGIN_BUDGET_DIVISOR)
 
-    def for_answer(self, budget: int) -> int:
+    def answer_margin(self, budget: int) -> int:
         """Return the margin (us) that covers this node's own lag, so that the answer leaves in time."""
         if not self.is_learned:
             return min(self.options.margin_us, budget // MARGIN_BUDGET_DIVISOR)
         return self._clamp(self.lag.upper_bound(), budget)
 
-    def remaining_for_executor(self, executor: int, remaining: int) -> int:
+    def executor_budget(self, executor: int, remaining: int) -> int:
         """Return the budget (us) to send to an executor: the remaining time less the network round trip."""
         if not self.is_learned or remaining <= 0:
             return max(0, remaining)
--- a/cedarmill/deadlines/propagation.py
+++ b/cedarmill/deadlines/propagation.py
@@ -1,7 +1,7 @@
 """Tracks per request whether work is still wanted, as a state machine: `DeadlineTracker.step(now, event)`.
 
-TRANSITIONS lists all state changes of a claim, and STARTS the states in which new work may start. All times
-are whole microseconds of the node's monotonic clock.
+TRANSITIONS lists all state changes of a claim, and STARTABLE_STATES the states in which new work may start.
+All times are whole microseconds of the node's monotonic clock.
 """
 
 from collections.abc import Callable
@@ -41,7 +41,7 @@
     (ClaimState.OPEN, ClaimEvent.EXPIRE): ClaimState.EXPIRED,
     (ClaimState.OPEN, ClaimEvent.ANSWER): ClaimState.ANSWERED,
 }
-STARTS = frozenset((ClaimState.OPEN,))  # states in which an attempt or a probe may be started or completed
+STARTABLE_STATES = frozenset((ClaimState.OPEN,))  # states in which attempts and probes may start or complete
 WASTE_CAUSES = {
     ClaimState.CLIENT_LEFT: Cause.CLIENT_LEFT,
     ClaimState.EXPIRED: Cause.DEADLINE_PASSED,
@@ -175,7 +175,7 @@
 
     def may_start(self, now: int, claim: Claim) -> bool:
         """Return whether new work may start for a claim: an attempt, its last byte or a probe."""
-        return claim.state in STARTS and now < claim.due
+        return claim.state in STARTABLE_STATES and now < claim.due
 
     def worth_starting(self, now: int, claim: Claim) -> bool:
         """Return whether the remaining time covers the configured quantile of the class's running times."""
--- a/cedarmill/deadlines/sources.py
+++ b/cedarmill/deadlines/sources.py
@@ -20,7 +20,7 @@
     """A deadline header is missing or malformed; the one-line message names the header."""
 
 
-class ClocksDiffer(InvalidDeadline):
+class ClockSkewExceeded(InvalidDeadline):
     """An absolute deadline is so far ahead that the sender's clock must be wrong."""
 
 
@@ -52,12 +52,12 @@
 def _parse_absolute_deadline(name: str, text: bytes, context: ParseContext) -> int:
     """Return the time until an absolute deadline by this node's clock, less the maximum clock skew.
 
-    Raise ClocksDiffer if more time remains than a request of the class may have, because then the clocks
+    Raise ClockSkewExceeded if more time remains than a request of the class may have, because then the clocks
     differ by more than the maximum skew.
     """
     remaining = _parse_integer(name, text) * 1000 - context.arrived_unix_us
     if remaining > context.max_budget_us + context.options.skew_us:
-        raise ClocksDiffer(f"bad {name}: {remaining // 1000} ms ahead, are the clocks set?")
+        raise ClockSkewExceeded(f"bad {name}: {remaining // 1000} ms ahead, are the clocks set?")
     return max(0, remaining - context.options.skew_us)
 
 
@@ -69,14 +69,14 @@
 }
 
 
-def granted_budget(
+def parse_budget(
     headers: Mapping[bytes, bytes], options: DeadlineOptions, max_budget_us: int, arrived_unix_us: int
 ) -> int:
     """Return a request's remaining budget (us): the smallest one in its headers, or 0 for a passed deadline.
 
     The class's `max_budget_us` caps the result. `arrived_unix_us`, the Unix time of the request's arrival, is
     used for absolute deadlines only. Raise InvalidDeadline if a configured header is malformed or none is
-    present, and its subclass ClocksDiffer if the clocks differ too much.
+    present, and its subclass ClockSkewExceeded if the clocks differ too much.
     """
     context = ParseContext(options, max_budget_us, arrived_unix_us)
     budgets = [
--- a/cedarmill/deadlines/waste_ledger.py
+++ b/cedarmill/deadlines/waste_ledger.py
@@ -38,7 +38,7 @@
         sums[2] += int(after)
         sums[3] += int(guessed)
 
-    def take(self) -> list[WasteRow]:
+    def drain_rows(self) -> list[WasteRow]:
         """Return the totals since the last call, sorted by class and cause, and reset them."""
         rows = [WasteRow(*key, *sums) for key, sums in sorted(self._sums.items())]
         self._sums.clear()
--- a/cedarmill/net/clients/connection.py
+++ b/cedarmill/net/clients/connection.py
@@ -27,18 +27,22 @@
 
     transport: asyncio.Transport  # Set by `connection_made`.
 
-    def __init__(self, driver: EventLoopDriver, half_close_leaves: bool, unread_since: int | None) -> None:
+    def __init__(
+        self, driver: EventLoopDriver, is_half_close_disconnect: bool, unread_since: int | None
+    ) -> None:
         """`unread_since`: earliest time at which input may have been waiting in the accept backlog (us)."""
         self.driver = driver
         self.unread_since = unread_since  # Also set while reading is paused.
         self.created_at = driver.now()
-        self.lifecycle = SessionLifecycle(self.created_at, limits.TIMES, half_close_leaves=half_close_leaves)
+        self.lifecycle = SessionLifecycle(
+            self.created_at, limits.TIMES, is_half_close_disconnect=is_half_close_disconnect
+        )
         self.connected = False
         self._last_unacknowledged_bytes = 0  # Value of the previous progress check while closing.
         self._deadline_timer: Timer | None = None
         self._deadline_at: int | None = None
-        self._hang_up_check_timer: Timer | None = None
-        self._hang_up_check_at: int | None = None
+        self._presence_check_timer: Timer | None = None
+        self._presence_check_at: int | None = None
 
     # Hooks that the subclass implements.
 
@@ -74,7 +78,7 @@
         """Process an event and return the resulting action, which the caller carries out."""
         lifecycle = self.lifecycle
         action = lifecycle.step(self.driver.now(), event)
-        if lifecycle.deadline != self._deadline_at or lifecycle.hang_up_check_at != self._hang_up_check_at:
+        if lifecycle.deadline != self._deadline_at or lifecycle.presence_check_at != self._presence_check_at:
             self.set_timers()
         return action
 
@@ -85,18 +89,20 @@
             timers.cancel(self._deadline_timer)
             self._deadline_at = due = lifecycle.deadline
             self._deadline_timer = timers.add(due, self._deadline_passed) if due is not None else None
-        if lifecycle.hang_up_check_at != self._hang_up_check_at:
-            timers.cancel(self._hang_up_check_timer)
-            self._hang_up_check_at = due = lifecycle.hang_up_check_at
-            self._hang_up_check_timer = timers.add(due, self._hang_up_check_due) if due is not None else None
+        if lifecycle.presence_check_at != self._presence_check_at:
+            timers.cancel(self._presence_check_timer)
+            self._presence_check_at = due = lifecycle.presence_check_at
+            self._presence_check_timer = (
+                timers.add(due, self._presence_check_due) if due is not None else None
+            )
 
     def _deadline_passed(self, now: int) -> None:
         self._deadline_at = None
         self.run_guarded(lambda: self.handle(SessionEvent.DEADLINE_PASSED))
 
-    def _hang_up_check_due(self, now: int) -> None:
-        self._hang_up_check_at = None
-        self.run_guarded(lambda: self.handle(SessionEvent.HANG_UP_CHECK_DUE))
+    def _presence_check_due(self, now: int) -> None:
+        self._presence_check_at = None
+        self.run_guarded(lambda: self.handle(SessionEvent.PRESENCE_CHECK_DUE))
 
     def run_guarded(self, call: Callable[[], object]) -> None:
         """Run a call made outside of a transport callback; an exception aborts only this connection."""
@@ -111,7 +117,7 @@
 
     def _check_can_make_room(self) -> None:
         if not self.has_unread_input():
-            self.handle(SessionEvent.ROOM_CONFIRMED)
+            self.handle(SessionEvent.EVICTION_CONFIRMED)
 
     def _check_read_progress(self) -> None:
         """Report whether the client has read any of the data still in the transport's write buffer.
@@ -151,7 +157,7 @@
 
     def set_reading_paused(self, paused: bool) -> None:
         """Pause or resume reading; a failed call is retried later."""
-        if paused == self.lifecycle.paused or self.transport.is_closing():
+        if paused == self.lifecycle.is_reading_paused or self.transport.is_closing():
             return
         try:
             if paused:
@@ -172,7 +178,7 @@
         """Return whether the client has disconnected, or None if the kernel cannot be queried."""
         if self.transport.is_closing():
             return True
-        return is_peer_closed(self.transport, half_close_counts=self.lifecycle.half_close_leaves)
+        return is_peer_closed(self.transport, half_close_counts=self.lifecycle.is_half_close_disconnect)
 
     def drop_if_client_left(self) -> bool:
         """End the session if the client has disconnected; return whether it has."""
@@ -200,8 +206,8 @@
 
 
 ACTION_HANDLERS: dict[SessionAction, Callable[[ClientConnection], object]] = {
-    SessionAction.ANSWER_LATE: methodcaller("answer_timeout"),
-    SessionAction.ANSWER_OWED: methodcaller("answer_pending"),
+    SessionAction.ANSWER_TIMED_OUT: methodcaller("answer_timeout"),
+    SessionAction.ANSWER_ALL_WITH_ERRORS: methodcaller("answer_pending"),
     SessionAction.END_SENDING: methodcaller("_end_sending"),
     SessionAction.WITHDRAW: methodcaller("withdraw"),
     SessionAction.ABORT: methodcaller("_abort"),
@@ -209,7 +215,7 @@
     SessionAction.RESUME_READING: methodcaller("set_reading_paused", False),
     SessionAction.LIST_AS_IDLE: methodcaller("list_as_idle"),
     SessionAction.CHECK_UNREAD: methodcaller("_check_unread"),
-    SessionAction.CHECK_ROOM: methodcaller("_check_can_make_room"),
+    SessionAction.CHECK_EVICTABLE: methodcaller("_check_can_make_room"),
     SessionAction.CHECK_READER: methodcaller("_check_read_progress"),
     SessionAction.CHECK_CLIENT: methodcaller("drop_if_client_left"),
 }
--- a/cedarmill/net/clients/routes.py
+++ b/cedarmill/net/clients/routes.py
@@ -4,7 +4,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from cedarmill.deadlines.sources import ClocksDiffer, InvalidDeadline, granted_budget
+from cedarmill.deadlines.sources import ClockSkewExceeded, InvalidDeadline, parse_budget
 from cedarmill.decisions import interface as api
 from cedarmill.log import log_event
 from cedarmill.net.clients.request import ClientRequest, ClientRequestError
@@ -112,10 +112,10 @@
     """Return the time by which the response must be sent: the client's deadline less the node's margin."""
     received_unix_us = time.time_ns() // 1000 - (now - message.earliest_sent_at)
     try:
-        budget = granted_budget(message.headers, server.options, max_budget, received_unix_us)
+        budget = parse_budget(message.headers, server.options, max_budget, received_unix_us)
     except InvalidDeadline as error:
-        if isinstance(error, ClocksDiffer):
+        if isinstance(error, ClockSkewExceeded):
             log_event("clock-off", reason=str(error))
         raise ClientRequestError(400, str(error)) from None
-    due = message.earliest_sent_at + budget - server.dispatch.deadline_tracker.margins.for_answer(budget)
+    due = message.earliest_sent_at + budget - server.dispatch.deadline_tracker.margins.answer_margin(budget)
     return min(due, server.answer_by) if server.answer_by else due
--- a/cedarmill/net/clients/server.py
+++ b/cedarmill/net/clients/server.py
@@ -122,7 +122,7 @@
 
     def record_valid_request(self, session: ClientSession) -> None:
         """Record that the session has sent a valid request."""
-        session.lifecycle.proven = True
+        session.lifecycle.has_sent_request = True
         self.unproven_sessions.pop(session, None)
 
     def list_idle(self, session: ClientSession) -> None:
--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -19,7 +19,7 @@
 # Module-level aliases: an enum member lookup on its class is slow, and these are used for each request.
 _REQUEST_BEGUN = SessionEvent.REQUEST_BEGUN
 _REQUEST_READ = SessionEvent.REQUEST_READ
-_SERVICE_WANTED = SessionEvent.SERVICE_WANTED
+_SERVE_REQUESTED = SessionEvent.SERVE_REQUESTED
 _LAST_ANSWER_WRITTEN = SessionEvent.LAST_ANSWER_WRITTEN
 _ANSWER_WRITTEN = SessionEvent.ANSWER_WRITTEN
 _SERVE_IF_PRESENT = SessionAction.SERVE_IF_PRESENT
@@ -67,7 +67,7 @@
         the flush, so the open request is withdrawn here already.
         """
         self.handle(SessionEvent.CLIENT_ENDED_SENDING)
-        return self.lifecycle.open
+        return self.lifecycle.is_open
 
     def pause_writing(self) -> None:
         """Send no more responses until the client reads those already written."""
@@ -83,14 +83,14 @@
     def data_received(self, data: bytes) -> None:
         """Parse input and serve complete requests; discard input after the last response."""
         lifecycle, reader = self.lifecycle, self.reader
-        lifecycle.heard_at = self.driver.now()
-        if lifecycle.open and not reader.is_stopped:
+        lifecycle.last_byte_at = self.driver.now()
+        if lifecycle.is_open and not reader.is_stopped:
             reader.feed(data)
             self.advance()
         else:
             self.discarded_bytes += len(data)
             self.set_reading_paused(self.discarded_bytes > limits.MAX_DISCARDED_BYTES)
-        if self.unread_since is not None and not lifecycle.paused and not self.has_unread_input():
+        if self.unread_since is not None and not lifecycle.is_reading_paused and not self.has_unread_input():
             self.unread_since = None  # All waiting input has been read.
 
     # Callbacks of the request reader.
@@ -98,20 +98,20 @@
     def on_request_begun(self) -> None:
         """Record that a request has begun to arrive."""
         lifecycle = self.lifecycle
-        lifecycle.step(lifecycle.heard_at, _REQUEST_BEGUN)
+        lifecycle.step(lifecycle.last_byte_at, _REQUEST_BEGUN)
         self.server.unlist_idle(self)
 
     def on_request_read(self) -> None:
         """Record that a request was queued."""
         lifecycle = self.lifecycle
-        lifecycle.step(lifecycle.heard_at, _REQUEST_READ)
+        lifecycle.step(lifecycle.last_byte_at, _REQUEST_READ)
 
     def on_continue_expected(self) -> None:
         """Send `100 Continue`, unless an earlier request is still unanswered."""
         if self.current_message is None:
             self.send(response.CONTINUE)
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether the client is still connected; drop the session if not.
 
         False also if the kernel cannot be queried: no work is started for a client that may be gone.
@@ -141,11 +141,11 @@
     def is_idle(self) -> bool:
         """Whether the session is open with no request pending or arriving."""
         lifecycle = self.lifecycle
-        return lifecycle.open and not lifecycle.owes and not lifecycle.arriving
+        return lifecycle.is_open and not lifecycle.has_unanswered_requests and not lifecycle.is_receiving
 
     def abort(self) -> None:
         """Answer all requests that were read with 500 and close, after a callback raised an exception."""
-        if not self.lifecycle.open or not self.connected:
+        if not self.lifecycle.is_open or not self.connected:
             self.drop()
             return
         try:
@@ -156,14 +156,14 @@
 
     def end_if_idle(self, for_room: bool = False) -> None:
         """Close the session if it is idle; `for_room`: a new client waits for a free slot."""
-        self.handle(SessionEvent.END_IDLE_FOR_ROOM if for_room else SessionEvent.END_IF_IDLE)
+        self.handle(SessionEvent.EVICT_IDLE if for_room else SessionEvent.END_IF_IDLE)
 
     def give_way(self) -> bool:
         """Close unless a request is complete or still arriving; return whether the session closes."""
-        self.handle(SessionEvent.ROOM_WANTED)
-        if self.lifecycle.open:
+        self.handle(SessionEvent.EVICTION_REQUESTED)
+        if self.lifecycle.is_open:
             return False
-        self.step(SessionEvent.ROOM_WANTED)  # In a closing session, this shortens the deadline.
+        self.step(SessionEvent.EVICTION_REQUESTED)  # In a closing session, this shortens the deadline.
         return True
 
     def answer_before_kill(self) -> None:
@@ -177,12 +177,12 @@
         The current request gets `in_flight_status`, queued and incomplete ones get `unsent_status`, and a
         rejected one gets its own error.
         """
-        if not self.lifecycle.open:
+        if not self.lifecycle.is_open:
             return
         self._withdraw_request()
         self.reader.stop_parsing()
         action = self.step(SessionEvent.ANSWER_ALL)
-        if action is SessionAction.ANSWER_OWED:
+        if action is SessionAction.ANSWER_ALL_WITH_ERRORS:
             self._answer_pending(in_flight_status, unsent_status)
         elif action is not None:
             ACTION_HANDLERS[action](self)
@@ -198,16 +198,16 @@
         last = requests[-1] if requests else self.current_message
         if last is not None:
             last.keep_alive = False
-        while self.lifecycle.open and (self.current_message is not None or requests):
+        while self.lifecycle.is_open and (self.current_message is not None or requests):
             if self.current_message is None:
-                self.step(_SERVICE_WANTED)
+                self.step(_SERVE_REQUESTED)
                 self.current_message, status = requests.popleft(), unsent_status
             fault = self.current_message.fault
             if fault is None:
                 self.answer(status, response.error_body(status))
             else:
                 self.answer(fault.status, str(fault).encode() + b"\n")
-        if self.lifecycle.open:
+        if self.lifecycle.is_open:
             self.drop()
 
     # Requests in order.
@@ -215,7 +215,7 @@
     def advance(self) -> None:
         """Serve queued requests while the client reads its responses."""
         while True:
-            action = self.step(_SERVICE_WANTED)
+            action = self.step(_SERVE_REQUESTED)
             if action is _SERVE_IF_PRESENT:
                 if self.drop_if_client_left():
                     return
@@ -268,16 +268,16 @@
 
     # Results from the dispatch.
 
-    def served(self, result: bytes) -> None:
+    def send_result(self, result: bytes) -> None:
         """Send the result of an executor."""
         self._send_final_answer(200, result)
 
-    def refused(self, retry_after_us: int) -> None:
+    def send_refusal(self, retry_after_us: int) -> None:
         """Answer 503: the request was not run; a `retry_after_us` of 0 omits Retry-After."""
         advice = b"Retry-After: %.3f\r\n" % (retry_after_us / 1e6) if retry_after_us else b""
         self._send_final_answer(503, b"refused\n", advice)
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """Answer 502: the request failed."""
         self._send_final_answer(502, b"failed\n")
 
@@ -291,7 +291,7 @@
         """Send the response to the current request; ignored once the session is closing."""
         message, self.current_message = self.current_message, None
         lifecycle, server = self.lifecycle, self.server
-        if message is None or not lifecycle.open:
+        if message is None or not lifecycle.is_open:
             return
         last = lifecycle.is_last_answer(message.keep_alive, server.closing or server.draining_clients)
         if self.send(response.compose(message, status, body, headers, last)):
--- a/cedarmill/net/cluster/observer.py
+++ b/cedarmill/net/cluster/observer.py
@@ -16,10 +16,10 @@
     def __init__(self, role: "NodeRole") -> None:
         self._role, self._routing, self._gossip = role, role.routing, role.gossip
 
-    def place_request(self, arrival: api.RequestArrived) -> None:
+    def constrain_request(self, arrival: api.RequestArrived) -> None:
         """Let the routing plan say where it may run."""
         if self._routing is not None:
-            self._routing.place_request(arrival)
+            self._routing.constrain_request(arrival)
 
     def on_report(self, now: int, executor: int, report: api.LoadReport) -> None:
         """Pass a load report on to the peers that use the same executor."""
--- a/cedarmill/net/cluster/routing.py
+++ b/cedarmill/net/cluster/routing.py
@@ -78,7 +78,7 @@
         numbers = self.discovery.reader.zones
         return tuple(sorted(numbers[name] for name in names if name in numbers))
 
-    def place_request(self, arrival: api.RequestArrived) -> None:
+    def constrain_request(self, arrival: api.RequestArrived) -> None:
         """Set where a request may run, by its class or tenant, the stricter, and whether it is shed."""
         bound = self.class_bounds[arrival.job_class]
         if arrival.tenant < len(self.tenant_bounds):
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -75,7 +75,7 @@
             adapter.dispatch = self.dispatch
         self.reload = ConfigurationReload(self.driver, path, config, self.discovery, self._is_draining)
         class_names = [spec.name for spec in settings.classes]
-        self.waste_log = WasteLog(self.driver, deadline_tracker, class_names, options.ledger_every_us)
+        self.waste_log = WasteLog(self.driver, deadline_tracker, class_names, options.waste_log_interval_us)
         self.admin_handlers = AdminHandlers(
             self.driver, self.clients, self.discovery, config.name, self._is_draining
         )
--- a/cedarmill/net/shutdown.py
+++ b/cedarmill/net/shutdown.py
@@ -56,7 +56,7 @@
         now, timers = self.driver.now(), self.driver.timers
         kill_at = now + KILL_DELAY_US + min(self.longest_deadline_us, MAX_DEADLINE_BEFORE_KILL_US)
         answer_by = self.clients.answer_by = kill_at - KILL_MARGIN_US
-        self.dispatch.answer_by(answer_by)
+        self.dispatch.limit_deadlines(answer_by)
         timers.add(answer_by + FORCED_ANSWER_DELAY_US, self.clients.answer_all)
         accept_until = now  # An inherited socket stays open in the platform: a new process accepts on it.
         if not self.socket_is_inherited:
--- a/cedarmill/net/upstream/exchange.py
+++ b/cedarmill/net/upstream/exchange.py
@@ -141,9 +141,7 @@
         """Return the client's request with the executor's remaining time."""
         message = self.attempt.request.payload
         margins = self.pools.dispatch.deadline_tracker.margins
-        remaining_us = margins.remaining_for_executor(
-            self.pool.executor_number, self.attempt.request.due - now
-        )
+        remaining_us = margins.executor_budget(self.pool.executor_number, self.attempt.request.due - now)
         lines = [
             b"%s %s HTTP/1.1" % (message.method, message.target),
             b"Host: " + str(self.pool.address.host).encode(),
--- a/cedarmill/net/upstream/pool.py
+++ b/cedarmill/net/upstream/pool.py
@@ -122,7 +122,7 @@
         exchange_kind = RelayedAttemptExchange if pool.kind.speaks == "node" else AttemptExchange
         pool.submit(exchange_kind(self, pool, attempt))
 
-    def cancel(self, attempt: Attempt, now_or_never: bool = False) -> bool:
+    def cancel(self, attempt: Attempt, force: bool = False) -> bool:
         """Cancel an attempt in the way its executor supports; return whether the attempt is over here.
 
         An attempt that is not fully sent is cancelled by closing its connection.
@@ -132,7 +132,7 @@
         if exchange is None or connection is None or connection.exchange is not exchange:
             return True
         cancel_mode = exchange.pool.kind.cancel if attempt.written else "blind"
-        if cancel_mode == "none" and not now_or_never:
+        if cancel_mode == "none" and not force:
             return False
         if cancel_mode == "end":
             connection.half_close()
--- a/cedarmill/net/waste_log.py
+++ b/cedarmill/net/waste_log.py
@@ -32,7 +32,7 @@
         """Log the wasted work; without `quiet`, also if there was none."""
         rows = [
             {**row._asdict(), "job_class": self.class_names[row.job_class]}
-            for row in self.tracker.ledger.take()
+            for row in self.tracker.ledger.drain_rows()
         ]
         summary = "; ".join(ROW_FORMAT.format(**_in_seconds(row)) for row in rows)
         if rows or not quiet:
--- a/cedarmill/values.py
+++ b/cedarmill/values.py
@@ -12,7 +12,7 @@
 SOURCES = ("x-budget-ms", "grpc-timeout", "x-envoy-expected-rq-timeout-ms", "x-deadline-unix-ms")
 """Request headers from which a deadline can be read."""
 
-NOT_SET = -1
+UNUSED = -1
 """Marks a field of LimitOptions that the limit does not use."""
 
 
@@ -79,9 +79,9 @@
 
     kind: str
     per: str
-    most: int = NOT_SET
-    share: int = NOT_SET  # thousandths of the targets
-    capacity_left: int = NOT_SET  # thousandths of the slots that must remain in service
+    most: int = UNUSED
+    share: int = UNUSED  # thousandths of the targets
+    capacity_left: int = UNUSED  # thousandths of the slots that must remain in service
 
 
 class BudgetOptions(NamedTuple):
@@ -143,7 +143,7 @@
     deadlines: DeadlineOptions = field(default_factory=DeadlineOptions)
     health: HealthOptions = field(default_factory=HealthOptions)
     kinds: dict[str, KindOptions] = field(default_factory=dict)  # `*` applies to all kinds that are not named
-    ledger_every_us: int = 60_000_000  # interval between `wasted-work` log events
+    waste_log_interval_us: int = 60_000_000  # interval between `wasted-work` log events
     cluster: ClusterOptions | None = None
 
     def kind(self, name: str) -> KindOptions:
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -85,7 +85,7 @@
         shipped = Settings(ROOT / "deploy/cedarmill.xml")
         self.assertEqual(shipped.options.deadlines, Options().deadlines)
         self.assertEqual(shipped.options.kind("any"), Options().kind("any"))
-        self.assertEqual(shipped.options.ledger_every_us, Options().ledger_every_us)
+        self.assertEqual(shipped.options.waste_log_interval_us, Options().waste_log_interval_us)
         unset = [row.name for row in shipped.effective if row.origin == "default"]
         off = [f"health.{kind}.listen" for kind in ("agent", "http", "grpc")]
         self.assertEqual(unset, [*off, "fleet"])  # no words in the file say it
--- a/tests/core/test_client_session.py
+++ b/tests/core/test_client_session.py
@@ -20,7 +20,7 @@
     S.IDLE: {
         E.REQUEST_BEGUN: (None, S.RECEIVING),
         E.REQUEST_READ: (None, S.ANSWERING),
-        E.SERVICE_WANTED: (None, S.IDLE),
+        E.SERVE_REQUESTED: (None, S.IDLE),
         E.WRITING_BLOCKED: (None, S.IDLE),
         E.WRITING_RESUMED: (None, S.IDLE),
         E.READING_PAUSED: (None, S.IDLE),
@@ -33,17 +33,17 @@
         E.DEADLINE_PASSED: (A.CHECK_UNREAD, S.IDLE),
         E.BYTES_UNREAD: (None, S.IDLE),
         E.NOTHING_UNREAD: (A.END_SENDING, S.CLOSING),
-        E.HANG_UP_CHECK_DUE: (None, S.IDLE),
+        E.PRESENCE_CHECK_DUE: (None, S.IDLE),
         E.END_IF_IDLE: (A.END_SENDING, S.CLOSING),
-        E.END_IDLE_FOR_ROOM: (A.END_SENDING, S.CLOSING),
-        E.ROOM_WANTED: (A.CHECK_ROOM, S.IDLE),
-        E.ROOM_CONFIRMED: (A.ABORT, S.GONE),
+        E.EVICT_IDLE: (A.END_SENDING, S.CLOSING),
+        E.EVICTION_REQUESTED: (A.CHECK_EVICTABLE, S.IDLE),
+        E.EVICTION_CONFIRMED: (A.ABORT, S.GONE),
         E.ANSWER_ALL: (A.END_SENDING, S.CLOSING),
     },
     S.RECEIVING: {
         E.REQUEST_BEGUN: (None, S.RECEIVING),
         E.REQUEST_READ: (None, S.ANSWERING),
-        E.SERVICE_WANTED: (None, S.RECEIVING),
+        E.SERVE_REQUESTED: (None, S.RECEIVING),
         E.WRITING_BLOCKED: (None, S.RECEIVING),
         E.WRITING_RESUMED: (None, S.RECEIVING),
         E.READING_PAUSED: (None, S.RECEIVING),
@@ -55,16 +55,16 @@
         E.ABORT_FAILED: (None, S.RECEIVING),
         E.DEADLINE_PASSED: (A.CHECK_UNREAD, S.RECEIVING),
         E.BYTES_UNREAD: (None, S.RECEIVING),
-        E.NOTHING_UNREAD: (A.ANSWER_LATE, S.RECEIVING),
-        E.HANG_UP_CHECK_DUE: (None, S.RECEIVING),
-        E.ROOM_WANTED: (A.CHECK_ROOM, S.RECEIVING),
-        E.ROOM_CONFIRMED: (A.ANSWER_LATE, S.RECEIVING),
-        E.ANSWER_ALL: (A.ANSWER_OWED, S.ANSWERING),
+        E.NOTHING_UNREAD: (A.ANSWER_TIMED_OUT, S.RECEIVING),
+        E.PRESENCE_CHECK_DUE: (None, S.RECEIVING),
+        E.EVICTION_REQUESTED: (A.CHECK_EVICTABLE, S.RECEIVING),
+        E.EVICTION_CONFIRMED: (A.ANSWER_TIMED_OUT, S.RECEIVING),
+        E.ANSWER_ALL: (A.ANSWER_ALL_WITH_ERRORS, S.ANSWERING),
     },
     S.ANSWERING: {
         E.REQUEST_BEGUN: (None, S.ANSWERING),
         E.REQUEST_READ: (None, S.ANSWERING),
-        E.SERVICE_WANTED: (None, S.ANSWERING),
+        E.SERVE_REQUESTED: (None, S.ANSWERING),
         E.ANSWER_WRITTEN: (None, S.IDLE),
         E.LAST_ANSWER_WRITTEN: (A.END_SENDING, S.CLOSING),
         E.WRITING_BLOCKED: (None, S.ANSWERING),
@@ -78,9 +78,9 @@
         E.ABORT_FAILED: (None, S.ANSWERING),
         E.DEADLINE_PASSED: (A.CHECK_UNREAD, S.ANSWERING),
         E.BYTES_UNREAD: (None, S.ANSWERING),
-        E.NOTHING_UNREAD: (A.ANSWER_OWED, S.ANSWERING),  # the client does not read its answers
-        E.HANG_UP_CHECK_DUE: (None, S.ANSWERING),
-        E.ANSWER_ALL: (A.ANSWER_OWED, S.ANSWERING),
+        E.NOTHING_UNREAD: (A.ANSWER_ALL_WITH_ERRORS, S.ANSWERING),  # the client does not read its answers
+        E.PRESENCE_CHECK_DUE: (None, S.ANSWERING),
+        E.ANSWER_ALL: (A.ANSWER_ALL_WITH_ERRORS, S.ANSWERING),
     },
     S.CLOSING: {
         E.READING_PAUSED: (None, S.CLOSING),
@@ -93,9 +93,9 @@
         E.DEADLINE_PASSED: (A.CHECK_READER, S.CLOSING),
         E.READER_PROGRESSED: (None, S.CLOSING),
         E.READER_STALLED: (A.ABORT, S.GONE),
-        E.HANG_UP_CHECK_DUE: (None, S.CLOSING),
-        E.ROOM_WANTED: (None, S.CLOSING),
-        E.END_IDLE_FOR_ROOM: (None, S.CLOSING),
+        E.PRESENCE_CHECK_DUE: (None, S.CLOSING),
+        E.EVICTION_REQUESTED: (None, S.CLOSING),
+        E.EVICT_IDLE: (None, S.CLOSING),
     },
     S.GONE: {
         E.CLIENT_ENDED_SENDING: (A.WITHDRAW, S.GONE),
@@ -105,15 +105,15 @@
         E.DEADLINE_PASSED: (A.CHECK_READER, S.GONE),
         E.READER_PROGRESSED: (A.ABORT, S.GONE),  # the limit for slow readers has passed
         E.READER_STALLED: (A.ABORT, S.GONE),
-        E.ROOM_WANTED: (None, S.GONE),
-        E.END_IDLE_FOR_ROOM: (None, S.GONE),
+        E.EVICTION_REQUESTED: (None, S.GONE),
+        E.EVICT_IDLE: (None, S.GONE),
     },
     S.CLOSED: {},
 }
 EVENTS_TO_REACH = {  # events that lead from a new connection to a state
     S.IDLE: (),
     S.RECEIVING: (E.REQUEST_BEGUN,),
-    S.ANSWERING: (E.REQUEST_BEGUN, E.REQUEST_READ, E.SERVICE_WANTED),
+    S.ANSWERING: (E.REQUEST_BEGUN, E.REQUEST_READ, E.SERVE_REQUESTED),
     S.CLOSING: (E.END_IF_IDLE,),
     S.GONE: (E.CLIENT_LEFT,),
     S.CLOSED: (E.CONNECTION_LOST,),
@@ -123,7 +123,7 @@
 def new_session(
     now: int = 0, ends_on_half_close: bool = True, times: SessionTimes = TIMES
 ) -> SessionLifecycle:
-    return SessionLifecycle(now, times, half_close_leaves=ends_on_half_close)
+    return SessionLifecycle(now, times, is_half_close_disconnect=ends_on_half_close)
 
 
 def session_after(*events: SessionEvent, now: int = 0, ends_on_half_close: bool = True) -> SessionLifecycle:
@@ -136,7 +136,7 @@
 def proven_session(now: int = 0) -> SessionLifecycle:
     """Return a connection whose first valid request was answered at `now`."""
     lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING], now=now)
-    lifecycle.proven = True
+    lifecycle.has_sent_request = True
     lifecycle.step(now, E.ANSWER_WRITTEN)
     return lifecycle
 
@@ -152,7 +152,7 @@
                 lifecycle = session_after(*EVENTS_TO_REACH[state])
                 self.assertIs(lifecycle.state, state)
                 before = field_values(lifecycle)
-                # `SECOND` is longer than `room_grace`, so that an incomplete request counts as stalled.
+                # `SECOND` is longer than `eviction_grace`, so that an incomplete request counts as stalled.
                 action = lifecycle.step(SECOND, event)
                 if event in OUTCOMES[state]:
                     self.assertEqual((action, lifecycle.state), OUTCOMES[state][event])
@@ -175,7 +175,7 @@
     def test_half_closed_client_gets_its_answer_if_configured(self):
         lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING], ends_on_half_close=False)
         self.assertIsNone(lifecycle.step(0, E.CLIENT_ENDED_SENDING))
-        self.assertTrue(lifecycle.open)
+        self.assertTrue(lifecycle.is_open)
         self.assertTrue(lifecycle.is_last_answer(keep_alive=True, draining=False))
         idle = session_after(ends_on_half_close=False)
         self.assertEqual(idle.step(0, E.CLIENT_ENDED_SENDING), A.WITHDRAW)
@@ -192,21 +192,21 @@
 
     def test_reading_pauses_while_pipelined_requests_wait(self):
         lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING], E.REQUEST_BEGUN, E.REQUEST_READ)
-        self.assertEqual(lifecycle.step(0, E.SERVICE_WANTED), A.PAUSE_READING)
+        self.assertEqual(lifecycle.step(0, E.SERVE_REQUESTED), A.PAUSE_READING)
         lifecycle.step(0, E.READING_PAUSED)
-        self.assertEqual(lifecycle.hang_up_check_at, TIMES.hang_up_check)
-        self.assertEqual(lifecycle.step(TIMES.hang_up_check, E.HANG_UP_CHECK_DUE), A.CHECK_CLIENT)
-        self.assertEqual(lifecycle.hang_up_check_at, 2 * TIMES.hang_up_check)
+        self.assertEqual(lifecycle.presence_check_at, TIMES.presence_check_interval)
+        self.assertEqual(lifecycle.step(TIMES.presence_check_interval, E.PRESENCE_CHECK_DUE), A.CHECK_CLIENT)
+        self.assertEqual(lifecycle.presence_check_at, 2 * TIMES.presence_check_interval)
         lifecycle.step(SECOND, E.ANSWER_WRITTEN)
-        self.assertEqual(lifecycle.step(SECOND, E.SERVICE_WANTED), A.SERVE_IF_PRESENT)
-        self.assertEqual(lifecycle.step(SECOND, E.SERVICE_WANTED), A.RESUME_READING)
+        self.assertEqual(lifecycle.step(SECOND, E.SERVE_REQUESTED), A.SERVE_IF_PRESENT)
+        self.assertEqual(lifecycle.step(SECOND, E.SERVE_REQUESTED), A.RESUME_READING)
 
     def test_client_with_a_valid_request_is_listed_as_idle_between_requests(self):
         lifecycle = session_after(*EVENTS_TO_REACH[S.ANSWERING])
-        lifecycle.proven = True
+        lifecycle.has_sent_request = True
         self.assertEqual(lifecycle.step(0, E.ANSWER_WRITTEN), A.LIST_AS_IDLE)
         blocked = session_after(*EVENTS_TO_REACH[S.ANSWERING], E.WRITING_BLOCKED)
-        blocked.proven = True
+        blocked.has_sent_request = True
         self.assertIsNone(blocked.step(0, E.ANSWER_WRITTEN))  # the answer is not completely sent
         self.assertEqual(blocked.step(0, E.WRITING_RESUMED), A.LIST_AS_IDLE)
 
@@ -215,23 +215,25 @@
     """Tests the time limits in the order of `docs/design/endings.md`."""
 
     def send_partial_request(self, lifecycle: SessionLifecycle, now: int) -> None:
-        lifecycle.heard_at = now
+        lifecycle.last_byte_at = now
         lifecycle.step(now, E.REQUEST_BEGUN)
-        lifecycle.step(now, E.SERVICE_WANTED)
+        lifecycle.step(now, E.SERVE_REQUESTED)
 
     def test_stalled_client_is_answered_in_time_despite_two_write_delays(self):
         for lifecycle in (new_session(), proven_session()):
             self.send_partial_request(lifecycle, now=100)
             self.assertLessEqual(lifecycle.deadline, 100 + STALLED_CLIENT_LIMIT - 2 * MAX_WRITE_DELAY)
-            self.assertLessEqual(TIMES.unread + MAX_WRITE_DELAY, STALLED_CLIENT_LIMIT - TIMES.stopped)
+            self.assertLessEqual(
+                TIMES.unread_extension + MAX_WRITE_DELAY, STALLED_CLIENT_LIMIT - TIMES.stalled_request
+            )
 
     def test_bytes_extend_the_deadline_up_to_the_limit_for_slow_requests(self):
         lifecycle = proven_session()
         self.send_partial_request(lifecycle, now=0)
         for now in range(0, 20 * SECOND, SECOND):
-            lifecycle.heard_at = now
-            lifecycle.step(now, E.SERVICE_WANTED)
-            self.assertEqual(lifecycle.deadline, min(now + TIMES.stopped, TIMES.slow_request))
+            lifecycle.last_byte_at = now
+            lifecycle.step(now, E.SERVE_REQUESTED)
+            self.assertEqual(lifecycle.deadline, min(now + TIMES.stalled_request, TIMES.slow_request))
 
     def test_first_request_times_out_from_the_opening_or_the_last_answer(self):
         lifecycle = new_session()
@@ -239,7 +241,7 @@
         self.send_partial_request(lifecycle, now=2 * SECOND)
         self.assertEqual(lifecycle.deadline, TIMES.first_request)
         lifecycle.step(2 * SECOND, E.REQUEST_READ)
-        lifecycle.step(2 * SECOND, E.SERVICE_WANTED)
+        lifecycle.step(2 * SECOND, E.SERVE_REQUESTED)
         lifecycle.step(3 * SECOND, E.ANSWER_WRITTEN)  # an error, so the client has sent no valid request
         self.assertEqual(lifecycle.deadline, 3 * SECOND + TIMES.first_request)
 
@@ -248,11 +250,11 @@
         self.assertEqual(lifecycle.deadline, SECOND + TIMES.idle)
         lifecycle.step(2 * SECOND, E.END_IF_IDLE)
         self.assertEqual(lifecycle.deadline, 2 * SECOND + TIMES.linger)
-        lifecycle.step(2 * SECOND, E.ROOM_WANTED)
-        self.assertEqual(lifecycle.deadline, 2 * SECOND + TIMES.room_error_linger)
+        lifecycle.step(2 * SECOND, E.EVICTION_REQUESTED)
+        self.assertEqual(lifecycle.deadline, 2 * SECOND + TIMES.eviction_error_linger)
         evicted = proven_session()
-        evicted.step(0, E.END_IDLE_FOR_ROOM)
-        self.assertEqual(evicted.deadline, TIMES.room_linger)
+        evicted.step(0, E.EVICT_IDLE)
+        self.assertEqual(evicted.deadline, TIMES.eviction_linger)
 
     def test_deadline_is_extended_once_for_unread_bytes(self):
         lifecycle = proven_session()
@@ -260,8 +262,10 @@
         timed_out_at = lifecycle.deadline
         self.assertEqual(lifecycle.step(timed_out_at, E.DEADLINE_PASSED), A.CHECK_UNREAD)
         self.assertIsNone(lifecycle.step(timed_out_at, E.BYTES_UNREAD))
-        self.assertEqual(lifecycle.deadline, timed_out_at + TIMES.unread)
-        self.assertEqual(lifecycle.step(timed_out_at + TIMES.unread, E.DEADLINE_PASSED), A.ANSWER_LATE)
+        self.assertEqual(lifecycle.deadline, timed_out_at + TIMES.unread_extension)
+        self.assertEqual(
+            lifecycle.step(timed_out_at + TIMES.unread_extension, E.DEADLINE_PASSED), A.ANSWER_TIMED_OUT
+        )
 
     def test_slow_reader_may_finish_while_it_progresses_up_to_the_limit(self):
         lifecycle, now = proven_session(), 0
@@ -277,14 +281,16 @@
     def test_only_stalled_requests_are_evicted(self):
         lifecycle = new_session()
         self.send_partial_request(lifecycle, now=SECOND)
-        self.assertIsNone(lifecycle.step(SECOND + TIMES.room_grace - 1, E.ROOM_CONFIRMED))
-        self.assertEqual(lifecycle.step(SECOND + TIMES.room_grace, E.ROOM_CONFIRMED), A.ANSWER_LATE)
+        self.assertIsNone(lifecycle.step(SECOND + TIMES.eviction_grace - 1, E.EVICTION_CONFIRMED))
+        self.assertEqual(
+            lifecycle.step(SECOND + TIMES.eviction_grace, E.EVICTION_CONFIRMED), A.ANSWER_TIMED_OUT
+        )
 
     def test_failed_abort_is_retried(self):
         lifecycle = session_after(E.CLIENT_LEFT)
         for now in (0, SECOND):
             lifecycle.step(now, E.ABORT_FAILED)
-            self.assertEqual(lifecycle.deadline, now + TIMES.abort_again)
+            self.assertEqual(lifecycle.deadline, now + TIMES.abort_retry_interval)
             self.assertEqual(lifecycle.step(lifecycle.deadline, E.DEADLINE_PASSED), A.CHECK_READER)
             self.assertEqual(lifecycle.step(SECOND, E.READER_STALLED), A.ABORT)
 
@@ -299,7 +305,7 @@
     def __init__(self, seed: int) -> None:
         self.random, self.now = Random(seed), 0
         self.lifecycle = new_session(ends_on_half_close=self.random.random() < 0.7)
-        self.lifecycle.proven = self.random.random() < 0.5
+        self.lifecycle.has_sent_request = self.random.random() < 0.5
         self.requests_read = self.end_count = 0
         self.closing_request = 0  # number of the request that closes the connection, or 0
         self.queue: list[int] = []
@@ -320,7 +326,7 @@
 
     def serve_requests(self) -> None:
         while True:
-            action = self.lifecycle.step(self.now, E.SERVICE_WANTED)
+            action = self.lifecycle.step(self.now, E.SERVE_REQUESTED)
             if action not in (A.SERVE, A.SERVE_IF_PRESENT):
                 break
             assert self.serving is None
@@ -336,24 +342,24 @@
         self.write_answer(number, last)
 
     def write_answer(self, number: int, last: bool) -> None:
-        assert self.lifecycle.open, "answer after the end of the connection"
+        assert self.lifecycle.is_open, "answer after the end of the connection"
         self.answers.append(number)
         self.event(E.LAST_ANSWER_WRITTEN if last else E.ANSWER_WRITTEN)
 
-    def on_answer_late(self) -> None:
+    def on_answer_timed_out(self) -> None:
         self.read_request()
         self.closing_request = self.requests_read
         self.serve_requests()
 
-    def on_answer_owed(self) -> None:
-        if self.lifecycle.arriving:
+    def on_answer_all_with_errors(self) -> None:
+        if self.lifecycle.is_receiving:
             self.read_request()
         elif self.lifecycle.queued_requests > len(self.queue):  # ANSWER_ALL has queued the incomplete request
             self.requests_read += 1
             self.queue.append(self.requests_read)
         while self.serving is not None or self.queue:
             if self.serving is None:
-                self.lifecycle.step(self.now, E.SERVICE_WANTED)
+                self.lifecycle.step(self.now, E.SERVE_REQUESTED)
                 self.serving = self.queue.pop(0)
             number, self.serving = self.serving, None
             self.write_answer(number, last=not self.queue)
@@ -382,9 +388,9 @@
     def on_check_unread(self) -> None:
         self.event(E.BYTES_UNREAD if self.random.random() < 0.3 else E.NOTHING_UNREAD)
 
-    def on_check_room(self) -> None:
+    def on_check_evictable(self) -> None:
         if self.random.random() < 0.7:
-            self.event(E.ROOM_CONFIRMED)
+            self.event(E.EVICTION_CONFIRMED)
 
     def on_check_reader(self) -> None:
         self.event(E.READER_PROGRESSED if self.random.random() < 0.5 else E.READER_STALLED)
@@ -397,11 +403,16 @@
 
     def receive_bytes(self) -> None:
         lifecycle = self.lifecycle
-        if not lifecycle.open or lifecycle.paused or lifecycle.is_half_closed or self.closing_request:
+        if (
+            not lifecycle.is_open
+            or lifecycle.is_reading_paused
+            or lifecycle.is_half_closed
+            or self.closing_request
+        ):
             return
-        lifecycle.heard_at = self.now
+        lifecycle.last_byte_at = self.now
         for _ in range(self.random.randrange(1, 4)):
-            if not lifecycle.arriving:
+            if not lifecycle.is_receiving:
                 self.event(E.REQUEST_BEGUN)
             if self.random.random() < 0.7:
                 self.read_request()
@@ -416,14 +427,14 @@
             self.serve_requests()
 
     def advance_time(self) -> None:
-        due = [at for at in (self.lifecycle.deadline, self.lifecycle.hang_up_check_at) if at is not None]
+        due = [at for at in (self.lifecycle.deadline, self.lifecycle.presence_check_at) if at is not None]
         if not due:
             return
         self.now = max(self.now, min(due))
         if self.lifecycle.deadline is not None and self.lifecycle.deadline <= self.now:
             self.event(E.DEADLINE_PASSED)
-        if self.lifecycle.hang_up_check_at is not None and self.lifecycle.hang_up_check_at <= self.now:
-            self.event(E.HANG_UP_CHECK_DUE)
+        if self.lifecycle.presence_check_at is not None and self.lifecycle.presence_check_at <= self.now:
+            self.event(E.PRESENCE_CHECK_DUE)
 
     def toggle_write_blocked(self) -> None:
         if self.lifecycle.is_write_blocked:
@@ -437,7 +448,7 @@
         self.event(E.END_IF_IDLE)
 
     def request_eviction(self) -> None:
-        self.event(self.random.choice((E.ROOM_WANTED, E.END_IDLE_FOR_ROOM)))
+        self.event(self.random.choice((E.EVICTION_REQUESTED, E.EVICT_IDLE)))
 
     def announce_kill(self) -> None:
         self.event(E.ANSWER_ALL)
@@ -456,9 +467,9 @@
 
     def check_state(self) -> None:
         lifecycle = self.lifecycle
-        assert lifecycle.queued_requests == len(self.queue) or not lifecycle.open
-        assert lifecycle.is_serving == (self.serving is not None) or not lifecycle.open
-        if lifecycle.open and self.serving is None:
+        assert lifecycle.queued_requests == len(self.queue) or not lifecycle.is_open
+        assert lifecycle.is_serving == (self.serving is not None) or not lifecycle.is_open
+        if lifecycle.is_open and self.serving is None:
             assert lifecycle.deadline is not None, "open connection without a deadline"
 
     def finish(self) -> None:
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -45,7 +45,7 @@
     def send(self, attempt) -> None:
         self._record("send", self.sent, attempt)
 
-    def cancel(self, attempt, now_or_never: bool = False) -> None:
+    def cancel(self, attempt, force: bool = False) -> None:
         self._record("cancel", self.cancelled, attempt)
 
     def probe(self, probe) -> None:
@@ -57,17 +57,17 @@
     def watch(self) -> None:
         self._record("watch", [], None)
 
-    def served(self, result) -> None:
-        self._record("served", self.answers, ("served", result))
+    def send_result(self, result) -> None:
+        self._record("send_result", self.answers, ("served", result))
 
-    def refused(self, retry_after_us: int) -> None:
-        self._record("refused", self.answers, ("refused", retry_after_us))
+    def send_refusal(self, retry_after_us: int) -> None:
+        self._record("send_refusal", self.answers, ("refused", retry_after_us))
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         return True
 
-    def failed(self) -> None:
-        self._record("failed", self.answers, ("failed",))
+    def send_failure(self) -> None:
+        self._record("send_failure", self.answers, ("failed",))
 
 
 class DispatchTest(unittest.TestCase):
@@ -155,7 +155,7 @@
 
     def test_exception_in_the_client_port_does_not_leave_the_request_open(self):
         """A session may be closed while its answer is written."""
-        self.ports.failing_calls.add("refused")
+        self.ports.failing_calls.add("send_refusal")
         self.arrive(api.Refuse(1, 20))
         self.assert_all_finished(("refused", 20))
 
@@ -210,7 +210,7 @@
         """A request on a hanging executor would otherwise stay open until the process is killed."""
         self.arrive(api.Send(1, 1), due=5_000_000)
         self.arrive(due=1_000)
-        self.dispatch.answer_by(2_000_000)
+        self.dispatch.limit_deadlines(2_000_000)
         self.sweep(1_000)
         self.assertEqual(self.ports.answers, [("failed",)])
         self.sweep(1_999_999)
--- a/tests/deadlines/test_deadlines.py
+++ b/tests/deadlines/test_deadlines.py
@@ -12,7 +12,7 @@
 from cedarmill.core.timers import Timers
 from cedarmill.deadlines import propagation
 from cedarmill.deadlines.margins import Margins
-from cedarmill.deadlines.sources import ClocksDiffer, InvalidDeadline, granted_budget
+from cedarmill.deadlines.sources import ClockSkewExceeded, InvalidDeadline, parse_budget
 from cedarmill.deadlines.waste_ledger import Cause, WasteRow
 from cedarmill.deadlines.worth_starting import RunningTimeQuantile
 from cedarmill.decisions import interface as api
@@ -27,9 +27,9 @@
 ARRIVED_UNIX_US = 1_800_000_000_000_000
 
 
-def parse_budget(**headers: str) -> int:
+def parse_headers(**headers: str) -> int:
     by_header = {name.replace("_", "-").encode(): value.encode() for name, value in headers.items()}
-    return granted_budget(by_header, ALL_SOURCES, MAX_BUDGET_US, ARRIVED_UNIX_US)
+    return parse_budget(by_header, ALL_SOURCES, MAX_BUDGET_US, ARRIVED_UNIX_US)
 
 
 class DeadlineHeadersTest(unittest.TestCase):
@@ -44,12 +44,12 @@
             ({"x_deadline_unix_ms": str(ARRIVED_UNIX_US // 1000 + 1000)}, 950_000),
         ):  # fmt: skip
             with self.subTest(headers):
-                self.assertEqual(parse_budget(**headers), expected)
+                self.assertEqual(parse_headers(**headers), expected)
 
     def test_smallest_of_several_budgets_is_used(self):
         """A hop may have shortened only one of the headers."""
         headers = {"x_budget_ms": "900", "grpc_timeout": "2S", "x_envoy_expected_rq_timeout_ms": "300"}
-        self.assertEqual(parse_budget(**headers), 300_000)
+        self.assertEqual(parse_headers(**headers), 300_000)
 
     def test_malformed_or_missing_header_is_rejected(self):
         """Ignoring a malformed header would mean to guess how long the client waits."""
@@ -61,18 +61,18 @@
                 self.subTest(name, value=value),
                 self.assertRaisesRegex(InvalidDeadline, name.replace("_", "-")),
             ):
-                parse_budget(**{"x_budget_ms": "100", name: value})
+                parse_headers(**{"x_budget_ms": "100", name: value})
         with self.assertRaises(InvalidDeadline):
-            parse_budget()
+            parse_headers()
 
     def test_absolute_deadline_from_a_clock_5_s_off(self):
         """A clock 5 s behind gives a passed deadline; one 5 s ahead is detected or a relative header wins."""
         unix_ms = ARRIVED_UNIX_US // 1000
-        self.assertEqual(parse_budget(x_deadline_unix_ms=str(unix_ms + 4000 - 5000)), 0)
-        with self.assertRaisesRegex(ClocksDiffer, "clocks"):
-            parse_budget(x_deadline_unix_ms=str(unix_ms + 2000 + 5000))
+        self.assertEqual(parse_headers(x_deadline_unix_ms=str(unix_ms + 4000 - 5000)), 0)
+        with self.assertRaisesRegex(ClockSkewExceeded, "clocks"):
+            parse_headers(x_deadline_unix_ms=str(unix_ms + 2000 + 5000))
         self.assertEqual(
-            parse_budget(x_deadline_unix_ms=str(unix_ms + 500 + 5000), x_budget_ms="500"), 500_000
+            parse_headers(x_deadline_unix_ms=str(unix_ms + 500 + 5000), x_budget_ms="500"), 500_000
         )
 
     @given(st.integers(-50_000, 50_000), st.integers(0, MAX_BUDGET_US))
@@ -80,7 +80,7 @@
         """The maximum skew is subtracted from an absolute deadline that a proxy with a wrong clock wrote."""
         proxy_deadline_us = ARRIVED_UNIX_US + clock_offset + remaining
         headers = {b"x-deadline-unix-ms": str(proxy_deadline_us // 1000).encode()}
-        self.assertLessEqual(granted_budget(headers, ALL_SOURCES, MAX_BUDGET_US, ARRIVED_UNIX_US), remaining)
+        self.assertLessEqual(parse_budget(headers, ALL_SOURCES, MAX_BUDGET_US, ARRIVED_UNIX_US), remaining)
 
 
 class MarginsTest(unittest.TestCase):
@@ -93,7 +93,7 @@
         margins = self.learned_margins()
         for round_trip in round_trips:
             margins.record_round_trip(1, round_trip)
-        passed = margins.remaining_for_executor(1, remaining)
+        passed = margins.executor_budget(1, remaining)
         self.assertLessEqual(passed, remaining)
         self.assertGreaterEqual(passed, remaining - min(margins.options.margin_us, remaining // 10))
 
@@ -105,8 +105,8 @@
             for _ in range(50):
                 margins.record_lag(lag)
                 margins.record_round_trip(1, round_trip)
-            due = remaining - margins.for_answer(remaining)
-            passed = margins.remaining_for_executor(1, due)
+            due = remaining - margins.answer_margin(remaining)
+            passed = margins.executor_budget(1, due)
             # The answer returns before this hop's deadline.
             self.assertLessEqual(passed + round_trip + lag, remaining)
             total_margin += remaining - passed
@@ -120,8 +120,8 @@
         """The margin is 20 ms or a tenth of a short budget; none is subtracted for an executor."""
         margins = Margins(DeadlineOptions())
         margins.record_round_trip(1, 9_000)
-        self.assertEqual([margins.for_answer(1_000_000), margins.for_answer(50_000)], [20_000, 5_000])
-        self.assertEqual(margins.remaining_for_executor(1, 700), 700)
+        self.assertEqual([margins.answer_margin(1_000_000), margins.answer_margin(50_000)], [20_000, 5_000])
+        self.assertEqual(margins.executor_budget(1, 700), 700)
 
 
 class RunningTimeQuantileTest(unittest.TestCase):
@@ -168,7 +168,7 @@
         return request
 
     def take_waste(self) -> list[WasteRow]:
-        return self.dispatch.deadline_tracker.ledger.take()
+        return self.dispatch.deadline_tracker.ledger.drain_rows()
 
     def sweep(self, now: int) -> None:
         for call in self.timers.sweep(now):
@@ -260,7 +260,7 @@
     def test_uncancellable_attempt_counts_as_running_until_it_ends(self):
         """Counting its slots as free too early would send new work to a full executor."""
         request = self.send_attempt()
-        self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
+        self.ports.cancel = lambda attempt, force=False: force
         self.ports.replies[api.RequestWithdrawn] = [api.Cancel(1, 0)]
         self.dispatch.withdraw(1_000_000, request)
         self.assertIsNone(request.attempts[0].outcome)
@@ -271,7 +271,7 @@
     def test_uncancellable_attempt_that_answers_is_not_waste(self):
         """An attempt that outlives its cancellation and serves the client is not charged as waste."""
         request = self.send_attempt()
-        self.ports.cancel = lambda attempt, now_or_never=False: now_or_never
+        self.ports.cancel = lambda attempt, force=False: force
         self.dispatch.actions.cancel(300_000, api.Cancel(request.id, 0))
         self.dispatch.attempt_ended(800_000, request.attempts[0], Outcome.OK, None, b"x")
         self.assertEqual((self.ports.answers, self.take_waste()), ([("served", b"x")], []))
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -554,7 +554,7 @@
         clients.list_idle(session)
         session.transport.closed = True
         session.end_if_idle(for_room=True)
-        self.assertFalse(session.lifecycle.open)
+        self.assertFalse(session.lifecycle.is_open)
 
 
 class NoRoom(AdminApiCase):
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -217,7 +217,7 @@
             EventLoopDriver(loop, self.timers), settings(SAFE), 8, DeadlineOptions()
         )
         clients.dispatch, request = Mock(), Mock(answered=False, attempts=[])
-        clients.dispatch.deadline_tracker.margins.for_answer.return_value = 0
+        clients.dispatch.deadline_tracker.margins.answer_margin.return_value = 0
         clients.dispatch.arrive.return_value = request
         clients.classes = {"pin": 0}
         clients._acceptor = Mock()
