--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -100,7 +100,7 @@
             self._rejoin(AdminRequest(AdminAction.REJOIN))
 
     def _ready(self, request: AdminRequest) -> AdminResponse:
-        if self.clients.ready():
+        if self.clients.is_ready():
             return AdminResponse(HTTPStatus.OK, b"ready\n")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"not ready\n")
 
@@ -138,9 +138,9 @@
         return AdminResponse(HTTPStatus.OK, done)
 
     def _drain_clients(self, request: AdminRequest) -> AdminResponse:
-        if not self.clients.draining_clients:
+        if not self.clients.is_draining_clients:
             self._drains += 1
-            self.clients.drain_clients(True)
+            self.clients.set_draining_clients(True)
             log_event("clients-draining", sessions=len(self.clients.sessions))
             drain = self._drains
             self.driver.timers.add(
@@ -149,14 +149,14 @@
         return AdminResponse(HTTPStatus.OK, b"evacuating\n")
 
     def _close_idle(self, now: int, drain: int) -> None:
-        if self.clients.draining_clients and drain == self._drains:
+        if self.clients.is_draining_clients and drain == self._drains:
             self.clients.close_idle()
             self.driver.timers.add(now + CLOSE_IDLE_AGAIN_US, lambda now: self._close_idle(now, drain))
 
     def _rejoin(self, request: AdminRequest) -> AdminResponse:
         if self.ending():
             return AdminResponse(HTTPStatus.CONFLICT, b"the process is ending\n")
-        if self.clients.draining_clients:
-            self.clients.drain_clients(False)
+        if self.clients.is_draining_clients:
+            self.clients.set_draining_clients(False)
             log_event("rejoined")
         return AdminResponse(HTTPStatus.OK, b"rejoined\n")
--- a/cedarmill/net/admin/server.py
+++ b/cedarmill/net/admin/server.py
@@ -14,15 +14,15 @@
 from cedarmill.admin.errors import RequestRejectedError
 from cedarmill.admin.routes import AdminRequest, AdminResponse
 from cedarmill.log import log_event
-from cedarmill.net.bounded_sessions import BoundedListener, BoundedSession, Overflow, SessionBounds
-from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.bounded_sessions import BoundedListener, BoundedSession, ListenerLimits, OverflowPolicy
+from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
 SESSIONS = 16  # open at once: an operator's tools make a few calls, not hundreds
 DESCRIPTORS = SESSIONS + 1  # with the listening socket
 CALL_US = 2_000_000  # for a request to arrive whole: requests are a line and a few headers
 LINGER_US = 1_000_000  # for the caller to read the answer
 MAX_CALL = 8 * 1024  # bytes of head and body together
-BOUNDS = SessionBounds(SESSIONS, SESSIONS, SESSIONS * 4, Overflow.OLDEST, CALL_US)
+BOUNDS = ListenerLimits(SESSIONS, SESSIONS, SESSIONS * 4, OverflowPolicy.OLDEST, CALL_US)
 HEAD = b"HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n%s\r\n"
 
 Answer = Callable[[AdminResponse], None]  # where a cluster is asked first, it comes later
@@ -42,20 +42,20 @@
         self._target = b""
         self._size = 0
 
-    def closed(self) -> None:
+    def on_close(self) -> None:
         """Let go of the parser, which refers back."""
         del self._parser
 
     def eof_received(self) -> bool:
         """Answer a caller that stops sending before its request is whole; one answered gets nothing more."""
-        if not self.over:
+        if not self.is_finished:
             self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, b"the call ended before it was whole\n"))
         return True
 
-    @callback
+    @guarded_callback
     def data_received(self, data: bytes) -> None:
         """Read the request; what is wrong with it is answered at once."""
-        if self.over:
+        if self.is_finished:
             return
         self._size += len(data)
         try:
@@ -93,21 +93,21 @@
             self.answer(_rejection(refused), headers, method)
             return
         # from here on the caller waits for this process: a lock, or the cluster
-        self.end_in(CALL_US)
+        self.set_deadline(CALL_US)
         self._server.carry_out(request, lambda response: self.answer(response, b"", method))
 
     def answer(self, response: AdminResponse, headers: bytes = b"", method: bytes = b"") -> None:
         """Give the one answer, then end the connection; `headers` are whole lines."""
-        if self.over or not self.writable:
+        if self.is_finished or not self.is_writable:
             return
         status, body = response.status, response.body
         text = HEAD % (status, status.phrase.encode(), len(body), headers)
-        self.end_in(LINGER_US)
+        self.set_deadline(LINGER_US)
         self.finish(text if method == b"HEAD" else text + body)
 
-    def late(self) -> None:
+    def on_deadline(self) -> None:
         """Say that the request took too long; an answer that is not read is given up."""
-        if self.over:
+        if self.is_finished:
             self.abort()
         else:
             self.answer(AdminResponse(HTTPStatus.REQUEST_TIMEOUT, b"the call did not arrive in time\n"))
--- a/cedarmill/net/bounded_sessions.py
+++ b/cedarmill/net/bounded_sessions.py
@@ -12,13 +12,13 @@
 from cedarmill.core.timers import Timer
 from cedarmill.net.config import Address
 from cedarmill.net.listener import Acceptor, listening_socket
-from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.loop import EventLoopDriver, guarded_callback
 from cedarmill.net.socket_state import TRANSPORT_ERRORS
 
 ABORT_RETRY_US = 50_000
 
 
-class Overflow(enum.Enum):
+class OverflowPolicy(enum.Enum):
     """Which session is closed when a connection arrives at the session limit."""
 
     OLDEST = enum.auto()
@@ -26,13 +26,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SessionBounds:
+class ListenerLimits:
     """Limits of a listener."""
 
     max_sessions: int
     accept_batch: int  # Connections per loop iteration, held briefly beyond `max_sessions`.
     backlog: int
-    overflow: Overflow
+    overflow: OverflowPolicy
     first_request_us: int  # Time for a session to send its first request.
 
 
@@ -44,63 +44,63 @@
     def __init__(self, listener: "BoundedListener[Any]") -> None:
         """`listener`: the owner, which counts the session against its limit."""
         self.driver = listener.driver
-        self.over = False  # The last data was sent; further input is ignored.
+        self.is_finished = False  # The last data was sent; further input is ignored.
         self._listener = listener
         self._connected = False
         self._deadline: Timer | None = None
 
-    @callback
+    @guarded_callback
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the session, or abort the connection if the listener is at its limit."""
         self.transport, self._connected = cast(asyncio.Transport, transport), True
         if self._listener.add(self):
-            self.end_in(self._listener.bounds.first_request_us)
-            self.opened()
+            self.set_deadline(self._listener.bounds.first_request_us)
+            self.on_open()
         else:
             self.abort()
 
-    @callback
+    @guarded_callback
     def connection_lost(self, error: Exception | None) -> None:
         """Unregister the session."""
         self.driver.timers.cancel(self._deadline)
         self._listener.remove(self)
-        self.closed()
+        self.on_close()
 
     @property
-    def writable(self) -> bool:
+    def is_writable(self) -> bool:
         """Whether data can be sent."""
         return self._connected and not self.transport.is_closing()
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         """Hook: the connection is established."""
 
-    def closed(self) -> None:
+    def on_close(self) -> None:
         """Hook: the connection is closed; subclasses drop references that form cycles."""
 
-    def late(self) -> None:
+    def on_deadline(self) -> None:
         """Hook: the deadline has passed; aborts the connection by default."""
         self.abort()
 
-    def end_in(self, span: int) -> None:
-        """Set the deadline: `late` is called after `span` microseconds."""
-        self.stay()
-        self._deadline = self.driver.timers.add(self.driver.now() + span, self._on_deadline)
+    def set_deadline(self, span: int) -> None:
+        """Set the deadline: `on_deadline` is called after `span` microseconds."""
+        self.cancel_deadline()
+        self._deadline = self.driver.timers.add(self.driver.now() + span, self._deadline_passed)
 
-    def stay(self) -> None:
+    def cancel_deadline(self) -> None:
         """Cancel the deadline."""
         self.driver.timers.cancel(self._deadline)
         self._deadline = None
 
-    def _on_deadline(self, now: int) -> None:
+    def _deadline_passed(self, now: int) -> None:
         self._deadline = None
-        self.late()
+        self.on_deadline()
 
     def finish(self, text: bytes) -> None:
         """Send the last data and shut down the sending side, so that the peer closes the connection.
 
         Closing a socket with unread input would reset the connection before the peer has read the data.
         """
-        self.over = True
+        self.is_finished = True
         if not self.send(text):
             return
         try:
@@ -124,8 +124,8 @@
         try:
             self.transport.abort()
         except TRANSPORT_ERRORS:
-            self.over = True
-            self.stay()
+            self.is_finished = True
+            self.cancel_deadline()
             self._deadline = self.driver.timers.add(
                 self.driver.now() + ABORT_RETRY_US, lambda now: self.abort()
             )
@@ -143,7 +143,7 @@
         self,
         driver: EventLoopDriver,
         name: str,
-        bounds: SessionBounds,
+        bounds: ListenerLimits,
         open_session: Callable[[], AnySession],
     ) -> None:
         """`name`: the name of the listener in the log."""
@@ -154,14 +154,14 @@
 
     def listen(self, address: Address) -> None:
         """Bind the address and start accepting; raises OSError."""
-        drops_oldest = self.bounds.overflow is Overflow.OLDEST
+        drops_oldest = self.bounds.overflow is OverflowPolicy.OLDEST
         self._acceptor = Acceptor(
             self.driver,
             listening_socket(address, self.bounds.backlog),
             self._open_session,
             listener=self.name,
             batch=self.bounds.accept_batch,
-            has_room=self._has_room,
+            can_accept=self._can_accept,
             on_exhausted=self._drop_oldest if drops_oldest else lambda: None,
         )
         self.port = self._acceptor.port
@@ -169,7 +169,7 @@
 
     def add(self, session: AnySession) -> bool:
         """Register a session; return False if the listener is at its limit."""
-        if self.bounds.overflow is Overflow.NEWEST and len(self.sessions) >= self.bounds.max_sessions:
+        if self.bounds.overflow is OverflowPolicy.NEWEST and len(self.sessions) >= self.bounds.max_sessions:
             return False
         self.sessions[session] = None
         return True
@@ -178,10 +178,10 @@
         """Unregister a session, if it is registered."""
         self.sessions.pop(session, None)
 
-    def _has_room(self) -> bool:
+    def _can_accept(self) -> bool:
         """Return True always; at the limit the oldest session is dropped here, or the newest in `add`."""
         full = len(self.sessions) + self._acceptor.opening_count >= self.bounds.max_sessions
-        if full and self.bounds.overflow is Overflow.OLDEST:
+        if full and self.bounds.overflow is OverflowPolicy.OLDEST:
             self._drop_oldest()
         return True
 
--- a/cedarmill/net/clients/connection.py
+++ b/cedarmill/net/clients/connection.py
@@ -115,7 +115,7 @@
     def _check_unread(self) -> None:
         self.handle(SessionEvent.BYTES_UNREAD if self.has_unread_input() else SessionEvent.NOTHING_UNREAD)
 
-    def _check_can_make_room(self) -> None:
+    def _check_evictable(self) -> None:
         if not self.has_unread_input():
             self.handle(SessionEvent.EVICTION_CONFIRMED)
 
@@ -215,7 +215,7 @@
     SessionAction.RESUME_READING: methodcaller("set_reading_paused", False),
     SessionAction.LIST_AS_IDLE: methodcaller("list_as_idle"),
     SessionAction.CHECK_UNREAD: methodcaller("_check_unread"),
-    SessionAction.CHECK_EVICTABLE: methodcaller("_check_can_make_room"),
+    SessionAction.CHECK_EVICTABLE: methodcaller("_check_evictable"),
     SessionAction.CHECK_READER: methodcaller("_check_read_progress"),
     SessionAction.CHECK_CLIENT: methodcaller("drop_if_client_left"),
 }
--- a/cedarmill/net/clients/routes.py
+++ b/cedarmill/net/clients/routes.py
@@ -26,7 +26,7 @@
     if path == b"/ready":
         if message.method != b"GET":
             raise ClientRequestError(405, "GET only")
-        ready = server.ready()
+        ready = server.is_ready()
         server.record_valid_request(session)
         session.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
     elif server.options.cancel_calls and message.method == b"DELETE":
--- a/cedarmill/net/clients/server.py
+++ b/cedarmill/net/clients/server.py
@@ -44,9 +44,9 @@
     _acceptor: Acceptor  # Set by `listen`.
 
     def __init__(
-        self, driver: EventLoopDriver, settings: api.Settings, bound: int, options: DeadlineOptions
+        self, driver: EventLoopDriver, settings: api.Settings, max_sessions: int, options: DeadlineOptions
     ) -> None:
-        self.driver, self.bound, self.options = driver, bound, options
+        self.driver, self.max_sessions, self.options = driver, max_sessions, options
         self.unrepeatable_headers = UNREPEATABLE_HEADERS.union(name.encode() for name in options.sources)
         self.classes = {spec.name: n for n, spec in enumerate(settings.classes)}
         self.deadlines = [spec.deadline_us for spec in settings.classes]
@@ -55,8 +55,8 @@
         self.unproven_sessions: dict[ClientSession, None] = {}  # Oldest session first.
         self.idle_sessions: dict[ClientSession, None] = {}  # Longest idle session first.
         self.sessions_by_call_id: dict[bytes, ClientSession] = {}
-        self.draining = self.closing = False
-        self.draining_clients = False  # Connections close after their next response.
+        self.is_draining = self.closing = False
+        self.is_draining_clients = False  # Connections close after their next response.
         # Time by which all requests must be answered (us); 0 before the shutdown.
         self.answer_by = 0
         self.port = 0
@@ -72,16 +72,16 @@
             lambda: ClientSession(self, self._acceptor.backlog_waiting_since),
             listener="clients",
             batch=ACCEPT_BATCH,
-            has_room=self._has_room,
+            can_accept=self._can_accept,
         )
         self.port = self._acceptor.port
         self._acceptor.resume()
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the node can serve requests."""
-        return bool(self.dispatch.ready_executors) and not self.draining
+        return bool(self.dispatch.ready_executors) and not self.is_draining
 
-    def _has_room(self) -> bool:
+    def _can_accept(self) -> bool:
         """Return whether one more session is allowed; at the limit, try to evict others."""
         if self._is_full():
             self._make_room()
@@ -99,7 +99,7 @@
             for session in islice(self.unproven_sessions, ACCEPT_BATCH)
             if session.created_at <= now - limits.MIN_SESSION_AGE_US
         ]
-        leaving = [session for session in candidates if session.give_way()]
+        leaving = [session for session in candidates if session.make_room()]
         if not leaving:
             leaving = [
                 session
@@ -112,7 +112,7 @@
         if leaving:
             self._acceptor.pause()  # `remove` resumes accepting.
         else:
-            log_event("sessions-full", bound=self.bound)
+            log_event("sessions-full", bound=self.max_sessions)
             self._acceptor.resume_later()
 
     def add(self, session: ClientSession) -> None:
@@ -142,13 +142,13 @@
 
     # Draining and shutdown.
 
-    def drain(self) -> None:
+    def start_draining(self) -> None:
         """Report not ready, but keep serving: clients may not have found another node yet."""
-        self.draining = True
+        self.is_draining = True
 
-    def drain_clients(self, active: bool) -> None:
+    def set_draining_clients(self, active: bool) -> None:
         """Start or stop draining clients: `/ready` fails, and connections close after their next response."""
-        self.draining = self.draining_clients = active
+        self.is_draining = self.is_draining_clients = active
 
     def stop_listening(self, accept_backlog: bool = True) -> None:
         """Accept the rest of the backlog, then close the socket; later responses close their connections.
@@ -177,7 +177,7 @@
             session.run_guarded(session.answer_before_kill)
 
     def _is_full(self) -> bool:
-        return len(self.sessions) + self._acceptor.opening_count >= self.bound
+        return len(self.sessions) + self._acceptor.opening_count >= self.max_sessions
 
     def close_idle(self) -> None:
         """Close the sessions without a request in service and without unread input."""
@@ -186,6 +186,6 @@
         ]:
             session.run_guarded(session.end_if_idle)
 
-    def all_gone(self) -> bool:
+    def all_sessions_closed(self) -> bool:
         """Return whether listening has ended and no session is open or opening."""
         return not self.sessions and not self._acceptor.opening_count and self._acceptor.is_closed
--- a/cedarmill/net/clients/session.py
+++ b/cedarmill/net/clients/session.py
@@ -11,7 +11,7 @@
 from cedarmill.net.clients.connection import ACTION_HANDLERS, ClientConnection
 from cedarmill.net.clients.request import ClientRequest, ClientRequestError
 from cedarmill.net.clients.request_reader import RequestReader
-from cedarmill.net.loop import callback
+from cedarmill.net.loop import guarded_callback
 
 if TYPE_CHECKING:
     from cedarmill.net.clients.server import ClientServer
@@ -45,21 +45,21 @@
 
     # Callbacks of the transport.
 
-    @callback
+    @guarded_callback
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the session and start its timers."""
         self.transport, self.connected = cast(asyncio.Transport, transport), True
         self.server.add(self)
         self.set_timers()
 
-    @callback
+    @guarded_callback
     def connection_lost(self, error: Exception | None) -> None:
         """Unregister the session and withdraw its open request."""
         self.server.remove(self)
         self.reader.close()
         self.handle(SessionEvent.CONNECTION_LOST)
 
-    @callback
+    @guarded_callback
     def eof_received(self) -> bool:
         """Treat the end of input as a disconnect, unless the settings allow half-closed clients.
 
@@ -73,20 +73,20 @@
         """Send no more responses until the client reads those already written."""
         self.lifecycle.step(self.driver.now(), SessionEvent.WRITING_BLOCKED)
 
-    @callback
+    @guarded_callback
     def resume_writing(self) -> None:
         """Serve queued requests again."""
         self.handle(SessionEvent.WRITING_RESUMED)
-        self.advance()
+        self.serve_queued_requests()
 
-    @callback
+    @guarded_callback
     def data_received(self, data: bytes) -> None:
         """Parse input and serve complete requests; discard input after the last response."""
         lifecycle, reader = self.lifecycle, self.reader
         lifecycle.last_byte_at = self.driver.now()
         if lifecycle.is_open and not reader.is_stopped:
             reader.feed(data)
-            self.advance()
+            self.serve_queued_requests()
         else:
             self.discarded_bytes += len(data)
             self.set_reading_paused(self.discarded_bytes > limits.MAX_DISCARDED_BYTES)
@@ -129,7 +129,7 @@
     def answer_timeout(self) -> None:
         """Answer the incomplete request with 408, after the responses that precede it."""
         self.reader.reject(_request_timeout_error())
-        self.advance()
+        self.serve_queued_requests()
 
     def list_as_idle(self) -> None:
         """Register the session as idle, so that the server may close it to make room."""
@@ -158,7 +158,7 @@
         """Close the session if it is idle; `for_room`: a new client waits for a free slot."""
         self.handle(SessionEvent.EVICT_IDLE if for_room else SessionEvent.END_IF_IDLE)
 
-    def give_way(self) -> bool:
+    def make_room(self) -> bool:
         """Close unless a request is complete or still arriving; return whether the session closes."""
         self.handle(SessionEvent.EVICTION_REQUESTED)
         if self.lifecycle.is_open:
@@ -212,7 +212,7 @@
 
     # Requests in order.
 
-    def advance(self) -> None:
+    def serve_queued_requests(self) -> None:
         """Serve queued requests while the client reads its responses."""
         while True:
             action = self.step(_SERVE_REQUESTED)
@@ -285,7 +285,7 @@
         self._forget_request()
         self.answer(status, body, headers)
         if self.reader.requests:
-            self.advance()
+            self.serve_queued_requests()
 
     def answer(self, status: int, body: bytes, headers: bytes = b"") -> None:
         """Send the response to the current request; ignored once the session is closing."""
@@ -293,6 +293,6 @@
         lifecycle, server = self.lifecycle, self.server
         if message is None or not lifecycle.is_open:
             return
-        last = lifecycle.is_last_answer(message.keep_alive, server.closing or server.draining_clients)
+        last = lifecycle.is_last_answer(message.keep_alive, server.closing or server.is_draining_clients)
         if self.send(response.compose(message, status, body, headers, last)):
             self.handle(_LAST_ANSWER_WRITTEN if last else _ANSWER_WRITTEN)
--- a/cedarmill/net/cluster/member_probes.py
+++ b/cedarmill/net/cluster/member_probes.py
@@ -32,7 +32,12 @@
         """Let others connect; the port. Raises OSError."""
         sock = listening_socket(address, MAX_PROBES)
         self._acceptor = Acceptor(
-            self.driver, sock, self._incoming, listener="member", batch=MAX_PROBES, has_room=self._has_room
+            self.driver,
+            sock,
+            self._incoming,
+            listener="member",
+            batch=MAX_PROBES,
+            can_accept=self._can_accept,
         )
         self._acceptor.resume()
         return self._acceptor.port
@@ -76,7 +81,7 @@
         self.driver.timers.add(self.driver.now() + PROBE_US, lambda now: self._end_late(connection))
         return connection
 
-    def _has_room(self) -> bool:
+    def _can_accept(self) -> bool:
         """Whether one more may connect; at the bound they wait in the backlog."""
         if len(self._connections) < MAX_PROBES:
             return True
--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -32,7 +32,7 @@
 from cedarmill.net.config import Address
 from cedarmill.net.framing import HELLO_US, FramedConnection
 from cedarmill.net.listener import Acceptor, listening_socket
-from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.loop import EventLoopDriver, guarded_callback
 from cedarmill.store.errors import StoreError
 from cedarmill.store.files import Directory
 from cedarmill.store.replica_store import ReplicaStore
@@ -109,7 +109,7 @@
             self._flush_scheduled = True
             self.loop.call_soon(self.flush)
 
-    @callback
+    @guarded_callback
     def flush(self) -> None:
         """Carry out what this turn has come to: store, sync, then send and answer."""
         self._flush_scheduled = False
@@ -141,7 +141,7 @@
             self.peers.dial_missing()
 
     def abort(self) -> None:
-        """Nothing to end: `callback` asks for it."""
+        """Nothing to end: `guarded_callback` asks for it."""
 
     # Connections.
 
@@ -239,7 +239,7 @@
         if not self.disk.failing:
             self._begin()
         self._dial(self.driver.now())
-        self.driver.end()
+        self.driver.run_due_timers()
         name, cluster = self.options.name, self.options.cluster
         log_event("replica-serves", name=name, cluster=cluster, host=address.host, port=acceptor.port)
 
@@ -248,7 +248,7 @@
         if not self.disk.failing and self.replica.is_leader and len(self.replica.raft.voters) > 1:
             self.take(self.replica.transfer_leadership(self.driver.now()))
             self.timers.add(self.driver.now() + TRANSFER_US, lambda now: self.loop.stop())
-            self.driver.end()
+            self.driver.run_due_timers()
         else:
             self.loop.stop()
 
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -88,7 +88,7 @@
         """
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         self.begin(self.driver.now())
-        self.driver.end()
+        self.driver.run_due_timers()
 
     def begin(self, now: int) -> None:
         """Take the units over, once it is known which of their processes live."""
--- a/cedarmill/net/discovery/watch_connection.py
+++ b/cedarmill/net/discovery/watch_connection.py
@@ -10,7 +10,7 @@
 from cedarmill.net.config import Address
 from cedarmill.net.discovery.endpoints import Listing
 from cedarmill.net.discovery.list_stream import ListStream
-from cedarmill.net.loop import callback
+from cedarmill.net.loop import guarded_callback
 from cedarmill.net.socket_state import TRANSPORT_ERRORS
 
 if TYPE_CHECKING:
@@ -43,13 +43,13 @@
         self._connecting = self.driver.loop.create_task(opening)
         self._connecting.add_done_callback(self._opened)
 
-    @callback
+    @guarded_callback
     def _opened(self, task: "asyncio.Task[object]") -> None:
         self._connecting = None
         if task.cancelled() or task.exception() is not None:
             self.fail("no connection")
 
-    @callback
+    @guarded_callback
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Report the connection to the client, which sends the call."""
         self.transport = cast(asyncio.Transport, transport)
@@ -67,7 +67,7 @@
         except TRANSPORT_ERRORS as error:
             self.fail(f"call not sent: {error}")
 
-    @callback
+    @guarded_callback
     def data_received(self, data: bytes) -> None:
         """Parse a part of the answer, which holds lists and empty keep-alive lines."""
         if self.closed:
@@ -116,7 +116,7 @@
     def eof_received(self) -> None:
         """Leave the closing to the event loop, which calls connection_lost."""
 
-    @callback
+    @guarded_callback
     def connection_lost(self, error: Exception | None) -> None:
         """Report the end of the transport."""
         self.fail("connection lost")
--- a/cedarmill/net/framing.py
+++ b/cedarmill/net/framing.py
@@ -23,7 +23,7 @@
 from cedarmill.core.timers import Timer
 from cedarmill.log import log_event
 from cedarmill.net.config import Address
-from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
 FRAME_VERSION = 1
 HEADER = struct.Struct(">IB")  # the body's length in bytes, the version
@@ -116,13 +116,13 @@
         self._connecting = self.driver.loop.create_task(opening)
         self._connecting.add_done_callback(self._opened)
 
-    @callback
+    @guarded_callback
     def _opened(self, task: asyncio.Task[object]) -> None:
         self._connecting = None
         if task.cancelled() or task.exception() is not None:
             self.end("no connection")
 
-    @callback
+    @guarded_callback
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         """Notify the owner that the connection is open."""
         self.driver.timers.cancel(self._deadline)
@@ -134,7 +134,7 @@
         if self.on_open is not None:
             self.on_open(self)
 
-    @callback
+    @guarded_callback
     def data_received(self, data: bytes) -> None:
         """Pass the complete frames to the owner."""
         if self.ended:
@@ -150,7 +150,7 @@
             if not self.ended:
                 self.on_message(self, frame.number, frame.message)
 
-    @callback
+    @guarded_callback
     def connection_lost(self, error: Exception | None) -> None:
         """End the connection after its transport has ended."""
         self.end("connection lost")
--- a/cedarmill/net/health/grpc.py
+++ b/cedarmill/net/health/grpc.py
@@ -2,7 +2,7 @@
 
 from cedarmill.health.codecs.grpc import HealthConnection, ProtocolError, Status
 from cedarmill.net.health.listener import HealthListener, HealthSession, NodeHealth
-from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
 SERVICE = "cedarmill"  # besides "", which means the whole node
 LOOK_US = 250_000  # between two looks at what the watches were told; a drain is told at once
@@ -15,7 +15,7 @@
         super().__init__(listener)
         self._connection = HealthConnection(listener.statuses)
 
-    @callback
+    @guarded_callback
     def data_received(self, data: bytes) -> None:
         """Answer what was asked."""
         try:
@@ -26,7 +26,7 @@
         if not self.send(text):
             return
         if self._connection.watches:  # it stays as long as it watches
-            self.stay()
+            self.cancel_deadline()
         elif self._connection.answered:
             self.idle()
 
--- a/cedarmill/net/health/listener.py
+++ b/cedarmill/net/health/listener.py
@@ -7,15 +7,15 @@
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.http import Answer, Check, compose
-from cedarmill.net.bounded_sessions import BoundedListener, BoundedSession, Overflow, SessionBounds
+from cedarmill.net.bounded_sessions import BoundedListener, BoundedSession, ListenerLimits, OverflowPolicy
 from cedarmill.net.clients.server import ClientServer
-from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
 SESSIONS = 32  # open at once on each listener: a checker that connects by hundreds gets the rest closed
 ACCEPTS = 4
 BACKLOG = 100
 SESSION_US = 3_000_000  # for a session to ask, and to read what it gets
-BOUNDS = SessionBounds(SESSIONS, ACCEPTS, BACKLOG, Overflow.NEWEST, SESSION_US)
+BOUNDS = ListenerLimits(SESSIONS, ACCEPTS, BACKLOG, OverflowPolicy.NEWEST, SESSION_US)
 IDLE_US = 60_000_000  # afterwards, between two checks on one connection
 MAX_HEAD = 8 * 1024
 PATHS = ("/livez", "/readyz", "/healthz")
@@ -35,7 +35,7 @@
     def checks(self) -> list[Check]:
         """Whether requests can be served."""
         serves = bool(self.clients.dispatch.ready_executors)
-        draining = self.clients.draining
+        draining = self.clients.is_draining
         return [
             Check("backends", serves, "" if serves else NO_EXECUTOR),
             Check("draining", not draining, DRAINING if draining else ""),
@@ -43,7 +43,7 @@
 
     def reply(self) -> agent.AgentReply:
         """Return the agent's words: its weight follows the room that the balancer believes in."""
-        if self.clients.draining:
+        if self.clients.is_draining:
             return agent.AgentReply(admin=agent.Admin.DRAIN, reason=DRAINING)
         if not self.clients.dispatch.ready_executors:
             return agent.AgentReply(agent.Status.DOWN, agent.Admin.READY, reason=NO_EXECUTOR)
@@ -56,7 +56,7 @@
         if path not in PATHS:
             return None
         checks = [Check("ping", True)] + (self.checks() if path != "/livez" else [])
-        leaving = path != "/livez" and self.clients.draining
+        leaving = path != "/livez" and self.clients.is_draining
         return compose(path, checks, "verbose" in query.split("&"), json, self.name, leaving=leaving)
 
 
@@ -69,13 +69,13 @@
 
     def idle(self) -> None:
         """Let it keep its connection for the next time: it has asked something good."""
-        self.end_in(IDLE_US)
+        self.set_deadline(IDLE_US)
 
 
 class AgentSession(HealthSession):
     """Says its line at once, whatever `agent-send` may bring, and closes."""
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         """Say the line."""
         self.finish(agent.compose(self.listener.health.reply()))
 
@@ -89,14 +89,14 @@
         self._start: bytes | None = b""  # till it is known whether a PROXY header comes first
         self._target, self._accept, self._size = b"", b"", 0
 
-    def closed(self) -> None:
+    def on_close(self) -> None:
         """Let go of the parser, which refers back."""
         del self._parser
 
-    @callback
+    @guarded_callback
     def data_received(self, data: bytes) -> None:
         """Read the check; one that cannot be read is answered as bad."""
-        if self.over:
+        if self.is_finished:
             return
         self._size += len(data)
         try:
--- a/cedarmill/net/listener.py
+++ b/cedarmill/net/listener.py
@@ -9,7 +9,7 @@
 
 from cedarmill.log import log_event
 from cedarmill.net.config import Address
-from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
 # Accepting pauses for this time when there are no descriptors or no memory.
 ACCEPT_RETRY_US = 50_000
@@ -61,7 +61,7 @@
 
     Errors of a single connection (`SINGLE_CONNECTION_ERRNOS`) are skipped. If the system has no descriptors
     or memory, accepting pauses for `ACCEPT_RETRY_US`. A connection whose session does not open is closed.
-    `has_room` is called before each accept; if it returns False, its owner calls `resume` or `resume_later`.
+    `can_accept` is called before each accept; on False its owner later calls `resume` or `resume_later`.
     `on_exhausted` is called when the system has no descriptors or memory, so that the owner can free some.
     """
 
@@ -73,13 +73,13 @@
         *,
         listener: str,
         batch: int,
-        has_room: Callable[[], bool] = lambda: True,
+        can_accept: Callable[[], bool] = lambda: True,
         on_exhausted: Callable[[], None] = lambda: None,
     ) -> None:
         self.driver, self.listener, self.batch = driver, listener, batch
         self.port: int = sock.getsockname()[1]
         self._socket: socket.socket | None = sock
-        self._open_session, self._has_room, self._on_exhausted = open_session, has_room, on_exhausted
+        self._open_session, self._can_accept, self._on_exhausted = open_session, can_accept, on_exhausted
         self._opening: dict[asyncio.Task[Any], socket.socket] = {}
         self._is_reading = False
         # Earliest time at which connections may have been waiting in the backlog, or None (us).
@@ -124,7 +124,7 @@
             self._socket.close()
             self._socket = None
 
-    @callback
+    @guarded_callback
     def _readable(self) -> None:
         if self.accept_batch() is AcceptResult.EXHAUSTED:
             self.resume_later()
@@ -134,7 +134,7 @@
         if self._socket is None:
             return AcceptResult.BACKLOG_EMPTY
         for _ in range(self.batch):
-            if not self._has_room():
+            if not self._can_accept():
                 self._mark_backlog_waiting()
                 return AcceptResult.NO_ROOM
             try:
@@ -159,7 +159,7 @@
         self._opening[task] = sock
         task.add_done_callback(self._opened)
 
-    @callback
+    @guarded_callback
     def _opened(self, task: asyncio.Task[Any]) -> None:
         sock = self._opening.pop(task)
         if task.cancelled() or task.exception() is not None:
--- a/cedarmill/net/loop.py
+++ b/cedarmill/net/loop.py
@@ -52,7 +52,7 @@
         """Return the monotonic time in microseconds; the clock is shared by all processes of the machine."""
         return time.monotonic_ns() // 1000
 
-    def end(self) -> None:
+    def run_due_timers(self) -> None:
         """Run the timers that are due and schedule the loop timer for the next one."""
         first = self.timers.next_due
         if first is not None and first <= (now := self.now()):
@@ -73,11 +73,11 @@
 
     def _wake(self) -> None:
         self._timer = self._timer_due = None
-        self.end()
+        self.run_due_timers()
 
 
 class Guarded(Protocol):
-    """An object whose methods can be decorated with `callback`."""
+    """An object whose methods can be decorated with `guarded_callback`."""
 
     @property
     def driver(self) -> EventLoopDriver:
@@ -92,7 +92,7 @@
 Result = TypeVar("Result")
 
 
-def callback(
+def guarded_callback(
     method: Callable[Concatenate[Owner, Arguments], Result],
 ) -> Callable[Concatenate[Owner, Arguments], Result | None]:
     """Decorate a callback of the event loop: an exception aborts only its object, then due timers run."""
@@ -106,6 +106,6 @@
             self.abort()
             return None
         finally:
-            self.driver.end()
+            self.driver.run_due_timers()
 
     return cast(Callable[Concatenate[Owner, Arguments], Result | None], run)
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -106,11 +106,11 @@
 
     def _count_own_connections(self) -> ConnectionCounts:
         """Return the client sessions and upstream connections that this process holds."""
-        return ConnectionCounts(len(self.clients.sessions), self.pools.connections)
+        return ConnectionCounts(len(self.clients.sessions), self.pools.connection_count)
 
     def _apply_sibling_counts(self, siblings: list[ConnectionCounts]) -> None:
         """Limit this process to the sessions and connections that the node's other processes leave."""
-        self.clients.bound, self.pools.bound = split_limits(self.limits, siblings)
+        self.clients.max_sessions, self.pools.max_connections = split_limits(self.limits, siblings)
 
     def _listen_for_health_checks(self) -> None:
         """Open the configured health check listeners; raise OSError."""
@@ -158,7 +158,7 @@
         self.loop.call_soon(self._on_loop_started)
         gc.collect()
         gc.freeze()
-        self.driver.end()
+        self.driver.run_due_timers()
         self.loop.run_forever()
         self.sibling.remove_document()
         log_event("ended", name=self.config.name)
--- a/cedarmill/net/reload.py
+++ b/cedarmill/net/reload.py
@@ -33,7 +33,7 @@
         now = self.driver.now()
         self.driver.timers.cancel(self._retry_timer)
         self._read(now, retry_until=now + RETRY_TIMEOUT_US)
-        self.driver.end()
+        self.driver.run_due_timers()
 
     def _read(self, now: int, retry_until: int) -> None:
         """Read and apply the configuration; an invalid one is logged and changes nothing.
--- a/cedarmill/net/shutdown.py
+++ b/cedarmill/net/shutdown.py
@@ -23,7 +23,7 @@
 # Requests with an extended deadline are answered this long after `answer_by`.
 FORCED_ANSWER_DELAY_US = 10_000
 # All sessions are checked for having closed at this interval.
-CHECK_END_US = 10_000
+END_CHECK_INTERVAL_US = 10_000
 
 
 class Shutdown:
@@ -50,7 +50,7 @@
             return
         self.draining = True
         log_event("draining", held=self.dispatch.unanswered)
-        self.clients.drain()
+        self.clients.start_draining()
         if self.on_draining is not None:
             self.on_draining()
         now, timers = self.driver.now(), self.driver.timers
@@ -63,7 +63,7 @@
             accept_limit = max(now + MIN_ACCEPT_GRACE_US, answer_by - FINAL_READ_US)
             accept_until = min(now + ACCEPT_GRACE_US, accept_limit)
         timers.add(accept_until, self._stop_listening)
-        self.driver.end()
+        self.driver.run_due_timers()
 
     def _stop_listening(self, now: int) -> None:
         self.clients.stop_listening(accept_backlog=not self.socket_is_inherited)
@@ -72,7 +72,7 @@
 
     def _leave_if_done(self, now: int) -> None:
         self.clients.close_idle()
-        if self.dispatch.unanswered == 0 and self.clients.all_gone():
+        if self.dispatch.unanswered == 0 and self.clients.all_sessions_closed():
             self.leave()
         else:
-            self.driver.timers.add(now + CHECK_END_US, self._leave_if_done)
+            self.driver.timers.add(now + END_CHECK_INTERVAL_US, self._leave_if_done)
--- a/cedarmill/net/socket_state.py
+++ b/cedarmill/net/socket_state.py
@@ -40,7 +40,7 @@
     return None
 
 
-def hung_up(transport: asyncio.Transport, half_close_counts: bool = True) -> bool:
+def is_closed_or_unknown(transport: asyncio.Transport, half_close_counts: bool = True) -> bool:
     """Return whether the peer has closed the connection or its state cannot be queried."""
     return is_peer_closed(transport, half_close_counts) is not False
 
--- a/cedarmill/net/upstream/connection.py
+++ b/cedarmill/net/upstream/connection.py
@@ -16,8 +16,8 @@
 
 from cedarmill.core.timers import Timer
 from cedarmill.decisions.interface import Outcome
-from cedarmill.net.loop import callback
-from cedarmill.net.socket_state import TRANSPORT_ERRORS, hung_up
+from cedarmill.net.loop import guarded_callback
+from cedarmill.net.socket_state import TRANSPORT_ERRORS, is_closed_or_unknown
 from cedarmill.net.upstream.answer_reader import AnswerReader
 from cedarmill.net.upstream.exchange import ExchangeEnd
 
@@ -74,7 +74,7 @@
         self._connecting = driver.loop.create_task(opening)
         self._connecting.add_done_callback(self._opened)
 
-    @callback
+    @guarded_callback
     def _opened(self, task: "asyncio.Task[object]") -> None:
         self._connecting = None
         error = None if task.cancelled() else task.exception()
@@ -82,7 +82,7 @@
             is_local_error = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
             self._terminate(Outcome.DROPPED if is_local_error else Outcome.CONNECT_FAILED)
 
-    @callback
+    @guarded_callback
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the exchange that the connection was opened for."""
         self.driver.timers.cancel(self.deadline)
@@ -176,7 +176,7 @@
 
     # Reading the answer.
 
-    @callback
+    @guarded_callback
     def data_received(self, data: bytes) -> None:
         """Parse a part of the answer; the exchange finishes after the connection is reusable or closed."""
         exchange = self.exchange
@@ -204,14 +204,14 @@
 
     # Ending.
 
-    @callback
+    @guarded_callback
     def eof_received(self) -> None:
         """Remove the connection from the pool, and abort a request that is not fully sent."""
         if self.exchange is not None and not self.written:
             self.abort()  # otherwise the event loop would send the rest of its buffer first
         self.pool.remove_connection(self)
 
-    @callback
+    @guarded_callback
     def connection_lost(self, error: Exception | None) -> None:
         """Report the end of the transport to the exchange."""
         self._terminate()
@@ -295,4 +295,4 @@
 
     def is_closed_by_peer(self) -> bool:
         """Return whether the executor has closed the connection, read or not; makes one system call."""
-        return self.transport is None or hung_up(self.transport)
+        return self.transport is None or is_closed_or_unknown(self.transport)
--- a/cedarmill/net/upstream/pool.py
+++ b/cedarmill/net/upstream/pool.py
@@ -41,12 +41,12 @@
             connection.send_exchange(exchange)
             return
         if not self.pools.ensure_capacity():
-            log_event("executor-connections-full", bound=self.pools.bound)
+            log_event("executor-connections-full", bound=self.pools.max_connections)
             exchange.finish(now, ExchangeEnd(Outcome.DROPPED))
             return
         connection = UpstreamConnection(self, exchange)
         self.connections.add(connection)
-        self.pools.connections += 1
+        self.pools.connection_count += 1
         connection.open()
 
     def _select_idle(self, exchange: Exchange, now: int) -> UpstreamConnection | None:
@@ -67,7 +67,7 @@
         """Remove a connection that has ended or is about to."""
         if connection in self.connections:
             self.connections.remove(connection)
-            self.pools.connections -= 1
+            self.pools.connection_count -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -82,10 +82,10 @@
 
     dispatch: Dispatch  # set by the node after construction
 
-    def __init__(self, driver: EventLoopDriver, settings: api.Settings, bound: int, options: Options) -> None:
-        self.driver, self.settings, self.bound, self.options = driver, settings, bound, options
+    def __init__(self, driver: EventLoopDriver, settings: api.Settings, limit: int, options: Options) -> None:
+        self.driver, self.settings, self.max_connections, self.options = driver, settings, limit, options
         self.pools_by_number: dict[int, UpstreamPool] = {}
-        self.connections = 0  # total of all pools, kept up to date instead of summed for each new connection
+        self.connection_count = 0  # of all pools, kept up to date instead of summed for each new connection
         self.idle_reuse_paused_until = 0  # us; set when an idle connection breaks under a request
 
     def update(self, executor_number: int, endpoint: Endpoint) -> None:
@@ -104,7 +104,7 @@
 
     def ensure_capacity(self) -> bool:
         """Close idle connections until a new one fits the limit; return False if that is not possible."""
-        while self.connections >= self.bound:
+        while self.connection_count >= self.max_connections:
             most_idle_pool = max(self.pools_by_number.values(), key=lambda pool: len(pool.idle), default=None)
             if most_idle_pool is None or not most_idle_pool.idle:
                 return False
--- a/tests/core/test_discovery_watch.py
+++ b/tests/core/test_discovery_watch.py
@@ -51,7 +51,7 @@
         return now
 
 
-class Bounds(WatchTestCase):
+class TimeLimitsTest(WatchTestCase):
     """A change must arrive within six seconds of the time when discovery had it and was reachable."""
 
     def test_longest_wait_and_call_stay_below_the_limit(self):
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -155,7 +155,7 @@
             self.check_node_serves()
 
 
-class PresenceUnknown(FaultyNodeCase):
+class ClientStatusUnknown(FaultyNodeCase):
     """The connection status of a client cannot be queried while its request is in flight."""
 
     executor_count = 2
@@ -205,7 +205,7 @@
     pause_reading = resume_reading = write_eof
 
 
-class Defect(unittest.TestCase):
+class SessionExceptions(unittest.TestCase):
     """An exception in one session affects only that session."""
 
     def setUp(self) -> None:
--- a/tests/net/test_discovery_faults.py
+++ b/tests/net/test_discovery_faults.py
@@ -10,7 +10,7 @@
 MAX_UPDATE_DELAY_S = 6.0
 
 
-class Quiet(NodeCase):
+class DiscoveryFaults(NodeCase):
     executor_count = 2
 
     def accept_call(self, index: int, server: StandInServer | None = None):
@@ -102,7 +102,7 @@
         request.done("kept")
         self.assertEqual(client.answer(), (200, b"kept"))
 
-    def test_two_reloads_in_a_row_while_the_watch_reopens(self):
+    def test_two_reloads_while_watch_reopens(self):
         """The first address is never used, and the drain in the second one's first list is applied."""
         # The watch is lost and waits to retry.
         self.discovery.next_request().send_head("503 Service Unavailable")
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -157,7 +157,7 @@
         self.assertEqual(self.get_status(self.admin_port(), "/api/ready"), 200)
 
 
-class AtTheEnd(AcceptFaultCase):
+class Shutdown(AcceptFaultCase):
     """Connections in the backlog at shutdown are accepted despite errors of accept(2)."""
 
     def fill_backlog(self, count: int) -> list[socket.socket]:
@@ -187,7 +187,7 @@
 
 
 def _backlog_test(name: str):
-    def test(self: AtTheEnd) -> None:
+    def test(self: Shutdown) -> None:
         self.plan.arm(Fault("accept", name, after=1, times=3))
         self.check_all_answered(self.fill_backlog(5))
         self.assertEqual(self.plan.hits("accept"), 3)
@@ -196,7 +196,7 @@
 
 
 for _name in ("ECONNABORTED", "EHOSTUNREACH", "EINTR", "EMFILE", "ENFILE", "ENOMEM"):
-    setattr(AtTheEnd, f"test_{_name}_drops_no_later_connection", _backlog_test(_name))
+    setattr(Shutdown, f"test_{_name}_drops_no_later_connection", _backlog_test(_name))
 
 if __name__ == "__main__":
     unittest.main()
--- a/tests/net/test_stalled_clients.py
+++ b/tests/net/test_stalled_clients.py
@@ -106,7 +106,7 @@
         self.assertIn(b" 200 ", sock.recv(4096))
 
 
-class NotReading(LeavingCase):
+class UnreadResponses(LeavingCase):
     """Clients that leave an incomplete request behind responses that they do not read."""
 
     def client_with_blocked_response(self) -> socket.socket:
@@ -152,7 +152,7 @@
         return any(row[1:3] == endpoints and row[9] != "0" for row in rows)
 
 
-class MakingRoom(LeavingCase):
+class SessionEviction(LeavingCase):
     """At the session limit, sessions that stall in their first request are closed for new connections."""
 
     sockets = 64  # This allows 20 sessions.
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -11,7 +11,7 @@
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.net.loop import EventLoopDriver, boot_id
-from cedarmill.net.shutdown import CHECK_END_US
+from cedarmill.net.shutdown import END_CHECK_INTERVAL_US
 from cedarmill.net.upgrade.sibling import POLL_INTERVAL_ALONE_US, POLL_INTERVAL_WITH_SIBLINGS_US
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from cedarmill.net.upgrade.warm_state import SAVE_INTERVAL_US
@@ -259,7 +259,7 @@
         self.assertEqual([client.answer()[0] for client in clients], [200] * 5)
 
         def has_exited() -> bool:
-            self.advance_clock(CHECK_END_US)
+            self.advance_clock(END_CHECK_INTERVAL_US)
             return old.poll() is not None
 
         self.wait_for(has_exited)
