--- a/cedarmill/core/actions.py
+++ b/cedarmill/core/actions.py
@@ -105,10 +105,10 @@
             log_event("defect", True, what="probe")
             dispatch.probe_ended(now, probe, Outcome.CONNECT_FAILED)  # ends the balancer's wait for it
 
-    def recall(self, now: int, probe: Probe) -> None:
+    def withdraw_probe(self, now: int, probe: Probe) -> None:
         """Cancel a probe that has not been written."""
         try:
-            self.dispatch.executors.recall(probe)
+            self.dispatch.executors.withdraw_probe(probe)
         except Exception:
             log_event("defect", True, what="recall")
         self.dispatch.probe_ended(now, probe, Outcome.MOOT)
--- a/cedarmill/core/dispatch.py
+++ b/cedarmill/core/dispatch.py
@@ -88,7 +88,7 @@
             if (attempt := request.attempts[recall.number]).outcome is None:
                 self.actions.cancel_attempt(now, attempt, Outcome.MOOT)
         for probe in [probe for probe in request.probes if not probe.written]:
-            self.actions.recall(now, probe)
+            self.actions.withdraw_probe(now, probe)
 
     def limit_deadlines(self, until: int) -> None:
         """Shorten the deadlines of open requests to `until` (us), before the process may be killed."""
--- a/cedarmill/core/ports.py
+++ b/cedarmill/core/ports.py
@@ -40,7 +40,7 @@
     def probe(self, probe: "Probe") -> None:
         """Request a load report from an executor."""
 
-    def recall(self, probe: "Probe") -> None:
+    def withdraw_probe(self, probe: "Probe") -> None:
         """Cancel a probe that has not been written."""
 
 
--- a/cedarmill/log.py
+++ b/cedarmill/log.py
@@ -118,7 +118,7 @@
     return ProcessorFormatter(foreign_pre_chain=shared, processors=ends)
 
 
-def begin(form: str = "text") -> None:
+def configure(form: str = "text") -> None:
     """Send the log to standard error from now on, in one of FORMATS."""
     handler: logging.Handler = logging.StreamHandler(sys.stderr)
     with contextlib.suppress(OSError, ValueError, AttributeError):  # closed, or none of the system's
--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -73,9 +73,9 @@
 
     def _tell(self) -> None:
         """Lay the marks as they now stand over what the balancer is told of these executors."""
-        self.discovery.mark({**self.excluded_by_cluster, **self.exclusions.marked_us})
+        self.discovery.set_exclusions({**self.excluded_by_cluster, **self.exclusions.marked_us})
 
-    def carry_out(self, request: AdminRequest, answer: Answer) -> None:
+    def handle(self, request: AdminRequest, answer: Answer) -> None:
         """Answer a valid request: at once, or when the cluster has been asked, where there is one."""
         if self.ask_cluster is not None and request.action != AdminAction.READY:
             self.ask_cluster(request, answer)
@@ -107,7 +107,7 @@
     def _mark(self, request: AdminRequest, answer: Answer, now: int, until: int) -> None:
         """Make the mark as soon as the node's other process leaves the file; a no if it has not by then."""
         try:
-            with self.state_file.alone():  # the node's other process may mark at the same time
+            with self.state_file.exclusive_lock():  # the node's other process may mark at the same time
                 done = self._mark_alone(request.executor, request.action == AdminAction.EXCLUDE)
         except OSError as error:  # nothing half done: `_mark_alone` takes the mark back
             if not isinstance(error, BlockingIOError) or now >= until:
@@ -123,7 +123,7 @@
     def _mark_alone(self, name: str, out: bool) -> AdminResponse:
         """Make the mark on the newest document of both processes; raises OSError where it cannot be kept."""
         self._take_up()
-        if not (self.discovery.knows(name) or name in self.exclusions.since):
+        if not (self.discovery.has_executor(name) or name in self.exclusions.since):
             return AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n")
         now, done = clock_reading(self.driver.now()), b"excluded\n" if out else b"included\n"
         before = self.exclusions.copy()
--- a/cedarmill/net/admin/server.py
+++ b/cedarmill/net/admin/server.py
@@ -94,7 +94,7 @@
             return
         # from here on the caller waits for this process: a lock, or the cluster
         self.set_deadline(CALL_US)
-        self._server.carry_out(request, lambda response: self.answer(response, b"", method))
+        self._server.handle(request, lambda response: self.answer(response, b"", method))
 
     def answer(self, response: AdminResponse, headers: bytes = b"", method: bytes = b"") -> None:
         """Give the one answer, then end the connection; `headers` are whole lines."""
@@ -114,8 +114,8 @@
 
 
 class AdminServer(BoundedListener[AdminSession]):
-    """The listening socket of the admin API; `carry_out` is given each request and where its answer goes."""
+    """The listening socket of the admin API; `handle` is given each request and where its answer goes."""
 
-    def __init__(self, driver: EventLoopDriver, carry_out: Callable[[AdminRequest, Answer], None]) -> None:
+    def __init__(self, driver: EventLoopDriver, handle: Callable[[AdminRequest, Answer], None]) -> None:
         super().__init__(driver, "admin", BOUNDS, lambda: AdminSession(self))
-        self.carry_out = carry_out
+        self.handle = handle
--- a/cedarmill/net/cluster/gossip.py
+++ b/cedarmill/net/cluster/gossip.py
@@ -96,7 +96,7 @@
 
     def _choose_executors(self) -> None:
         """Executors that this node uses, over all zones: chosen by zone, nearly all nodes would share one."""
-        names, entries = self.discovery.reader.names, self.discovery.entries.items()
+        names, entries = self.discovery.reader.names_by_number, self.discovery.entries.items()
         listed = [names[number] for number, entry in entries if entry.state == api.ExecutorState.READY]
         if not self.plan.update([self.name, *self.peers], listed):
             return
@@ -167,8 +167,8 @@
 
     def on_report(self, now: int, executor: int, report: api.LoadReport) -> None:
         """A report has come here, with an answer or a probe."""
-        if self.peers and executor in self.discovery.reader.names:
-            self.reports[self.discovery.reader.names[executor]] = ReceivedReport(now, report)
+        if self.peers and executor in self.discovery.reader.names_by_number:
+            self.reports[self.discovery.reader.names_by_number[executor]] = ReceivedReport(now, report)
 
     def _send_reports(self, now: int, link: Link) -> None:
         reports = []
@@ -197,7 +197,7 @@
 
     def _follow(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
         """A peer's report: followed where it is newer than what is known here, and not too old."""
-        number = self.discovery.reader.numbers.get(name)
+        number = self.discovery.reader.numbers_by_name.get(name)
         executor = self.dispatch.balancer.executors.get(number) if number is not None else None
         if (
             number is None
--- a/cedarmill/net/cluster/location_estimates.py
+++ b/cedarmill/net/cluster/location_estimates.py
@@ -35,7 +35,7 @@
         usual = self._usual_slots()
         sums: dict[str, list[int]] = {}
         for number, entry in self.discovery.entries.items():
-            name = self.discovery.reader.names[number]
+            name = self.discovery.reader.names_by_number[number]
             if entry.state != api.ExecutorState.READY or name in self.discovery.excluded:
                 continue
             slots = self._slots(number, entry, usual)
--- a/cedarmill/net/cluster/node_reports.py
+++ b/cedarmill/net/cluster/node_reports.py
@@ -33,7 +33,7 @@
         drained: dict[str, int] = {}
         if closed_zones and routing is not None:
             drained |= routing.drained_zones(busy)
-        numbers = self.discovery.reader.numbers
+        numbers = self.discovery.reader.numbers_by_name
         drained |= {
             name: epoch for name, epoch in orders.excluded_executors.items() if numbers.get(name) not in busy
         }
@@ -51,7 +51,7 @@
             executor = self.discovery.dispatch.balancer.executors.get(number)
             unhealthy = executor is not None and executor.consecutive_failures >= UNHEALTHY_FAILURES
             is_known = unhealthy or (executor is not None and now - executor.heard_at < FRESH_US)
-            observed[reader.names[number]] = ExecutorObservation(
+            observed[reader.names_by_number[number]] = ExecutorObservation(
                 STATES[entry.state],
                 unhealthy,
                 is_known,
@@ -59,6 +59,6 @@
                 kinds.get(entry.kind, ""),
                 str(entry.cell),
                 max(1, round(entry.size)),
-                self.discovery.listed_start.get(number, 0),
+                self.discovery.listed_start_ms.get(number, 0),
             )
         return observed
--- a/cedarmill/net/cluster/node_role.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -88,7 +88,7 @@
         handlers.ask_cluster = self.submit
         self.dispatch.observer = ClusterObserver(self)
         if options.start == "wait":
-            discovery.hold(True)
+            discovery.suspend_sending(True)
 
     def _membership(self, identity: MemberIdentity) -> Membership:
         replicas = {name: Address.parse(address) for name, address in self.options.replicas.items()}
@@ -165,7 +165,7 @@
         if before is None or before.excluded_executors.keys() != orders.excluded_executors.keys():
             self.handlers.set_cluster_exclusions(dict.fromkeys(orders.excluded_executors, now))
         if self.may_send(now) or self.options.cut_off == "serve":
-            self.discovery.hold(False)
+            self.discovery.suspend_sending(False)
         self.budgets.set_rates(now, self.membership.session.holds(now), orders.budget_leases)
         self._learn_peers()
         if self.routing is not None:
@@ -195,10 +195,10 @@
 
     def _on_lease_expired(self) -> None:
         if self.options.cut_off == "stop":
-            self.discovery.hold(True)
+            self.discovery.suspend_sending(True)
 
     def _on_lease_holds(self) -> None:
-        self.discovery.hold(False)
+        self.discovery.suspend_sending(False)
 
     # Reports and requests.
 
@@ -216,7 +216,7 @@
 
     def submit(self, request: AdminRequest, answer: Answer) -> None:
         """A call at the admin API that takes something out or puts it back is a request to the cluster."""
-        if request.action == AdminAction.EXCLUDE and not self.discovery.knows(request.executor):
+        if request.action == AdminAction.EXCLUDE and not self.discovery.has_executor(request.executor):
             answer(AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n"))
             return
         self.admin_requests.submit(request, answer)
--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -30,7 +30,7 @@
 from cedarmill.net.cluster.replica_port import ReplicaPort
 from cedarmill.net.cluster.replica_requests import RequestConnections
 from cedarmill.net.config import Address
-from cedarmill.net.framing import HELLO_US, FramedConnection
+from cedarmill.net.framing import HELLO_TIMEOUT_US, FramedConnection
 from cedarmill.net.listener import Acceptor, listening_socket
 from cedarmill.net.loop import EventLoopDriver, guarded_callback
 from cedarmill.store.errors import StoreError
@@ -148,7 +148,7 @@
     def _incoming(self) -> FramedConnection:
         """The connection of one who has dialled this process."""
         connection = FramedConnection(self.driver, self.on_message, self.on_end)
-        self.timers.add(self.driver.now() + HELLO_US, lambda now: self._end_unnamed(connection))
+        self.timers.add(self.driver.now() + HELLO_TIMEOUT_US, lambda now: self._end_unnamed(connection))
         return connection
 
     @staticmethod
@@ -183,7 +183,7 @@
             return
         if reason:
             self.host_port.alarm(f"a connection of {hello.name} is refused: {reason}")
-            connection.refuse(reason)
+            connection.reject(reason)
         elif from_replica:
             self.peers.accept(connection, hello.name)
         else:
@@ -263,7 +263,7 @@
     A disk that fails for a while does not end it, neither while it starts nor while it runs.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the loop runs
-    log.begin(log_format)
+    log.configure(log_format)
     try:
         return ReplicaProcess(options, files).run()
     except (StoreError, OSError) as error:
--- a/cedarmill/net/cluster/replica_peers.py
+++ b/cedarmill/net/cluster/replica_peers.py
@@ -6,7 +6,7 @@
 from cedarmill.cluster.raft.messages import TimeoutNow
 from cedarmill.cluster.replica import Replica
 from cedarmill.net.config import Address
-from cedarmill.net.framing import HELLO_US, SILENT_US, FramedConnection
+from cedarmill.net.framing import HELLO_TIMEOUT_US, SILENCE_TIMEOUT_US, FramedConnection
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import ReplicaOptions
@@ -118,10 +118,10 @@
     def end_silent(self, now: int) -> None:
         """End what says nothing: heartbeats come ten times a second, and a hello comes first."""
         for connection in list(self.connected.values()):
-            if now - connection.received_at > SILENT_US:
+            if now - connection.received_at > SILENCE_TIMEOUT_US:
                 connection.end("silent")
         for connection in list(self.dialling.values()):  # accepted there, and never greeted: dialled anew
-            if now - connection.received_at > HELLO_US:
+            if now - connection.received_at > HELLO_TIMEOUT_US:
                 connection.end("no hello")
 
     def end_all(self, reason: str) -> None:
--- a/cedarmill/net/cluster/routing.py
+++ b/cedarmill/net/cluster/routing.py
@@ -228,14 +228,14 @@
 
     def _hide(self, zones: tuple[str, ...]) -> None:
         """Executors of these zones get nothing, whatever the plan and this node's observations come to."""
-        names = self.discovery.reader.names
+        names = self.discovery.reader.names_by_number
         hidden = {
             names[number]
             for number, entry in self.discovery.entries.items()
             if self.estimates.zone_names.get(entry.zone) in zones
         }
-        if hidden != self.discovery.hidden:
-            self.discovery.hide(hidden)
+        if hidden != self.discovery.hidden_executors:
+            self.discovery.set_hidden_executors(hidden)
 
     def drained_zones(self, busy: set[int]) -> dict[str, int]:
         """Zones that are closed and have nothing of ours, and the epochs of their permits."""
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -238,7 +238,7 @@
     A disk that fails for a while does not end it, neither while it starts nor while it runs.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the loop runs
-    log.begin(log_format)
+    log.configure(log_format)
     wait_us = RETRY_FIRST_US
     try:
         while (process := _take_up(options)) is None:
--- a/cedarmill/net/config.py
+++ b/cedarmill/net/config.py
@@ -36,7 +36,7 @@
     memory_mb: Annotated[float, msgspec.Meta(ge=32)] = 192.0
 
 
-class _File(msgspec.Struct):
+class ConfigurationFile(msgspec.Struct):
     """The configuration file's keys."""
 
     name: str
@@ -54,7 +54,7 @@
 
     def __init__(self, text: bytes) -> None:
         try:
-            raw = msgspec.json.decode(text, type=_File)
+            raw = msgspec.json.decode(text, type=ConfigurationFile)
             self.settings = from_operator(msgspec.json.decode(raw.settings))
             self.listen, self.discovery = Address.parse(raw.listen), Address.parse(raw.discovery)
             self.seed = int(raw.seed, 16)
--- a/cedarmill/net/discovery/client.py
+++ b/cedarmill/net/discovery/client.py
@@ -50,13 +50,13 @@
         self.logged_watching: bool | None = None  # last state in the log; None before the first line
         self.loss_log_quiet_until = 0  # us; losses before this time are not logged
         self.entries: dict[int, api.EndpointEntry] = {}  # by executor's number, as discovery lists them
-        self.on_change: Callable[[], None] | None = None  # called after each change of the list
-        # For the balancer, `excluded` and `hidden` executors drain; all do while sending is suspended.
+        self.on_list_change: Callable[[], None] | None = None  # called after each change of the list
+        # For the balancer, `excluded` and `hidden_executors` drain; all do while sending is suspended.
         self.excluded: dict[str, int] = {}  # by name: since when operators exclude the executor (us)
         self.sending_suspended = False
-        self.hidden: set[str] = set()  # executors that the cluster's plan does not assign to this node
-        self.listed_start: dict[int, int] = {}  # by executor's number: discovery's start stamp (Unix ms)
-        self.current_at: int | None = None  # us; when the list was last known to be up to date
+        self.hidden_executors: set[str] = set()  # those that the cluster's plan does not assign to this node
+        self.listed_start_ms: dict[int, int] = {}  # by executor's number: discovery's start stamp (Unix ms)
+        self.list_current_at: int | None = None  # us; when the list was last known to be up to date
 
     def start(self, known: Listing) -> None:
         """Apply the configured list, and start the watch at once if an agent pushes the list."""
@@ -64,10 +64,10 @@
         if self.is_pushed:
             self.watch()
 
-    def inherit(self, starts: dict[str, ExecutorStart], current_at: int | None) -> None:
+    def restore_starts(self, starts: dict[str, ExecutorStart], list_current_at: int | None) -> None:
         """Take over the predecessor's executor starts and the time when its list was last up to date."""
         self.reader.starts.update(starts)
-        self.current_at = current_at
+        self.list_current_at = list_current_at
 
     def on_listing(self, listing: Listing) -> None:
         """Apply a list received by the watch."""
@@ -82,7 +82,7 @@
     def _apply_listing(self, listing: Listing, kind: api.EndpointListKind) -> None:
         now, entries = self.driver.now(), []
         for endpoint in listing.endpoints:
-            entry = self.reader.entry(endpoint, now, self.current_at)
+            entry = self.reader.to_entry(endpoint, now, self.list_current_at)
             try:
                 self.pools.update(entry.executor, endpoint)
             except ValueError as error:
@@ -93,17 +93,19 @@
         if kind != api.EndpointListKind.DELTA:
             self.entries.clear()
         self.entries.update((entry.executor, entry) for entry in entries)
-        self.listed_start.update((self.reader.numbers[e.name], e.since_ms) for e in listing.endpoints)
+        self.listed_start_ms.update(
+            (self.reader.numbers_by_name[e.name], e.since_ms) for e in listing.endpoints
+        )
         if kind != api.EndpointListKind.CACHED:
-            self.current_at = now
+            self.list_current_at = now
         self._publish(now, kind, entries)
-        if self.on_change is not None:
-            self.on_change()
+        if self.on_list_change is not None:
+            self.on_list_change()
 
     def _with_restrictions(self, entry: api.EndpointEntry) -> api.EndpointEntry:
         """Return the entry as given to the balancer: a ready executor under a restriction is draining."""
-        name = self.reader.names.get(entry.executor)
-        is_restricted = self.sending_suspended or name in self.excluded or name in self.hidden
+        name = self.reader.names_by_number.get(entry.executor)
+        is_restricted = self.sending_suspended or name in self.excluded or name in self.hidden_executors
         if is_restricted and entry.state == api.ExecutorState.READY:
             return replace(entry, state=api.ExecutorState.DRAINING)
         return entry
@@ -114,10 +116,10 @@
         self.dispatch.on_endpoint_list(now, api.EndpointList(kind, restricted))
 
     def _find_entry(self, name: str) -> api.EndpointEntry | None:
-        number = self.reader.numbers.get(name)
+        number = self.reader.numbers_by_name.get(name)
         return None if number is None else self.entries.get(number)
 
-    def hold(self, suspended: bool) -> None:
+    def suspend_sending(self, suspended: bool) -> None:
         """Suspend sending to all executors, or resume it."""
         if suspended == self.sending_suspended:
             return
@@ -125,20 +127,20 @@
         if self.entries:
             self._publish(self.driver.now(), api.EndpointListKind.DELTA, list(self.entries.values()))
 
-    def hide(self, names: set[str]) -> None:
+    def set_hidden_executors(self, names: set[str]) -> None:
         """Replace the set of hidden executors; one that is shown again does not count as restarted."""
-        previous, self.hidden = self.hidden, names
+        previous, self.hidden_executors = self.hidden_executors, names
         changed = [
             entry for name in sorted(previous ^ names) if (entry := self._find_entry(name)) is not None
         ]
         if changed:
             self._publish(self.driver.now(), api.EndpointListKind.DELTA, changed)
 
-    def knows(self, name: str) -> bool:
+    def has_executor(self, name: str) -> bool:
         """Return whether discovery or the configuration has listed this executor since the start."""
-        return name in self.reader.numbers
+        return name in self.reader.numbers_by_name
 
-    def mark(self, marks: dict[str, int]) -> None:
+    def set_exclusions(self, marks: dict[str, int]) -> None:
         """Replace the exclusions and pass each changed executor to the balancer.
 
         `marks` gives the exclusion times by name (us). An executor that returns counts as restarted: its
@@ -159,11 +161,11 @@
         """Start the watch, which is renewed whenever it is lost."""
         self.on_watch_event(WatchEvent.LIST_WANTED)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Switch to another discovery address; the list is stale until the new discovery has sent it."""
         self.address, self.index = address, 0
         self.logged_watching, self.loss_log_quiet_until = None, 0
-        self.current_at = None  # the new discovery may list executors that the old one did not
+        self.list_current_at = None  # the new discovery may list executors that the old one did not
         self.on_watch_event(WatchEvent.ADDRESS_CHANGED)
         self._publish(self.driver.now(), api.EndpointListKind.CACHED, list(self.entries.values()))
 
--- a/cedarmill/net/discovery/endpoints.py
+++ b/cedarmill/net/discovery/endpoints.py
@@ -41,7 +41,7 @@
     """When an executor's process started: discovery's stamp (Unix ms) and the node's clock (us)."""
 
     since_ms: int
-    at_us: int
+    started_at_us: int
 
 
 class EndpointReader:
@@ -55,21 +55,21 @@
     """
 
     def __init__(self, settings: api.Settings) -> None:
-        self.numbers: dict[str, int] = {}
-        self.names: dict[int, str] = {}  # the inverse of `numbers`
+        self.numbers_by_name: dict[str, int] = {}
+        self.names_by_number: dict[int, str] = {}  # the inverse of `numbers_by_name`
         self.zones = {name: n for n, name in enumerate(settings.zones)}
         self.kinds = {name: n for n, name in enumerate(settings.kinds)}
         self.starts: dict[str, ExecutorStart] = {}  # by name; without executors that have no stamp
         self._initial_unix_offset_us = unix_us() - EventLoopDriver.now()  # Unix time minus the node's clock
 
-    def entry(self, endpoint: Endpoint, now: int, list_current_at: int | None = None) -> api.EndpointEntry:
+    def to_entry(self, endpoint: Endpoint, now: int, list_current_at: int | None = None) -> api.EndpointEntry:
         """Convert an entry at `now` (us); a zone or kind missing in the settings gets a number of its own.
 
         `list_current_at` is a time at which the list was known to be up to date: executors and stamps that
         are new since then are taken as started later.
         """
-        number = self.numbers.setdefault(endpoint.name, len(self.numbers) + 1)
-        self.names[number] = endpoint.name
+        number = self.numbers_by_name.setdefault(endpoint.name, len(self.numbers_by_name) + 1)
+        self.names_by_number[number] = endpoint.name
         return api.EndpointEntry(
             number,
             _STATES.get(endpoint.status, api.ExecutorState.DRAINING),  # an unknown status counts as draining
@@ -84,14 +84,14 @@
         start = self.starts.get(endpoint.name)
         if start is None or endpoint.since_ms != start.since_ms:
             is_older = start is not None and endpoint.since_ms < start.since_ms  # from an outdated list
-            at_us = self._to_node_clock(endpoint.since_ms, now, None if is_older else list_current_at)
-            start = self.starts[endpoint.name] = ExecutorStart(endpoint.since_ms, at_us)
-        return start.at_us
+            started_at_us = self._to_node_clock(endpoint.since_ms, now, None if is_older else list_current_at)
+            start = self.starts[endpoint.name] = ExecutorStart(endpoint.since_ms, started_at_us)
+        return start.started_at_us
 
     def _to_node_clock(self, since_ms: int, now: int, list_current_at: int | None) -> int:
         """Convert a new stamp to the node's clock, within the bounds that this node has observed."""
         offset_us = min(self._initial_unix_offset_us, unix_us() - now)
-        at_us = since_ms * 1000 - offset_us
-        if list_current_at is not None and at_us < list_current_at - LISTING_DELAY_US:
-            at_us = list_current_at  # the clocks differ, so the stamp is unusable
-        return max(1, min(at_us, now))
+        started_at_us = since_ms * 1000 - offset_us
+        if list_current_at is not None and started_at_us < list_current_at - LISTING_DELAY_US:
+            started_at_us = list_current_at  # the clocks differ, so the stamp is unusable
+        return max(1, min(started_at_us, now))
--- a/cedarmill/net/discovery/list_stream.py
+++ b/cedarmill/net/discovery/list_stream.py
@@ -82,7 +82,7 @@
         self._document_started = False  # whether the buffer holds a complete line of an unfinished document
 
     @property
-    def partial(self) -> bool:
+    def has_partial_list(self) -> bool:
         """Return whether a list has started that is not complete yet."""
         return self._document_started or not self._line_is_blank
 
--- a/cedarmill/net/discovery/watch_connection.py
+++ b/cedarmill/net/discovery/watch_connection.py
@@ -79,10 +79,10 @@
             self.fail(f"malformed answer: {error.__context__ or error}")
         if not self.closed:
             self.client.on_watch_event(
-                WatchEvent.PARTIAL_LIST_RECEIVED if self.lists.partial else WatchEvent.DATA_RECEIVED
+                WatchEvent.PARTIAL_LIST_RECEIVED if self.lists.has_partial_list else WatchEvent.DATA_RECEIVED
             )
-            if self.has_listing and not self.lists.partial:
-                self.client.current_at = self.driver.now()
+            if self.has_listing and not self.lists.has_partial_list:
+                self.client.list_current_at = self.driver.now()
 
     # Callbacks of httptools.
 
--- a/cedarmill/net/framing.py
+++ b/cedarmill/net/framing.py
@@ -30,8 +30,8 @@
 MAX_BODY_BYTES = 16 * 1024 * 1024  # far above a part of a snapshot (32 KiB) and the replicated state
 MAX_UNSENT_BYTES = 4 * 1024 * 1024  # above this, frames are dropped and have to be requested again
 CONNECT_TIMEOUT_US = 1_000_000
-HELLO_US = 2_000_000  # time limit for a connection's first frame
-SILENT_US = 4_000_000  # longest silence between replicas, which send ten heartbeats a second
+HELLO_TIMEOUT_US = 2_000_000  # time limit for a connection's first frame
+SILENCE_TIMEOUT_US = 4_000_000  # longest silence between replicas, which send ten heartbeats a second
 
 Message = Hello | ConnectionRejected | ReplicaMessage | ClientRequest | ClientReply | GossipMessage
 _DECODER = msgspec.msgpack.Decoder(tuple[int, Message])
@@ -185,7 +185,7 @@
             self.transport.abort()
         self.on_end(self, reason)
 
-    def refuse(self, reason: str) -> None:
+    def reject(self, reason: str) -> None:
         """Send the reason for a rejection, and close the connection."""
         if not self.send(0, ConnectionRejected(reason)):
             self.end(reason)
--- a/cedarmill/net/health/grpc.py
+++ b/cedarmill/net/health/grpc.py
@@ -49,11 +49,11 @@
         status = Status.SERVING if ready else Status.NOT_SERVING
         return {"": status, SERVICE: status}
 
-    def changed(self) -> None:
+    def on_health_changed(self) -> None:
         """Tell all watches."""
         for session in list(self.sessions):
             session.changed()
 
     def _look(self, now: int) -> None:
         self.driver.timers.add(now + LOOK_US, self._look)
-        self.changed()
+        self.on_health_changed()
--- a/cedarmill/net/health/listener.py
+++ b/cedarmill/net/health/listener.py
@@ -169,5 +169,5 @@
         super().__init__(driver, "health", BOUNDS, lambda: session(self))
         self.health = health
 
-    def changed(self) -> None:
+    def on_health_changed(self) -> None:
         """Take note that the node's health may have changed: for listeners whose checkers watch."""
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -25,7 +25,7 @@
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.net.reload import ConfigurationReload
 from cedarmill.net.shutdown import Shutdown
-from cedarmill.net.upgrade.sibling import SiblingProcess
+from cedarmill.net.upgrade.sibling import SiblingExchange
 from cedarmill.net.upgrade.warm_state import WarmStateSaver
 from cedarmill.net.upstream.pool import UpstreamPools
 from cedarmill.net.waste_log import WasteLog
@@ -63,7 +63,7 @@
         )
         balancer = Balancer(settings, config.seed)
         self.dispatch = Dispatch(balancer, self.timers, self.pools, self.discovery, deadline_tracker)
-        self.sibling = SiblingProcess(
+        self.sibling_exchange = SiblingExchange(
             self.driver, self.discovery, config.name, self._count_own_connections, self._apply_sibling_counts
         )
         self.inherited_socket = inherited_socket()
@@ -71,7 +71,7 @@
         self.shutdown = Shutdown(
             self.driver, self.clients, longest_deadline_us, self.inherited_socket is not None, self._stop
         )
-        for adapter in (self.clients, self.pools, self.discovery, self.sibling, self.shutdown):
+        for adapter in (self.clients, self.pools, self.discovery, self.sibling_exchange, self.shutdown):
             adapter.dispatch = self.dispatch
         self.reload = ConfigurationReload(self.driver, path, config, self.discovery, self._is_draining)
         class_names = [spec.name for spec in settings.classes]
@@ -79,7 +79,7 @@
         self.admin_handlers = AdminHandlers(
             self.driver, self.clients, self.discovery, config.name, self._is_draining
         )
-        self.admin_server = admin.AdminServer(self.driver, self.admin_handlers.carry_out)
+        self.admin_server = admin.AdminServer(self.driver, self.admin_handlers.handle)
         self.warm_state = WarmStateSaver(
             self.driver, balancer, self.discovery, config.name, self._is_draining
         )
@@ -136,13 +136,13 @@
 
         def report_draining() -> None:
             for listener in listeners.values():
-                listener.changed()
+                listener.on_health_changed()
 
         self.shutdown.on_draining = report_draining
 
     def run(self) -> None:
         """Serve until a signal ends the process; raise OSError if an address cannot be bound."""
-        handlers = {signal.SIGHUP: self.reload.begin, signal.SIGUSR1: self.waste_log.tell}
+        handlers = {signal.SIGHUP: self.reload.begin, signal.SIGUSR1: self.waste_log.log_summary}
         for number in SIGNALS:
             self.loop.add_signal_handler(number, handlers.get(number, self.shutdown.begin))
         self._open_listeners()
@@ -153,14 +153,14 @@
         if self.cluster_role is not None:
             self.cluster_role.start()
         if self.inherited_socket is not None:
-            self.sibling.start()
+            self.sibling_exchange.start()
         self.waste_log.start()
         self.loop.call_soon(self._on_loop_started)
         gc.collect()
         gc.freeze()
         self.driver.run_due_timers()
         self.loop.run_forever()
-        self.sibling.remove_document()
+        self.sibling_exchange.remove_document()
         log_event("ended", name=self.config.name)
 
     def _open_listeners(self) -> None:
@@ -194,7 +194,7 @@
 def main(log_format: str = "text", options: Options | None = None) -> int:
     """Run the node that `$LB_CONFIG` configures; return the exit code."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the loop runs
-    log.begin(log_format)
+    log.configure(log_format)
     try:
         if not (path := os.environ.get("LB_CONFIG")):
             raise ConfigError("LB_CONFIG is not set")
--- a/cedarmill/net/reload.py
+++ b/cedarmill/net/reload.py
@@ -57,4 +57,4 @@
         if ignored := self.config.changes_needing_restart(config):
             log_event("reload-ignored", names=", ".join(ignored))
         log_event("reloaded", host=config.discovery.host, port=config.discovery.port)
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
--- a/cedarmill/net/upgrade/sibling.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -82,7 +82,7 @@
         return self.last_heartbeat_us is not None and now_us - self.last_heartbeat_us > span_us
 
 
-class SiblingProcess:
+class SiblingExchange:
     """Publishes this process's resources in use to its siblings, and passes theirs to the balancer."""
 
     dispatch: Dispatch  # set by the node after construction
@@ -178,7 +178,7 @@
     def _write_own_document(self, clock: ClockReading) -> None:
         """Write this process's document if it has changed or a heartbeat is due; raise OSError on failure."""
         written_us, last_document = self.last_written
-        usage = held_now(self.dispatch.balancer, self.discovery.reader.names)
+        usage = held_now(self.dispatch.balancer, self.discovery.reader.names_by_number)
         document = SiblingDocument(usage, self.count_own_connections())
         if document != last_document or clock.monotonic_us - written_us >= HEARTBEAT_INTERVAL_US:
             body = msgspec.json.encode(document)
@@ -192,7 +192,7 @@
             for name, (slots, memory) in sibling.document.usage.items():
                 subtotal = total.get(name, (0.0, 0.0))
                 total[name] = subtotal[0] + slots, subtotal[1] + memory
-        numbers = self.discovery.reader.numbers
+        numbers = self.discovery.reader.numbers_by_name
         for name in self.reported_usage.keys() | total.keys():
             number, usage = numbers.get(name), total.get(name, (0.0, 0.0))
             if number is not None and usage != self.reported_usage.get(name, (0.0, 0.0)):
--- a/cedarmill/net/upgrade/state_file.py
+++ b/cedarmill/net/upgrade/state_file.py
@@ -79,7 +79,7 @@
         return data
 
     @contextlib.contextmanager
-    def alone(self) -> Iterator[None]:
+    def exclusive_lock(self) -> Iterator[None]:
         """Hold an exclusive lock, so that no other process changes the document between a read and a write.
 
         Raises BlockingIOError at once if another process holds the lock: it does so for one small write, or
--- a/cedarmill/net/upgrade/warm_state.py
+++ b/cedarmill/net/upgrade/warm_state.py
@@ -79,23 +79,23 @@
             raise ValueError("saved with different settings: classes or tenants differ")
         self.pending_snapshot, self.pending_until_us = state, now + LISTING_GRACE_US
         log_event("warm-state-restored", executors=len(state.executors), age_s=age_us / 1e6)
-        self.discovery.inherit(
+        self.discovery.restore_starts(
             {
                 name: ExecutorStart(since_ms, saved_us - start_age_us)
                 for name, (since_ms, start_age_us) in state.starts.items()
             },
             None if state.list_age_us is None else saved_us - state.list_age_us,
         )
-        self.discovery.on_change = lambda: self._restore_listed_executors(saved_us)
+        self.discovery.on_list_change = lambda: self._restore_listed_executors(saved_us)
 
     def _restore_listed_executors(self, saved_us: int) -> None:
         """Restore each pending executor that is listed now; stop after the grace period."""
-        numbers, executors = self.discovery.reader.numbers, self.balancer.executors
+        numbers, executors = self.discovery.reader.numbers_by_name, self.balancer.executors
         pending = self.pending_snapshot.executors if self.pending_snapshot is not None else {}
         for name in [name for name in pending if numbers.get(name) in executors]:
             restore_executor(executors[numbers[name]], pending.pop(name), saved_us)
         if not pending or self.driver.now() > self.pending_until_us:
-            self.discovery.on_change = None
+            self.discovery.on_list_change = None
 
     def _save(self, now: int) -> None:
         """Save the warm state and schedule the next save; while draining, leave the file to the successor."""
@@ -112,12 +112,12 @@
     def _encode_state(self, now: int) -> bytes:
         """Return the warm state at `now` as JSON."""
         discovery = self.discovery
-        snapshot = take_snapshot(self.balancer, discovery.reader.names, now)
-        listed_names = (discovery.reader.names[number] for number in discovery.entries)
+        snapshot = take_snapshot(self.balancer, discovery.reader.names_by_number, now)
+        listed_names = (discovery.reader.names_by_number[number] for number in discovery.entries)
         known_starts = (
             (name, start) for name in listed_names if (start := discovery.reader.starts.get(name))
         )
-        starts = {name: (start.since_ms, now - start.at_us) for name, start in known_starts}
-        list_age_us = None if discovery.current_at is None else now - discovery.current_at
+        starts = {name: (start.since_ms, now - start.started_at_us) for name, start in known_starts}
+        list_age_us = None if discovery.list_current_at is None else now - discovery.list_current_at
         fields = {name: getattr(snapshot, name) for name in Snapshot.__struct_fields__}
         return msgspec.json.encode(WarmState(**fields, starts=starts, list_age_us=list_age_us))
--- a/cedarmill/net/upstream/pool.py
+++ b/cedarmill/net/upstream/pool.py
@@ -148,7 +148,7 @@
             return
         pool.submit(ProbeExchange(self, pool, probe))
 
-    def recall(self, probe: Probe) -> None:
+    def withdraw_probe(self, probe: Probe) -> None:
         """Withdraw a probe that has not been written."""
         exchange, probe.exchange = cast(ProbeExchange | None, probe.exchange), None
         if exchange is None:
--- a/cedarmill/net/waste_log.py
+++ b/cedarmill/net/waste_log.py
@@ -26,9 +26,9 @@
 
     def _log_periodically(self, now: int) -> None:
         self.driver.timers.add(now + self.period_us, self._log_periodically)
-        self.tell(quiet=True)
+        self.log_summary(quiet=True)
 
-    def tell(self, quiet: bool = False) -> None:
+    def log_summary(self, quiet: bool = False) -> None:
         """Log the wasted work; without `quiet`, also if there was none."""
         rows = [
             {**row._asdict(), "job_class": self.class_names[row.job_class]}
--- a/tests/core/test_discovery_watch.py
+++ b/tests/core/test_discovery_watch.py
@@ -204,17 +204,17 @@
                     found += stream.feed(text[at : at + size])
                 self.assertEqual([listing.index for listing in found], [1, 2, 3])
                 self.assertEqual(found[0].endpoints[1].name, "s-{2}")
-                self.assertFalse(stream.partial)
+                self.assertFalse(stream.has_partial_list)
 
     def test_list_is_partial_until_its_last_byte(self):
         text = self.text(2)
         first = text.index(b"\n}\n") + 2
         for at in (1, 20, first - 1):
             stream = ListStream()
-            self.assertEqual((stream.feed(text[:at]), stream.partial), ([], True))
+            self.assertEqual((stream.feed(text[:at]), stream.has_partial_list), ([], True))
         stream = ListStream()
         stream.feed(b"\n\n")
-        self.assertFalse(stream.partial)
+        self.assertFalse(stream.has_partial_list)
 
     def test_answer_without_a_final_newline_is_complete(self):
         stream = ListStream()
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -51,8 +51,8 @@
     def probe(self, probe) -> None:
         self._record("probe", self.probes, probe)
 
-    def recall(self, probe) -> None:
-        self._record("recall", self.recalled, probe)
+    def withdraw_probe(self, probe) -> None:
+        self._record("withdraw_probe", self.recalled, probe)
 
     def watch(self) -> None:
         self._record("watch", [], None)
@@ -254,16 +254,16 @@
         unix_ms = time.time_ns() // 1_000_000
         endpoint = Endpoint("s-1", "SERVING", since_ms=unix_ms)
         now = time.monotonic_ns() // 1000
-        since = reader.entry(endpoint, now).started_at
+        since = reader.to_entry(endpoint, now).started_at
         self.assertAlmostEqual(since, now, delta=2_000_000)
-        self.assertEqual(reader.entry(endpoint, now + 5_000_000).started_at, since)
-        self.assertEqual(reader.entry(Endpoint("s-2", "SERVING", since_ms=0), now).started_at, 0)
+        self.assertEqual(reader.to_entry(endpoint, now + 5_000_000).started_at, since)
+        self.assertEqual(reader.to_entry(Endpoint("s-2", "SERVING", since_ms=0), now).started_at, 0)
 
     def test_each_unconfigured_zone_gets_its_own_number(self):
         """Repeats of a keyed request are deduplicated within a zone, so zones must not be confused."""
         reader = EndpointReader(settings(zones=("here",)))
         zones = [
-            reader.entry(Endpoint("s", "SERVING", zone=zone), 1).zone for zone in ("here", "x", "y", "x")
+            reader.to_entry(Endpoint("s", "SERVING", zone=zone), 1).zone for zone in ("here", "x", "y", "x")
         ]
         self.assertEqual(zones, [0, 1, 2, 1])
 
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -266,9 +266,9 @@
     from cedarmill.lab.cluster.history import Event
     from cedarmill.lab.cluster.report import Verdict
     from cedarmill.lab.history import History
-    from cedarmill.net.config import _File
+    from cedarmill.net.config import ConfigurationFile
 
-    return [_File, Event, Verdict, History]
+    return [ConfigurationFile, Event, Verdict, History]
 
 
 def frame_codec() -> tuple[Callable[[int, Any], bytes], Callable[[bytes], list]]:
--- a/tests/net/cluster/test_framing.py
+++ b/tests/net/cluster/test_framing.py
@@ -83,7 +83,7 @@
         for error_number in (errno.EPIPE, errno.ECONNRESET, errno.ENOBUFS):
             for write in (
                 lambda connection: connection.send(0, ReadRequest("status")),
-                lambda connection: connection.refuse("not here"),
+                lambda connection: connection.reject("not here"),
             ):
                 with self.subTest(error_number=error_number):
                     on_end = mock.Mock()
--- a/tests/net/cluster/test_gossip.py
+++ b/tests/net/cluster/test_gossip.py
@@ -39,7 +39,9 @@
         dispatch = SimpleNamespace(balancer=SimpleNamespace(executors=workers), on_peer_report=self._told)
         entries = {n: api.EndpointEntry(n, api.ExecutorState.READY) for n in workers}
         names = {n: f"e{n}" for n in workers}
-        reader = SimpleNamespace(names=names, numbers={name: n for n, name in names.items()})
+        reader = SimpleNamespace(
+            names_by_number=names, numbers_by_name={name: n for n, name in names.items()}
+        )
         discovery = SimpleNamespace(dispatch=dispatch, entries=entries, reader=reader)
         self.gossip, self.executors, self.said = Gossip(clock, name, "c", discovery), workers, []
         link = self.gossip.links[peer] = Link(peer)
@@ -130,7 +132,7 @@
     def test_only_peers_that_use_the_same_executors_are_linked(self):
         gossip, self.a.connection.end = self.a.gossip, lambda reason: None
         names = {n: f"e{n}" for n in range(600)}
-        gossip.discovery.reader.names = names
+        gossip.discovery.reader.names_by_number = names
         gossip.discovery.entries = {n: api.EndpointEntry(n, api.ExecutorState.READY) for n in names}
         gossip.set_peers({f"n{n}": "nowhere" for n in range(120)})
         self.clock.pass_on(IDLE_SEND_US)
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -145,10 +145,10 @@
 class Listed:
     """The discovery's side that the handlers use: it knows every name, and hears the marks."""
 
-    def knows(self, name: str) -> bool:
+    def has_executor(self, name: str) -> bool:
         return True
 
-    def mark(self, marks: dict) -> None:
+    def set_exclusions(self, marks: dict) -> None:
         self.marks = marks
 
 
@@ -190,7 +190,7 @@
             handlers.state_file = kept
             handlers.start()
             for number in range(10):
-                handlers.carry_out(
+                handlers.handle(
                     routes.AdminRequest(
                         routes.AdminAction.EXCLUDE if number % 2 else routes.AdminAction.INCLUDE, "s-1"
                     ),
@@ -232,36 +232,36 @@
     def mark(handlers: AdminHandlers, names: list[str]) -> None:
         for name in names:
             told = Told()
-            handlers.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, name), told)
+            handlers.handle(routes.AdminRequest(routes.AdminAction.EXCLUDE, name), told)
             handlers.driver.run_until(lambda told=told: told.status)
             assert told.status == 200, told.status
 
     def test_a_process_that_stands_still_with_the_lock_holds_up_nothing_but_the_call(self):
         """Waited for on the loop's thread, a stopped process took this one with it, requests and all."""
         told, marked = Told(), Told()
-        with StateFile(self.path).alone():
-            self.old.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
+        with StateFile(self.path).exclusive_lock():
+            self.old.handle(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
             self.assertEqual(told.status, 0)  # and the call has returned
             began = self.old.driver.now()
             self.old.driver.run_until(lambda: told.status)
             self.assertLessEqual(LOCK_WAIT_US, self.old.driver.now() - began + LOCK_AGAIN_US)
             self.assertEqual((told.status, self.old.exclusions.since), (503, {}))
-            self.old.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), marked)
+            self.old.handle(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), marked)
         self.old.driver.run_until(lambda: marked.status)
         self.assertEqual((marked.status, set(self.old.exclusions.since)), (200, {"s-1"}))
 
     def test_a_write_that_fails_takes_back_its_own_mark_only(self):
         """The other process's mark was read just before, and would not have been read again."""
-        self.new.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-2"), Told())
+        self.new.handle(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-2"), Told())
         told = Told()
         with mock.patch.object(self.old.state_file, "write", side_effect=OSError(errno.ENOSPC, "full")):
-            self.old.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
+            self.old.handle(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
         self.assertEqual((told.status, set(self.old.exclusions.since)), (503, {"s-2"}))
 
     def test_a_mark_that_cannot_be_kept_is_not_made(self):
         self.old.state_file = StateFile("/proc/none/kept.json")
         told = Told()
-        self.old.carry_out(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
+        self.old.handle(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), told)
         self.assertEqual(told.status, 503)
         self.assertEqual(self.old.exclusions.since, {})
 
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -117,7 +117,7 @@
         self.discovery.on_listing(self.listing(true_ages, snapshot))
         entries, names = (
             self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries,
-            self.discovery.reader.names,
+            self.discovery.reader.names_by_number,
         )
         return {names[entry.executor]: self.now - entry.started_at for entry in entries if entry.started_at}
 
@@ -173,7 +173,7 @@
         self.assertEqual(
             self.ages_after_listing({"s-1": 0, "s-2": 600 * SECOND_US}), {"s-2": 600 * SECOND_US}
         )
-        self.discovery.move(Address("127.0.0.1", 2))
+        self.discovery.change_address(Address("127.0.0.1", 2))
         self.now += SECOND_US
         self.assertEqual(self.ages_after_listing({"s-3": 500 * SECOND_US}), {"s-3": 500 * SECOND_US})
 
@@ -195,10 +195,10 @@
             with self.subTest(clock_step_s=clock_step_s):
                 self.start_client()
                 self.ages_after_listing({"s-2": 3 * SECOND_US})
-                starts, current_at = dict(self.discovery.reader.starts), self.discovery.current_at
+                starts, current_at = dict(self.discovery.reader.starts), self.discovery.list_current_at
                 self.now += SECOND_US
                 self.start_client(clock_step_s)
-                self.discovery.inherit(starts, current_at)
+                self.discovery.restore_starts(starts, current_at)
                 ages = self.ages_after_listing({"s-1": 0, "s-2": 4 * SECOND_US, "s-3": SECOND_US // 2})
                 self.assertEqual(ages["s-2"], 4 * SECOND_US)
                 self.assertTrue(0 <= ages["s-3"] <= SECOND_US, ages)
@@ -225,33 +225,33 @@
         return self.discovery.dispatch.on_endpoint_list.call_args.args[1].entries[-1]
 
     def test_excluded_executor_drains_despite_list(self) -> None:
-        self.discovery.mark({"s-1": 50_000_000})
+        self.discovery.set_exclusions({"s-1": 50_000_000})
         self.assertEqual(self.last_published_entry().state, api.ExecutorState.DRAINING)
         self.receive_list(since_ms=52_000)
         self.assertEqual(self.last_published_entry().state, api.ExecutorState.DRAINING)
 
     def test_included_executor_starts_at_listed_restart(self) -> None:
         """Guards against counting the start from the operator's call, which prolongs the warm-up."""
-        self.discovery.mark({"s-1": 50_000_000})
+        self.discovery.set_exclusions({"s-1": 50_000_000})
         self.now = 53_000_000  # after the listed start, since a future stamp counts as now
         self.receive_list(since_ms=52_000)
         self.now = 60_000_000
-        self.discovery.mark({})
+        self.discovery.set_exclusions({})
         entry = self.last_published_entry()
         self.assertEqual((entry.state, entry.started_at), (api.ExecutorState.READY, 52_000_000))
         self.assertTrue(entry.by_hand)
 
     def test_included_executor_without_listed_restart_starts_now(self) -> None:
-        self.discovery.mark({"s-1": 50_000_000})
+        self.discovery.set_exclusions({"s-1": 50_000_000})
         self.now = 60_000_000
-        self.discovery.mark({})
+        self.discovery.set_exclusions({})
         self.assertEqual(self.last_published_entry().started_at, 60_000_000)
 
     def test_including_unlisted_executor_publishes_nothing(self) -> None:
-        self.discovery.mark({"s-1": 50_000_000})
+        self.discovery.set_exclusions({"s-1": 50_000_000})
         self.discovery.on_listing(Listing(2, True, []))
         previous_call_count = self.discovery.dispatch.on_endpoint_list.call_count
-        self.discovery.mark({})
+        self.discovery.set_exclusions({})
         self.assertEqual(self.discovery.dispatch.on_endpoint_list.call_count, previous_call_count)
 
 
--- a/tests/net/test_discovery_stream.py
+++ b/tests/net/test_discovery_stream.py
@@ -50,7 +50,7 @@
         listings = []
         for offset in range(len(text)):
             listings += stream.feed(text[offset : offset + 1])
-            self.assertEqual(stream.partial, not listings)
+            self.assertEqual(stream.has_partial_list, not listings)
         self.assertEqual([len(listing.endpoints) for listing in listings], [EXECUTORS])
         self.assertIs(stream._buffer, buffer)  # the stream has used the counting buffer
         self.assertLessEqual(buffer.visited_bytes, MAX_VISITS_PER_BYTE * len(text))
--- a/tests/net/test_sibling_faults.py
+++ b/tests/net/test_sibling_faults.py
@@ -18,7 +18,7 @@
     DEAD_FILE_RETENTION_US,
     HEARTBEAT_TIMEOUT_US,
     POLL_INTERVAL_ALONE_US,
-    SiblingProcess,
+    SiblingExchange,
 )
 from cedarmill.net.upgrade.state_file import InPlaceStateFile
 from tests.net.test_upgrade import LearnedSlotsCase
@@ -159,7 +159,7 @@
 
 
 class ReportedUsage(unittest.TestCase):
-    """What `SiblingProcess` reports to the balancer and to the limits, on a clock that the test advances."""
+    """What `SiblingExchange` reports to the balancer and to the limits, on a clock that the test advances."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -170,8 +170,8 @@
         self.timers, self.reported_counts = Timers(), []
         driver = EventLoopDriver(mock.Mock(), self.timers)
         discovery = mock.Mock()
-        discovery.reader.numbers, discovery.reader.names = {"s-0": 4}, {4: "s-0"}
-        self.process = SiblingProcess(
+        discovery.reader.numbers_by_name, discovery.reader.names_by_number = {"s-0": 4}, {4: "s-0"}
+        self.process = SiblingExchange(
             driver, discovery, "n0", lambda: ConnectionCounts(0, 0), self.reported_counts.append
         )
         self.process.dispatch = self.dispatch = mock.Mock()
--- a/tests/net/test_state_files.py
+++ b/tests/net/test_state_files.py
@@ -70,12 +70,12 @@
     """`StateFile`, replaced by a rename."""
 
     def test_lock_held_by_another_process_fails_without_blocking(self):
-        with StateFile(self.path).alone():
+        with StateFile(self.path).exclusive_lock():
             self.assertIsInstance(
-                self.result_without_blocking(lambda: StateFile(self.path).alone().__enter__()),
+                self.result_without_blocking(lambda: StateFile(self.path).exclusive_lock().__enter__()),
                 BlockingIOError,
             )
-        with StateFile(self.path).alone():
+        with StateFile(self.path).exclusive_lock():
             pass
 
     def test_fifo_in_place_of_the_file_fails_without_blocking(self):
@@ -83,7 +83,7 @@
         os.mkfifo(f"{self.path}.lock")
         for call in (
             StateFile(self.path).read,
-            StateFile(self.path).alone().__enter__,
+            StateFile(self.path).exclusive_lock().__enter__,
             InPlaceStateFile(self.path).read_halves,
             lambda: InPlaceStateFile(self.path).write(b""),
         ):
