--- a/cedarmill/decisions/balancer.py
+++ b/cedarmill/decisions/balancer.py
@@ -90,13 +90,13 @@
             state.settings.classes[event.job_class],
             deadline=state.now + event.time_left_us,
             priority=quotas.record_and_prioritize(state, event),
-            allowed_zones=event.homes,
+            allowed_zones=event.allowed_zones,
             max_attempts=state.settings.max_attempts,
-            retry_after_factor=event.cut or RETRY_AFTER_SLACK_FACTOR,
+            retry_after_factor=event.retry_after_factor or RETRY_AFTER_SLACK_FACTOR,
         )
         state.requests[event.request] = request
         slow_start.record_arrival(state, request)
-        if event.cut:  # the cluster sheds requests of this priority
+        if event.retry_after_factor:  # the cluster sheds requests of this priority
             admission.reject_or_queue(state, request)
         else:
             admission.admit(state, request)
@@ -142,7 +142,7 @@
         if (attempt := self._find_attempt(event)) is None:
             return
         state, request = self.state, attempt.request
-        request.max_attempts = min(request.max_attempts, event.tries)
+        request.max_attempts = min(request.max_attempts, event.max_attempts)
         is_stale = self._close_attempt(attempt, event.outcome)
         self._record_outcome(attempt, event.outcome)
         learning.apply_report(state, attempt.executor, event.report, () if is_stale else (attempt,))
@@ -172,7 +172,7 @@
         """Update what is known about an executor from the outcome of an attempt."""
         state, executor = self.state, attempt.executor
         if outcome in (Outcome.OK, Outcome.ERROR):
-            executor.heard_at = state.now
+            executor.last_response_at = state.now
             state.recently_used = [*state.recently_used[-(selection.MAX_RECENTLY_USED - 1) :], executor]
         if outcome == Outcome.OK:
             slow_start.record_run(state, attempt)
@@ -196,7 +196,7 @@
         request, executor.probing_request = executor.probing_request, None
         if event.outcome == Outcome.OK:
             executor.probation_at = min(executor.probation_at, state.now)
-            executor.heard_at = state.now - event.age
+            executor.last_response_at = state.now - event.age
             learning.apply_report(state, executor, event.report)
         elif event.outcome in (Outcome.CONNECT_FAILED, Outcome.TIMEOUT):
             outliers.record_connection_failure(state, executor)
--- a/cedarmill/decisions/discovery_calls.py
+++ b/cedarmill/decisions/discovery_calls.py
@@ -45,7 +45,7 @@
         state.pools.remove(executor)
     elif not executor.listed:
         state.pools.add(executor, state.random.random())
-        if entry.by_hand:
+        if entry.is_reinstated:
             state.reinstated.append(executor)
 
 
--- a/cedarmill/decisions/interface.py
+++ b/cedarmill/decisions/interface.py
@@ -60,7 +60,7 @@
 class EndpointEntry:
     """Entry of the endpoint list; `started_at` 0 means long ago, `size` is relative to other executors.
 
-    `by_hand` marks an executor that operators have just reinstated and expect to receive requests.
+    `is_reinstated` marks an executor that operators have just reinstated and expect to receive requests.
     """
 
     executor: int
@@ -70,7 +70,7 @@
     started_at: int = 0
     size: float = 1.0
     kind: int = 0
-    by_hand: bool = False
+    is_reinstated: bool = False
 
 
 @dataclass(slots=True)
@@ -85,8 +85,8 @@
 class RequestArrived:
     """A request to serve, refuse or fail within `time_left_us`; `hint_us` 0 means no hint.
 
-    `homes` are the zones in which the request may run; empty means all. A `cut` above 0 means that the
-    cluster sheds this priority: the request is refused, with a Retry-After of `cut` times its slack.
+    `allowed_zones`: where the request may run; empty means all zones. A `retry_after_factor` above 0 means
+    that the cluster sheds this priority: it is refused, with a Retry-After of so many times its slack.
     """
 
     request: int
@@ -98,8 +98,8 @@
     tenant: int = 0
     key: int = 0
     repeated: bool = False
-    homes: tuple[int, ...] = ()
-    cut: float = 0.0
+    allowed_zones: tuple[int, ...] = ()
+    retry_after_factor: float = 0.0
 
 
 @dataclass(slots=True)
@@ -141,7 +141,7 @@
 class AttemptEnded:
     """The only outcome of an attempt; `final` means that the request is finished.
 
-    `tries` is the total number of attempts that the request may have; the cluster may forbid further ones.
+    `max_attempts` is the total that the request may have; the cluster may forbid further attempts.
     """
 
     request: int
@@ -150,7 +150,7 @@
     outcome: Outcome
     final: bool
     report: LoadReport | None = None
-    tries: int = UNLIMITED_ATTEMPTS
+    max_attempts: int = UNLIMITED_ATTEMPTS
 
 
 @dataclass(slots=True)
@@ -189,7 +189,7 @@
 
 @dataclass(slots=True)
 class ZoneShares:
-    """Share of requests to send to each zone, by `homes`; without a row the balancer chooses freely."""
+    """Share of requests for each zone, by `allowed_zones`; without a row the balancer chooses freely."""
 
     rows: dict[tuple[int, ...], dict[int, float]]
 
--- a/cedarmill/decisions/learning.py
+++ b/cedarmill/decisions/learning.py
@@ -132,8 +132,10 @@
         executor.release_stale_reservations(state.now - STALE_RESERVATION_RUNS * int(class_run_us))
     # An old report loses weight in favour of the mean over all executors.
     report_weight = 0.0
-    if executor.heard_at:
-        report_weight = math.exp((executor.heard_at - state.now) / (REPORT_DECAY_RUNS * learned.mean_run_us))
+    if executor.last_response_at:
+        report_weight = math.exp(
+            (executor.last_response_at - state.now) / (REPORT_DECAY_RUNS * learned.mean_run_us)
+        )
     reported_idle = executor.capacity - executor.held_slots
     idle_slots = report_weight * reported_idle + (1 - report_weight) * learned.idle_slots * executor.size
     if executor.attempts and _has_waiting_attempt(state, executor):
--- a/cedarmill/decisions/outliers.py
+++ b/cedarmill/decisions/outliers.py
@@ -24,7 +24,7 @@
     """Whether the executor's recent report shows more errors than tolerated."""
     if executor.reported_errors <= MAX_TOLERATED_ERRORS:
         return False
-    decay_exponent = (executor.heard_at - state.now) / (ERRORS_DECAY_RUNS * state.learned.mean_run_us)
+    decay_exponent = (executor.last_response_at - state.now) / (ERRORS_DECAY_RUNS * state.learned.mean_run_us)
     return executor.reported_errors * math.exp(decay_exponent) > MAX_TOLERATED_ERRORS
 
 
--- a/cedarmill/decisions/selection.py
+++ b/cedarmill/decisions/selection.py
@@ -138,7 +138,7 @@
             continue
         free_capacity, age_us = (
             learning.free_capacity(state, executor, request),
-            state.now - executor.heard_at,
+            state.now - executor.last_response_at,
         )
         if health_weight and age_us > fresh_us and executor.probing_request is None:
             sample.without_fresh_report.append(executor)
@@ -155,7 +155,7 @@
     """Return the tier and the weight of an executor that has free capacity."""
     # An executor without any news for long may be idle.
     is_unknown = (
-        state.now - executor.heard_at
+        state.now - executor.last_response_at
         > UNKNOWN_AFTER_DECAYS * learning.REPORT_DECAY_RUNS * state.learned.mean_run_us
     )
     if not health_weight:
--- a/cedarmill/decisions/settings.py
+++ b/cedarmill/decisions/settings.py
@@ -63,7 +63,7 @@
     )
 
 
-def from_operator(value: Any) -> Settings:
+def settings_from_json(value: Any) -> Settings:
     """Convert a settings object to `Settings`; unknown keys are ignored.
 
     Raise ValueError naming a missing or invalid key.
--- a/cedarmill/decisions/snapshot.py
+++ b/cedarmill/decisions/snapshot.py
@@ -3,7 +3,7 @@
 This module makes no decisions. Times are stored as ages (us before the snapshot), so that a process with
 another clock can restore them. Executors are identified by their names in discovery, because their numbers
 differ between processes. Attempts in flight stay with the balancer that sent them, which reports separately
-what they hold (`held_now`) while both processes run. `rename` keeps the keys of the stored format.
+what they hold (`own_reservations`) while both processes run. `rename` keeps the keys of the stored format.
 """
 
 import math
@@ -20,7 +20,7 @@
 _START_AGE_KEY = "since"  # key of an executor's start among its ages
 _AGE_FIELDS = {
     _START_AGE_KEY: "started_at",
-    "heard_at": "heard_at",
+    "heard_at": "last_response_at",
     "lowered_at": "backed_off_at",
     "trial_at": "probation_at",
 }
@@ -160,7 +160,7 @@
     return True
 
 
-def held_now(balancer: Balancer, names: Mapping[int, str]) -> dict[str, tuple[float, float]]:
+def own_reservations(balancer: Balancer, names: Mapping[int, str]) -> dict[str, tuple[float, float]]:
     """Return the slots and memory that this balancer's own attempts hold, by discovery's names."""
     return {
         names[number]: (
--- a/cedarmill/decisions/state.py
+++ b/cedarmill/decisions/state.py
@@ -50,7 +50,7 @@
     attempts: "dict[tuple[int, int], Attempt]" = field(default_factory=dict)  # own attempts in flight
     stale_reservations: "list[Attempt]" = field(default_factory=list)  # abandoned attempts that may still run
     report: api.LoadReport | None = None
-    heard_at: int = 0  # time of the last report or response
+    last_response_at: int = 0  # time of the last report or response
     probing_request: "Request | None" = None  # waits for the answer to a probe of this executor
     slow_start: SlowStartUsage = field(default_factory=SlowStartUsage)
     backed_off_at: int = 0  # last decrease of `queue_places`
--- a/cedarmill/net/cluster/gossip.py
+++ b/cedarmill/net/cluster/gossip.py
@@ -204,7 +204,7 @@
             or executor is None
             or age > MAX_AGE_US
             or executor.consecutive_failures
-            or now - age <= executor.heard_at
+            or now - age <= executor.last_response_at
         ):
             self.passed_over += 1
             return
--- a/cedarmill/net/cluster/location_estimates.py
+++ b/cedarmill/net/cluster/location_estimates.py
@@ -52,13 +52,13 @@
     def _usual_slots(self) -> float:
         """The slots of an executor that has reported nothing yet."""
         executors = self.dispatch.balancer.executors.values()
-        reported = [executor.slots for executor in executors if executor.listed and executor.heard_at]
+        reported = [executor.slots for executor in executors if executor.listed and executor.last_response_at]
         return sum(reported) / len(reported) if reported else 1.0
 
     def _slots(self, number: int, entry: api.EndpointEntry, usual: float) -> _SlotEstimate:
         balancer = self.dispatch.balancer
         executor = balancer.executors.get(number)
-        if executor is None or not executor.heard_at:
+        if executor is None or not executor.last_response_at:
             return _SlotEstimate(usual, usual)
         slots = max(executor.slots, balancer.state.learned.slots_by_kind.get(entry.kind, 1.0))
         return _SlotEstimate(slots, max(0.0, executor.capacity - executor.held_slots))
--- a/cedarmill/net/cluster/node_reports.py
+++ b/cedarmill/net/cluster/node_reports.py
@@ -50,7 +50,7 @@
         for number, entry in self.discovery.entries.items():
             executor = self.discovery.dispatch.balancer.executors.get(number)
             unhealthy = executor is not None and executor.consecutive_failures >= UNHEALTHY_FAILURES
-            is_known = unhealthy or (executor is not None and now - executor.heard_at < FRESH_US)
+            is_known = unhealthy or (executor is not None and now - executor.last_response_at < FRESH_US)
             observed[reader.names_by_number[number]] = ExecutorObservation(
                 STATES[entry.state],
                 unhealthy,
--- a/cedarmill/net/cluster/routing.py
+++ b/cedarmill/net/cluster/routing.py
@@ -89,9 +89,9 @@
             weight = weight * OVER_QUOTA_SHARE // WHOLE  # beyond its tenant's quota over the cluster
         run_time_us = self.run_times_us[arrival.job_class]
         self.observations.record_demand(now, bound, int(arrival.slots * run_time_us), weight)
-        arrival.homes = self.zones_of_bound[bound]
+        arrival.allowed_zones = self.zones_of_bound[bound]
         if self.gate.rejects(now, self.holds(now), weight, self._random.random(), bound):
-            arrival.cut = self._random.uniform(*RETRY_AFTER_FACTORS)
+            arrival.retry_after_factor = self._random.uniform(*RETRY_AFTER_FACTORS)
             self.shed += 1
         else:
             self.observations.record_admitted(now)
@@ -144,7 +144,11 @@
         """How long it ran, where its executor had a slot free as it ended; until one had, the shortest."""
         index = attempt.request.claim.job_class
         executor, run_time_us = self.dispatch.balancer.executors.get(attempt.executor), now - attempt.sent_at
-        if executor is not None and executor.heard_at and executor.capacity - executor.held_slots >= 1.0:
+        if (
+            executor is not None
+            and executor.last_response_at
+            and executor.capacity - executor.held_slots >= 1.0
+        ):
             self.counted_runs[index] = min(self.counted_runs[index] + 1, MEAN_OVER)
             difference = run_time_us - self.run_times_us[index]
             self.run_times_us[index] += difference / self.counted_runs[index]
--- a/cedarmill/net/config.py
+++ b/cedarmill/net/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cedarmill.decisions.settings import from_operator
+from cedarmill.decisions.settings import settings_from_json
 from cedarmill.net.discovery.endpoints import Listing
 
 
@@ -55,7 +55,7 @@
     def __init__(self, text: bytes) -> None:
         try:
             raw = msgspec.json.decode(text, type=ConfigurationFile)
-            self.settings = from_operator(msgspec.json.decode(raw.settings))
+            self.settings = settings_from_json(msgspec.json.decode(raw.settings))
             self.listen, self.discovery = Address.parse(raw.listen), Address.parse(raw.discovery)
             self.seed = int(raw.seed, 16)
         except (ValueError, msgspec.MsgspecError) as error:
--- a/cedarmill/net/discovery/client.py
+++ b/cedarmill/net/discovery/client.py
@@ -153,7 +153,7 @@
                 continue
             if name in previous and entry.started_at <= previous[name]:
                 entry = self.entries[entry.executor] = replace(entry, started_at=now)
-            changed.append(replace(entry, by_hand=name in previous))
+            changed.append(replace(entry, is_reinstated=name in previous))
         if changed:
             self._publish(now, api.EndpointListKind.DELTA, changed)
 
--- a/cedarmill/net/upgrade/sibling.py
+++ b/cedarmill/net/upgrade/sibling.py
@@ -17,7 +17,7 @@
 from cedarmill.admin.resource_split import ConnectionCounts
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.dispatch import Dispatch
-from cedarmill.decisions.snapshot import held_now
+from cedarmill.decisions.snapshot import own_reservations
 from cedarmill.log import log_event
 from cedarmill.net.discovery.client import DiscoveryClient
 from cedarmill.net.loop import EventLoopDriver, clock_reading
@@ -178,7 +178,7 @@
     def _write_own_document(self, clock: ClockReading) -> None:
         """Write this process's document if it has changed or a heartbeat is due; raise OSError on failure."""
         written_us, last_document = self.last_written
-        usage = held_now(self.dispatch.balancer, self.discovery.reader.names_by_number)
+        usage = own_reservations(self.dispatch.balancer, self.discovery.reader.names_by_number)
         document = SiblingDocument(usage, self.count_own_connections())
         if document != last_document or clock.monotonic_us - written_us >= HEARTBEAT_INTERVAL_US:
             body = msgspec.json.encode(document)
--- a/cedarmill/sim/wire.py
+++ b/cedarmill/sim/wire.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cedarmill.decisions import interface as api
-from cedarmill.decisions.settings import from_operator
+from cedarmill.decisions.settings import settings_from_json
 
 HEADER = struct.Struct(">IIQ")  # of a batch: bytes, records, time (us)
 REPLY = struct.Struct(">II")  # of an answer to it: replies, bytes
@@ -253,7 +253,7 @@
 def settings(text: bytes) -> api.Settings:
     """Translate the settings of `Provision`; raise WireError where they are not JSON or not valid."""
     try:
-        return from_operator(msgspec.json.decode(text))
+        return settings_from_json(msgspec.json.decode(text))
     except msgspec.DecodeError as error:
         raise WireError(f"settings: not JSON: {error}") from None
     except ValueError as error:
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -346,7 +346,7 @@
         driver.report(1, 4.0)
         driver.report(2, 4.0)
         sent = sends(driver.arrive(0))[0]
-        ended = api.AttemptEnded(sent.request, 0, sent.executor, api.Outcome.RESET, False, tries=1)
+        ended = api.AttemptEnded(sent.request, 0, sent.executor, api.Outcome.RESET, False, max_attempts=1)
         self.assertEqual(sends(driver.feed(ended)), [])
         self.assertNotIn(sent.request, driver.balancer.requests)
 
--- a/tests/cluster/test_traffic_plan.py
+++ b/tests/cluster/test_traffic_plan.py
@@ -483,10 +483,10 @@
         entries = [api.EndpointEntry(n, api.ExecutorState.READY, zone=n % 2) for n in range(8)]
         self.balancer.handle(0, api.EndpointList(api.EndpointListKind.CACHED, entries))
 
-    def sent(self, count: int, homes: tuple[int, ...] = ()) -> list[int]:
+    def sent(self, count: int, allowed_zones: tuple[int, ...] = ()) -> list[int]:
         zones_ = []
         for number in range(count):
-            job = api.RequestArrived(number, 0, 2 * S, homes=homes)
+            job = api.RequestArrived(number, 0, 2 * S, allowed_zones=allowed_zones)
             for action in self.balancer.handle(1000 + number * 10_000, job):
                 zones_ += [action.executor % 2] if isinstance(action, api.Send) else []
             worker = (
@@ -510,5 +510,5 @@
         self.assertEqual(set(self.sent(30, (0,))), {0})
         gone = [api.EndpointEntry(n, api.ExecutorState.GONE, zone=0) for n in range(0, 8, 2)]
         self.balancer.handle(2 * S, api.EndpointList(api.EndpointListKind.DELTA, gone))
-        actions = self.balancer.handle(2 * S + 1, api.RequestArrived(999, 0, 2 * S, homes=(0,)))
+        actions = self.balancer.handle(2 * S + 1, api.RequestArrived(999, 0, 2 * S, allowed_zones=(0,)))
         self.assertEqual([type(action) for action in actions], [api.Refuse])
--- a/tests/conf/test_sites.py
+++ b/tests/conf/test_sites.py
@@ -10,7 +10,7 @@
 from cedarmill.core.timers import Timers
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
-from cedarmill.decisions.settings import from_operator
+from cedarmill.decisions.settings import settings_from_json
 from cedarmill.net.clients.server import ClientServer
 from cedarmill.values import DeadlineOptions
 from tests.support.node_case import NodeCase
@@ -102,7 +102,7 @@
         self.assertGreaterEqual(len(NAMES), 2)
         for name in NAMES:
             site = tomllib.loads((SITES / f"{name}.toml").read_text())
-            settings = from_operator(operator_settings(name))
+            settings = settings_from_json(operator_settings(name))
             with self.subTest(site=name):
                 classes = [(spec.name, spec.effect, spec.deadline_us) for spec in settings.classes]
                 wanted = [(spec["name"], spec["effect"], spec["deadline_ms"] * MS) for spec in site["class"]]
@@ -115,7 +115,7 @@
                 self.assertEqual(settings.can_probe, site["allow"]["probes"])
 
     def test_the_sites_differ_wherever_code_could_be_fitted(self):
-        all_settings = [from_operator(operator_settings(name)) for name in NAMES]
+        all_settings = [settings_from_json(operator_settings(name)) for name in NAMES]
         for differs in (
             lambda s: len(s.classes),
             lambda s: bool(s.tenants),
@@ -130,21 +130,21 @@
 
     def test_a_site_leaves_no_trace_in_the_next_one(self):
         """Its actions after another site's in one process are those of a process that saw no other."""
-        first = {name: played(from_operator(operator_settings(name))) for name in NAMES}
+        first = {name: played(settings_from_json(operator_settings(name))) for name in NAMES}
         for name in reversed(NAMES):
-            again = played(from_operator(operator_settings(name)))
+            again = played(settings_from_json(operator_settings(name)))
             self.assertEqual(again, first[name])
         self.assertNotEqual(*first.values())
 
     def test_classes_tenants_and_deadlines_at_the_clients_side_are_the_sites_own(self):
         sides = []
         for name in NAMES:
-            settings = from_operator(operator_settings(name))
+            settings = settings_from_json(operator_settings(name))
             clients = ClientServer(mock.Mock(), settings, 8, DeadlineOptions())
             dispatch = Dispatch(Balancer(settings, 1), Timers(), mock.Mock(), mock.Mock())
             sides.append((clients, dispatch))
         for name, (clients, dispatch) in zip(NAMES, sides, strict=True):
-            settings = from_operator(operator_settings(name))
+            settings = settings_from_json(operator_settings(name))
             self.assertEqual(list(clients.classes), [spec.name for spec in settings.classes])
             self.assertEqual(list(clients.tenants), [tenant.name for tenant in settings.tenants])
             self.assertEqual(clients.deadlines, [spec.deadline_us for spec in settings.classes])
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -152,7 +152,7 @@
     for executor in (1, 2, 3):
         driver.report(executor, 5)
     driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [entry(4, api.ExecutorState.DRAINING, zone=1)]))
-    reinstated = entry(4, zone=1, started_at=driver.now - 8_000_000, by_hand=True)
+    reinstated = entry(4, zone=1, started_at=driver.now - 8_000_000, is_reinstated=True)
     driver.feed(api.EndpointList(api.EndpointListKind.DELTA, [reinstated]))
     first, second = (sends(driver.arrive(0))[0].executor for _ in range(2))
     assert first == 4
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -9,7 +9,7 @@
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
-from cedarmill.decisions.snapshot import held_now, restore, restore_executor, take_snapshot
+from cedarmill.decisions.snapshot import own_reservations, restore, restore_executor, take_snapshot
 from tests.support.builders import Driver, entry, sends, settings
 
 HOUR_US = 3_600_000_000
@@ -158,7 +158,7 @@
 
     def test_reports_age_while_the_successor_starts(self):
         successor = self.successor(self.predecessor(), age_us=700_000)
-        self.assertEqual(successor.now - successor.balancer.executors[1].heard_at, 700_000)
+        self.assertEqual(successor.now - successor.balancer.executors[1].last_response_at, 700_000)
 
     def test_attempts_of_the_predecessor_hold_slots_until_it_reports_their_end(self):
         """The predecessor learns of the end of an attempt before a load report shows the free slot."""
@@ -174,7 +174,7 @@
         predecessor = self.predecessor()
         self.count_sent(predecessor, 3)
         predecessor.feed(api.SiblingLoad(1, 2.0, 1.0))
-        held = held_now(predecessor.balancer, NAMES)
+        held = own_reservations(predecessor.balancer, NAMES)
         self.assertEqual(sum(slots for slots, _ in held.values()), 3.0)
 
     def test_executor_that_restarted_since_the_snapshot_is_not_restored(self):
--- a/tests/net/cluster/test_gossip.py
+++ b/tests/net/cluster/test_gossip.py
@@ -34,7 +34,7 @@
     """One node with its gossip; what it says is kept."""
 
     def __init__(self, clock: Clock, name: str, peer: str) -> None:
-        workers = {n: SimpleNamespace(consecutive_failures=0, heard_at=0) for n in range(4)}
+        workers = {n: SimpleNamespace(consecutive_failures=0, last_response_at=0) for n in range(4)}
         self.heard: list[tuple[int, int]] = []
         dispatch = SimpleNamespace(balancer=SimpleNamespace(executors=workers), on_peer_report=self._told)
         entries = {n: api.EndpointEntry(n, api.ExecutorState.READY) for n in workers}
@@ -52,7 +52,7 @@
 
     def _told(self, now: int, worker: int, report: tuple, age: int) -> None:
         self.heard.append((worker, age))
-        self.executors[worker].heard_at = now - age
+        self.executors[worker].last_response_at = now - age
 
     def take(self, word) -> None:
         """A frame comes from the other side."""
@@ -124,7 +124,7 @@
         self.hears()
         self.carry()
         self.assertEqual(self.b.heard, [])
-        self.b.executors[2].heard_at = self.clock.at + MAX_AGE_US
+        self.b.executors[2].last_response_at = self.clock.at + MAX_AGE_US
         self.hears(2)
         self.carry()
         self.assertEqual(self.b.heard, [])
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -239,7 +239,7 @@
         self.discovery.set_exclusions({})
         entry = self.last_published_entry()
         self.assertEqual((entry.state, entry.started_at), (api.ExecutorState.READY, 52_000_000))
-        self.assertTrue(entry.by_hand)
+        self.assertTrue(entry.is_reinstated)
 
     def test_included_executor_without_listed_restart_starts_now(self) -> None:
         self.discovery.set_exclusions({"s-1": 50_000_000})
