--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -73,9 +73,9 @@
 
     def _tell(self) -> None:
         """Lay the marks as they now stand over what the balancer is told of these executors."""
-        self.discovery.mark({**self.excluded_by_cluster, **self.exclusions.marked_us})
+        self.discovery.set_exclusions({**self.excluded_by_cluster, **self.exclusions.marked_us})
 
-    def carry_out(self, request: AdminRequest, answer: Answer) -> None:
+    def handle(self, request: AdminRequest, answer: Answer) -> None:
         """Answer a valid request: at once, or when the cluster has been asked, where there is one."""
         if self.ask_cluster is not None and request.action != AdminAction.READY:
             self.ask_cluster(request, answer)
@@ -100,14 +100,14 @@
             self._rejoin(AdminRequest(AdminAction.REJOIN))
 
     def _ready(self, request: AdminRequest) -> AdminResponse:
-        if self.clients.ready():
+        if self.clients.is_ready():
             return AdminResponse(HTTPStatus.OK, b"ready\n")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"not ready\n")
 
     def _mark(self, request: AdminRequest, answer: Answer, now: int, until: int) -> None:
         """Make the mark as soon as the node's other process leaves the file; a no if it has not by then."""
         try:
-            with self.state_file.alone():  # the node's other process may mark at the same time
+            with self.state_file.exclusive_lock():  # the node's other process may mark at the same time
                 done = self._mark_alone(request.executor, request.action == AdminAction.EXCLUDE)
         except OSError as error:  # nothing half done: `_mark_alone` takes the mark back
             if not isinstance(error, BlockingIOError) or now >= until:
@@ -123,7 +123,7 @@
     def _mark_alone(self, name: str, out: bool) -> AdminResponse:
         """Make the mark on the newest document of both processes; raises OSError where it cannot be kept."""
         self._take_up()
-        if not (self.discovery.knows(name) or name in self.exclusions.since):
+        if not (self.discovery.has_executor(name) or name in self.exclusions.since):
             return AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n")
         now, done = clock_reading(self.driver.now()), b"excluded\n" if out else b"included\n"
         before = self.exclusions.copy()
@@ -138,9 +138,9 @@
         return AdminResponse(HTTPStatus.OK, done)
 
     def _drain_clients(self, request: AdminRequest) -> AdminResponse:
-        if not self.clients.draining_clients:
+        if not self.clients.is_draining_clients:
             self._drains += 1
-            self.clients.drain_clients(True)
+            self.clients.set_draining_clients(True)
             log_event("clients-draining", sessions=len(self.clients.sessions))
             drain = self._drains
             self.driver.timers.add(
@@ -149,14 +149,14 @@
         return AdminResponse(HTTPStatus.OK, b"evacuating\n")
 
     def _close_idle(self, now: int, drain: int) -> None:
-        if self.clients.draining_clients and drain == self._drains:
+        if self.clients.is_draining_clients and drain == self._drains:
             self.clients.close_idle()
             self.driver.timers.add(now + CLOSE_IDLE_AGAIN_US, lambda now: self._close_idle(now, drain))
 
     def _rejoin(self, request: AdminRequest) -> AdminResponse:
         if self.ending():
             return AdminResponse(HTTPStatus.CONFLICT, b"the process is ending\n")
-        if self.clients.draining_clients:
-            self.clients.drain_clients(False)
+        if self.clients.is_draining_clients:
+            self.clients.set_draining_clients(False)
             log_event("rejoined")
         return AdminResponse(HTTPStatus.OK, b"rejoined\n")
--- a/cedarmill/net/cluster/routing.py
+++ b/cedarmill/net/cluster/routing.py
@@ -78,7 +78,7 @@
         numbers = self.discovery.reader.zones
         return tuple(sorted(numbers[name] for name in names if name in numbers))
 
-    def place_request(self, arrival: api.RequestArrived) -> None:
+    def constrain_request(self, arrival: api.RequestArrived) -> None:
         """Set where a request may run, by its class or tenant, the stricter, and whether it is shed."""
         bound = self.class_bounds[arrival.job_class]
         if arrival.tenant < len(self.tenant_bounds):
@@ -89,9 +89,9 @@
             weight = weight * OVER_QUOTA_SHARE // WHOLE  # beyond its tenant's quota over the cluster
         run_time_us = self.run_times_us[arrival.job_class]
         self.observations.record_demand(now, bound, int(arrival.slots * run_time_us), weight)
-        arrival.homes = self.zones_of_bound[bound]
+        arrival.allowed_zones = self.zones_of_bound[bound]
         if self.gate.rejects(now, self.holds(now), weight, self._random.random(), bound):
-            arrival.cut = self._random.uniform(*RETRY_AFTER_FACTORS)
+            arrival.retry_after_factor = self._random.uniform(*RETRY_AFTER_FACTORS)
             self.shed += 1
         else:
             self.observations.record_admitted(now)
@@ -144,7 +144,11 @@
         """How long it ran, where its executor had a slot free as it ended; until one had, the shortest."""
         index = attempt.request.claim.job_class
         executor, run_time_us = self.dispatch.balancer.executors.get(attempt.executor), now - attempt.sent_at
-        if executor is not None and executor.heard_at and executor.capacity - executor.held_slots >= 1.0:
+        if (
+            executor is not None
+            and executor.last_response_at
+            and executor.capacity - executor.held_slots >= 1.0
+        ):
             self.counted_runs[index] = min(self.counted_runs[index] + 1, MEAN_OVER)
             difference = run_time_us - self.run_times_us[index]
             self.run_times_us[index] += difference / self.counted_runs[index]
@@ -228,14 +232,14 @@
 
     def _hide(self, zones: tuple[str, ...]) -> None:
         """Executors of these zones get nothing, whatever the plan and this node's observations come to."""
-        names = self.discovery.reader.names
+        names = self.discovery.reader.names_by_number
         hidden = {
             names[number]
             for number, entry in self.discovery.entries.items()
             if self.estimates.zone_names.get(entry.zone) in zones
         }
-        if hidden != self.discovery.hidden:
-            self.discovery.hide(hidden)
+        if hidden != self.discovery.hidden_executors:
+            self.discovery.set_hidden_executors(hidden)
 
     def drained_zones(self, busy: set[int]) -> dict[str, int]:
         """Zones that are closed and have nothing of ours, and the epochs of their permits."""
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -88,7 +88,7 @@
         """
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         self.begin(self.driver.now())
-        self.driver.end()
+        self.driver.run_due_timers()
 
     def begin(self, now: int) -> None:
         """Take the units over, once it is known which of their processes live."""
@@ -238,7 +238,7 @@
     A disk that fails for a while does not end it, neither while it starts nor while it runs.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the loop runs
-    log.begin(log_format)
+    log.configure(log_format)
     wait_us = RETRY_FIRST_US
     try:
         while (process := _take_up(options)) is None:
--- a/cedarmill/net/framing.py
+++ b/cedarmill/net/framing.py
@@ -23,15 +23,15 @@
 from cedarmill.core.timers import Timer
 from cedarmill.log import log_event
 from cedarmill.net.config import Address
-from cedarmill.net.loop import EventLoopDriver, callback
+from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
 FRAME_VERSION = 1
 HEADER = struct.Struct(">IB")  # the body's length in bytes, the version
 MAX_BODY_BYTES = 16 * 1024 * 1024  # far above a part of a snapshot (32 KiB) and the replicated state
 MAX_UNSENT_BYTES = 4 * 1024 * 1024  # above this, frames are dropped and have to be requested again
 CONNECT_TIMEOUT_US = 1_000_000
-HELLO_US = 2_000_000  # time limit for a connection's first frame
-SILENT_US = 4_000_000  # longest silence between replicas, which send ten heartbeats a second
+HELLO_TIMEOUT_US = 2_000_000  # time limit for a connection's first frame
+SILENCE_TIMEOUT_US = 4_000_000  # longest silence between replicas, which send ten heartbeats a second
 
 Message = Hello | ConnectionRejected | ReplicaMessage | ClientRequest | ClientReply | GossipMessage
 _DECODER = msgspec.msgpack.Decoder(tuple[int, Message])
@@ -116,13 +116,13 @@
         self._connecting = self.driver.loop.create_task(opening)
         self._connecting.add_done_callback(self._opened)
 
-    @callback
+    @guarded_callback
     def _opened(self, task: asyncio.Task[object]) -> None:
         self._connecting = None
         if task.cancelled() or task.exception() is not None:
             self.end("no connection")
 
-    @callback
+    @guarded_callback
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         """Notify the owner that the connection is open."""
         self.driver.timers.cancel(self._deadline)
@@ -134,7 +134,7 @@
         if self.on_open is not None:
             self.on_open(self)
 
-    @callback
+    @guarded_callback
     def data_received(self, data: bytes) -> None:
         """Pass the complete frames to the owner."""
         if self.ended:
@@ -150,7 +150,7 @@
             if not self.ended:
                 self.on_message(self, frame.number, frame.message)
 
-    @callback
+    @guarded_callback
     def connection_lost(self, error: Exception | None) -> None:
         """End the connection after its transport has ended."""
         self.end("connection lost")
@@ -185,7 +185,7 @@
             self.transport.abort()
         self.on_end(self, reason)
 
-    def refuse(self, reason: str) -> None:
+    def reject(self, reason: str) -> None:
         """Send the reason for a rejection, and close the connection."""
         if not self.send(0, ConnectionRejected(reason)):
             self.end(reason)
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -45,29 +45,29 @@
     def send(self, attempt) -> None:
         self._record("send", self.sent, attempt)
 
-    def cancel(self, attempt, now_or_never: bool = False) -> None:
+    def cancel(self, attempt, force: bool = False) -> None:
         self._record("cancel", self.cancelled, attempt)
 
     def probe(self, probe) -> None:
         self._record("probe", self.probes, probe)
 
-    def recall(self, probe) -> None:
-        self._record("recall", self.recalled, probe)
+    def withdraw_probe(self, probe) -> None:
+        self._record("withdraw_probe", self.recalled, probe)
 
     def watch(self) -> None:
         self._record("watch", [], None)
 
-    def served(self, result) -> None:
-        self._record("served", self.answers, ("served", result))
+    def send_result(self, result) -> None:
+        self._record("send_result", self.answers, ("served", result))
 
-    def refused(self, retry_after_us: int) -> None:
-        self._record("refused", self.answers, ("refused", retry_after_us))
+    def send_refusal(self, retry_after_us: int) -> None:
+        self._record("send_refusal", self.answers, ("refused", retry_after_us))
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         return True
 
-    def failed(self) -> None:
-        self._record("failed", self.answers, ("failed",))
+    def send_failure(self) -> None:
+        self._record("send_failure", self.answers, ("failed",))
 
 
 class DispatchTest(unittest.TestCase):
@@ -155,7 +155,7 @@
 
     def test_exception_in_the_client_port_does_not_leave_the_request_open(self):
         """A session may be closed while its answer is written."""
-        self.ports.failing_calls.add("refused")
+        self.ports.failing_calls.add("send_refusal")
         self.arrive(api.Refuse(1, 20))
         self.assert_all_finished(("refused", 20))
 
@@ -210,7 +210,7 @@
         """A request on a hanging executor would otherwise stay open until the process is killed."""
         self.arrive(api.Send(1, 1), due=5_000_000)
         self.arrive(due=1_000)
-        self.dispatch.answer_by(2_000_000)
+        self.dispatch.limit_deadlines(2_000_000)
         self.sweep(1_000)
         self.assertEqual(self.ports.answers, [("failed",)])
         self.sweep(1_999_999)
@@ -254,16 +254,16 @@
         unix_ms = time.time_ns() // 1_000_000
         endpoint = Endpoint("s-1", "SERVING", since_ms=unix_ms)
         now = time.monotonic_ns() // 1000
-        since = reader.entry(endpoint, now).started_at
+        since = reader.to_entry(endpoint, now).started_at
         self.assertAlmostEqual(since, now, delta=2_000_000)
-        self.assertEqual(reader.entry(endpoint, now + 5_000_000).started_at, since)
-        self.assertEqual(reader.entry(Endpoint("s-2", "SERVING", since_ms=0), now).started_at, 0)
+        self.assertEqual(reader.to_entry(endpoint, now + 5_000_000).started_at, since)
+        self.assertEqual(reader.to_entry(Endpoint("s-2", "SERVING", since_ms=0), now).started_at, 0)
 
     def test_each_unconfigured_zone_gets_its_own_number(self):
         """Repeats of a keyed request are deduplicated within a zone, so zones must not be confused."""
         reader = EndpointReader(settings(zones=("here",)))
         zones = [
-            reader.entry(Endpoint("s", "SERVING", zone=zone), 1).zone for zone in ("here", "x", "y", "x")
+            reader.to_entry(Endpoint("s", "SERVING", zone=zone), 1).zone for zone in ("here", "x", "y", "x")
         ]
         self.assertEqual(zones, [0, 1, 2, 1])
 
--- a/tests/net/cluster/test_gossip.py
+++ b/tests/net/cluster/test_gossip.py
@@ -34,12 +34,14 @@
     """One node with its gossip; what it says is kept."""
 
     def __init__(self, clock: Clock, name: str, peer: str) -> None:
-        workers = {n: SimpleNamespace(consecutive_failures=0, heard_at=0) for n in range(4)}
+        workers = {n: SimpleNamespace(consecutive_failures=0, last_response_at=0) for n in range(4)}
         self.heard: list[tuple[int, int]] = []
         dispatch = SimpleNamespace(balancer=SimpleNamespace(executors=workers), on_peer_report=self._told)
         entries = {n: api.EndpointEntry(n, api.ExecutorState.READY) for n in workers}
         names = {n: f"e{n}" for n in workers}
-        reader = SimpleNamespace(names=names, numbers={name: n for n, name in names.items()})
+        reader = SimpleNamespace(
+            names_by_number=names, numbers_by_name={name: n for n, name in names.items()}
+        )
         discovery = SimpleNamespace(dispatch=dispatch, entries=entries, reader=reader)
         self.gossip, self.executors, self.said = Gossip(clock, name, "c", discovery), workers, []
         link = self.gossip.links[peer] = Link(peer)
@@ -50,7 +52,7 @@
 
     def _told(self, now: int, worker: int, report: tuple, age: int) -> None:
         self.heard.append((worker, age))
-        self.executors[worker].heard_at = now - age
+        self.executors[worker].last_response_at = now - age
 
     def take(self, word) -> None:
         """A frame comes from the other side."""
@@ -122,7 +124,7 @@
         self.hears()
         self.carry()
         self.assertEqual(self.b.heard, [])
-        self.b.executors[2].heard_at = self.clock.at + MAX_AGE_US
+        self.b.executors[2].last_response_at = self.clock.at + MAX_AGE_US
         self.hears(2)
         self.carry()
         self.assertEqual(self.b.heard, [])
@@ -130,7 +132,7 @@
     def test_only_peers_that_use_the_same_executors_are_linked(self):
         gossip, self.a.connection.end = self.a.gossip, lambda reason: None
         names = {n: f"e{n}" for n in range(600)}
-        gossip.discovery.reader.names = names
+        gossip.discovery.reader.names_by_number = names
         gossip.discovery.entries = {n: api.EndpointEntry(n, api.ExecutorState.READY) for n in names}
         gossip.set_peers({f"n{n}": "nowhere" for n in range(120)})
         self.clock.pass_on(IDLE_SEND_US)
