--- a/cedarmill/cluster/plan_follower.py
+++ b/cedarmill/cluster/plan_follower.py
@@ -1,10 +1,9 @@
-"""A node's side of the traffic plan: weights for its requests, and what it changes of them by its own
-observations.
+"""A node's use of the traffic plan: the weights for its requests, adjusted by its own observations.
 
-The plan is followed as it was told, under its epoch, until a newer one comes. A zone that it names and that
-this node does not reach is reported, and left out here alone: the fallback weights for the loss of that zone
-hold then, and what would still go to it stays in the node's own zone. Nothing goes to a zone that no agreed
-row names, so that nodes that all lose sight of one zone do not all turn to another. Times: us; no I/O.
+The node follows the plan with the newest epoch. A zone of the plan that the node cannot reach is reported and
+excluded on this node only: the fallback weights for the loss of that zone apply, and any weight that they put
+on excluded zones goes to the node's own zone. The node sends nothing to zones that no agreed row contains, so
+nodes that all lose one zone do not overload another. Times are microseconds; no I/O.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,18 +16,16 @@
 from cedarmill.cluster.traffic_plan.state import WeightRow
 from cedarmill.cluster.traffic_plan.weights import normalized
 
-EXCLUSION_US = 5_000_000  # for which a zone that was not reached is left out; doubled each time in a row
+EXCLUSION_US = 5_000_000  # duration of a first exclusion; doubles with each consecutive one
 MAX_EXCLUSION_US = 80_000_000
-UNREACHED_STREAK = (
-    6  # attempts in a row without a connection: sooner than a share of the last seconds shows it
-)
-CALM_US = 30_000_000  # after an exclusion without another, the next one counts as the first again
-RAMP_US = 10_000_000  # after an exclusion, until the zone has its whole weight: its executors may be cold
+UNREACHED_STREAK = 6  # attempts in a row without a connection; detects a loss sooner than the unreached share
+EXCLUSION_RESET_US = 30_000_000  # time without an exclusion after which the duration starts over
+RETURN_RAMP_US = 10_000_000  # time until a returning zone has its full weight; its executors may be cold
 
 
 @dataclass(slots=True)
 class ZoneExclusion:
-    """A zone that is left out, until when, and how often in a row."""
+    """The exclusion of a zone: its end (us), and the number of consecutive exclusions."""
 
     until: int
     times: int = 1
@@ -36,24 +33,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingDecision:
-    """Where the node sends requests now."""
+    """The weights by which a node sends requests, and the zones that it avoids."""
 
     epoch: int = 0  # of the plan
     weights: dict[str, WeightRow] = field(default_factory=dict)  # by scope
-    unreachable_zones: tuple[str, ...] = ()  # that the plan names and that are left out here
-    closed_zones: tuple[str, ...] = ()  # by the plan, whatever is lost
+    unreachable_zones: tuple[str, ...] = ()  # zones of the plan that the node excludes
+    closed_zones: tuple[str, ...] = ()  # zones that the plan closes
 
 
 class PlanFollower:
-    """One node's following of the plan."""
+    """Applies the traffic plan on one node and excludes zones that the node cannot reach."""
 
     def __init__(self) -> None:
         self.plan: RouteWeights | None = None
         self.exclusions: dict[str, ZoneExclusion] = {}
-        self.empty_zones: frozenset[str] = frozenset()  # in which no executor is listed
+        self.empty_zones: frozenset[str] = frozenset()  # zones without a listed executor
 
     def accept_plan(self, plan: RouteWeights | None) -> bool:
-        """Follow a plan that has come, unless it is older than the one followed."""
+        """Switch to a plan unless it is missing or older than the current one; return whether it is used."""
         if plan is None or (self.plan is not None and plan.epoch < self.plan.epoch):
             return False
         self.plan = plan
@@ -66,48 +63,50 @@
         empty_zones: Iterable[str] = (),
         unreached_streaks: Mapping[str, int] | None = None,
     ) -> RoutingDecision:
-        """Where to send, by the plan and by what this node observes; nothing before a plan has come."""
+        """Return the routing decision for the plan and the node's observations; empty without a plan."""
         if self.plan is None:
             return RoutingDecision()
         self._exclude_unreached(now, observations, unreached_streaks or {})
         self.empty_zones = frozenset(empty_zones)
         named = {zone for row in self.plan.weights.values() for zone in row}
-        left_out = self._excluded(now) | self.empty_zones
+        excluded = self._excluded(now) | self.empty_zones
         return RoutingDecision(
             self.plan.epoch,
             self.weights(now),
-            tuple(sorted(named & left_out)),
+            tuple(sorted(named & excluded)),
             tuple(sorted(self.plan.closed_zones)),
         )
 
     def weights(self, now: int) -> dict[str, WeightRow]:
-        """The rows that hold here now, by scope: zones that were left out come back in steps."""
+        """Return the current rows by scope; zones return gradually after an exclusion."""
         if self.plan is None:
             return {}
-        left_out = self._excluded(now) | self.plan.closed_zones.keys() | self.empty_zones
+        excluded = self._excluded(now) | self.plan.closed_zones.keys() | self.empty_zones
         returning = {
             zone: now - exclusion.until
             for zone, exclusion in self.exclusions.items()
-            if zone not in left_out and now - exclusion.until < RAMP_US
+            if zone not in excluded and now - exclusion.until < RETURN_RAMP_US
         }
-        return {scope: self._ramped_row(scope, left_out, returning) for scope in SCOPES}
+        return {scope: self._ramped_row(scope, excluded, returning) for scope in SCOPES}
 
-    def row_without(self, scope: str, left_out: Iterable[str]) -> WeightRow:
-        """One row, without the zones that are left out here.
+    def row_without(self, scope: str, excluded: Iterable[str]) -> WeightRow:
+        """Return the row of a scope without the excluded zones.
 
-        What went to them stays in the own zone, where it finds room or is rejected: given to the others in
-        the row it would bring them over what was planned for them.
+        Their weight goes to the node's own zone, which serves or rejects the requests: the other zones of the
+        row would get more than the plan gives them.
         """
         if self.plan is None:
             return {}
-        left_out = set(left_out)
-        row, own = self.plan.weights.get(scope, {}), self.plan.zone
-        missing = sorted(left_out & row.keys(), key=lambda zone: (zone != own, zone))
-        if missing:
-            row = self.plan.fallback_weights.get(missing[0], {}).get(scope, row)
-        kept = {zone: weight for zone, weight in row.items() if zone not in left_out and zone != own}
-        local = WHOLE - sum(kept.values())
-        return kept | {own: local} if local else kept
+        excluded = set(excluded)
+        row, own_zone = self.plan.weights.get(scope, {}), self.plan.zone
+        named_excluded = sorted(excluded & row.keys(), key=lambda zone: (zone != own_zone, zone))
+        if named_excluded:
+            row = self.plan.fallback_weights.get(named_excluded[0], {}).get(scope, row)
+        remaining = {
+            zone: weight for zone, weight in row.items() if zone not in excluded and zone != own_zone
+        }
+        local_weight = WHOLE - sum(remaining.values())
+        return remaining | {own_zone: local_weight} if local_weight else remaining
 
     def _excluded(self, now: int) -> set[str]:
         return {zone for zone, exclusion in self.exclusions.items() if now < exclusion.until}
@@ -115,26 +114,35 @@
     def _exclude_unreached(
         self, now: int, observations: Mapping[str, LocationObservation], streaks: Mapping[str, int]
     ) -> None:
-        for zone, one in observations.items():
-            mostly = one.attempts >= MIN_ATTEMPTS and share_of(one.unreached, one.attempts) >= UNREACHED_SHARE
-            if "/" in zone or not (mostly or streaks.get(zone, 0) >= UNREACHED_STREAK):
+        for zone, observation in observations.items():
+            is_mostly_unreached = (
+                observation.attempts >= MIN_ATTEMPTS
+                and share_of(observation.unreached, observation.attempts) >= UNREACHED_SHARE
+            )
+            if "/" in zone or not (is_mostly_unreached or streaks.get(zone, 0) >= UNREACHED_STREAK):
                 continue
             exclusion = self.exclusions.get(zone)
-            if exclusion is None or now - exclusion.until > CALM_US:
+            if exclusion is None or now - exclusion.until > EXCLUSION_RESET_US:
                 self.exclusions[zone] = ZoneExclusion(now + EXCLUSION_US)
             elif now >= exclusion.until:
                 exclusion.times += 1
                 exclusion.until = now + min(MAX_EXCLUSION_US, EXCLUSION_US << (exclusion.times - 1))
 
-    def _ramped_row(self, scope: str, left_out: set[str], returning: Mapping[str, int]) -> WeightRow:
-        """The row between that without the zones that come back and that with them, by time since (us)."""
-        row = self.row_without(scope, left_out)
-        coming = {zone: since for zone, since in returning.items() if row.get(zone, 0) > PROBE_WEIGHT}
-        if not coming:
+    def _ramped_row(self, scope: str, excluded: set[str], returning: Mapping[str, int]) -> WeightRow:
+        """Return the row interpolated between those without and with the returning zones.
+
+        `returning` holds the time (us) since the end of each zone's exclusion.
+        """
+        row = self.row_without(scope, excluded)
+        ramping = {zone: elapsed for zone, elapsed in returning.items() if row.get(zone, 0) > PROBE_WEIGHT}
+        if not ramping:
             return row
-        part = min(coming.values())
-        without = self.row_without(scope, left_out | coming.keys())
+        elapsed_us = min(ramping.values())
+        without = self.row_without(scope, excluded | ramping.keys())
         zones = row.keys() | without.keys()
         return normalized(
-            {zone: row.get(zone, 0) * part + without.get(zone, 0) * (RAMP_US - part) for zone in zones}
+            {
+                zone: row.get(zone, 0) * elapsed_us + without.get(zone, 0) * (RETURN_RAMP_US - elapsed_us)
+                for zone in zones
+            }
         )
--- a/cedarmill/cluster/traffic_control/__init__.py
+++ b/cedarmill/cluster/traffic_control/__init__.py
@@ -1,5 +1,6 @@
-"""The traffic plan over time, decided while an entry is applied: zones' statuses, moves, evacuations, trust.
+"""Control of the traffic plan over time: zone statuses, weight changes, evacuations and trust.
 
-`traffic_plan/` says where traffic should go, this package when and how fast. Every replica computes the same
-plan under the same epoch. No I/O, no clock but the cluster's.
+`traffic_plan/` computes where traffic should go; this package decides when and how fast it moves. The
+decisions are made while a log entry is applied, so every replica computes the same plan under the same epoch.
+The package does no I/O and uses only the cluster's clock.
 """
--- a/cedarmill/cluster/traffic_control/errors.py
+++ b/cedarmill/cluster/traffic_control/errors.py
@@ -1,17 +1,17 @@
-"""What the traffic plan refuses, as one sentence each."""
+"""Errors raised for invalid requests to the traffic plan."""
 
 
 class TrafficError(ValueError):
-    """What was asked of the traffic plan is not possible; the text says why."""
+    """Base class of the traffic plan's errors; the message gives the reason."""
 
 
 class InvalidLayoutError(TrafficError):
-    """The layout of zones contradicts itself."""
+    """Raised when a zone layout is inconsistent or out of range."""
 
 
 class NoAssessmentError(TrafficError):
-    """Nothing is known of zones yet."""
+    """Raised when no assessment of the zones has been recorded yet."""
 
 
 class UnknownZoneError(TrafficError):
-    """There is no such zone."""
+    """Raised when a zone name is not in the layout."""
--- a/cedarmill/cluster/traffic_control/intake.py
+++ b/cedarmill/cluster/traffic_control/intake.py
@@ -1,4 +1,4 @@
-"""What comes into the traffic plan: an operator's layout of zones, and assessments."""
+"""Inputs of the traffic plan: the operator's zone layout and the cluster's assessments."""
 
 from typing import TYPE_CHECKING
 
@@ -16,82 +16,96 @@
 if TYPE_CHECKING:
     from cedarmill.cluster.state import ClusterState
 
-RECOVERED_SHARE = FAILING_SHARE // 3  # thousandths of failures below which a failing zone counts as well
+# Thousandths of failed attempts; a zone with fewer counts as well. The gap to FAILING_SHARE avoids flapping.
+MAX_RECOVERED_FAILURE_SHARE = FAILING_SHARE // 3
 
 
 def set_layout(state: "ClusterState", layout: ZoneLayout) -> None:
-    """Replace the layout; zones that stay keep their status. Raises InvalidLayoutError."""
-    _check(layout)
+    """Replace the zone layout and reset the weights; zones in both layouts keep their status.
+
+    Raises InvalidLayoutError if the layout is inconsistent.
+    """
+    _validate_layout(layout)
     names = layout.zones
     state.zoning = layout
     state.zones = {name: state.zones.get(name) or ZoneState(name, status_since=state.clock) for name in names}
-    for known in [target.name for target in state.targets.values() if target.kind == "zone"]:
-        if known not in names:
-            del state.targets[target_key("zone", known)]
+    for existing in [target.name for target in state.targets.values() if target.kind == "zone"]:
+        if existing not in names:
+            del state.targets[target_key("zone", existing)]
     for name in names:
         target = Target("zone", name, name, group=layout.region(name))
         state.targets.setdefault(target_key("zone", name), target)
     traffic = state.traffic
     traffic.weights, traffic.target_weights, traffic.next_review_at = {}, {}, 0
-    state.membership_epoch = state.epoch  # nodes that are there are to learn of each other, where they gossip
+    state.membership_epoch = state.epoch  # makes nodes fetch the member list, which gossip uses
 
 
-def _check(layout: ZoneLayout) -> None:
+def _validate_layout(layout: ZoneLayout) -> None:
     names = layout.zones
     if len(set(names)) < len(names):
-        raise InvalidLayoutError("a zone lies in two regions")
+        raise InvalidLayoutError("a zone is listed more than once")
     for link in layout.costs:
         if not set(link.split(">")) <= set(names):
-            raise InvalidLayoutError(f"cost {link}: no such zones")
+            raise InvalidLayoutError(f"cost {link} names a zone that is not in the layout")
     if not 0 < layout.max_load <= WHOLE:
-        raise InvalidLayoutError("safe: between 0 and 100%")
+        raise InvalidLayoutError("safe must be above 0% and at most 100%")
 
 
 def record_assessment(state: "ClusterState", assessment: ClusterAssessment) -> None:
-    """Take over an assessment; a zone that is not seen now keeps what was known of it, for a time."""
+    """Store an assessment and update the verdict times of each zone.
+
+    Unknown values of a zone are filled in from the previous assessment; demand expires after a while.
+    """
     traffic = state.traffic
     traffic.latest_assessment = assessment
-    known = traffic.assessment.zones if traffic.assessment is not None else {}
+    previous = traffic.assessment.zones if traffic.assessment is not None else {}
     zones: dict[str, ZoneAssessment] = {}
     for name in state.zoning.zones:
         assessed = assessment.zones.get(name, ZoneAssessment(Verdict.UNKNOWN))
-        blind = name in assessment.blind_zones
-        if not blind and assessed.demand:
-            traffic.demand_heard_at[name] = state.clock
-        zones[name] = _completed(state, name, assessed, known.get(name), blind)
+        is_blind = name in assessment.blind_zones
+        if not is_blind and assessed.demand:
+            traffic.demand_observed_at[name] = state.clock
+        zones[name] = _fill_in_unknowns(state, name, assessed, previous.get(name), is_blind)
     traffic.assessment = ClusterAssessment(
         zones, assessment.links, assessment.blind_zones, assessment.failing_groups
     )
     traffic.assessed_at, traffic.next_review_at = state.clock, 0
     for name, zone in state.zones.items():
-        _note_verdict(state, zone, zones[name])
+        _track_verdict(state, zone, zones[name])
 
 
-def _completed(
-    state: "ClusterState", name: str, assessed: ZoneAssessment, known: ZoneAssessment | None, blind: bool
+def _fill_in_unknowns(
+    state: "ClusterState",
+    name: str,
+    assessed: ZoneAssessment,
+    previous: ZoneAssessment | None,
+    is_blind: bool,
 ) -> ZoneAssessment:
-    """What is unknown counts as it was: slots as estimated last, demand as long as it may still be there."""
-    if known is None:
+    """Return the assessment with missing slots, and demand of blind zones, taken from the previous one.
+
+    The previous demand is used only within DEMAND_LIFETIME_US of its last observation.
+    """
+    if previous is None:
         return assessed
     if not assessed.slots:
-        assessed = msgspec.structs.replace(assessed, slots=known.slots)
-    if not blind or state.clock - state.traffic.demand_heard_at.get(name, 0) > DEMAND_LIFETIME_US:
+        assessed = msgspec.structs.replace(assessed, slots=previous.slots)
+    if not is_blind or state.clock - state.traffic.demand_observed_at.get(name, 0) > DEMAND_LIFETIME_US:
         return assessed
-    scopes = sorted(known.demand.keys() | assessed.demand.keys())
-    demand = {scope: max(assessed.demand.get(scope, 0), known.demand.get(scope, 0)) for scope in scopes}
-    by_weight = assessed.demand_by_weight or known.demand_by_weight
+    scopes = sorted(previous.demand.keys() | assessed.demand.keys())
+    demand = {scope: max(assessed.demand.get(scope, 0), previous.demand.get(scope, 0)) for scope in scopes}
+    by_weight = assessed.demand_by_weight or previous.demand_by_weight
     return msgspec.structs.replace(assessed, demand=demand, demand_by_weight=by_weight)
 
 
-def _note_verdict(state: "ClusterState", zone: ZoneState, assessed: ZoneAssessment) -> None:
-    """Since when it is seen to be bad or well; an unknown verdict changes neither."""
+def _track_verdict(state: "ClusterState", zone: ZoneState, assessed: ZoneAssessment) -> None:
+    """Record since when the zone's verdict is bad or well; an unknown verdict changes neither time."""
     if assessed.verdict == Verdict.UNKNOWN:
         return
-    bad = assessed.verdict in (Verdict.LOST, Verdict.FAILING)
-    well = assessed.verdict == Verdict.WELL and assessed.failed < RECOVERED_SHARE
-    zone.bad_since = _since(state, zone.bad_since) if bad else -1
-    zone.well_since = _since(state, zone.well_since) if well else -1
+    is_bad = assessed.verdict in (Verdict.LOST, Verdict.FAILING)
+    is_well = assessed.verdict == Verdict.WELL and assessed.failed < MAX_RECOVERED_FAILURE_SHARE
+    zone.bad_since = _start_of_period(state, zone.bad_since) if is_bad else -1
+    zone.well_since = _start_of_period(state, zone.well_since) if is_well else -1
 
 
-def _since(state: "ClusterState", known: int) -> int:
-    return known if known >= 0 else state.clock
+def _start_of_period(state: "ClusterState", start: int) -> int:
+    return start if start >= 0 else state.clock
--- a/cedarmill/cluster/traffic_control/ramps.py
+++ b/cedarmill/cluster/traffic_control/ramps.py
@@ -1,4 +1,4 @@
-"""Zones that are opened or emptied in steps; an evacuation is halted where the others could not take it."""
+"""Stepwise return and evacuation of zones; an evacuation halts while other zones lack room for its load."""
 
 from typing import TYPE_CHECKING
 
@@ -13,17 +13,17 @@
 if TYPE_CHECKING:
     from cedarmill.cluster.state import ClusterState
 
-RETURN_RATE = 100  # thousandths of a zone's capacity that come back in a second
+RETURN_RATE = 100  # thousandths of a returning zone's capacity per second
 
 
 def advance_ramps(state: "ClusterState", assessment: ClusterAssessment) -> None:
-    """Open and empty zones as far as they should be by now."""
+    """Advance the open share of each returning or leaving zone to its value for the current time."""
     for zone in state.zones.values():
         if zone.pinned:
             continue
         if zone.status == ZoneStatus.RETURNING:
-            opened = RETURN_RATE * (state.clock - zone.status_since) // 1_000_000
-            zone.open_share = max(zone.open_share, min(WHOLE, opened))
+            opened_share = RETURN_RATE * (state.clock - zone.status_since) // 1_000_000
+            zone.open_share = max(zone.open_share, min(WHOLE, opened_share))
             if zone.open_share >= WHOLE:
                 zone_status.apply_event(state, zone, ZoneEvent.FULLY_OPENED)
         elif zone.status == ZoneStatus.LEAVING:
@@ -31,26 +31,31 @@
 
 
 def slots_missing_without(state: "ClusterState", name: str) -> int:
-    """Slots (thousandths) that would be missing if this zone were emptied, but for its own that must stay."""
+    """Return the extra slots (thousandths) that would be missing if this zone were emptied.
+
+    Requests that must stay in the zone are not counted. Returns 0 before the first assessment.
+    """
     assessment = state.traffic.assessment
     if assessment is None:
         return 0
-    return _missing(state, assessment, name, 0) - _missing(state, assessment, name)
+    return _missing_slots(state, assessment, name, 0) - _missing_slots(state, assessment, name)
 
 
 def _continue_evacuation(state: "ClusterState", zone: ZoneState, assessment: ClusterAssessment) -> None:
-    """One step of an evacuation, if the other zones can take it; else it is halted, and says so."""
-    if zone_status.permit_of(state, zone) is None:
+    """Advance an evacuation by one step, or halt it with a reason if other zones lack room."""
+    if zone_status.evacuation_permit(state, zone) is None:
         return
-    spent = state.clock - zone.status_since
-    wanted = 0 if spent >= zone.evacuation_us else WHOLE - WHOLE * spent // zone.evacuation_us
-    if wanted >= zone.open_share:
+    elapsed_us = state.clock - zone.status_since
+    target_share = 0 if elapsed_us >= zone.evacuation_us else WHOLE - WHOLE * elapsed_us // zone.evacuation_us
+    if target_share >= zone.open_share:
         return
-    before, zone.open_share = zone.open_share, wanted
-    missing = _missing(state, assessment, zone.name) - _missing(state, assessment, zone.name, WHOLE)
+    previous_share, zone.open_share = zone.open_share, target_share
+    missing = _missing_slots(state, assessment, zone.name) - _missing_slots(
+        state, assessment, zone.name, WHOLE
+    )
     reason = f"{missing / WHOLE:g} slots would be missing" if missing > 0 else ""
     if reason:
-        zone.open_share = before
+        zone.open_share = previous_share
     if bool(reason) != bool(zone.halt_reason):
         verb = f"is halted: {reason}" if reason else "goes on"
         state.note(f"the evacuation of zone {zone.name} {verb}")
@@ -59,12 +64,13 @@
         zone_status.apply_event(state, zone, ZoneEvent.EMPTIED)
 
 
-def _missing(
+def _missing_slots(
     state: "ClusterState", assessment: ClusterAssessment, name: str, open_share: int | None = None
 ) -> int:
-    """Slots that find no room, but for those that may not leave this zone: no other could take these.
+    """Return the demand (thousandths of slots) that finds no room in the plan.
 
-    `open_share`: as if the zone were open so far.
+    Requests of the zone's own scope are not counted, since no other zone may serve them. `open_share`, if
+    given, replaces the zone's current open share.
     """
     zones = state.zones
     if open_share is not None:
--- a/cedarmill/cluster/traffic_control/reports.py
+++ b/cedarmill/cluster/traffic_control/reports.py
@@ -1,4 +1,4 @@
-"""The traffic plan as nodes and operators are told it."""
+"""Views of the traffic plan for nodes (route weights) and for operators (reports and forecasts)."""
 
 from typing import TYPE_CHECKING
 
@@ -17,12 +17,16 @@
     from cedarmill.cluster.state import ClusterState
 
 
-class ZoneForecast(msgspec.Struct, frozen=True):
-    """A zone's load now and then, and its room then; slots in thousandths."""
+class ZoneForecast(
+    msgspec.Struct,
+    rename={"current_load": "now", "forecast_load": "then", "forecast_room": "room"},
+    frozen=True,
+):
+    """A zone's load before and after a loss, and its room after the loss, in thousandths of slots."""
 
-    now: int
-    then: int
-    room: int
+    current_load: int
+    forecast_load: int
+    forecast_room: int
 
 
 class LossForecast(
@@ -30,7 +34,7 @@
     rename={"zone": "lose", "missing_slots": "missing", "missing_slots_now": "missing_now"},
     frozen=True,
 ):
-    """What the loss of a zone (empty: of none) would come to; slots in thousandths."""
+    """Forecast for the loss of `zone` (of no zone if empty), in thousandths of slots."""
 
     zone: str
     missing_slots: int
@@ -49,7 +53,7 @@
     },
     frozen=True,
 ):
-    """One zone as operators read it; slots and shares in thousandths."""
+    """One zone's row in the operators' report; slots and shares are thousandths."""
 
     zone: str
     region: str
@@ -83,7 +87,7 @@
     },
     frozen=True,
 ):
-    """The table that operators read."""
+    """The operators' report on the traffic plan."""
 
     zones: list[ZoneReport]
     missing_slots: int
@@ -97,44 +101,45 @@
 
 
 def route_weights(state: "ClusterState", zone: str) -> "RouteWeights | None":
-    """Where the nodes of a zone send requests; None: there is no such zone."""
-    from cedarmill.cluster.messages import RouteWeights  # which holds types of `traffic_plan/`
+    """Return the route weights for the nodes of a zone, or None if the zone is not in the layout."""
+    from cedarmill.cluster.messages import RouteWeights  # avoids an import cycle through `traffic_plan/`
 
     traffic, layout = state.traffic, state.zoning
     if zone not in state.zones:
         return None
     reachable = {scope: layout.reachable_zones(zone, scope) for scope in SCOPES}
-    closed = {}
-    for one in state.zones.values():
-        permit = zone_status.permit_of(state, one)
-        if one.status == ZoneStatus.OUT and permit is not None:
-            closed[one.name] = permit.epoch
+    closed_zones = {}
+    for candidate in state.zones.values():
+        permit = zone_status.evacuation_permit(state, candidate)
+        if candidate.status == ZoneStatus.OUT and permit is not None:
+            closed_zones[candidate.name] = permit.epoch
     fallbacks = {lost: table[zone] for lost, table in traffic.fallback_weights.items() if zone in table}
     weights = traffic.weights.get(zone) or {scope: {zone: WHOLE} for scope in SCOPES}
-    return RouteWeights(traffic.epoch, zone, reachable, weights, fallbacks, closed)
+    return RouteWeights(traffic.epoch, zone, reachable, weights, fallbacks, closed_zones)
 
 
 def forecast_loss(state: "ClusterState", zone: str) -> LossForecast:
-    """Loads and what is missing, now and with a zone gone.
+    """Return loads and missing slots as planned now and as planned without `zone`.
 
-    Raises NoAssessmentError, and UnknownZoneError for a zone that is neither empty nor known.
+    Raises NoAssessmentError before the first assessment, and UnknownZoneError if `zone` is neither empty nor
+    in the layout.
     """
     assessment = state.traffic.assessment
     if assessment is None:
         raise NoAssessmentError("nothing is known of zones yet")
     if zone and zone not in state.zones:
         raise UnknownZoneError(f"no zone {zone!r}")
-    now = planner.make_plan(state.zoning, state.zones, assessment)
-    then = planner.make_plan(state.zoning, state.zones, assessment, zone)
+    current = planner.make_plan(state.zoning, state.zones, assessment)
+    forecast = planner.make_plan(state.zoning, state.zones, assessment, zone)
     zones = {
-        name: ZoneForecast(now.load.get(name, 0), then.load.get(name, 0), then.room[name])
+        name: ZoneForecast(current.load.get(name, 0), forecast.load.get(name, 0), forecast.room[name])
         for name in state.zoning.zones
     }
-    return LossForecast(zone, then.missing_slots, now.missing_slots, zones)
+    return LossForecast(zone, forecast.missing_slots, current.missing_slots, zones)
 
 
 def traffic_report(state: "ClusterState") -> TrafficReport:
-    """The plan and what it rests on; of zones nothing before the first assessment."""
+    """Return the operators' report on the plan; it lists no zones before the first assessment."""
     traffic, assessment = state.traffic, state.traffic.assessment
     if assessment is None:
         return TrafficReport([], 0, traffic.frozen_by, "", {}, [], [], 0, 0)
--- a/cedarmill/cluster/traffic_control/shedding.py
+++ b/cedarmill/cluster/traffic_control/shedding.py
@@ -1,4 +1,4 @@
-"""The admission level of the whole cluster, and those of single zones' scopes, moved by the assessment."""
+"""Load shedding by assessment: updates of the cluster's admission level and of those of single scopes."""
 
 from typing import TYPE_CHECKING
 
@@ -13,9 +13,9 @@
 
 
 def update_admission(state: "ClusterState") -> None:
-    """One step of the admission level, where the cluster agrees on one.
+    """Advance the admission levels by one step, if the layout enables load shedding.
 
-    In addition those of single zones' requests that may go only so far, where these alone find no room.
+    Besides the cluster's level there is one for each zone and scope whose requests alone find no room.
     """
     assessment = state.traffic.assessment
     if not state.zoning.sheds_load or assessment is None:
@@ -23,37 +23,37 @@
     available = planner.available_room(state.zoning, state.zones, assessment)
     slots = sum(available.planned.values()) + sum(available.last_resort.values())
     if not slots:
-        return  # nobody has reported any yet
+        return  # no slots have been reported yet
     report = _load_report(list(assessment.zones.values()), slots)
     controller.advance(state, assessment.demand_by_weight(), report, state.traffic.assessed_at)
-    _update_scopes(state, assessment, slots)
+    _update_scoped_admission(state, assessment, slots)
 
 
 def _load_report(zones: list[ZoneAssessment], slots: int) -> LoadReport:
     occupied = sum(zone.slots_occupied for zone in zones)
     allotted = sum(zone.slots_allotted for zone in zones)
-    unallotted = UNKNOWN if occupied else 0
+    queueing_without_allotment = UNKNOWN if occupied else 0
     return LoadReport(
         slots=slots,
-        late=_mean_by_demand(zones, [zone.late for zone in zones]),
+        late=_demand_weighted_mean(zones, [zone.late for zone in zones]),
         slots_in_use=occupied,
         slots_served=sum(zone.slots_served for zone in zones),
-        queueing=occupied * WHOLE // allotted if allotted else unallotted,
-        rejected_locally=_mean_by_demand(zones, [zone.rejected_locally for zone in zones]),
+        queueing=occupied * WHOLE // allotted if allotted else queueing_without_allotment,
+        rejected_locally=_demand_weighted_mean(zones, [zone.rejected_locally for zone in zones]),
     )
 
 
-def _mean_by_demand(zones: list[ZoneAssessment], shares: list[int]) -> int:
-    """The mean share (thousandths), each zone's counted by the slots that its clients want."""
-    wanted = [sum(zone.demand.values()) for zone in zones]
-    weighted = sum(share * slots for share, slots in zip(shares, wanted, strict=True))
-    return weighted // max(1, sum(wanted))
+def _demand_weighted_mean(zones: list[ZoneAssessment], shares: list[int]) -> int:
+    """Return the mean of the zones' shares (thousandths), weighted by the zones' demand."""
+    demanded = [sum(zone.demand.values()) for zone in zones]
+    weighted = sum(share * slots for share, slots in zip(shares, demanded, strict=True))
+    return weighted // max(1, sum(demanded))
 
 
-def _update_scopes(state: "ClusterState", assessment: ClusterAssessment, slots: int) -> None:
-    wanted = sum(sum(zone.demand.values()) for zone in assessment.zones.values())
+def _update_scoped_admission(state: "ClusterState", assessment: ClusterAssessment, slots: int) -> None:
+    demanded = sum(sum(zone.demand.values()) for zone in assessment.zones.values())
     unserved: dict[tuple[str, str], int] = {}
-    if wanted <= slots:
+    if demanded <= slots:
         plan = planner.make_plan(state.zoning, state.zones, assessment)
         unserved = plan.allocation.unserved
     for key in sorted({f"{zone}/{scope}" for zone, scope in unserved} | state.scoped_admission.keys()):
--- a/cedarmill/cluster/traffic_plan/__init__.py
+++ b/cedarmill/cluster/traffic_plan/__init__.py
@@ -1,4 +1,4 @@
-"""Where traffic goes between zones: layout, allocation of demand to slots, route weights; pure functions.
+"""Planning of traffic between zones: layout, allocation of demand to slots, and route weights.
 
-No I/O, no clock, and no rule of when or how fast a plan changes (`traffic_control/` has these).
+The functions are pure: no I/O and no clock. `traffic_control/` decides when and how fast a plan changes.
 """
--- a/cedarmill/cluster/traffic_plan/allocation.py
+++ b/cedarmill/cluster/traffic_plan/allocation.py
@@ -1,7 +1,7 @@
-"""The allocation of demand to zones' slots: local first, then by cost to zones with room.
+"""Allocation of demand to the slots of zones: first in the local zone, then in other zones by cost.
 
-No zone is given more than its room. A request that may not leave its zone or region stays there, even where
-it finds no room.
+No zone is allocated more than its room. Demand that may not leave its zone or region stays there, and counts
+as unserved where there is no room.
 """
 
 from collections.abc import Mapping
@@ -12,22 +12,22 @@
 from cedarmill.cluster.observations.verdicts import LinkState
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 
-LOCAL_GROWTH = 50  # thousandths by which a zone's own demand may grow before others have moved away
-DEGRADED_LINK_COST = 1000  # added to the cost of a link that loses some requests: it is used last
-BALANCING_ROUNDS = 4  # in which zones of equal cost are filled
+LOCAL_GROWTH_RESERVE = 50  # thousandths of a zone's local load, kept free for its growth
+DEGRADED_LINK_SURCHARGE = 1000  # cost; higher than the usual costs, so that degraded links are used last
+BALANCING_ROUNDS = 4
 
-DemandKey = tuple[str, str]  # the zone that requests came to, and their scope
-FlowKey = tuple[str, str, str]  # the same, and the zone that receives them
+DemandKey = tuple[str, str]  # source zone, scope
+FlowKey = tuple[str, str, str]  # source zone, scope, target zone
 
 
 class Allocation(NamedTuple):
-    """Slots (thousandths) by flow, and those that find no room."""
+    """Allocated demand by flow and unserved demand by source, both in thousandths of slots."""
 
     flows: dict[FlowKey, int]
     unserved: dict[DemandKey, int]
 
     def load(self) -> dict[str, int]:
-        """Slots by the zone that receives."""
+        """Return the allocated slots (thousandths) by target zone."""
         total: dict[str, int] = {}
         for (_, _, target), slots in self.flows.items():
             total[target] = total.get(target, 0) + slots
@@ -41,10 +41,10 @@
     demand: Mapping[DemandKey, int],
     links: Mapping[str, str],
 ) -> Allocation:
-    """Fill the zones' `room` from the strictest scope to the freest, then the `last_resort`.
+    """Allocate demand to the zones' `room`, strictest scope first, then to the `last_resort` room.
 
-    Since a zone lies in a region and a region in the whole, strictest first serves as much as any allocation
-    could. Where links are gone this no longer holds: then flows are displaced to make room.
+    Scopes are nested (zone, region, any), so this order serves as much demand as any allocation could. That
+    does not hold where links are gone: then flows are displaced to make room.
     """
     allocator = _Allocator(
         layout, links, dict(room), {key: slots for key, slots in demand.items() if slots > 0}
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class _Claim:
-    """Demand that asks zones of equal cost for room."""
+    """Unserved demand and its target zones of equal cost."""
 
     key: DemandKey
     targets: list[str]
@@ -70,6 +70,8 @@
 
 @dataclass(slots=True)
 class _Allocator:
+    """The allocation in progress: free slots, unserved demand and flows, in thousandths of slots."""
+
     layout: ZoneLayout
     links: Mapping[str, str]
     free: dict[str, int]
@@ -77,28 +79,28 @@
     flows: dict[FlowKey, int] = field(default_factory=dict)
 
     def fill_local(self, scope: str) -> None:
-        """Give each zone's own demand of that scope what is free there."""
-        for key in self._keys(scope):
+        """Allocate the demand of a scope to free slots in its source zone."""
+        for key in self._unserved_keys(scope):
             zone = key[0]
-            self._put(key, zone, min(self.unserved[key], max(0, self.free.get(zone, 0))))
+            self._assign(key, zone, min(self.unserved[key], max(0, self.free.get(zone, 0))))
 
     def headroom(self) -> dict[str, int]:
-        """What is free for other zones' demand, by zone: room for growth of its own is kept."""
-        found = {}
+        """Return each zone's free slots for demand of other zones, less a reserve for local growth."""
+        headroom_by_zone = {}
         for zone, free in self.free.items():
-            own = sum(self.flows.get((zone, scope, zone), 0) for scope in SCOPES)
-            found[zone] = max(0, free - own * LOCAL_GROWTH // WHOLE)
-        return found
+            local_slots = sum(self.flows.get((zone, scope, zone), 0) for scope in SCOPES)
+            headroom_by_zone[zone] = max(0, free - local_slots * LOCAL_GROWTH_RESERVE // WHOLE)
+        return headroom_by_zone
 
     def spill(self, scope: str, headroom: dict[str, int]) -> None:
-        """Give what is unserved to other zones, the cheapest first; of equal cost in proportion to room."""
+        """Allocate unserved demand to other zones, cheapest first, in proportion to room at equal cost."""
         tiers: dict[int, list[_Claim]] = {}
-        for key in self._keys(scope):
+        for key in self._unserved_keys(scope):
             if not self.unserved.get(key):
                 continue
             by_cost: dict[int, list[str]] = {}
             for target in self.layout.reachable_zones(*key):
-                if target != key[0] and headroom.get(target, 0) > 0 and self._carries(key[0], target):
+                if target != key[0] and headroom.get(target, 0) > 0 and self._is_connected(key[0], target):
                     by_cost.setdefault(self._cost(key[0], target), []).append(target)
             for cost, targets in by_cost.items():
                 tiers.setdefault(cost, []).append(_Claim(key, targets))
@@ -106,10 +108,10 @@
             self._balance(headroom, tiers[cost])
 
     def displace(self) -> None:
-        """Where links lead too few ways: move flows of others aside, to room that only they reach."""
+        """Make room for unserved demand by moving other flows to reachable zones with free slots."""
         for key in sorted(key for key, slots in self.unserved.items() if slots):
             for target in [key[0], *self.layout.reachable_zones(*key)]:
-                if not self._carries(key[0], target):
+                if not self._is_connected(key[0], target):
                     continue
                 for flow in sorted(flow for flow in self.flows if flow[2] == target and flow[:2] != key):
                     self._displace_flow(key, flow)
@@ -117,7 +119,7 @@
     def _displace_flow(self, key: DemandKey, flow: FlowKey) -> None:
         source, scope, target = flow
         for other in self.layout.reachable_zones(source, scope):
-            if other == target or not self._carries(source, other):
+            if other == target or not self._is_connected(source, other):
                 continue
             slots = min(self.unserved[key], self.flows[flow], max(0, self.free.get(other, 0)))
             if slots > 0:
@@ -128,37 +130,37 @@
                 self.unserved[key] -= slots
 
     def _balance(self, headroom: dict[str, int], claims: list[_Claim]) -> None:
-        """Each claim asks zones in proportion to room; a zone asked for too much gives in proportion."""
+        """Split each claim over its targets by room; an overbooked zone grants claims in proportion."""
         for _ in range(BALANCING_ROUNDS):
-            asked = self._asked(headroom, claims)
-            if not asked:
+            requested = self._requested_slots(headroom, claims)
+            if not requested:
                 return
-            for target in sorted(asked):
-                total, room = sum(part for _, part in asked[target]), headroom[target]
-                for key, part in asked[target]:
-                    given = part if total <= room else part * room // total
-                    given = min(given, self.unserved[key], headroom[target])
-                    headroom[target] -= max(0, given)
-                    self._put(key, target, given)
-
-    def _asked(
+            for target in sorted(requested):
+                total, room = sum(slots for _, slots in requested[target]), headroom[target]
+                for key, slots in requested[target]:
+                    granted = slots if total <= room else slots * room // total
+                    granted = min(granted, self.unserved[key], headroom[target])
+                    headroom[target] -= max(0, granted)
+                    self._assign(key, target, granted)
+
+    def _requested_slots(
         self, headroom: Mapping[str, int], claims: list[_Claim]
     ) -> dict[str, list[tuple[DemandKey, int]]]:
-        """Slots asked for, by the zone that is asked."""
-        asked: dict[str, list[tuple[DemandKey, int]]] = {}
+        """Return the claims' requested slots by target zone."""
+        requested: dict[str, list[tuple[DemandKey, int]]] = {}
         for claim in claims:
             rooms = {target: headroom[target] for target in claim.targets if headroom[target] > 0}
             total = sum(rooms.values())
             wanted = min(self.unserved[claim.key], total)
             for target, room in rooms.items():
-                if part := -(-wanted * room // total):
-                    asked.setdefault(target, []).append((claim.key, part))
-        return asked
+                if slots := -(-wanted * room // total):
+                    requested.setdefault(target, []).append((claim.key, slots))
+        return requested
 
-    def _keys(self, scope: str) -> list[DemandKey]:
+    def _unserved_keys(self, scope: str) -> list[DemandKey]:
         return sorted(key for key in self.unserved if key[1] == scope)
 
-    def _put(self, key: DemandKey, target: str, slots: int) -> None:
+    def _assign(self, key: DemandKey, target: str, slots: int) -> None:
         if slots > 0:
             self._add_flow((*key, target), slots)
             self.unserved[key] -= slots
@@ -167,9 +169,9 @@
     def _add_flow(self, flow: FlowKey, slots: int) -> None:
         self.flows[flow] = self.flows.get(flow, 0) + slots
 
-    def _carries(self, source: str, target: str) -> bool:
+    def _is_connected(self, source: str, target: str) -> bool:
         return source == target or self.links.get(f"{source}>{target}") != LinkState.GONE
 
     def _cost(self, source: str, target: str) -> int:
         degraded = self.links.get(f"{source}>{target}") == LinkState.DEGRADED
-        return self.layout.cost(source, target) + (DEGRADED_LINK_COST if degraded else 0)
+        return self.layout.cost(source, target) + (DEGRADED_LINK_SURCHARGE if degraded else 0)
--- a/cedarmill/cluster/traffic_plan/planner.py
+++ b/cedarmill/cluster/traffic_plan/planner.py
@@ -1,6 +1,6 @@
-"""The traffic plan: route weights made of an assessment, and fallback weights for the loss of each zone.
+"""The traffic plan: route weights computed from an assessment, and fallback weights for lost zones.
 
-The fallback weights are agreed before a loss, so that the moment of loss needs no replica.
+The fallback weights are agreed on before a loss, so nodes can act on a loss without asking a replica.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,18 +13,19 @@
 from cedarmill.cluster.traffic_plan.state import WeightRow, WeightTable, ZoneState, ZoneStatus
 from cedarmill.cluster.traffic_plan.weights import normalized
 
-PROBE_WEIGHT = 20  # thousandths of its own requests that a lost or failing zone gets: else nobody would know
+# Thousandths of the local requests that a lost or failing zone still gets, so that its recovery is observed.
+PROBE_WEIGHT = 20
 
 
 class Room(NamedTuple):
-    """Slots (thousandths) by zone."""
+    """Slots (thousandths) that are available to a plan, by zone."""
 
-    planned: dict[str, int]  # that a plan may use
-    last_resort: dict[str, int]  # in addition to these, where no room is left
+    planned: dict[str, int]
+    last_resort: dict[str, int]  # used only when no planned room is left
 
 
 class TrafficPlan(NamedTuple):
-    """Weights, and what they rest on; slots in thousandths."""
+    """Route weights, and the load, room and allocation that they result from, in thousandths of slots."""
 
     weights: WeightTable
     load: dict[str, int]
@@ -34,7 +35,7 @@
 
 
 def capacity(zone: ZoneState, assessment: ZoneAssessment) -> int:
-    """Slots taken to be there: those claimed, as far as they are trusted, less the share that fails."""
+    """Return the zone's usable slots: the reported slots, reduced by trust and by the failure share."""
     working = WHOLE - min(WHOLE, assessment.failed)
     return assessment.slots * zone.trust // WHOLE * working // WHOLE
 
@@ -42,7 +43,7 @@
 def available_room(
     layout: ZoneLayout, zones: Mapping[str, ZoneState], assessment: ClusterAssessment, without: str = ""
 ) -> Room:
-    """What may be used in each zone, were the zone `without` gone."""
+    """Return the room of each zone, with none in the zone `without`."""
     planned, last_resort = {}, {}
     for name, zone in zones.items():
         assessed = assessment.zones.get(name)
@@ -58,7 +59,7 @@
 
 
 def demand_by_source(assessment: ClusterAssessment) -> dict[DemandKey, int]:
-    """Slots wanted, by the zone that requests came to and their scope."""
+    """Return the demand (thousandths of slots) by source zone and scope."""
     return {
         (zone, scope): slots
         for zone, assessed in assessment.zones.items()
@@ -70,7 +71,7 @@
 def make_plan(
     layout: ZoneLayout, zones: Mapping[str, ZoneState], assessment: ClusterAssessment, without: str = ""
 ) -> TrafficPlan:
-    """Where traffic should go now, or with one zone gone."""
+    """Return the plan for the current zones, or for the loss of the zone `without`."""
     room = available_room(layout, zones, assessment, without)
     demand = demand_by_source(assessment)
     allocation = allocate(layout, room.planned, room.last_resort, demand, assessment.links)
@@ -82,30 +83,30 @@
 def _weights(
     layout: ZoneLayout, allocation: Allocation, zones: Mapping[str, ZoneState], room: Mapping[str, int]
 ) -> WeightTable:
-    """Weights of what each zone sends; what finds no room is rejected in the zone that it came to."""
+    """Return the weights by source zone; unserved demand stays in its source zone, which rejects it."""
     table: WeightTable = {}
     for source in layout.zones:
         table[source] = {}
         for scope in SCOPES:
-            parts = {
+            slots_by_target = {
                 target: allocation.flows.get((source, scope, target), 0)
                 for target in layout.reachable_zones(source, scope)
             }
-            parts[source] += allocation.unserved.get((source, scope), 0)
-            row = _row(layout, source, scope, parts, room)
+            slots_by_target[source] += allocation.unserved.get((source, scope), 0)
+            row = _weight_row(layout, source, scope, slots_by_target, room)
             table[source][scope] = _with_probe_weight(row, zones[source])
     return table
 
 
-def _row(
-    layout: ZoneLayout, source: str, scope: str, parts: Mapping[str, int], room: Mapping[str, int]
+def _weight_row(
+    layout: ZoneLayout, source: str, scope: str, slots_by_target: Mapping[str, int], room: Mapping[str, int]
 ) -> WeightRow:
-    positive = {target: slots for target, slots in parts.items() if slots > 0}
-    return normalized(positive) if positive else _row_without_demand(layout, source, scope, room)
+    positive = {target: slots for target, slots in slots_by_target.items() if slots > 0}
+    return normalized(positive) if positive else _default_row(layout, source, scope, room)
 
 
-def _row_without_demand(layout: ZoneLayout, source: str, scope: str, room: Mapping[str, int]) -> WeightRow:
-    """Where a first request would go: it stays in its zone, or goes to the cheapest with room."""
+def _default_row(layout: ZoneLayout, source: str, scope: str, room: Mapping[str, int]) -> WeightRow:
+    """Return the row of a source without demand: the local zone, or else the cheapest zone with room."""
     if room.get(source, 0) > 0:
         return {source: WHOLE}
     targets = [target for target in layout.reachable_zones(source, scope) if room.get(target, 0) > 0]
@@ -114,20 +115,20 @@
 
 
 def _with_probe_weight(row: WeightRow, zone: ZoneState) -> WeightRow:
-    """A lost or failing zone still gets a few of its own requests."""
-    bad = zone.status in (ZoneStatus.LOST, ZoneStatus.FAILING)
-    if not bad or row.get(zone.name, 0) >= PROBE_WEIGHT:
+    """Return the row with at least the probe weight for the local zone if that is lost or failing."""
+    is_bad = zone.status in (ZoneStatus.LOST, ZoneStatus.FAILING)
+    if not is_bad or row.get(zone.name, 0) >= PROBE_WEIGHT:
         return row
     rest = {target: weight for target, weight in row.items() if target != zone.name}
-    parts = {target: weight * (WHOLE - PROBE_WEIGHT) for target, weight in rest.items()}
-    return normalized(parts | {zone.name: PROBE_WEIGHT * sum(rest.values())})
+    scaled = {target: weight * (WHOLE - PROBE_WEIGHT) for target, weight in rest.items()}
+    return normalized(scaled | {zone.name: PROBE_WEIGHT * sum(rest.values())})
 
 
 def fallback_plans(layout: ZoneLayout, plan: TrafficPlan, links: Mapping[str, str]) -> dict[str, WeightTable]:
-    """For the loss of each zone: the rows of the zones that send there.
+    """Return for the loss of each zone the rows of the zones that send requests there.
 
-    Only they notice, so all others are taken to go on as they do: what went to the lost zone gets what room
-    is left by them, and no more. Whichever of the nodes follow it, no zone is brought over its room.
+    Only these zones detect the loss, so all other flows are assumed to stay. The lost zone's flows get only
+    the room that the others leave, so no zone exceeds its room, whichever nodes use the fallback.
     """
     return {lost: _fallback_table(layout, plan, links, lost) for lost in layout.zones}
 
@@ -136,23 +137,26 @@
     layout: ZoneLayout, plan: TrafficPlan, links: Mapping[str, str], lost: str
 ) -> WeightTable:
     flows, unserved = plan.allocation
-    kept = {flow: slots for flow, slots in flows.items() if flow[2] != lost}
-    moved = {flow[:2]: slots for flow, slots in flows.items() if flow[2] == lost and slots > 0}
-    used = Allocation(kept, {}).load()
-    room = {zone: max(0, most - used.get(zone, 0)) for zone, most in plan.room.items() if zone != lost}
-    again = allocate(layout, room | {lost: 0}, {}, moved, links)
+    remaining = {flow: slots for flow, slots in flows.items() if flow[2] != lost}
+    displaced = {flow[:2]: slots for flow, slots in flows.items() if flow[2] == lost and slots > 0}
+    used = Allocation(remaining, {}).load()
+    room = {zone: max(0, limit - used.get(zone, 0)) for zone, limit in plan.room.items() if zone != lost}
+    reallocation = allocate(layout, room | {lost: 0}, {}, displaced, links)
     table: WeightTable = {}
-    for source, scope in sorted({key for key, row in _rows(plan.weights) if lost in row}):
-        parts = {
-            target: kept.get((source, scope, target), 0) + again.flows.get((source, scope, target), 0)
+    for source, scope in sorted({key for key, row in _iterate_rows(plan.weights) if lost in row}):
+        slots_by_target = {
+            target: remaining.get((source, scope, target), 0)
+            + reallocation.flows.get((source, scope, target), 0)
             for target in layout.reachable_zones(source, scope)
         }
-        parts[source] += again.unserved.get((source, scope), 0) + unserved.get((source, scope), 0)
-        table.setdefault(source, {})[scope] = _row(layout, source, scope, parts, room)
+        slots_by_target[source] += reallocation.unserved.get((source, scope), 0) + unserved.get(
+            (source, scope), 0
+        )
+        table.setdefault(source, {})[scope] = _weight_row(layout, source, scope, slots_by_target, room)
     return table
 
 
-def _rows(table: WeightTable) -> Iterator[tuple[DemandKey, WeightRow]]:
+def _iterate_rows(table: WeightTable) -> Iterator[tuple[DemandKey, WeightRow]]:
     for source, rows in table.items():
         for scope, row in rows.items():
             yield (source, scope), row
--- a/cedarmill/cluster/traffic_plan/state.py
+++ b/cedarmill/cluster/traffic_plan/state.py
@@ -1,7 +1,7 @@
-"""The replicated state of the traffic plan: each zone's part in it, and the plan that holds.
+"""Replicated state of the traffic plan: the state of each zone, and the plan in force.
 
-Times are microseconds of the cluster's clock, shares and weights are thousandths. The keys that the structs
-are stored under are given by `rename`: they are older than the names of the fields.
+Times are microseconds of the cluster's clock; shares and weights are thousandths. `rename` maps the fields
+to the keys of the stored format.
 """
 
 from enum import StrEnum
@@ -11,23 +11,23 @@
 from cedarmill.cluster.observations.assessment import ClusterAssessment
 from cedarmill.cluster.observations.digest import WHOLE
 
-WeightRow = dict[str, int]  # thousandths of a zone's requests, by the zone that receives them
-WeightTable = dict[str, dict[str, WeightRow]]  # by the zone that sends, then by scope
+WeightRow = dict[str, int]  # thousandths of the requests, by target zone
+WeightTable = dict[str, dict[str, WeightRow]]  # by source zone, then by scope
 
 
 class ZoneStatus(StrEnum):
-    """A zone's part in the plan."""
+    """How the plan uses a zone."""
 
     OPEN = "open"
-    FAILING = "ill"  # used as a last resort
+    FAILING = "ill"  # used only as a last resort
     LOST = "lost"
-    RETURNING = "returning"  # opened in steps
-    LEAVING = "leaving"  # drained in steps
+    RETURNING = "returning"  # its open share rises in steps
+    LEAVING = "leaving"  # its open share falls in steps
     OUT = "out"
 
 
 class ZoneEvent(StrEnum):
-    """What changes a zone's status."""
+    """An event that may change a zone's status."""
 
     LOSE = "lose"
     FAIL = "sicken"
@@ -65,29 +65,29 @@
         "open_share": "open",
         "status_since": "since",
         "trust_changed_at": "trusted",
-        "distrusted_level": "doubt",
-        "distrusted_at": "doubted",
+        "trust_before_reduction": "doubt",
+        "trust_reduced_at": "doubted",
         "evacuation_us": "over",
         "halt_reason": "halted",
         "status_changes": "changes",
     },
 ):
-    """A zone's part in the plan."""
+    """The state of one zone in the traffic plan."""
 
     name: str
     status: str = ZoneStatus.OPEN.value
-    open_share: int = WHOLE  # of its capacity that the plan may use
+    open_share: int = WHOLE  # share of the capacity that the plan may use
     status_since: int = 0
-    trust: int = WHOLE  # share of the slots that it claims which are taken to be there
+    trust: int = WHOLE  # share of the reported slots that are assumed to exist
     trust_changed_at: int = 0
-    distrusted_level: int = 0  # the trust at which requests were late last; 0: not lately
-    distrusted_at: int = 0
-    losses: list[int] = msgspec.field(default_factory=list)  # when it was lost or failing, lately
-    bad_since: int = -1  # assessed as lost or failing since then; -1: it is not
-    well_since: int = -1
-    pinned: bool = False  # an operator keeps it as it is
-    evacuation_us: int = 0  # that an evacuation takes
-    halt_reason: str = ""  # why an evacuation does not proceed
+    trust_before_reduction: int = 0  # trust in force at the last reduction; 0 if there is no recent one
+    trust_reduced_at: int = 0
+    losses: list[int] = msgspec.field(default_factory=list)  # times of recent losses and failures
+    bad_since: int = -1  # start of the current lost or failing verdict; -1 if there is none
+    well_since: int = -1  # start of the current well verdict; -1 if there is none
+    pinned: bool = False  # whether an operator prevents status changes
+    evacuation_us: int = 0  # duration of an evacuation
+    halt_reason: str = ""  # why the evacuation is halted; empty if it proceeds
     status_changes: int = 0
 
 
@@ -104,26 +104,26 @@
         "assessment": "news",
         "latest_assessment": "told",
         "assessed_at": "news_at",
-        "demand_heard_at": "heard",
+        "demand_observed_at": "heard",
         "frozen_by": "frozen",
         "distrust_reason": "doubted",
         "next_review_at": "next",
     },
 ):
-    """The plan that holds."""
+    """The traffic plan in force and the assessments that it is computed from."""
 
     epoch: int = 0
-    moved_at: int = 0  # when the weights were moved last
+    moved_at: int = 0  # time of the last change of the weights
     weights: WeightTable = msgspec.field(default_factory=dict)
-    target_weights: WeightTable = msgspec.field(default_factory=dict)  # to which they move, in bounded steps
-    fallback_weights: dict[str, WeightTable] = msgspec.field(default_factory=dict)  # rows by the zone lost
-    fallback_assessed_at: int = -1  # when the assessment came that the fallback weights rest on
-    missing_slots: int = 0  # wanted, with no room anywhere that the requests may go
+    target_weights: WeightTable = msgspec.field(default_factory=dict)  # the weights move towards these
+    fallback_weights: dict[str, WeightTable] = msgspec.field(default_factory=dict)  # by lost zone
+    fallback_assessed_at: int = -1  # time of the assessment behind the fallback weights
+    missing_slots: int = 0  # thousandths; demand that finds no room in any reachable zone
     target_changes: int = 0
-    assessment: ClusterAssessment | None = None  # the plan's; keeps what was known of zones not seen now
-    latest_assessment: ClusterAssessment | None = None  # the newest, as it came
+    assessment: ClusterAssessment | None = None  # the latest one, with unknown values filled in
+    latest_assessment: ClusterAssessment | None = None  # the latest one, as received
     assessed_at: int = 0
-    demand_heard_at: dict[str, int] = msgspec.field(default_factory=dict)  # by the observers' zone
-    frozen_by: str = ""  # who and why; nothing changes by itself then
-    distrust_reason: str = ""  # why the assessment is not acted on
-    next_review_at: int = 0  # at the latest
+    demand_observed_at: dict[str, int] = msgspec.field(default_factory=dict)  # by source zone
+    frozen_by: str = ""  # operator and reason; empty if the plan is not frozen
+    distrust_reason: str = ""  # why the verdicts are not applied; empty if they are
+    next_review_at: int = 0
