--- a/benchmarks/balancers.py
+++ b/benchmarks/balancers.py
@@ -13,7 +13,7 @@
 
 from cedarmill.decisions import interface as api  # noqa: E402
 from cedarmill.decisions.balancer import Balancer  # noqa: E402
-from tests.support.balancer_simulation import OFFSET, node_settings  # noqa: E402
+from tests.support.balancer_simulation import BALANCER_CLOCK_START_US, balancer_settings  # noqa: E402
 
 PAIRS, JOBS = 9, 4_000
 GAP_US = 20_000  # between jobs: 50 a second at one node
@@ -22,12 +22,12 @@
 
 def play(workers: int, seed: int) -> float:
     """Seconds of CPU for one job: its arrival, its probes, its end."""
-    random, balancer = Random(seed), Balancer(node_settings(40, 0), seed)
+    random, balancer = Random(seed), Balancer(balancer_settings(40, 0), seed)
     ready = api.ExecutorState.READY
     entries = [api.EndpointEntry(n, ready, n % 4, n // 4, 0, 2.0 + n % 2) for n in range(workers)]
-    balancer.handle(OFFSET, api.EndpointList(api.EndpointListKind.CACHED, entries))
+    balancer.handle(BALANCER_CLOCK_START_US, api.EndpointList(api.EndpointListKind.CACHED, entries))
     out: list[tuple[int, int, int]] = []  # due, request, worker
-    spent, now = 0.0, OFFSET
+    spent, now = 0.0, BALANCER_CLOCK_START_US
 
     def take(event: api.Event) -> None:
         nonlocal spent
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -25,7 +25,7 @@
 from cedarmill.lab.simulation.overload.results import INVARIANTS as OVERLOAD_INVARIANTS
 from cedarmill.lab.simulation.overload.results import violations
 from cedarmill.lab.simulation.overload.simulation import play
-from tests.support.builders import Driver, sends
+from tests.support.builders import Driver, send_actions
 
 S = 1_000_000
 PROBES = Budget("probes", 100_000, 10)
@@ -345,9 +345,9 @@
         driver = Driver(tells_start=False)
         driver.report(1, 4.0)
         driver.report(2, 4.0)
-        sent = sends(driver.arrive(0))[0]
+        sent = send_actions(driver.arrive(0))[0]
         ended = api.AttemptEnded(sent.request, 0, sent.executor, api.Outcome.RESET, False, max_attempts=1)
-        self.assertEqual(sends(driver.feed(ended)), [])
+        self.assertEqual(send_actions(driver.feed(ended)), [])
         self.assertNotIn(sent.request, driver.balancer.requests)
 
 
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -11,14 +11,14 @@
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import DeduplicationScope, Outcome
 from cedarmill.net.discovery.endpoints import Endpoint, EndpointReader
-from tests.support.builders import entry, keyed, settings
+from tests.support.builders import entry, keyed_class, settings
 
 
 class FakePorts:
     """Fake balancer with preset replies, and fake ports that record their calls and can be made to fail."""
 
     def __init__(self) -> None:
-        self.settings = settings(keyed(DeduplicationScope.ALL, window=1_000_000))
+        self.settings = settings(keyed_class(DeduplicationScope.ALL, window_us=1_000_000))
         self.events: list[api.Event] = []
         self.replies: dict[type, object] = {}
         self.answers: list[tuple] = []
@@ -195,7 +195,7 @@
 
     def test_retry_after_the_repeat_window_fails_the_request_at_once(self):
         """Reporting a failed connect instead would cause retries and count failures of healthy executors."""
-        balancer = Balancer(settings(keyed(DeduplicationScope.ZONE, window=1_000_000)), 1)
+        balancer = Balancer(settings(keyed_class(DeduplicationScope.ZONE, window_us=1_000_000)), 1)
         self.dispatch.balancer = balancer
         self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1), entry(2)]))
         request = self.arrive(due=5_000_000)
--- a/tests/deadlines/test_deadlines.py
+++ b/tests/deadlines/test_deadlines.py
@@ -20,7 +20,7 @@
 from cedarmill.decisions.interface import DeduplicationScope, Outcome
 from cedarmill.values import SOURCES, DeadlineOptions
 from tests.core.test_dispatch import FakePorts
-from tests.support.builders import entry, keyed, settings
+from tests.support.builders import entry, keyed_class, settings
 
 ALL_SOURCES = DeadlineOptions(sources=SOURCES, skew_us=50_000)
 MAX_BUDGET_US = 6_000_000
@@ -207,7 +207,8 @@
             rng = random.Random(seed)
             self.create_dispatch()
             balancer = Balancer(
-                settings(keyed(DeduplicationScope.ALL), can_probe=seed % 3 == 0, tells_start=False), seed
+                settings(keyed_class(DeduplicationScope.ALL), can_probe=seed % 3 == 0, tells_start=False),
+                seed,
             )
             self.dispatch.balancer = balancer
             self.dispatch.on_endpoint_list(
@@ -299,7 +300,7 @@
         for due, answered in ((0, True), (30_000, False)):
             self.create_dispatch()
             self.dispatch.balancer = Balancer(
-                settings(keyed(DeduplicationScope.ALL), can_probe=True, report_by_probe=True), 1
+                settings(keyed_class(DeduplicationScope.ALL), can_probe=True, report_by_probe=True), 1
             )
             self.dispatch.on_endpoint_list(0, api.EndpointList(api.EndpointListKind.CACHED, [entry(1)]))
             self.arrive(due=due)
--- a/tests/decisions/test_large_lists.py
+++ b/tests/decisions/test_large_lists.py
@@ -5,7 +5,7 @@
 
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
-from tests.support.balancer_simulation import OFFSET, SECOND_US, node_settings
+from tests.support.balancer_simulation import BALANCER_CLOCK_START_US, SECOND_US, balancer_settings
 
 USUAL_COUNT, LARGE_COUNT = 200, 3_200  # executors
 IDLE_TIMEOUT_US = 5 * SECOND_US  # after which an unused connection is closed
@@ -14,15 +14,15 @@
 
 def count_connections(executor_count: int, seed: int) -> int:
     """Return how often a balancer sends to an executor to which no connection is open."""
-    random, balancer = Random(seed), Balancer(node_settings(200, 0), seed)
+    random, balancer = Random(seed), Balancer(balancer_settings(200, 0), seed)
     entries = [
         api.EndpointEntry(number, api.ExecutorState.READY, number % 4, number // 4, 0, 1.0)
         for number in range(executor_count)
     ]
-    balancer.handle(OFFSET, api.EndpointList(api.EndpointListKind.CACHED, entries))
+    balancer.handle(BALANCER_CLOCK_START_US, api.EndpointList(api.EndpointListKind.CACHED, entries))
     used_at: dict[int, int] = {}
     ends: list[tuple[int, int, int]] = []  # due time (us), request, executor
-    connections, now = 0, OFFSET
+    connections, now = 0, BALANCER_CLOCK_START_US
 
     def execute(actions: list[api.Action]) -> None:
         nonlocal connections
--- a/tests/decisions/test_sequences.py
+++ b/tests/decisions/test_sequences.py
@@ -9,14 +9,14 @@
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import DeduplicationScope as DeduplicationScope
 from cedarmill.decisions.interface import Effect, Outcome
-from tests.support.builders import SAFE, UNSAFE, entry, keyed, settings
+from tests.support.builders import SAFE_CLASS, UNSAFE_CLASS, entry, keyed_class, settings
 
 CLASSES = (
-    SAFE,
-    UNSAFE,
-    keyed(DeduplicationScope.ALL),
-    keyed(DeduplicationScope.ZONE),
-    keyed(DeduplicationScope.CELL),
+    SAFE_CLASS,
+    UNSAFE_CLASS,
+    keyed_class(DeduplicationScope.ALL),
+    keyed_class(DeduplicationScope.ZONE),
+    keyed_class(DeduplicationScope.CELL),
 )
 NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED}
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -12,7 +12,7 @@
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import ExecutorState
 from cedarmill.decisions.learned import ClassRunningTimes, ServedLoad, TenantLoad
-from tests.support.builders import Driver, entry, sends
+from tests.support.builders import Driver, entry, send_actions
 
 SECOND_US = 1_000_000
 SERVED_SHARE = 0.9  # load that all balancers served before, as a share of the tenants' quotas
@@ -286,7 +286,7 @@
         """Return how many of 100 requests are sent when only the slow-start budget limits them."""
         for executor in driver.balancer.executors.values():
             executor.capacity = 1_000.0
-        return sum(len(sends(driver.arrive(0))) for _ in range(100))
+        return sum(len(send_actions(driver.arrive(0))) for _ in range(100))
 
     def test_executor_of_a_quarter_of_the_size_gets_a_quarter_of_the_slots(self) -> None:
         """Executors of one kind may differ in size, so the largest does not define the slots of all."""
@@ -301,7 +301,7 @@
 
     def test_running_attempts_do_not_add_to_free_slots_of_an_older_report(self) -> None:
         """Two running attempts and two slots that were free before they started are two slots, not four."""
-        driver = Driver(workers=1, instances=1)
+        driver = Driver(executor_count=1, instances=1)
         driver.report(1, 2)
         driver.run(2)
         driver.report(1, 2.0001)
@@ -331,7 +331,7 @@
         """With a slow start of 0 us in the settings, such a start must not cause a division by zero."""
         driver = Driver(entries=[entry(1, started_at=1_000_500_000)], cold_us=0)
         driver.report(1, 10)
-        self.assertTrue(sends(driver.arrive(0)))
+        self.assertTrue(send_actions(driver.arrive(0)))
 
     def test_sends_to_a_warm_executor_are_not_recorded(self) -> None:
         """The record of sends would otherwise grow without bound."""
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -10,7 +10,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.snapshot import own_reservations, restore, restore_executor, take_snapshot
-from tests.support.builders import Driver, entry, sends, settings
+from tests.support.builders import Driver, entry, send_actions, settings
 
 HOUR_US = 3_600_000_000
 NAMES = {1: "s-1", 2: "s-2"}
@@ -149,7 +149,7 @@
 
     def count_sent(self, driver: Driver, count: int = 14) -> int:
         """Return how many of `count` requests are sent."""
-        return sum(len(sends(driver.arrive(0))) for _ in range(count))
+        return sum(len(send_actions(driver.arrive(0))) for _ in range(count))
 
     def test_successor_uses_the_learned_slots_and_queue_places_at_once(self):
         successor = self.successor(self.predecessor())
@@ -196,7 +196,7 @@
         """All processes of a node share the budget of a window, which the successor must not spend again."""
         entries = [entry(1, started_at=999_900_000), entry(2, started_at=999_900_000)]
         predecessor = Driver(tells_start=False, entries=entries)
-        self.assertTrue(sends(predecessor.arrive(0)))
+        self.assertTrue(send_actions(predecessor.arrive(0)))
         successor = self.successor(predecessor, entries=entries)
         saved, restored = (
             {n: executor.slow_start.sends for n, executor in driver.balancer.executors.items()}
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -14,7 +14,7 @@
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.values import DeadlineOptions
 from tests.net.test_client_cancellation import raw
-from tests.support.builders import SAFE, settings
+from tests.support.builders import SAFE_CLASS, settings
 from tests.support.faulty_node_case import FaultyNodeCase
 from tests.support.node_case import WAIT
 from tests.support.system_call_faults import Fault
@@ -214,7 +214,7 @@
         self.addCleanup(self.sock.close)
         self.sock.bind(("127.0.0.1", 0))
         self.clients = clients = ClientServer(
-            EventLoopDriver(loop, self.timers), settings(SAFE), 8, DeadlineOptions()
+            EventLoopDriver(loop, self.timers), settings(SAFE_CLASS), 8, DeadlineOptions()
         )
         clients.dispatch, request = Mock(), Mock(answered=False, attempts=[])
         clients.dispatch.deadline_tracker.margins.answer_margin.return_value = 0
--- a/tests/support/balancer_simulation.py
+++ b/tests/support/balancer_simulation.py
@@ -35,7 +35,7 @@
 CONNECT_TIMEOUT_US = 250_000
 FAST_ERROR_US = 5_000
 TRAFFIC_BY_ZONE = (0.5, 0.27, 0.13, 0.1)  # shares
-OFFSET = 1_000 * SECOND_US  # time of the balancers' clock at the start of the simulation
+BALANCER_CLOCK_START_US = 1_000 * SECOND_US  # time of the balancers' clock at the start of the simulation
 REPORT_NOISE = 1e-6  # makes reports differ, as measurement noise does
 
 
@@ -90,7 +90,7 @@
         return request_class.aim_us + request_class.aim_stretch * self.work_us
 
 
-def node_settings(nodes: int, zone: int, **more) -> api.Settings:
+def balancer_settings(nodes: int, zone: int, **more) -> api.Settings:
     """Return the settings of one balancer of a large cluster."""
     return api.Settings(
         instances=nodes,
@@ -147,7 +147,7 @@
         total_quota = self.requests_per_us * SECOND_US / 0.9
         tenants = api.Tenant("a", total_quota * 0.63), api.Tenant("b", total_quota * 0.37)
         self.settings = [
-            node_settings(node_count, n % zone_count, tenants=tenants) for n in range(node_count)
+            balancer_settings(node_count, n % zone_count, tenants=tenants) for n in range(node_count)
         ]
         # The zones' traffic differs from their capacity, and some nodes get far more than others.
         self.traffic_by_node = [
@@ -190,7 +190,7 @@
         self, executor: SimulatedExecutor, state: api.ExecutorState = api.ExecutorState.READY
     ) -> api.EndpointEntry:
         """Return the entry of an executor in the endpoint list."""
-        listed_start = executor.started_at + OFFSET if executor.started_at else 0
+        listed_start = executor.started_at + BALANCER_CLOCK_START_US if executor.started_at else 0
         return api.EndpointEntry(
             executor.number,
             state,
@@ -274,7 +274,7 @@
 
     def deliver(self, node: int, event) -> None:
         """Deliver an event to a node's balancer, and execute the returned actions."""
-        for action in self.balancers[node].handle(self.now + OFFSET, event):
+        for action in self.balancers[node].handle(self.now + BALANCER_CLOCK_START_US, event):
             getattr(self, "_" + type(action).__name__.lower())(node, action)
 
     def _send(self, node: int, action: api.Send) -> None:
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -3,20 +3,20 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.balancer import Balancer
 
-SAFE = api.RequestClass("s", 1.0, 200_000, 5_000_000, api.Effect.SAFE)
-UNSAFE = api.RequestClass("u", 5.0, 200_000, 5_000_000, api.Effect.UNSAFE)
+SAFE_CLASS = api.RequestClass("s", 1.0, 200_000, 5_000_000, api.Effect.SAFE)
+UNSAFE_CLASS = api.RequestClass("u", 5.0, 200_000, 5_000_000, api.Effect.UNSAFE)
 
 
-def keyed(group: api.DeduplicationScope, window: int = 3_000_000) -> api.RequestClass:
-    return api.RequestClass("k", 3.0, 200_000, 5_000_000, api.Effect.KEYED, group, window)
+def keyed_class(scope: api.DeduplicationScope, window_us: int = 3_000_000) -> api.RequestClass:
+    return api.RequestClass("k", 3.0, 200_000, 5_000_000, api.Effect.KEYED, scope, window_us)
 
 
 def settings(*classes: api.RequestClass, **changes) -> api.Settings:
     values = dict(
-        instances=2, zone=0, classes=classes or (SAFE, UNSAFE), cold_us=10_000_000, cold_share=0.2,
-        fall_multiple=3.0, overload_window_us=2_000_000, max_attempts=3, can_cancel=True, may_duplicate=True,
-        tells_start=True, max_retry_after_us=1_000_000, report_fields=("free_slots", "free_memory"),
-        tick_us=5_000,
+        instances=2, zone=0, classes=classes or (SAFE_CLASS, UNSAFE_CLASS), cold_us=10_000_000,
+        cold_share=0.2, fall_multiple=3.0, overload_window_us=2_000_000, max_attempts=3, can_cancel=True,
+        may_duplicate=True, tells_start=True, max_retry_after_us=1_000_000,
+        report_fields=("free_slots", "free_memory"), tick_us=5_000,
     )  # fmt: skip
     return api.Settings(**(values | changes))
 
@@ -24,60 +24,62 @@
 class Driver:
     """Feeds a balancer and numbers requests; `now` moves by hand."""
 
-    def __init__(self, *classes: api.RequestClass, workers: int = 2, seed: int = 1, entries=None, **changes):
+    def __init__(
+        self, *classes: api.RequestClass, executor_count: int = 2, seed: int = 1, entries=None, **changes
+    ):
         self.balancer = Balancer(settings(*classes, **changes), seed)
         self.now = 1_000_000_000
-        self.requests = 0
-        entries = entries or [entry(n) for n in range(1, workers + 1)]
-        self.first = self.feed(api.EndpointList(api.EndpointListKind.CACHED, entries))
+        self.last_request = 0
+        entries = entries or [entry(n) for n in range(1, executor_count + 1)]
+        self.initial_actions = self.feed(api.EndpointList(api.EndpointListKind.CACHED, entries))
 
-    def feed(self, event, after: int = 0):
-        self.now += after
+    def feed(self, event, elapsed_us: int = 0):
+        self.now += elapsed_us
         return self.balancer.handle(self.now, event)
 
-    def arrive(self, job_class: int = 0, left: int = 5_000_000, **fields):
-        self.requests += 1
-        return self.feed(api.RequestArrived(self.requests, job_class, left, **fields))
+    def arrive(self, class_index: int = 0, time_left_us: int = 5_000_000, **fields):
+        self.last_request += 1
+        return self.feed(api.RequestArrived(self.last_request, class_index, time_left_us, **fields))
 
-    def end(self, request: int, worker: int, outcome: api.Outcome, attempt: int = 0, final=None,
+    def end(self, request: int, executor: int, outcome: api.Outcome, attempt: int = 0, final=None,
             report=None):  # fmt: skip
         final = outcome == api.Outcome.OK if final is None else final
-        return self.feed(api.AttemptEnded(request, attempt, worker, outcome, final, report))
+        return self.feed(api.AttemptEnded(request, attempt, executor, outcome, final, report))
 
-    def start(self, request: int, worker: int, attempt: int = 0):
-        return self.feed(api.AttemptStarted(request, attempt, worker))
+    def start(self, request: int, executor: int, attempt: int = 0):
+        return self.feed(api.AttemptStarted(request, attempt, executor))
 
-    def run(self, count: int, worker: int = 1) -> None:
-        """Jobs of the first class arrive and start at the worker."""
+    def run(self, count: int, executor: int = 1) -> None:
+        """Jobs of the first class arrive and start at the executor."""
         for _ in range(count):
             self.arrive(0)
-            self.start(self.requests, worker)
+            self.start(self.last_request, executor)
 
     def draw(self, count: int) -> list[int]:
-        """The workers that jobs are sent to, one after the other, each served at once."""
+        """The executors that jobs are sent to, one after the other, each served at once."""
         drawn = []
         for _ in range(count):
-            drawn.append(sends(self.arrive(0))[0].executor)
-            self.end(self.requests, drawn[-1], api.Outcome.OK)
+            drawn.append(send_actions(self.arrive(0))[0].executor)
+            self.end(self.last_request, drawn[-1], api.Outcome.OK)
         return drawn
 
-    def report(self, worker: int, free: float, memory: float = 100.0):
-        return self.feed(api.ProbeEnded(worker, api.Outcome.OK, (free, memory)))
+    def report(self, executor: int, free_slots: float, memory: float = 100.0):
+        return self.feed(api.ProbeEnded(executor, api.Outcome.OK, (free_slots, memory)))
 
-    def fire_all(self, actions, after: int):
-        """Fire the timers among the actions, `after` microseconds from now."""
-        self.now += after
+    def fire_all(self, actions, elapsed_us: int):
+        """Fire the timers among the actions, `elapsed_us` microseconds from now."""
+        self.now += elapsed_us
         return [a for t in actions if isinstance(t, api.SetTimer) for a in self.feed(api.TimerFired(t.token))]
 
 
-def entry(worker: int, state: api.ExecutorState = api.ExecutorState.READY, **fields) -> api.EndpointEntry:
-    return api.EndpointEntry(worker, state, **fields)
+def entry(executor: int, state: api.ExecutorState = api.ExecutorState.READY, **fields) -> api.EndpointEntry:
+    return api.EndpointEntry(executor, state, **fields)
 
 
-def kinds(actions) -> list[str]:
+def action_names(actions) -> list[str]:
     """The names of the actions, timers and probes left out."""
     return [type(a).__name__ for a in actions if not isinstance(a, api.SetTimer | api.Probe)]
 
 
-def sends(actions) -> list[api.Send]:
+def send_actions(actions) -> list[api.Send]:
     return [a for a in actions if isinstance(a, api.Send)]
