--- a/cedarmill/cluster/admission_level/__init__.py
+++ b/cedarmill/cluster/admission_level/__init__.py
@@ -1,4 +1,5 @@
-"""The admission level: which requests the whole cluster rejects at once when more is wanted than there is.
+"""The admission level, which sheds requests across the whole cluster when demand exceeds capacity.
 
-Its state, the controller that moves it while an entry is applied, and a node's gate; no I/O, no clock.
+This package holds the replicated state, the controller that adjusts it while a log entry is applied, and the
+gate of a node. It performs no I/O and reads no clock.
 """
--- a/cedarmill/cluster/admission_level/controller.py
+++ b/cedarmill/cluster/admission_level/controller.py
@@ -1,10 +1,10 @@
-"""The controller of the admission level, run while an entry is applied.
+"""The controller that adjusts the admission level while a log entry is applied.
 
-It sheds where requests are late and more is wanted than there is. What it admits then moves in small steps:
-less while requests take too long, more while they do not or slots stand idle. Requests that may not leave
-their zone or region are shed there alone, where only these find no room. A cluster that stays late though no
-more is admitted than there is sustains its own overload: a deep cut of bounded length ends that state. An
-operator's override holds together with the level until its end.
+The controller sheds requests when requests are late and demand exceeds the available slots. It then adjusts
+the admitted share in small steps: down while requests queue too long, up while queues are short or slots are
+idle. Requests confined to their zone or region are shed separately when only they lack capacity. If requests
+stay late although the admitted demand fits, the overload sustains itself (queues and retries), and a deep cut
+of bounded length ends it. An operator's override applies in addition to the level until it expires.
 """
 
 from collections.abc import Mapping
@@ -24,157 +24,159 @@
 if TYPE_CHECKING:
     from cedarmill.cluster.state import ClusterState
 
-CLUSTER = "the fleet"  # as operators read it
-PROMPT_SHARE = 50  # thousandths of requests that are late, up to which less is shed
+CLUSTER_LABEL = "the fleet"  # names the whole cluster in log notes
+LOW_LATE_SHARE = 50  # thousandths of late requests, below which shedding is relaxed
 
-# Thousandths of what is wanted, or of the slots, by which the slots shed move in a second.
+# The most by which the shed slots change in a second: thousandths of the demand or of the slots, the larger.
 SHED_RATE = 1500
 RELEASE_RATE = 2000
 
-# The fill share: thousandths of it a step.
+# Changes of the fill share: thousandths of its value, per step.
 FILL_STEP_DOWN = 60  # while requests take too long
-FILL_STEP_UP = 40  # while they do not
-FILL_STEP_UP_SHORT = 200  # while they hardly queue
+FILL_STEP_UP = 40  # while queues are short
+FILL_STEP_UP_FAST = 200  # while there is almost no queueing
 MIN_FILL = 500  # thousandths of the slots
-FULL_FILL = 1200  # thousandths of the slots, up to which it rises though none stands idle
+MAX_FILL_WITHOUT_IDLE_SLOTS = 1200  # thousandths of the slots
 
-# Queueing: thousandths of the time that a request may take.
+# Queueing: the running time of requests in thousandths of the time allotted to them.
 LONG_QUEUEING = 1000
 SHORT_QUEUEING = 700
-NO_QUEUEING = 500  # hardly any: requests run for about half of the time that they may take
-FALLING = 930  # thousandths of the queueing a step ago, below which it falls and nothing more is shed for it
+MINIMAL_QUEUEING = 500
+FALLING_SHARE = 930  # thousandths of the queueing one step ago, below which queues are draining
 
-IDLE_SHARE = 850  # thousandths of the slots in use, below which more is shed than has to be
-IDLE_SHARE_LATE = 400  # the same while requests are late: these wait for something else
-FEW_REJECTED_LOCALLY = 150  # thousandths, up to which more may be admitted
-CALM_STEPS = 3  # in a row with nothing to shed, after which the level is not active any longer
-PROVEN_DECAY = 10  # thousandths of the proven slots that are forgotten in a step
+MIN_BUSY_SHARE = 850  # thousandths of the slots in use, below which slots count as idle
+MIN_BUSY_SHARE_LATE = 400  # the same bound while many requests are late
+MAX_LOCAL_REJECTIONS_TO_RAISE = 150  # thousandths rejected by nodes, below which the fill share may rise
+MIN_STEPS_WITHOUT_EXCESS = 3  # consecutive steps without excess demand that deactivate the level
+PROVEN_DECAY = 10  # thousandths by which the proven slots decay in a step
 
-# An overload that sustains itself.
-SUSTAINED_SHARE = 500  # thousandths of requests that are late
-FITTING_SHARE = 1050  # thousandths of the slots, up to which what is admitted fits
-SUSTAINED_US = 2_500_000  # after which a deep cut begins
-DEEP_SHARE = 900  # thousandths of the slots that a deep cut leaves free
-DEEP_US = 4_000_000  # the longest deep cut
-DEEP_REST_US = 4_000_000  # between two of them
+# Detection of an overload that sustains itself, and the deep cut that ends it.
+SUSTAINED_LATE_SHARE = 500  # thousandths of late requests
+MAX_FITTING_SHARE = 1050  # thousandths of the slots, up to which the admitted demand fits
+SUSTAINED_OVERLOAD_US = 2_500_000  # duration of a sustained overload before a deep cut begins
+DEEP_CUT_FREE_SHARE = 900  # thousandths of the slots that a deep cut leaves free
+DEEP_CUT_US = 4_000_000  # longest duration of a deep cut
+DEEP_CUT_REST_US = 4_000_000  # minimum interval between two deep cuts
 
-SAME_SHARE = 20  # thousandths by which a threshold's share may differ and stay as it is
+MIN_SHARE_CHANGE = 20  # thousandths; smaller changes of a threshold's share are not published
 
 
 def threshold_for(demand: Mapping[int, int], shed_slots: int) -> SheddingThreshold:
-    """The threshold that rejects so many slots of the demand, the lowest priority weight first."""
-    left = shed_slots
+    """Return the threshold that rejects `shed_slots` of the demand, lowest priority weight first."""
+    remaining_slots = shed_slots
     for weight in sorted(demand):
-        if left <= 0:
+        if remaining_slots <= 0:
             break
-        if demand[weight] > left:
-            return SheddingThreshold(weight, left * WHOLE // demand[weight])
-        left -= demand[weight]
-        if left <= 0:
+        if demand[weight] > remaining_slots:
+            return SheddingThreshold(weight, remaining_slots * WHOLE // demand[weight])
+        remaining_slots -= demand[weight]
+        if remaining_slots <= 0:
             return SheddingThreshold(weight, WHOLE)
     return SheddingThreshold(max(demand), WHOLE) if demand and shed_slots > 0 else SheddingThreshold()
 
 
-def stricter(left: SheddingThreshold, right: SheddingThreshold) -> SheddingThreshold:
-    """Of two thresholds the one that rejects more."""
-    return max(left, right, key=lambda threshold: (threshold.weight, threshold.share))
+def stricter(first: SheddingThreshold, second: SheddingThreshold) -> SheddingThreshold:
+    """Return the threshold that rejects more requests."""
+    return max(first, second, key=lambda threshold: (threshold.weight, threshold.share))
 
 
 def advance(
     state: "ClusterState", demand: Mapping[int, int], report: LoadReport, assessed_at: int = UNKNOWN
 ) -> None:
-    """One step of the cluster's level, by the slots wanted at each priority weight and the load.
+    """Advance the cluster's level by one step.
 
-    Slots that were served lately are there, whatever is reported: a busy executor shows each node few slots.
-    By an assessment of the same time as the last one nothing is moved twice; of one of an unknown time
-    nothing is known.
+    `demand` maps each priority weight to the slots requested. Slots whose requests were served recently count
+    as available even when fewer are reported, since a busy executor offers few slots to each node. An
+    assessment no newer than the previous one doesn't change the fill share again; UNKNOWN skips that check.
     """
     level = state.admission
     level.stale = assessed_at != UNKNOWN and assessed_at <= level.assessed_at
     level.assessed_at = max(level.assessed_at, assessed_at)
     if state.clock - level.stepped_at >= STEP_US:
-        remembered = level.proven_slots - level.proven_slots * PROVEN_DECAY // WHOLE
-        level.proven_slots = max(report.slots_served, remembered)
+        decayed_slots = level.proven_slots - level.proven_slots * PROVEN_DECAY // WHOLE
+        level.proven_slots = max(report.slots_served, decayed_slots)
     report = replace(report, slots=max(report.slots, level.proven_slots))
-    if _step(state, level, sum(demand.values()), report, CLUSTER):
+    if _advance_level(state, level, sum(demand.values()), report, CLUSTER_LABEL):
         _publish(state, threshold_for(demand, level.shed_slots))
 
 
 def advance_scope(state: "ClusterState", key: str, demand: Mapping[int, int], slots: int, late: int) -> None:
-    """The same for one zone's requests of one scope; `key` is `zone/scope`, `slots` the room they find.
+    """Advance the level of one zone's requests of one scope by one step.
 
-    The level begins where they find no room that requests of other scopes have. What the cluster's level
-    sheds of them already is not shed twice.
+    `key` is `zone/scope`, `slots` the capacity available to these requests, `late` the share of late ones in
+    thousandths. The level is created when their demand exceeds these slots and requests are late.
     """
     level = state.scoped_admission.get(key)
-    wanted = sum(demand.values())
-    if level is None and (wanted <= slots or late < LATE_SHARE):
+    wanted_slots = sum(demand.values())
+    if level is None and (wanted_slots <= slots or late < LATE_SHARE):
         return
     level = state.scoped_admission.setdefault(key, AdmissionLevel())
-    if not _step(state, level, wanted, LoadReport(slots, late), key):
+    if not _advance_level(state, level, wanted_slots, LoadReport(slots, late), key):
         return
     threshold = threshold_for(demand, level.shed_slots)
-    if not level.shed_slots and late < PROMPT_SHARE:
+    if not level.shed_slots and late < LOW_LATE_SHARE:
         del state.scoped_admission[key]
     if threshold != level.threshold:
         level.threshold, level.epoch, state.orders_epoch = threshold, state.epoch, state.epoch
 
 
 def threshold_of(state: "ClusterState", zone: str, scope: str) -> SheddingThreshold:
-    """What a node of that zone rejects of requests of that scope."""
+    """Return the threshold that nodes of a zone apply to requests of a scope."""
     level = state.scoped_admission.get(f"{zone}/{scope}")
     cluster = state.admission.threshold
     return stricter(cluster, level.threshold) if level is not None else cluster
 
 
-def override(state: "ClusterState", threshold: SheddingThreshold, lasts_us: int, author: str) -> None:
-    """An operator's threshold, until its end; one with a weight below 0 ends it."""
+def override(state: "ClusterState", threshold: SheddingThreshold, duration_us: int, author: str) -> None:
+    """Apply an operator's threshold for a duration; a weight below 0 ends the current override."""
     level = state.admission
     if threshold.weight < 0:
         level.override, level.override_until = SheddingThreshold(), 0
         state.note(f"{author} ends the cut")
         _publish(state, SheddingThreshold())
         return
-    level.override, level.override_until = threshold, state.clock + lasts_us
+    level.override, level.override_until = threshold, state.clock + duration_us
     state.note(f"{author} cuts what is worth less than {threshold.weight / WHOLE:g}")
     _publish(state, stricter(level.threshold, level.override))
 
 
-def _step(state: "ClusterState", level: AdmissionLevel, wanted: int, report: LoadReport, where: str) -> bool:
-    """Move the slots shed by one step; whether a step was due.
+def _advance_level(
+    state: "ClusterState", level: AdmissionLevel, wanted_slots: int, report: LoadReport, scope_label: str
+) -> bool:
+    """Advance one level if a step is due, and return whether it was.
 
-    The fill share moves slowly, since an assessment is a second old; what is wanted beyond it is shed at
-    once, or nearly.
+    The fill share changes slowly because assessments lag by about a second. Demand beyond the fill share is
+    shed within a few steps.
     """
     now = state.clock
-    passed = min(now - level.stepped_at, 2 * STEP_US)
-    if passed < STEP_US:
+    elapsed_us = min(now - level.stepped_at, 2 * STEP_US)
+    if elapsed_us < STEP_US:
         return False
-    _take_over(level, now, wanted, report)
-    if level.late < PROMPT_SHARE or 0 <= level.queueing < SHORT_QUEUEING:
-        level.deep_until = min(level.deep_until, now)  # it has done its work
-    deep = now < level.deep_until
-    if not deep and not level.stale:  # slots that stand idle by a deep cut say nothing
+    _store_report(level, now, wanted_slots, report)
+    if level.late < LOW_LATE_SHARE or 0 <= level.queueing < SHORT_QUEUEING:
+        level.deep_cut_until = min(level.deep_cut_until, now)  # end the cut early
+    in_deep_cut = now < level.deep_cut_until
+    if not in_deep_cut and not level.stale:  # slots left idle by a deep cut are no evidence
         _adjust_fill(level, _has_idle_slots(level))
-    admitted_share = WHOLE - DEEP_SHARE if deep else level.fill_share
-    excess = max(0, wanted - level.slots * admitted_share // WHOLE) if level.active else 0
-    reference = max(wanted, level.slots) * passed // 1_000_000
-    most = level.shed_slots + reference * SHED_RATE // WHOLE
-    least = level.shed_slots - reference * RELEASE_RATE // WHOLE
-    level.shed_slots = min(max(min(excess, most), least), wanted)
-    if deep:
+    admitted_share = WHOLE - DEEP_CUT_FREE_SHARE if in_deep_cut else level.fill_share
+    excess_slots = max(0, wanted_slots - level.slots * admitted_share // WHOLE) if level.active else 0
+    reference_slots = max(wanted_slots, level.slots) * elapsed_us // 1_000_000
+    max_shed_slots = level.shed_slots + reference_slots * SHED_RATE // WHOLE
+    min_shed_slots = level.shed_slots - reference_slots * RELEASE_RATE // WHOLE
+    level.shed_slots = min(max(min(excess_slots, max_shed_slots), min_shed_slots), wanted_slots)
+    if in_deep_cut:
         level.reason = "a deep cut: late though what is admitted fits"
     elif level.shed_slots:
         level.reason = f"more is wanted than there is; {level.late / 10:g}% late"
     else:
         level.reason = ""
-    _watch_sustained_overload(state, level, where)
+    _watch_sustained_overload(state, level, scope_label)
     return True
 
 
-def _take_over(level: AdmissionLevel, now: int, wanted: int, report: LoadReport) -> None:
+def _store_report(level: AdmissionLevel, now: int, wanted_slots: int, report: LoadReport) -> None:
     level.stepped_at = now
-    level.wanted_slots, level.slots = wanted, report.slots
+    level.wanted_slots, level.slots = wanted_slots, report.slots
     level.late, level.slots_in_use = report.late, report.slots_in_use
     level.previous_queueing, level.queueing = level.queueing, report.queueing
     level.rejected_locally = report.rejected_locally
@@ -183,93 +185,99 @@
 def _has_idle_slots(level: AdmissionLevel) -> bool:
     if level.slots_in_use == UNKNOWN:
         return False
-    prompt = level.late < LATE_SHARE or 0 <= level.queueing < SHORT_QUEUEING
-    return level.slots_in_use * WHOLE < level.slots * (IDLE_SHARE if prompt else IDLE_SHARE_LATE)
+    is_prompt = level.late < LATE_SHARE or 0 <= level.queueing < SHORT_QUEUEING
+    return level.slots_in_use * WHOLE < level.slots * (MIN_BUSY_SHARE if is_prompt else MIN_BUSY_SHARE_LATE)
 
 
-def _adjust_fill(level: AdmissionLevel, idle: bool) -> None:
-    """Lower the fill share while requests take too long, raise it while they do not."""
-    pressed = _is_pressed(level)
-    if (pressed or level.late >= LATE_SHARE) and level.wanted_slots > level.slots:
+def _adjust_fill(level: AdmissionLevel, has_idle_slots: bool) -> None:
+    """Lower the fill share while requests take too long; raise it while queues are short."""
+    is_overloaded = _is_overloaded(level)
+    if (is_overloaded or level.late >= LATE_SHARE) and level.wanted_slots > level.slots:
         level.active = True
     if not level.active:
         return
-    known = level.queueing != UNKNOWN
-    falling = known and level.queueing * WHOLE < level.previous_queueing * FALLING
-    if pressed and not falling:
+    is_queueing_known = level.queueing != UNKNOWN
+    is_falling = is_queueing_known and level.queueing * WHOLE < level.previous_queueing * FALLING_SHARE
+    if is_overloaded and not is_falling:
         level.fill_share = max(MIN_FILL, level.fill_share - level.fill_share * FILL_STEP_DOWN // WHOLE)
-    elif known and _may_raise(level):
-        level.fill_share += level.fill_share * _step_up(level, idle) // WHOLE
-    elif not known and idle:  # however many are late: more would fit
+    elif is_queueing_known and _may_raise_fill(level):
+        level.fill_share += level.fill_share * _fill_increase(level, has_idle_slots) // WHOLE
+    elif not is_queueing_known and has_idle_slots:  # more requests fit, however many are late
         level.fill_share += level.fill_share // 3
-    elif max(level.late, level.rejected_locally) < PROMPT_SHARE and level.fill_share < WHOLE:
+    elif max(level.late, level.rejected_locally) < LOW_LATE_SHARE and level.fill_share < WHOLE:
         level.fill_share += level.fill_share * FILL_STEP_UP // WHOLE
-    fits = level.wanted_slots * WHOLE <= level.slots * level.fill_share
-    level.calm_steps = level.calm_steps + 1 if fits else 0
-    if level.calm_steps >= CALM_STEPS and level.late < LATE_SHARE:
-        level.active, level.fill_share, level.calm_steps = False, WHOLE, 0
+    demand_fits = level.wanted_slots * WHOLE <= level.slots * level.fill_share
+    level.steps_without_excess = level.steps_without_excess + 1 if demand_fits else 0
+    if level.steps_without_excess >= MIN_STEPS_WITHOUT_EXCESS and level.late < LATE_SHARE:
+        level.active, level.fill_share, level.steps_without_excess = False, WHOLE, 0
 
 
-def _is_pressed(level: AdmissionLevel) -> bool:
-    """Whether requests take too long, or nodes reject many of those admitted."""
+def _is_overloaded(level: AdmissionLevel) -> bool:
+    """Return whether requests take too long or nodes reject many admitted requests."""
     if level.queueing == UNKNOWN:
         return level.late >= LATE_SHARE or level.rejected_locally >= LATE_SHARE
-    if level.queueing >= LONG_QUEUEING and level.late >= PROMPT_SHARE:
+    if level.queueing >= LONG_QUEUEING and level.late >= LOW_LATE_SHARE:
         return True
-    # where requests hardly queue, the nodes' own estimates may be wrong
-    return level.rejected_locally >= LATE_SHARE and level.queueing >= NO_QUEUEING
+    # Without queueing, local rejections may stem from wrong estimates of the nodes.
+    return level.rejected_locally >= LATE_SHARE and level.queueing >= MINIMAL_QUEUEING
 
 
-def _may_raise(level: AdmissionLevel) -> bool:
+def _may_raise_fill(level: AdmissionLevel) -> bool:
     if level.queueing >= SHORT_QUEUEING or not (level.shed_slots or level.fill_share < WHOLE):
         return False
-    return level.rejected_locally < FEW_REJECTED_LOCALLY or level.queueing < NO_QUEUEING
+    return level.rejected_locally < MAX_LOCAL_REJECTIONS_TO_RAISE or level.queueing < MINIMAL_QUEUEING
 
 
-def _step_up(level: AdmissionLevel, idle: bool) -> int:
-    """Thousandths by which the fill share rises while requests queue shortly: fast where they hardly do."""
-    if level.queueing < NO_QUEUEING or (idle and level.fill_share < WHOLE):
-        return FILL_STEP_UP_SHORT
-    if idle:
+def _fill_increase(level: AdmissionLevel, has_idle_slots: bool) -> int:
+    """Return the increase of the fill share for this step, in thousandths of its value."""
+    if level.queueing < MINIMAL_QUEUEING or (has_idle_slots and level.fill_share < WHOLE):
+        return FILL_STEP_UP_FAST
+    if has_idle_slots:
         return 2 * FILL_STEP_UP
-    return FILL_STEP_UP if level.fill_share < FULL_FILL else 0
+    return FILL_STEP_UP if level.fill_share < MAX_FILL_WITHOUT_IDLE_SLOTS else 0
 
 
-def _watch_sustained_overload(state: "ClusterState", level: AdmissionLevel, where: str) -> None:
-    """Begin a deep cut once most requests were late for long though what is admitted fits.
+def _watch_sustained_overload(state: "ClusterState", level: AdmissionLevel, scope_label: str) -> None:
+    """Begin a deep cut after a sustained overload.
 
-    Queues and repeated requests sustain such an overload.
+    An overload is sustained when most requests stay late although the admitted demand fits the slots: queues
+    and retries keep it going.
     """
     now = state.clock
     admitted = (level.wanted_slots - level.shed_slots) * WHOLE
-    fits = level.slots * WHOLE // 2 <= admitted <= level.slots * FITTING_SHARE
-    short = 0 <= level.queueing < LONG_QUEUEING
-    if level.late < SUSTAINED_SHARE or short or not fits or now < level.deep_until:
+    demand_fits = level.slots * WHOLE // 2 <= admitted <= level.slots * MAX_FITTING_SHARE
+    is_queueing_short = 0 <= level.queueing < LONG_QUEUEING
+    if (
+        level.late < SUSTAINED_LATE_SHARE
+        or is_queueing_short
+        or not demand_fits
+        or now < level.deep_cut_until
+    ):
         level.late_since = -1
         return
     level.late_since = level.late_since if level.late_since >= 0 else now
-    if now - level.late_since < SUSTAINED_US or now < level.deep_rest_until:
+    if now - level.late_since < SUSTAINED_OVERLOAD_US or now < level.next_deep_cut_at:
         return
-    level.deep_until, level.deep_rest_until = now + DEEP_US, now + DEEP_US + DEEP_REST_US
+    level.deep_cut_until, level.next_deep_cut_at = now + DEEP_CUT_US, now + DEEP_CUT_US + DEEP_CUT_REST_US
     level.late_since = -1
     level.active = True
     state.note(
-        f"a deep cut in {where} for {DEEP_US / 1e6:g} s: {level.late / 10:g}% late, though what is "
+        f"a deep cut in {scope_label} for {DEEP_CUT_US / 1e6:g} s: {level.late / 10:g}% late, though what is "
         "admitted fits"
     )
 
 
 def _publish(state: "ClusterState", threshold: SheddingThreshold) -> None:
-    """Let the cluster's threshold hold, or an operator's where it is stricter; tiny changes are left out."""
+    """Publish the stricter of the level's and the operator's threshold; ignore small changes of the share."""
     level = state.admission
-    nothing = SheddingThreshold()
+    empty = SheddingThreshold()
     if state.clock < level.override_until:
         threshold = stricter(threshold, level.override)
-    elif level.override != nothing:
-        level.override = nothing
+    elif level.override != empty:
+        level.override = empty
         state.note("the cut by hand has ended")
     same_weight = threshold.weight == level.threshold.weight
-    if same_weight and abs(threshold.share - level.threshold.share) < SAME_SHARE and threshold != nothing:
+    if same_weight and abs(threshold.share - level.threshold.share) < MIN_SHARE_CHANGE and threshold != empty:
         return
     if threshold != level.threshold:
         level.threshold, level.epoch = threshold, state.epoch
--- a/cedarmill/cluster/admission_level/state.py
+++ b/cedarmill/cluster/admission_level/state.py
@@ -1,4 +1,7 @@
-"""The replicated state of the admission level. Times: us of the cluster's clock; shares are thousandths."""
+"""The replicated state of the admission level.
+
+Times are microseconds of the cluster's clock; shares and slots are in thousandths.
+"""
 
 from dataclasses import dataclass
 
@@ -6,14 +9,14 @@
 
 from cedarmill.cluster.observations.digest import WHOLE
 
-STEP_US = 500_000  # between two steps of a level
-LATE_SHARE = 200  # thousandths of requests that are late: shed more
-NO_WEIGHT = -1  # of a threshold that rejects nothing
-UNKNOWN = -1  # a quantity that nobody reports
+STEP_US = 500_000  # minimum interval between two steps of a level
+LATE_SHARE = 200  # thousandths of late requests that indicate an overload
+NO_WEIGHT = -1  # weight of a threshold that rejects nothing
+UNKNOWN = -1  # marks a quantity that no node reports
 
 
 class SheddingThreshold(msgspec.Struct, array_like=True, frozen=True):
-    """Reject requests below a priority weight (thousandths), and a share of those that have this weight."""
+    """Rejects requests below a priority weight (thousandths) and a share of those of exactly this weight."""
 
     weight: int = NO_WEIGHT
     share: int = 0
@@ -21,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What the assessment says of load; slots in thousandths."""
+    """The load of the cluster or of one scope, taken from an assessment."""
 
-    slots: int  # that there are
+    slots: int  # available
     late: int  # share of requests that are late
     slots_in_use: int = UNKNOWN
-    slots_served: int = 0  # mean number of slots whose requests were served lately
-    # The time that a request takes which is in the cluster now, against what it may take. By Little's law
-    # this is the slots occupied over the slots allotted. Requests that end late came seconds ago, and say
-    # little of those that come now.
+    slots_served: int = 0  # mean number of slots whose requests were served recently
+    # Running time of the requests now in the cluster relative to the time allotted to them. By Little's law
+    # this is the occupied slots divided by the allotted slots. Late responses lag behind this measure, since
+    # their requests arrived seconds ago.
     queueing: int = UNKNOWN
     rejected_locally: int = 0  # share of admitted requests that nodes rejected by their own estimates
 
@@ -40,11 +43,11 @@
         "shed_slots": "shed",
         "fill_share": "fill",
         "proven_slots": "proven",
-        "calm_steps": "calm",
+        "steps_without_excess": "calm",
         "threshold": "cut",
         "stepped_at": "at",
-        "deep_until": "deep_till",
-        "deep_rest_until": "rested_till",
+        "deep_cut_until": "deep_till",
+        "next_deep_cut_at": "rested_till",
         "reason": "why",
         "override": "hand",
         "override_until": "hand_till",
@@ -57,28 +60,28 @@
         "assessed_at": "seen",
     },
 ):
-    """The level of the whole cluster, or of one zone's requests of one scope."""
+    """The admission level of the whole cluster, or of one zone's requests of one scope."""
 
-    shed_slots: int = 0  # wanted, and to be rejected
-    fill_share: int = WHOLE  # of the slots that are to be filled
-    active: bool = False  # since requests were late while more was wanted than there is
-    proven_slots: int = 0  # whose requests were served lately: they are there, whatever is reported
-    calm_steps: int = 0  # in a row with nothing to shed
+    shed_slots: int = 0  # requested slots to reject
+    fill_share: int = WHOLE  # share of the slots to fill
+    active: bool = False  # set once requests are late while demand exceeds the slots
+    proven_slots: int = 0  # served recently, hence available even if not reported
+    steps_without_excess: int = 0  # consecutive
     threshold: SheddingThreshold = SheddingThreshold()
     epoch: int = 0
     stepped_at: int = 0
-    late_since: int = -1  # most requests are late though what is admitted fits; -1: this is not so
-    deep_until: int = 0  # end of a deep cut
-    deep_rest_until: int = 0  # before that no other deep cut begins
+    late_since: int = -1  # start of a sustained overload; -1 for none
+    deep_cut_until: int = 0  # end of a deep cut
+    next_deep_cut_at: int = 0  # earliest start of another deep cut
     reason: str = ""
-    override: SheddingThreshold = SheddingThreshold()  # an operator's
+    override: SheddingThreshold = SheddingThreshold()  # set by an operator
     override_until: int = 0
     wanted_slots: int = 0
     slots: int = 0
     late: int = 0
     slots_in_use: int = UNKNOWN
     queueing: int = UNKNOWN
-    previous_queueing: int = UNKNOWN  # a step ago
+    previous_queueing: int = UNKNOWN  # one step earlier
     rejected_locally: int = 0
-    assessed_at: int = UNKNOWN  # when the assessment came by which it was moved last
-    stale: bool = False  # no newer assessment has come since
+    assessed_at: int = UNKNOWN  # time of the assessment used last
+    stale: bool = False  # whether the assessment is no newer than the one before
--- a/cedarmill/cluster/budget_grants.py
+++ b/cedarmill/cluster/budget_grants.py
@@ -1,11 +1,12 @@
-"""Budgets of the whole cluster, granted to its nodes under leases: retries, probes, connects and the like.
-
-A budget is a rate. Part of it is granted by demand, the rest is divided into floors that a node may use
-without a lease: all floors together stay within their part, however nodes are cut off. A grant holds as long
-as its holder's session: it ends at the holder before it ends at the leader (`members.holders_end`), which is
-checked at the moment of spending. A grant that was lowered counts as it was until its holder has acknowledged
-the newer one; that of a silent holder counts until its lease has run out for certain. So at no moment may
-more be spent than the budget, whatever is lost, late or suspended. Rates are thousandths a second; no I/O.
+"""Cluster-wide budgets for retries, probes, connects and the like, granted to nodes under leases.
+
+A budget is a rate. A part of it is granted by demand; the rest is divided into floor rates that nodes may use
+without a lease, so that partitioned nodes stay within the budget. A grant is valid as long as its holder's
+lease, which expires at the holder before it expires at the leader and is checked at each spending. A lowered
+grant counts at its previous rate until its holder acknowledges the new one, and the grant of a silent holder
+counts until its lease has certainly expired. The total spent therefore never exceeds the budget, whatever
+messages are lost or late and whichever processes are suspended. Rates are in thousandths of an operation per
+second. This module performs no I/O.
 """
 
 from collections.abc import Mapping
@@ -16,17 +17,17 @@
 if TYPE_CHECKING:
     from cedarmill.cluster.state import ClusterState
 
-GRANTED_SHARE = 800  # thousandths of a budget that are granted; the rest are floors
-DEMAND_TOLERANCE = 100  # thousandths by which demand may differ and count as the same
-MIN_GRANT = 100  # thousandths a second, below which a grant is not worth having
+GRANTED_SHARE = 800  # thousandths of a budget available for grants; the rest is for floor rates
+DEMAND_TOLERANCE = 100  # thousandths by which similar demands may differ
+MIN_GRANT = 100  # thousandths per second; smaller grants are not made
 
 
 class InvalidBudgetError(ValueError):
-    """Budgets that contradict themselves; the text says how."""
+    """Raised for inconsistent budgets; the message names the inconsistency."""
 
 
 class Budget(msgspec.Struct, array_like=True, frozen=True):
-    """What the cluster may spend of something: a rate, and how many nodes may hold a floor of it."""
+    """A cluster-wide rate limit, and the number of nodes among which its floor rates are divided."""
 
     name: str
     rate: int
@@ -34,60 +35,63 @@
 
     @property
     def floor(self) -> int:
-        """What one node may spend without a lease."""
+        """Return the rate that one node may use without a lease."""
         return self.rate * (1000 - GRANTED_SHARE) // 1000 // self.nodes
 
     @property
     def grantable(self) -> int:
-        """What may be granted in all."""
+        """Return the total rate available for grants."""
         return self.rate * GRANTED_SHARE // 1000
 
 
 class BudgetGrant(msgspec.Struct, array_like=True):
-    """What one incarnation of a node may spend of a budget."""
+    """The rate of one budget granted to one incarnation of a node."""
 
     rate: int = 0
-    previous_rate: int = 0  # what it may still be spending by an older grant
+    previous_rate: int = 0  # of an older grant that may still be in use
     epoch: int = 0  # of the newest grant
     demand: int = 0
 
     @property
     def counted_rate(self) -> int:
-        """What counts as granted: while it is unknown which grant the node follows, the larger."""
+        """Return the larger of both rates while the node may use either grant."""
         return max(self.rate, self.previous_rate)
 
 
 Grants = dict[str, dict[str, BudgetGrant]]  # by budget, then by member
 
 
-def divide(budget: Budget, demands: Mapping[str, int]) -> dict[str, int]:
-    """Equal parts for all members, none more than it wants: what one leaves goes to the others."""
-    left, parts = budget.grantable, {}
-    waiting = sorted((demand, member) for member, demand in demands.items())
-    for number, (demand, member) in enumerate(waiting):
-        part = min(demand, left // (len(waiting) - number))
-        parts[member] = part if part >= MIN_GRANT else 0
-        left -= parts[member]
-    return parts
+def max_min_fair_rates(budget: Budget, demands: Mapping[str, int]) -> dict[str, int]:
+    """Return the max-min fair rate of each member; rates below MIN_GRANT become 0."""
+    remaining_rate, fair_rates = budget.grantable, {}
+    ascending = sorted((demand, member) for member, demand in demands.items())
+    for position, (demand, member) in enumerate(ascending):
+        fair_rate = min(demand, remaining_rate // (len(ascending) - position))
+        fair_rates[member] = fair_rate if fair_rate >= MIN_GRANT else 0
+        remaining_rate -= fair_rates[member]
+    return fair_rates
 
 
 def granted_rate(grants: Mapping[str, BudgetGrant]) -> int:
-    """What may be spent now by leases."""
+    """Return the total rate that counts as granted."""
     return sum(grant.counted_rate for grant in grants.values())
 
 
 def is_demand_similar(grants: Grants, member: str, demands: Mapping[str, int]) -> bool:
-    """Whether a member wants about what it was known to want."""
+    """Return whether a member's demands are similar to those recorded before."""
     for name, by_member in grants.items():
-        known = by_member[member].demand if member in by_member else 0
+        previous_demand = by_member[member].demand if member in by_member else 0
         demand = demands.get(name, 0)
-        if abs(demand - known) > max(known, demand) * DEMAND_TOLERANCE // 1000 + MIN_GRANT:
+        if (
+            abs(demand - previous_demand)
+            > max(previous_demand, demand) * DEMAND_TOLERANCE // 1000 + MIN_GRANT
+        ):
             return False
     return True
 
 
 def set_demand(state: "ClusterState", member: str, demands: Mapping[str, int]) -> None:
-    """A member reports what it wants of each budget."""
+    """Record a member's demand for each budget, and redistribute the grants."""
     for name in state.budgets:
         grant = state.budget_grants.setdefault(name, {}).setdefault(member, BudgetGrant())
         grant.demand = max(0, demands.get(name, 0))
@@ -95,7 +99,7 @@
 
 
 def acknowledge(state: "ClusterState", member: str, epoch: int) -> None:
-    """A member follows orders of that epoch: what older ones granted it spends no longer."""
+    """Record that a member follows the orders of an epoch and no longer uses older grants."""
     for by_member in state.budget_grants.values():
         grant = by_member.get(member)
         if grant is not None and grant.epoch <= epoch:
@@ -104,54 +108,58 @@
 
 
 def release(state: "ClusterState", member: str) -> None:
-    """Its lease has run out for certain, or its incarnation has ended: it spends its floor at most."""
-    removed = [by_member.pop(member, None) for by_member in state.budget_grants.values()]
-    if any(grant is not None for grant in removed):
-        state.orders_epoch = state.epoch  # should it come back, it is told so before its lease holds again
+    """Release the grants of a member whose lease has certainly expired or whose incarnation has ended."""
+    removed_grants = [by_member.pop(member, None) for by_member in state.budget_grants.values()]
+    if any(grant is not None for grant in removed_grants):
+        # A returning member receives the new rates before its lease is valid again.
+        state.orders_epoch = state.epoch
         deal(state)
 
 
 def deal(state: "ClusterState") -> None:
-    """Grant what is free, and lower grants where others want more.
+    """Redistribute all budgets by demand.
 
-    A grant is raised only once the lowered ones are acknowledged.
+    Grants are lowered at once. They are raised only from the free rate, which grows as lowered grants are
+    acknowledged.
     """
     if state.clock < state.budgets_dealt_from:
         return
     changed = False
     for name, budget in state.budgets.items():
         grants = state.budget_grants.setdefault(name, {})
-        parts = divide(budget, {member: grant.demand for member, grant in grants.items()})
-        changed |= _lower(grants, parts, state.epoch)
-        changed |= _raise(grants, parts, state.epoch, budget.grantable)
+        fair_rates = max_min_fair_rates(budget, {member: grant.demand for member, grant in grants.items()})
+        changed |= _lower_grants(grants, fair_rates, state.epoch)
+        changed |= _raise_grants(grants, fair_rates, state.epoch, budget.grantable)
     if changed:
         state.orders_epoch = state.epoch
 
 
-def _lower(grants: Mapping[str, BudgetGrant], parts: Mapping[str, int], epoch: int) -> bool:
+def _lower_grants(grants: Mapping[str, BudgetGrant], fair_rates: Mapping[str, int], epoch: int) -> bool:
     changed = False
     for member, grant in grants.items():
-        if parts[member] < grant.rate:
+        if fair_rates[member] < grant.rate:
             grant.previous_rate = max(grant.previous_rate, grant.rate)
-            grant.rate, grant.epoch, changed = parts[member], epoch, True
+            grant.rate, grant.epoch, changed = fair_rates[member], epoch, True
     return changed
 
 
-def _raise(grants: Mapping[str, BudgetGrant], parts: Mapping[str, int], epoch: int, grantable: int) -> bool:
+def _raise_grants(
+    grants: Mapping[str, BudgetGrant], fair_rates: Mapping[str, int], epoch: int, grantable: int
+) -> bool:
     changed = False
-    free = grantable - granted_rate(grants)
+    free_rate = grantable - granted_rate(grants)
     for member in sorted(grants):
         grant = grants[member]
-        more = min(parts[member] - grant.rate, free + grant.counted_rate - grant.rate)
-        if more >= MIN_GRANT:
-            counted_before = grant.counted_rate
-            grant.rate, grant.epoch, changed = grant.rate + more, epoch, True
-            free -= grant.counted_rate - counted_before
+        increase = min(fair_rates[member] - grant.rate, free_rate + grant.counted_rate - grant.rate)
+        if increase >= MIN_GRANT:
+            previous_counted_rate = grant.counted_rate
+            grant.rate, grant.epoch, changed = grant.rate + increase, epoch, True
+            free_rate -= grant.counted_rate - previous_counted_rate
     return changed
 
 
 def rates_for(state: "ClusterState", member: str) -> dict[str, tuple[int, int]]:
-    """What a member is told: the rates of its grant and of its floor, by budget."""
+    """Return the granted rate and the floor rate of a member, by budget."""
     rates = {}
     for name, budget in state.budgets.items():
         grant = state.budget_grants.get(name, {}).get(member)
@@ -160,9 +168,9 @@
 
 
 def set_budgets(state: "ClusterState", budgets: list[Budget]) -> None:
-    """Replace the budgets; raises InvalidBudgetError.
+    """Replace the budgets, or raise InvalidBudgetError.
 
-    A smaller rate lowers grants as their holders acknowledge it: until then what was granted may be spent.
+    If a budget shrinks, its holders may use their previous grants until they acknowledge the lowered ones.
     """
     names = [budget.name for budget in budgets]
     if len(set(names)) < len(names):
--- a/cedarmill/cluster/canary_comparison.py
+++ b/cedarmill/cluster/canary_comparison.py
@@ -1,8 +1,8 @@
-"""Whether a new version does worse than the rest: a statistical test with a least sample.
+"""Statistical comparison of a canary version with the rest of the nodes.
 
-Fisher's exact test, one-sided: the chance that, were both alike, so many of all bad requests or more fell to
-the new version. It is exact for small samples, where a canary has them. A difference that is certain and too
-small to matter halts nothing either. No I/O.
+A one-sided Fisher's exact test gives the probability that at least as many bad requests fall to the new
+version if both versions perform alike. The test is exact for the small samples of a canary. A release is
+halted only for a difference that is both significant and large enough to matter. This module performs no I/O.
 """
 
 import math
@@ -12,7 +12,7 @@
 
 
 class RequestCounts(NamedTuple):
-    """Requests that came to an end, and how many of them badly, by kind."""
+    """Counts of ended requests, in total and by kind of bad outcome."""
 
     requests: int = 0
     failed: int = 0
@@ -20,36 +20,38 @@
     rejected: int = 0
 
     def plus(self, other: "RequestCounts") -> "RequestCounts":
-        """The sum of both."""
-        return RequestCounts(*(mine + theirs for mine, theirs in zip(self, other, strict=True)))
+        """Return the sum of both counts."""
+        return RequestCounts(
+            *(own_count + other_count for own_count, other_count in zip(self, other, strict=True))
+        )
 
     def since(self, earlier: "RequestCounts") -> "RequestCounts":
-        """What came since; a process that was restarted counts from 0."""
+        """Return the increase since earlier counts; the counts of a restarted process begin at 0."""
         if earlier.requests > self.requests:
             return self
         return RequestCounts(*(max(0, now - before) for now, before in zip(self, earlier, strict=True)))
 
 
 class CanaryComparison:
-    """What the new version and the rest have done since a release is compared, node by node."""
+    """Accumulates the request counts of the new version and of the rest while a release is compared."""
 
     def __init__(self, counts: dict[str, RequestCounts]) -> None:
-        self.baselines = dict(counts)  # by node, when it began to be compared as what it is now
+        self.baselines = dict(counts)  # counts by node when the comparison of its current version began
         self.updated_nodes: set[str] = set()
-        self.rest_by_node: dict[str, RequestCounts] = {}  # of nodes that are not updated, when last seen
-        self.rest_before_update = RequestCounts()  # of nodes that are updated by now
+        self.rest_by_node: dict[str, RequestCounts] = {}  # counts of nodes not yet updated
+        self.rest_before_update = RequestCounts()  # counts that updated nodes had before their update
         self.new, self.rest = RequestCounts(), RequestCounts()
 
     def update(self, counts: dict[str, RequestCounts], updated_nodes: set[str]) -> None:
-        """Take over counts by node, of its newest process; and which nodes run the new version."""
+        """Update both sums from the counts of each node's newest process and the set of updated nodes."""
         for name in updated_nodes - self.updated_nodes:
             before = self.rest_by_node.pop(name, RequestCounts())
             self.rest_before_update = self.rest_before_update.plus(before)
             self.baselines[name] = counts.get(name, RequestCounts())
         self.updated_nodes |= updated_nodes
         new, rest = RequestCounts(), self.rest_before_update
-        for name, count in counts.items():
-            since = count.since(self.baselines.get(name, RequestCounts()))
+        for name, request_counts in counts.items():
+            since = request_counts.since(self.baselines.get(name, RequestCounts()))
             if name in updated_nodes:
                 new = new.plus(since)
             elif name not in self.updated_nodes:
@@ -59,26 +61,28 @@
 
 
 def chance_if_alike(bad: int, requests: int, rest_bad: int, rest_requests: int) -> float:
-    """The chance of `bad` or more of all bad ones among `requests`, were there no difference.
+    """Return the probability of at least `bad` bad requests among `requests` if both versions are alike.
 
-    The tail of the hypergeometric distribution.
+    This is the upper tail of the hypergeometric distribution.
     """
-    all_bad, all_requests = bad + rest_bad, requests + rest_requests
-    total = _log_choose(all_requests, requests)
-    tail = [
-        _log_choose(all_bad, count) + _log_choose(all_requests - all_bad, requests - count) - total
-        for count in range(bad, min(all_bad, requests) + 1)
-        if requests - count <= all_requests - all_bad
+    total_bad, total_requests = bad + rest_bad, requests + rest_requests
+    log_total = _log_binomial(total_requests, requests)
+    log_probabilities = [
+        _log_binomial(total_bad, bad_count)
+        + _log_binomial(total_requests - total_bad, requests - bad_count)
+        - log_total
+        for bad_count in range(bad, min(total_bad, requests) + 1)
+        if requests - bad_count <= total_requests - total_bad
     ]
-    return min(1.0, math.fsum(map(math.exp, tail)))
+    return min(1.0, math.fsum(map(math.exp, log_probabilities)))
 
 
-def _log_choose(total: int, chosen: int) -> float:
+def _log_binomial(total: int, chosen: int) -> float:
     return math.lgamma(total + 1) - math.lgamma(chosen + 1) - math.lgamma(total - chosen + 1)
 
 
 def reason_to_halt(plan: ReleasePlan, new: RequestCounts, rest: RequestCounts) -> str:
-    """Why the new version is worse; empty: too few requests, or no difference that is certain and matters."""
+    """Return why the new version is worse, or an empty string without sufficient evidence."""
     if new.requests < plan.min_sample or rest.requests < plan.min_sample:
         return ""
     kinds = (
@@ -90,10 +94,10 @@
         difference = (bad * rest.requests - rest_bad * new.requests) * 1000
         if difference <= plan.min_difference * new.requests * rest.requests:
             continue
-        chance = chance_if_alike(bad, new.requests, rest_bad, rest.requests)
-        if chance < plan.max_chance / 10_000:
+        p_value = chance_if_alike(bad, new.requests, rest_bad, rest.requests)
+        if p_value < plan.max_chance / 10_000:
             return (
                 f"{kind} {bad} of {new.requests} against {rest_bad} of {rest.requests} with the rest "
-                f"(chance {chance:.2g} were they alike)"
+                f"(chance {p_value:.2g} were they alike)"
             )
     return ""
--- a/cedarmill/cluster/executor_health.py
+++ b/cedarmill/cluster/executor_health.py
@@ -1,4 +1,4 @@
-"""The health of executors, from what all nodes observe, so that no single node outvotes the rest. No I/O."""
+"""Executor health merged from the observations of all nodes by majority. This module performs no I/O."""
 
 from cedarmill.cluster import session_tracker
 from cedarmill.cluster.messages import ExecutorObservation
@@ -6,21 +6,22 @@
 from cedarmill.cluster.state import ClusterState, Target
 from cedarmill.cluster.states import TargetHealth
 
-FAILING_SHARE = 0.5  # of the nodes that have tried an executor lately: more have to find it failing
-MASS_SHARE = 0.34  # of all executors that may become worse between two rounds and be believed
-MASS_FEW = 2
-SAME_START_MS = 20  # by which two nodes may differ on when an executor started
+FAILING_SHARE = 0.5  # of the nodes with recent attempts; a larger share marks an executor as ill
+# Bounds on executors that turn ill or gone between two rounds. Beyond both, only improvements are accepted.
+MAX_WORSENED_SHARE = 0.34  # of all executors
+MAX_WORSENED_COUNT = 2
+START_TIME_TOLERANCE_MS = 20  # difference between reported start times of the same start
 
 
 class ExecutorHealth:
-    """What nodes report of executors, merged for the agreed state."""
+    """Merges the nodes' reports on executors for the agreed state."""
 
     def __init__(self) -> None:
-        self.changed: set[str] = set()  # names of which something was reported since the last round
+        self.changed: set[str] = set()  # names of executors reported on since the last round
 
     def merged(self, now: int, sessions: SessionTracker, name: str) -> Target | None:
-        """One executor as most nodes observe it that report now; None where none reports it."""
-        reports = _reports(now, sessions, name)
+        """Return one executor as the majority of current reports describes it, or None without reports."""
+        reports = _current_reports(now, sessions, name)
         if not reports:
             return None
         listed = [report for report in reports if report.listing != "gone"]
@@ -32,37 +33,37 @@
             newest.type,
             newest.group,
             newest.slots,
-            _health(reports, listed),
+            _merged_health(reports, listed),
             started_ms=newest.started_ms,
         )
 
     def changes(
         self, now: int, sessions: SessionTracker, state: ClusterState
     ) -> tuple[tuple[Target, ...], str]:
-        """Targets that differ from the agreed ones; and why not all are believed, if too many got worse."""
-        found, worse = [], 0
+        """Return the changed targets, and a reason if too many worsened and these are withheld."""
+        changed_targets, worsened = [], 0
         for name in sorted(self.changed):
             target = self.merged(now, sessions, name)
-            known = state.targets.get(f"executor:{name}")
-            if target is None or (known is not None and _same(target, known)):
+            agreed = state.targets.get(f"executor:{name}")
+            if target is None or (agreed is not None and _are_equal(target, agreed)):
                 continue
-            worse += (
-                known is not None
-                and known.health == TargetHealth.WELL
+            worsened += (
+                agreed is not None
+                and agreed.health == TargetHealth.WELL
                 and target.health in (TargetHealth.ILL, TargetHealth.GONE)
             )
-            found.append(target)
+            changed_targets.append(target)
         self.changed.clear()
-        count = sum(target.kind == "executor" for target in state.targets.values())
-        if worse <= MASS_FEW or worse <= MASS_SHARE * count:
-            return tuple(found), ""
-        self.changed.update(target.name for target in found)  # to be looked at again
-        well = tuple(target for target in found if target.health == TargetHealth.WELL)
-        return well, f"{worse} of {count} executors seem ill or gone {AT_ONCE}"
+        executor_count = sum(target.kind == "executor" for target in state.targets.values())
+        if worsened <= MAX_WORSENED_COUNT or worsened <= MAX_WORSENED_SHARE * executor_count:
+            return tuple(changed_targets), ""
+        self.changed.update(target.name for target in changed_targets)  # checked again in the next round
+        healthy_targets = tuple(target for target in changed_targets if target.health == TargetHealth.WELL)
+        return healthy_targets, f"{worsened} of {executor_count} executors seem ill or gone {AT_ONCE}"
 
 
-def _reports(now: int, sessions: SessionTracker, name: str) -> list[ExecutorObservation]:
-    """Of nodes that were heard lately and did not stand still."""
+def _current_reports(now: int, sessions: SessionTracker, name: str) -> list[ExecutorObservation]:
+    """Return the reports on one executor from nodes with a valid lease that were not suspended."""
     return [
         session.executors[name]
         for key, session in sessions.by_key.items()
@@ -73,22 +74,22 @@
     ]
 
 
-def _health(reports: list[ExecutorObservation], listed: list[ExecutorObservation]) -> TargetHealth:
+def _merged_health(reports: list[ExecutorObservation], listed: list[ExecutorObservation]) -> TargetHealth:
     if not listed or len(listed) * 2 < len(reports):
         return TargetHealth.GONE
     if sum(report.listing == "draining" for report in reports) * 2 > len(reports):
         return TargetHealth.DRAINING
-    return TargetHealth.ILL if _failing(reports) else TargetHealth.WELL
+    return TargetHealth.ILL if _is_failing(reports) else TargetHealth.WELL
 
 
-def _failing(reports: list[ExecutorObservation]) -> bool:
-    """Most of those that have tried it lately say so, and more than one, where there are more."""
+def _is_failing(reports: list[ExecutorObservation]) -> bool:
+    """Return whether most nodes with recent attempts report failures: two or more if two nodes report."""
     recent = [report for report in reports if report.recently_tried]
-    failing = sum(report.failing for report in recent)
-    return failing > FAILING_SHARE * len(recent) and failing >= min(2, len(reports))
+    failing_reports = sum(report.failing for report in recent)
+    return failing_reports > FAILING_SHARE * len(recent) and failing_reports >= min(2, len(reports))
 
 
-def _same(a: Target, b: Target) -> bool:
-    same_start = abs(a.started_ms - b.started_ms) < SAME_START_MS
+def _are_equal(first: Target, second: Target) -> bool:
+    has_same_start = abs(first.started_ms - second.started_ms) < START_TIME_TOLERANCE_MS
     fields = ("zone", "type", "group", "slots", "health")
-    return same_start and all(getattr(a, name) == getattr(b, name) for name in fields)
+    return has_same_start and all(getattr(first, name) == getattr(second, name) for name in fields)
--- a/cedarmill/cluster/observations/__init__.py
+++ b/cedarmill/cluster/observations/__init__.py
@@ -1,4 +1,5 @@
-"""What nodes observe of zones and their executors, and the leader's assessment made of it.
+"""Observations of zones and executors by nodes, and the leader's assessment of the zones.
 
-Pure functions and counters: no I/O, no clock. Nothing here decides where traffic goes.
+This package holds pure functions and counters. It performs no I/O, reads no clock and makes no routing
+decisions.
 """
--- a/cedarmill/cluster/observations/log.py
+++ b/cedarmill/cluster/observations/log.py
@@ -1,4 +1,4 @@
-"""The observation log: one node's counts of attempts and demand over the last seconds, kept by the second."""
+"""The observation log: a node's counts of attempts and demand over the last few seconds."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,15 +11,15 @@
     limit_locations,
 )
 
-BUCKET_US = 1_000_000
-BUCKETS = 3  # that count: the newest and those before it
-MAX_WEIGHTS = 16  # pairs of scope and priority weight in a digest
+BUCKET_US = 1_000_000  # time covered by one bucket
+BUCKET_COUNT = 3  # retained, including the current one
+MAX_WEIGHTS = 16  # pairs of scope and priority weight in one digest
 
 DemandKey = tuple[str, int]  # scope and priority weight (thousandths)
 
 
 class LocationEstimate(NamedTuple):
-    """What a node estimates of one zone's executors, or one group's; slots in thousandths."""
+    """A node's estimates for the executors of one zone or executor group; slots are in thousandths."""
 
     executors: int
     slots: int
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """Attempts that ended, and what became of them."""
+    """Counts of ended attempts by outcome."""
 
     attempts: int = 0
     failed: int = 0
@@ -38,85 +38,86 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """The counts of one second; slot times are microseconds of one slot."""
+    """Counts for one second; slot time is in microseconds of one slot."""
 
     attempts: dict[str, AttemptCounts] = field(default_factory=dict)  # by location
     demand: dict[DemandKey, int] = field(default_factory=dict)  # slot time
-    served: int = 0  # slot time of requests that were served
-    allotted: int = 0  # the same, had each taken all the time that it may
-    admitted: int = 0  # requests that the admission level did not reject
-    rejected_locally: int = 0  # of the admitted
+    served_slot_time: int = 0  # of requests that were served
+    allotted_slot_time: int = 0  # of the same requests if each had run for all the time allotted to it
+    admitted: int = 0  # requests not rejected by the admission level
+    rejected_locally: int = 0  # admitted requests rejected by the node's own estimates
 
 
 class ObservationLog:
-    """Counts of the last seconds; the oldest second falls out whole. Times: us."""
+    """Counts attempts and demand of the last few seconds in one-second buckets. Times are microseconds."""
 
     def __init__(self, now: int) -> None:
-        self.began = now
-        self.sequence = 0  # of the last digest
+        self.started_at = now
+        self.sequence = 0  # of the newest digest
         self._second = now // BUCKET_US
-        self._buckets = [Bucket() for _ in range(BUCKETS)]  # the newest first
-        self._newest_attempt: dict[str, int] = {}  # by location
-        self.unreached_streaks: dict[str, int] = {}  # attempts in a row without a connection, by zone
+        self._buckets = [Bucket() for _ in range(BUCKET_COUNT)]  # newest first
+        self._last_attempt_at: dict[str, int] = {}  # by location
+        self.unreached_streaks: dict[str, int] = {}  # consecutive attempts without a connection, by zone
 
     def record_attempt(
         self, now: int, locations: tuple[str, ...], failed: bool, late: bool, unreached: bool
     ) -> None:
-        """An attempt has ended at an executor of these locations: its zone first, then its group."""
-        bucket = self._bucket(now)
+        """Record an ended attempt at an executor of these locations: the zone first, then the group."""
+        bucket = self._current_bucket(now)
         for location in locations:
             counts = bucket.attempts.setdefault(location, AttemptCounts())
             counts.attempts += 1
             counts.failed += failed
             counts.late += late
             counts.unreached += unreached
-            self._newest_attempt[location] = now
+            self._last_attempt_at[location] = now
         zone = locations[0]
         self.unreached_streaks[zone] = self.unreached_streaks.get(zone, 0) + 1 if unreached else 0
 
     def record_demand(self, now: int, scope: str, slot_time: int, weight: int = 0) -> None:
-        """A request has come that wants this slot time (us); `weight`: its priority weight (thousandths)."""
-        demand = self._bucket(now).demand
+        """Record the slot time that an incoming request needs and its priority weight (thousandths)."""
+        demand = self._current_bucket(now).demand
         demand[scope, weight] = demand.get((scope, weight), 0) + slot_time
 
     def record_admitted(self, now: int) -> None:
-        """A request has come that the admission level does not reject."""
-        self._bucket(now).admitted += 1
+        """Record an incoming request that the admission level does not reject."""
+        self._current_bucket(now).admitted += 1
 
     def record_local_rejection(self, now: int) -> None:
-        """An admitted request was rejected by this node's own estimates."""
-        self._bucket(now).rejected_locally += 1
+        """Record an admitted request that this node rejects by its own estimates."""
+        self._current_bucket(now).rejected_locally += 1
 
-    def record_served(self, now: int, slot_time: int, allotted: int = 0) -> None:
-        """A request of this slot time (us) was served; `allotted`: with all the time that it may take."""
-        bucket = self._bucket(now)
-        bucket.served += slot_time
-        bucket.allotted += allotted
+    def record_served(self, now: int, slot_time: int, allotted_slot_time: int = 0) -> None:
+        """Record a served request's slot time, and its slot time over all of its allotted time."""
+        bucket = self._current_bucket(now)
+        bucket.served_slot_time += slot_time
+        bucket.allotted_slot_time += allotted_slot_time
 
     def observations(
         self, now: int, estimates: Mapping[str, LocationEstimate]
     ) -> dict[str, LocationObservation]:
-        """By location: the estimates given, and the counts of the last seconds."""
-        self._bucket(now)
+        """Return the given estimates combined with the recent counts, by location."""
+        self._current_bucket(now)
         return {
-            location: self._observation(now, location, estimate) for location, estimate in estimates.items()
+            location: self._observe_location(now, location, estimate)
+            for location, estimate in estimates.items()
         }
 
     def demand(self, now: int) -> dict[str, int]:
-        """Slots wanted (thousandths), by scope."""
-        total: dict[str, int] = {}
-        for (scope, _), slots in self._demand(now).items():
-            total[scope] = total.get(scope, 0) + slots
-        return total
+        """Return the requested slots (thousandths) by scope."""
+        by_scope: dict[str, int] = {}
+        for (scope, _), slots in self._demand_by_key(now).items():
+            by_scope[scope] = by_scope.get(scope, 0) + slots
+        return by_scope
 
     def demand_by_weight(self, now: int) -> dict[str, dict[int, int]]:
-        """Slots wanted (thousandths), by scope and priority weight; of the MAX_WEIGHTS largest only."""
-        demand = self._demand(now)
+        """Return the requested slots (thousandths) of the MAX_WEIGHTS largest scopes and priority weights."""
+        demand = self._demand_by_key(now)
         largest = sorted(demand, key=lambda key: (-demand[key], key))[:MAX_WEIGHTS]
-        found: dict[str, dict[int, int]] = {}
+        by_scope: dict[str, dict[int, int]] = {}
         for scope, weight in sorted(largest):
-            found.setdefault(scope, {})[weight] = demand[scope, weight]
-        return found
+            by_scope.setdefault(scope, {})[weight] = demand[scope, weight]
+        return by_scope
 
     def make_digest(
         self,
@@ -128,10 +129,10 @@
         unreliable: bool,
         slots_occupied: int = 0,
     ) -> ObservationDigest:
-        """The next digest, bounded."""
+        """Return the next digest, limited in size."""
         self.sequence += 1
         demand_by_weight = self.demand_by_weight(now)
-        span = self._span(now)
+        covered_us = self._covered_time(now)
         return ObservationDigest(
             self.sequence,
             zone,
@@ -142,41 +143,42 @@
             unreliable,
             demand_by_weight,
             slots_occupied,
-            slots_served=sum(bucket.served for bucket in self._buckets) * WHOLE // span,
-            slots_allotted=sum(bucket.allotted for bucket in self._buckets) * WHOLE // span,
+            slots_served=sum(bucket.served_slot_time for bucket in self._buckets) * WHOLE // covered_us,
+            slots_allotted=sum(bucket.allotted_slot_time for bucket in self._buckets) * WHOLE // covered_us,
             admitted=sum(bucket.admitted for bucket in self._buckets),
             rejected_locally=sum(bucket.rejected_locally for bucket in self._buckets),
         )
 
-    def _bucket(self, now: int) -> Bucket:
-        """The newest bucket, after those too old have been dropped."""
+    def _current_bucket(self, now: int) -> Bucket:
+        """Return the bucket of the current second, after dropping expired buckets."""
         second = now // BUCKET_US
-        passed = min(BUCKETS, max(0, second - self._second))
-        if passed:
-            self._buckets = [*(Bucket() for _ in range(passed)), *self._buckets][:BUCKETS]
+        elapsed_buckets = min(BUCKET_COUNT, max(0, second - self._second))
+        if elapsed_buckets:
+            self._buckets = [*(Bucket() for _ in range(elapsed_buckets)), *self._buckets][:BUCKET_COUNT]
             self._second = second
         return self._buckets[0]
 
-    def _observation(self, now: int, location: str, estimate: LocationEstimate) -> LocationObservation:
+    def _observe_location(self, now: int, location: str, estimate: LocationEstimate) -> LocationObservation:
         counts = [bucket.attempts[location] for bucket in self._buckets if location in bucket.attempts]
         return LocationObservation(
             *estimate,
-            attempts=sum(one.attempts for one in counts),
-            failed=sum(one.failed for one in counts),
-            late=sum(one.late for one in counts),
-            unreached=sum(one.unreached for one in counts),
-            age_us=now - self._newest_attempt.get(location, self.began),
+            attempts=sum(bucket_counts.attempts for bucket_counts in counts),
+            failed=sum(bucket_counts.failed for bucket_counts in counts),
+            late=sum(bucket_counts.late for bucket_counts in counts),
+            unreached=sum(bucket_counts.unreached for bucket_counts in counts),
+            age_us=now - self._last_attempt_at.get(location, self.started_at),
         )
 
-    def _span(self, now: int) -> int:
-        """The time that the buckets cover (us)."""
-        return max(BUCKET_US, min(now - self.began, (BUCKETS - 1) * BUCKET_US + now % BUCKET_US))
+    def _covered_time(self, now: int) -> int:
+        """Return the time covered by the buckets in microseconds."""
+        return max(BUCKET_US, min(now - self.started_at, (BUCKET_COUNT - 1) * BUCKET_US + now % BUCKET_US))
 
-    def _demand(self, now: int) -> dict[DemandKey, int]:
-        """Slots wanted (thousandths), by scope and priority weight."""
-        self._bucket(now)
-        span = self._span(now)
+    def _demand_by_key(self, now: int) -> dict[DemandKey, int]:
+        """Return the requested slots (thousandths) by scope and priority weight."""
+        self._current_bucket(now)
+        covered_us = self._covered_time(now)
         keys = sorted({key for bucket in self._buckets for key in bucket.demand})
         return {
-            key: sum(bucket.demand.get(key, 0) for bucket in self._buckets) * WHOLE // span for key in keys
+            key: sum(bucket.demand.get(key, 0) for bucket in self._buckets) * WHOLE // covered_us
+            for key in keys
         }
