--- a/cedarmill/cluster/admission_level/controller.py
+++ b/cedarmill/cluster/admission_level/controller.py
@@ -145,8 +145,7 @@
 ) -> bool:
     """Advance one level if a step is due, and return whether it was.
 
-    The fill share changes slowly because assessments lag by about a second. Demand beyond the fill share is
-    shed within a few steps.
+    The fill share changes slowly since assessments lag by about a second. Excess demand is shed quickly.
     """
     now = state.clock
     elapsed_us = min(now - level.stepped_at, 2 * STEP_US)
@@ -238,11 +237,7 @@
 
 
 def _watch_sustained_overload(state: "ClusterState", level: AdmissionLevel, scope_label: str) -> None:
-    """Begin a deep cut after a sustained overload.
-
-    An overload is sustained when most requests stay late although the admitted demand fits the slots: queues
-    and retries keep it going.
-    """
+    """Begin a deep cut if most requests have stayed late although the admitted demand fits the slots."""
     now = state.clock
     admitted = (level.wanted_slots - level.shed_slots) * WHOLE
     demand_fits = level.slots * WHOLE // 2 <= admitted <= level.slots * MAX_FITTING_SHARE
