--- a/cedarmill/cluster/budget_grants.py
+++ b/cedarmill/cluster/budget_grants.py
@@ -174,9 +174,9 @@
     """
     names = [budget.name for budget in budgets]
     if len(set(names)) < len(names):
-        raise InvalidBudgetError("a budget is named twice")
+        raise InvalidBudgetError("two budgets have the same name")
     if any(budget.rate < 0 or budget.nodes < 1 for budget in budgets):
-        raise InvalidBudgetError("a rate is not below 0, and a floor is for one node at the least")
+        raise InvalidBudgetError("a budget needs a rate of at least 0 and at least 1 node")
     state.budgets = {budget.name: budget for budget in budgets}
     state.budget_grants = {name: state.budget_grants.get(name, {}) for name in names}
     deal(state)
--- a/cedarmill/cluster/executor_health.py
+++ b/cedarmill/cluster/executor_health.py
@@ -83,7 +83,7 @@
 
 
 def _is_failing(reports: list[ExecutorObservation]) -> bool:
-    """Return whether most nodes with recent attempts report failures: two or more if two nodes report."""
+    """Return whether most nodes with recent attempts, and at least two if two report, report failures."""
     recent = [report for report in reports if report.recently_tried]
     failing_reports = sum(report.failing for report in recent)
     return failing_reports > FAILING_SHARE * len(recent) and failing_reports >= min(2, len(reports))
--- a/cedarmill/cluster/observations/assessment.py
+++ b/cedarmill/cluster/observations/assessment.py
@@ -126,30 +126,25 @@
     retained: Digests,
 ) -> ZoneAssessment:
     connected = [finding for finding in findings.values() if finding.unreached < UNREACHED_SHARE]
-    by_observer_group = [
-        verdicts.observations_of(zone, fresh[observer] or retained[observer]) for observer in names
-    ]
-    by_observer_group = [group for group in by_observer_group if group]
-    zone_digests = fresh[zone]
+    groups = [verdicts.observations_of(zone, fresh[observer] or retained[observer]) for observer in names]
+    groups = [group for group in groups if group]
+    digests = fresh[zone]
     demand, by_weight = _sum_demand(retained[zone])
     return ZoneAssessment(
         verdict.verdict,
-        slots=median(median(observation.slots for observation in group) for group in by_observer_group),
-        slots_in_use=median(
-            median(observation.slots_in_use for observation in group) for group in by_observer_group
-        ),
+        slots=median(median(observation.slots for observation in group) for group in groups),
+        slots_in_use=median(median(observation.slots_in_use for observation in group) for group in groups),
         failed=median(finding.failed for finding in connected),
         late=median(finding.late for finding in connected),
         demand=demand,
         observers=len(findings),
         reason=verdict.reason,
         demand_by_weight=by_weight,
-        slots_occupied=sum(digest.slots_occupied for digest in zone_digests),
-        slots_served=sum(digest.slots_served for digest in zone_digests),
-        slots_allotted=sum(digest.slots_allotted for digest in zone_digests),
+        slots_occupied=sum(digest.slots_occupied for digest in digests),
+        slots_served=sum(digest.slots_served for digest in digests),
+        slots_allotted=sum(digest.slots_allotted for digest in digests),
         rejected_locally=share_of(
-            sum(digest.rejected_locally for digest in zone_digests),
-            sum(digest.admitted for digest in zone_digests),
+            sum(digest.rejected_locally for digest in digests), sum(digest.admitted for digest in digests)
         ),
     )
 
--- a/cedarmill/cluster/observations/verdicts.py
+++ b/cedarmill/cluster/observations/verdicts.py
@@ -129,12 +129,12 @@
     bad_zones = [zone for zone in observed if _is_failing_or_unreached(findings[zone][observer])]
     if len(bad_zones) < 2 or 2 * len(bad_zones) <= len(observed):
         return False
-    contradicted_zones = 0
+    contradicted_count = 0
     for zone in bad_zones:
         others = [finding for name, finding in findings[zone].items() if name != observer]
         contradicting = sum(not _is_failing_or_unreached(finding) for finding in others)
-        contradicted_zones += bool(others) and 2 * contradicting > len(others)
-    return 2 * contradicted_zones > len(bad_zones)
+        contradicted_count += bool(others) and 2 * contradicting > len(others)
+    return 2 * contradicted_count > len(bad_zones)
 
 
 def _is_failing_or_unreached(finding: GroupFindings) -> bool:
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -19,7 +19,7 @@
 from cedarmill.cluster.traffic_plan.similarity import are_similar
 from cedarmill.decisions import interface as api
 from cedarmill.lab.cluster.invariants import check_invariants
-from cedarmill.lab.cluster.run import play as run_fleet
+from cedarmill.lab.cluster.run import play as run_cluster
 from cedarmill.lab.cluster.scenario import read
 from cedarmill.lab.simulation.overload import mutants as overload_mutants
 from cedarmill.lab.simulation.overload.results import INVARIANTS as OVERLOAD_INVARIANTS
@@ -27,7 +27,7 @@
 from cedarmill.lab.simulation.overload.simulation import play
 from tests.support.builders import Driver, sends
 
-S = 1_000_000
+SECOND_US = 1_000_000
 PROBES = Budget("probes", 100_000, 10)
 
 
@@ -46,29 +46,29 @@
     """Grants in the replicated state: their total never exceeds the grantable rate."""
 
     def setUp(self):
-        self.state, self.index, self.ids = ClusterState("c"), 0, 0
+        self.state, self.log_index, self.last_request_id = ClusterState("c"), 0, 0
         for name in "abc":
             member = Member("node", name, "1")
             self.state.members[member.key] = member
         self.apply_request(commands.SetBudgets, (PROBES,))
 
     def apply(self, command: commands.Command) -> RequestOutcome:
-        self.index += 1
-        outcome = dispatch.apply(self.state, self.index, dispatch.encode(command))
+        self.log_index += 1
+        outcome = dispatch.apply(self.state, self.log_index, dispatch.encode(command))
         self.assertLessEqual(granted_rate(self.state.budget_grants["probes"]), PROBES.grantable)
         return outcome
 
     def apply_request(self, kind, *fields) -> RequestOutcome:
-        self.ids += 1
-        self.index += 1
-        command = kind(S, "op", str(self.ids), *fields)
-        return dispatch.apply(self.state, self.index, dispatch.encode(command))
+        self.last_request_id += 1
+        self.log_index += 1
+        command = kind(SECOND_US, "op", str(self.last_request_id), *fields)
+        return dispatch.apply(self.state, self.log_index, dispatch.encode(command))
 
     def set_demand(self, name: str, rate: int, incarnation: str = "1") -> None:
-        self.apply(commands.SetBudgetDemand(S, f"node:{name}:{incarnation}", {"probes": rate}))
+        self.apply(commands.SetBudgetDemand(SECOND_US, f"node:{name}:{incarnation}", {"probes": rate}))
 
     def acknowledge(self, name: str) -> None:
-        self.apply(commands.AcknowledgeOrders(S, f"node:{name}:1", self.state.orders_epoch))
+        self.apply(commands.AcknowledgeOrders(SECOND_US, f"node:{name}:1", self.state.orders_epoch))
 
     def granted_rates(self) -> dict[str, int]:
         return {key.split(":")[1]: grant.rate for key, grant in self.state.budget_grants["probes"].items()}
@@ -89,14 +89,14 @@
         self.set_demand("a", 80_000)
         self.set_demand("b", 80_000)
         self.assertEqual(self.granted_rates()["b"], 0)
-        self.apply(commands.ExpireSessions(S, ("node:a:1",)))
+        self.apply(commands.ExpireSessions(SECOND_US, ("node:a:1",)))
         self.assertEqual(self.granted_rates(), {"b": 80_000})
 
     def test_returning_member_receives_zero_rate_in_new_orders(self):
         self.set_demand("a", 80_000)
         previous_epoch = self.state.orders_epoch
-        self.apply(commands.ExpireSessions(S, ("node:a:1",)))
-        self.apply(commands.RestoreSession(S, "node:a:1"))
+        self.apply(commands.ExpireSessions(SECOND_US, ("node:a:1",)))
+        self.apply(commands.RestoreSession(SECOND_US, "node:a:1"))
         self.assertGreater(self.state.orders_epoch, previous_epoch)
         self.assertEqual(rates_for(self.state, "node:a:1")["probes"], (0, PROBES.floor))
 
@@ -106,7 +106,7 @@
         self.state.members[member.key] = member
         self.set_demand("a", 80_000, "2")
         self.assertEqual(self.state.budget_grants["probes"]["node:a:2"].rate, 0)
-        self.apply(commands.EndMember(S, "node:a:1", "its steward"))
+        self.apply(commands.EndMember(SECOND_US, "node:a:1", "its steward"))
         self.assertEqual(self.state.budget_grants["probes"]["node:a:2"].rate, 80_000)
 
     def test_smaller_budget_counts_previous_grant_until_acknowledged(self):
@@ -117,7 +117,7 @@
         self.assertFalse(self.apply_request(commands.SetBudgets, (PROBES, PROBES)).ok)
 
     def test_nothing_is_granted_before_leases_of_an_older_state_expire(self):
-        self.state.budgets_dealt_from = 5 * S
+        self.state.budgets_dealt_from = 5 * SECOND_US
         self.set_demand("a", 80_000)
         self.assertEqual(self.granted_rates(), {"a": 0})
 
@@ -132,13 +132,15 @@
             elif action == 2:
                 self.apply(
                     commands.AcknowledgeOrders(
-                        S, key, generator.choice((self.state.orders_epoch, self.state.orders_epoch - 3))
+                        SECOND_US,
+                        key,
+                        generator.choice((self.state.orders_epoch, self.state.orders_epoch - 3)),
                     )
                 )
             elif action == 3:
-                self.apply(commands.ExpireSessions(S, (key,)))
+                self.apply(commands.ExpireSessions(SECOND_US, (key,)))
             else:
-                self.apply(commands.RestoreSession(S, key))
+                self.apply(commands.RestoreSession(SECOND_US, key))
         self.assertEqual(
             encode_snapshot(decode_snapshot(encode_snapshot(self.state))), encode_snapshot(self.state)
         )
@@ -157,13 +159,13 @@
         lease = BudgetLease(0)
         lease.set_rates(0, True, 20_000, 500)
         self.assertAlmostEqual(self.spent_operations(lease, 0, 10, True), 200, delta=6)
-        self.assertAlmostEqual(self.spent_operations(lease, 10 * S, 10, False), 5, delta=2)
+        self.assertAlmostEqual(self.spent_operations(lease, 10 * SECOND_US, 10, False), 5, delta=2)
 
     def test_accumulated_tokens_are_lost_when_lease_expires_during_a_pause(self):
         lease = BudgetLease(0)
         lease.set_rates(0, True, 50_000, 0)
         lease.spend(0, True)
-        self.assertEqual(self.spent_operations(lease, 10 * S, 5, False), 0)
+        self.assertEqual(self.spent_operations(lease, 10 * SECOND_US, 5, False), 0)
 
     def test_small_rates_are_not_lost_to_rounding(self):
         lease = BudgetLease(0)
@@ -176,7 +178,7 @@
         leases.set_rates(0, True, {"probes": (1000, 100)})
         for n in range(1000):
             leases.spend(n * 4000, True, "probes")
-        self.assertAlmostEqual(leases.demands(4 * S)["probes"], 300_000, delta=2000)
+        self.assertAlmostEqual(leases.demands(4 * SECOND_US)["probes"], 300_000, delta=2000)
         self.assertTrue(leases.spend(0, False, "unbound"), "a budget that is not set imposes no limit")
         leases.set_rates(0, True, {})
         self.assertEqual(leases.by_name, {})
@@ -223,9 +225,9 @@
         self.assertEqual(self.step({1000: 50_000, 5000: 50_000}, 0, steps=12), SheddingThreshold())
 
     def test_override_requires_reason_and_holds_until_its_end(self):
-        without_reason = commands.OverrideAdmission(0, "op", "1", 3000, 0, 5 * S, "")
+        without_reason = commands.OverrideAdmission(0, "op", "1", 3000, 0, 5 * SECOND_US, "")
         self.assertFalse(dispatch.apply(self.state, 1, dispatch.encode(without_reason)).ok)
-        with_reason = commands.OverrideAdmission(0, "op", "2", 3000, 0, 5 * S, "expected overload")
+        with_reason = commands.OverrideAdmission(0, "op", "2", 3000, 0, 5 * SECOND_US, "expected overload")
         self.assertTrue(dispatch.apply(self.state, 2, dispatch.encode(with_reason)).ok)
         self.assertEqual(self.step({1000: 1000}, 0), SheddingThreshold(3000, 0))
         self.assertEqual(self.step({1000: 1000}, 0, steps=10), SheddingThreshold())
@@ -236,9 +238,9 @@
         self.assertTrue(gate.rejects(0, True, 1000, 0.99))
         self.assertEqual([gate.rejects(0, True, 3000, n / 4) for n in range(4)], [True, False, False, False])
         self.assertFalse(gate.rejects(0, True, 5000, 0.0))
-        self.assertTrue(gate.rejects(S, False, 1000, 0.5))
-        self.assertFalse(gate.rejects(S + FADE_OUT_US // 2, False, 1000, 0.6))
-        self.assertFalse(gate.rejects(S + FADE_OUT_US, False, 1000, 0.0))
+        self.assertTrue(gate.rejects(SECOND_US, False, 1000, 0.5))
+        self.assertFalse(gate.rejects(SECOND_US + FADE_OUT_US // 2, False, 1000, 0.6))
+        self.assertFalse(gate.rejects(SECOND_US + FADE_OUT_US, False, 1000, 0.0))
 
     def test_zone_bound_requests_are_shed_in_the_zone_without_capacity_only(self):
         for late_share in (900, 900, 900):
@@ -286,17 +288,17 @@
         return shares
 
     def test_fill_share_falls_with_long_queues_holds_while_draining_and_rises_with_short_queues(self):
-        down = self.fill_shares(2000, steps=4)
-        self.assertEqual(down, sorted(down, reverse=True))
-        self.assertLess(down[-1], 850)
+        falling = self.fill_shares(2000, steps=4)
+        self.assertEqual(falling, sorted(falling, reverse=True))
+        self.assertLess(falling[-1], 850)
         self.assertEqual(
             self.fill_shares(1600),
-            down[-1:],
+            falling[-1:],
             "the fill share holds while the queue drains, despite late responses",
         )
-        self.assertEqual(self.fill_shares(900), down[-1:])
-        up = self.fill_shares(500, steps=4)
-        self.assertGreater(up[-1], 1000, "the fill share rises although earlier requests still end late")
+        self.assertEqual(self.fill_shares(900), falling[-1:])
+        rising = self.fill_shares(500, steps=4)
+        self.assertGreater(rising[-1], 1000, "the fill share rises although earlier requests still end late")
 
     def test_fill_share_rises_slowly_without_idle_slots(self):
         self.fill_shares(2000, steps=4)
@@ -310,8 +312,8 @@
         self.assertLess(self.fill_shares(500, rejected_locally=300)[0], before)
 
     def test_fill_share_rises_without_queueing_despite_local_rejections(self):
-        down = self.fill_shares(2000, steps=3)[-1]
-        self.assertGreater(self.fill_shares(300, rejected_locally=400)[0], down)
+        falling = self.fill_shares(2000, steps=3)[-1]
+        self.assertGreater(self.fill_shares(300, rejected_locally=400)[0], falling)
 
     def test_same_assessment_changes_fill_share_once(self):
         fill_shares = []
@@ -369,7 +371,9 @@
         leases = BudgetLeases()
         leases.set_rates(0, True, {"tenant:a": (10_000, 0)})
         low_weight_count = sum(leases.spend(n * 10_000, True, "tenant:a", 800) for n in range(300))
-        high_weight_count = sum(leases.spend(3 * S + n * 1000, True, "tenant:a", 0) for n in range(10))
+        high_weight_count = sum(
+            leases.spend(3 * SECOND_US + n * 1000, True, "tenant:a", 0) for n in range(10)
+        )
         self.assertGreater(low_weight_count, 20)
         self.assertGreaterEqual(high_weight_count, 3)
 
@@ -455,24 +459,24 @@
         return tuple(play(policy, scenario, 1) for policy in ("alone", "fleet"))
 
     def test_only_the_cluster_ends_an_overload_that_outlives_its_trigger(self):
-        alone, fleet = self.play_both("outlives")
+        alone, cluster = self.play_both("outlives")
         self.assertEqual(alone.recovery, -1.0)
-        self.assertGreater(fleet.recovery, 0.0)
-        self.assertGreater(fleet.value, 3 * alone.value)
+        self.assertGreater(cluster.recovery, 0.0)
+        self.assertGreater(cluster.value, 3 * alone.value)
 
     def test_cluster_serves_more_value_with_fewer_attempts_in_a_lasting_overload(self):
-        alone, fleet = self.play_both("month-end")
-        self.assertGreater(fleet.value, max(0.9, alone.value))
-        self.assertLess(fleet.attempts, 1.1)
-        self.assertLess(fleet.probes, alone.probes / 4)
+        alone, cluster = self.play_both("month-end")
+        self.assertGreater(cluster.value, max(0.9, alone.value))
+        self.assertLess(cluster.attempts, 1.1)
+        self.assertLess(cluster.probes, alone.probes / 4)
 
     def test_cluster_limits_the_effect_of_a_flooding_tenant_on_others(self):
-        alone, fleet = self.play_both("flood")
-        self.assertGreater(fleet.jain, max(0.95, alone.jain))
+        alone, cluster = self.play_both("flood")
+        self.assertGreater(cluster.jain, max(0.95, alone.jain))
 
     def test_real_processes_stay_within_budgets_under_faults(self):
         with tempfile.TemporaryDirectory() as folder:
-            record = run_fleet(read("storm-rounds"), 1, Path(folder))
+            record = run_cluster(read("storm-rounds"), 1, Path(folder))
             logs = [path.read_text() for path in Path(folder).glob("node-*.log")]
         self.assertEqual(
             {invariant: violated for invariant, violated in check_invariants(record).items() if violated}, {}
