--- a/cedarmill/net/cluster/admin_requests.py
+++ b/cedarmill/net/cluster/admin_requests.py
@@ -1,4 +1,4 @@
-"""Requests at a node's admin API that take something out or put it back: the cluster decides them."""
+"""Forwards exclusions, drains and their reversal from a node's admin API to the cluster for a decision."""
 
 import functools
 from http import HTTPStatus
@@ -10,51 +10,53 @@
 from cedarmill.net.admin.server import Answer
 from cedarmill.net.cluster.member import Membership
 
-ANSWER_US = 900_000  # for a replica's answer: the page owes one within 1 s
-ALREADY_OUT = ("is out already", "waits already")  # in the notes on a permit: two calls out are one
+# The admin API answers within 1 s.
+ANSWER_TIMEOUT_US = 900_000
+# A repeated exclusion succeeds: these notes on a permit mean that an earlier request is granted or queued.
+ALREADY_OUT_NOTES = ("is out already", "waits already")
 
 
 class RequestKey(NamedTuple):
-    """What a request is about; called again without an answer, it keeps its id."""
+    """Identifies equal requests: a request repeated before its answer keeps the id of the first."""
 
     action: str
     target: str
 
 
 class AdminRequests:
-    """Passes requests on to the cluster, and its outcome back as a response."""
+    """Submits admin requests to the cluster, and turns the replies into HTTP responses."""
 
     def __init__(self, membership: Membership, node: str, incarnation: str) -> None:
         self.membership, self.node, self.incarnation = membership, node, incarnation
-        self._open: dict[RequestKey, str] = {}  # ids of those without an answer
-        self._count = 0
+        self._pending_ids: dict[RequestKey, str] = {}  # ids of unanswered requests
+        self._id_count = 0
 
     def submit(self, request: AdminRequest, answer: Answer) -> None:
-        """Ask the cluster; the answer comes when it has decided, or within ANSWER_US."""
+        """Submit a request to the cluster; `answer` gets the response, after ANSWER_TIMEOUT_US at most."""
         kind, target = ("executor", request.executor) if request.executor else ("node", self.node)
-        takes_out = request.action in (AdminAction.EXCLUDE, AdminAction.DRAIN_CLIENTS)
+        is_permit_request = request.action in (AdminAction.EXCLUDE, AdminAction.DRAIN_CLIENTS)
         key = RequestKey(request.action.value, target)
-        request_id = self._open.setdefault(key, self._new_id())
-        asker = f"door:{self.node}"
+        request_id = self._pending_ids.setdefault(key, self._new_id())
+        holder = f"door:{self.node}"
         command: RequestPermits | ReturnPermit
-        if takes_out:
-            command = RequestPermits(0, asker, request_id, kind, (target,), "at the door")
+        if is_permit_request:
+            command = RequestPermits(0, holder, request_id, kind, (target,), "at the door")
         else:
-            command = ReturnPermit(0, asker, request_id, kind, target)
-        on_answer = functools.partial(self._on_answer, key, takes_out, answer)
-        self.membership.ask(SubmitRequest(command), ANSWER_US, on_answer)
+            command = ReturnPermit(0, holder, request_id, kind, target)
+        on_answer = functools.partial(self._on_answer, key, is_permit_request, answer)
+        self.membership.ask(SubmitRequest(command), ANSWER_TIMEOUT_US, on_answer)
 
     def _new_id(self) -> str:
-        self._count += 1
-        return f"{self.incarnation}-{self._count}"
+        self._id_count += 1
+        return f"{self.incarnation}-{self._id_count}"
 
-    def _on_answer(self, key: RequestKey, takes_out: bool, answer: Answer, reply: Any) -> None:
+    def _on_answer(self, key: RequestKey, is_permit_request: bool, answer: Answer, reply: Any) -> None:
         if not isinstance(reply, SubmitReply):
             reason = reply.reason if isinstance(reply, Unavailable) else "not understood"
             answer(_response(HTTPStatus.SERVICE_UNAVAILABLE, f"not known: {reason}; call again"))
             return
-        self._open.pop(key, None)
-        answer(_permit_response(reply) if takes_out else _return_response(reply))
+        self._pending_ids.pop(key, None)
+        answer(_permit_response(reply) if is_permit_request else _return_response(reply))
 
 
 def _return_response(reply: SubmitReply) -> AdminResponse:
@@ -69,7 +71,7 @@
     text = "; ".join(notes)
     if state == "granted":
         return _response(HTTPStatus.OK, "granted")
-    if any(words in note for note in notes for words in ALREADY_OUT):
+    if any(phrase in note for note in notes for phrase in ALREADY_OUT_NOTES):
         return _response(HTTPStatus.OK, text)
     if state == "waiting":
         return _response(HTTPStatus.ACCEPTED, f"waiting: {text}")
--- a/cedarmill/net/cluster/gossip.py
+++ b/cedarmill/net/cluster/gossip.py
@@ -1,10 +1,10 @@
-"""Gossip of load reports between nodes, on sockets: one connection a pair, where the cluster shares them.
+"""Gossip of load reports between nodes, over one connection for each pair of nodes that share executors.
 
-A node sends the reports that it received itself to those that use the same executor
-(`cluster/gossip_plan.py`), at most five times a second a link, and never those of others: so a report makes
-one message to each user and no more. How old a report can be is bounded by timestamps that come back, not by
-clocks: on a link that is late, or lost one way, the bound grows, and what is too old is not followed. Each
-link carries two small frames a second at the least.
+A node sends only the reports that it received directly, and only to peers that use the same executor
+(`cluster/gossip_plan.py`), at most five times a second for each link. Peers never forward reports. The age
+of a report is bounded by echoed timestamps, so node clocks need not agree: if a link is slow or fails in one
+direction, the bound grows and reports above the limit are ignored. Even an idle link carries two small
+frames a second.
 """
 
 from typing import Any, NamedTuple
@@ -19,83 +19,91 @@
 from cedarmill.net.framing import FramedConnection
 from cedarmill.net.loop import EventLoopDriver
 
-SEND_US = 200_000  # between two frames with reports on a link
-IDLE_SEND_US = 500_000  # between two frames without any: the other side needs a timestamp
-REDIAL_US = 1_000_000  # until a link that broke is dialled again
-MAX_AGE_US = 1_000_000  # beyond it a report is not followed
-LINK_SILENT_US = 5_000_000  # without a frame: the link is given up
+SEND_INTERVAL_US = 200_000
+# Frames without reports are sent because the peer needs timestamps.
+IDLE_SEND_INTERVAL_US = 500_000
+REDIAL_DELAY_US = 1_000_000
+# Older reports are ignored.
+MAX_REPORT_AGE_US = 1_000_000
+# A link that receives no frame for this long is closed.
+LINK_TIMEOUT_US = 5_000_000
 
 
 class ReceivedReport(NamedTuple):
-    """A report that this node received from an executor, and when."""
+    """A load report that this node received from an executor, and its arrival time (us)."""
 
-    at: int
+    arrival: int
     report: api.LoadReport
 
 
 class Link:
-    """One peer: its connection, what it uses, and how old what comes from it can be."""
+    """State of the gossip with one peer: the connection, the peer's executors and the timestamps."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.connection: FramedConnection | None = None
-        self.uses: frozenset[str] = frozenset()
-        self.sent_reports: dict[str, int] = {}  # by executor: when the newest that was sent had been received
-        self.sent_at = 0  # when a frame was sent last
-        self.timestamp, self.received_at = -1, 0  # the newest of the other side, and when it came
-        self.dial_at = 0
+        self.peer_executors: frozenset[str] = frozenset()
+        self.newest_sent: dict[str, int] = {}  # arrival time of the last report sent, by executor
+        self.last_sent_at = 0
+        # The newest timestamp of the peer (-1: none) and its arrival time.
+        self.peer_timestamp, self.last_received_at = -1, 0
+        self.next_dial_at = 0
 
     @staticmethod
-    def age(now: int, update: GossipUpdate) -> int:
-        """At most so long ago was it written: since the timestamp that it answers (us)."""
+    def max_age(now: int, update: GossipUpdate) -> int:
+        """Return the maximum age of an update (us), derived from the timestamp that it echoes."""
         if update.echoed_timestamp < 0:
-            return MAX_AGE_US + 1
+            return MAX_REPORT_AGE_US + 1
         return max(0, now - update.echoed_timestamp - update.echo_age_us)
 
 
 class Gossip:
-    """A node's links to those that use the same executors; idle without peers."""
+    """Exchanges load reports with the peers that use the same executors; idle without peers."""
 
     def __init__(self, driver: EventLoopDriver, name: str, cluster: str, discovery: DiscoveryClient) -> None:
         self.driver, self.name, self.cluster, self.discovery = driver, name, cluster, discovery
         self.dispatch = discovery.dispatch
-        self.peers: dict[str, str] = {}  # addresses by name
+        self.peers: dict[str, str] = {}  # address by node name
         self.links: dict[str, Link] = {}
-        self.used_here: frozenset[str] = frozenset()  # executors that this node uses
-        self.sharing_peers: frozenset[str] = frozenset()  # those that use one of these as well
+        self.used_executors: frozenset[str] = frozenset()
+        self.sharing_peers: frozenset[str] = frozenset()  # peers that use at least one of them
         self.plan = gossip_plan.GossipPlan()
         self.reports: dict[str, ReceivedReport] = {}  # by executor
-        self.followed = self.passed_over = 0  # reports of peers
+        self.followed_reports = self.ignored_reports = 0  # of peers
         self._timer: Timer | None = None
 
-    # Who is there, and who uses what.
+    # Peers and their executors.
 
     def set_peers(self, peers: dict[str, str]) -> None:
-        """Orders have come: the addresses of the nodes that are there; none: nothing is shared."""
+        """Set the addresses of the cluster's nodes, by name; an empty dictionary stops the gossip."""
         self.peers = {name: address for name, address in peers.items() if name != self.name}
         for name in [name for name in self.links if name not in self.peers]:
-            self._drop(self.links.pop(name), "not a peer any longer")
+            self._close_connection(self.links.pop(name), "no longer a peer")
         if self.peers and self._timer is None:
-            self._on_time(self.driver.now())
+            self._on_timer(self.driver.now())
 
-    def _on_time(self, now: int) -> None:
-        """Every so often, while there are peers."""
+    def _on_timer(self, now: int) -> None:
+        """Maintain all links; runs at each send interval while there are peers."""
         if not self.peers:
             self._timer = None
             return
-        self._timer = self.driver.timers.add(now + SEND_US, self._on_time)
-        self._choose_executors()
+        self._timer = self.driver.timers.add(now + SEND_INTERVAL_US, self._on_timer)
+        self._update_sharing()
         for name in sorted(self.sharing_peers | self.links.keys()):
             link = self.links.get(name)
             if link is None or link.connection is None:
                 self._dial(now, name)
-            elif now - link.received_at > LINK_SILENT_US:
-                self._drop(link, "nothing comes")
+            elif now - link.last_received_at > LINK_TIMEOUT_US:
+                self._close_connection(link, "no frame received in time")
             else:
                 self._send_reports(now, link)
 
-    def _choose_executors(self) -> None:
-        """Executors that this node uses, over all zones: chosen by zone, nearly all nodes would share one."""
+    def _update_sharing(self) -> None:
+        """Update the executors and peers that this node shares reports with.
+
+        The plan covers the executors of all zones: with one plan for each zone, nearly every pair of nodes
+        would share an executor.
+        """
         names, entries = self.discovery.reader.names_by_number, self.discovery.entries.items()
         listed = [names[number] for number, entry in entries if entry.state == api.ExecutorState.READY]
         if not self.plan.update([self.name, *self.peers], listed):
@@ -105,25 +113,25 @@
             name for name in self.peers if not used.isdisjoint(self.plan.executors_of(name))
         )
         for name in self.links.keys() - self.sharing_peers:
-            self._drop(self.links.pop(name), "uses nothing in common any longer")
-        if used != self.used_here:
-            self.used_here = used
+            self._close_connection(self.links.pop(name), "no executors in common")
+        if used != self.used_executors:
+            self.used_executors = used
             for link in self.links.values():
                 self._send_subscription(link)
 
     def _send_subscription(self, link: Link) -> None:
         if link.connection is not None:
-            link.connection.send(0, GossipSubscription(self.cluster, self.name, sorted(self.used_here)))
+            link.connection.send(0, GossipSubscription(self.cluster, self.name, sorted(self.used_executors)))
 
-    # Links: of a pair the one whose name comes first dials.
+    # Links. In each pair, the node whose name sorts first dials.
 
     def _dial(self, now: int, name: str) -> None:
         link = self.links.setdefault(name, Link(name))
-        if self.name > name or now < link.dial_at or name not in self.sharing_peers:
+        if self.name > name or now < link.next_dial_at or name not in self.sharing_peers:
             return
-        link.dial_at = now + REDIAL_US
+        link.next_dial_at = now + REDIAL_DELAY_US
         connection = FramedConnection(
-            self.driver, self._on_message, self._on_end, lambda opened: self._begin(link)
+            self.driver, self._on_message, self._on_end, lambda opened: self._start_link(link)
         )
         connection.name = name
         try:
@@ -133,27 +141,27 @@
         link.connection = connection
         connection.dial(address)
 
-    def _begin(self, link: Link) -> None:
-        """A link's connection is open."""
-        link.timestamp, link.received_at, link.sent_reports = -1, self.driver.now(), {}
+    def _start_link(self, link: Link) -> None:
+        """Reset a link whose connection has opened, and send the subscription."""
+        link.peer_timestamp, link.last_received_at, link.newest_sent = -1, self.driver.now(), {}
         self._send_subscription(link)
 
     def accept_peer(self, connection: FramedConnection, subscription: GossipSubscription) -> bool:
-        """A peer has dialled, and says what it uses; False: it is nobody to share with."""
+        """Adopt the connection of a peer that has dialled; return False if the sender is not a peer."""
         name = subscription.name
         if subscription.cluster != self.cluster or name not in self.peers:
             return False
         link = self.links.setdefault(name, Link(name))
-        before, link.connection = link.connection, connection
-        if before is not None and before is not connection:
-            before.end("the peer dialled anew")
+        previous, link.connection = link.connection, connection
+        if previous is not None and previous is not connection:
+            previous.end("replaced by a newer connection")
         connection.name = name
         connection.on_message, connection.on_end = self._on_message, self._on_end
-        self._begin(link)
+        self._start_link(link)
         self._on_message(connection, 0, subscription)
         return True
 
-    def _drop(self, link: Link, reason: str) -> None:
+    def _close_connection(self, link: Link, reason: str) -> None:
         connection, link.connection = link.connection, None
         if connection is not None:
             connection.end(reason)
@@ -161,26 +169,28 @@
     def _on_end(self, connection: FramedConnection, reason: str) -> None:
         link = self.links.get(connection.name)
         if link is not None and link.connection is connection:
-            link.connection, link.uses = None, frozenset()
+            link.connection, link.peer_executors = None, frozenset()
 
     # Reports.
 
     def on_report(self, now: int, executor: int, report: api.LoadReport) -> None:
-        """A report has come here, with an answer or a probe."""
+        """Store a load report that came with a response or a probe, to share it with peers."""
         if self.peers and executor in self.discovery.reader.names_by_number:
             self.reports[self.discovery.reader.names_by_number[executor]] = ReceivedReport(now, report)
 
     def _send_reports(self, now: int, link: Link) -> None:
         reports = []
-        for name in sorted(link.uses & self.reports.keys()):
+        for name in sorted(link.peer_executors & self.reports.keys()):
             received = self.reports[name]
-            if now - received.at <= MAX_AGE_US and received.at > link.sent_reports.get(name, -1):
-                link.sent_reports[name] = received.at
-                reports.append((name, now - received.at, received.report))
-        if link.connection is not None and (reports or now - link.sent_at >= IDLE_SEND_US):
-            link.sent_at = now
-            echo_age = now - link.received_at if link.timestamp >= 0 else 0
-            link.connection.send(0, GossipUpdate(reports, now, link.timestamp, echo_age))
+            if now - received.arrival <= MAX_REPORT_AGE_US and received.arrival > link.newest_sent.get(
+                name, -1
+            ):
+                link.newest_sent[name] = received.arrival
+                reports.append((name, now - received.arrival, received.report))
+        if link.connection is not None and (reports or now - link.last_sent_at >= IDLE_SEND_INTERVAL_US):
+            link.last_sent_at = now
+            echo_age = now - link.last_received_at if link.peer_timestamp >= 0 else 0
+            link.connection.send(0, GossipUpdate(reports, now, link.peer_timestamp, echo_age))
 
     def _on_message(self, connection: FramedConnection, number: int, message: Any) -> None:
         link = self.links.get(connection.name)
@@ -188,33 +198,40 @@
             return
         now = self.driver.now()
         if isinstance(message, GossipSubscription):
-            link.uses = frozenset(message.executors)
+            link.peer_executors = frozenset(message.executors)
         elif isinstance(message, GossipUpdate):
-            age = link.age(now, message)
-            link.timestamp, link.received_at = message.timestamp, now
+            age = link.max_age(now, message)
+            link.peer_timestamp, link.last_received_at = message.timestamp, now
             for name, age_at_peer, report in message.reports:
-                self._follow(now, name, age_at_peer + age, report)
+                self._apply_report(now, name, age_at_peer + age, report)
+
+    def _apply_report(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
+        """Pass a peer's report to the dispatch, or ignore it.
 
-    def _follow(self, now: int, name: str, age: int, report: api.LoadReport) -> None:
-        """A peer's report: followed where it is newer than what is known here, and not too old."""
+        Ignored are reports that are too old or older than this node's own information, and those of executors
+        that are unknown or fail here.
+        """
         number = self.discovery.reader.numbers_by_name.get(name)
         executor = self.dispatch.balancer.executors.get(number) if number is not None else None
         if (
             number is None
             or executor is None
-            or age > MAX_AGE_US
+            or age > MAX_REPORT_AGE_US
             or executor.consecutive_failures
             or now - age <= executor.last_response_at
         ):
-            self.passed_over += 1
+            self.ignored_reports += 1
             return
-        self.followed += 1
+        self.followed_reports += 1
         self.dispatch.on_peer_report(now, number, report, age)
 
     def end(self) -> None:
-        """This process ends."""
-        if self.followed or self.passed_over:
+        """Log a summary and close all links, as the process ends."""
+        if self.followed_reports or self.ignored_reports:
             log_event(
-                "gossip-summary", followed=self.followed, passed_over=self.passed_over, peers=len(self.links)
+                "gossip-summary",
+                followed=self.followed_reports,
+                passed_over=self.ignored_reports,
+                peers=len(self.links),
             )
         self.set_peers({})
--- a/cedarmill/net/cluster/member.py
+++ b/cedarmill/net/cluster/member.py
@@ -1,4 +1,4 @@
-"""A member's session on sockets: one connection to a replica at a time."""
+"""Runs a member's session with the replicas, over one connection at a time."""
 
 import dataclasses
 from collections.abc import Callable
@@ -30,25 +30,28 @@
 from cedarmill.net.framing import FramedConnection
 from cedarmill.net.loop import EventLoopDriver
 
-LEAVE_US = 300_000  # for a replica to hear that this incarnation ends
-MIN_TIMER_US = 1000  # to the next call of the core, which may be due at once again
+# Time for the leave message to reach a replica before the process exits.
+LEAVE_DELAY_US = 300_000
+# Prevents a busy loop if the session is due again at once.
+MIN_TIMER_DELAY_US = 1000
 
 
-def _ignore() -> None:
-    """What an owner does that has no use for an event."""
+def _ignore_event() -> None:
+    """Do nothing; default callback for events that the owner does not handle."""
 
 
-class OpenRequest(NamedTuple):
-    """Who waits for an answer, and the timer that ends the wait."""
+class PendingRequest(NamedTuple):
+    """Callback of a request that awaits its reply, and the timeout timer."""
 
     on_answer: Callable[[Any], None]
     timer: Timer
 
 
 class Membership:
-    """Keeps the session of this process.
+    """Maintains the cluster session of this process.
 
-    `report` is asked at each heartbeat; `on_orders`, `on_lease_expired` and `on_lease_holds` are its owner's.
+    `report` returns the contents of each heartbeat. `on_orders`, `on_lease_expired` and `on_lease_holds`
+    notify the owner of new orders and of changes of the lease.
     """
 
     def __init__(
@@ -59,8 +62,8 @@
         replicas: dict[str, Address],
         report: Callable[[], MemberReport],
         on_orders: Callable[[Orders], None],
-        on_lease_expired: Callable[[], None] = _ignore,
-        on_lease_holds: Callable[[], None] = _ignore,
+        on_lease_expired: Callable[[], None] = _ignore_event,
+        on_lease_holds: Callable[[], None] = _ignore_event,
     ) -> None:
         self.driver, self.cluster, self.replicas = driver, cluster, replicas
         first = sum(identity.name.encode())
@@ -69,51 +72,51 @@
         self._on_orders = on_orders
         self._on_lease_expired, self._on_lease_holds = on_lease_expired, on_lease_holds
         self._connection: FramedConnection | None = None  # to a replica
-        self._open: dict[int, OpenRequest] = {}
-        self._last_number = 0
+        self._pending_requests: dict[int, PendingRequest] = {}
+        self._last_request_number = 0
         self._timer: Timer | None = None
 
     def listen(self, address: Address) -> int:
-        """Answer members that probe this one; the port. Raises OSError."""
+        """Listen for probes from other members and return the port; raise OSError on failure."""
         return self.probes.listen(address)
 
     def set_address(self, address: str) -> None:
-        """Where others can probe this process, where that is known only once it listens."""
+        """Set the address at which other members probe this process, once the port is known."""
         self.session.identity = self.probes.identity = dataclasses.replace(
             self.session.identity, address=address
         )
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
-        self._on_time(self.driver.now())
+        """Start sending heartbeats."""
+        self._on_timer(self.driver.now())
 
     def holds(self) -> bool:
-        """Whether the lease holds at this moment."""
+        """Return whether the lease holds now."""
         return self.session.holds(self.driver.now())
 
     def leave(self) -> None:
-        """This incarnation ends and has nothing out: say so once more."""
+        """Send a last heartbeat: this incarnation ends and has no requests in flight."""
         self._carry_out(self.session.leave(self.driver.now()))
 
     # The session.
 
-    def _on_time(self, now: int) -> None:
+    def _on_timer(self, now: int) -> None:
         self._carry_out(self.session.on_time(now))
 
     def _carry_out(self, actions: list[Any]) -> None:
         for action in actions:
-            self._carry_out_one(action)
+            self._carry_out_action(action)
         self.driver.timers.cancel(self._timer)
-        due = max(self.session.due, self.driver.now() + MIN_TIMER_US)
-        self._timer = self.driver.timers.add(due, self._on_time)
+        due = max(self.session.due, self.driver.now() + MIN_TIMER_DELAY_US)
+        self._timer = self.driver.timers.add(due, self._on_timer)
 
-    def _carry_out_one(self, action: object) -> None:
+    def _carry_out_action(self, action: object) -> None:
         match action:
             case Connect():
-                self._dial(action.replica)
+                self._connect(action.replica)
             case SendRequest():
                 if self._connection is not None:
-                    # Lost where the connection is not up yet: the next heartbeat tells it.
+                    # Lost if the connection is not open yet; the next heartbeat repeats the contents.
                     self._connection.send(0, action.request)
             case FollowOrders():
                 self._on_orders(action.orders)
@@ -134,15 +137,15 @@
 
     # The connection to a replica.
 
-    def _dial(self, replica: str) -> None:
+    def _connect(self, replica: str) -> None:
         if self._connection is not None:
-            before, self._connection = self._connection, None
-            before.end("another keeper is tried")
-        self._connection = FramedConnection(self.driver, self._on_message, self._on_end, self._greet)
+            previous, self._connection = self._connection, None
+            previous.end("connecting to another replica")
+        self._connection = FramedConnection(self.driver, self._on_message, self._on_end, self._send_hello)
         self._connection.name = replica
         self._connection.dial(self.replicas[replica])
 
-    def _greet(self, connection: FramedConnection) -> None:
+    def _send_hello(self, connection: FramedConnection) -> None:
         connection.send(0, Hello(self.cluster, self.session.identity.name, MEMBER_ROLE))
 
     def _on_message(self, connection: FramedConnection, number: int, message: Any) -> None:
@@ -152,7 +155,7 @@
             log_event("replica-refuses", replica=connection.name, reason=message.reason)
             connection.end(message.reason)
         elif number:
-            self._answer(number, message)
+            self._complete_request(number, message)
         else:
             self._carry_out(self.session.on_reply(self.driver.now(), message))
 
@@ -163,20 +166,22 @@
 
     # Requests.
 
-    def ask(self, request: ClientRequest, wait_us: int, on_answer: Callable[[Any], None]) -> None:
-        """Ask the replica that is connected; its answer comes, or Unavailable after `wait_us`."""
-        self._last_number += 1
-        number = self._last_number
-        timer = self.driver.timers.add(self.driver.now() + wait_us, lambda now: self._answer_late(number))
-        self._open[number] = OpenRequest(on_answer, timer)
+    def ask(self, request: ClientRequest, timeout_us: int, on_answer: Callable[[Any], None]) -> None:
+        """Send a request to the connected replica; `on_answer` gets its reply, or Unavailable on timeout."""
+        self._last_request_number += 1
+        number = self._last_request_number
+        timer = self.driver.timers.add(
+            self.driver.now() + timeout_us, lambda now: self._on_request_timeout(number)
+        )
+        self._pending_requests[number] = PendingRequest(on_answer, timer)
         if self._connection is None or not self._connection.send(number, request):
-            self._answer_late(number)
+            self._on_request_timeout(number)
 
-    def _answer(self, number: int, message: object) -> None:
-        request = self._open.pop(number, None)
+    def _complete_request(self, number: int, message: object) -> None:
+        request = self._pending_requests.pop(number, None)
         if request is not None:
             self.driver.timers.cancel(request.timer)
             request.on_answer(message)
 
-    def _answer_late(self, number: int) -> None:
-        self._answer(number, Unavailable("no keeper answered in time"))
+    def _on_request_timeout(self, number: int) -> None:
+        self._complete_request(number, Unavailable("no keeper answered in time"))
--- a/cedarmill/net/cluster/node_reports.py
+++ b/cedarmill/net/cluster/node_reports.py
@@ -1,4 +1,4 @@
-"""What a node reports to the cluster of executors and of itself, as it stands at a heartbeat."""
+"""Builds the parts of a node's heartbeat that cover its executors and its drains."""
 
 from cedarmill.cluster.messages import ExecutorObservation, Orders
 from cedarmill.decisions import interface as api
@@ -6,9 +6,11 @@
 from cedarmill.net.cluster.routing import ClusterRouting
 from cedarmill.net.discovery.client import DiscoveryClient
 
-UNHEALTHY_FAILURES = 1  # in a row: an executor is dead or unreachable, and no sign since that it serves
-FRESH_US = 3_000_000  # since an executor last answered here: older, this node says nothing of its health
-STATES = {
+# From this number of failures without a success since, an executor is reported as unhealthy.
+MIN_CONSECUTIVE_FAILURES = 1
+# Without a response for this long, the health of an executor is reported as unknown.
+MAX_RESPONSE_AGE_US = 3_000_000
+STATE_NAMES = {
     api.ExecutorState.READY: "ready",
     api.ExecutorState.DRAINING: "draining",
     api.ExecutorState.GONE: "gone",
@@ -16,14 +18,16 @@
 
 
 class NodeReports:
-    """Reads a node's parts."""
+    """Builds reports from the node's client server, dispatch and discovery client."""
 
     def __init__(self, name: str, clients: ClientServer, discovery: DiscoveryClient) -> None:
         self.name, self.clients, self.discovery = name, clients, discovery
 
-    def drained(self, orders: Orders | None, routing: ClusterRouting | None) -> dict[str, int]:
-        """Epochs by target: executors and zones that get nothing from here and have nothing of ours, and
-        this node, if its clients are gone.
+    def drained_targets(self, orders: Orders | None, routing: ClusterRouting | None) -> dict[str, int]:
+        """Return the epoch of each completed drain, by target.
+
+        Targets are excluded executors and closed zones without requests of this node in flight, and the node
+        itself once its clients are gone.
         """
         if orders is None:
             return {}
@@ -41,19 +45,21 @@
             drained[self.name] = orders.drain_clients_epoch
         return drained
 
-    def executors(self, now: int) -> dict[str, ExecutorObservation]:
-        """What this node sees of each listed executor."""
+    def observed_executors(self, now: int) -> dict[str, ExecutorObservation]:
+        """Return this node's observation of each listed executor, by name."""
         reader = self.discovery.reader
         zones = {number: name for name, number in reader.zones.items()}
         kinds = {number: name for name, number in reader.kinds.items()}
         observed = {}
         for number, entry in self.discovery.entries.items():
             executor = self.discovery.dispatch.balancer.executors.get(number)
-            unhealthy = executor is not None and executor.consecutive_failures >= UNHEALTHY_FAILURES
-            is_known = unhealthy or (executor is not None and now - executor.last_response_at < FRESH_US)
+            is_unhealthy = executor is not None and executor.consecutive_failures >= MIN_CONSECUTIVE_FAILURES
+            is_known = is_unhealthy or (
+                executor is not None and now - executor.last_response_at < MAX_RESPONSE_AGE_US
+            )
             observed[reader.names_by_number[number]] = ExecutorObservation(
-                STATES[entry.state],
-                unhealthy,
+                STATE_NAMES[entry.state],
+                is_unhealthy,
                 is_known,
                 zones.get(entry.zone, ""),
                 kinds.get(entry.kind, ""),
--- a/cedarmill/net/cluster/routing.py
+++ b/cedarmill/net/cluster/routing.py
@@ -1,7 +1,7 @@
-"""A node's traffic to the zones: what it reports of them, and how the cluster's plan reaches the balancer.
+"""Applies the cluster's traffic plan and admission level on a node, and reports observations of the zones.
 
-The plan becomes what the balancer takes: shares of zones, the zones in which a request may run, and executors
-of a closed zone, which drain as the balancer sees it.
+The plan is translated into the balancer's inputs: traffic shares of the zones, the zones where a request may
+run, and the executors of closed zones, which the balancer treats as draining.
 """
 
 from collections.abc import Callable
@@ -23,18 +23,21 @@
 from cedarmill.net.loop import EventLoopDriver
 from cedarmill.values import ClusterOptions
 
-LOOK_US = 250_000  # between two looks at what the plan and this node's own observations come to
-DIGEST_US = 1_000_000  # between two digests
-MEAN_OVER = 50  # requests over which a class's running time is the mean
-UNREACHED = frozenset((Outcome.CONNECT_FAILED,))  # never arrived
-FAILED = frozenset((Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.DROPPED))
-NO_EVIDENCE = frozenset((Outcome.MOOT, Outcome.CANCELLED, Outcome.UNUSABLE, Outcome.FULL))
+# The plan is combined with this node's own observations at this interval.
+APPLY_INTERVAL_US = 250_000
+DIGEST_INTERVAL_US = 1_000_000
+# The mean run time of a class is a moving average over this number of requests.
+MAX_RUN_TIME_SAMPLES = 50
+UNREACHED_OUTCOMES = frozenset((Outcome.CONNECT_FAILED,))
+FAILED_OUTCOMES = frozenset((Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.DROPPED))
+IGNORED_OUTCOMES = frozenset((Outcome.MOOT, Outcome.CANCELLED, Outcome.UNUSABLE, Outcome.FULL))
 
 
 class ClusterRouting:
-    """One node's; made where its zone has a name.
+    """Routes the requests of a node whose zone is configured, according to the cluster's orders.
 
-    `holds` says whether the lease holds at a time, `spend` takes one of a budget, False where it is used up.
+    `lease_holds` returns whether the lease holds at a time. `spend` spends one unit of a budget, and returns
+    False if none is left.
     """
 
     def __init__(
@@ -44,7 +47,7 @@
         zone: str,
         discovery: DiscoveryClient,
         options: ClusterOptions,
-        holds: Callable[[int], bool],
+        lease_holds: Callable[[int], bool],
         spend: Callable[[int, str], bool],
     ) -> None:
         self.driver, self.zone, self.discovery, self.spend = driver, zone, discovery, spend
@@ -54,59 +57,72 @@
         self.observations = ObservationLog(driver.now())
         self.decision = RoutingDecision()
         self._random = Random(name)
-        self.digest_at = driver.now()
+        self.next_digest_at = driver.now()
         self.estimates = LocationEstimates(discovery)
-        stays = options.stays
-        self.class_bounds = [stays.get(f"class:{spec.name}", "any") for spec in settings.classes]
-        # Budgets, where one is set.
-        self.quotas = [f"{QUOTA_PREFIX}{tenant.name}" for tenant in settings.tenants]
-        self.tenant_bounds = [stays.get(f"tenant:{tenant.name}", "any") for tenant in settings.tenants]
-        self.zones_of_bound = {bound: self._zones_of_bound(bound, None) for bound in SCOPES}
+        scopes_by_subject = options.stays
+        self.class_scopes = [scopes_by_subject.get(f"class:{spec.name}", "any") for spec in settings.classes]
+        # Names of the budgets that hold the quotas of the tenants.
+        self.quota_names = [f"{QUOTA_PREFIX}{tenant.name}" for tenant in settings.tenants]
+        self.tenant_scopes = [
+            scopes_by_subject.get(f"tenant:{tenant.name}", "any") for tenant in settings.tenants
+        ]
+        self.zones_by_scope = {scope: self._zones_in_scope(scope, None) for scope in SCOPES}
         self.gate = AdmissionGate()
-        self.shed = 0  # requests that the gate rejects, and whose answer has not been counted yet
-        # us that a request of a class runs where it does not wait: else demand would grow with the queue
-        self.run_times_us = [times.mean_us for times in self.dispatch.balancer.state.learned.class_times]
-        self.counted_runs = [0] * len(self.run_times_us)  # requests in that mean
-        self.holds = holds
-        driver.timers.add(driver.now() + LOOK_US, self._on_time)
+        self.pending_rejections = 0  # requests rejected by the gate, with no final answer yet
+        # Run times (us) by class, without waiting: with the waiting time, demand would grow with the queue.
+        self.mean_run_times_us = [times.mean_us for times in self.dispatch.balancer.state.learned.class_times]
+        self.run_time_samples = [0] * len(self.mean_run_times_us)  # by class
+        self.lease_holds = lease_holds
+        driver.timers.add(driver.now() + APPLY_INTERVAL_US, self._on_timer)
 
-    def _zones_of_bound(self, bound: str, plan: RouteWeights | None) -> tuple[int, ...]:
-        """Zones in which such a request may run; before a plan has come, a bound one stays here."""
-        if bound == "any":
+    def _zones_in_scope(self, scope: str, plan: RouteWeights | None) -> tuple[int, ...]:
+        """Return the zones where a request of this scope may run; empty if all are allowed.
+
+        Before the first plan, a request with a restricted scope stays in the node's own zone.
+        """
+        if scope == "any":
             return ()
-        names = plan.reachable_zones.get(bound, [self.zone]) if plan is not None else [self.zone]
+        names = plan.reachable_zones.get(scope, [self.zone]) if plan is not None else [self.zone]
         numbers = self.discovery.reader.zones
         return tuple(sorted(numbers[name] for name in names if name in numbers))
 
     def constrain_request(self, arrival: api.RequestArrived) -> None:
-        """Set where a request may run, by its class or tenant, the stricter, and whether it is shed."""
-        bound = self.class_bounds[arrival.job_class]
-        if arrival.tenant < len(self.tenant_bounds):
-            bound = min(bound, self.tenant_bounds[arrival.tenant], key=SCOPES.index)
+        """Set the zones where a request may run, and shed it if the admission level requires that.
+
+        The stricter scope of its class and its tenant applies.
+        """
+        scope = self.class_scopes[arrival.job_class]
+        if arrival.tenant < len(self.tenant_scopes):
+            scope = min(scope, self.tenant_scopes[arrival.tenant], key=SCOPES.index)
         now = self.driver.now()
         weight = int(self.dispatch.balancer.settings.classes[arrival.job_class].worth * 1000)
-        if arrival.tenant < len(self.quotas) and not self.spend(now, self.quotas[arrival.tenant]):
-            weight = weight * OVER_QUOTA_SHARE // WHOLE  # beyond its tenant's quota over the cluster
-        run_time_us = self.run_times_us[arrival.job_class]
-        self.observations.record_demand(now, bound, int(arrival.slots * run_time_us), weight)
-        arrival.allowed_zones = self.zones_of_bound[bound]
-        if self.gate.rejects(now, self.holds(now), weight, self._random.random(), bound):
+        if arrival.tenant < len(self.quota_names) and not self.spend(now, self.quota_names[arrival.tenant]):
+            weight = weight * OVER_QUOTA_SHARE // WHOLE  # over its tenant's quota
+        run_time_us = self.mean_run_times_us[arrival.job_class]
+        self.observations.record_demand(now, scope, int(arrival.slots * run_time_us), weight)
+        arrival.allowed_zones = self.zones_by_scope[scope]
+        if self.gate.rejects(now, self.lease_holds(now), weight, self._random.random(), scope):
             arrival.retry_after_factor = self._random.uniform(*RETRY_AFTER_FACTORS)
-            self.shed += 1
+            self.pending_rejections += 1
         else:
             self.observations.record_admitted(now)
 
-    def on_refused(self) -> None:
-        """A request was refused: by the gate, which was counted as it came, or by this node itself."""
-        if self.shed:
-            self.shed -= 1
+    def on_rejected(self) -> None:
+        """Record a rejected request as a local rejection, unless the admission gate rejected it.
+
+        Rejections by the gate are accounted for when the request arrives.
+        """
+        if self.pending_rejections:
+            self.pending_rejections -= 1
         else:
             self.observations.record_local_rejection(self.driver.now())
 
     def set_admission(self, threshold: SheddingThreshold, scoped: dict[str, SheddingThreshold]) -> None:
-        """The cluster's admission level: the priority weight below which requests are shed, also by scope."""
+        """Set the priority weight below which requests are shed, in general and by scope."""
         if (self.gate.threshold, self.gate.scoped_thresholds) != (threshold, scoped):
-            by_scope = ", ".join(f"{bound} {cut.weight / 1000:g}" for bound, cut in sorted(scoped.items()))
+            by_scope = ", ".join(
+                f"{scope} {limit.weight / 1000:g}" for scope, limit in sorted(scoped.items())
+            )
             log_event(
                 "admission-level-followed",
                 rejected_share=f"{threshold.share / 10:g}%",
@@ -116,32 +132,35 @@
         self.gate.set_thresholds(threshold, scoped)
 
     def on_attempt_ended(self, now: int, attempt: Attempt) -> None:
-        """An attempt has its outcome: what it says of the executor's zone."""
+        """Record the outcome of an attempt as an observation of the executor's zone and kind."""
         entry = self.discovery.entries.get(attempt.executor)
-        if entry is None or attempt.outcome in NO_EVIDENCE:
+        if entry is None or attempt.outcome in IGNORED_OUTCOMES:
             return
         zone = self.estimates.zone_names.get(entry.zone, "")
         kind = self.estimates.kind_names.get(entry.kind, "")
-        places = (zone, f"{zone}/{kind}") if kind else (zone,)
+        locations = (zone, f"{zone}/{kind}") if kind else (zone,)
         spec = attempt.request.spec
         late = attempt.outcome == Outcome.OK and now > attempt.request.objective_due
         self.observations.record_attempt(
-            now, places, attempt.outcome in FAILED, late, attempt.outcome in UNREACHED
+            now, locations, attempt.outcome in FAILED_OUTCOMES, late, attempt.outcome in UNREACHED_OUTCOMES
         )
         if attempt.outcome == Outcome.OK:
-            self._learn_run_time(now, attempt)
+            self._update_run_time(now, attempt)
             claim = attempt.request.claim
-            slot_time = int(claim.slots * self.run_times_us[claim.job_class])
+            slot_time = int(claim.slots * self.mean_run_times_us[claim.job_class])
             self.observations.record_served(now, slot_time, int(claim.slots * spec.aim_us))
         if (
             self.follower.plan is not None
             and self.observations.unreached_streaks.get(zone, 0) == UNREACHED_STREAK
             and zone not in self.decision.unreachable_zones
         ):
-            self.apply()  # at once, not at the next look
+            self.apply_plan()  # without waiting for the timer
+
+    def _update_run_time(self, now: int, attempt: Attempt) -> None:
+        """Update the mean run time of a class from an attempt whose executor had a free slot at its end.
 
-    def _learn_run_time(self, now: int, attempt: Attempt) -> None:
-        """How long it ran, where its executor had a slot free as it ended; until one had, the shortest."""
+        Until the first such attempt, the shortest run time of any attempt is used.
+        """
         index = attempt.request.claim.job_class
         executor, run_time_us = self.dispatch.balancer.executors.get(attempt.executor), now - attempt.sent_at
         if (
@@ -149,20 +168,20 @@
             and executor.last_response_at
             and executor.capacity - executor.held_slots >= 1.0
         ):
-            self.counted_runs[index] = min(self.counted_runs[index] + 1, MEAN_OVER)
-            difference = run_time_us - self.run_times_us[index]
-            self.run_times_us[index] += difference / self.counted_runs[index]
-        elif not self.counted_runs[index]:
-            self.run_times_us[index] = min(self.run_times_us[index], run_time_us)
+            self.run_time_samples[index] = min(self.run_time_samples[index] + 1, MAX_RUN_TIME_SAMPLES)
+            difference = run_time_us - self.mean_run_times_us[index]
+            self.mean_run_times_us[index] += difference / self.run_time_samples[index]
+        elif not self.run_time_samples[index]:
+            self.mean_run_times_us[index] = min(self.mean_run_times_us[index], run_time_us)
 
     # Reports.
 
-    def digest(self, doubts: bool) -> ObservationDigest | None:
-        """Once in a while; None in between."""
+    def digest(self, was_suspended: bool) -> ObservationDigest | None:
+        """Return the digest of this node's observations if one is due, else None."""
         now = self.driver.now()
-        if now < self.digest_at or not self.zone:
+        if now < self.next_digest_at or not self.zone:
             return None
-        self.digest_at = now + DIGEST_US
+        self.next_digest_at = now + DIGEST_INTERVAL_US
         observed = self.observations.observations(now, self.estimates.estimate(now))
         slots_in_flight: float = sum(
             attempt.request.slots
@@ -175,49 +194,49 @@
             observed,
             self.decision.epoch,
             self.decision.unreachable_zones,
-            doubts,
+            was_suspended,
             int(1000 * slots_in_flight),
         )
 
     # The plan.
 
-    def follow(self, plan: RouteWeights | None) -> None:
-        """A plan has come."""
+    def set_plan(self, plan: RouteWeights | None) -> None:
+        """Replace the plan, unless this one is older, and apply it."""
         if not self.follower.accept_plan(plan):
             return
-        for bound in SCOPES:
-            self.zones_of_bound[bound] = self._zones_of_bound(bound, plan)
-        self.apply()
+        for scope in SCOPES:
+            self.zones_by_scope[scope] = self._zones_in_scope(scope, plan)
+        self.apply_plan()
 
-    def _on_time(self, now: int) -> None:
-        self.driver.timers.add(now + LOOK_US, self._on_time)
+    def _on_timer(self, now: int) -> None:
+        self.driver.timers.add(now + APPLY_INTERVAL_US, self._on_timer)
         if self.follower.plan is not None:
-            self.apply()
+            self.apply_plan()
 
-    def apply(self) -> None:
-        """By the plan and by what this node observes: tell the balancer what has changed."""
+    def apply_plan(self) -> None:
+        """Decide the routing by the plan and this node's observations, and pass changes to the balancer."""
         now = self.driver.now()
         locations = self.estimates.estimate(now)
         empty = set(self.discovery.reader.zones) - locations.keys()
         observed = self.observations.observations(now, locations)
         streaks = self.observations.unreached_streaks
-        before, self.decision = self.decision, self.follower.decide(now, observed, empty, streaks)
-        for zone in self.decision.unreachable_zones:  # counted anew once it is tried again
+        previous, self.decision = self.decision, self.follower.decide(now, observed, empty, streaks)
+        for zone in self.decision.unreachable_zones:  # restart the count for the next trial
             streaks.pop(zone, None)
-        if self.decision.closed_zones or before.closed_zones:
-            self._hide(self.decision.closed_zones)
-        if self.decision.weights != before.weights:
+        if self.decision.closed_zones or previous.closed_zones:
+            self._hide_executors(self.decision.closed_zones)
+        if self.decision.weights != previous.weights:
             self._set_zone_shares(now)
-        if _shown(self.decision) != _shown(before):
+        if _logged_fields(self.decision) != _logged_fields(previous):
             self._log_decision()
 
     def _set_zone_shares(self, now: int) -> None:
         numbers = self.discovery.reader.zones
         shares = {
-            self.zones_of_bound[bound]: {
-                numbers[zone]: share / 1000 for zone, share in self.decision.weights[bound].items()
+            self.zones_by_scope[scope]: {
+                numbers[zone]: share / 1000 for zone, share in self.decision.weights[scope].items()
             }
-            for bound in reversed(SCOPES)
+            for scope in reversed(SCOPES)
         }
         self.dispatch.set_zone_shares(now, shares)
 
@@ -230,8 +249,8 @@
             unreachable_zones=", ".join(self.decision.unreachable_zones) or "nothing",
         )
 
-    def _hide(self, zones: tuple[str, ...]) -> None:
-        """Executors of these zones get nothing, whatever the plan and this node's observations come to."""
+    def _hide_executors(self, zones: tuple[str, ...]) -> None:
+        """Exclude all executors of these zones from selection."""
         names = self.discovery.reader.names_by_number
         hidden = {
             names[number]
@@ -242,7 +261,7 @@
             self.discovery.set_hidden_executors(hidden)
 
     def drained_zones(self, busy: set[int]) -> dict[str, int]:
-        """Zones that are closed and have nothing of ours, and the epochs of their permits."""
+        """Return the permit epochs of closed zones without requests of this node in flight, by zone."""
         if self.follower.plan is None:
             return {}
         entries = self.discovery.entries.items()
@@ -256,6 +275,6 @@
         }
 
 
-def _shown(decision: RoutingDecision) -> tuple[object, ...]:
-    """What the log says of a decision."""
+def _logged_fields(decision: RoutingDecision) -> tuple[object, ...]:
+    """Return the fields of a decision whose changes are logged."""
     return decision.epoch, decision.closed_zones, decision.unreachable_zones
--- a/tests/net/cluster/test_node_role.py
+++ b/tests/net/cluster/test_node_role.py
@@ -1,6 +1,4 @@
-"""A node with a fleet, over real replicas: it waits to be told, drains by orders, and keeps or loses its
-lease.
-"""
+"""A node in a cluster with a real replica: waiting for the first orders, drains, leases and budgets."""
 
 import time
 import unittest
@@ -11,20 +9,20 @@
 from tests.support.replica_case import LONG, ReplicaCase
 
 
-class FleetNode(ReplicaCase, NodeCase):
-    """One replica, and a node with two executors in zones of their own."""
+class ClusterNode(ReplicaCase, NodeCase):
+    """Starts one replica, and a node with two executors."""
 
     replicas = 1
     executor_count = 2
-    part = ""  # more words of <fleet>
+    xml_attributes = ""  # further attributes of <fleet>
     limits = ('<limit kind="executor" per="fleet" most="1"/>', '<limit kind="node" per="fleet" most="1"/>')
-    replica_runs = True
+    has_running_replica = True
 
     def setUp(self) -> None:
         ReplicaCase.setUp(self)
-        if not self.replica_runs:
+        if not self.has_running_replica:
             self.kill("k0")
-        self.xml_settings = (f'<fleet cluster="main" listen="127.0.0.1:{free_port()}" {self.part}>'
+        self.xml_settings = (f'<fleet cluster="main" listen="127.0.0.1:{free_port()}" {self.xml_attributes}>'
                      f'<keeper name="k0" address="127.0.0.1:{self.ports["k0"]}"/></fleet>')  # fmt: skip
         NodeCase.setUp(self)
         self.admin_api = self.admin_port()
@@ -35,14 +33,14 @@
     def config(self) -> dict:
         return {**NodeCase.config(self), "mgmt": "127.0.0.1:0"}
 
-    def joined(self) -> None:
-        """The replicas know both executors."""
+    def wait_until_joined(self) -> None:
+        """Wait until the node holds a lease and the leader grants permits for both executors."""
         self.wait_log("the lease holds")
         self.wait_for(lambda: sum(row["kind"] == "executor" for row in self.look("targets")) == 2)
-        self.wait_for(lambda: not self.look("status")["halted"])  # a leader that has heard enough to grant
+        self.wait_for(lambda: not self.look("status")["halted"])  # the leader can grant permits
 
-    def refused(self) -> bool:
-        """Whether a request is refused now; one that is not is served."""
+    def is_rejected(self) -> bool:
+        """Send a request and serve it if it reaches an executor; return whether the node rejected it."""
         client = self.client().ask()
         self.wait_for(
             lambda: client.answered(0) or any(not server.received.empty() for server in self.executors)
@@ -53,15 +51,15 @@
         return client.answer()[0] == 503
 
 
-class Joined(FleetNode):
-    def test_a_call_at_the_admin_api_is_granted_waits_or_is_refused_by_the_fleet(self):
-        self.joined()
+class JoinedNode(ClusterNode):
+    def test_an_exclusion_is_granted_queued_or_refused_by_the_cluster(self):
+        self.wait_until_joined()
         self.assertEqual(call_admin_api(self.admin_api, "PUT", "/api/exclude/s-0"), (200, b"granted\n"))
         status, text = call_admin_api(self.admin_api, "PUT", "/api/exclude/s-1")
         self.assertEqual(status, 202)
         self.assertIn(b"waiting: executor per fleet: at most 1", text)
         self.assertEqual(
-            call_admin_api(self.admin_api, "PUT", "/api/exclude/s-0")[0], 200, "two calls out are one"
+            call_admin_api(self.admin_api, "PUT", "/api/exclude/s-0")[0], 200, "a repeated exclusion succeeds"
         )
         self.assertEqual(call_admin_api(self.admin_api, "PUT", "/api/exclude/s-9")[0], 404)
         self.wait_log("excluded: s-0")
@@ -72,11 +70,11 @@
         self.assertEqual(call_admin_api(self.admin_api, "PUT", "/api/include/s-1")[0], 200)
         self.assertEqual(call_admin_api(self.admin_api, "PUT", "/api/include/s-1")[0], 200)
 
-    def test_drained_waits_for_the_job_that_is_out_there(self):
-        self.joined()
+    def test_an_executor_counts_as_drained_only_after_its_request_has_ended(self):
+        self.wait_until_joined()
         client = self.client().ask()
         self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
-        number = next(n for n, server in enumerate(self.executors) if not server.received.empty())
+        number = next(index for index, server in enumerate(self.executors) if not server.received.empty())
         self.assertEqual(call_admin_api(self.admin_api, "PUT", f"/api/exclude/s-{number}")[0], 200)
         self.wait_log(f"excluded: s-{number}")
         self.assertEqual([row["drained"] for row in self.look("permits")], [0])
@@ -84,8 +82,8 @@
         self.assertEqual(client.answer()[0], 200)
         self.wait_for(lambda: self.look("permits")[0]["drained"])
 
-    def test_the_node_itself_is_drained_by_the_fleet_and_takes_clients_again(self):
-        self.joined()
+    def test_the_node_drains_its_clients_on_orders_and_accepts_clients_after_rejoining(self):
+        self.wait_until_joined()
         self.assertEqual(call_admin_api(self.admin_api, "PUT", "/api/evacuate")[0], 200)
         self.wait_log("draining clients: yes")
         self.wait_for(lambda: call_admin_api(self.admin_api, "GET", "/api/ready")[0] == 503)
@@ -94,54 +92,54 @@
         self.wait_log("draining clients: no")
         self.wait_for(lambda: call_admin_api(self.admin_api, "GET", "/api/ready")[0] == 200)
 
-    def test_with_all_replicas_dead_it_serves_on_and_the_admin_api_says_that_it_cannot_know(self):
-        self.joined()
+    def test_without_replicas_the_node_keeps_serving_and_the_admin_api_answers_503(self):
+        self.wait_until_joined()
         self.kill("k0")
         self.wait_log("the lease has run out")
-        self.assertFalse(any(self.refused() for _ in range(4)))
-        began = time.monotonic()
+        self.assertFalse(any(self.is_rejected() for _ in range(4)))
+        started_at = time.monotonic()
         status, text = call_admin_api(self.admin_api, "PUT", "/api/exclude/s-0")
         self.assertEqual(status, 503)
         self.assertIn(b"no keeper answered in time", text)
-        self.assertLess(time.monotonic() - began, 5, "the page owes an answer within 1 s")
+        self.assertLess(time.monotonic() - started_at, 5, "the admin API must answer within 1 s")
         self.start_replica("k0")
         self.wait_for(lambda: call_admin_api(self.admin_api, "PUT", "/api/exclude/s-0")[0] == 200)
-        self.assertEqual(len([p for p in self.look("permits") if p["state"] == "granted"]), 1)
+        self.assertEqual(len([permit for permit in self.look("permits") if permit["state"] == "granted"]), 1)
 
-    def test_a_node_that_ends_says_so(self):
-        self.joined()
+    def test_a_terminated_node_is_reported_as_ended(self):
+        self.wait_until_joined()
         self.terminate()
         self.wait_for(lambda: [row["state"] for row in self.look("members")] == ["ended"])
 
 
-class Stopping(FleetNode):
-    part = 'cut-off="stop"'
+class NodeThatStopsAtLeaseExpiry(ClusterNode):
+    xml_attributes = 'cut-off="stop"'
 
-    def test_it_sends_nothing_once_its_lease_has_run_out(self):
-        self.joined()
-        self.assertFalse(self.refused())
+    def test_the_node_sends_nothing_after_its_lease_has_expired(self):
+        self.wait_until_joined()
+        self.assertFalse(self.is_rejected())
         self.kill("k0")
         self.wait_log("the lease has run out")
-        self.assertTrue(all(self.refused() for _ in range(4)))
+        self.assertTrue(all(self.is_rejected() for _ in range(4)))
         self.start_replica("k0")
-        self.wait_for(lambda: not self.refused())
+        self.wait_for(lambda: not self.is_rejected())
 
-    def test_it_was_paused_beyond_its_lease_and_sends_nothing_by_what_it_knew(self):
-        """The request comes while it stands still: what it does first must ask the lease, not a timer."""
-        self.joined()
-        client = self.client().ask()  # a first request is served: a session without one is ended after 2.8 s
+    def test_a_node_suspended_past_its_lease_sends_nothing_when_it_resumes(self):
+        """The request arrives during the suspension, so the lease must be checked before any timer runs."""
+        self.wait_until_joined()
+        client = self.client().ask()  # a session without a request ends after 2.8 s
         self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
         for server in self.executors:
             if not server.received.empty():
                 server.next_request().done()
         self.assertEqual(client.answer()[0], 200)
         self.process.send_signal(19)
-        stat = Path(f"/proc/{self.process.pid}/stat")
-        self.wait_for(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
+        stat_path = Path(f"/proc/{self.process.pid}/stat")
+        self.wait_for(lambda: stat_path.read_text().rpartition(")")[2].split()[0] == "T")
         client.ask()
-        self.kill("k0")  # or its first beat might be answered before the request is read
+        self.kill("k0")  # else a heartbeat could renew the lease before the request is read
         lease_s = 3.2
-        time.sleep(lease_s)  # its lease has to run out while it stands still: no condition tells that
+        time.sleep(lease_s)  # no condition shows that the lease of a suspended node expires
         self.process.send_signal(18)
         self.assertEqual(client.answer()[0], 503)
         self.assertEqual(
@@ -149,38 +147,38 @@
         )
 
 
-class Alone(FleetNode):
-    replica_runs = False
+class NodeWithoutReplica(ClusterNode):
+    has_running_replica = False
 
-    def test_it_sends_nothing_before_it_has_heard_what_is_out(self):
+    def test_the_node_sends_nothing_before_its_first_orders(self):
         self.assertEqual(call_admin_api(self.admin_api, "GET", "/api/ready")[0], 503)
-        self.assertTrue(self.refused())
+        self.assertTrue(self.is_rejected())
         self.start_replica("k0")
         self.wait_log("the lease holds")
-        self.wait_for(lambda: not self.refused())
+        self.wait_for(lambda: not self.is_rejected())
 
 
-class AloneByWord(FleetNode):
-    replica_runs = False
-    part = 'start="alone"'
+class NodeStartingAlone(ClusterNode):
+    has_running_replica = False
+    xml_attributes = 'start="alone"'
 
-    def test_where_an_installation_says_so_it_serves_at_once(self):
-        self.assertFalse(self.refused())
+    def test_a_node_configured_to_start_alone_serves_at_once(self):
+        self.assertFalse(self.is_rejected())
 
 
 if __name__ == "__main__":
     unittest.main()
 
 
-class Budgeted(FleetNode):
-    """A node that spends by the fleet's budgets."""
+class NodeWithProbeBudget(ClusterNode):
+    """A node that spends from a budget of the cluster."""
 
     settings_changes = {"caps.probes": True}
-    limits = (*FleetNode.limits, '<budget name="probes" per-second="0.001" nodes="1"/>')
+    limits = (*ClusterNode.limits, '<budget name="probes" per-second="0.001" nodes="1"/>')
 
-    def test_a_node_probes_no_more_than_the_fleet_lets_it(self):
-        """A budget of one in a thousand seconds: requests are placed by what is known, and served."""
-        self.joined()
+    def test_a_node_sends_no_probes_beyond_its_probe_budget(self):
+        """With a budget of one probe in 1000 s, requests are served without probing."""
+        self.wait_until_joined()
         rows = self.wait_for(lambda: self.look("budgets"))
         self.assertEqual((rows[0]["name"], rows[0]["rate"]), ("probes", 1))
         for _ in range(8):
@@ -188,7 +186,7 @@
             self.wait_for(lambda: any(not server.received.empty() for server in self.executors))
             for server in self.executors:
                 while not server.received.empty():
-                    asked = server.next_request()
-                    self.assertEqual(asked.method, "POST", "no probe without a place in the budget")
-                    asked.done()
+                    request = server.next_request()
+                    self.assertEqual(request.method, "POST", "no probe beyond the budget")
+                    request.done()
             self.assertEqual(client.answer()[0], 200)
