--- a/cedarmill/net/__init__.py
+++ b/cedarmill/net/__init__.py
@@ -1,1 +1,1 @@
-"""The node's network side: client sessions, upstream connections, discovery, and the wiring of a node."""
+"""Network I/O of a node: client sessions, executor connections, discovery and the assembly of the node."""
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -1,4 +1,4 @@
-"""The real program and clients that leave: by close, half-close and word, in chains, by the thousand."""
+"""Tests of clients that cancel by a close, a half-close or a request, also through chains of nodes."""
 
 import asyncio
 import json
@@ -23,6 +23,7 @@
 
 
 def raw(number: int, job_class: str = "pin", budget: int = 6000, more: str = "") -> bytes:
+    """Return the bytes of a request; `more` holds further header lines."""
     head = (
         f"POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: raw{number}\r\nX-Call-Class: {job_class}\r\n"
         f"X-Caller: acme\r\nX-Budget-Ms: {budget}\r\n{more}Content-Length: 6\r\n\r\n"
@@ -31,37 +32,40 @@
 
 
 class LeavingCase(NodeCase):
+    """A node with clients that write to a plain socket."""
+
     def raw_client(self) -> socket.socket:
+        """Connect to the node with a socket that is closed after the test."""
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
         self.addCleanup(sock.close)
         return sock
 
 
 class Racing(LeavingCase):
-    def test_a_close_and_a_reset_at_one_moment_start_nothing_late(self):
-        """The reset lets a keyed request be sent again, the close forbids it: both orders."""
+    def test_a_client_close_together_with_an_executor_reset_starts_no_late_retry(self):
+        """The reset allows a retry of a keyed request and the close forbids it, in both orders."""
         for number in range(40):
             client = self.client().ask()
-            asked = self.executors[0].next_request()
-            both = [client.close, asked.connection.reset]
-            for event in both if number % 2 else reversed(both):
+            request = self.executors[0].next_request()
+            events = [client.close, request.connection.reset]
+            for event in events if number % 2 else reversed(events):
                 event()
-            left = time.monotonic()
-            while time.monotonic() < left + 0.03:
+            closed = time.monotonic()
+            while time.monotonic() < closed + 0.03:
                 if not self.executors[0].received.empty():
                     self.executors[0].next_request()
-                    self.assertLess(time.monotonic() - left, 0.025)  # a copy that was on its way
+                    self.assertLess(time.monotonic() - closed, 0.025)  # a retry sent before the close
                 select.select([], [], [], 0.001)
         self.process.send_signal(signal.SIGUSR1)
         self.wait_log("wasted work")
 
-    def test_requests_behind_one_whose_client_left_do_not_start(self):
-        """Sent ahead on the same session, they wait there; its end is theirs."""
+    def test_pipelined_requests_of_a_closed_client_do_not_start(self):
+        """Pipelined requests wait in the session and are dropped when it ends."""
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2) + raw(3))
-        asked = self.executors[0].next_request()
+        request = self.executors[0].next_request()
         sock.close()
-        self.assertTrue(asked.connection.ended.wait(WAIT))
+        self.assertTrue(request.connection.ended.wait(WAIT))
         client = self.client().ask()
         self.assertEqual(self.executors[0].next_request().headers["X-Call-Id"], f"{client.count:016x}")
 
@@ -69,61 +73,64 @@
 class HeldByte(LeavingCase):
     log_format = "json"
 
-    def test_who_leaves_before_the_last_byte_leaves_nothing_that_ran(self):
-        """A code-issue's last byte waits 2 ms: within them its client goes, and no executor may count it."""
-        whole = 0
+    def test_a_client_that_closes_before_the_last_byte_wastes_no_work(self):
+        """The node delays the last byte of an unsafe request by 2 ms, during which a close cancels it."""
+        complete_requests = 0
         for number in range(20):
             sock = self.raw_client()
             sock.sendall(raw(number, "issue"))
             sock.close()
         for _ in range(20):
             try:
-                whole += len(self.executors[0].received.get(timeout=0.3).body) == 6
+                complete_requests += len(self.executors[0].received.get(timeout=0.3).body) == 6
             except Exception:
                 break
         self.process.send_signal(signal.SIGUSR1)
         event = json.loads(self.wait_log("wasted-work"))
         self.assertEqual((event["event"], event["level"]), ("wasted-work", "info"))
-        charged = sum(row["attempts"] for row in event["rows"])
-        self.assertLessEqual(whole, 3)  # a slow machine may take over 2 ms to see a close
-        self.assertEqual(charged, whole)
-        self.assertEqual(event["words"] == "wasted work: nothing", whole == 0)
+        wasted_attempts = sum(row["attempts"] for row in event["rows"])
+        self.assertLessEqual(complete_requests, 3)  # A slow machine may read a close after more than 2 ms.
+        self.assertEqual(wasted_attempts, complete_requests)
+        self.assertEqual(event["words"] == "wasted work: nothing", complete_requests == 0)
 
 
 class Kinds(LeavingCase):
-    def left(self):
+    """Executors of kinds that differ in how an attempt is cancelled."""
+
+    def cancelled_request(self):
+        """Send a request, close its client, and return the request that the executor received."""
         client = self.client().ask()
-        asked = self.executors[0].next_request()
+        request = self.executors[0].next_request()
         client.close()
-        return asked
+        return request
 
 
-class EndsSending(Kinds):
+class CancelByHalfClose(Kinds):
     xml_settings = '<backends><kind name="box" cancel="end"/></backends>'
 
-    def test_an_attempt_is_given_up_by_ending_the_sending(self):
-        """A executor that honours a half-close may still write; what it says is read by nobody."""
-        asked = self.left()
-        self.assertTrue(asked.connection.ended.wait(WAIT))
+    def test_a_half_close_cancels_the_attempt(self):
+        """An executor that honours a half-close may still write, and the node discards its answer."""
+        request = self.cancelled_request()
+        self.assertTrue(request.connection.ended.wait(WAIT))
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
 
-class CannotCancel(Kinds):
+class CancelUnsupported(Kinds):
     xml_settings = '<backends><kind name="box" cancel="none"/></backends>'
 
-    def test_what_cannot_be_cancelled_keeps_its_connection_till_it_ends(self):
-        """Closed, it would run on unseen; kept, its end is seen and the connection serves again."""
+    def test_an_attempt_that_cannot_be_cancelled_keeps_its_connection_until_it_ends(self):
+        """The open connection shows the end of the attempt and can then be reused."""
         client = self.client().ask()
-        asked, held = self.executors[0].next_request(), self.descriptors()
+        request, descriptors = self.executors[0].next_request(), self.descriptors()
         client.close()
-        self.wait_for(lambda: self.descriptors() < held)  # the leave has been seen
-        asked.done()
+        self.wait_for(lambda: self.descriptors() < descriptors)  # The node has closed the session.
+        request.done()
         client = self.client().ask()
         second = self.executors[0].next_request()
-        # Where the second came before that end was read, the next one will not.
-        if second.connection is not asked.connection:
+        # The second request may be sent before the node has read that answer; the next one is sent after.
+        if second.connection is not request.connection:
             second.done()
             self.assertEqual(client.answer()[0], 200)
             client.ask()
@@ -131,26 +138,26 @@
         second.done()
         self.assertEqual(client.answer()[0], 200)
         self.assertIn(second.connection, self.executors[0].connections[:2])
-        self.assertFalse(asked.connection.ended.is_set())
+        self.assertFalse(request.connection.ended.is_set())
         self.process.send_signal(signal.SIGUSR1)
         self.wait_log("pin left: 1 attempts")
 
 
-class HalfCloseLeaves(LeavingCase):
-    def test_a_half_close_is_leaving_as_ever(self):
-        """The platform's clients never do it and read on; the attempt is given up."""
+class HalfCloseCancels(LeavingCase):
+    def test_a_half_close_of_the_client_cancels_its_request_by_default(self):
+        """Clients of the platform do not half-close a connection that they still read."""
         sock = self.raw_client()
         sock.sendall(raw(1))
-        asked = self.executors[0].next_request()
+        request = self.executors[0].next_request()
         sock.shutdown(socket.SHUT_WR)
-        self.assertTrue(asked.connection.ended.wait(WAIT))
+        self.assertTrue(request.connection.ended.wait(WAIT))
 
 
-class HalfCloseStays(LeavingCase):
+class HalfCloseAllowed(LeavingCase):
     xml_settings = '<deadlines half-close="stays"/>'
 
-    def test_a_half_closed_client_reads_its_answers_and_is_then_closed(self):
-        """Where fronts end their sending early, the work is wanted; but nobody may hold a session so."""
+    def test_a_half_closed_client_gets_its_answers_and_is_then_closed(self):
+        """Fronts that half-close early still want their answers; an idle half-closed session is closed."""
         sock = self.raw_client()
         sock.sendall(raw(1) + raw(2))
         sock.shutdown(socket.SHUT_WR)
@@ -162,37 +169,37 @@
         self.assertEqual(idle.recv(1), b"")
 
 
-class ByWord(LeavingCase):
+class CancelByRequest(LeavingCase):
     xml_settings = '<deadlines cancel-calls="on"/>'
 
-    def test_a_front_that_cannot_close_says_that_the_client_left(self):
-        """The session goes on; only the caller's own open call is taken back."""
+    def test_a_delete_request_cancels_an_open_call_of_its_caller(self):
+        """The session stays open; calls of other callers and unknown calls are answered 404."""
         first, second = self.client(), self.client()
         first.ask(**{"X-Call-Id": "abc"})
-        asked = self.executors[0].next_request()
+        request = self.executors[0].next_request()
         for call_id, caller, status in (("abc", "other", 404), ("abd", "acme", 404), ("abc", "acme", 200),
                                         ("abc", "acme", 404)):  # fmt: skip
             second.request("DELETE", f"/api/calls/{call_id}", headers={"X-Caller": caller})
             self.assertEqual(second.answer()[0], status)
-        self.assertTrue(asked.connection.ended.wait(WAIT))
+        self.assertTrue(request.connection.ended.wait(WAIT))
         self.assertEqual(first.answer(), (502, b"recalled by its client\n"))
         first.ask()
         self.executors[0].next_request().done()
         self.assertEqual(first.answer()[0], 200)
 
 
-class Sources(LeavingCase):
+class DeadlineHeaders(LeavingCase):
     xml_settings = ('<deadlines><source header="grpc-timeout"/><source header="x-deadline-unix-ms"/>'
             '<skew bound="50ms"/></deadlines>')  # fmt: skip
 
-    def test_other_deadlines_are_obeyed_and_malformed_ones_told(self):
-        """The tightest holds; a past one is refused at once; clocks 5 s off are told."""
-        unix = int(time.time() * 1000)
+    def test_the_earliest_deadline_applies_and_invalid_ones_are_refused(self):
+        """A deadline in the past is answered 503; a malformed one or a clock 5 s ahead is answered 400."""
+        now_ms = int(time.time() * 1000)
         for headers, statuses in (
-            ({"grpc-timeout": "300m", "X-Deadline-Unix-Ms": str(unix + 5000)}, (502,)),
+            ({"grpc-timeout": "300m", "X-Deadline-Unix-Ms": str(now_ms + 5000)}, (502,)),
             ({"grpc-timeout": "300x"}, (400,)), ({}, (400,)), ({"grpc-timeout": "0m"}, (503,)),
-            ({"X-Deadline-Unix-Ms": str(unix - 5000)}, (503,)),
-            ({"X-Deadline-Unix-Ms": str(unix + 6000 + 5000)}, (400,)),
+            ({"X-Deadline-Unix-Ms": str(now_ms - 5000)}, (503,)),
+            ({"X-Deadline-Unix-Ms": str(now_ms + 6000 + 5000)}, (400,)),
         ):  # fmt: skip
             with self.subTest(headers):
                 began = time.monotonic()
@@ -203,19 +210,19 @@
         self.wait_log("a client's deadline cannot be")
 
 
-class ShortOfAConnect(CutOff):
+class DeadlineBeforeConnectTimeout(CutOff):
     settings_changes = {"caps.connect_timeout": 5_000_000, "caps.probes": True}
-    test_a_connect_that_never_comes_up_ends_in_its_time = None  # it holds for another time-out
+    test_a_connect_without_an_answer_times_out = None  # That test expects a shorter connect time-out.
 
-    def test_a_deadline_shorter_than_one_connect_is_kept(self):
-        """The answer comes by the deadline, whatever still connects."""
+    def test_a_request_is_answered_by_its_deadline_while_a_connect_is_pending(self):
+        """The connect time-out is longer than the budget of the request."""
         began = time.monotonic()
         self.assertIn(self.client().ask("issue", budget=100).answer()[0], (502, 503))
         self.assertLess(time.monotonic() - began, 0.1 + 0.058)
 
-    def test_what_still_connects_for_who_has_left_is_let_go(self):
-        """The probe asked for its sake too: it would cost the executor work once the connect comes up."""
-        self.discovery.next_request()  # its connection counts among those that stay
+    def test_pending_connects_of_a_closed_client_are_cancelled(self):
+        """Pending probes of its request are cancelled too: they would cost the executor work."""
+        self.discovery.next_request()  # The watch holds its descriptor throughout the test.
         client = self.client()
         client.connect()
         self.wait_for(lambda: self.descriptors())
@@ -228,8 +235,8 @@
         self.assertLess(time.monotonic() - began, 4)
 
 
-class Chain(LeavingCase):
-    """client -> front -> inner -> executor."""
+class ChainedNodes(LeavingCase):
+    """Two nodes in a row: client -> front -> inner -> executor."""
 
     xml_settings = ('<deadlines><margin kind="learned"/></deadlines>'
             '<backends><kind name="node" speaks="node"/></backends>')  # fmt: skip
@@ -246,31 +253,31 @@
         self.wait_log("serves on")
         self.port = self.logged_port()
 
-    def test_a_chain_serves_passes_a_leave_on_and_shortens_the_budget(self):
-        """Leaving the front must reach the executor; no hop may pass on more than it was given."""
+    def test_a_chain_forwards_cancellations_and_shortens_the_budget(self):
+        """A client's close reaches the executor, and no node forwards a larger budget than it received."""
         client = self.client().ask(budget=1000)
-        asked = self.executors[0].next_request()
-        self.assertGreater(int(asked.headers["X-Budget-Ms"]), 900)
-        self.assertLess(int(asked.headers["X-Budget-Ms"]), 1000)
-        asked.done("from the box")
+        request = self.executors[0].next_request()
+        self.assertGreater(int(request.headers["X-Budget-Ms"]), 900)
+        self.assertLess(int(request.headers["X-Budget-Ms"]), 1000)
+        request.done("from the box")
         self.assertEqual(client.answer(), (200, b"from the box"))
         client.ask()
-        asked = self.executors[0].next_request()
+        request = self.executors[0].next_request()
         client.close()
-        self.assertTrue(asked.connection.ended.wait(WAIT))
+        self.assertTrue(request.connection.ended.wait(WAIT))
 
-    def test_the_answer_is_in_time_where_the_executor_ignores_all(self):
-        """Three parties each keep a margin: the client hears before its own time is up."""
+    def test_a_chain_answers_within_the_budget_when_the_executor_is_silent(self):
+        """Each node keeps a margin of the budget, so that the client gets its answer before its time-out."""
         began = time.monotonic()
         client = self.client().ask("issue", budget=400)
         self.executors[0].next_request()
         self.assertEqual(client.answer()[0], 502)
-        took = time.monotonic() - began
-        self.assertLess(took, 0.4 + 0.058)
-        self.assertGreater(took, 0.3)
+        duration_s = time.monotonic() - began
+        self.assertLess(duration_s, 0.4 + 0.058)
+        self.assertGreater(duration_s, 0.3)
 
-    def test_a_node_killed_in_the_middle_ends_in_one_honest_answer(self):
-        """A code-issue may have run: failed, never sent again; later ones are refused, nothing ran."""
+    def test_a_killed_inner_node_fails_an_unsafe_request_and_refuses_later_ones(self):
+        """The open request may have run, so it fails without a retry; later ones did not run."""
         client = self.client().ask("issue")
         self.executors[0].next_request()
         self.inner.kill()
@@ -289,11 +296,12 @@
 </scenario>"""
 
 
-USUAL_US = 330_000  # of work in a usual call: the shortest mean of the brief's classes
+# Work of a call of the clients that stay, in microseconds; the shortest mean of the platform's classes.
+REGULAR_WORK_US = 330_000
 
 
-class Quiet:
-    """Takes what client sessions have to tell, and wants nothing of them."""
+class LoadStub:
+    """Stub of the load generator for client connections: ended calls have no effect."""
 
     def __init__(self, run: Run) -> None:
         self.clock, self.idle, self.stray = run.clock, set(), []
@@ -302,15 +310,13 @@
 
 
 class Thousand(unittest.TestCase):
-    def test_a_thousand_that_leave_at_once_cost_the_others_nothing(self):
-        """Their ends come in one turn of the loop: each usual call is served. `benchmarks/leaving.py` times
-        it.
-        """
-        _, crowd, seen = self.thousand()
-        self.assertEqual((len(crowd), seen), (75, 1000))
+    def test_a_thousand_clients_that_close_at_once_do_not_block_the_others(self):
+        """All closes are read in one loop iteration; `benchmarks/leaving.py` measures the delay."""
+        _, leaving_s, visit_count = self.thousand()
+        self.assertEqual((len(leaving_s), visit_count), (75, 1000))
 
     def thousand(self) -> tuple[list[float], list[float], int]:
-        """What usual calls take in calm and while a thousand leave, and how many of those were there."""
+        """Return durations of regular calls before and during the closes, and how many calls were open."""
         with (
             tempfile.TemporaryDirectory() as folder,
             asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
@@ -319,70 +325,75 @@
             path.write_text(SCENARIO)
             scenario = read(str(path))
             run = Run(scenario, scenario.sides[0], 1, lambda done: None, sockets=4096)
-            return runner.run(self.play(run, Path(folder)))
+            return runner.run(self.measure_closes(run, Path(folder)))
 
-    async def play(self, run: Run, folder: Path) -> tuple[list[float], list[float], int]:
-        load = Quiet(run)
+    async def measure_closes(self, run: Run, folder: Path) -> tuple[list[float], list[float], int]:
+        load = LoadStub(run)
         await run.open(folder)
         try:
-            held = [await self.ask(run, load, number, 60_000_000) for number in range(1000)]
+            leaving = [await self.open_call(run, load, number, 60_000_000) for number in range(1000)]
             until = time.monotonic() + WAIT
             while len(run.history.visits) < 1000 and time.monotonic() < until:
                 await asyncio.sleep(0.01)
-            seen = len(run.history.visits)
-            usual = [await self.ask(run, load, 1000 + n, USUAL_US) for n in range(25)]
-            calm = await self.serve(run, usual, 2000)
-            for other in held:
-                other.leave("close")
-            crowd = await self.serve(run, usual, 3000)
+            visit_count = len(run.history.visits)
+            regular = [await self.open_call(run, load, 1000 + n, REGULAR_WORK_US) for n in range(25)]
+            calm_s = await self.time_calls(run, regular, 2000)
+            for connection in leaving:
+                connection.leave("close")
+            leaving_s = await self.time_calls(run, regular, 3000)
         finally:
             await run.close()
-        return calm, crowd, seen
+        return calm_s, leaving_s, visit_count
 
-    async def ask(self, run: Run, load, number: int, work: int) -> ClientConnection:
+    async def open_call(self, run: Run, load, number: int, work: int) -> ClientConnection:
+        """Connect a client and send its first call."""
         port = run.nodes[0].port
-        _, wire = await asyncio.get_running_loop().create_connection(
+        _, connection = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(load), "127.0.0.1", port
         )
-        self.write(run, wire, number, work)
-        return wire
+        self.send_call(run, connection, number, work)
+        return connection
 
     @staticmethod
-    def write(run: Run, wire: ClientConnection, number: int, work: int) -> None:
-        wire.call = Call(f"c{number}", "pin", number, run.clock())
+    def send_call(run: Run, connection: ClientConnection, number: int, work: int) -> None:
+        """Send a call with this work, in microseconds."""
+        connection.call = Call(f"c{number}", "pin", number, run.clock())
         text = raw(number, "pin", 20_000).replace(b"acme", b"lab").replace(b"raw", b"c")
         body = b"%d" % work
         text = text.replace(b"Content-Length: 6", b"Content-Length: %d" % len(body)).replace(b"a body", body)
-        wire.transport.write(text)
-
-    async def serve(self, run: Run, wires: list[ClientConnection], number: int) -> list[float]:
-        """What a second of usual calls takes, each."""
-        loops = [self.again(run, wire, number + 100 * n) for n, wire in enumerate(wires)]
-        return [took for times in await asyncio.gather(*loops) for took in times]
-
-    async def again(self, run: Run, wire: ClientConnection, number: int) -> list[float]:
-        times = []
+        connection.transport.write(text)
+
+    async def time_calls(self, run: Run, connections: list[ClientConnection], number: int) -> list[float]:
+        """Return the durations of three calls on each connection, in seconds."""
+        loops = [
+            self.repeat_calls(run, connection, number + 100 * n) for n, connection in enumerate(connections)
+        ]
+        return [duration for durations in await asyncio.gather(*loops) for duration in durations]
+
+    async def repeat_calls(self, run: Run, connection: ClientConnection, number: int) -> list[float]:
+        """Send three calls one after the other and return their durations in seconds."""
+        durations = []
         for count in range(3):
-            while wire.call is not None:  # the one before has its answer
+            while connection.call is not None:  # The previous call is still open.
                 await asyncio.sleep(0.001)
             began = time.monotonic()
-            self.write(run, wire, number + count, USUAL_US)
-            while wire.call is not None:
+            self.send_call(run, connection, number + count, REGULAR_WORK_US)
+            while connection.call is not None:
                 await asyncio.sleep(0.001)
-            times.append(time.monotonic() - began)
-        return times
+            durations.append(time.monotonic() - began)
+        return durations
 
 
-class Platform(unittest.TestCase):
-    def test_the_platforms_run_loads_nothing_that_is_not_asked_for(self):
-        """Nodes have 32 MB at the least: what the laboratory or the command needs must not come with them."""
+class NodeImports(unittest.TestCase):
+    def test_the_node_does_not_import_the_simulator_or_the_command_line(self):
+        """A node may have as little as 32 MB of memory, too little for modules that it does not use."""
         code = ("import sys, cedarmill.net.node; found = {n.split('.')[0] for n in sys.modules};"
                 "own = {n for n in sys.modules if n.startswith('cedarmill.')};"
                 "bad = found & {'click', 'lxml', 'structlog', 'rich', 'numpy', 'matplotlib', 'hdrh'};"
                 "bad |= {n for n in own if n.split('.')[1] in ('lab', 'cli', 'conf', 'sim', 'health')};"
                 "sys.exit(bad or 0)")  # fmt: skip
-        ran = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-        self.assertEqual(ran.stderr.strip(), "")
+        process = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+        self.assertEqual(process.stderr.strip(), "")
 
 
 if __name__ == "__main__":
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -1,4 +1,4 @@
-"""The real program on sockets: each test names what it guards against."""
+"""Tests of the node as a process: requests, executor connections, discovery, reload, drain and start."""
 
 import contextlib
 import json
@@ -16,133 +16,138 @@
 
 
 class Serving(NodeCase):
-    def test_a_request_without_a_key_is_served(self):
-        """At a site without keys the path is /api alone; taking only paths below it once refused all."""
+    def test_a_request_without_a_key_in_its_path_is_served(self):
+        """Guards against accepting only paths below /api: requests without a key use /api itself."""
         client = self.client().ask(path="/api?x=1", **{"Idempotency-Key": "k1"})
-        asked = self.executors[0].next_request()
-        self.assertEqual((asked.method, asked.path, asked.body), ("POST", "/api?x=1", b"a body"))
-        self.assertEqual(asked.headers["Idempotency-Key"], "k1")
-        self.assertLess(int(asked.headers["X-Budget-Ms"]), 6000)
-        asked.done("r\u00e9sultat")
+        request = self.executors[0].next_request()
+        self.assertEqual((request.method, request.path, request.body), ("POST", "/api?x=1", b"a body"))
+        self.assertEqual(request.headers["Idempotency-Key"], "k1")
+        self.assertLess(int(request.headers["X-Budget-Ms"]), 6000)
+        request.done("r\u00e9sultat")
         self.assertEqual(client.answer(), (200, "r\u00e9sultat".encode()))
 
-    def test_a_executor_connection_serves_one_request_after_the_other(self):
-        """A new connection costs the executor work; only at a message's end is it known to be kept."""
+    def test_an_executor_connection_is_reused_for_consecutive_requests(self):
+        """Guards against opening a new connection for each request, which costs the executor work."""
         for _ in range(3):
             client = self.client().ask()
             self.executors[0].next_request().done()
             self.assertEqual(client.answer()[0], 200)
         self.assertEqual(len(self.executors[0].connections), 1)
 
-    def test_a_connection_that_got_eof_is_not_used_again(self):
-        """What is written to a closed connection ends as a reset, and an unsafe request is then lost."""
+    def test_a_connection_closed_by_the_executor_is_not_reused(self):
+        """A write to a closed connection is answered with a reset, which loses an unsafe request."""
         client = self.client().ask()
         first = self.executors[0].next_request()
         first.done()
         self.assertEqual(client.answer()[0], 200)
         first.connection.close()
-        self.assertTrue(first.connection.ended.wait(WAIT))  # the node has closed its side, too
+        self.assertTrue(first.connection.ended.wait(WAIT))  # The node has closed its side too.
         client.ask("issue")
         second = self.executors[0].next_request()
         second.done()
         self.assertEqual(client.answer()[0], 200)
         self.assertIsNot(first.connection, second.connection)
 
-    def test_an_unsafe_request_whose_stream_breaks_off_fails_and_is_not_sent_again(self):
-        """A 200 that ends without a last line is a reset: the job may have run."""
+    def test_an_unsafe_request_with_a_truncated_answer_fails_without_a_retry(self):
+        """A 200 answer without its final line counts as a reset: the job may have run."""
         client = self.client().ask("issue")
-        asked = self.executors[0].next_request()
-        asked.send_head()
-        asked.connection.send("0\r\n\r\n")
+        request = self.executors[0].next_request()
+        request.send_head()
+        request.connection.send("0\r\n\r\n")
         self.assertEqual(client.answer()[0], 502)
         self.assertTrue(self.executors[0].received.empty())
 
-    def test_a_line_of_another_job_is_not_passed_on(self):
-        """A node that serves what no executor made for the request breaks a rule."""
+    def test_an_answer_with_another_call_id_fails_the_request(self):
+        """Guards against forwarding a result that belongs to another request."""
         client = self.client().ask("issue")
-        asked = self.executors[0].next_request()
-        asked.send_head()
-        asked.send_line({"id": "another", "state": "done", "result": "not yours"})
+        request = self.executors[0].next_request()
+        request.send_head()
+        request.send_line({"id": "another", "state": "done", "result": "not yours"})
         self.assertEqual(client.answer()[0], 502)
 
-    def may_have_run(self, end) -> None:
-        """No refusal and no second attempt for an unsafe request after such an end."""
+    def assert_failed_without_retry(self, end_attempt) -> None:
+        """Check that an unsafe request whose attempt ends this way gets 502 and no second attempt."""
         client = self.client().ask("issue")
-        end(self.executors[0].next_request())
+        end_attempt(self.executors[0].next_request())
         self.assertEqual(client.answer()[0], 502)
         self.assertTrue(self.executors[0].received.empty())
 
-    def test_a_failed_job_may_have_run(self):
-        """Its state says nothing of what it did before."""
-        self.may_have_run(lambda asked: (asked.send_head(), asked.send_state("failed")))
+    def test_a_failed_unsafe_job_is_not_retried(self):
+        """A job may have had effects before it failed."""
+        self.assert_failed_without_retry(lambda request: (request.send_head(), request.send_state("failed")))
 
-    def test_a_lost_job_may_have_run(self):
-        """It was killed at an unknown point."""
-        self.may_have_run(lambda asked: (asked.send_head(), asked.send_state("lost")))
+    def test_a_lost_unsafe_job_is_not_retried(self):
+        """A lost job was killed at an unknown point of its run."""
+        self.assert_failed_without_retry(lambda request: (request.send_head(), request.send_state("lost")))
 
-    def test_a_connection_that_breaks_after_the_last_byte_may_have_run(self):
-        """Only what breaks before it is a failed connect."""
-        self.may_have_run(lambda asked: asked.connection.close())
+    def test_an_unsafe_request_whose_connection_breaks_after_the_last_byte_is_not_retried(self):
+        """Only a connection that breaks before the last byte proves that the request did not run."""
+        self.assert_failed_without_retry(lambda request: request.connection.close())
 
-    def test_503_without_its_mark_may_have_run(self):
-        """Only X-Rejected proves that the executor did not look at it."""
-        self.may_have_run(lambda asked: asked.connection.send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"))
+    def test_an_unsafe_request_answered_503_without_x_rejected_is_not_retried(self):
+        """Only X-Rejected proves that the executor did not start the request."""
+        self.assert_failed_without_retry(
+            lambda request: request.connection.send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
+        )
 
-    def test_a_request_turned_away_unseen_is_refused_with_advice(self):
-        """503 with X-Rejected, and `returned`, prove that it never ran: the synthetic answer is harmless."""
+    def test_a_rejected_request_is_answered_503_with_retry_after(self):
+        """X-Rejected and the state `returned` prove that the request never ran, so the client may retry."""
         status = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-        endless = "HTTP/1.1 504 x\r\nX-Rejected: 1\r\nConnection: close\r\n\r\n"  # the head says it all
+        # An answer without a length: its head alone is enough.
+        endless = "HTTP/1.1 504 x\r\nX-Rejected: 1\r\nConnection: close\r\n\r\n"
         refusals = (
-            lambda asked: asked.connection.send(status),
-            lambda asked: asked.connection.send(endless),
-            lambda asked: (asked.send_head(), asked.send_state("returned")),
+            lambda request: request.connection.send(status),
+            lambda request: request.connection.send(endless),
+            lambda request: (request.send_head(), request.send_state("returned")),
         )
         for refuse in refusals:
             client = self.client().ask("issue")
-            while not client.answered(0.02):  # the module may try again, as often as the settings allow
+            while not client.answered(0.02):  # The node may retry, up to `caps.try_limit` attempts.
                 if not self.executors[0].received.empty():
                     refuse(self.executors[0].next_request())
             self.assertEqual(client.answer()[0], 503)
             self.assertGreater(float(client.headers["Retry-After"]), 0)
 
-    def test_the_answer_comes_before_the_budget_ends(self):
-        """A silent executor: the client must hear before it gives up, and the connection is let go."""
+    def test_a_request_to_a_silent_executor_is_answered_within_its_budget(self):
+        """The client gets its answer before its time-out, and the attempt's connection is closed."""
         began = time.monotonic()
         client = self.client().ask("issue", budget=400)
-        asked = self.executors[0].next_request()
-        self.assertLessEqual(int(asked.headers["X-Budget-Ms"]), 380)  # what is left after its margin
+        request = self.executors[0].next_request()
+        self.assertLessEqual(
+            int(request.headers["X-Budget-Ms"]), 380
+        )  # The node keeps a margin of the budget.
         self.assertEqual(client.answer()[0], 502)
-        self.assertLess(time.monotonic() - began, 0.4 + 0.058)  # the slack that the rule allows
-        self.assertTrue(asked.connection.ended.wait(WAIT))
+        self.assertLess(time.monotonic() - began, 0.4 + 0.058)  # the allowed delay past the deadline
+        self.assertTrue(request.connection.ended.wait(WAIT))
 
-    def test_a_client_that_leaves_gives_up_its_attempt(self):
-        """Nobody reads that answer any more; to give up an attempt is to close its connection."""
+    def test_a_closed_client_connection_cancels_the_attempt(self):
+        """An attempt is cancelled by closing its connection to the executor."""
         client = self.client().ask()
-        asked = self.executors[0].next_request()
+        request = self.executors[0].next_request()
         client.close()
-        self.assertTrue(asked.connection.ended.wait(WAIT))
+        self.assertTrue(request.connection.ended.wait(WAIT))
 
-    def test_notes_of_a_start_and_of_progress_are_no_answer(self):
-        """Lines before the last one, split anywhere, must neither end the request nor break it."""
+    def test_progress_lines_do_not_end_the_request(self):
+        """Lines before the final one, split at any byte, must neither end the request nor fail it."""
         client = self.client().ask()
-        asked = self.executors[0].next_request()
-        asked.send_head()
-        asked.send_state("started")
-        asked.send_state("running", share=0.5)
-        asked.connection.send('5\r\n{"sta\r\n')
-        asked.connection.send('1e\r\nte":"done","result":{"a": 1}}\n\r\n0\r\n\r\n')
+        request = self.executors[0].next_request()
+        request.send_head()
+        request.send_state("started")
+        request.send_state("running", share=0.5)
+        request.connection.send('5\r\n{"sta\r\n')
+        request.connection.send('1e\r\nte":"done","result":{"a": 1}}\n\r\n0\r\n\r\n')
         self.assertEqual(client.answer(), (200, b'{"a": 1}'))
 
 
 class Breaking(NodeCase):
-    def test_an_unsafe_request_goes_out_on_a_new_connection_once_a_kept_one_has_broken(self):
-        """Some executors reset kept connections at the next request: an unsafe request is lost that way."""
+    def test_an_unsafe_request_uses_a_new_connection_after_a_reused_one_was_reset(self):
+        """Some executors reset a reused connection at its next request, which loses an unsafe request."""
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
         client.ask()
         self.executors[0].next_request().connection.reset()
-        first = self.executors[0].next_request()  # the module sends it again
+        first = self.executors[0].next_request()  # the retry
         first.done()
         self.assertEqual(client.answer()[0], 200)
         client.ask("issue")
@@ -150,47 +155,47 @@
         second.done()
         self.assertEqual(client.answer()[0], 200)
         self.assertIsNot(first.connection, second.connection)
-        client.ask()  # what may be repeated still uses the one used last
+        client.ask()  # A request that may be retried still reuses the connection used last.
         third = self.executors[0].next_request()
         third.done()
         self.assertEqual(client.answer()[0], 200)
         self.assertIs(second.connection, third.connection)
 
-    def test_a_reset_while_an_unsafe_request_arrives_proves_that_it_never_ran(self):
-        """Its last byte waits a moment: some executors reset a connection as soon as it brings something."""
+    def test_an_unsafe_request_reset_before_its_last_byte_is_retried(self):
+        """The last byte is delayed, since some executors reset a connection at its first byte."""
         self.executors[0].resets_at_first_byte = True
-        for asked in range(1, 21):  # the reset may also come too late, on a slow machine
+        for request_count in range(1, 21):  # On a slow machine the reset may come too late.
             self.assertIn(self.client().ask("issue").answer()[0], (502, 503))
-            if len(self.executors[0].connections) > asked:
+            if len(self.executors[0].connections) > request_count:
                 return
-        self.fail("no unsafe req was sent again")
+        self.fail("no unsafe request was retried")
 
-    def test_an_answer_before_the_last_byte_spoils_its_connection(self):
-        """The rest of that request would be read as the head of the next one."""
+    def test_an_answer_before_the_last_byte_prevents_reuse_of_its_connection(self):
+        """On a reused connection the rest of the request would be parsed as the head of the next one."""
         self.executors[0].early_answer = "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
         statuses = [502]
-        while statuses[-1] == 502 and len(statuses) <= 20:  # it may also come too late, on a slow machine
+        while statuses[-1] == 502 and len(statuses) <= 20:  # On a slow machine the answer may come too late.
             statuses.append(self.client().ask("issue").answer()[0])
         self.assertEqual(statuses[-1], 503)
         self.executors[0].early_answer = None
         client = self.client().ask()
-        asked = self.executors[0].next_request()
-        self.assertEqual(asked.method, "POST")  # a byte of the request before would stand in front of it
-        asked.done()
+        request = self.executors[0].next_request()
+        self.assertEqual(request.method, "POST")  # No byte of the previous request precedes it.
+        request.done()
         self.assertEqual(client.answer()[0], 200)
 
 
-class Resting(NodeCase):
+class IdleConnections(NodeCase):
     settings_changes = {"caps.conn_idle": 2000000}
 
-    def test_an_idle_connection_is_closed_well_before_its_executor_does(self):
-        """What is written to one that its machine has closed ends as a reset."""
+    def test_an_idle_connection_is_closed_before_the_idle_time_out_of_the_executor(self):
+        """A request written to a connection that the executor has closed is answered with a reset."""
         client = self.client().ask()
-        asked = self.executors[0].next_request()
-        asked.done()
+        request = self.executors[0].next_request()
+        request.done()
         began = time.monotonic()
         self.assertEqual(client.answer()[0], 200)
-        self.assertTrue(asked.connection.ended.wait(WAIT))
+        self.assertTrue(request.connection.ended.wait(WAIT))
         self.assertLess(time.monotonic() - began, 1.9)
 
 
@@ -198,8 +203,8 @@
     executor_count = 2
     settings_changes = {"caps.probes": True}
 
-    def test_a_probe_reads_the_load_and_the_job_goes_where_room_is(self):
-        """Load comes by probe only: the job must reach the executor that reports a free slot."""
+    def test_a_request_goes_to_the_executor_whose_probe_reports_free_slots(self):
+        """Probes are the only source of load reports here."""
         client = self.client().ask()
         for number, free in ((0, 0), (1, 2)):
             probe = self.executors[number].next_request()
@@ -210,35 +215,35 @@
         self.assertEqual(client.answer()[0], 200)
 
 
-class Crowded(NodeCase):
+class DescriptorLimit(NodeCase):
     sockets = 64
     settings_changes = {"caps.probes": True}
 
-    def test_descriptors_suffice_when_each_session_has_an_attempt_out(self):
-        """The node's own descriptors count too: two bounds that left them out once went over the limit."""
-        clients, held = [], []
-        for _ in range(12):  # idle ones, which have to make room
+    def test_descriptors_stay_within_the_limit_when_each_session_has_an_attempt_in_flight(self):
+        """Guards against bounds on sessions and attempts that leave out the node's own descriptors."""
+        clients, open_requests = [], []
+        for _ in range(12):  # Idle sessions must be closed to make room.
             self.addCleanup(socket.create_connection(("127.0.0.1", self.port), timeout=WAIT).close)
-        while len(held) < 20:
-            if len(clients) == len(held):
+        while len(open_requests) < 20:
+            if len(clients) == len(open_requests):
                 clients.append(self.client().ask("issue"))
-            asked = self.executors[0].next_request()
-            if asked.method == "POST":
-                held.append(asked)
+            request = self.executors[0].next_request()
+            if request.method == "POST":
+                open_requests.append(request)
             else:
                 load = '{"x0": 50, "x1": 50}'
-                asked.connection.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(load)}\r\n\r\n{load}")
+                request.connection.send(f"HTTP/1.1 200 OK\r\nContent-Length: {len(load)}\r\n\r\n{load}")
         self.assertLessEqual(len(os.listdir(f"/proc/{self.process.pid}/fd")), self.sockets)
-        for asked in held:
-            asked.done()
+        for request in open_requests:
+            request.done()
         self.assertEqual({client.answer()[0] for client in clients}, {200})
 
 
 class Rude(NodeCase):
     executor_count = 2
 
-    def test_the_id_of_an_open_request_is_not_taken_twice(self):
-        """Another's id made executors answer 400, and the node think ill of five of them in turn."""
+    def test_a_duplicate_call_id_of_an_open_request_is_answered_409(self):
+        """An executor answers a duplicate id with 400, which would count against its health."""
         first = self.client().ask(**{"X-Call-Id": "abc"})
         while all(server.received.empty() for server in self.executors):
             self.assertFalse(first.answered(0.01))
@@ -249,8 +254,8 @@
         while all(server.received.empty() for server in self.executors):
             self.assertFalse(second.answered(0.01))
 
-    def test_what_an_executor_cannot_use_is_not_offered_to_the_next(self):
-        """4xx blames the request: repeats would only hurt the health of executors that are well."""
+    def test_a_request_answered_400_is_not_retried(self):
+        """A 4xx status is the request's fault: retries would count against the health of other executors."""
         client = self.client().ask()
         while all(server.received.empty() for server in self.executors):
             self.assertFalse(client.answered(0.01))
@@ -259,8 +264,8 @@
         self.assertEqual(client.answer()[0], 502)
         self.assertTrue(all(server.received.empty() for server in self.executors))
 
-    def test_a_header_means_one_thing(self):
-        """One that came twice overwrote the first; a trailer did, too; blanks went on to the executor."""
+    def test_a_repeated_header_is_refused_and_trailers_are_ignored(self):
+        """Guards against a duplicate or trailer that overrides a header, and blanks in its value."""
         head = b"POST /api HTTP/1.1\r\nX-Call-Class: pin\r\nX-Budget-Ms: 500\r\nX-Call-Id: a1  \r\n"
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(head + b"X-Call-Id: a2\r\nContent-Length: 0\r\n\r\n")
@@ -270,11 +275,11 @@
             sock.sendall(head + chunks)
             while all(server.received.empty() for server in self.executors):
                 self.assertFalse(select.select([sock], [], [], 0.01)[0])
-            asked = next(server for server in self.executors if not server.received.empty()).next_request()
-            self.assertEqual((asked.headers["X-Call-Id"], asked.body), ("a1", b"x"))
+            request = next(server for server in self.executors if not server.received.empty()).next_request()
+            self.assertEqual((request.headers["X-Call-Id"], request.body), ("a1", b"x"))
 
-    def test_a_body_of_unclear_length_goes_no_further(self):
-        """Such a body can hide a second request: one error, and nothing of it reaches a executor."""
+    def test_a_body_of_ambiguous_length_is_refused_with_one_answer(self):
+        """Guards against request smuggling: no second request in the body reaches an executor."""
         head = b"POST /api HTTP/1.1\r\nX-Call-Class: pin\r\nX-Budget-Ms: 500\r\nX-Call-Id: a1\r\n"
         inner = head + b"Content-Length: 0\r\n\r\n"
         for lines in (b"Content-Length: 3\r\nContent-Length: 3\r\n", b"Content-Length: 3, 4\r\n",
@@ -288,25 +293,25 @@
                 self.assertEqual(re.findall(rb"HTTP/1.1 (\d+)", answers), [b"400"])
         self.assertTrue(all(server.received.empty() for server in self.executors))
 
-    def test_who_sends_nothing_whole_is_let_go_in_time(self):
-        """Silent and half-sent sessions held their places for 60 and 15 s; those that served may rest."""
+    def test_sessions_without_a_complete_request_time_out_early(self):
+        """Silent sessions and incomplete requests time out soon; a served session may stay idle."""
         served = self.client()
         served.request("GET", "/ready")
         self.assertEqual(served.answer()[0], 200)
-        began, got = time.monotonic(), []
+        began, connections = time.monotonic(), []
         for text in (b"", b"POST /api HTTP/1.1\r\nX: ", b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nx"):
-            got.append(socket.create_connection(("127.0.0.1", self.port), timeout=WAIT))
-            got[-1].sendall(text)
-        answers = [sock.makefile("rb").read() for sock in got]
+            connections.append(socket.create_connection(("127.0.0.1", self.port), timeout=WAIT))
+            connections[-1].sendall(text)
+        answers = [sock.makefile("rb").read() for sock in connections]
         self.assertLess(time.monotonic() - began, 3)
         self.assertEqual([answer[:12] for answer in answers], [b"", *[b"HTTP/1.1 408"] * 2])
         served.request("GET", "/ready")
         self.assertEqual(served.answer()[0], 200)
-        for sock in got:
+        for sock in connections:
             sock.close()
 
-    def test_an_error_is_read_by_one_who_still_sends(self):
-        """Closed over unread input, a socket is reset, and the error with it."""
+    def test_a_client_that_still_sends_reads_the_error_answer(self):
+        """Closing a socket with unread input resets the connection and loses the answer."""
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(b"POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
             with contextlib.suppress(OSError):
@@ -314,8 +319,8 @@
                     sock.sendall(b"x" * 1_000_000)
             self.assertIn(b" 413 ", sock.makefile("rb").readline())
 
-    def test_one_who_reads_nothing_fills_no_memory(self):
-        """Answers to what is sent ahead piled up in the write buffer without end."""
+    def test_pipelined_requests_of_a_client_that_does_not_read_are_bounded(self):
+        """Guards against a write buffer that grows without a limit."""
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.setblocking(False)
             sent, ask = 0, b"GET /no HTTP/1.1\r\n\r\n" * 8
@@ -325,11 +330,11 @@
             self.assertLess(sent, 50_000_000)
 
 
-class CrowdedOut(NodeCase):
-    sockets = 64  # 20 sessions
+class SessionLimit(NodeCase):
+    sockets = 64  # allows 20 sessions
 
-    def test_sessions_that_send_nothing_whole_make_room(self):
-        """They once kept usual clients in the backlog for 15 s and more: a third of a day was lost."""
+    def test_sessions_without_a_complete_request_are_closed_to_make_room(self):
+        """Guards against clients that wait in the backlog until incomplete requests time out."""
         for text in (b"", b"POST /api HTTP/1.1\r\nX: "):
             for _ in range(60):
                 sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
@@ -342,18 +347,18 @@
         self.assertLess(time.monotonic() - began, 4)
 
 
-class Narrow(NodeCase):
+class LowMemory(NodeCase):
     sockets = 1024
     memory_mb = 32
 
-    def test_half_sent_bodies_do_not_outgrow_the_memory(self):
-        """A node over its memory is killed: 500 sessions with a body each would have taken 60 MB."""
+    def test_incomplete_bodies_stay_within_the_memory_limit(self):
+        """The platform kills a node that exceeds its memory limit."""
 
-        def held() -> int:
+        def private_kib() -> int:
             text = Path(f"/proc/{self.process.pid}/smaps_rollup").read_text()
             return sum(int(kb) for kb in re.findall(r"Private_\w+: +(\d+)", text))
 
-        before = held()
+        before = private_kib()
         for _ in range(400):
             sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
             self.addCleanup(sock.close)
@@ -362,12 +367,12 @@
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
-        self.assertLess(held() - before, 12_000)
+        self.assertLess(private_kib() - before, 12_000)
 
 
 class Unreachable(NodeCase):
-    def test_a_refused_connect_proves_that_the_request_never_ran(self):
-        """So an unsafe request may be refused at once, not failed, and the node goes on."""
+    def test_an_unsafe_request_whose_connect_is_refused_is_answered_503(self):
+        """A refused connect proves that the request never ran, so the client may retry."""
         self.executors[0].close()
         client = self.client().ask("issue")
         self.assertEqual(client.answer()[0], 503)
@@ -375,7 +380,7 @@
 
 class CutOff(NodeCase):
     def setUp(self) -> None:
-        """The executor's backlog is full and nobody accepts: further connects hang."""
+        """Fill the backlog of the executor's listener, so that further connects get no answer."""
         self.silent = [socket.create_server(("127.0.0.1", 0), backlog=0)]
         for _ in range(3):
             self.silent.append(socket.socket())
@@ -389,32 +394,33 @@
         address = f"127.0.0.1:{self.silent[0].getsockname()[1]}"
         return super().entry(number, address=address, **changes)
 
-    def test_a_connect_that_never_comes_up_ends_in_its_time(self):
-        """A machine that is cut off says nothing: the attempt never ran, and its request is refused then."""
+    def test_a_connect_without_an_answer_times_out(self):
+        """A connect that times out proves that the attempt never ran, so its request is refused."""
         began = time.monotonic()
         self.assertEqual(self.client().ask("issue").answer()[0], 503)
         self.assertGreater(time.monotonic() - began, 0.2)
         self.assertLess(time.monotonic() - began, 1)
 
 
-class Errors(NodeCase):
+class InvalidRequests(NodeCase):
     sockets = 64
 
-    def raw(self, text: bytes) -> bytes:
+    def read_status_line(self, text: bytes) -> bytes:
+        """Send these bytes on a new connection and return the first line of the answer."""
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(text)
             return sock.makefile("rb").readline()
 
-    def test_what_is_wrong_with_a_request_is_said_by_its_status(self):
-        """Each of these is a client's fault: a plain answer, no traceback, and the node goes on."""
-        for wanted, changes in (
+    def test_an_invalid_request_is_answered_with_the_matching_status(self):
+        """Client errors must not end the node or leave a traceback in its log."""
+        for expected_status, changes in (
             (400, {"job_class": "unknown"}), (400, {"budget": "soon"}), (400, {"budget": 0}),
             (400, {"budget": -5}), (400, {"X-Call-Info": "slots=nan"}), (400, {"X-Call-Info": "slots"}),
             (400, {"X-Call-Cost": "much"}), (404, {"path": "/apis"}), (404, {"path": "/"}),
             (405, {"path": "/ready"}),
         ):  # fmt: skip
             with self.subTest(changes=changes):
-                self.assertEqual(self.client().ask(**changes).answer()[0], wanted)
+                self.assertEqual(self.client().ask(**changes).answer()[0], expected_status)
         for status, text in (
             (405, b"GET /api HTTP/1.1\r\n\r\n"), (400, b"no HTTP at all\r\n\r\n"),
             (400, b"POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n"),
@@ -423,86 +429,87 @@
             (431, b"GET /ready HTTP/1.1\r\nX: " + b"x" * 20000),
         ):  # fmt: skip
             with self.subTest(text=text[:40]):
-                self.assertEqual(self.raw(text).split()[1], str(status).encode())
-        self.assertEqual(self.raw(b"GET /ready HTTP/1.1\r\n\r\n").split()[1], b"200")
+                self.assertEqual(self.read_status_line(text).split()[1], str(status).encode())
+        self.assertEqual(self.read_status_line(b"GET /ready HTTP/1.1\r\n\r\n").split()[1], b"200")
 
-    def test_an_offer_to_upgrade_is_passed_over(self):
-        """A client may offer HTTP/2; the parser stops there, and a second answer would answer nothing."""
+    def test_a_protocol_upgrade_is_ignored_and_answered_once(self):
+        """The parser stops at an offer of HTTP/2; the rest must not cause a second answer."""
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(b"GET /ready HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n")
             answers = sock.makefile("rb").read()
         self.assertEqual(re.findall(rb"HTTP/1.1 (\d+)", answers), [b"200"])
 
-    def test_requests_sent_at_once_are_answered_in_order(self):
-        """A client may send before it has read; the answers must not change places."""
+    def test_pipelined_requests_are_answered_in_order(self):
+        """A client may send requests before it has read the previous answers."""
         with socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) as sock:
             sock.sendall(b"GET /ready HTTP/1.1\r\n\r\nGET /x HTTP/1.1\r\n\r\nrubbish\r\n\r\n")
             answers = sock.makefile("rb").read()
         self.assertEqual(re.findall(rb"HTTP/1.1 (\d+)", answers), [b"200", b"404", b"400"])
 
-    def test_more_sessions_than_descriptors_are_served_in_turn(self):
-        """Without descriptors an accept fails: sessions are bounded, and idle ones make room for new ones."""
-        held = [socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) for _ in range(100)]
-        for sock in held:
+    def test_more_clients_than_descriptors_are_served(self):
+        """Sessions are limited and idle ones closed, since an accept without free descriptors fails."""
+        connections = [socket.create_connection(("127.0.0.1", self.port), timeout=WAIT) for _ in range(100)]
+        for sock in connections:
             self.addCleanup(sock.close)
-        self.assertEqual(self.raw(b"GET /ready HTTP/1.1\r\n\r\n").split()[1], b"200")
+        self.assertEqual(self.read_status_line(b"GET /ready HTTP/1.1\r\n\r\n").split()[1], b"200")
         self.assertLessEqual(len(os.listdir(f"/proc/{self.process.pid}/fd")), self.sockets)
         client = self.client().ask()
         self.executors[0].next_request().done()
         self.assertEqual(client.answer()[0], 200)
 
 
-class Watching(NodeCase):
+class DiscoveryWatch(NodeCase):
     executor_count = 2
 
-    def watch(self, index: int):
-        asked = self.discovery.next_request()
-        self.assertEqual(asked.path, f"/v1/endpoints?watch=1&from={index}")
-        asked.send_head()
-        return asked
-
-    def test_a_drained_executor_sees_nothing_new(self):
-        """Rule 3; the next call asks from the version that the last line held."""
-        watch = self.watch(7)
-        change = self.entry(0, status="DRAINING", address="")  # without an address it must count all the same
+    def accept_watch(self, index: int):
+        """Wait for a watch that starts at this index, and begin its answer."""
+        request = self.discovery.next_request()
+        self.assertEqual(request.path, f"/v1/endpoints?watch=1&from={index}")
+        request.send_head()
+        return request
+
+    def test_a_draining_executor_gets_no_new_requests(self):
+        """The next watch starts at the index of the last received line."""
+        watch = self.accept_watch(7)
+        change = self.entry(0, status="DRAINING", address="")  # The change applies without an address too.
         watch.send_line({"index": 9, "snapshot": False, "endpoints": [change]})
         self.wait_log("watching from index 9")
         self.assertEqual({self.served_by() for _ in range(12)}, {1})
         watch.connection.close()
-        watch = self.watch(9)
-        strange = self.entry(1, status="RESTING")  # a status of its own: nothing new goes there
+        watch = self.accept_watch(9)
+        strange = self.entry(1, status="RESTING")  # An executor with an unknown status gets no requests.
         watch.send_line({"index": 12, "snapshot": True, "endpoints": [self.entry(0), strange]})
         self.wait_log("watching from index 12")
         self.assertEqual({self.served_by() for _ in range(12)}, {0})
 
-    def test_a_silent_watch_is_given_up_and_asked_anew(self):
-        """A cut connection stays open without a word: an empty line is missing, so the watch is dead."""
-        watch = self.watch(7)
+    def test_a_silent_watch_is_closed_and_started_again(self):
+        """Missing keep-alive lines show that the connection is lost, although it stays open."""
+        watch = self.accept_watch(7)
         watch.send_line({"index": 8, "snapshot": False, "endpoints": []})
         watch.send_line(None)
         self.wait_log("watch lost (silence)")
         self.assertTrue(watch.connection.ended.wait(WAIT))
-        self.watch(8)
+        self.accept_watch(8)
 
-    def test_a_failed_call_is_asked_anew(self):
-        """Discovery that is overloaded answers 503, and may send rubbish: the last list holds."""
+    def test_a_failed_watch_is_started_again(self):
+        """After a 503 answer or an invalid line the last endpoint list stays in use."""
         self.discovery.next_request().send_head("503 Service Unavailable")
         self.wait_log("watch lost (status 503)")
-        self.watch(7).send_line({"index": "x"})
-        self.watch(7).send_line({"index": 8, "snapshot": False, "endpoints": []})
+        self.accept_watch(7).send_line({"index": "x"})
+        self.accept_watch(7).send_line({"index": 8, "snapshot": False, "endpoints": []})
         self.wait_log("watching from index 8")
         self.assertIn(self.served_by(), (0, 1))
 
-    def test_truncated_and_over_long_lists_change_nothing_and_are_told_once(self):
-        """The last good list serves on, the node asks again by itself, and its log is not filled."""
+    def test_truncated_and_oversized_lists_are_ignored_and_logged_once(self):
+        """The last valid list stays in use, and the node starts a new watch without filling its log."""
         for text in ('7\r\n{"index\r\n0\r\n\r\n', f"{5 << 20:x}\r\n" + "x" * (5 << 20)):
-            call = self.discovery.next_request()
-            call.send_head()
-            with contextlib.suppress(OSError):  # it hangs up before it has read them all
-                call.connection.send(text)
-            self.assertTrue(call.connection.ended.wait(WAIT))
+            watch = self.discovery.next_request()
+            watch.send_head()
+            with contextlib.suppress(OSError):  # The node closes before it has read the whole line.
+                watch.connection.send(text)
+            self.assertTrue(watch.connection.ended.wait(WAIT))
             self.assertIn(self.served_by(), (0, 1))
-        self.watch(7).send_line({"index": 8, "snapshot": False, "endpoints": []})
+        self.accept_watch(7).send_line({"index": 8, "snapshot": False, "endpoints": []})
         self.wait_log("watching from index 8")
         self.assertEqual("".join(self.log).count("watch lost"), 1)
 
@@ -510,41 +517,42 @@
 class Reloading(NodeCase):
     executor_count = 2
 
-    def test_the_discovery_moves_and_nothing_is_lost(self):
-        """SIGHUP once ended the process with all it held; the new address has to bring the whole list."""
-        old = self.discovery.next_request()
-        held = self.client().ask("issue")
-        while self.executors[
-            0
-        ].received.empty():  # at the executor that will be gone: elsewhere others may cut it
+    def test_a_new_discovery_address_takes_effect_without_losing_requests(self):
+        """SIGHUP must not end the process, and the new discovery server must send the full list."""
+        old_watch = self.discovery.next_request()
+        open_client = self.client().ask("issue")
+        # The request must be in flight at the executor that the new list removes.
+        while self.executors[0].received.empty():
             if not self.executors[1].received.empty():
                 self.executors[1].next_request().done()
-                held.answer()
-                held = self.client().ask("issue")
-            self.assertFalse(held.answered(0.01))
-        asked = self.executors[0].next_request()
+                open_client.answer()
+                open_client = self.client().ask("issue")
+            self.assertFalse(open_client.answered(0.01))
+        request = self.executors[0].next_request()
         discovery = StandInServer()
         self.addCleanup(discovery.close)
         self.reload(json.dumps({**self.config(), "discovery": discovery.address}))
         self.wait_log("reloaded: discovery is at 127.0.0.1")
-        self.assertTrue(old.connection.ended.wait(WAIT))
-        discovery.next_request().send_head("503 Service Unavailable")  # asked again soon
-        began, call = time.monotonic(), discovery.next_request()
+        self.assertTrue(old_watch.connection.ended.wait(WAIT))
+        discovery.next_request().send_head("503 Service Unavailable")  # The node retries soon.
+        began, watch = time.monotonic(), discovery.next_request()
         self.assertLess(time.monotonic() - began, 1.5)
-        self.assertEqual(call.path, "/v1/endpoints?watch=1&from=0")  # its versions may be others
-        call.send_head()
-        call.send_line({"index": 3, "snapshot": True, "endpoints": [self.entry(1)]})
+        self.assertEqual(
+            watch.path, "/v1/endpoints?watch=1&from=0"
+        )  # Indexes of another server do not apply.
+        watch.send_head()
+        watch.send_line({"index": 3, "snapshot": True, "endpoints": [self.entry(1)]})
         self.wait_log("watching from index 3")
         for _ in range(8):
             client = self.client().ask()
             self.executors[1].next_request().done()
             self.assertEqual(client.answer()[0], 200)
         self.assertTrue(self.executors[0].received.empty())
-        asked.done("kept")
-        self.assertEqual(held.answer(), (200, b"kept"))
+        request.done("kept")
+        self.assertEqual(open_client.answer(), (200, b"kept"))
 
-    def test_a_bad_file_keeps_the_old_configuration(self):
-        """Staff may err: the node must serve on, say so in one line, and take the next good file."""
+    def test_an_invalid_file_keeps_the_old_configuration(self):
+        """The node keeps serving, logs the error in one line, and applies the next valid file."""
         watch = self.discovery.next_request()
         for text in ("", "[]", json.dumps({**self.config(), "discovery": "nowhere"})):
             self.reload(text)
@@ -560,51 +568,51 @@
         self.wait_log("a change of name, limits takes a restart")
         self.assertTrue(watch.connection.ended.wait(WAIT))
 
-    def test_a_drain_goes_on_under_a_reload(self):
-        """Both signals may come on one day: what is held is answered, and the program ends with 0."""
+    def test_a_reload_does_not_interrupt_a_drain(self):
+        """Open requests are answered and the process exits with status 0."""
         client = self.client().ask("issue")
-        asked = None
-        while asked is None:
-            asked = next(
+        request = None
+        while request is None:
+            request = next(
                 (server.next_request() for server in self.executors if not server.received.empty()), None
             )
         self.terminate()
         self.wait_log("draining")
         self.reload("{")
-        asked.done()
+        request.done()
         self.assertEqual(client.answer()[0], 200)
         self.assertEqual(self.process.wait(WAIT), 0)
         self.assertNotIn("reload", self.process.stderr.read())
 
 
 class Ending(NodeCase):
-    def test_a_drain_answers_what_is_held_and_what_still_comes(self):
-        """After SIGTERM requests come for 0.4 s more; each gets its answer before the program ends with 0."""
-        kept, idle, early, late = (self.client() for _ in range(4))
-        for client in (kept, idle):
+    def test_a_drain_answers_open_requests_and_late_ones(self):
+        """Requests that arrive up to 0.4 s after SIGTERM are answered before the exit with status 0."""
+        active, idle, early, late = (self.client() for _ in range(4))
+        for client in (active, idle):
             client.request("GET", "/ready")
             self.assertEqual(client.answer()[0], 200)
         early.ask()
-        held = self.executors[0].next_request()
+        open_request = self.executors[0].next_request()
         self.terminate()
         self.wait_log("draining: 1 requests held")
         late.ask()
         self.executors[0].next_request().done("late")
         self.assertEqual(late.answer(), (200, b"late"))
-        self.assertNotIn("Connection", late.headers)  # sent away this early, it might find no other node
-        kept.request("GET", "/ready")  # clients still use the sessions that they have
-        self.assertEqual(kept.answer()[0], 503)
-        self.assertEqual(idle.sock.recv(1), b"")  # closed before the node may be killed
-        self.assertIsNone(self.process.poll())  # it must not end while a request is held
-        held.done("early")
+        self.assertNotIn("Connection", late.headers)  # Too early: the client may not find another node yet.
+        active.request("GET", "/ready")  # Clients still use their open sessions.
+        self.assertEqual(active.answer()[0], 503)
+        self.assertEqual(idle.sock.recv(1), b"")  # Idle sessions are closed before SIGKILL may come.
+        self.assertIsNone(self.process.poll())  # The node must not exit while a request is open.
+        open_request.done("early")
         self.assertEqual(early.answer(), (200, b"early"))
         self.assertEqual(early.headers["Connection"], "close")
         self.assertEqual(self.process.wait(WAIT), 0)
 
 
 class Killing(NodeCase):
-    def test_what_comes_late_in_a_drain_is_answered_before_the_kill(self):
-        """SIGKILL may come 3.7 s after SIGTERM; one taken after 0.7 s and unanswered by then is lost."""
+    def test_a_request_late_in_a_drain_is_answered_before_sigkill(self):
+        """SIGKILL may come 3.7 s after SIGTERM, which loses a late request that is still unanswered."""
         head = b"POST /api HTTP/1.1\r\nX-Call-Class: issue\r\nX-Budget-Ms: 9000\r\nX-Call-Id: a\r\n"
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
         self.addCleanup(sock.close)
@@ -622,29 +630,29 @@
 
 
 class Starting(NodeCase):
-    def test_a_bad_configuration_ends_the_start_with_one_line(self):
-        """Staff must see at once what is wrong, and the platform that the start has failed."""
+    def test_an_invalid_configuration_fails_the_start_with_one_line(self):
+        """The line names the error for operators; the exit status reports the failure to the platform."""
         good = self.config()
-        for changes, words in (
+        for changes, expected_text in (
             ({"settings": {}}, "caps is missing"), ({"listen": "nowhere"}, "HOST:PORT"),
             ({"seed": "?"}, "base 16"), ({"known": None}, "known"),
             ({"listen": f"127.0.0.1:{self.port}"}, "in use"),
             ({"limits": {"sockets": 0}}, "limits.sockets"),
             ({"settings": {**good["settings"], "instances": "three"}}, "instances"),
         ):  # fmt: skip
-            with self.subTest(words=words):
+            with self.subTest(expected_text=expected_text):
                 process = self.start({**good, **changes})
                 text = process.communicate(timeout=WAIT)[1]
                 self.assertNotEqual(process.returncode, 0)
                 self.assertEqual(text.count("\n"), 1, text)
-                self.assertIn(words, text)
+                self.assertIn(expected_text, text)
         env = {name: value for name, value in os.environ.items() if name != "LB_CONFIG"}
         command = [sys.executable, "-m", "cedarmill"]
         run = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True)
         self.assertEqual((run.returncode, run.stderr), (2, "cedarmill: LB_CONFIG is not set\n"))
 
-    def test_without_a_executor_it_is_not_ready(self):
-        """The front adds a node once it is ready: before the first list it could only refuse."""
+    def test_a_node_without_executors_is_not_ready(self):
+        """Before the first endpoint list a node can only refuse requests."""
         config = self.config()
         config["known"]["endpoints"] = []
         self.end()
--- a/tests/support/faulty_node_case.py
+++ b/tests/support/faulty_node_case.py
@@ -1,4 +1,4 @@
-"""A test's node under faults below the program: see `system_call_faults`."""
+"""Base class of tests that run a node with failing system calls: see `system_call_faults`."""
 
 import tempfile
 
@@ -7,10 +7,10 @@
 
 
 class FaultyNodeCase(NodeCase):
-    """A node whose system calls and wall clock the test can break, by `self.plan`, from its start on."""
+    """Starts a node whose system calls and wall clock are controlled by `self.plan`."""
 
     def prepare(self) -> None:
-        """As for every node, and the plan of its faults."""
+        """Create the stand-ins and the fault plan."""
         super().prepare()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -18,8 +18,8 @@
         self.arm_first()
 
     def arm_first(self) -> None:
-        """Faults that hold before the node starts."""
+        """Arm faults before the node starts; does nothing unless overridden."""
 
     def command(self, module: str, *arguments: str) -> list[str]:
-        """The command line that runs a module of the program under the plan."""
+        """Return the command line that runs a module of the program under the plan."""
         return self.plan.command(module, *arguments)
--- a/tests/support/node_case.py
+++ b/tests/support/node_case.py
@@ -1,4 +1,4 @@
-"""A test's node: the real program on loopback, with stand-ins for its executors and for discovery."""
+"""Base class of tests that run a node process on loopback with stand-in executors and discovery."""
 
 import copy
 import json
@@ -35,21 +35,21 @@
 ]
 
 ROOT = Path(__file__).parents[2]
-POLL_S = 0.005  # between two looks at a condition
+POLL_S = 0.005  # interval between two checks of a condition
 
 
 class NodeCase(unittest.TestCase):
-    """A node with its executors and discovery; every test starts its own. Subclasses set the attributes."""
+    """Starts a node, its executors and discovery for each test; subclasses override the attributes."""
 
     executor_count = 1
     sockets = 256  # `limits.sockets` of the configuration
     memory_mb = 192  # `limits.memory_mb`
-    settings_changes: Mapping[str, object] = {}  # "TABLE.KEY" to its value, in place of those of SETTINGS
-    xml_settings = ""  # our own settings, the inside of <cedarmill>
+    settings_changes: Mapping[str, object] = {}  # "TABLE.KEY" to a value that replaces the one of SETTINGS
+    xml_settings = ""  # content of <cedarmill> in the XML settings file
     log_format = "text"
-    environment: Mapping[str, str] = {}  # more of the environment that the platform sets
-    pass_fds: Sequence[int] = ()  # descriptors that the node inherits
-    descriptor_limit = 0  # where not 0, the process may hold no more descriptors
+    environment: Mapping[str, str] = {}  # additional environment variables of the node
+    pass_fds: Sequence[int] = ()  # inherited file descriptors
+    descriptor_limit = 0  # RLIMIT_NOFILE of the process; 0 leaves it unchanged
 
     def setUp(self) -> None:
         """Start the node and wait until it serves."""
@@ -60,8 +60,8 @@
         self.port = self.logged_port()
 
     def prepare(self) -> None:
-        """All but the node: its `$TMPDIR`, the stand-ins for discovery and executors."""
-        self.tmpdir = tempfile.TemporaryDirectory()  # of its own, so that it inherits no state file
+        """Create the node's `$TMPDIR` and the stand-ins for discovery and executors."""
+        self.tmpdir = tempfile.TemporaryDirectory()  # Its own, so that the node finds no state file.
         self.addCleanup(self.tmpdir.cleanup)
         self.discovery = StandInServer()
         self.executors = [StandInServer() for _ in range(self.executor_count)]
@@ -71,7 +71,7 @@
         self.config_path = ""
 
     def config(self) -> dict[str, Any]:
-        """The node's configuration, as the platform writes it."""
+        """Return the node's configuration in the form that the platform writes."""
         settings = copy.deepcopy(SETTINGS)
         for path, value in self.settings_changes.items():
             table, _, key = path.partition(".")
@@ -88,7 +88,7 @@
         }
 
     def entry(self, number: int, **changes: object) -> dict[str, Any]:
-        """The entry of the endpoint list for one of the executors."""
+        """Return the endpoint list entry of an executor, with these fields changed."""
         return {
             "name": f"s-{number}",
             "address": self.executors[number].address,
@@ -102,7 +102,7 @@
         }
 
     def start(self, config: Mapping[str, object]) -> "subprocess.Popen[str]":
-        """Start a node with this configuration, by the command where it needs settings of our own."""
+        """Start a node with this configuration, through the command line where XML settings need it."""
         with tempfile.NamedTemporaryFile("w", suffix=".json", delete=False) as file:
             json.dump(config, file)
         self.addCleanup(os.unlink, file.name)
@@ -115,7 +115,7 @@
             stderr=subprocess.PIPE,
             text=True,
             pass_fds=self.pass_fds,
-            # The child only sets its own limit: it takes no lock that a stand-in's thread may hold.
+            # The child sets its limit only and takes no lock that a thread of a stand-in may hold.
             preexec_fn=self._limit_descriptors if self.descriptor_limit else None,  # noqa: PLW1509
         )
 
@@ -128,28 +128,29 @@
         return self.command("cedarmill.cli", "node", "-c", str(path), "--log-format", self.log_format)
 
     def _limit_descriptors(self) -> None:
-        """Runs in the child before the program does."""
+        """Set RLIMIT_NOFILE in the child before it executes the program."""
         resource.setrlimit(resource.RLIMIT_NOFILE, (self.descriptor_limit, self.descriptor_limit))
 
     def command(self, module: str, *arguments: str) -> list[str]:
-        """The command line that runs a module of the program."""
+        """Return the command line that runs a module of the program."""
         return [sys.executable, "-m", module, *arguments]
 
     def wait_log(self, words: str) -> str:
-        """Read the log up to a line with those words."""
-        late = threading.Timer(WAIT, self.process.kill)  # a log that stays silent must not hang the test
-        late.start()
+        """Read the log up to a line that contains this text, and return the line."""
+        # Killing the node ends a read that would otherwise block the test.
+        timeout = threading.Timer(WAIT, self.process.kill)
+        timeout.start()
         try:
             for line in iter(self.process.stderr.readline, ""):
                 self.log.append(line.strip())
                 if words in line:
                     return line
         finally:
-            late.cancel()
+            timeout.cancel()
         raise AssertionError(f"no {words!r} in {self.log}")
 
     def reload(self, text: str) -> None:
-        """Replace the configuration file, as the platform does, and send SIGHUP."""
+        """Replace the configuration file atomically, as the platform does, and send SIGHUP."""
         Path(f"{self.config_path}.new").write_text(text)
         os.replace(f"{self.config_path}.new", self.config_path)
         self.process.send_signal(signal.SIGHUP)
@@ -159,40 +160,40 @@
         self.process.send_signal(signal.SIGTERM)
 
     def end(self) -> None:
-        """Kill the node where it still runs; no traceback may be in its log."""
+        """Kill the node if it still runs, and check that its log has no traceback."""
         if self.process.poll() is None:
             self.process.kill()
         rest = self.process.communicate(timeout=WAIT)[1]
         self.assertNotIn("Traceback", "\n".join(self.log) + rest)
 
     def logged_port(self) -> int:
-        """The port in the log's last line, text or JSON."""
+        """Return the port named in the last line of the log, which may be text or JSON."""
         return int(re.search(r"serves on \S+ port (\d+)", self.log[-1])[1])
 
     def admin_port(self) -> int:
-        """The port of the admin API, as the log names it."""
+        """Return the port of the admin API from the log."""
         line = next(line for line in self.log if "operators' door on" in line)
         return int(re.search(r"port (\d+)", line)[1])
 
     def descriptors(self) -> int:
-        """How many descriptors the node holds."""
+        """Return the number of open file descriptors of the node."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def wait_for(self, condition: Callable[[], object]) -> None:
-        """Wait until a condition holds, for WAIT seconds at most."""
+        """Wait until the condition holds; fail after WAIT seconds."""
         until = time.monotonic() + WAIT
         while not condition():
-            self.assertLess(time.monotonic(), until, "the condition never came")
+            self.assertLess(time.monotonic(), until, "the condition was not met in time")
             select.select([], [], [], POLL_S)
 
     def client(self) -> Client:
-        """A client of the node, closed with the test."""
+        """Return a client of the node that is closed after the test."""
         client = Client(self.port)
         self.addCleanup(client.close)
         return client
 
     def served_by(self) -> int:
-        """Send a request and serve it; the number of the executor that it went to."""
+        """Send a request, answer it, and return the index of the executor that received it."""
         client, served = self.client().ask(), -1
         while not client.answered(POLL_S):
             for number, server in enumerate(self.executors):
--- a/tests/support/node_client.py
+++ b/tests/support/node_client.py
@@ -1,4 +1,4 @@
-"""The clients of a test's node: of its requests, and of its admin API."""
+"""Clients for tests of a node: for requests and for the admin API."""
 
 import http.client
 import select
@@ -8,18 +8,18 @@
 
 
 class Client(http.client.HTTPConnection):
-    """One client connection to a node; `count` numbers the requests of all."""
+    """One client connection to a node."""
 
-    count = 0
+    count = 0  # requests sent by all clients; the latest X-Call-Id
 
     def __init__(self, port: int) -> None:
         super().__init__("127.0.0.1", port, timeout=WAIT)
-        self.headers = http.client.HTTPMessage()  # of the last answer
+        self.headers = http.client.HTTPMessage()  # headers of the last answer
 
     def ask(
         self, job_class: str = "pin", budget: object = 6000, path: str = "/api", **headers: str
     ) -> "Client":
-        """Send a request; `budget`: its X-Budget-Ms."""
+        """Send a request with this X-Budget-Ms, further headers and a fixed body."""
         Client.count += 1
         fixed = {
             "X-Call-Id": f"{Client.count:016x}",
@@ -32,25 +32,25 @@
         return self
 
     def answered(self, wait_s: float) -> bool:
-        """Whether an answer begins to arrive within that time."""
+        """Return whether an answer begins to arrive within this time."""
         return bool(select.select([self.sock], [], [], wait_s)[0])
 
     def answer(self) -> tuple[int, bytes]:
-        """Wait for the answer: its status and body."""
+        """Wait for the answer and return its status and body."""
         answer = self.getresponse()
         self.headers = answer.headers
         return answer.status, answer.read()
 
 
 def call_admin_api(port: int, method: str, path: str) -> tuple[int, bytes]:
-    """One call on a connection of its own, as the operators' tools make it: status and body."""
+    """Send an admin API call on a new connection, as the command line does; return status and body."""
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT) as sock:
         sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n".encode())
         return read_answer(sock)
 
 
 def read_answer(sock: socket.socket) -> tuple[int, bytes]:
-    """Status and body of an answer that ends its connection."""
+    """Read an answer up to the end of its connection and return its status and body."""
     text = b""
     while chunk := sock.recv(4096):
         text += chunk
--- a/tests/support/node_settings.py
+++ b/tests/support/node_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings of a test's node, in the form of its configuration file; times in microseconds."""
+"""Settings of a node under test, in the form of its configuration file; times in microseconds."""
 
 from typing import Any
 
--- a/tests/support/stand_in_server.py
+++ b/tests/support/stand_in_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for an executor or for discovery: it records what it receives, and the test answers by hand."""
+"""Stand-in server for an executor or discovery: it queues requests, and the test answers them."""
 
 import contextlib
 import http.client
@@ -10,12 +10,13 @@
 from email.message import Message
 from typing import Any, BinaryIO
 
-WAIT = 10  # seconds, at most, for a condition
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER, on, for 0 s: a close sends a reset
+WAIT = 10  # seconds; time-out of waits for a condition
+# Value of SO_LINGER with a time of 0 s, so that a close sends a reset.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class ServerConnection:
-    """One accepted connection, read by a thread of its own; each request goes into the server's queue."""
+    """An accepted connection whose thread reads requests into the queue of the server."""
 
     def __init__(self, server: "StandInServer", sock: socket.socket) -> None:
         self.sock, self.ended = sock, threading.Event()
@@ -48,77 +49,79 @@
             headers = http.client.parse_headers(stream)
             length = int(headers.get("Content-Length", 0))
             body = stream.read(length)
-            if not first_byte and len(body) == length:  # else it has its answer, or never came whole
+            # Skip requests that have their early answer or are incomplete.
+            if not first_byte and len(body) == length:
                 self._server.received.put(ReceivedRequest(self, line.decode(), headers, body))
             first_byte = b""
 
     def send(self, text: str) -> None:
-        """Write to the node; raises OSError where it has closed."""
+        """Write to the node; raise OSError if the node has closed the connection."""
         self.sock.sendall(text.encode())
 
     def close(self) -> None:
-        """End both directions, as a server does that closes."""
+        """Shut down both directions, as a closing server does."""
         self.sock.shutdown(socket.SHUT_RDWR)
 
     def reset(self) -> None:
-        """Close at once, with a reset: the thread that reads does it."""
+        """Let the reading thread close the connection with a reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._reset = True
-        with contextlib.suppress(OSError):  # the node closed meanwhile, and the thread that reads was first
+        # The reading thread may have closed the socket after a close by the node.
+        with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RD)
 
 
 class ReceivedRequest:
-    """One request that a server received, for the test to answer."""
+    """A request that a server has received and the test answers."""
 
     def __init__(self, connection: ServerConnection, first_line: str, headers: Message, body: bytes) -> None:
         self.connection, self.headers, self.body = connection, headers, body
         self.method, self.path, _ = first_line.split()
 
     def send_head(self, status: str = "200 OK", *headers: str) -> None:
-        """Begin a chunked answer."""
+        """Send the head of a chunked answer."""
         lines = [f"HTTP/1.1 {status}", "Transfer-Encoding: chunked", *headers, "", ""]
         self.connection.send("\r\n".join(lines))
 
     def send_line(self, value: dict[str, Any] | None) -> None:
-        """Send one chunk with a line of JSON; None: an empty line, by which a watch shows that it lives."""
+        """Send one chunk with a line of JSON, or with an empty keep-alive line for None."""
         text = json.dumps(value) + "\n" if value is not None else "\n"
         self.connection.send(f"{len(text):x}\r\n{text}\r\n")
 
     def send_state(self, state: str, **fields: object) -> None:
-        """Report a state of the request's work, as an executor does."""
+        """Send a progress line of the request, as an executor does."""
         self.send_line({"id": self.headers["X-Call-Id"], "from": "s-1", "state": state, **fields})
 
     def done(self, result: str = "fine") -> None:
-        """Answer whole: the work is done, with this result."""
+        """Send a complete answer with this result."""
         self.send_head()
         self.send_state("done", result=result)
         self.connection.send("0\r\n\r\n")
 
 
 class StandInServer:
-    """A listening socket on loopback; what it accepts and receives is there for the test."""
+    """A listener on loopback that keeps its connections and received requests for the test."""
 
     def __init__(self) -> None:
         self.received: queue.Queue[ReceivedRequest] = queue.Queue()
         self.connections: list[ServerConnection] = []
-        self.resets_at_first_byte = False  # of each new connection
-        self.early_answer: str | None = None  # sent at a new connection's first byte, not to a whole request
+        self.resets_at_first_byte = False  # applies to each new connection
+        self.early_answer: str | None = None  # sent at the first byte of each new connection
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
-        with contextlib.suppress(OSError):  # closed
+        with contextlib.suppress(OSError):  # raised when the listener is closed
             while True:
                 self.connections.append(ServerConnection(self, self.sock.accept()[0]))
 
     def next_request(self) -> ReceivedRequest:
-        """Wait for the next request; raises queue.Empty where none comes within WAIT."""
+        """Wait for the next request; raise queue.Empty if none arrives within WAIT seconds."""
         return self.received.get(timeout=WAIT)
 
     def close(self) -> None:
-        """Stop listening; accepted connections stay."""
+        """Stop listening and keep accepted connections open."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
--- a/tests/support/system_call_faults.py
+++ b/tests/support/system_call_faults.py
@@ -1,12 +1,12 @@
-"""Faults below the program: system calls that fail, come short or stall, and a stepped wall clock.
+"""Fault injection for system calls, which fail, transfer less or stall, and for the wall clock.
 
-Tests run a process of the program under this script (`command` builds its command line) and hold a
-`FaultPlan` that arms faults while it runs. The program knows nothing of it. Names of the calls:
+Tests run a process of the program under this script, with the command line from `FaultPlan.command`, and arm
+faults through the `FaultPlan` while the process runs. The program itself is unchanged. Names of the calls:
 
-* `accept`, `setsockopt`, `getsockopt`, `ioctl`, `poll`, `flock`: of the standard library;
+* `accept`, `setsockopt`, `getsockopt`, `ioctl`, `poll`, `flock`: functions of the standard library;
 * `open` (the built-in and os.open), `write`, `pwrite`, `read`, `pread`, `fsync`, `fdatasync`, `ftruncate`,
-  `replace`, `remove`, `listdir`, `stat`: files, matched by path where the call names one;
-* `connect` (matched by HOST:PORT) and `open_session`: what the event loop opens and accepts;
+  `replace`, `remove`, `listdir`, `stat`: calls on files, matched by path where the call has one;
+* `connect` (matched by HOST:PORT) and `open_session`: connections that the event loop opens and accepts;
 * `outgoing.NAME` and `accepted.NAME`: the transport's method NAME (`write`, `write_eof`, `pause_reading`,
   `resume_reading`, `get_extra_info`, `set_write_buffer_limits`, `abort`) of connections that the program
   opened (matched by HOST:PORT) or accepted.
@@ -48,20 +48,20 @@
 
 @dataclass
 class Fault:
-    """One fault: of the calls that match, `after` pass, then `times` fail."""
+    """A fault: of the matching calls the first `after` succeed and the next `times` are affected."""
 
     call: str
-    errno: str = ""  # the name of an error, such as "ENOSPC"; empty: the call is carried out
-    match: str = ""  # a part of the path or of HOST:PORT; empty: any
+    errno: str = ""  # name of an error, such as "ENOSPC"; empty: the call succeeds
+    match: str = ""  # substring of the path or of HOST:PORT; empty: matches all
     after: int = 0
-    times: int = 1  # 0: until it is disarmed
-    short: int = 0  # bytes that a write or read does at most, where not 0
-    stall_s: float = 0.0  # seconds that the call takes longer
+    times: int = 1  # 0: no limit
+    short: int = 0  # maximum bytes of a write or read; 0: no limit
+    stall_s: float = 0.0  # delay before the call, in seconds
 
 
 @dataclass
 class FaultPlan:
-    """The test's side: a folder through which a running process learns its faults."""
+    """The faults that a test arms, passed to the running process through a file in a folder."""
 
     folder: str
     offset_s: float = 0.0
@@ -71,21 +71,21 @@
         self._publish()
 
     def command(self, module: str, *arguments: str) -> list[str]:
-        """The command line that runs a module of the program under this plan."""
+        """Return the command line that runs a module of the program under this plan."""
         return [sys.executable, __file__, self.folder, module, *arguments]
 
     def arm(self, *faults: Fault) -> None:
-        """From now on these faults hold, and no others."""
+        """Replace the armed faults by these."""
         self.faults = list(faults)
         self._publish()
 
     def step_clock(self, seconds: float) -> None:
-        """Set the wall clock off by so much from now on (0: right); the monotonic one runs on."""
+        """Set the offset of the wall clock (0: the true time); the monotonic clock is not changed."""
         self.offset_s = seconds
         self._publish()
 
     def hits(self, call: str = "") -> int:
-        """How many calls have failed, come short or stalled: of that name, or all."""
+        """Return how many calls of this name, or of any name, were affected by a fault."""
         path = Path(self.folder, HITS)
         names = path.read_text().split() if path.exists() else []
         return sum(not call or name == call for name in names)
@@ -98,89 +98,92 @@
 
 
 class FaultLayer:
-    """The process's side: carries out what the plan says, looked up at each call."""
+    """Applies the plan inside the process, reading it again at each call if it has changed."""
 
     def __init__(self, folder: str) -> None:
         self.path, self.hits_path = os.path.join(folder, PLAN), os.path.join(folder, HITS)
         self.stat, self.open, self.os_open, self.os_write = os.stat, builtins.open, os.open, os.write
         self.os_close, self.readlink, self.sleep = os.close, os.readlink, time.sleep
-        self.seen: tuple[int, int] | None = None  # inode and time of change of the plan that was read
+        self.plan_version: tuple[int, int] | None = None  # inode and modification time of the plan file
         self.offset_s = 0.0
         self.faults: list[Fault] = []
         self.counts: list[int] = []
-        self.inside = False  # while the layer itself makes system calls
+        self.is_bypassed = False  # True while the layer itself makes system calls
 
     def refresh(self) -> None:
-        """Read the plan again where it has changed."""
+        """Read the plan again if its file has changed."""
         stat = self.stat(self.path)
-        seen = (stat.st_ino, stat.st_mtime_ns)
-        if seen == self.seen:
+        plan_version = (stat.st_ino, stat.st_mtime_ns)
+        if plan_version == self.plan_version:
             return
-        self.seen = seen
+        self.plan_version = plan_version
         with self.open(self.path) as file:
             plan = json.load(file)
         self.offset_s = plan["offset_s"]
         self.faults = [Fault(**fault) for fault in plan["faults"]]
         self.counts = [0] * len(self.faults)
 
-    def find(self, call: str, about: str = "") -> Fault | None:
-        """The fault that this call meets, if any; it is counted. Stalls are served here."""
-        if self.inside:
+    def find(self, call: str, target: str = "") -> Fault | None:
+        """Return the fault that applies to this call, if any; count it and wait for its stall."""
+        if self.is_bypassed:
             return None
-        self.inside = True
+        self.is_bypassed = True
         try:
             self.refresh()
             for number, fault in enumerate(self.faults):
-                if fault.call != call or fault.match not in about:
+                if fault.call != call or fault.match not in target:
                     continue
                 self.counts[number] += 1
-                past = self.counts[number] - fault.after
-                if past <= 0 or (fault.times and past > fault.times):
+                affected_count = self.counts[number] - fault.after
+                if affected_count <= 0 or (fault.times and affected_count > fault.times):
                     continue
-                self._hit(call)
+                self._record_hit(call)
                 if fault.stall_s:
                     self.sleep(fault.stall_s)
                 return fault
             return None
         finally:
-            self.inside = False  # while the layer itself makes system calls
+            self.is_bypassed = False
 
-    def _hit(self, call: str) -> None:
-        number = self.os_open(self.hits_path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
-        self.os_write(number, f"{call}\n".encode())
-        self.os_close(number)
+    def _record_hit(self, call: str) -> None:
+        descriptor = self.os_open(self.hits_path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
+        self.os_write(descriptor, f"{call}\n".encode())
+        self.os_close(descriptor)
 
-    def check(self, call: str, about: str = "") -> Fault | None:
-        """Raise the error that this call meets; else its fault, if any."""
-        fault = self.find(call, about)
+    def check(self, call: str, target: str = "") -> Fault | None:
+        """Raise the error of the fault that applies to this call; return a fault without an error."""
+        fault = self.find(call, target)
         if fault is not None and fault.errno:
             number = getattr(errno, fault.errno)
-            raise OSError(number, os.strerror(number))  # Python makes the subclass of the number
+            raise OSError(number, os.strerror(number))  # Python chooses the subclass by the number.
         return fault
 
     def wrap(self, owner: object, name: str, call: str, named: bool = False) -> None:
-        """Lay this layer over a function of a module or class."""
+        """Replace a function of a module or class by one that applies faults.
+
+        `named`: the first argument is a path or descriptor to match.
+        """
         real = getattr(owner, name)
 
         def wrapped(*args: Any, **keywords: Any) -> Any:
-            fault = self.check(call, self._about(args[0]) if named and args else "")
+            fault = self.check(call, self._target(args[0]) if named and args else "")
             if fault is not None and fault.short:
-                args = _shortened(args, fault.short)
+                args = _with_short_transfer(args, fault.short)
             return real(*args, **keywords)
 
         setattr(owner, name, wrapped)
 
-    def _about(self, first: object) -> str:
-        """What a call concerns: a path, also where it names an open descriptor."""
-        if not isinstance(first, int):
-            return str(first)
+    def _target(self, argument: object) -> str:
+        """Return the path that a call concerns, given the path itself or an open descriptor."""
+        if not isinstance(argument, int):
+            return str(argument)
         try:
-            return self.readlink(f"/proc/self/fd/{first}")
+            return self.readlink(f"/proc/self/fd/{argument}")
         except OSError:
             return ""
 
     def install(self) -> None:
-        """Over all calls that the program makes."""
+        """Replace all calls listed in the module's docstring, and the wall clock."""
         self.wrap(builtins, "open", "open", named=True)
         for name in ("open", "replace", "remove", "unlink", "listdir", "stat"):
             self.wrap(os, name, "remove" if name == "unlink" else name, named=True)
@@ -197,7 +200,7 @@
         self._install_loop()
 
     def _offset(self) -> float:
-        if not self.inside:
+        if not self.is_bypassed:
             self.refresh()
         return self.offset_s
 
@@ -207,7 +210,7 @@
         layer = self
 
         class Loop(uvloop.Loop):
-            """The program's loop, whose connections this layer can break."""
+            """The event loop of the program, with faults of its connections."""
 
             async def create_connection(
                 self,
@@ -218,7 +221,7 @@
             ) -> tuple[asyncio.Transport, asyncio.Protocol]:
                 layer.check("connect", f"{host}:{port}")
                 return await super().create_connection(
-                    lambda: _watched(layer, factory(), "outgoing", f"{host}:{port}"), host, port, **more
+                    lambda: _with_faults(layer, factory(), "outgoing", f"{host}:{port}"), host, port, **more
                 )
 
             async def connect_accepted_socket(
@@ -226,34 +229,40 @@
             ) -> tuple[asyncio.Transport, asyncio.Protocol]:
                 layer.check("open_session")
                 return await super().connect_accepted_socket(
-                    lambda: _watched(layer, factory(), "accepted"), sock, **more
+                    lambda: _with_faults(layer, factory(), "accepted"), sock, **more
                 )
 
         uvloop.new_event_loop = Loop
 
 
-def _shortened(args: tuple[Any, ...], most: int) -> tuple[Any, ...]:
-    """The arguments of a write or read (descriptor, then bytes or a size), with so many bytes at most."""
-    first, second, *rest = args
-    return (first, second[:most] if not isinstance(second, int) else min(second, most), *rest)
+def _with_short_transfer(args: tuple[Any, ...], max_bytes: int) -> tuple[Any, ...]:
+    """Return the arguments of a write or read (descriptor, then data or a size) with a limited size."""
+    descriptor, data_or_size, *rest = args
+    return (
+        descriptor,
+        data_or_size[:max_bytes] if not isinstance(data_or_size, int) else min(data_or_size, max_bytes),
+        *rest,
+    )
 
 
-def _watched(layer: FaultLayer, protocol: asyncio.Protocol, side: str, about: str = "") -> asyncio.Protocol:
-    """The protocol, which is given a transport that this layer can break."""
+def _with_faults(
+    layer: FaultLayer, protocol: asyncio.Protocol, side: str, target: str = ""
+) -> asyncio.Protocol:
+    """Return the protocol, changed to get a transport whose methods apply faults."""
     connection_made = protocol.connection_made
 
-    def made(transport: asyncio.Transport) -> None:
-        connection_made(FaultyTransport(layer, transport, side, about))
+    def connection_made_with_faults(transport: asyncio.Transport) -> None:
+        connection_made(FaultyTransport(layer, transport, side, target))
 
-    protocol.connection_made = made
+    protocol.connection_made = connection_made_with_faults
     return protocol
 
 
 class FaultyTransport:
-    """A transport whose methods raise when the plan says so."""
+    """A transport whose methods raise the errors of armed faults."""
 
-    def __init__(self, layer: FaultLayer, transport: asyncio.Transport, side: str, about: str) -> None:
-        self._layer, self._transport, self._side, self._about = layer, transport, side, about
+    def __init__(self, layer: FaultLayer, transport: asyncio.Transport, side: str, target: str) -> None:
+        self._layer, self._transport, self._side, self._target = layer, transport, side, target
 
     def __getattr__(self, name: str) -> Any:
         method = getattr(self._transport, name)
@@ -261,7 +270,7 @@
             return method
 
         def call(*args: Any, **keywords: Any) -> Any:
-            self._layer.check(f"{self._side}.{name}", self._about)
+            self._layer.check(f"{self._side}.{name}", self._target)
             return method(*args, **keywords)
 
         return call
