--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -361,7 +361,7 @@
     kill_after_s = 3.7
 
 
-class Answers(NodeCase):
+class FaultyAnswers(NodeCase):
     """Executors whose answers are duplicate, late, endless or truncated."""
 
     def send_request(self, job_class: str = "issue"):
--- a/tests/support/node_case.py
+++ b/tests/support/node_case.py
@@ -163,8 +163,8 @@
         """Kill the node if it still runs, and check that its log has no traceback."""
         if self.process.poll() is None:
             self.process.kill()
-        rest = self.process.communicate(timeout=WAIT)[1]
-        self.assertNotIn("Traceback", "\n".join(self.log) + rest)
+        unread_log = self.process.communicate(timeout=WAIT)[1]
+        self.assertNotIn("Traceback", "\n".join(self.log) + unread_log)
 
     def logged_port(self) -> int:
         """Return the port named in the last line of the log, which may be text or JSON."""
--- a/tests/support/node_client.py
+++ b/tests/support/node_client.py
@@ -21,14 +21,14 @@
     ) -> "Client":
         """Send a request with this X-Budget-Ms, further headers and a fixed body."""
         Client.count += 1
-        fixed = {
+        default_headers = {
             "X-Call-Id": f"{Client.count:016x}",
             "X-Call-Class": job_class,
             "X-Caller": "acme",
             "X-Budget-Ms": str(budget),
             "X-Call-Info": "slots=1,memory=0.500",
         }
-        self.request("POST", path, b"a body", {**fixed, **headers})
+        self.request("POST", path, b"a body", {**default_headers, **headers})
         return self
 
     def answered(self, wait_s: float) -> bool:
