--- a/cedarmill/net/cluster/__init__.py
+++ b/cedarmill/net/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""The cluster on sockets: replicas, members, process supervisors, gossip. Not loaded without a cluster.
+"""The network side of the cluster: replicas, members, process supervisors and gossip.
 
-What is agreed, and who may do what, is decided without I/O in `cluster/`.
+The package is not imported by a node without a cluster. The decisions are made without I/O in `cluster/`.
 """
--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -1,7 +1,8 @@
-"""A replica's process: the core on its disk and its connections. It carries no requests of clients.
+"""The process of one replica: its consensus core, its disk and its connections.
 
-Where the disk fails, the process promises nothing more: what was not synced is neither sent nor answered,
-another replica is asked to lead, and requests are refused with the reason (`replica_disk.py`).
+Client traffic does not pass through a replica. After a disk failure the process acknowledges nothing:
+messages and replies that depend on unsynced data are not sent, a leader asks a follower to lead, and requests
+are rejected with the reason. `replica_disk.py` reopens the store.
 """
 
 import asyncio
@@ -26,7 +27,7 @@
 from cedarmill.core.timers import Timer, Timers
 from cedarmill.log import log_event
 from cedarmill.net.cluster.replica_disk import ReplicaDisk, log_recovery
-from cedarmill.net.cluster.replica_peers import DIAL_US, PeerConnections
+from cedarmill.net.cluster.replica_peers import DIAL_INTERVAL_US, PeerConnections
 from cedarmill.net.cluster.replica_port import ReplicaPort
 from cedarmill.net.cluster.replica_requests import RequestConnections
 from cedarmill.net.config import Address
@@ -38,26 +39,32 @@
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import ReplicaOptions
 
-BACKLOG = 1024  # connections that wait to be accepted
-ACCEPT_BATCH = 32  # connections accepted in one turn of the loop
-MIN_TIMER_US = 1000  # to the next call of the core, which may be due at once again
-TRANSFER_US = 300_000  # for another replica to take the lead before this process ends
-DISK_REFUSAL = "this replica's disk has failed: ask another one, with the same id"
+LISTEN_BACKLOG = 1024  # connections
+ACCEPT_BATCH = 32  # connections accepted in one turn of the event loop
+# A core that is due again immediately must not keep the event loop busy.
+MIN_TIMER_DELAY_US = 1000
+# The process exits after this time, even if no other replica has become the leader.
+LEADERSHIP_TRANSFER_TIMEOUT_US = 300_000
+DISK_FAILURE_REASON = "the disk of this replica has failed: retry at another replica with the same request id"
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class ReplicaProcess:
-    """One replica on one loop, and the owner of its connections.
+    """Runs one replica on an event loop and owns its connections.
 
-    `store`, `replica` and `host` are there once the store was opened (`opened`), and anew after each failure.
+    `store`, `replica` and `host` are set when the store is opened (`has_store`), and replaced when the store
+    is reopened after a failure.
     """
 
     store: ReplicaStore
     replica: Replica
     host: Host
 
-    def __init__(self, options: ReplicaOptions, files: Directory | None = None) -> None:
-        """Open the store, or leave that to the loop where the disk fails; raises StoreError or OSError."""
+    def __init__(self, options: ReplicaOptions, directory: Directory | None = None) -> None:
+        """Open the store, or schedule a retry if the disk fails temporarily.
+
+        Raises StoreError or OSError if no retry can succeed.
+        """
         self.options = options
         self.loop = uvloop.new_event_loop()
         self.loop.set_exception_handler(_log_loop_error)
@@ -65,189 +72,198 @@
         self.driver = EventLoopDriver(self.loop, self.timers)
         self.peers = PeerConnections(self)
         self.requests = RequestConnections()
-        self.host_port = ReplicaPort(self.peers, self.requests)
-        self.opened = False
-        self._serving = False
-        self._flush_scheduled = False
+        self.replica_port = ReplicaPort(self.peers, self.requests)
+        self.has_store = False
+        self._is_serving = False
+        self._is_flush_scheduled = False
         self._timer: Timer | None = None
         self.disk = ReplicaDisk(
-            self.driver, options, files, self._on_opened, self._on_disk_failed, self.loop.stop
+            self.driver, options, directory, self._on_store_opened, self._on_disk_failed, self.loop.stop
         )
         self.disk.start()
 
-    # The disk.
+    # Disk.
 
-    def _on_opened(self, store: ReplicaStore) -> None:
-        """Start the core from what the store holds, as after a restart."""
-        self.store = self.host_port.store = store
+    def _on_store_opened(self, store: ReplicaStore) -> None:
+        """Create the replica from the stored state, as after a restart of the process."""
+        self.store = self.replica_port.store = store
         seed = int.from_bytes(store.identity.disk.encode()[-6:], "big") + store.identity.start_count
         self.replica = Replica(self.options.name, store.persistent_state, self.driver.now(), seed)
-        self.host = Host(self.replica, self.host_port)
-        self.opened = True
-        self.peers.end_all("started anew")  # what the others sent was for the replica before
-        if self._serving:
-            self._begin()
-
-    def _begin(self) -> None:
+        self.host = Host(self.replica, self.replica_port)
+        self.has_store = True
+        # Messages in transit are addressed to the replaced replica object.
+        self.peers.end_connected("the replica has reopened its store")
+        if self._is_serving:
+            self._start_replica()
+
+    def _start_replica(self) -> None:
         log_recovery(self.store)
-        self._arm()
+        self._schedule_timer()
 
     def _on_disk_failed(self) -> None:
-        """Nothing more may be promised: stop leading, refuse what waits."""
+        """Stop leading, and reject all open requests."""
         self.timers.cancel(self._timer)
-        if self.opened:
+        if self.has_store:
             self.host.pending.clear()
-            self.peers.let_another_lead()
-        self.requests.answer_all(Unavailable(DISK_REFUSAL))
+            self.peers.ask_follower_to_lead()
+        self.requests.reply_to_all(Unavailable(DISK_FAILURE_REASON))
 
-    # Turns of the loop.
+    # Event loop.
 
-    def take(self, actions: Actions) -> None:
-        """What follows of an event; carried out once for all that came in this turn of the loop."""
+    def queue_actions(self, actions: Actions) -> None:
+        """Queue the actions that an event caused, to be carried out together at the end of this loop turn."""
         self.host.take(actions)
-        if not self._flush_scheduled:
-            self._flush_scheduled = True
+        if not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
             self.loop.call_soon(self.flush)
 
     @guarded_callback
     def flush(self) -> None:
-        """Carry out what this turn has come to: store, sync, then send and answer."""
-        self._flush_scheduled = False
-        if self.disk.failing:
+        """Carry out the queued actions: write and sync first, then send messages and replies."""
+        self._is_flush_scheduled = False
+        if self.disk.is_failing:
             return
         try:
             self.host.flush(self.driver.now())
             if not self.replica.raft.needs_catch_up:
                 self.store.end_doubt()
-        except OSError as error:  # of the disk: `send`, `reply` and `tell` raise none
-            self.disk.fail(error)
+        except OSError as error:  # from the disk: `send`, `reply` and `tell` raise no OSError
+            self.disk.handle_failure(error)
             return
-        self._arm()
+        self._schedule_timer()
 
-    def _arm(self) -> None:
+    def _schedule_timer(self) -> None:
         self.timers.cancel(self._timer)
-        due = max(self.replica.due, self.driver.now() + MIN_TIMER_US)
-        self._timer = self.timers.add(due, self._on_time)
+        due = max(self.replica.due, self.driver.now() + MIN_TIMER_DELAY_US)
+        self._timer = self.timers.add(due, self._on_timer)
 
-    def _on_time(self, now: int) -> None:
-        if self.disk.failing:
+    def _on_timer(self, now: int) -> None:
+        if self.disk.is_failing:
             return
-        self.take(self.replica.on_time(now))
-        self.peers.end_silent(now)
+        self.queue_actions(self.replica.on_time(now))
+        self.peers.end_inactive(now)
 
-    def _dial(self, now: int) -> None:
-        self.timers.add(now + DIAL_US, self._dial)
-        if not self.disk.failing:
+    def _dial_periodically(self, now: int) -> None:
+        self.timers.add(now + DIAL_INTERVAL_US, self._dial_periodically)
+        if not self.disk.is_failing:
             self.peers.dial_missing()
 
     def abort(self) -> None:
-        """Nothing to end: `guarded_callback` asks for it."""
+        """Do nothing after an exception in a callback; `guarded_callback` requires this method."""
 
     # Connections.
 
-    def _incoming(self) -> FramedConnection:
-        """The connection of one who has dialled this process."""
+    def _create_connection(self) -> FramedConnection:
+        """Create the protocol of an accepted connection, which ends if no hello arrives in time."""
         connection = FramedConnection(self.driver, self.on_message, self.on_end)
-        self.timers.add(self.driver.now() + HELLO_TIMEOUT_US, lambda now: self._end_unnamed(connection))
+        self.timers.add(self.driver.now() + HELLO_TIMEOUT_US, lambda now: self._end_without_hello(connection))
         return connection
 
     @staticmethod
-    def _end_unnamed(connection: FramedConnection) -> None:
+    def _end_without_hello(connection: FramedConnection) -> None:
         if not connection.name:
-            connection.end("no hello")
+            connection.end("no hello received in time")
 
     def on_message(self, connection: FramedConnection, number: int, message: Any) -> None:
-        """Take a frame: a hello first, then what the other side's role allows."""
+        """Handle a message: a hello first, then the messages that the role of the other side allows."""
         if isinstance(message, Hello):
             self._on_hello(connection, message)
         elif isinstance(message, ConnectionRejected):
-            self.host_port.alarm(f"refused by {connection.name}: {message.reason}")
+            self.replica_port.log_alarm(f"connection rejected by {connection.name}: {message.reason}")
             connection.end(message.reason)
         elif connection in self.requests.connections:
             self._on_request(connection, number, message)
         elif not self.peers.is_peer(connection):
-            connection.end("no hello came first")
-        elif not self.disk.failing:
-            self.take(self.replica.on_message(self.driver.now(), connection.name, message))
+            connection.end("the first message is not a hello")
+        elif not self.disk.is_failing:
+            self.queue_actions(self.replica.on_message(self.driver.now(), connection.name, message))
 
     def _on_hello(self, connection: FramedConnection, hello: Hello) -> None:
-        from_replica = hello.role == REPLICA_ROLE
-        if from_replica and self.disk.failing:
+        is_replica = hello.role == REPLICA_ROLE
+        if is_replica and self.disk.is_failing:
             connection.end("the disk has failed")
             return
         try:
-            reason = self._refusal(hello)
-        except OSError as error:  # how often the other's disk was started on could not be kept
-            self.disk.fail(error)
+            reason = self._rejection_reason(hello)
+        except OSError as error:  # from storing the start count of the other replica
+            self.disk.handle_failure(error)
             connection.end("the disk has failed")
             return
         if reason:
-            self.host_port.alarm(f"a connection of {hello.name} is refused: {reason}")
+            self.replica_port.log_alarm(f"connection from {hello.name} rejected: {reason}")
             connection.reject(reason)
-        elif from_replica:
+        elif is_replica:
             self.peers.accept(connection, hello.name)
         else:
             self.requests.accept(connection, hello.name)
 
-    def _refusal(self, hello: Hello) -> str:
-        """Why a connection is not taken; empty: it is. Raises OSError."""
+    def _rejection_reason(self, hello: Hello) -> str:
+        """Return why a connection must be rejected, or an empty string. Raises OSError if the disk fails."""
         if hello.cluster != self.options.cluster:
             return f"this is cluster {self.options.cluster}, not {hello.cluster}"
-        return self.peers.refusal(hello) if hello.role == REPLICA_ROLE else self.requests.refusal()
+        return (
+            self.peers.rejection_reason(hello)
+            if hello.role == REPLICA_ROLE
+            else self.requests.rejection_reason()
+        )
 
     def _on_request(self, connection: FramedConnection, number: int, message: Any) -> None:
         if not isinstance(message, ClientRequest):
-            connection.end("not a request")
-        elif not self.disk.failing:
-            token = self.requests.open(connection, number)
-            self.take(self.replica.on_request(self.driver.now(), token, message))
+            connection.end("a message from a client is not a request")
+        elif not self.disk.is_failing:
+            token = self.requests.register(connection, number)
+            self.queue_actions(self.replica.on_request(self.driver.now(), token, message))
         elif isinstance(message, Probe):
             connection.send(number, ProbeReply(self.options.name, ""))
         else:
-            connection.send(number, Unavailable(DISK_REFUSAL))
+            connection.send(number, Unavailable(DISK_FAILURE_REASON))
 
     def on_end(self, connection: FramedConnection, reason: str) -> None:
-        """Forget a connection that has ended."""
-        self.peers.forget(connection)
-        self.requests.forget(connection)
+        """Remove a connection that has ended."""
+        self.peers.remove(connection)
+        self.requests.remove(connection)
 
-    # From start to end.
+    # Start and stop.
 
     def run(self) -> int:
-        """Serve until a signal; the exit code.
+        """Serve until a signal arrives, and return the exit code.
 
-        Raises OSError where the address cannot be had, and what ends a start on a disk that failed at first.
+        Raises OSError if the listen address is not available, and StoreError or OSError if the first opening
+        of the store has failed permanently.
         """
-        for number in SIGNALS:
-            self.loop.add_signal_handler(number, self._terminate)
+        for signal_number in SIGNALS:
+            self.loop.add_signal_handler(signal_number, self._on_signal)
         self._listen()
-        self.loop.call_soon(signal.pthread_sigmask, signal.SIG_UNBLOCK, SIGNALS)  # it hears of them only now
+        # Signals are unblocked when the loop can handle them.
+        self.loop.call_soon(signal.pthread_sigmask, signal.SIG_UNBLOCK, SIGNALS)
         self.loop.run_forever()
-        if self.disk.final_failure is not None:
-            raise self.disk.final_failure
+        if self.disk.permanent_failure is not None:
+            raise self.disk.permanent_failure
         self.disk.close()
         log_event("ended", name=self.options.name)
         return 0
 
     def _listen(self) -> None:
-        """Take connections, and begin where the disk works; raises OSError."""
+        """Accept connections, and start the replica if its disk works. Raises OSError."""
         address = Address.parse(self.options.listen)
-        sock = listening_socket(address, BACKLOG)
-        acceptor = Acceptor(self.driver, sock, self._incoming, listener="replica", batch=ACCEPT_BATCH)
+        sock = listening_socket(address, LISTEN_BACKLOG)
+        acceptor = Acceptor(
+            self.driver, sock, self._create_connection, listener="replica", batch=ACCEPT_BATCH
+        )
         acceptor.resume()
-        self._serving = True
-        if not self.disk.failing:
-            self._begin()
-        self._dial(self.driver.now())
+        self._is_serving = True
+        if not self.disk.is_failing:
+            self._start_replica()
+        self._dial_periodically(self.driver.now())
         self.driver.run_due_timers()
         name, cluster = self.options.name, self.options.cluster
         log_event("replica-serves", name=name, cluster=cluster, host=address.host, port=acceptor.port)
 
-    def _terminate(self) -> None:
-        """Hand the lead over first, so that nobody has to miss a leader."""
-        if not self.disk.failing and self.replica.is_leader and len(self.replica.raft.voters) > 1:
-            self.take(self.replica.transfer_leadership(self.driver.now()))
-            self.timers.add(self.driver.now() + TRANSFER_US, lambda now: self.loop.stop())
+    def _on_signal(self) -> None:
+        """Transfer the leadership before the loop stops, so that the cluster is not without a leader."""
+        if not self.disk.is_failing and self.replica.is_leader and len(self.replica.raft.voters) > 1:
+            self.queue_actions(self.replica.transfer_leadership(self.driver.now()))
+            self.timers.add(self.driver.now() + LEADERSHIP_TRANSFER_TIMEOUT_US, lambda now: self.loop.stop())
             self.driver.run_due_timers()
         else:
             self.loop.stop()
@@ -257,15 +273,15 @@
     log_event("loop", context.get("exception"), what=context.get("message"))
 
 
-def main(options: ReplicaOptions, log_format: str = "text", files: Directory | None = None) -> int:
-    """Run a replica; the exit code: 0 ended by a signal, 2 it could not start.
+def main(options: ReplicaOptions, log_format: str = "text", directory: Directory | None = None) -> int:
+    """Run a replica, and return the exit code: 0 after a signal, 2 if the replica cannot start.
 
-    A disk that fails for a while does not end it, neither while it starts nor while it runs.
+    The process survives temporary disk failures, during its start and later.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the loop runs
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the loop handles them
     log.configure(log_format)
     try:
-        return ReplicaProcess(options, files).run()
+        return ReplicaProcess(options, directory).run()
     except (StoreError, OSError) as error:
         print(f"cedarmill: {error}", file=sys.stderr)
         return 2
--- a/cedarmill/net/cluster/replica_disk.py
+++ b/cedarmill/net/cluster/replica_disk.py
@@ -1,7 +1,7 @@
-"""A replica's store while it works and while it fails: opened, given up, and opened anew.
+"""Opens the store of a replica, and reopens it after a disk failure.
 
-Where the disk fails, nothing more is promised: the owner is told once, and the store is opened anew until
-that succeeds. The replica then starts from what was read, as after a restart.
+The owner is notified once per failure and acknowledges nothing until the store is open again. The replica
+then starts from the stored state, as after a restart.
 """
 
 from collections.abc import Callable
@@ -14,51 +14,56 @@
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import ReplicaOptions
 
-RETRY_FIRST_US = 100_000  # from a failure of the disk to the first try to open it anew
-RETRY_MOST_US = 2_000_000  # between two tries; each wait is twice the one before
+# The delay before the store is reopened doubles with each failed attempt.
+INITIAL_RETRY_DELAY_US = 100_000
+MAX_RETRY_DELAY_US = 2_000_000
 
 
 class ReplicaDisk:
-    """Opens one replica's store, at the start and after each failure.
+    """Opens the store of one replica at the start and after each failure.
 
-    `on_opened` gets each store that was opened, `on_failed` hears of a failure while the store was in use or
-    at the first opening, `on_final_failure` of one that ends a start: the configuration is wrong, or the
-    store is damaged or another replica's, so that no later try can succeed.
+    `on_opened` is called with each opened store, and `on_failed` when the disk fails, in use or at the first
+    opening. `on_permanent_failure` is called if a retry of the first opening shows that no retry can succeed:
+    the configuration is wrong, the store is damaged, or the store belongs to another replica.
     """
 
     def __init__(
         self,
         driver: EventLoopDriver,
         options: ReplicaOptions,
-        files: Directory | None,
+        directory: Directory | None,
         on_opened: Callable[[ReplicaStore], None],
         on_failed: Callable[[], None],
-        on_final_failure: Callable[[], None],
+        on_permanent_failure: Callable[[], None],
     ) -> None:
         self.driver, self.options = driver, options
         self.timers: Timers = driver.timers
-        self.failing = False  # the disk has failed, and was not opened anew yet
-        self.retry_us = RETRY_FIRST_US
-        self.final_failure: StoreError | OSError | None = None
-        self._directory = files
-        self._store: ReplicaStore | None = None  # the newest that was opened; none before the first opening
+        self.is_failing = False  # whether the disk has failed and the store is not reopened yet
+        self.retry_delay_us = INITIAL_RETRY_DELAY_US
+        self.permanent_failure: StoreError | OSError | None = None
+        self._directory = directory
+        self._store: ReplicaStore | None = None  # the last opened store
         self._failed_at = 0
-        self._on_opened, self._on_failed, self._on_final_failure = on_opened, on_failed, on_final_failure
+        self._on_opened, self._on_failed, self._on_permanent_failure = (
+            on_opened,
+            on_failed,
+            on_permanent_failure,
+        )
 
     def start(self) -> None:
-        """Open the store, or leave that to the loop where the disk fails.
+        """Open the store, or schedule a retry if the disk fails temporarily.
 
-        Raises StoreError or OSError where no later try can succeed.
+        Raises StoreError or OSError if no retry can succeed.
         """
         try:
-            self._open()
+            self._open_store()
         except OSError as error:
             if not may_pass(error):
                 raise
-            self.fail(error)
+            self.handle_failure(error)
 
-    def _open(self) -> None:
-        """Open the store; raises StoreError or OSError."""
+    def _open_store(self) -> None:
+        """Open the store, and pass it to the owner. Raises StoreError or OSError."""
         if self._directory is None:
             self._directory = Directory(self.options.data)
         acknowledged = None if self._store is None else self._store.acknowledged
@@ -67,40 +72,44 @@
         )
         self._on_opened(self._store)
 
-    def fail(self, error: OSError) -> None:
-        """A system call has failed: nothing may be promised until the store was opened anew."""
-        if self.failing:
+    def handle_failure(self, error: OSError) -> None:
+        """Notify the owner of a failed system call, and schedule the reopening of the store."""
+        if self.is_failing:
             return
         log_event("replica-disk-failed", reason=error.strerror or error)
-        self.failing, self._failed_at, self.retry_us = True, self.driver.now(), RETRY_FIRST_US
+        self.is_failing, self._failed_at, self.retry_delay_us = (
+            True,
+            self.driver.now(),
+            INITIAL_RETRY_DELAY_US,
+        )
         self._on_failed()
-        self.timers.add(self._failed_at + self.retry_us, self.retry)
+        self.timers.add(self._failed_at + self.retry_delay_us, self.retry)
 
     def retry(self, now: int) -> None:
-        """Open the store anew; else try again later."""
+        """Reopen the store, or schedule the next attempt."""
         try:
             self.close()
-            self._open()
+            self._open_store()
         except (StoreError, OSError) as error:
             if self._store is None and not may_pass(error):
-                self.final_failure = error
-                self._on_final_failure()
+                self.permanent_failure = error
+                self._on_permanent_failure()
                 return
             log_event("replica-disk-retry", reason=getattr(error, "strerror", None) or error)
-            self.retry_us = min(2 * self.retry_us, RETRY_MOST_US)
-            self.timers.add(now + self.retry_us, self.retry)
+            self.retry_delay_us = min(2 * self.retry_delay_us, MAX_RETRY_DELAY_US)
+            self.timers.add(now + self.retry_delay_us, self.retry)
             return
-        self.failing = False
+        self.is_failing = False
         log_event("replica-disk-recovered", seconds=(self.driver.now() - self._failed_at) / 1e6)
 
     def close(self) -> None:
-        """Close the store, if one was opened; raises OSError."""
+        """Close the last opened store, if any. Raises OSError."""
         if self._store is not None:
             self._store.close()
 
 
 def log_recovery(store: ReplicaStore) -> None:
-    """Say what was found on the disk."""
+    """Log the state of an opened store, and what was truncated or may be missing."""
     recovery, saved = store.recovery, store.persistent_state
     log_event(
         "replica-store",
--- a/cedarmill/net/cluster/replica_format.py
+++ b/cedarmill/net/cluster/replica_format.py
@@ -1,4 +1,4 @@
-"""What a replica's disk holds when its cluster begins, or begins again from a backup."""
+"""Formats the disk of a replica for a new cluster, or for a cluster restored from a backup."""
 
 import contextlib
 import dataclasses
@@ -16,33 +16,41 @@
 from cedarmill.store.snapshots import decode_backup
 from cedarmill.values import ReplicaOptions
 
-FIRST = 1  # index and term of what a cluster begins with
-GENERATION_BITS = 40  # an epoch has the generation above so many bits, which hold an entry's index
+INITIAL_INDEX_AND_TERM = 1  # log index and term of the first snapshot of a new cluster
+# An epoch holds the index of a log entry in its low bits, and the generation above them.
+EPOCH_INDEX_BITS = 40
 
 
-def disk_name(cluster: str, name: str) -> str:
-    """Of the disks with which a cluster begins; all others are named by chance."""
+def initial_disk_name(cluster: str, name: str) -> str:
+    """Return the name of a disk formatted for a new cluster; disks added later get random names."""
     return f"{cluster}/{name}/1"
 
 
-def first_snapshot(options: ReplicaOptions, backup: bytes = b"") -> Snapshot:
-    """What all replicas of a new cluster begin with, to the last byte; or of one restored from a backup.
+def initial_snapshot(options: ReplicaOptions, backup: bytes = b"") -> Snapshot:
+    """Return the first snapshot of a new or restored cluster, identical on all replicas to the byte.
 
-    A restored one has a generation more, and counts what was granted as out until it is proved back. Raises
-    StoreError.
+    A restored cluster has the next generation, and its granted permits count as out of service until their
+    targets are proved to be back. Raises StoreError.
     """
     config = {
-        name: Peer(address, True, disk_name(options.cluster, name))
+        name: Peer(address, True, initial_disk_name(options.cluster, name))
         for name, address in sorted(options.peers.items())
     }
     if not backup:
-        return Snapshot(FIRST, FIRST, config, encode_snapshot(_new_state(options)))
-    before = decode_backup(backup)
-    state = _restored_state(options, before)
-    return Snapshot(before.index, max(before.term, FIRST), config, encode_snapshot(state))
+        return Snapshot(
+            INITIAL_INDEX_AND_TERM, INITIAL_INDEX_AND_TERM, config, encode_snapshot(_initial_state(options))
+        )
+    backup_snapshot = decode_backup(backup)
+    state = _restored_state(options, backup_snapshot)
+    return Snapshot(
+        backup_snapshot.index,
+        max(backup_snapshot.term, INITIAL_INDEX_AND_TERM),
+        config,
+        encode_snapshot(state),
+    )
 
 
-def _new_state(options: ReplicaOptions) -> ClusterState:
+def _initial_state(options: ReplicaOptions) -> ClusterState:
     state = ClusterState(
         options.cluster,
         limits=[Limit(*dataclasses.astuple(limit)) for limit in options.limits],
@@ -58,7 +66,8 @@
             options.sheds_load,
             options.gossip,
         )
-        with contextlib.suppress(InvalidLayoutError):  # no zones are planned then
+        # An invalid layout leaves the cluster without zone planning.
+        with contextlib.suppress(InvalidLayoutError):
             intake.set_layout(state, layout)
     return state
 
@@ -69,25 +78,25 @@
     for permit in state.permits.values():
         if permit.state == "granted":
             permit.state = "lost"
-    state.index, state.orders_epoch = backup.index, state.generation << GENERATION_BITS | backup.index
+    state.index, state.orders_epoch = backup.index, state.generation << EPOCH_INDEX_BITS | backup.index
     state.budget_grants = {}
-    state.budgets_dealt_from = state.clock + LEASE_US  # what was leased after the backup may still hold
+    state.budgets_dealt_from = state.clock + LEASE_US  # leases granted after the backup may still be valid
     state.note("restored from a backup: what was granted counts as out till it is back")
     return state
 
 
-def initialise(options: ReplicaOptions, backup: bytes = b"", files: Directory | None = None) -> None:
-    """Format this replica's disk for a new cluster, or one restored from a backup.
+def initialise(options: ReplicaOptions, backup: bytes = b"", directory: Directory | None = None) -> None:
+    """Format the disk of a replica for a new cluster, or for a cluster restored from a backup.
 
-    Raises StoreError (the directory is not empty, say) or OSError.
+    Raises StoreError, for example if the directory is not empty, or OSError.
     """
     store = ReplicaStore(
-        files or Directory(options.data),
+        directory or Directory(options.data),
         options.cluster,
         options.name,
-        disk_name(options.cluster, options.name),
+        initial_disk_name(options.cluster, options.name),
     )
     try:
-        store.write_snapshot(first_snapshot(options, backup), [])
+        store.write_snapshot(initial_snapshot(options, backup), [])
     finally:
         store.close()
--- a/cedarmill/net/cluster/replica_port.py
+++ b/cedarmill/net/cluster/replica_port.py
@@ -1,4 +1,4 @@
-"""What the host of a replica's core acts on: its store, its connections, and the log for operators."""
+"""Connects the host of a replica to its store, its connections and the operators' log."""
 
 from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
 from cedarmill.cluster.raft.messages import Entry, Snapshot
@@ -9,44 +9,44 @@
 
 
 class ReplicaPort:
-    """The port of `cluster/hosting.py`; it lasts over stores that are opened anew."""
+    """Implements `Port` of `cluster/hosting.py`; `store` is replaced each time the store is reopened."""
 
-    store: ReplicaStore  # the newest that was opened
+    store: ReplicaStore
 
     def __init__(self, peers: PeerConnections, requests: RequestConnections) -> None:
         self.peers, self.requests = peers, requests
-        self._alarms: set[str] = set()
+        self._logged_alarms: set[str] = set()
 
     def save(self, action: PersistTermAndVote | PersistEntries) -> None:
-        """Append to the log; raises OSError."""
+        """Append the action's data to the log. Raises OSError."""
         self.store.append(action)
 
     def sync(self) -> bool:
-        """Make durable what was appended; whether there was anything. Raises OSError."""
+        """Make all appended data durable, and return whether there was any. Raises OSError."""
         return self.store.sync()
 
     def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
-        """Store a snapshot and the entries after it; raises OSError."""
+        """Store a snapshot and the log entries after it. Raises OSError."""
         self.store.write_snapshot(snapshot, entries)
 
     def send(self, target: str, message: object) -> None:
-        """Send to another replica, if it is connected."""
+        """Send a message to another replica, or drop it if that replica is not connected."""
         self.peers.send(target, message)
 
     def reply(self, token: int, answer: object) -> None:
-        """Answer a request of a member or an operator."""
+        """Send the reply to a member's or an operator's request."""
         self.requests.reply(token, answer)
 
     def tell(self, action: RoleChanged | RaiseAlarm) -> None:
-        """Log for operators."""
+        """Log a role change or an alarm."""
         if isinstance(action, RoleChanged):
             role = "leader" if action.leads else "follower"
             log_event("replica-role", role=role, leader=action.leader or "nobody", term=action.term)
         else:
-            self.alarm(action.text)
+            self.log_alarm(action.text)
 
-    def alarm(self, text: str) -> None:
-        """Log what an operator should look at, once while the process runs."""
-        if text not in self._alarms:
-            self._alarms.add(text)
+    def log_alarm(self, text: str) -> None:
+        """Log an alarm for operators, once per text and process."""
+        if text not in self._logged_alarms:
+            self._logged_alarms.add(text)
             log_event("replica-alarm", reason=text)
--- a/cedarmill/net/cluster/replica_requests.py
+++ b/cedarmill/net/cluster/replica_requests.py
@@ -1,61 +1,61 @@
-"""Requests of members and operators at a replica, and the way of each answer back to its connection."""
+"""Requests of members and operators to a replica, and the connections for their replies."""
 
 from typing import NamedTuple
 
 from cedarmill.cluster.messages import ClientReply
 from cedarmill.net.framing import FramedConnection
 
-MAX_SESSIONS = 4096  # connections of members and operators: nodes, supervisors, and a few operators
+MAX_CONNECTIONS = 4096  # from nodes, supervisors and operators
 
 
 class OpenRequest(NamedTuple):
-    """Where an answer goes: a connection, and the number that the other side gave its request."""
+    """A request without a reply yet: its connection, and its number on that connection."""
 
     connection: FramedConnection
     number: int
 
 
 class RequestConnections:
-    """Connections of members and operators, and their requests without an answer by token."""
+    """Holds the connections of members and operators, and their open requests by token."""
 
     def __init__(self) -> None:
-        self.connections: dict[FramedConnection, str] = {}  # the names that they gave
-        self._open: dict[int, OpenRequest] = {}
+        self.connections: dict[FramedConnection, str] = {}  # names from the hello messages
+        self._open_requests: dict[int, OpenRequest] = {}
         self._last_token = 0
 
-    def refusal(self) -> str:
-        """Why no further connection is taken; empty: one is."""
-        if len(self.connections) < MAX_SESSIONS:
+    def rejection_reason(self) -> str:
+        """Return why a further connection must be rejected, or an empty string."""
+        if len(self.connections) < MAX_CONNECTIONS:
             return ""
-        return f"{MAX_SESSIONS} connections are open already"
+        return f"the limit of {MAX_CONNECTIONS} open connections is reached"
 
     def accept(self, connection: FramedConnection, name: str) -> None:
-        """The other side has said hello."""
+        """Register a connection after its hello."""
         connection.name = name
         self.connections[connection] = name
 
-    def open(self, connection: FramedConnection, number: int) -> int:
-        """A request has come; its token for `reply`."""
+    def register(self, connection: FramedConnection, number: int) -> int:
+        """Register a request, and return its token for `reply`."""
         self._last_token += 1
-        self._open[self._last_token] = OpenRequest(connection, number)
+        self._open_requests[self._last_token] = OpenRequest(connection, number)
         return self._last_token
 
     def reply(self, token: int, answer: object) -> None:
-        """Answer a request, if its connection is still there."""
-        request = self._open.pop(token, None)
+        """Send the reply to a request, unless its connection has ended."""
+        request = self._open_requests.pop(token, None)
         if request is not None:
             request.connection.send(request.number, answer)
 
-    def answer_all(self, answer: ClientReply) -> None:
-        """Give every open request the same answer."""
-        for token in list(self._open):
+    def reply_to_all(self, answer: ClientReply) -> None:
+        """Send the same reply to every open request."""
+        for token in list(self._open_requests):
             self.reply(token, answer)
 
-    def forget(self, connection: FramedConnection) -> None:
-        """A connection has ended: nobody waits for its answers."""
+    def remove(self, connection: FramedConnection) -> None:
+        """Remove a connection that has ended, and its open requests."""
         if self.connections.pop(connection, None) is not None:
-            self._open = {
+            self._open_requests = {
                 token: request
-                for token, request in self._open.items()
+                for token, request in self._open_requests.items()
                 if request.connection is not connection
             }
--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -31,8 +31,8 @@
 from cedarmill.cluster.replica import Replica
 from cedarmill.cluster.state_machine.commands import RequestPermits
 from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_id
-from cedarmill.net.cluster.replica import DISK_REFUSAL, ReplicaProcess
-from cedarmill.net.cluster.replica_format import disk_name, first_snapshot
+from cedarmill.net.cluster.replica import DISK_FAILURE_REASON, ReplicaProcess
+from cedarmill.net.cluster.replica_format import initial_disk_name, initial_snapshot
 from cedarmill.store.errors import ForeignDiskError
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import ReplicaOptions
@@ -103,7 +103,7 @@
                 self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], f"b{number}")
                 self.wait_for(lambda name=leader: FAILED in self.replica_log(name))
                 self.assertNotEqual(self.leader(), leader)
-                with self.assertRaisesRegex(NoReplicaError, DISK_REFUSAL):
+                with self.assertRaisesRegex(NoReplicaError, DISK_FAILURE_REASON):
                     self.asked_alone(leader, ReadRequest("status"))
                 self.assertEqual(self.asked_alone(leader, Probe("test")).name, leader)
                 self.plans[leader].arm()
@@ -131,7 +131,7 @@
                 self.plans["k0"].arm(*faults)
                 with self.assertRaises(NoReplicaError):
                     self.operator.ask(ask, 1.5)
-                with self.assertRaisesRegex(NoReplicaError, DISK_REFUSAL):
+                with self.assertRaisesRegex(NoReplicaError, DISK_FAILURE_REASON):
                     self.operator.ask(ReadRequest("permits"), 0.5)
                 self.assertEqual(self.operator.ask(Probe("test"), LONG).name, "k0")
                 self.plans["k0"].arm()
@@ -155,7 +155,7 @@
                 self.start_replica("k0")
                 self.wait_for(lambda told=told: self.replica_log("k0").count(RETRIED) > told.count(RETRIED))
                 for refused in (ask, ReadRequest("permits")):
-                    with self.assertRaisesRegex(NoReplicaError, DISK_REFUSAL):
+                    with self.assertRaisesRegex(NoReplicaError, DISK_FAILURE_REASON):
                         self.operator.ask(refused, 0.5)
                 self.assertEqual(self.operator.ask(Probe("test"), LONG).name, "k0")
                 self.assertIn(FAILED, self.replica_log("k0")[len(told) :])
@@ -249,8 +249,8 @@
         peers = {name: "127.0.0.1:1" for name in ("k0", "k1", "k2")}
         options = ReplicaOptions("main", "k0", "127.0.0.1:0", folder.name, peers)
         self.files = FaultyDirectory(folder.name)
-        store = ReplicaStore(self.files, "main", "k0", disk_name("main", "k0"))
-        store.write_snapshot(first_snapshot(options), [])
+        store = ReplicaStore(self.files, "main", "k0", initial_disk_name("main", "k0"))
+        store.write_snapshot(initial_snapshot(options), [])
         store.close()
         self.options = options
         self.process = ReplicaProcess(options, self.files)
@@ -267,7 +267,7 @@
 
     def carry_out(self, actions: list) -> None:
         """A whole turn of the loop."""
-        self.process.take(actions)
+        self.process.queue_actions(actions)
         self.process.flush()
 
     def break_disk(self, call: str = "write") -> None:
@@ -290,15 +290,15 @@
                 process.driver.now(), 1, SubmitRequest(RequestPermits(0, "o", "1", "executor", ("b",)))
             )
         )
-        self.assertTrue(process.disk.failing)
+        self.assertTrue(process.disk.is_failing)
         self.assertEqual(process.peers.connected["k2"].said[sent:], [TimeoutNow(replica.raft.term)])
         self.assertNotIn(TimeoutNow(replica.raft.term), process.peers.connected["k1"].said)
 
     def test_a_start_of_another_disk_that_cannot_be_kept_is_a_failure_of_the_disk(self):
         wire = ConnectionStub()
         self.break_disk()
-        self.process.on_message(wire, 0, Hello("main", "k1", "keeper", disk_name("main", "k1"), 7))
-        self.assertTrue(self.process.disk.failing)
+        self.process.on_message(wire, 0, Hello("main", "k1", "keeper", initial_disk_name("main", "k1"), 7))
+        self.assertTrue(self.process.disk.is_failing)
         self.assertTrue(wire.reason)
         self.assertEqual(self.process.peers.connected, {})
 
@@ -311,15 +311,15 @@
         with open(self.files.path("log"), "rb+") as log:
             log.truncate(len(log.read()) - 1)  # the record of its vote
         self.break_disk()
-        process.disk.fail(OSError("told"))
+        process.disk.handle_failure(OSError("told"))
         self.files.failing = {}
         process.disk.retry(process.driver.now())
-        self.assertFalse(process.disk.failing)
+        self.assertFalse(process.disk.is_failing)
         self.assertTrue(process.replica.raft.needs_catch_up)
         process.peers.connected = {"k2": ConnectionStub("k2")}
         self.carry_out(process.replica.on_message(process.driver.now() + 10_000_000, "k2", ask))
         self.assertEqual([reply.vote_granted for reply in process.peers.connected["k2"].said], [False])
-        process.disk.fail(OSError("again"))
+        process.disk.handle_failure(OSError("again"))
         process.disk.retry(process.driver.now())
         self.assertTrue(process.replica.raft.needs_catch_up, "no second failure ends the doubt")
         self.restart()
@@ -340,15 +340,15 @@
         self.break_disk("open")
         process = ReplicaProcess(replace(self.options, cluster="other"), self.files)
         self.addCleanup(process.loop.close)
-        self.assertTrue(process.disk.failing)
+        self.assertTrue(process.disk.is_failing)
         self.files.failing = {}
         process.disk.retry(process.driver.now())
-        self.assertIsInstance(process.disk.final_failure, ForeignDiskError)
+        self.assertIsInstance(process.disk.permanent_failure, ForeignDiskError)
         self.restart()
 
     def test_a_close_that_fails_is_tried_over_like_all_else(self):
         """close(2) may report EIO; the descriptor is free then."""
-        self.process.disk.fail(OSError("told"))
+        self.process.disk.handle_failure(OSError("told"))
         real = os.close
 
         def close(descriptor: int) -> None:
@@ -357,18 +357,18 @@
 
         with mock.patch("os.close", close):
             self.process.disk.retry(0)
-        self.assertTrue(self.process.disk.failing)
+        self.assertTrue(self.process.disk.is_failing)
         self.assertIsNotNone(self.process.timers.next_due)
         self.process.disk.retry(0)
-        self.assertFalse(self.process.disk.failing)
+        self.assertFalse(self.process.disk.is_failing)
 
     def test_the_waits_between_two_tries_grow_to_a_bound(self):
-        self.process.disk.fail(OSError("told"))
+        self.process.disk.handle_failure(OSError("told"))
         self.break_disk("open")
         waits = []
         for _ in range(7):
             self.process.disk.retry(0)
-            waits.append(self.process.disk.retry_us)
+            waits.append(self.process.disk.retry_delay_us)
         self.assertEqual(waits, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
 
     def test_an_answer_to_what_an_earlier_start_relayed_reaches_nobody(self):
--- a/tests/net/cluster/test_supervisor.py
+++ b/tests/net/cluster/test_supervisor.py
@@ -16,7 +16,7 @@
 from cedarmill.cluster.supervision import StartProcess, StopProcess, StoreUnits
 from cedarmill.lab.cluster.ports import free_port
 from cedarmill.net.cluster.supervisor import SupervisorProcess
-from cedarmill.net.cluster.supervisor_actions import UNITS_NAME
+from cedarmill.net.cluster.supervisor_actions import UNITS_FILE_NAME
 from cedarmill.values import ClusterOptions, SupervisorOptions, UnitOptions
 from tests.support.node_case import ROOT
 from tests.support.replica_case import LONG, cli
@@ -69,7 +69,7 @@
     def test_a_disk_that_fails_from_the_start_is_waited_for(self):
         self.path.write_text(FILE.format(**self.words))
         plan = FaultPlan(self.folder)
-        plan.arm(Fault("stat", "EIO", match=UNITS_NAME, times=0))
+        plan.arm(Fault("stat", "EIO", match=UNITS_FILE_NAME, times=0))
         command = plan.command("cedarmill.cli", "steward", "-c", str(self.path))
         for end in (False, True):
             with self.subTest(end=end):
@@ -82,7 +82,7 @@
                 process.terminate()
                 process.communicate(timeout=LONG)
                 self.assertEqual(process.returncode, 0)
-                plan.arm(Fault("stat", "EIO", match=UNITS_NAME, times=0))
+                plan.arm(Fault("stat", "EIO", match=UNITS_FILE_NAME, times=0))
 
     def wait_for(self, process: subprocess.Popen, words: str) -> None:
         """Read its log up to a line with these words."""
@@ -148,16 +148,16 @@
             self.order("v2", 1)
             self.order("v1", 2)
             for _ in range(3):
-                supervisor.look(supervisor.driver.now())
+                supervisor.check_processes(supervisor.driver.now())
                 supervisor.actions.retry(supervisor.driver.now())
             self.assertEqual(self.versions(), ["v1"])
             self.assertEqual(supervisor.report().units["n0"][0], "v2")
         supervisor.actions.retry(supervisor.driver.now())
-        self.assertFalse(supervisor.actions.failing)
+        self.assertFalse(supervisor.actions.is_failing)
         self.assertEqual(sorted(self.versions()), ["v1", "v2"])
-        stored = json.loads(supervisor.directory.read(UNITS_NAME))
+        stored = json.loads(supervisor.directory.read(UNITS_FILE_NAME))
         self.assertEqual({one["version"] for one in stored["n0"]["lives"].values()}, {"v1", "v2"})
-        supervisor.look(supervisor.driver.now())
+        supervisor.check_processes(supervisor.driver.now())
         self.assertEqual((unit.applied_epoch, unit.version), (2, "v1"))
 
     def test_an_end_seen_while_the_disk_fails_is_told_once_it_works(self):
@@ -168,10 +168,10 @@
             supervisor.actions.add([StoreUnits(b"{}")])
             child.kill()
             child.wait(LONG)
-            supervisor.look(supervisor.driver.now())
+            supervisor.check_processes(supervisor.driver.now())
             self.assertEqual((supervisor.report().ended_members, len(supervisor.actions.pending)), ([], 1))
         supervisor.actions.retry(supervisor.driver.now())
-        supervisor.look(supervisor.driver.now())
+        supervisor.check_processes(supervisor.driver.now())
         self.assertEqual(supervisor.report().ended_members, [f"node:n0:{life}"])
 
     def test_of_two_documents_that_wait_the_newer_one_is_stored_last(self):
@@ -181,7 +181,7 @@
             supervisor.actions.add([StoreUnits(b"older")])
             supervisor.actions.add([StoreUnits(b"newer")])
         supervisor.actions.retry(supervisor.driver.now())
-        self.assertEqual(supervisor.directory.read(UNITS_NAME), b"newer")
+        self.assertEqual(supervisor.directory.read(UNITS_FILE_NAME), b"newer")
 
     def test_what_is_told_to_end_late_has_its_whole_time(self):
         supervisor = self.supervisor
@@ -200,7 +200,7 @@
             supervisor.begin(supervisor.driver.now())
             for _ in range(7):
                 supervisor.actions.retry(0)
-                waits.append(supervisor.actions.retry_us)
+                waits.append(supervisor.actions.retry_delay_us)
         self.assertEqual(waits, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
         self.assertEqual(self.versions(), [])
 
@@ -212,7 +212,7 @@
         self.addCleanup(child.kill)
         for number in (errno.EMFILE, errno.ENFILE, errno.ENOMEM):
             with mock.patch.object(Path, "read_text", side_effect=OSError(number, os.strerror(number))):
-                self.supervisor.look(self.supervisor.driver.now())
+                self.supervisor.check_processes(self.supervisor.driver.now())
                 self.assertEqual(self.supervisor.report().ended_members, [])
                 successor = self.start()
                 successor.begin(successor.driver.now())
@@ -225,7 +225,7 @@
         with mock.patch.object(self.supervisor.actions, "add", lambda actions: None):
             self.supervisor.begin(self.supervisor.driver.now())  # nothing was started or stored yet
         [life] = self.supervisor.core.units["n0"].processes
-        self.supervisor.directory.replace(UNITS_NAME, msgspec.json.encode(self.supervisor.core.units))
+        self.supervisor.directory.replace(UNITS_FILE_NAME, msgspec.json.encode(self.supervisor.core.units))
         with mock.patch.object(self.supervisor.actions, "add", lambda actions: None):  # killed before it can
             self.supervisor.start_process(StartProcess("n0", "v1", life))
         [child] = self.supervisor.units["n0"].children.values()
