--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -59,9 +59,8 @@
             {unit.name: unit.version for unit in options.units}, _new_incarnation, stored
         )
         self.actions = SupervisorActions(self.driver, self.directory, self._execute, self._postpone_kill)
-        self.waiting_starts: dict[
-            str, StartProcess
-        ] = {}  # starts that wait for the listening socket, by unit
+        # Starts that wait for the listening socket, by unit.
+        self.waiting_starts: dict[str, StartProcess] = {}
         self.orders: Orders | None = None
         cluster = options.cluster
         identity = MemberIdentity("steward", options.name, _new_incarnation(), address=cluster.listen)
@@ -242,12 +241,12 @@
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until the loop handles them
     log.configure(log_format)
-    wait_us = INITIAL_RETRY_DELAY_US
+    retry_delay_us = INITIAL_RETRY_DELAY_US
     try:
         while (process := _create_supervisor(options)) is None:
-            if signal.sigtimedwait(SIGNALS, wait_us / 1e6) is not None:
+            if signal.sigtimedwait(SIGNALS, retry_delay_us / 1e6) is not None:
                 return 0
-            wait_us = min(2 * wait_us, MAX_RETRY_DELAY_US)
+            retry_delay_us = min(2 * retry_delay_us, MAX_RETRY_DELAY_US)
         return process.run()
     except (ValueError, OSError) as error:
         print(f"cedarmill: {options.data}: {error}", file=sys.stderr)
--- a/tests/net/cluster/test_replicas.py
+++ b/tests/net/cluster/test_replicas.py
@@ -1,4 +1,4 @@
-"""Real replicas: bootstrap, a leader lost, disks lost, old or failing, restore, and operators' commands."""
+"""Tests with real replica processes: elections, lost, outdated and failing disks, restore, and commands."""
 
 import json
 import shutil
@@ -11,178 +11,186 @@
 from tests.support.replica_case import LONG, Member, ReplicaCase, cli
 
 
-class Cluster(ReplicaCase):
-    def test_drains_by_the_command_with_exit_codes_and_json(self):
+class ThreeReplicas(ReplicaCase):
+    def test_drain_command_reports_permits_by_exit_code_and_json(self):
         node = Member(self, "n0")
         node.join()
-        dry = self.fleet("drain", "b0", "b3", "b9", "--dry-run")
-        self.assertEqual(dry.returncode, 1, dry.stdout)
-        for words in ("b0: would be granted", "b3: would wait", "b9: would be refused no executor"):
-            self.assertIn(words, dry.stdout)
-        self.assertEqual(self.fleet("drain", "b0").returncode, 0)
-        waits = self.fleet("--json", "drain", "b3")
-        self.assertEqual((waits.returncode, json.loads(waits.stdout)[0]["state"]), (4, "waiting"))
-        self.assertEqual(self.fleet("drain", "b0").returncode, 1)
-        node.beat()
+        dry_run = self.run_cluster_command("drain", "b0", "b3", "b9", "--dry-run")
+        self.assertEqual(dry_run.returncode, 1, dry_run.stdout)
+        for expected_text in ("b0: would be granted", "b3: would wait", "b9: would be refused no executor"):
+            self.assertIn(expected_text, dry_run.stdout)
+        self.assertEqual(self.run_cluster_command("drain", "b0").returncode, 0)
+        waiting = self.run_cluster_command("--json", "drain", "b3")
+        self.assertEqual((waiting.returncode, json.loads(waiting.stdout)[0]["state"]), (4, "waiting"))
+        self.assertEqual(self.run_cluster_command("drain", "b0").returncode, 1)
+        node.send_heartbeat()
         self.assertEqual(set(node.orders.excluded_executors), {"b0"})
-        node.clear()
+        node.report_drained()
         self.wait_for(lambda: self.look("permits")[0]["drained"])
-        self.assertIn("drained", self.fleet("permits").stdout)
-        self.assertEqual(self.fleet("undrain", "b0").returncode, 0)
+        self.assertIn("drained", self.run_cluster_command("permits").stdout)
+        self.assertEqual(self.run_cluster_command("undrain", "b0").returncode, 0)
         self.wait_for(lambda: self.look("permits")[1]["state"] == "granted")
-        for words, said in (
+        for expected_text, expected_output in (
             ("status", "leader k"),
             ("members", "n0"),
             ("targets", "b5"),
             ("limits", "executor per"),
             ("log", "drained"),
         ):
-            self.assertIn(said, self.fleet(words).stdout)
-        self.assertEqual(self.fleet("undrain", "b9").returncode, 1)
-        self.assertEqual(self.fleet("say", "drained", "b3").returncode, 2)
-        self.assertEqual(self.fleet("say", "drained", "b3", "--reason", "seen").returncode, 0)
-
-    def test_a_release_of_what_no_supervisor_runs_is_refused_with_the_reason(self):
-        done = self.fleet("release", "plan", "--version", "v2", "--group", "n0")
-        self.assertEqual((done.returncode, done.stdout), (1, "no steward runs a unit of the name n0\n"))
-        self.assertEqual(self.fleet("release", "status", "7").returncode, 1)
+            self.assertIn(expected_output, self.run_cluster_command(expected_text).stdout)
+        self.assertEqual(self.run_cluster_command("undrain", "b9").returncode, 1)
+        self.assertEqual(self.run_cluster_command("say", "drained", "b3").returncode, 2)
+        self.assertEqual(self.run_cluster_command("say", "drained", "b3", "--reason", "seen").returncode, 0)
+
+    def test_release_of_an_unknown_unit_is_refused_with_the_reason(self):
+        result = self.run_cluster_command("release", "plan", "--version", "v2", "--group", "n0")
+        self.assertEqual((result.returncode, result.stdout), (1, "no steward runs a unit of the name n0\n"))
+        self.assertEqual(self.run_cluster_command("release", "status", "7").returncode, 1)
         self.assertEqual(
-            self.fleet("release", "plan", "--version", "v2", "--group", "n0", "--bake", "5").returncode, 2
+            self.run_cluster_command(
+                "release", "plan", "--version", "v2", "--group", "n0", "--bake", "5"
+            ).returncode,
+            2,
         )
 
-    def test_a_permit_that_is_asked_for_by_no_number_is_not_found(self):
+    def test_permit_is_found_by_number_only(self):
         Member(self, "n0").join()
-        self.assertEqual(self.fleet("drain", "b0").returncode, 0)
+        self.assertEqual(self.run_cluster_command("drain", "b0").returncode, 0)
         self.assertEqual(self.look("permits", "b0"), [])
         self.assertEqual(self.look("permits", "1")[0]["target"], "b0")
 
-    def test_the_leader_is_killed_and_the_same_request_again_has_the_same_outcome(self):
+    def test_request_repeated_after_the_leader_is_killed_has_the_same_outcome(self):
         node = Member(self, "n0")
         node.join()
-        ask = SubmitRequest(commands.RequestPermits(0, "operator", new_id(), "executor", ("b0", "b1", "b2")))
-        first = self.operator.ask(ask, LONG)
+        request = SubmitRequest(
+            commands.RequestPermits(0, "operator", new_id(), "executor", ("b0", "b1", "b2"))
+        )
+        first = self.operator.ask(request, LONG)
         leader = self.leader()
         self.kill(leader)
-        again = self.operator.ask(ask, LONG)
+        again = self.operator.ask(request, LONG)
         self.assertEqual([row[:2] for row in again.permits], [row[:2] for row in first.permits])
         self.assertEqual(len(self.look("permits")), 3)
         self.assertNotEqual(self.leader(), leader)
 
-    def test_all_replicas_restarted_at_once_know_what_they_knew(self):
+    def test_permits_survive_a_restart_of_all_replicas(self):
         Member(self, "n0").join()
-        self.assertEqual(self.fleet("drain", "b0").returncode, 0)
+        self.assertEqual(self.run_cluster_command("drain", "b0").returncode, 0)
         self.kill(*self.ports)
         with self.assertRaises(NoReplicaError):
             self.operator.ask(ReadRequest("status"), 0.5)
-        self.assertEqual(self.fleet("status").returncode, 3)
+        self.assertEqual(self.run_cluster_command("status").returncode, 3)
         for name in self.ports:
             self.start_replica(name)
         self.assertEqual(self.look("permits")[0]["target"], "b0")
 
-    def test_a_fleet_that_falls_silent_at_once_is_not_believed_dead(self):
-        """A broken switch more often than dead nodes: nothing is granted, and the operator is told why."""
+    def test_members_silent_at_the_same_time_halt_grants_and_stay_live(self):
+        """Simultaneous silence is more often a network failure than the death of all nodes."""
         nodes = [Member(self, f"n{n}") for n in range(5)]
-        leases = lambda: [node.beat().lease_us for node in nodes]  # noqa: E731
+        leases = lambda: [node.send_heartbeat().lease_us for node in nodes]  # noqa: E731
         self.wait_for(lambda: all(leases()) and not self.look("status")["halted"])
         self.wait_for(lambda: "fell silent at once" in self.look("status")["halted"])
-        waits = self.fleet("drain", "b0")
-        self.assertEqual(waits.returncode, 4)
-        self.assertIn("nothing is granted now: 5 of 5 members fell silent at once", waits.stdout)
-        self.assertEqual({row["state"] for row in self.look("members")}, {"live"}, "none is taken for dead")
-        self.wait_for(lambda: [node.beat() for node in nodes] and not self.look("status")["halted"])
+        waiting = self.run_cluster_command("drain", "b0")
+        self.assertEqual(waiting.returncode, 4)
+        self.assertIn("nothing is granted now: 5 of 5 members fell silent at once", waiting.stdout)
+        self.assertEqual({row["state"] for row in self.look("members")}, {"live"}, "no member counts as dead")
+        self.wait_for(lambda: [node.send_heartbeat() for node in nodes] and not self.look("status")["halted"])
         self.assertEqual(self.look("permits")[0]["state"], "granted")
 
-    def test_the_lead_is_handed_over_on_sigterm_and_by_word(self):
+    def test_leadership_is_transferred_on_sigterm_and_by_command(self):
         before = self.leader()
         target = next(name for name in self.ports if name != before)
-        self.assertEqual(self.fleet("keepers", "lead", target).returncode, 0)
+        self.assertEqual(self.run_cluster_command("keepers", "lead", target).returncode, 0)
         self.wait_for(lambda: self.leader() == target)
         self.running[target].terminate()
         self.assertEqual(self.running[target].wait(LONG), 0)
         self.wait_for(lambda: self.leader() != target)
 
-    def test_a_replica_of_another_cluster_and_one_that_no_one_is_are_refused(self):
-        self.wait_for(self.leader)  # a replica that has not started yet says nothing of its cluster
-        stranger = OperatorClient("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
+    def test_client_of_another_cluster_is_refused(self):
+        self.wait_for(self.leader)  # A replica that is still starting rejects no connection.
+        client = OperatorClient("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
         with self.assertRaisesRegex(NoReplicaError, "this is cluster main, not other"):
-            stranger.ask(ReadRequest("status"), 1)
+            client.ask(ReadRequest("status"), 1)
 
-    def test_bad_files_are_refused_in_one_line(self):
+    def test_invalid_settings_are_refused_with_a_one_line_error(self):
         path = self.folder / "bad.xml"
         good = (self.folder / "k0.xml").read_text()
-        for change, words in (
+        for change, expected_text in (
             (('name="k0" data', 'name="k7" data'), "no <peer>"),
             (("<peer", "<per"), "per"),
             (('most="2"', ""), "<limit>"),
             (('listen="127.0.0.1', 'listen="local'), "ADDRESS:PORT"),
         ):
             path.write_text(good.replace(*change))
-            done = cli("keeper", "-c", str(path))
-            self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
-            self.assertIn(words, done.stderr)
-        done = self.init("k0")
-        self.assertEqual(done.returncode, 2)
-        self.assertIn("holds the disk main/k0/1 already", done.stderr)
+            result = cli("keeper", "-c", str(path))
+            self.assertEqual((result.returncode, len(result.stderr.splitlines())), (2, 1), result.stderr)
+            self.assertIn(expected_text, result.stderr)
+        result = self.format_disk("k0")
+        self.assertEqual(result.returncode, 2)
+        self.assertIn("holds the disk main/k0/1 already", result.stderr)
 
 
-class Disks(ReplicaCase):
-    def replaced(self, name: str) -> None:
-        """A replica on a disk that is a stranger's is refused, till an operator replaces it."""
+class ReplacedDisks(ReplicaCase):
+    def replace_replica(self, name: str) -> None:
+        """Wait until a replica on an unknown disk is refused, then register the new disk by command."""
         self.wait_for(lambda: "replace the keeper" in "".join(map(self.replica_log, self.ports)))
-        self.assertEqual(self.fleet("keepers", "remove", name).returncode, 0)
+        self.assertEqual(self.run_cluster_command("keepers", "remove", name).returncode, 0)
         disk = self.replica_log(name).rpartition("store: disk ")[2].split(",")[0]
-        added = self.fleet(
+        added = self.run_cluster_command(
             "keepers", "add", name, "--address", f"127.0.0.1:{self.ports[name]}", "--disk", disk
         )
         self.assertEqual(added.returncode, 0, added.stdout + added.stderr)
         self.wait_for(lambda: self.look("status")["keepers"][name]["votes"])
 
-    def test_an_empty_disk_under_a_known_name_is_a_stranger_s_till_it_is_replaced(self):
+    def test_replica_with_an_empty_disk_is_refused_until_an_operator_replaces_it(self):
         Member(self, "n0").join()
         name = next(name for name in self.ports if name != self.leader())
         self.kill(name)
-        self.wipe(name)
+        self.delete_data(name)
         self.start_replica(name)
         self.wait_for(lambda: "its disk is empty" in self.replica_log(name))
-        self.replaced(name)
-        other = next(one for one in self.ports if one not in (name, self.leader()))
-        self.kill(other)  # now the new one is needed
-        self.assertEqual(self.fleet("drain", "b0").returncode, 0)
+        self.replace_replica(name)
+        other = next(replica for replica in self.ports if replica not in (name, self.leader()))
+        self.kill(other)  # A majority now needs the replaced replica.
+        self.assertEqual(self.run_cluster_command("drain", "b0").returncode, 0)
 
-    def test_an_old_copy_of_a_disk_is_refused(self):
+    def test_replica_on_an_old_copy_of_its_disk_is_refused(self):
         name = next(name for name in self.ports if name != self.leader())
         self.kill(name)
         shutil.copytree(self.folder / name, self.folder / "old")
-        for start in ("start 3,", "start 4,"):  # the first formatted it; the others see each
+        for start in (
+            "start 3,",
+            "start 4,",
+        ):  # start 1 formats the disk; the other replicas record each later start
             self.start_replica(name)
             self.wait_for(
                 lambda start=start: "follower, leader k" in self.replica_log(name).partition(start)[2]
             )
             self.kill(name)
-        self.wipe(name)
+        self.delete_data(name)
         shutil.copytree(self.folder / "old", self.folder / name)
         self.start_replica(name)
         self.wait_for(lambda: "old copy of its disk" in "".join(map(self.replica_log, self.ports)))
-        self.assertEqual(self.fleet("status").returncode, 0)
+        self.assertEqual(self.run_cluster_command("status").returncode, 0)
 
-    def test_all_are_lost_and_restored_from_a_backup_with_old_grants_counted_as_out(self):
+    def test_restored_cluster_counts_granted_permits_as_out_of_service(self):
         node = Member(self, "n0")
         node.join()
-        self.assertEqual(self.fleet("drain", "b0").returncode, 0)
+        self.assertEqual(self.run_cluster_command("drain", "b0").returncode, 0)
         backup = self.folder / "fleet.backup"
-        self.assertEqual(self.fleet("backup", str(backup)).returncode, 0)
-        self.assertEqual(self.fleet("drain", "b1").returncode, 0)  # granted after the backup
-        node.beat()
+        self.assertEqual(self.run_cluster_command("backup", str(backup)).returncode, 0)
+        self.assertEqual(self.run_cluster_command("drain", "b1").returncode, 0)  # granted after the backup
+        node.send_heartbeat()
         self.assertEqual(set(node.orders.excluded_executors), {"b0", "b1"})
         epoch = node.orders.epoch
         self.kill(*self.ports)
         for name in self.ports:
-            self.wipe(name)
-            self.assertEqual(self.init(name, "--restore", str(backup)).returncode, 0)
+            self.delete_data(name)
+            self.assertEqual(self.format_disk(name, "--restore", str(backup)).returncode, 0)
             self.start_replica(name)
         self.wait_for(
             lambda: (
-                node.beat(
+                node.send_heartbeat(
                     held_grants={f"executor:{n}": e for n, e in node.orders.excluded_executors.items()}
                 ).lease_us
                 and len(node.orders.excluded_executors) == 2
@@ -192,110 +200,120 @@
         states = {row["target"]: row["state"] for row in self.look("permits")}
         self.assertEqual(states, {"b0": "lost", "b1": "lost"})
         self.assertEqual(self.look("status")["generation"], 2)
-        self.assertEqual(self.fleet("drain", "b2").returncode, 4, "two are out")
+        self.assertEqual(
+            self.run_cluster_command("drain", "b2").returncode, 4, "two executors are out of service"
+        )
 
-    def test_a_torn_backup_is_refused(self):
+    def test_truncated_backup_is_refused(self):
         backup = self.folder / "fleet.backup"
-        self.assertEqual(self.fleet("backup", str(backup)).returncode, 0)
+        self.assertEqual(self.run_cluster_command("backup", str(backup)).returncode, 0)
         backup.write_bytes(backup.read_bytes()[:-3])
         self.kill("k0")
-        self.wipe("k0")
-        done = self.init("k0", "--restore", str(backup))
-        self.assertEqual(done.returncode, 2)
-        self.assertIn("fleet.backup: torn or damaged", done.stderr)
+        self.delete_data("k0")
+        result = self.format_disk("k0", "--restore", str(backup))
+        self.assertEqual(result.returncode, 2)
+        self.assertIn("fleet.backup: torn or damaged", result.stderr)
 
 
 class FaultyDisks(ReplicaCase):
-    faulty = True
+    has_faulty_disks = True
 
-    def test_a_full_disk_and_a_failed_sync_stop_that_replica_s_promises_till_the_disk_is_well(self):
+    def test_leader_with_a_full_disk_or_failed_sync_is_replaced_and_recovers(self):
         Member(self, "n0").join()
         for fault, target in (("full", "b0"), ("fsync", "b1")):
             with self.subTest(fault):
                 leader = self.leader()
-                self.fault(leader).write_text(fault)
-                ask = SubmitRequest(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
-                self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], target)
+                self.fault_path(leader).write_text(fault)
+                request = SubmitRequest(
+                    commands.RequestPermits(0, "operator", new_id(), "executor", (target,))
+                )
+                self.assertEqual(self.operator.ask(request, LONG).permits[0][1], target)
                 self.wait_for(lambda name=leader: self.look("status")["keepers"][name].get("silent_s", 0) > 1)
                 self.assertNotEqual(self.leader(), leader)
-                self.fault(leader).unlink()
+                self.fault_path(leader).unlink()
                 self.wait_for(lambda name=leader: self.look("status")["keepers"][name].get("silent_s", 0) < 1)
-                self.assertIsNone(self.running[leader].poll(), "the same process")
+                self.assertIsNone(self.running[leader].poll(), "the replica process must not exit")
         self.assertEqual({row["target"] for row in self.look("permits")}, {"b0", "b1"})
 
-    def test_a_torn_tail_and_lost_writes_leave_what_was_promised(self):
+    def test_granted_permits_survive_torn_and_lost_writes(self):
         Member(self, "n0").join()
         for fault, target in (("torn", "b0"), ("lost", "b1")):
             with self.subTest(fault):
                 leader = self.leader()
-                self.fault(leader).write_text(fault)
-                ask = SubmitRequest(commands.RequestPermits(0, "operator", new_id(), "executor", (target,)))
-                self.assertEqual(self.operator.ask(ask, LONG).permits[0][1], target)
+                self.fault_path(leader).write_text(fault)
+                request = SubmitRequest(
+                    commands.RequestPermits(0, "operator", new_id(), "executor", (target,))
+                )
+                self.assertEqual(self.operator.ask(request, LONG).permits[0][1], target)
                 self.assertEqual(self.running[leader].wait(LONG), -9)
                 self.start_replica(leader)
         self.assertEqual({row["target"] for row in self.look("permits")}, {"b0", "b1"})
 
 
-class One(ReplicaCase):
+class SingleReplica(ReplicaCase):
     replicas = 1
 
-    def test_one_replica_alone_agrees_with_itself(self):
+    def test_single_replica_grants_permits(self):
         Member(self, "n0").join()
-        self.assertEqual(self.fleet("drain", "b0").returncode, 0)
+        self.assertEqual(self.run_cluster_command("drain", "b0").returncode, 0)
 
 
-class Loads(ReplicaCase):
-    """What operators see of overload, and a cut by hand, over a real replica."""
+class OfferedLoad(ReplicaCase):
+    """Commands for offered load and manual admission cuts, and gossip peers, with a real replica."""
 
     replicas = 1
     limits = ('<budget name="probes" per-second="100" nodes="4"/>',
               '<zones sheds="on" news="on"><region name="r"><zone name="z0"/></region></zones>')  # fmt: skip
 
-    def test_load_tells_who_offers_and_a_cut_by_hand_reaches_nodes_and_ends(self):
+    def test_load_command_lists_offered_load_and_manual_cut_reaches_nodes(self):
         node = Member(self, "n0")
-        worths = {"any": {1000: 30_000, 5000: 12_000}}
+        demand_by_weight = {"any": {1000: 30_000, 5000: 12_000}}
         node.join()
 
-        def offered() -> dict:
-            """One more digest by the leader's own stamp, and what it comes to."""
-            stamp = node.beat(zone="z0").leader_timestamp
+        def offered_load() -> dict:
+            """Send a digest with the leader's timestamp, and return the offered load of the zone."""
+            stamp = node.send_heartbeat(zone="z0").leader_timestamp
             digest = ObservationDigest(
-                node.seq,
+                node.sequence_number,
                 "z0",
                 {"any": 42_000},
                 {"z0": LocationObservation(6, 24_000, 0, 20)},
-                demand_by_weight=worths,
+                demand_by_weight=demand_by_weight,
                 slots_occupied=20_000,
                 slots_served=20_000,
                 slots_allotted=40_000,
                 admitted=50,
                 rejected_locally=5,
             )
-            node.beat(zone="z0", digest=digest, leader_timestamp=stamp)
+            node.send_heartbeat(zone="z0", digest=digest, leader_timestamp=stamp)
             return self.look("admission")["offered"].get("z0")
 
-        self.wait_for(offered)
-        told = self.fleet("load")
-        self.assertIn("nothing is cut", told.stdout, told.stderr)
-        self.assertIn("z0 offers 42 slots of jobs: 12 worth 5, 30 worth 1", told.stdout)
-        self.assertIn("probes: 100 a second", told.stdout)
-        self.assertEqual(self.fleet("cut", "set").returncode, 2, "below what?")
-        self.assertEqual(self.fleet("cut", "set", "--below", "3").returncode, 1, "a reason is owed")
-        self.assertEqual(self.fleet("cut", "set", "--below", "3", "--reason", "storm").returncode, 0)
-        self.wait_for(lambda: node.beat() and node.orders.admission_cut.weight == 3000)
-        self.assertIn("CUT: what is worth less than 3", self.fleet("load").stdout)
-        self.assertEqual(self.fleet("cut", "clear").returncode, 0)
-        self.wait_for(lambda: node.beat() and node.orders.admission_cut.weight < 0)
-
-    def test_who_shares_news_is_told_by_epoch_and_asked_for_once(self):
+        self.wait_for(offered_load)
+        load = self.run_cluster_command("load")
+        self.assertIn("nothing is cut", load.stdout, load.stderr)
+        self.assertIn("z0 offers 42 slots of jobs: 12 worth 5, 30 worth 1", load.stdout)
+        self.assertIn("probes: 100 a second", load.stdout)
+        self.assertEqual(self.run_cluster_command("cut", "set").returncode, 2, "--below is required")
+        self.assertEqual(
+            self.run_cluster_command("cut", "set", "--below", "3").returncode, 1, "--reason is required"
+        )
+        self.assertEqual(
+            self.run_cluster_command("cut", "set", "--below", "3", "--reason", "storm").returncode, 0
+        )
+        self.wait_for(lambda: node.send_heartbeat() and node.orders.admission_cut.weight == 3000)
+        self.assertIn("CUT: what is worth less than 3", self.run_cluster_command("load").stdout)
+        self.assertEqual(self.run_cluster_command("cut", "clear").returncode, 0)
+        self.wait_for(lambda: node.send_heartbeat() and node.orders.admission_cut.weight < 0)
+
+    def test_membership_epoch_grows_with_members_and_peers_need_an_address(self):
         first = Member(self, "n0")
         first.join()
-        self.wait_for(lambda: first.beat() and first.orders.membership_epoch)
+        self.wait_for(lambda: first.send_heartbeat() and first.orders.membership_epoch)
         before = first.orders.membership_epoch
         second = Member(self, "n1")
         second.join()
-        self.wait_for(lambda: first.beat() and first.orders.membership_epoch > before)
-        self.assertEqual(self.look("peers"), {}, "neither has told an address")
+        self.wait_for(lambda: first.send_heartbeat() and first.orders.membership_epoch > before)
+        self.assertEqual(self.look("peers"), {}, "neither member has reported an address")
 
 
 if __name__ == "__main__":
--- a/tests/support/replica_case.py
+++ b/tests/support/replica_case.py
@@ -1,4 +1,4 @@
-"""Starts real replicas on loopback for tests, and speaks with them as operators and members do."""
+"""Test cases with real replica processes on loopback, and a stand-in for a member node."""
 
 import json
 import shutil
@@ -14,17 +14,20 @@
 from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient
 from tests.support.node_case import ROOT, WAIT
 
-LONG = 3 * WAIT  # for elections and leases on a machine that runs many tests at once
-LIMITS = ('<limit kind="executor" per="fleet" most="2"/>', '<limit kind="executor" per="zone" most="1"/>',
-          '<limit kind="node" per="fleet" most="1"/>')  # fmt: skip
+LONG = 3 * WAIT  # enough for elections and leases while many tests run on the machine
+DEFAULT_LIMITS = (
+    '<limit kind="executor" per="fleet" most="2"/>',
+    '<limit kind="executor" per="zone" most="1"/>',
+    '<limit kind="node" per="fleet" most="1"/>',
+)
 
 
 class ReplicaCase(unittest.TestCase):
-    """Replicas, each with a folder of its own; `faulty` runs them on disks that may fail."""
+    """Starts replicas with one data folder each; `has_faulty_disks` starts them on disks that can fail."""
 
     replicas = 3
-    limits = LIMITS
-    faulty = False
+    limits = DEFAULT_LIMITS
+    has_faulty_disks = False
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -34,14 +37,14 @@
         self.running: dict[str, subprocess.Popen] = {}
         for name in self.ports:
             self.write(name)
-            self.assertEqual(self.init(name).returncode, 0)
+            self.assertEqual(self.format_disk(name).returncode, 0)
         for name in self.ports:
             self.start_replica(name)
         self.operator = OperatorClient("main", [f"127.0.0.1:{port}" for port in self.ports.values()], "test")
         self.addCleanup(self.end_replicas)
 
     def write(self, name: str, cluster: str = "main") -> Path:
-        """A replica's file."""
+        """Write the settings file of a replica, and return its path."""
         path = self.folder / f"{name}.xml"
         peers = "".join(f'<peer name="{n}" address="127.0.0.1:{p}"/>' for n, p in self.ports.items())
         path.write_text(f'<keeper version="1" cluster="{cluster}" name="{name}" data="{self.folder / name}" '
@@ -49,18 +52,22 @@
                         '<cold lasts="0s" share="30%"/></keeper>')  # fmt: skip
         return path
 
-    def init(self, name: str, *more: str) -> subprocess.CompletedProcess:
-        return cli("keeper", "-c", str(self.folder / f"{name}.xml"), "--init", *more)
+    def format_disk(self, name: str, *arguments: str) -> subprocess.CompletedProcess:
+        return cli("keeper", "-c", str(self.folder / f"{name}.xml"), "--init", *arguments)
 
     def start_replica(self, name: str) -> None:
-        words = ["cedarmill.cli", "keeper", "-c", str(self.folder / f"{name}.xml")]
-        if self.faulty:
-            words = ["cedarmill.lab.cluster.disks", str(self.folder / f"{name}.xml"), str(self.fault(name))]
+        arguments = ["cedarmill.cli", "keeper", "-c", str(self.folder / f"{name}.xml")]
+        if self.has_faulty_disks:
+            arguments = [
+                "cedarmill.lab.cluster.disks",
+                str(self.folder / f"{name}.xml"),
+                str(self.fault_path(name)),
+            ]
         with open(self.folder / f"{name}.log", "a") as log:
-            self.running[name] = subprocess.Popen([sys.executable, "-m", *words], cwd=ROOT, stderr=log)
+            self.running[name] = subprocess.Popen([sys.executable, "-m", *arguments], cwd=ROOT, stderr=log)
 
-    def fault(self, name: str) -> Path:
-        """The file that says what befalls a replica's disk."""
+    def fault_path(self, name: str) -> Path:
+        """Return the path of the file that selects the fault of a replica's disk."""
         return self.folder / f"{name}.fault"
 
     def replica_log(self, name: str) -> str:
@@ -76,67 +83,85 @@
         for name in self.running:
             self.assertNotIn("Traceback", self.replica_log(name))
 
-    def wipe(self, name: str) -> None:
+    def delete_data(self, name: str) -> None:
         shutil.rmtree(self.folder / name)
 
-    def look(self, what: str, *names: str):
-        """A part of what is agreed."""
-        return json.loads(self.operator.ask(ReadRequest(what, names=list(names)), LONG).body)
+    def look(self, view: str, *names: str):
+        """Return a view of the replicated state."""
+        return json.loads(self.operator.ask(ReadRequest(view, names=list(names)), LONG).body)
 
     def leader(self) -> str:
         return self.look("status")["leader"]
 
     def wait_for(self, condition, wait: float = LONG):
-        """What a condition comes to, when it comes to something."""
-        until = time.monotonic() + wait
+        """Wait until a condition returns a true value, and return that value."""
+        deadline = time.monotonic() + wait
         while True:
             try:
-                if found := condition():
-                    return found
+                if result := condition():
+                    return result
             except (NoReplicaError, KeyError, IndexError):
                 pass
-            self.assertLess(time.monotonic(), until, "the condition never came")
+            self.assertLess(time.monotonic(), deadline, "the condition did not hold in time")
             time.sleep(0.05)
 
-    def fleet(self, *words: str) -> subprocess.CompletedProcess:
-        """The command, as operators use it."""
+    def run_cluster_command(self, *arguments: str) -> subprocess.CompletedProcess:
+        """Run `cedarmill fleet` with the addresses of all replicas."""
         replicas = ",".join(f"127.0.0.1:{port}" for port in self.ports.values())
-        return cli("fleet", "--keepers", replicas, "--cluster", "main", *words)
+        return cli("fleet", "--keepers", replicas, "--cluster", "main", *arguments)
 
 
 class Member:
-    """A node as the replicas see it, beat by beat, with executors that it sees."""
+    """A node that sends heartbeats with the executors that it observes."""
 
-    def __init__(self, case: ReplicaCase, name: str, executors: int = 6) -> None:
-        self.case, self.name, self.seq, self.orders = case, name, 0, Orders(0)
+    def __init__(self, test_case: ReplicaCase, name: str, executors: int = 6) -> None:
+        self.test_case, self.name, self.sequence_number, self.orders = test_case, name, 0, Orders(0)
         self.term = 0
-        self.seen = {f"b{n}": ExecutorObservation("ready", zone=f"z{n % 3}") for n in range(executors)}
-
-    def beat(self, **facts) -> HeartbeatReply:
-        """One beat; its orders are followed."""
-        self.seq += 1
-        answer = self.case.operator.ask(
+        self.observations = {
+            f"b{n}": ExecutorObservation("ready", zone=f"z{n % 3}") for n in range(executors)
+        }
+
+    def send_heartbeat(self, **facts) -> HeartbeatReply:
+        """Send a heartbeat, store the orders from the reply, and return the reply."""
+        self.sequence_number += 1
+        reply = self.test_case.operator.ask(
             Heartbeat(
-                "node", self.name, "1", self.seq, self.orders.epoch, self.term, executors=self.seen, **facts
+                "node",
+                self.name,
+                "1",
+                self.sequence_number,
+                self.orders.epoch,
+                self.term,
+                executors=self.observations,
+                **facts,
             ),
             LONG,
         )
-        self.term = answer.term
-        if answer.orders is not None:
-            self.orders = answer.orders
-        return answer
+        self.term = reply.term
+        if reply.orders is not None:
+            self.orders = reply.orders
+        return reply
 
     def join(self) -> None:
-        """Beat till the session stands, the executors are known, and the leader has heard enough to grant."""
-        self.case.wait_for(lambda: self.beat().lease_us and len(self.case.look("targets")) >= len(self.seen)
-                           and not self.case.look("status")["halted"])  # fmt: skip
+        """Send heartbeats until the node has a lease, its executors are listed, and permits are granted."""
+        self.test_case.wait_for(
+            lambda: (
+                self.send_heartbeat().lease_us
+                and len(self.test_case.look("targets")) >= len(self.observations)
+                and not self.test_case.look("status")["halted"]
+            )
+        )
 
-    def clear(self) -> None:
-        """Say that it is done with all that it knows to be out."""
-        self.beat(drained=dict(self.orders.excluded_executors))
+    def report_drained(self) -> None:
+        """Report all excluded executors as drained."""
+        self.send_heartbeat(drained=dict(self.orders.excluded_executors))
 
 
-def cli(*words: str) -> subprocess.CompletedProcess:
+def cli(*arguments: str) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "cedarmill.cli", *words], cwd=ROOT, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "cedarmill.cli", *arguments],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
     )
