--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -273,7 +273,7 @@
         self.end()
         self.process = ReplicaProcess(self.options, self.files)
 
-    def carry_out(self, actions: list) -> None:
+    def flush_actions(self, actions: list) -> None:
         """Queue actions and flush, as in one turn of the event loop."""
         self.process.queue_actions(actions)
         self.process.flush()
@@ -284,22 +284,26 @@
     def test_leader_with_a_failed_disk_asks_the_most_advanced_follower_to_lead(self):
         process, replica = self.process, self.process.replica
         process.peers.connected = {name: ConnectionStub(name) for name in ("k1", "k2")}
-        self.carry_out(replica.on_time(replica.due))
-        for pre in (True, False):
-            term = replica.raft.term + pre
-            self.carry_out(replica.on_message(process.driver.now(), "k2", RequestVoteReply(term, True, pre)))
+        self.flush_actions(replica.on_time(replica.due))
+        for is_pre_vote in (True, False):
+            term = replica.raft.term + is_pre_vote
+            self.flush_actions(
+                replica.on_message(process.driver.now(), "k2", RequestVoteReply(term, True, is_pre_vote))
+            )
         self.assertTrue(replica.is_leader)
-        answer = AppendEntriesReply(replica.raft.term, True, replica.raft.log.last_index, 1)
-        self.carry_out(replica.on_message(process.driver.now(), "k2", answer))
+        reply = AppendEntriesReply(replica.raft.term, True, replica.raft.log.last_index, 1)
+        self.flush_actions(replica.on_message(process.driver.now(), "k2", reply))
         self.break_disk()
-        sent = len(process.peers.connected["k2"].sent_messages)
-        self.carry_out(
+        sent_count = len(process.peers.connected["k2"].sent_messages)
+        self.flush_actions(
             replica.on_request(
                 process.driver.now(), 1, SubmitRequest(RequestPermits(0, "o", "1", "executor", ("b",)))
             )
         )
         self.assertTrue(process.disk.is_failing)
-        self.assertEqual(process.peers.connected["k2"].sent_messages[sent:], [TimeoutNow(replica.raft.term)])
+        self.assertEqual(
+            process.peers.connected["k2"].sent_messages[sent_count:], [TimeoutNow(replica.raft.term)]
+        )
         self.assertNotIn(TimeoutNow(replica.raft.term), process.peers.connected["k1"].sent_messages)
 
     def test_failure_to_store_the_start_count_of_a_peer_is_a_disk_failure(self):
@@ -316,7 +320,7 @@
         process, connection = self.process, ConnectionStub("k1")
         process.peers.connected = {"k1": connection}
         request = RequestVote(5, 9, 5, False)
-        self.carry_out(process.replica.on_message(process.driver.now() + 10_000_000, "k1", request))
+        self.flush_actions(process.replica.on_message(process.driver.now() + 10_000_000, "k1", request))
         self.assertEqual(connection.sent_messages, [RequestVoteReply(5, True, False)])
         with open(self.files.path("log"), "rb+") as log:
             log.truncate(len(log.read()) - 1)  # damages the record of the vote
@@ -327,7 +331,7 @@
         self.assertFalse(process.disk.is_failing)
         self.assertTrue(process.replica.raft.needs_catch_up)
         process.peers.connected = {"k2": ConnectionStub("k2")}
-        self.carry_out(process.replica.on_message(process.driver.now() + 10_000_000, "k2", request))
+        self.flush_actions(process.replica.on_message(process.driver.now() + 10_000_000, "k2", request))
         self.assertEqual(
             [reply.vote_granted for reply in process.peers.connected["k2"].sent_messages], [False]
         )
@@ -340,11 +344,11 @@
         process = self.process
         self.assertTrue(process.replica.raft.needs_catch_up, "a restart must not end the need to catch up")
         process.peers.connected = {"k2": ConnectionStub("k2")}
-        self.carry_out(process.replica.on_message(process.driver.now() + 10_000_000, "k2", request))
+        self.flush_actions(process.replica.on_message(process.driver.now() + 10_000_000, "k2", request))
         self.assertEqual(
             [reply.vote_granted for reply in process.peers.connected["k2"].sent_messages], [False]
         )
-        self.carry_out(
+        self.flush_actions(
             process.replica.on_message(process.driver.now(), "k1", AppendEntries(9, 1, 1, (), 1, 1))
         )
         self.assertFalse(process.replica.raft.needs_catch_up, "the leader has brought the replica up to date")
@@ -381,11 +385,11 @@
     def test_retry_delay_doubles_up_to_its_maximum(self):
         self.process.disk.handle_failure(OSError("first failure"))
         self.break_disk("open")
-        waits = []
+        delays = []
         for _ in range(7):
             self.process.disk.retry(0)
-            waits.append(self.process.disk.retry_delay_us)
-        self.assertEqual(waits, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
+            delays.append(self.process.disk.retry_delay_us)
+        self.assertEqual(delays, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
 
     def test_relayed_request_ids_differ_between_starts_on_one_disk(self):
         """A late reply to a request relayed by an earlier start must not match a newer request."""
--- a/tests/net/cluster/test_replicas.py
+++ b/tests/net/cluster/test_replicas.py
@@ -30,14 +30,14 @@
         self.assertIn("drained", self.run_cluster_command("permits").stdout)
         self.assertEqual(self.run_cluster_command("undrain", "b0").returncode, 0)
         self.wait_for(lambda: self.look("permits")[1]["state"] == "granted")
-        for expected_text, expected_output in (
+        for command, expected_output in (
             ("status", "leader k"),
             ("members", "n0"),
             ("targets", "b5"),
             ("limits", "executor per"),
             ("log", "drained"),
         ):
-            self.assertIn(expected_output, self.run_cluster_command(expected_text).stdout)
+            self.assertIn(expected_output, self.run_cluster_command(command).stdout)
         self.assertEqual(self.run_cluster_command("undrain", "b9").returncode, 1)
         self.assertEqual(self.run_cluster_command("say", "drained", "b3").returncode, 2)
         self.assertEqual(self.run_cluster_command("say", "drained", "b3", "--reason", "seen").returncode, 0)
@@ -65,11 +65,11 @@
         request = SubmitRequest(
             commands.RequestPermits(0, "operator", new_id(), "executor", ("b0", "b1", "b2"))
         )
-        first = self.operator.ask(request, LONG)
+        first_reply = self.operator.ask(request, LONG)
         leader = self.leader()
         self.kill(leader)
-        again = self.operator.ask(request, LONG)
-        self.assertEqual([row[:2] for row in again.permits], [row[:2] for row in first.permits])
+        second_reply = self.operator.ask(request, LONG)
+        self.assertEqual([row[:2] for row in second_reply.permits], [row[:2] for row in first_reply.permits])
         self.assertEqual(len(self.look("permits")), 3)
         self.assertNotEqual(self.leader(), leader)
 
@@ -98,8 +98,8 @@
         self.assertEqual(self.look("permits")[0]["state"], "granted")
 
     def test_leadership_is_transferred_on_sigterm_and_by_command(self):
-        before = self.leader()
-        target = next(name for name in self.ports if name != before)
+        previous_leader = self.leader()
+        target = next(name for name in self.ports if name != previous_leader)
         self.assertEqual(self.run_cluster_command("keepers", "lead", target).returncode, 0)
         self.wait_for(lambda: self.leader() == target)
         self.running[target].terminate()
@@ -107,21 +107,21 @@
         self.wait_for(lambda: self.leader() != target)
 
     def test_client_of_another_cluster_is_refused(self):
-        self.wait_for(self.leader)  # A replica that is still starting rejects no connection.
+        self.wait_for(self.leader)  # A replica that is still starting does not report its cluster.
         client = OperatorClient("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
         with self.assertRaisesRegex(NoReplicaError, "this is cluster main, not other"):
             client.ask(ReadRequest("status"), 1)
 
     def test_invalid_settings_are_refused_with_a_one_line_error(self):
         path = self.folder / "bad.xml"
-        good = (self.folder / "k0.xml").read_text()
+        valid_settings = (self.folder / "k0.xml").read_text()
         for change, expected_text in (
             (('name="k0" data', 'name="k7" data'), "no <peer>"),
             (("<peer", "<per"), "per"),
             (('most="2"', ""), "<limit>"),
             (('listen="127.0.0.1', 'listen="local'), "ADDRESS:PORT"),
         ):
-            path.write_text(good.replace(*change))
+            path.write_text(valid_settings.replace(*change))
             result = cli("keeper", "-c", str(path))
             self.assertEqual((result.returncode, len(result.stderr.splitlines())), (2, 1), result.stderr)
             self.assertIn(expected_text, result.stderr)
@@ -158,10 +158,8 @@
         name = next(name for name in self.ports if name != self.leader())
         self.kill(name)
         shutil.copytree(self.folder / name, self.folder / "old")
-        for start in (
-            "start 3,",
-            "start 4,",
-        ):  # start 1 formats the disk; the other replicas record each later start
+        # Start 1 formats the disk; the other replicas record each later start.
+        for start in ("start 3,", "start 4,"):
             self.start_replica(name)
             self.wait_for(
                 lambda start=start: "follower, leader k" in self.replica_log(name).partition(start)[2]
@@ -272,7 +270,7 @@
 
         def offered_load() -> dict:
             """Send a digest with the leader's timestamp, and return the offered load of the zone."""
-            stamp = node.send_heartbeat(zone="z0").leader_timestamp
+            leader_timestamp = node.send_heartbeat(zone="z0").leader_timestamp
             digest = ObservationDigest(
                 node.sequence_number,
                 "z0",
@@ -285,7 +283,7 @@
                 admitted=50,
                 rejected_locally=5,
             )
-            node.send_heartbeat(zone="z0", digest=digest, leader_timestamp=stamp)
+            node.send_heartbeat(zone="z0", digest=digest, leader_timestamp=leader_timestamp)
             return self.look("admission")["offered"].get("z0")
 
         self.wait_for(offered_load)
@@ -309,10 +307,10 @@
         first = Member(self, "n0")
         first.join()
         self.wait_for(lambda: first.send_heartbeat() and first.orders.membership_epoch)
-        before = first.orders.membership_epoch
+        previous_epoch = first.orders.membership_epoch
         second = Member(self, "n1")
         second.join()
-        self.wait_for(lambda: first.send_heartbeat() and first.orders.membership_epoch > before)
+        self.wait_for(lambda: first.send_heartbeat() and first.orders.membership_epoch > previous_epoch)
         self.assertEqual(self.look("peers"), {}, "neither member has reported an address")
 
 
--- a/tests/net/cluster/test_supervisor.py
+++ b/tests/net/cluster/test_supervisor.py
@@ -35,7 +35,7 @@
         self.folder = folder.name
         self.path = Path(folder.name) / "steward.xml"
         self.settings = {"data": f"{folder.name}/data", "keeper": free_port(), "listen": free_port(),
-                      "command": "/no/such/command"}  # fmt: skip
+                         "command": "/no/such/command"}  # fmt: skip
 
     def test_missing_command_is_logged_and_the_supervisor_continues(self):
         self.path.write_text(SETTINGS.format(**self.settings))
@@ -53,7 +53,7 @@
         self.assertEqual(process.returncode, 0)
 
     def test_invalid_settings_are_refused_with_a_one_line_error(self):
-        good = SETTINGS.format(**self.settings)
+        valid_settings = SETTINGS.format(**self.settings)
         cases = (
             (('version="v1" listen', 'version="v2" listen'), "no <run> of the version 'v2'"),
             (('command="/no', 'command="&apos;/no'), "<run> command"),
@@ -61,7 +61,7 @@
             (('listen="127.0.0.1', 'listen="here'), "ADDRESS:PORT"),
         )
         for change, expected_text in cases:
-            self.path.write_text(good.replace(*change))
+            self.path.write_text(valid_settings.replace(*change))
             result = cli("steward", "-c", str(self.path))
             self.assertEqual((result.returncode, len(result.stderr.splitlines())), (2, 1), result.stderr)
             self.assertIn(expected_text, result.stderr)
@@ -197,13 +197,13 @@
         self.assertEqual(process.kill_at, now + 5 + 1000)
 
     def test_retry_delay_doubles_up_to_its_maximum(self):
-        supervisor, waits = self.supervisor, []
+        supervisor, delays = self.supervisor, []
         with self.full_disk():
             supervisor.begin(supervisor.driver.now())
             for _ in range(7):
                 supervisor.actions.retry(0)
-                waits.append(supervisor.actions.retry_delay_us)
-        self.assertEqual(waits, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
+                delays.append(supervisor.actions.retry_delay_us)
+        self.assertEqual(delays, [200_000, 400_000, 800_000, 1_600_000, 2_000_000, 2_000_000, 2_000_000])
         self.assertEqual(self.running_versions(), [])
 
     def test_process_with_unreadable_state_counts_as_alive(self):
