--- a/cedarmill/__init__.py
+++ b/cedarmill/__init__.py
@@ -1,4 +1,4 @@
-"""Dispatcher decisions by a preemptive connection pool."""
+"""Load balancer for executors: its decisions, and the node, cluster and tools built on them."""
 
 from cedarmill.decisions.balancer import Balancer
 from cedarmill.decisions.interface import Settings
--- a/cedarmill/__main__.py
+++ b/cedarmill/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cedarmill` starts one real node."""
+"""Entry point of `python -m cedarmill`, which runs one node."""
 
 import sys
 
--- a/cedarmill/conf/__init__.py
+++ b/cedarmill/conf/__init__.py
@@ -1,1 +1,1 @@
-"""Our own settings: XML with a schema that the package ships, checked whole before any of it is used."""
+"""Configuration files in XML, validated against the bundled schemas before any setting is applied."""
--- a/cedarmill/conf/cluster.py
+++ b/cedarmill/conf/cluster.py
@@ -1,4 +1,4 @@
-"""The XML files of a replica and of a process supervisor to the value types."""
+"""Readers for the XML configuration files of a replica and of a process supervisor."""
 
 import shlex
 from pathlib import Path
@@ -9,7 +9,7 @@
     Element,
     attribute,
     attribute_or,
-    place,
+    location,
     read_address,
     read_cluster_settings,
     read_named_addresses,
@@ -24,11 +24,11 @@
 )
 
 DEFAULT_SAFE_SHARE = "90%"
-DEFAULT_FLOORS = "64"  # nodes that may hold a floor of a budget
+DEFAULT_BUDGET_NODES = "64"  # nodes with a guaranteed minimum of a budget
 
 
 class ZoneSettings(NamedTuple):
-    """A `<zones>` element, with the fields of `ReplicaOptions`, whose defaults hold without the element."""
+    """Values of a `<zones>` element; each field has the name and the default of one in `ReplicaOptions`."""
 
     regions: dict[str, tuple[str, ...]]
     costs: dict[str, int]
@@ -38,16 +38,16 @@
 
 
 def read_limit(path: str | Path, element: Element) -> LimitOptions:
-    """A `<limit>`; raises ConfError for one that says nothing."""
-    most, part, left = (element.get(name) for name in ("most", "share", "capacity-left"))
-    if most is None and part is None and left is None:
-        raise ConfError(f"{place(path, element)}: <limit>: one of most, share, capacity-left is needed")
+    """Read a `<limit>` element; raise ConfError if it sets no limit."""
+    max_count, percentage, capacity_left = (element.get(name) for name in ("most", "share", "capacity-left"))
+    if max_count is None and percentage is None and capacity_left is None:
+        raise ConfError(f"{location(path, element)}: <limit>: one of most, share, capacity-left is needed")
     return LimitOptions(
         attribute(element, "kind"),
         attribute(element, "per"),
-        UNUSED if most is None else int(most),
-        UNUSED if part is None else _thousandths(part),
-        UNUSED if left is None else _thousandths(left),
+        UNUSED if max_count is None else int(max_count),
+        UNUSED if percentage is None else _thousandths(percentage),
+        UNUSED if capacity_left is None else _thousandths(capacity_left),
     )
 
 
@@ -56,19 +56,19 @@
 
 
 def read_budget(element: Element) -> BudgetOptions:
-    """A `<budget>`."""
+    """Read a `<budget>` element."""
     rate = round(float(attribute(element, "per-second")) * 1000)
     return BudgetOptions(
-        attribute(element, "name"), rate, int(attribute_or(element, "nodes", DEFAULT_FLOORS))
+        attribute(element, "name"), rate, int(attribute_or(element, "nodes", DEFAULT_BUDGET_NODES))
     )
 
 
 def read_replica_settings(path: str | Path) -> ReplicaOptions:
-    """A replica's file; raises ConfError or OSError."""
+    """Read the configuration file of a replica; raise ConfError or OSError."""
     root: Element = load(path, "keeper")
     peers, name = read_named_addresses(path, root.findall("peer")), attribute(root, "name")
     if name not in peers:
-        raise ConfError(f"{place(path, root)}: <keeper> name: no <peer> of the name {name!r}")
+        raise ConfError(f"{location(path, root)}: <keeper> name: no <peer> has the name {name!r}")
     defaults = ReplicaOptions("", "", "", "", {})
     zones = _read_zones(path, root.find("zones"), defaults)
     slow_start_us, slow_start_share = _read_slow_start(root.find("cold"), defaults)
@@ -78,7 +78,7 @@
         read_address(path, root, "listen"),
         attribute(root, "data"),
         peers,
-        tuple(read_limit(path, one) for one in root.findall("limit")),
+        tuple(read_limit(path, child) for child in root.findall("limit")),
         _read_budgets(path, root),
         *zones,
         slow_start_us,
@@ -87,7 +87,7 @@
 
 
 def _read_slow_start(element: Element | None, defaults: ReplicaOptions) -> tuple[int, int]:
-    """How long a returned executor counts in part (microseconds), and its share of slots (thousandths)."""
+    """Return the slow start duration (microseconds) and the initial share of slots (thousandths)."""
     if element is None:
         return defaults.slow_start_us, defaults.slow_start_share
     return microseconds(attribute(element, "lasts")), _thousandths(attribute(element, "share"))
@@ -97,12 +97,12 @@
     elements = root.findall("budget")
     budgets = tuple(map(read_budget, elements))
     if len({budget.name for budget in budgets}) < len(budgets):
-        raise ConfError(f"{place(path, elements[-1])}: <budget> name: one is named twice")
+        raise ConfError(f"{location(path, elements[-1])}: <budget> name: duplicate name")
     return budgets
 
 
 def _read_zones(path: str | Path, element: Element | None, defaults: ReplicaOptions) -> ZoneSettings:
-    """A `<zones>` element; raises ConfError."""
+    """Read a `<zones>` element; raise ConfError if it is invalid."""
     if element is None:
         return ZoneSettings(*(getattr(defaults, name) for name in ZoneSettings._fields))
     regions = {
@@ -111,7 +111,7 @@
     }
     names = [name for zones in regions.values() for name in zones]
     if len(set(names)) < len(names) or len(regions) < len(element.findall("region")):
-        raise ConfError(f"{place(path, element)}: <zones>: a zone or a region is named twice")
+        raise ConfError(f"{location(path, element)}: <zones>: duplicate zone or region")
     return ZoneSettings(
         regions,
         _read_costs(path, element, names),
@@ -122,23 +122,23 @@
 
 
 def _read_costs(path: str | Path, element: Element, zones: list[str]) -> dict[str, int]:
-    """The costs of sending from zone to zone, by `FROM>TO`; raises ConfError for a zone that is not laid."""
+    """Return the cost of each zone pair, by `FROM>TO`; raise ConfError for an unknown zone."""
     costs = {}
     for cost in element.findall("cost"):
-        ends = attribute(cost, "from"), attribute(cost, "to")
-        for end, zone in zip(("from", "to"), ends, strict=True):
+        zone_names = attribute(cost, "from"), attribute(cost, "to")
+        for attribute_name, zone in zip(("from", "to"), zone_names, strict=True):
             if zone not in zones:
-                raise ConfError(f"{place(path, cost)}: <cost> {end}: no zone {zone!r}")
-        costs[">".join(ends)] = int(attribute(cost, "is"))
+                raise ConfError(f"{location(path, cost)}: <cost> {attribute_name}: no zone {zone!r}")
+        costs[">".join(zone_names)] = int(attribute(cost, "is"))
     return costs
 
 
 def read_supervisor_settings(path: str | Path) -> SupervisorOptions:
-    """A process supervisor's file; raises ConfError or OSError."""
+    """Read the configuration file of a process supervisor; raise ConfError or OSError."""
     root: Element = load(path, "steward")
     units = tuple(_read_unit(path, element) for element in root.findall("unit"))
     if len({unit.name for unit in units}) < len(units):
-        raise ConfError(f"{place(path, root)}: <unit> name: one is named twice")
+        raise ConfError(f"{location(path, root)}: <unit> name: duplicate name")
     membership = root.find("fleet")
     assert membership is not None, "the schema requires <fleet>"
     cluster = read_cluster_settings(path, membership)
@@ -147,24 +147,24 @@
 
 def _read_unit(path: str | Path, element: Element) -> UnitOptions:
     name, version = attribute(element, "name"), attribute(element, "version")
-    where = f"{place(path, element)}: <unit {name}>"
+    prefix = f"{location(path, element)}: <unit {name}>"
     commands: dict[str, tuple[str, ...]] = {}
-    for run in element.findall("run"):
-        run_version = attribute(run, "version")
+    for command_element in element.findall("run"):
+        run_version = attribute(command_element, "version")
         if run_version in commands:
-            raise ConfError(f"{where}: <run> version: {run_version!r} is named twice")
-        commands[run_version] = _read_command(path, run)
+            raise ConfError(f"{prefix}: <run> version: duplicate version {run_version!r}")
+        commands[run_version] = _read_command(path, command_element)
     if version not in commands:
-        raise ConfError(f"{where} version: no <run> of the version {version!r}")
-    env = {attribute(one, "name"): attribute(one, "value") for one in element.findall("env")}
+        raise ConfError(f"{prefix} version: no <run> of the version {version!r}")
+    env = {attribute(child, "name"): attribute(child, "value") for child in element.findall("env")}
     return UnitOptions(name, version, read_address(path, element, "listen"), commands, env)
 
 
-def _read_command(path: str | Path, run: Element) -> tuple[str, ...]:
+def _read_command(path: str | Path, command_element: Element) -> tuple[str, ...]:
     try:
-        words = tuple(shlex.split(attribute(run, "command")))
+        arguments = tuple(shlex.split(attribute(command_element, "command")))
     except ValueError as error:
-        raise ConfError(f"{place(path, run)}: <run> command: {error}") from None
-    if not words:
-        raise ConfError(f"{place(path, run)}: <run> command: empty")
-    return words
+        raise ConfError(f"{location(path, command_element)}: <run> command: {error}") from None
+    if not arguments:
+        raise ConfError(f"{location(path, command_element)}: <run> command: the command is empty")
+    return arguments
--- a/cedarmill/conf/elements.py
+++ b/cedarmill/conf/elements.py
@@ -1,4 +1,4 @@
-"""Elements that several of our XML files share: attributes, addresses, and membership of a cluster."""
+"""Readers for attributes and elements that several kinds of XML configuration files share."""
 
 import ipaddress
 from collections.abc import Iterable
@@ -8,74 +8,74 @@
 from cedarmill.conf.document import ConfError
 from cedarmill.values import ClusterOptions
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class Element(Protocol):
-    """What is used of lxml's elements, which come without types."""
+    """The part of the interface of an lxml element that cedarmill uses; lxml has no type annotations."""
 
     tag: str
     sourceline: int
 
     def get(self, name: str) -> str | None:
-        """An attribute, or None where it is left out."""
+        """Return the value of an attribute, or None if the attribute is missing."""
 
     def find(self, path: str) -> "Element | None":
-        """The first element there."""
+        """Return the first element at a path, or None."""
 
     def findall(self, path: str) -> "list[Element]":
-        """All elements there."""
+        """Return all elements at a path."""
 
 
-def place(path: str | Path, element: Element) -> str:
-    """FILE:LINE of an element, as error messages begin."""
+def location(path: str | Path, element: Element) -> str:
+    """Return FILE:LINE of an element, the prefix of error messages."""
     return f"{path}:{element.sourceline}"
 
 
 def attribute(element: Element, name: str) -> str:
-    """An attribute that the schema requires."""
+    """Return the value of an attribute that the schema requires."""
     text = element.get(name)
-    assert text is not None, f"<{element.tag}> {name}: the schema lets it be left out"
+    assert text is not None, f"<{element.tag}> {name}: the schema does not require this attribute"
     return text
 
 
 def attribute_or(element: Element, name: str, default: str) -> str:
-    """An attribute, or the default where it is left out."""
+    """Return the value of an attribute, or the default if the attribute is missing."""
     text = element.get(name)
     return default if text is None else text
 
 
 def is_address(text: str) -> bool:
-    """Whether it is HOST:PORT with a numeric host: nothing of ours looks names up."""
+    """Return whether the text is HOST:PORT with an IP address as host; host names are not resolved."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
         return False
-    return int(port) <= MOST_PORT
+    return int(port) <= MAX_PORT
 
 
 def read_address(path: str | Path, element: Element, name: str) -> str:
-    """A numeric address in an attribute; raises ConfError."""
+    """Return an address with a numeric host from an attribute; raise ConfError if it is invalid."""
     text = attribute(element, name)
     if not is_address(text):
-        raise ConfError(f"{place(path, element)}: <{element.tag}> {name}: {text!r} is not ADDRESS:PORT")
+        raise ConfError(f"{location(path, element)}: <{element.tag}> {name}: {text!r} is not ADDRESS:PORT")
     return text
 
 
 def read_named_addresses(path: str | Path, elements: Iterable[Element]) -> dict[str, str]:
-    """Elements with a name and an address each; raises ConfError where a name comes twice."""
+    """Return the address of each element by its name; raise ConfError for a duplicate name."""
     addresses: dict[str, str] = {}
     for element in elements:
         name = attribute(element, "name")
         if name in addresses:
-            raise ConfError(f"{place(path, element)}: <{element.tag}> name: {name!r} is named twice")
+            raise ConfError(f"{location(path, element)}: <{element.tag}> name: duplicate name {name!r}")
         addresses[name] = read_address(path, element, "address")
     return addresses
 
 
 def read_cluster_settings(path: str | Path, element: Element) -> ClusterOptions:
-    """A `<fleet>` element: membership of a cluster; raises ConfError."""
+    """Read the cluster membership from a `<fleet>` element; raise ConfError if it is invalid."""
     defaults = ClusterOptions("", {})
     return ClusterOptions(
         attribute(element, "cluster"),
@@ -83,17 +83,24 @@
         read_address(path, element, "listen") if element.get("listen") else "",
         attribute_or(element, "cut-off", defaults.cut_off),
         attribute_or(element, "start", defaults.start),
-        _read_stays(path, element),
+        _read_routing_scopes(path, element),
     )
 
 
-def _read_stays(path: str | Path, element: Element) -> dict[str, str]:
-    """How far requests of a class or a tenant may go; raises ConfError."""
-    found: dict[str, str] = {}
+def _read_routing_scopes(path: str | Path, element: Element) -> dict[str, str]:
+    """Return the zone or region to which requests of a class or tenant are confined.
+
+    Raise ConfError for a duplicate or ambiguous `<stay>` element.
+    """
+    scopes: dict[str, str] = {}
     for stay in element.findall("stay"):
-        names = [f"{what}:{stay.get(what)}" for what in ("class", "tenant") if stay.get(what)]
-        if len(names) != 1 or names[0] in found:
-            why = "one of class and tenant is needed" if len(names) != 1 else f"{names[0]} is named twice"
-            raise ConfError(f"{place(path, stay)}: <stay>: {why}")
-        found[names[0]] = attribute(stay, "within")
-    return found
+        selectors = [f"{kind}:{stay.get(kind)}" for kind in ("class", "tenant") if stay.get(kind)]
+        if len(selectors) != 1 or selectors[0] in scopes:
+            reason = (
+                "exactly one of class and tenant is required"
+                if len(selectors) != 1
+                else f"duplicate {selectors[0]}"
+            )
+            raise ConfError(f"{location(path, stay)}: <stay>: {reason}")
+        scopes[selectors[0]] = attribute(stay, "within")
+    return scopes
--- a/cedarmill/log_events.py
+++ b/cedarmill/log_events.py
@@ -1,12 +1,11 @@
-"""Every event that the programs log: its id, its level, its line with places for fields, and further fields.
+"""Table of all log events: id, level, line template with placeholders for fields, and further fields.
 
-This is the one table. `docs/on-call.md` explains each event to operators, and `docs/operators/log-events.md`
-translates the ids and fields of earlier versions; tests hold both pages and every `log_event` call against
-the table.
+`docs/on-call.md` explains each event to operators, and `docs/operators/log-events.md` maps the ids and fields
+of earlier versions to the current ones. Tests compare both pages and every `log_event` call with this table.
 
-Two lines are read by other programs, which may be of another version than the one that writes them, so they
-keep their words: `serves` (whoever starts a node waits for it, and takes the port from it) and
-`admin-listening` (a process supervisor finds the admin API of a process that it started by it).
+Two lines are parsed by other programs, possibly of another version, so their text must not change: `serves`
+(the program that starts a node waits for this line and reads the port from it) and `admin-listening` (a
+process supervisor reads from it the address of the admin API of a process that it has started).
 """
 
 import logging
@@ -15,7 +14,7 @@
 
 
 class Event(NamedTuple):
-    """One kind of event: its level, its line with places for fields, and fields of the JSON form alone."""
+    """Definition of a log event: level, line template, and fields that only the JSON format contains."""
 
     level: int
     line: str
@@ -23,16 +22,16 @@
 
     @property
     def fields(self) -> tuple[str, ...]:
-        """The names of all fields, those of the line first, in its order."""
-        placed = (name for _, name, _, _ in Formatter().parse(self.line) if name)
-        return (*dict.fromkeys(placed), *self.json_only)
+        """Return the names of all fields: those of the line in its order, then the JSON-only ones."""
+        line_fields = (name for _, name, _, _ in Formatter().parse(self.line) if name)
+        return (*dict.fromkeys(line_fields), *self.json_only)
 
 
 EVENTS = {
-    # Read by other programs: these two lines keep their words (see above).
+    # Parsed by other programs: the text of these two lines must not change.
     "serves": Event(logging.INFO, "node {name} serves on {host} port {port}"),
     "admin-listening": Event(logging.INFO, "operators' door on {host} port {port}"),
-    # The life of a node.
+    # Events of nodes, replicas and process supervisors.
     "ended": Event(logging.INFO, "node {name} has ended"),
     "draining": Event(logging.INFO, "draining: {held} requests held"),
     "closed": Event(logging.INFO, "draining: no new sessions from now on, {held} requests held"),
--- a/cedarmill/sim/__init__.py
+++ b/cedarmill/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator: its binary wire, and the adapter that lets one balancer per instance act on it."""
+"""Adapter to the simulator: its binary protocol, and a process that runs one balancer per instance."""
--- a/cedarmill/sim/simhost.py
+++ b/cedarmill/sim/simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: reads batches on standard input, lets one balancer per instance act, writes replies."""
+"""Simulator adapter: reads batches from standard input, runs one balancer per instance, writes replies."""
 
 import sys
 from typing import BinaryIO
@@ -7,7 +7,7 @@
 from cedarmill.sim import wire
 
 EXIT_MALFORMED_INPUT = 2
-EXIT_NO_READER = 1
+EXIT_OUTPUT_CLOSED = 1
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
@@ -18,22 +18,22 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raise WireError on a malformed one."""
+    """Reply to each batch until the input ends; raise WireError for a malformed batch."""
     decoder = wire.Decoder()
     balancers: dict[int, Balancer] = {}
     batch = 0
-    while head := source.read(wire.HEADER.size):
-        where = f"batch {batch}"
-        if len(head) != wire.HEADER.size:
-            raise wire.WireError(f"{where}: the input ends within the header, after {len(head)} bytes")
-        length, count, now = wire.HEADER.unpack(head)
+    while header := source.read(wire.HEADER.size):
+        prefix = f"batch {batch}"
+        if len(header) != wire.HEADER.size:
+            raise wire.WireError(f"{prefix}: the input ends within the header, after {len(header)} bytes")
+        length, count, now = wire.HEADER.unpack(header)
         replies: list[bytes] = []
         try:
-            for instance, record in decoder.records(_read(source, length), count):
+            for instance, record in decoder.decode_records(_read(source, length), count):
                 _act(balancers, instance, record, now, replies)
         except wire.WireError as error:
-            raise wire.WireError(f"{where}: {error}") from None
-        sink.write(wire.reply(replies))
+            raise wire.WireError(f"{prefix}: {error}") from None
+        sink.write(wire.encode_reply(replies))
         sink.flush()
         batch += 1
 
@@ -48,23 +48,23 @@
         balancers.pop(instance, None)
         return
     if (balancer := balancers.get(instance)) is None:
-        raise wire.WireError(f"an event for instance {instance}, which has not started")
+        raise wire.WireError(f"event for instance {instance}, which has not been started")
     try:
         for action in balancer.handle(now, record):
             replies.append(wire.encode(instance, action))
-    except Exception as error:  # the wire asks for every failure of the decision code as Bug
+    except Exception as error:  # the protocol reports every failure of the balancer as Bug
         replies.append(wire.encode_bug(instance, f"{type(error).__name__}: {error}"))
 
 
 def main() -> int:
-    """Run the adapter on the standard streams."""
+    """Run the adapter on standard input and output; return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
         print(f"cedarmill: {error}", file=sys.stderr)
         return EXIT_MALFORMED_INPUT
     except BrokenPipeError:
-        return EXIT_NO_READER
+        return EXIT_OUTPUT_CLOSED
     return 0
 
 
--- a/cedarmill/sim/wire.py
+++ b/cedarmill/sim/wire.py
@@ -1,6 +1,6 @@
-"""The simulator's binary wire: records to events, actions to replies, its settings to `Settings`.
+"""The simulator's binary protocol: decodes records into events and settings, encodes actions as replies.
 
-All numbers are big-endian. The constants of records and replies bear the names of the wire's own page.
+All numbers are big-endian. Constants of records and replies have their names in the protocol description.
 """
 
 import struct
@@ -13,8 +13,8 @@
 from cedarmill.decisions import interface as api
 from cedarmill.decisions.settings import settings_from_json
 
-HEADER = struct.Struct(">IIQ")  # of a batch: bytes, records, time (us)
-REPLY = struct.Struct(">II")  # of an answer to it: replies, bytes
+HEADER = struct.Struct(">IIQ")  # batch: bytes, number of records, time (us)
+REPLY = struct.Struct(">II")  # reply to a batch: number of replies, bytes
 _CODE = struct.Struct(">H")
 _PROVISION = struct.Struct(">HQI")
 _DOWN = struct.Struct(">H")
@@ -30,9 +30,9 @@
 _SAMPLED = struct.Struct(">HIBIB")
 _FROM_PEER = struct.Struct(">HHH")
 _FLOATS = [struct.Struct(f">{count}f") for count in range(256)]
-_HIGHEST_LIST_NUMBER = 15
-_HINTED, _REPEATED = 1, 2  # bits of a request's flags
-_STARTED, _PROGRESS = 1, 2  # kinds of a heartbeat
+_MAX_LIST_NUMBER = 15
+_HINTED, _REPEATED = 1, 2  # bits of the flags of a request
+_STARTED, _PROGRESS = 1, 2  # kinds of heartbeat
 
 _RELAY = struct.Struct(">HHQII")
 _RECALL = struct.Struct(">HHQB")
@@ -42,7 +42,7 @@
 _CHECK = struct.Struct(">HHI")
 _OBSERVE = struct.Struct(">HHB")
 _TEXT = struct.Struct(">HHH")
-_LONGEST_TEXT = 65_535  # bytes
+_MAX_TEXT_BYTES = 65_535
 
 _OUTCOMES = {int(outcome): outcome for outcome in api.Outcome}
 _STATES = {int(state): state for state in api.ExecutorState}
@@ -52,41 +52,41 @@
 
 
 class WireError(ValueError):
-    """Input that the wire does not allow, with what is wrong and where."""
+    """Malformed input; the message names the fault and its position."""
 
 
 @dataclass(slots=True)
 class Provision:
-    """An instance starts."""
+    """Record that starts an instance with its settings."""
 
     seed: int
     settings: api.Settings
 
 
 class Down:
-    """An instance was killed."""
+    """Record that an instance was killed."""
 
 
-# Records of the host itself, and the balancer's events.
+# Events for a balancer, and the records that the adapter itself handles.
 Record = api.Event | Provision | Down
 
 
 class Decoded(NamedTuple):
-    """One record, the instance that it is for (0 where it is for all), and the offset of the next."""
+    """A decoded record, its instance (0 if it applies to all), and the offset of the next record."""
 
     instance: int
     record: Record | None
-    end: int
+    next_offset: int
 
 
 class Decoder:
-    """Decodes batches; keeps the numbered endpoint lists, which belong to the whole process."""
+    """Decodes batches; stores the numbered endpoint lists, which all instances share."""
 
     def __init__(self) -> None:
         self._lists: dict[int, list[api.EndpointEntry]] = {}
 
-    def records(self, body: bytes, count: int) -> Iterator[tuple[int, Record]]:
-        """Yield (instance, record) in order; raise WireError where the body is malformed."""
+    def decode_records(self, body: bytes, count: int) -> Iterator[tuple[int, Record]]:
+        """Yield (instance, record) in order; raise WireError if the body is malformed."""
         offset = 0
         for index in range(count):
             start = offset
@@ -103,13 +103,13 @@
             if record is not None:
                 yield instance, record
         if offset != len(body):
-            left = len(body) - offset
-            raise WireError(f"{left} bytes left over after record {count - 1} at byte {offset}")
+            trailing_bytes = len(body) - offset
+            raise WireError(f"{trailing_bytes} bytes left over after record {count - 1} at byte {offset}")
 
     def _provision(self, body: bytes, offset: int) -> Decoded:
         instance, seed, size = _PROVISION.unpack_from(body, offset)
         offset += _PROVISION.size
-        return Decoded(instance, Provision(seed, settings(_slice(body, offset, size))), offset + size)
+        return Decoded(instance, Provision(seed, parse_settings(_slice(body, offset, size))), offset + size)
 
     def _down(self, body: bytes, offset: int) -> Decoded:
         (instance,) = _DOWN.unpack_from(body, offset)
@@ -118,30 +118,30 @@
     def _rows(self, body: bytes, offset: int) -> Decoded:
         number, count = _ROWS.unpack_from(body, offset)
         offset += _ROWS.size
-        if number > _HIGHEST_LIST_NUMBER:
-            raise WireError(f"list number {number} is above {_HIGHEST_LIST_NUMBER}")
+        if number > _MAX_LIST_NUMBER:
+            raise WireError(f"list number {number} is above {_MAX_LIST_NUMBER}")
         entries = []
         for fields in _ENTRY.iter_unpack(_slice(body, offset, count * _ENTRY.size)):
             phase, zone, since, cell, size, executor, kind = fields
-            state = _known(_STATES, phase, "phase")
+            state = _look_up(_STATES, phase, "phase")
             entries.append(api.EndpointEntry(executor, state, zone, cell, since, size, kind))
         self._lists[number] = entries
         return Decoded(0, None, offset + count * _ENTRY.size)
 
     def _changed(self, body: bytes, offset: int) -> Decoded:
         instance, form, _, number = _CHANGED.unpack_from(body, offset)
-        kind = _known(_LISTS, form, "form")
+        kind = _look_up(_LISTS, form, "form")
         entries: list[api.EndpointEntry] = []
         if kind != api.EndpointListKind.FAILED:
-            entries = _known(self._lists, number, "list number")
+            entries = _look_up(self._lists, number, "list number")
         return Decoded(instance, api.EndpointList(kind, entries), offset + _CHANGED.size)
 
     def _accept(self, body: bytes, offset: int) -> Decoded:
         fields = _ACCEPT.unpack_from(body, offset)
-        instance, request, memory, hint, slots, key, flags, request_class, tenant, left = fields
+        instance, request, memory, hint, slots, key, flags, request_class, tenant, time_left_us = fields
         hint_us, repeated = hint if flags & _HINTED else 0, bool(flags & _REPEATED)
         event = api.RequestArrived(
-            request, request_class, left, slots, memory, hint_us, tenant, key, repeated
+            request, request_class, time_left_us, slots, memory, hint_us, tenant, key, repeated
         )
         return Decoded(instance, event, offset + _ACCEPT.size)
 
@@ -162,7 +162,7 @@
         fields = _SETTLED.unpack_from(body, offset)
         instance, request, attempt, executor, status, _, last, _, count = fields
         offset += _SETTLED.size
-        outcome = _known(_OUTCOMES, status, "status")
+        outcome = _look_up(_OUTCOMES, status, "status")
         report, end = _report(body, offset, count)
         event = api.AttemptEnded(request, attempt, executor, outcome, last != 0, report)
         return Decoded(instance, event, end)
@@ -170,7 +170,7 @@
     def _sampled(self, body: bytes, offset: int) -> Decoded:
         instance, executor, status, _, count = _SAMPLED.unpack_from(body, offset)
         offset += _SAMPLED.size
-        outcome = _known(_OUTCOMES, status, "status")
+        outcome = _look_up(_OUTCOMES, status, "status")
         report, end = _report(body, offset, count)
         return Decoded(instance, api.ProbeEnded(executor, outcome, report), end)
 
@@ -205,7 +205,7 @@
 
 
 def _report(body: bytes, offset: int, count: int) -> tuple[api.LoadReport | None, int]:
-    """A load report of so many fields (none: no report came), and the offset behind it."""
+    """Return a load report of `count` fields (None if there are none) and the offset after the report."""
     values = _FLOATS[count]
     return (values.unpack_from(body, offset) if count else None), offset + values.size
 
@@ -216,9 +216,9 @@
     return body[offset : offset + size]
 
 
-def _known(table: Mapping[int, Value], key: int, what: str) -> Value:
+def _look_up(table: Mapping[int, Value], key: int, description: str) -> Value:
     if key not in table:
-        raise WireError(f"unknown {what} {key}")
+        raise WireError(f"unknown {description} {key}")
     return table[key]
 
 
@@ -239,19 +239,19 @@
 
 
 def encode_bug(instance: int, text: str) -> bytes:
-    """Encode the report that the decision code failed; a long text is cut."""
-    encoded = text.encode()[:_LONGEST_TEXT]
+    """Encode a failure of the balancer; a text beyond the maximum length is truncated."""
+    encoded = text.encode()[:_MAX_TEXT_BYTES]
     return _TEXT.pack(1010, instance, len(encoded)) + encoded
 
 
-def reply(records: list[bytes]) -> bytes:
+def encode_reply(records: list[bytes]) -> bytes:
     """Frame the reply to one batch."""
     body = b"".join(records)
     return REPLY.pack(len(records), len(body)) + body
 
 
-def settings(text: bytes) -> api.Settings:
-    """Translate the settings of `Provision`; raise WireError where they are not JSON or not valid."""
+def parse_settings(text: bytes) -> api.Settings:
+    """Parse the settings of a `Provision` record; raise WireError if they are not JSON or not valid."""
     try:
         return settings_from_json(msgspec.json.decode(text))
     except msgspec.DecodeError as error:
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -1,4 +1,4 @@
-"""The log on standard error: whoever reads it, or does not, holds up no request."""
+"""Logging to standard error never blocks, whatever the reader of the output does."""
 
 import errno
 import fcntl
@@ -14,70 +14,72 @@
 from tests.support.node_case import WAIT
 
 
-class Log(unittest.TestCase):
-    """A log that cannot be written costs lines, never a request."""
+class StderrHandler(unittest.TestCase):
+    """Lines that cannot be written are dropped and counted."""
 
     def setUp(self) -> None:
-        self.read, self.written = os.pipe()
-        self.addCleanup(os.close, self.written)
-        self.handler = log.StderrHandler(self.written)
+        self.read_end, self.write_end = os.pipe()
+        self.addCleanup(os.close, self.write_end)
+        self.handler = log.StderrHandler(self.write_end)
 
     def emit(self, text: str) -> None:
         self.handler.handle(logging.makeLogRecord({"msg": text, "levelno": logging.INFO}))
 
     def lines(self) -> list[str]:
-        return os.read(self.read, 1 << 20).decode().split("\n")
+        return os.read(self.read_end, 1 << 20).decode().split("\n")
 
-    def test_a_reader_that_stands_still_is_not_waited_for_and_is_told_what_it_missed(self):
-        self.addCleanup(os.close, self.read)
-        fcntl.fcntl(self.written, fcntl.F_SETPIPE_SZ, 4 * select_bytes())
+    def test_stalled_reader_does_not_block_and_later_gets_the_number_of_lost_lines(self):
+        self.addCleanup(os.close, self.read_end)
+        fcntl.fcntl(self.write_end, fcntl.F_SETPIPE_SZ, 4 * page_size())
         writer = threading.Thread(target=lambda: [self.emit("x" * 99) for _ in range(1000)], daemon=True)
         writer.start()
         writer.join(WAIT)
-        self.assertFalse(writer.is_alive(), "it waits")
-        lost = self.handler.lost
-        self.assertEqual(len([line for line in self.lines() if line == "x" * 99]) + lost, 1000)
+        self.assertFalse(writer.is_alive(), "the handler blocks")
+        lost_lines = self.handler.lost_lines
+        self.assertEqual(len([line for line in self.lines() if line == "x" * 99]) + lost_lines, 1000)
         self.emit("again")
         self.assertEqual(
-            self.lines()[-3:], [f"lines of this log that could not be written: {lost}", "again", ""]
+            self.lines()[-3:], [f"lines of this log that could not be written: {lost_lines}", "again", ""]
         )
 
-    def test_a_line_longer_than_the_room_left_is_cut_and_the_next_begins_anew(self):
-        self.addCleanup(os.close, self.read)
-        fcntl.fcntl(self.written, fcntl.F_SETPIPE_SZ, 4 * select_bytes())
-        self.emit("y" * 5 * select_bytes())
+    def test_line_longer_than_the_pipe_is_truncated_and_the_next_starts_on_a_new_line(self):
+        self.addCleanup(os.close, self.read_end)
+        fcntl.fcntl(self.write_end, fcntl.F_SETPIPE_SZ, 4 * page_size())
+        self.emit("y" * 5 * page_size())
         self.lines()
         self.emit("again")
         self.assertEqual(self.lines()[-2:], ["again", ""])
 
-    def test_a_reader_that_has_gone_and_a_disk_that_is_full(self):
-        os.close(self.read)
-        self.emit("nobody")
+    def test_closed_reader_and_full_disk_count_lost_lines(self):
+        os.close(self.read_end)
+        self.emit("no reader")
         with mock.patch.object(os, "write", side_effect=OSError(errno.ENOSPC, "full")):
-            self.emit("no room")
-        self.assertEqual(self.handler.lost, 2)
+            self.emit("disk full")
+        self.assertEqual(self.handler.lost_lines, 2)
 
-    def test_a_step_back_of_the_wall_clock_silences_no_line(self):
-        """Told once in ten seconds; an hour back, the line that is repeated was silent for an hour."""
-        repeats, record = log.RepeatFilter(), logging.makeLogRecord({"msg": "repeated"})
+    def test_unix_time_stepping_back_suppresses_no_line(self):
+        """Guards against repeats measured in Unix time: a step back would suppress a line for that long."""
+        repeat_filter, record = log.RepeatFilter(), logging.makeLogRecord({"msg": "repeated"})
         later = logging.makeLogRecord({"msg": "repeated"})
         later.created = record.created - 3600
         with mock.patch.object(time, "monotonic", side_effect=[5.0, 6.0, 16.0]):
-            self.assertEqual([bool(repeats.filter(r)) for r in (record, later, later)], [True, False, True])
+            self.assertEqual(
+                [bool(repeat_filter.filter(r)) for r in (record, later, later)], [True, False, True]
+            )
 
 
-def select_bytes() -> int:
-    """Of the smallest buffer of a pipe: a page."""
+def page_size() -> int:
+    """Return the size of a memory page, the smallest buffer of a pipe."""
     return os.sysconf("SC_PAGE_SIZE")
 
 
-class Unread(FaultyNodeCase):
-    def test_a_log_that_nobody_reads_holds_up_no_request(self) -> None:
-        """A line for each bad entry of a list: more than a pipe holds."""
+class NodeWithUnreadLog(FaultyNodeCase):
+    def test_request_is_served_while_the_log_is_not_read(self) -> None:
+        """The list has so many invalid entries that their log lines exceed the buffer of the pipe."""
         watch = self.discovery.next_request()
         watch.send_head()
-        bad = [self.entry(0, name=f"bad-{number}", address="nowhere") for number in range(1500)]
-        watch.send_line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), *bad]})
+        invalid_entries = [self.entry(0, name=f"bad-{number}", address="nowhere") for number in range(1500)]
+        watch.send_line({"index": 8, "snapshot": True, "endpoints": [self.entry(0), *invalid_entries]})
         watch.send_line({"index": 9, "snapshot": False, "endpoints": [self.entry(0)]})
         client = self.client().ask()
         self.executors[0].next_request().done()
--- a/tests/sim/test_wire.py
+++ b/tests/sim/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: the examples of its page as facts, malformed input, and the adapter as a process."""
+"""The simulator's binary protocol: documented examples, malformed input, and the adapter process."""
 
 import io
 import json
@@ -42,8 +42,8 @@
 }  # fmt: skip
 
 
-def decode(hexed: str, count: int = 1, decoder: wire.Decoder | None = None):
-    return list((decoder or wire.Decoder()).records(bytes.fromhex(hexed), count))
+def decode(hex_text: str, count: int = 1, decoder: wire.Decoder | None = None):
+    return list((decoder or wire.Decoder()).decode_records(bytes.fromhex(hex_text), count))
 
 
 def provision(instance: int, seed: int = 5, settings: dict | bytes = SETTINGS) -> bytes:
@@ -56,7 +56,7 @@
     return wire.HEADER.pack(len(body), len(records), now) + body
 
 
-def test_events_of_the_page():
+def test_documented_records_decode_to_events():
     ((instance, event),) = decode(ACCEPT)
     assert instance == 3
     key = 0x91F03B7C55D20A64
@@ -82,7 +82,7 @@
     assert instance == 3 and isinstance(event, wire.Down)
 
 
-def test_lists_resolve_in_order_within_a_batch():
+def test_endpoint_list_numbers_resolve_in_record_order_within_a_batch():
     changed = "04240003040000002900"
     empty = "04060000000000"
     events = decode(ROWS + changed + empty + changed, 4)
@@ -101,41 +101,41 @@
     assert event.hint_us == 0 and event.repeated
 
 
-def test_actions_of_the_page():
-    job = 0x48D4B5D3A91C4
+def test_actions_encode_to_the_documented_records():
+    request = 0x48D4B5D3A91C4
     expected = {
-        "0424000300048d4b5d3a91c40000000003124a07": api.Send(job, 0x3124A07),
-        "044c000300048d4b5d3a91c400": api.Cancel(job, 0),
+        "0424000300048d4b5d3a91c40000000003124a07": api.Send(request, 0x3124A07),
+        "044c000300048d4b5d3a91c400": api.Cancel(request, 0),
         "041000030001270d0e6f2b190003d090": api.Refuse(0x1270D0E6F2B19, 250_000),
         "03e800030001270d0e6f2b19": api.Fail(0x1270D0E6F2B19),
         "040600030000004d0007a120": api.SetTimer(77, 500_000),
         "044200032c9011f2": api.Probe(0x2C9011F2),
         "03fc000301": api.Subscribe(),
     }
-    for hexed, action in expected.items():
-        assert wire.encode(3, action).hex() == hexed
+    for hex_text, action in expected.items():
+        assert wire.encode(3, action).hex() == hex_text
     bug = "03f200030012696e646578206f7574206f662072616e6765"
     assert wire.encode_bug(3, "index out of range").hex() == bug
-    assert wire.reply([]).hex() == "0" * 16
+    assert wire.encode_reply([]).hex() == "0" * 16
 
 
-def test_settings():
-    s = wire.settings(json.dumps(SETTINGS).encode())
-    assert s.report_fields == ("free_slots", "free_memory", "served_per_s", "errors_per_s")
+def test_settings_are_parsed_from_json():
+    parsed = wire.parse_settings(json.dumps(SETTINGS).encode())
+    assert parsed.report_fields == ("free_slots", "free_memory", "served_per_s", "errors_per_s")
     keyed = (api.Effect.KEYED, api.DeduplicationScope.CELL, 7_500_000)
-    assert s.classes[0] == api.RequestClass("a", 3.0, 200_000, 5_000_000, *keyed, 2.0)
-    assert (s.on_request_discovery, s.report_by_probe, s.tells_start) == (True, False, True)
+    assert parsed.classes[0] == api.RequestClass("a", 3.0, 200_000, 5_000_000, *keyed, 2.0)
+    assert (parsed.on_request_discovery, parsed.report_by_probe, parsed.tells_start) == (True, False, True)
 
 
 @pytest.mark.parametrize("path", [("rules", "cold"), ("caps", "try_limit"), ("instances",)])
-def test_missing_setting_is_named(path):
-    broken = json.loads(json.dumps(SETTINGS))
-    table = broken
+def test_missing_setting_raises_an_error_naming_its_path(path):
+    incomplete = json.loads(json.dumps(SETTINGS))
+    table = incomplete
     for key in path[:-1]:
         table = table[key]
     del table[path[-1]]
     with pytest.raises(wire.WireError, match=".".join(path)):
-        wire.settings(json.dumps(broken).encode())
+        wire.parse_settings(json.dumps(incomplete).encode())
 
 
 @pytest.mark.parametrize(
@@ -146,7 +146,7 @@
         settings(**{field: value})
 
 
-def run_host(data: bytes) -> tuple[bytes, str | None]:
+def run_adapter_in_process(data: bytes) -> tuple[bytes, str | None]:
     sink = io.BytesIO()
     try:
         simhost.serve(io.BytesIO(data), sink)
@@ -155,7 +155,7 @@
     return sink.getvalue(), None
 
 
-@pytest.mark.parametrize("data,what", [
+@pytest.mark.parametrize("data,expected_text", [
     (b"\0\0\0", "header"),
     (wire.HEADER.pack(8, 1, 0) + b"\0\0", "ends after 2 of 8"),
     (batch(0, bytes.fromhex("ffff0003")), "unknown record code 65535"),
@@ -166,19 +166,19 @@
     (batch(0, bytes.fromhex(SETTLED[:34] + "63" + SETTLED[36:])), "status 99"),
     (wire.HEADER.pack(4, 0, 0) + b"abcd", "left over"),
 ])  # fmt: skip
-def test_malformed_input_is_named_and_gives_no_half_reply(data, what):
-    output, error = run_host(batch(0) + data)
-    assert what in error
-    assert output == wire.reply([])
+def test_malformed_batch_raises_an_error_and_writes_no_partial_reply(data, expected_text):
+    output, error = run_adapter_in_process(batch(0) + data)
+    assert expected_text in error
+    assert output == wire.encode_reply([])
 
 
-def test_a_failing_balancer_is_reported_as_bug():
+def test_exception_of_the_balancer_is_reported_as_bug():
     bad_class = bytes.fromhex(ACCEPT[:66] + "0009" + ACCEPT[70:])
-    output, error = run_host(batch(5, provision(3)) + batch(6, bad_class))
+    output, error = run_adapter_in_process(batch(5, provision(3)) + batch(6, bad_class))
     assert error is None and struct.pack(">H", 1010) in output[16:]
 
 
-def _day(order: list[int]) -> bytes:
+def _batches_of_requests(order: list[int]) -> bytes:
     rows = bytes.fromhex(ROWS)
     start = [provision(i, seed=i + 1) for i in order]
     changed = [struct.pack(">HHBIB", 1060, i, 4, 1, 0) for i in order]
@@ -190,36 +190,39 @@
     return b"".join(frames)
 
 
-def _by_instance(output: bytes) -> dict[int, bytes]:
+def _replies_by_instance(output: bytes) -> dict[int, bytes]:
     sizes = {1060: 20, 1100: 13, 1040: 16, 1000: 12, 1030: 12, 1090: 8, 1020: 5}
-    found: dict[int, bytes] = {}
-    at = 0
-    while at < len(output):
-        count, _ = wire.REPLY.unpack_from(output, at)
-        at += wire.REPLY.size
+    replies: dict[int, bytes] = {}
+    offset = 0
+    while offset < len(output):
+        count, _ = wire.REPLY.unpack_from(output, offset)
+        offset += wire.REPLY.size
         for _ in range(count):
-            code, instance = struct.unpack_from(">HH", output, at)
-            found[instance] = found.get(instance, b"") + output[at : at + sizes[code]]
-            at += sizes[code]
-    return found
+            code, instance = struct.unpack_from(">HH", output, offset)
+            replies[instance] = replies.get(instance, b"") + output[offset : offset + sizes[code]]
+            offset += sizes[code]
+    return replies
 
 
-def _process(data: bytes, seed: str) -> subprocess.CompletedProcess:
+def _run_adapter(data: bytes, seed: str) -> subprocess.CompletedProcess:
     env = {**os.environ, "PYTHONHASHSEED": seed, "PYTHONDONTWRITEBYTECODE": "1"}
     command = [sys.executable, "-m", "cedarmill.sim.simhost"]
     return subprocess.run(command, input=data, cwd=ROOT, env=env, capture_output=True, timeout=60)
 
 
-def test_instances_act_alike_in_any_process_and_with_any_hash_seed():
-    together = _process(_day([0, 1, 2]), "1")
+def test_replies_do_not_depend_on_other_instances_or_the_hash_seed():
+    together = _run_adapter(_batches_of_requests([0, 1, 2]), "1")
     assert together.returncode == 0 and together.stderr == b""
-    assert together.stdout == _process(_day([0, 1, 2]), "2").stdout
-    both = _by_instance(together.stdout)
+    assert together.stdout == _run_adapter(_batches_of_requests([0, 1, 2]), "2").stdout
+    together_by_instance = _replies_by_instance(together.stdout)
     for instance in (0, 1, 2):
-        assert _by_instance(_process(_day([instance]), "3").stdout)[instance] == both[instance]
+        assert (
+            _replies_by_instance(_run_adapter(_batches_of_requests([instance]), "3").stdout)[instance]
+            == together_by_instance[instance]
+        )
 
 
-def test_malformed_input_ends_the_process_with_one_line():
-    result = _process(b"\0\0\0", "1")
+def test_malformed_input_ends_the_adapter_with_a_one_line_error():
+    result = _run_adapter(b"\0\0\0", "1")
     assert result.returncode != 0 and result.stdout == b""
     assert result.stderr.decode().count("\n") == 1 and "Traceback" not in result.stderr.decode()
