--- a/cedarmill/admin/__init__.py
+++ b/cedarmill/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' side of a node: requests of the admin API, executors taken out by hand, sealed documents.
+"""The admin API's logic: request routes, manual exclusions of executors, and sealed state documents.
 
-No I/O and no clock, and no import of another package of the program.
+This package does no I/O, reads no clock, and imports no other package of the program.
 """
--- a/cedarmill/admin/errors.py
+++ b/cedarmill/admin/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the operators' side; each message is one sentence for an operator."""
+"""Errors of the admin package; each message is one sentence for an operator."""
 
 from http import HTTPStatus
 
 
 class AdminError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class RequestRejectedError(AdminError):
-    """A request of the admin API is answered with an error before anything is done."""
+    """An admin API request is invalid and is answered with an error status."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -16,20 +16,20 @@
 
 
 class DocumentError(AdminError, ValueError):
-    """A document cannot be used; base of the errors of sealed documents."""
+    """A sealed document cannot be used; base class of the errors below."""
 
 
 class DocumentFormatError(DocumentError):
-    """A document has no header, or is of a newer format."""
+    """A document has no valid header, or its format is newer than this program's."""
 
 
 class ForeignDocumentError(DocumentError):
-    """A document is of another kind or of another node."""
+    """A document belongs to another node or is of another kind."""
 
 
 class DamagedDocumentError(DocumentError):
-    """A document is incomplete or damaged, or there is none."""
+    """A document is missing, incomplete or damaged."""
 
 
 class DocumentAgeError(DocumentError):
-    """A document is too old to be believed, or was written in the future."""
+    """A document is too old to be used, or its timestamp lies in the future."""
--- a/cedarmill/admin/exclusions.py
+++ b/cedarmill/admin/exclusions.py
@@ -1,8 +1,8 @@
-"""Executors taken out by hand: a set of discovery's names that outlives the process; no I/O.
+"""Manual exclusions of executors, by their names in discovery, which outlive the process; no I/O.
 
-Excluding twice is undone by including once: an exclusion is a mark, not a count. The marks are written as one
-sealed document (`admin/sealed_document.py`). `version` grows with each change, so that the newer state of two
-processes on one node is known. Marks do not expire: they hold until they are removed.
+Exclusions are not counted: one include undoes any number of excludes. They are stored as one sealed document
+(`admin/sealed_document.py`). Each change increments `version`, which shows which of two processes of one node
+has the newer state. Exclusions do not expire.
 """
 
 from typing import Self
@@ -13,26 +13,26 @@
 from cedarmill.admin.errors import DocumentError
 from cedarmill.admin.sealed_document import ClockReading, UnsealedDocument
 
-KIND = "exclusions"
-OLD_FORM_START = b'{"version"'  # before format 1 the body stood alone, without a header
+DOCUMENT_KIND = "exclusions"
+UNSEALED_DOCUMENT_PREFIX = b'{"version"'  # Documents older than format 1 have a body and no header.
 
 
 class ExclusionsBody(msgspec.Struct, omit_defaults=True):
-    """The document's body."""
+    """Body of the sealed document that stores the exclusions."""
 
     version: int
-    excluded: dict[str, int] | list[str]  # a list: as written before format 1, without times
-    marked_us: dict[str, int] = {}  # on the clock of the header's boot; older programs drop it
+    excluded: dict[str, int] | list[str]  # Documents older than format 1 hold a list.
+    marked_us: dict[str, int] = {}  # Monotonic clock; older programs do not write it.
 
 
 _DECODER = msgspec.json.Decoder(ExclusionsBody)
 
 
 class Exclusions:
-    """The excluded names, each with the Unix time (us) of its mark, and the version of this state.
+    """Excluded executors with the times of their exclusion, and the version of this state.
 
-    `since` is for people. `marked_us` is on the machine's clock and is what decides: when the mark was made,
-    or where that is not known, when this process first saw it, which is the latest that it can be.
+    `since` holds Unix times (us) for display. `marked_us` holds monotonic times, on which the balancer bases
+    its decisions. An unknown monotonic time is replaced by the time when this process first read it.
     """
 
     def __init__(self, node: str) -> None:
@@ -42,7 +42,7 @@
         self.version = 0
 
     def copy(self) -> Self:
-        """As they stand, to go back to if a change cannot be written."""
+        """Return a copy, to be restored if a change cannot be written."""
         copied = type(self)(self.node)
         copied.since = dict(self.since)
         copied.marked_us = dict(self.marked_us)
@@ -50,7 +50,7 @@
         return copied
 
     def exclude(self, name: str, now: ClockReading) -> bool:
-        """Mark it as excluded; whether that changed anything: a second mark leaves the time of the first."""
+        """Exclude an executor; return False if it is excluded already, and keep its earlier time."""
         if name in self.since:
             return False
         self.since[name] = now.unix_us
@@ -59,7 +59,7 @@
         return True
 
     def include(self, name: str) -> bool:
-        """Remove the mark; whether that changed anything."""
+        """Remove an exclusion; return False if the executor is not excluded."""
         if self.since.pop(name, None) is None:
             return False
         self.marked_us.pop(name, None)
@@ -67,16 +67,16 @@
         return True
 
     def encode(self, now: ClockReading) -> bytes:
-        """The document to write, sealed at that time."""
+        """Return the exclusions as a document sealed at the time `now`."""
         marked_us = self.marked_us if now.boot_id else {}
         body = msgspec.json.encode(ExclusionsBody(self.version, self.since, marked_us))
-        return sealed_document.seal(KIND, self.node, now, body)
+        return sealed_document.seal(DOCUMENT_KIND, self.node, now, body)
 
     def adopt(self, document: bytes, now: ClockReading) -> set[str]:
-        """Replace the marks by those of a newer document; the names whose mark changed.
+        """Replace the exclusions by those of a newer document; return the names that were added or removed.
 
-        Marks of a document without times count from `now`. Raises DocumentError for a document that cannot
-        be read: the marks stay as they are.
+        Exclusions without a time count from `now`. Raise DocumentError if the document cannot be read; the
+        exclusions are then unchanged.
         """
         written_at, body = _decode(document, self.node)
         if body.version <= self.version:
@@ -94,16 +94,16 @@
         return changed
 
     def _first_seen_us(self, name: str, unix_us: int, now: ClockReading) -> int:
-        """The machine's time of a mark that came without one: as known of the same mark, or now."""
+        """Return the known monotonic time of an exclusion whose document has none, or the time `now`."""
         return self.marked_us[name] if self.since.get(name) == unix_us else now.monotonic_us
 
 
 def _decode(document: bytes, node: str) -> tuple[ClockReading, ExclusionsBody]:
-    """When a document was written, and its marks; raises DocumentError."""
+    """Return the time when a document was written, and its body; raise DocumentError."""
     try:
-        if document.startswith(OLD_FORM_START):
+        if document.startswith(UNSEALED_DOCUMENT_PREFIX):
             return ClockReading(0), _DECODER.decode(document)
-        unsealed: UnsealedDocument = sealed_document.unseal(document, KIND, node)
+        unsealed: UnsealedDocument = sealed_document.unseal(document, DOCUMENT_KIND, node)
         return unsealed.written_at, _DECODER.decode(unsealed.body)
     except (DocumentError, msgspec.MsgspecError) as error:
-        raise DocumentError(f"kept exclusions: {error}") from None
+        raise DocumentError(f"stored exclusions: {error}") from None
--- a/cedarmill/admin/resource_split.py
+++ b/cedarmill/admin/resource_split.py
@@ -1,23 +1,23 @@
-"""How the processes of one node split the node's limits; no I/O.
+"""Division of a node's resource limits among its processes; no I/O.
 
-The platform counts all processes of a node as one. A process started beside a running one takes what that
-one leaves, and grows as it releases; each has a minimum, or an upgrade of a full node would serve nobody.
+The platform applies its limits to all processes of a node together. During an upgrade the new process may use
+what the old one leaves free. Each process has a guaranteed minimum, so that a full node can be upgraded.
 """
 
 from typing import NamedTuple
 
-MIN_PER_PROCESS = 16  # sessions, and upstream connections, that each process may hold whatever others do
+MIN_PER_PROCESS = 16  # Sessions, and as many upstream connections, guaranteed to each process.
 
 
 class ConnectionCounts(NamedTuple):
-    """Client sessions and upstream connections: how many may be held, or are."""
+    """Numbers of client sessions and upstream connections, either allowed or open."""
 
     sessions: int
     connections: int
 
 
 class NodeLimits(NamedTuple):
-    """What the node may use in all, and what a process uses before its first session."""
+    """Resource limits of the whole node, and the use of one process without sessions."""
 
     descriptors: int
     own_descriptors: int
@@ -27,22 +27,24 @@
 
 
 def split_limits(limits: NodeLimits, others: list[ConnectionCounts]) -> ConnectionCounts:
-    """How many this process may hold beside others that hold so many: what they leave, or its minimum."""
-    alone = _total(limits, processes=1)
-    shared = _total(limits, processes=1 + len(others))
+    """Return this process's limits, given the open connections of the node's other processes."""
+    single_process = _total_limits(limits, processes=1)
+    shared = _total_limits(limits, processes=1 + len(others))
     return ConnectionCounts(
-        _remaining(alone.sessions, shared.sessions, sum(other.sessions for other in others)),
-        _remaining(alone.connections, shared.connections, sum(other.connections for other in others)),
+        _remaining_limit(single_process.sessions, shared.sessions, sum(other.sessions for other in others)),
+        _remaining_limit(
+            single_process.connections, shared.connections, sum(other.connections for other in others)
+        ),
     )
 
 
-def _remaining(alone: int, shared: int, held: int) -> int:
-    return max(min(MIN_PER_PROCESS, alone), shared - held)
+def _remaining_limit(single_process: int, shared: int, open_elsewhere: int) -> int:
+    return max(min(MIN_PER_PROCESS, single_process), shared - open_elsewhere)
 
 
-def _total(limits: NodeLimits, processes: int) -> ConnectionCounts:
-    """For all processes together: half of the descriptors for each side; sessions fit into memory too."""
+def _total_limits(limits: NodeLimits, processes: int) -> ConnectionCounts:
+    """Return the limits of all processes together; memory limits the number of sessions too."""
     descriptors = limits.descriptors - limits.own_descriptors * processes
-    in_memory = int((limits.memory_mb - limits.own_memory_mb * processes) / limits.session_mb)
-    half = descriptors // 2
-    return ConnectionCounts(min(half, in_memory), descriptors - half)
+    max_sessions_in_memory = int((limits.memory_mb - limits.own_memory_mb * processes) / limits.session_mb)
+    client_descriptors = descriptors // 2
+    return ConnectionCounts(min(client_descriptors, max_sessions_in_memory), descriptors - client_descriptors)
--- a/cedarmill/admin/routes.py
+++ b/cedarmill/admin/routes.py
@@ -1,7 +1,7 @@
-"""The admin API as a table: method and path in, what to do out; no I/O.
+"""Routes of the admin API: parsing of a method and a path into an action; no I/O.
 
-The API is HTTP/1.1 with one request for each connection; success is 2xx, failure 4xx or 5xx. The requests are
-those of the operators' page: `GET /api/ready`, `PUT /api/exclude/ID`, `PUT /api/include/ID`,
+The API is HTTP/1.1 with one request per connection; success is 2xx, failure 4xx or 5xx. The requests are
+`GET /api/ready`, `PUT /api/exclude/ID`, `PUT /api/include/ID`,
 `PUT /api/evacuate`, `PUT /api/rejoin`.
 """
 
@@ -14,18 +14,18 @@
 
 
 class AdminAction(enum.Enum):
-    """What a request asks of the node."""
+    """Action that a request asks the node to perform."""
 
     READY = "ready"
     EXCLUDE = "exclude"
     INCLUDE = "include"
-    DRAIN_CLIENTS = "evacuate"  # the name on the wire
+    DRAIN_CLIENTS = "evacuate"  # Name on the wire.
     REJOIN = "rejoin"
 
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """A valid request: what to do, and to which executor where one is named."""
+    """A valid request: the action, and the executor's id if the action has one."""
 
     action: AdminAction
     executor: str = ""
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """The answer to a request; `body` is plain text, one line."""
+    """Response to a request; the body is one line of plain text."""
 
     status: HTTPStatus
     body: bytes
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The method that a path takes, and what it does."""
+    """Allowed method of a path, and the action of the request."""
 
     method: bytes
     action: AdminAction
@@ -53,16 +53,16 @@
     b"/api/evacuate": Route(b"PUT", AdminAction.DRAIN_CLIENTS),
     b"/api/rejoin": Route(b"PUT", AdminAction.REJOIN),
 }
-EXECUTOR_ROUTES = {  # by the part of the path before the executor's id
+EXECUTOR_ROUTES = {  # Keyed by the path's prefix before the executor's id.
     b"/api/exclude/": Route(b"PUT", AdminAction.EXCLUDE),
     b"/api/include/": Route(b"PUT", AdminAction.INCLUDE),
 }
-# discovery's names: printable, no slash; a longer one is no executor's
-EXECUTOR_ID = re.compile(rb"[!-.0-~]{1,256}")
+# Printable ASCII without a slash; discovery has no longer names.
+EXECUTOR_ID_PATTERN = re.compile(rb"[!-.0-~]{1,256}")
 
 
 def parse_request(method: bytes, target: bytes) -> AdminRequest:
-    """Parse a request line; raises RequestRejectedError: 404 (no such path or executor id) or 405."""
+    """Parse a request line; raise RequestRejectedError for an unknown path, invalid id or wrong method."""
     path = target.partition(b"?")[0]
     if path in FIXED_ROUTES:
         route = FIXED_ROUTES[path]
@@ -71,7 +71,7 @@
     for prefix, route in EXECUTOR_ROUTES.items():
         if path.startswith(prefix):
             executor = path[len(prefix) :]
-            if not EXECUTOR_ID.fullmatch(executor):
+            if not EXECUTOR_ID_PATTERN.fullmatch(executor):
                 raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no such executor")
             _check_method(method, route)
             return AdminRequest(route.action, executor.decode("ascii"))
@@ -79,12 +79,12 @@
 
 
 def _check_method(method: bytes, route: Route) -> None:
-    """Raise RequestRejectedError for another method than the route's; HEAD goes with GET."""
+    """Raise RequestRejectedError if the route does not allow the method; GET routes also allow HEAD."""
     if method != route.method and not (route.method == b"GET" and method == b"HEAD"):
         raise RequestRejectedError(HTTPStatus.METHOD_NOT_ALLOWED, f"{route.method.decode()} only")
 
 
 def allowed_methods(target: bytes) -> bytes:
-    """The `Allow` header's value for a path that was requested with the wrong method."""
+    """Return the `Allow` header's value for a path that was requested with the wrong method."""
     path = target.partition(b"?")[0]
     return b"GET, HEAD" if path == READY_PATH else b"PUT"
--- a/cedarmill/admin/sealed_document.py
+++ b/cedarmill/admin/sealed_document.py
@@ -1,11 +1,11 @@
-"""A document that outlives its process: a header line (format, kind, node, time, checksums), then the body.
+"""State documents that outlive a process: a header line (format, kind, node, time, checksums) and a body.
 
-No I/O. What is torn, of a newer format, of another kind or node, or too old is refused with its reason, so
-that a process never goes on with half of what another one knew.
+No I/O. A document that is damaged, too old, of a newer format, or of another kind or node is rejected with a
+reason, so that a process never starts from partial state.
 
-Ages are counted on the machine's monotonic clock, which all processes of one boot share and which no step
-of the wall clock moves. Programs before it knew Unix time only: they pass over the fields added to the
-header, and their own documents, which have none, are still read.
+Ages are measured on the monotonic clock, which all processes of one boot share and which steps of the wall
+clock do not affect. Older programs use Unix time only: they ignore the header's clock fields, and their
+documents, which lack these fields, are still accepted.
 """
 
 import zlib
@@ -25,9 +25,9 @@
 
 
 class ClockReading(NamedTuple):
-    """Both clocks of a machine at one moment: Unix time, and the monotonic clock with its boot, in us.
+    """Unix time and monotonic time (us) of a machine at one moment, with the id of its boot.
 
-    Without `boot_id` (an older program wrote it, or it could not be read) the monotonic clock says nothing.
+    Without a `boot_id` (written by an older program, or unreadable) the monotonic time is meaningless.
     """
 
     unix_us: int
@@ -35,25 +35,25 @@
     boot_id: str = ""
 
     def is_comparable(self, now: "ClockReading") -> bool:
-        """Whether both clocks count from one boot; one that is ahead of now counts from somewhere else."""
+        """Return whether both monotonic times belong to one boot; a reading later than `now` does not."""
         return bool(self.boot_id) and self.boot_id == now.boot_id and self.monotonic_us <= now.monotonic_us
 
     def is_of_other_boot(self, now: "ClockReading") -> bool:
-        """Whether it was surely before the machine's last start, or on another machine."""
+        """Return whether both boot ids are known and differ."""
         return bool(self.boot_id and now.boot_id) and self.boot_id != now.boot_id
 
 
 class UnsealedDocument(NamedTuple):
-    """A document that was found complete and undamaged."""
+    """Content of a document whose checksums are correct."""
 
     written_at: ClockReading
     body: bytes
 
 
 class DocumentHeader(msgspec.Struct, omit_defaults=True):
-    """The first line; `crc` is the CRC-32 of the fields before it and the body.
+    """First line of a document; `crc` is the CRC-32 of the fields before it and of the body.
 
-    The fields after it came later: older programs neither write nor read them, so `clock_crc` covers them.
+    Older programs neither write nor read the fields after `crc`; these have a checksum of their own.
     """
 
     format_version: int = msgspec.field(name="format")
@@ -78,7 +78,7 @@
 
 
 def seal(kind: str, node: str, written_at: ClockReading, body: bytes) -> bytes:
-    """The document of `body`, written at that time by a process of `node`."""
+    """Return a document with this body, written at this time by a process of the node."""
     crc = _crc(kind, node, written_at.unix_us, body)
     header = DocumentHeader(FORMAT_VERSION, kind, node, written_at.unix_us, crc)
     if written_at.boot_id:
@@ -89,19 +89,19 @@
 
 
 def unseal(document: bytes, kind: str, node: str) -> UnsealedDocument:
-    """When a document was written, and its body; raises DocumentError."""
+    """Return the time when a document was written, and its body; raise DocumentError."""
     line, newline, body = document.partition(b"\n")
     header = _decode_header(line)
     if header.kind != kind:
-        raise ForeignDocumentError(f"holds {header.kind}, not {kind}")
+        raise ForeignDocumentError(f"holds {header.kind}, expected {kind}")
     if header.node != node:
-        raise ForeignDocumentError(f"of node {header.node}, not {node}")
+        raise ForeignDocumentError(f"document of node {header.node}, expected node {node}")
     if not newline or header.crc != _crc(kind, node, header.unix_us, body):
-        raise DamagedDocumentError("torn: the checksum does not fit")
+        raise DamagedDocumentError("torn: the checksum does not match")
     if not header.boot_id:
         return UnsealedDocument(ClockReading(header.unix_us), body)
     if header.clock_crc != _clock_crc(header.crc, header.monotonic_us, header.boot_id):
-        raise DamagedDocumentError("torn: the checksum of its clock does not fit")
+        raise DamagedDocumentError("torn: the checksum of the clock fields does not match")
     return UnsealedDocument(ClockReading(header.unix_us, header.monotonic_us, header.boot_id), body)
 
 
@@ -109,48 +109,48 @@
     try:
         header = _DECODER.decode(line)
     except msgspec.MsgspecError as error:
-        raise DocumentFormatError(f"no header: {error}") from None
+        raise DocumentFormatError(f"no valid header: {error}") from None
     if header.format_version > FORMAT_VERSION:
         raise DocumentFormatError(
-            f"format {header.format_version}, this program reads up to {FORMAT_VERSION}"
+            f"format {header.format_version} is newer than the supported format {FORMAT_VERSION}"
         )
     return header
 
 
 def unseal_newest(documents: list[bytes], kind: str, node: str, now: ClockReading) -> UnsealedDocument:
-    """The newest undamaged one of the two halves of a file; raises DocumentError where none is.
+    """Return the newest valid document of the two halves of a file; raise DocumentError if there is none.
 
-    Unix time orders them only where one of them has no clock; one of another boot is older than any of this
-    one.
+    Documents are ordered by monotonic time, or by Unix time if one has no monotonic time. Documents of
+    another boot are older than those of this boot.
     """
-    found: list[UnsealedDocument] = []
-    fault: DocumentError = DamagedDocumentError("empty")
+    valid: list[UnsealedDocument] = []
+    last_error: DocumentError = DamagedDocumentError("empty")
     for document in documents:
         try:
-            found.append(unseal(document, kind, node))
+            valid.append(unseal(document, kind, node))
         except DocumentError as error:
-            fault = error
-    if not found:
-        raise fault
-    found = [one for one in found if not one.written_at.is_of_other_boot(now)] or found
-    if now.boot_id and all(one.written_at.boot_id == now.boot_id for one in found):
-        return max(found, key=lambda one: one.written_at.monotonic_us)
-    return max(found, key=lambda one: one.written_at.unix_us)
+            last_error = error
+    if not valid:
+        raise last_error
+    valid = [candidate for candidate in valid if not candidate.written_at.is_of_other_boot(now)] or valid
+    if now.boot_id and all(candidate.written_at.boot_id == now.boot_id for candidate in valid):
+        return max(valid, key=lambda candidate: candidate.written_at.monotonic_us)
+    return max(valid, key=lambda candidate: candidate.written_at.unix_us)
 
 
 def age_us(written_at: ClockReading, now: ClockReading, max_age_us: int) -> int:
-    """How long ago something was written; raises DocumentAgeError if too long ago, or in the future.
+    """Return a document's age; raise DocumentAgeError if it is too old, or written in the future.
 
-    By Unix time only where the clocks cannot be compared: a step of the wall clock then shows as age.
+    The age is based on Unix time, and thus on steps of the wall clock, only if the boot is not known.
     """
     if written_at.is_of_other_boot(now):
-        raise DocumentAgeError("written before this machine's last start, or on another machine")
+        raise DocumentAgeError("written before this machine's last boot, or on another machine")
     if written_at.is_comparable(now):
         age = now.monotonic_us - written_at.monotonic_us
     else:
         age = now.unix_us - written_at.unix_us
     if age > max_age_us:
-        raise DocumentAgeError(f"{age / 1e6:.0f} s old, at most {max_age_us / 1e6:.0f} s are believed")
+        raise DocumentAgeError(f"{age / 1e6:.0f} s old, at most {max_age_us / 1e6:.0f} s are allowed")
     if age < -max_age_us:
         raise DocumentAgeError(f"written {-age / 1e6:.0f} s ahead of this clock")
     return max(0, age)
--- a/cedarmill/health/__init__.py
+++ b/cedarmill/health/__init__.py
@@ -1,1 +1,1 @@
-"""Health of executors without I/O: verdicts by checks, agents and attempts; the cost of probes; codecs."""
+"""Executor health without I/O: verdicts from checks, agents and attempts; probe rate limits; codecs."""
--- a/cedarmill/health/codecs/__init__.py
+++ b/cedarmill/health/codecs/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs of the balancers' health protocols: bytes in, values out, no I/O."""
+"""Codecs of the health protocols used by load balancers; no I/O."""
--- a/cedarmill/health/codecs/load.py
+++ b/cedarmill/health/codecs/load.py
@@ -1,23 +1,23 @@
-"""What both forms of header-borne health share: the load report as plain values, and the error."""
+"""Load report, size limits and error shared by the codecs of health headers."""
 
 from dataclasses import dataclass, field
 
-MAX_HEADER = 4096  # bytes: a checker's or executor's header is some tens; more is no header of these
-MAX_METRICS = 64  # named metrics that are kept of one report
+MAX_HEADER_BYTES = 4096  # Valid headers have some tens of bytes.
+MAX_NAMED_METRICS = 64  # Per table of a report; the rest is ignored.
 
 
-class StateError(ValueError):
-    """A header that says nothing that can be used, with the reason in one line."""
+class HealthHeaderError(ValueError):
+    """A health header is invalid; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an executor reports of its load; utilisations are fractions (1.0 is all), None where not named."""
+    """Load of an executor as reported by it; utilisations are fractions, None means not reported."""
 
     cpu_utilization: float | None = None
     mem_utilization: float | None = None
     application_utilization: float | None = None
-    rps_fractional: float | None = None  # requests a second
-    eps: float | None = None  # errors a second
+    rps_fractional: float | None = None  # Requests per second.
+    eps: float | None = None  # Errors per second.
     named_metrics: dict[str, float] = field(default_factory=dict)
     utilization: dict[str, float] = field(default_factory=dict)
--- a/cedarmill/health/codecs/orca.py
+++ b/cedarmill/health/codecs/orca.py
@@ -1,8 +1,8 @@
-"""ORCA's binary form: `xds.data.orca.v3.OrcaLoadReport` in protobuf, base64 in a header; no I/O.
+"""Codec of binary ORCA load reports: `xds.data.orca.v3.OrcaLoadReport` as base64 in a header; no I/O.
 
 Sources: the xDS definition `xds/data/orca/v3/orca_load_report.proto` (fields and numbers below); gRPC over
-HTTP2 (a header whose name ends in `-bin` is base64, padded or not). The message is described here by a table
-and built by the protobuf runtime, which comes with the extra `health`; a node without it reads TEXT and JSON.
+HTTP2 (a header whose name ends in `-bin` is base64, padded or not). The protobuf runtime, a dependency of the
+extra `health`, builds the message class from the tables below. A node without the extra reads TEXT and JSON.
 """
 
 import base64
@@ -18,38 +18,38 @@
 )
 from google.protobuf.message import DecodeError  # type: ignore[import-untyped]
 
-from cedarmill.health.codecs.load import MAX_HEADER, MAX_METRICS, LoadReport, StateError
+from cedarmill.health.codecs.load import MAX_HEADER_BYTES, MAX_NAMED_METRICS, HealthHeaderError, LoadReport
 
-_DOUBLES = {
+_DOUBLE_FIELDS = {
     "cpu_utilization": 1,
     "mem_utilization": 2,
     "rps_fractional": 6,
     "eps": 7,
     "application_utilization": 9,
 }
-_MAPS = {"request_cost": 4, "utilization": 5, "named_metrics": 8}  # string to double
-_RPS = 3  # uint64, deprecated: whole requests a second, of reporters that know no other
+_MAP_FIELDS = {"request_cost": 4, "utilization": 5, "named_metrics": 8}  # Maps from string to double.
+_RPS_FIELD = 3  # Deprecated uint64: whole requests per second.
 _PACKAGE = "cedarmill.orca"
-_KIND = descriptor_pb2.FieldDescriptorProto
+_Field = descriptor_pb2.FieldDescriptorProto
 
 
-def _message() -> Any:
-    """The message's class, out of the tables above."""
+def _build_message_class() -> Any:
+    """Build the message class from the tables above."""
     file = descriptor_pb2.FileDescriptorProto(name="cedarmill/orca.proto", package=_PACKAGE, syntax="proto3")
     report = file.message_type.add(name="OrcaLoadReport")
-    for name, number in _DOUBLES.items():
-        report.field.add(name=name, number=number, type=_KIND.TYPE_DOUBLE, label=_KIND.LABEL_OPTIONAL)
-    report.field.add(name="rps", number=_RPS, type=_KIND.TYPE_UINT64, label=_KIND.LABEL_OPTIONAL)
-    for name, number in _MAPS.items():
+    for name, number in _DOUBLE_FIELDS.items():
+        report.field.add(name=name, number=number, type=_Field.TYPE_DOUBLE, label=_Field.LABEL_OPTIONAL)
+    report.field.add(name="rps", number=_RPS_FIELD, type=_Field.TYPE_UINT64, label=_Field.LABEL_OPTIONAL)
+    for name, number in _MAP_FIELDS.items():
         entry = report.nested_type.add(name="".join(map(str.capitalize, name.split("_"))) + "Entry")
         entry.options.map_entry = True
-        entry.field.add(name="key", number=1, type=_KIND.TYPE_STRING, label=_KIND.LABEL_OPTIONAL)
-        entry.field.add(name="value", number=2, type=_KIND.TYPE_DOUBLE, label=_KIND.LABEL_OPTIONAL)
+        entry.field.add(name="key", number=1, type=_Field.TYPE_STRING, label=_Field.LABEL_OPTIONAL)
+        entry.field.add(name="value", number=2, type=_Field.TYPE_DOUBLE, label=_Field.LABEL_OPTIONAL)
         report.field.add(
             name=name,
             number=number,
-            type=_KIND.TYPE_MESSAGE,
-            label=_KIND.LABEL_REPEATED,
+            type=_Field.TYPE_MESSAGE,
+            label=_Field.LABEL_REPEATED,
             type_name=f".{_PACKAGE}.OrcaLoadReport.{entry.name}",
         )
     pool = descriptor_pool.DescriptorPool()
@@ -57,48 +57,48 @@
     return message_factory.GetMessageClass(pool.FindMessageTypeByName(f"{_PACKAGE}.OrcaLoadReport"))
 
 
-OrcaLoadReport = _message()
+OrcaLoadReport = _build_message_class()
 
 
 def parse_binary(value: str) -> LoadReport:
-    """Read the value of `endpoint-load-metrics-bin`, or what follows `BIN `; raises StateError.
+    """Parse the value of `endpoint-load-metrics-bin`, or the text after `BIN `; raise HealthHeaderError.
 
-    A number of 0 is one that was not reported: the form has no other sign for that.
+    A 0 is read as not reported, since proto3 does not distinguish the two.
     """
-    if len(value) > MAX_HEADER:
-        raise StateError("the header is over 4 KiB")
+    if len(value) > MAX_HEADER_BYTES:
+        raise HealthHeaderError("the header is over 4 KiB")
     report = OrcaLoadReport()
     try:
         report.ParseFromString(base64.b64decode(value + "=" * (-len(value) % 4), validate=True))
     except (binascii.Error, ValueError):
-        raise StateError("not base64") from None
+        raise HealthHeaderError("the load report is not base64") from None
     except DecodeError:
-        raise StateError("not an ORCA load report") from None
-    found = {name: _reported(getattr(report, name), name) for name in _DOUBLES}
-    if found["rps_fractional"] is None and report.rps:
-        found["rps_fractional"] = float(report.rps)
+        raise HealthHeaderError("the header is not an ORCA load report") from None
+    numbers = {name: _checked_number(getattr(report, name), name) for name in _DOUBLE_FIELDS}
+    if numbers["rps_fractional"] is None and report.rps:
+        numbers["rps_fractional"] = float(report.rps)
     return LoadReport(
-        **found, named_metrics=_metrics(report.named_metrics), utilization=_metrics(report.utilization)
+        **numbers, named_metrics=_metrics(report.named_metrics), utilization=_metrics(report.utilization)
     )
 
 
-def _reported(number: float, name: str) -> float | None:
+def _checked_number(number: float, name: str) -> float | None:
     if not 0 <= number < math.inf:
-        raise StateError(f"{name}: {number} is no number of 0 or more")
+        raise HealthHeaderError(f"{name}: {number} is not a finite number of 0 or more")
     return number or None
 
 
 def _metrics(table: Mapping[str, float]) -> dict[str, float]:
-    kept = sorted(table.items())[:MAX_METRICS]
-    for name, number in kept:
+    limited = sorted(table.items())[:MAX_NAMED_METRICS]
+    for name, number in limited:
         if not 0 <= number < math.inf:
-            raise StateError(f"{name[:40]}: {number} is no number of 0 or more")
-    return dict(kept)
+            raise HealthHeaderError(f"{name[:40]}: {number} is not a finite number of 0 or more")
+    return dict(limited)
 
 
 def render_binary(report: LoadReport) -> str:
-    """The header's value for a report, as an executor sends it."""
-    message = OrcaLoadReport(**{name: getattr(report, name) or 0.0 for name in _DOUBLES})
+    """Return the header value of a report, as sent by an executor."""
+    message = OrcaLoadReport(**{name: getattr(report, name) or 0.0 for name in _DOUBLE_FIELDS})
     message.named_metrics.update(report.named_metrics)
     message.utilization.update(report.utilization)
     return base64.b64encode(message.SerializeToString(deterministic=True)).decode()
--- a/cedarmill/health/codecs/state.py
+++ b/cedarmill/health/codecs/state.py
@@ -1,11 +1,11 @@
-"""Header-borne health: HAProxy's `X-Haproxy-Server-State` and ORCA's `endpoint-load-metrics`; no I/O.
-
-Sources: the HAProxy configuration manual, `http-check send-state`: the header that a checker adds to an
-HTTP check, `STATE [RISE/FALL]; name=BACKEND/SERVER; node=NODE; weight=W/TOTAL; scur=CUR/TOTAL; qcur=N`,
-where STATE is UP, DOWN, NOLB or MAINT and `a/b` after it counts checks of a change under way. The xDS
-ORCA load report (`xds.data.orca.v3.OrcaLoadReport`), sent by an executor in the header
-`endpoint-load-metrics` as `TEXT name=value, ...`, `JSON {...}` or `BIN base64`; the binary form, which also
-comes in `endpoint-load-metrics-bin`, is `orca.py`'s, loaded when one comes.
+"""Codecs of the headers `X-Haproxy-Server-State` (HAProxy) and `endpoint-load-metrics` (ORCA); no I/O.
+
+Sources: the HAProxy configuration manual, `http-check send-state`, for the header that a checker adds to an
+HTTP check: `STATE [RISE/FALL]; name=BACKEND/SERVER; node=NODE; weight=W/TOTAL; scur=CUR/TOTAL; qcur=N`.
+STATE is UP, DOWN, NOLB or MAINT; the fraction after it counts the checks of a state change in progress.
+An executor sends the xDS ORCA load report (`xds.data.orca.v3.OrcaLoadReport`) in the header
+`endpoint-load-metrics` as `TEXT name=value, ...`, `JSON {...}` or `BIN base64`. The binary form, also sent in
+`endpoint-load-metrics-bin`, is decoded by `orca.py`, which is imported on first use.
 """
 
 import json
@@ -15,27 +15,27 @@
 from enum import StrEnum
 from typing import Any
 
-from cedarmill.health.codecs.load import MAX_HEADER, MAX_METRICS, LoadReport, StateError
+from cedarmill.health.codecs.load import MAX_HEADER_BYTES, MAX_NAMED_METRICS, HealthHeaderError, LoadReport
 
 
 class ServerState(StrEnum):
-    """What the balancer believes of the server that it checks."""
+    """State of a checked server in the view of the balancer that checks it."""
 
     UP = "UP"
     DOWN = "DOWN"
-    NOLB = "NOLB"  # up, but takes no new load: a drain
+    NOLB = "NOLB"  # Up, but draining.
     MAINT = "MAINT"
 
 
 @dataclass(frozen=True, slots=True)
 class CheckerView:
-    """One `X-Haproxy-Server-State`. Fractions are (value, total); None where not named.
+    """Fields of one `X-Haproxy-Server-State` header, None if absent; fractions are (value, total).
 
-    `going` counts the checks of a change under way, and those that it needs, where the header says so.
+    `transition` holds the completed and the required checks of a state change in progress.
     """
 
     state: ServerState
-    going: tuple[int, int] | None = None
+    transition: tuple[int, int] | None = None
     name: str = ""
     node: str = ""
     weight: tuple[int, int] | None = None
@@ -43,74 +43,78 @@
     queued: int | None = None
 
 
-_GOING = re.compile(r"([0-9]{1,9})/([0-9]{1,9})")
+_TRANSITION = re.compile(r"([0-9]{1,9})/([0-9]{1,9})")
 _FRACTION = re.compile(r"([0-9]{1,12})/([0-9]{1,12})")
-_FIELDS = {"weight": "weight", "scur": "sessions"}
+_FRACTION_FIELDS = {"weight": "weight", "scur": "sessions"}
 
 
 def parse_server_state(value: str) -> CheckerView:
-    """Read the header's value; raises StateError for one without a known state or with a broken field."""
-    if len(value) > MAX_HEADER:
-        raise StateError("the header is over 4 KiB")
+    """Parse the header's value; raise HealthHeaderError for an unknown state or an invalid field."""
+    if len(value) > MAX_HEADER_BYTES:
+        raise HealthHeaderError("the header is over 4 KiB")
     first, *rest = [part.strip() for part in value.split(";")]
     words = first.split()
     if not words or words[0].upper() not in ServerState.__members__:
-        raise StateError(f"no known state in {first[:40]!r}")
-    going = _fraction(words[1], _GOING, "state") if len(words) > 1 else None
-    found: dict[str, Any] = {"state": ServerState(words[0].upper()), "going": going}
+        raise HealthHeaderError(f"unknown state in {first[:40]!r}")
+    transition = _fraction(words[1], _TRANSITION, "state") if len(words) > 1 else None
+    values: dict[str, Any] = {"state": ServerState(words[0].upper()), "transition": transition}
     for part in filter(None, rest):
         key, equals, text = part.partition("=")
         key = key.strip().lower()
         if not equals:
-            raise StateError(f"{part[:40]!r} is not NAME=VALUE")
+            raise HealthHeaderError(f"{part[:40]!r} is not NAME=VALUE")
         if key in ("name", "node"):
-            found[key] = text.strip()
-        elif key in _FIELDS:
-            found[_FIELDS[key]] = _fraction(text.strip(), _FRACTION, key)
+            values[key] = text.strip()
+        elif key in _FRACTION_FIELDS:
+            values[_FRACTION_FIELDS[key]] = _fraction(text.strip(), _FRACTION, key)
         elif key == "qcur":
-            found["queued"] = _whole(text.strip(), key)
-    return CheckerView(**found)  # fields not known here are passed over: later versions add some
+            values["queued"] = _whole_number(text.strip(), key)
+    return CheckerView(**values)  # Unknown fields of newer versions are ignored.
 
 
 def _fraction(text: str, pattern: re.Pattern[str], key: str) -> tuple[int, int]:
     match = pattern.fullmatch(text)
     if match is None:
-        raise StateError(f"{key}: {text[:40]!r} is not N/M")
+        raise HealthHeaderError(f"{key}: {text[:40]!r} is not N/M")
     return int(match[1]), int(match[2])
 
 
-def _whole(text: str, key: str) -> int:
+def _whole_number(text: str, key: str) -> int:
     if not text.isdecimal() or len(text) > 12:
-        raise StateError(f"{key}: {text[:40]!r} is not a whole number")
+        raise HealthHeaderError(f"{key}: {text[:40]!r} is not a whole number")
     return int(text)
 
 
-_TOP = ("cpu_utilization", "mem_utilization", "application_utilization", "rps_fractional", "eps")
-_MAPS = ("named_metrics", "utilization")
+_NUMBER_FIELDS = ("cpu_utilization", "mem_utilization", "application_utilization", "rps_fractional", "eps")
+_MAP_FIELDS = ("named_metrics", "utilization")
 
 
 def parse_load_report(value: str) -> LoadReport:
-    """Read `endpoint-load-metrics`, TEXT, JSON or BIN; raises StateError for another form or a bad value."""
-    if len(value) > MAX_HEADER:
-        raise StateError("the header is over 4 KiB")
+    """Parse the value of `endpoint-load-metrics`; raise HealthHeaderError if it is invalid."""
+    if len(value) > MAX_HEADER_BYTES:
+        raise HealthHeaderError("the header is over 4 KiB")
     form, _, body = value.strip().partition(" ")
     if form.upper() == "TEXT":
         pairs = _text_pairs(body)
     elif form.upper() == "JSON":
         pairs = _json_pairs(body)
     elif form.upper() == "BIN":
-        from cedarmill.health.codecs.orca import parse_binary  # protobuf: only where an executor sends it
+        from cedarmill.health.codecs.orca import parse_binary  # Imports protobuf.
 
         return parse_binary(body.strip())
     else:
-        raise StateError(f"form {form[:10]!r} is none of TEXT, JSON and BIN")
-    found: dict[str, Any] = {name: {} for name in _MAPS}
+        raise HealthHeaderError(f"form {form[:10]!r} is not one of TEXT, JSON and BIN")
+    values: dict[str, Any] = {name: {} for name in _MAP_FIELDS}
     for key, number in pairs:
-        if key in _TOP:
-            found[key] = number
-        elif (group := key.partition(".")[0]) in _MAPS and "." in key and len(found[group]) < MAX_METRICS:
-            found[group][key.partition(".")[2]] = number
-    return LoadReport(**found)  # names not known here are passed over
+        if key in _NUMBER_FIELDS:
+            values[key] = number
+        elif (
+            (group := key.partition(".")[0]) in _MAP_FIELDS
+            and "." in key
+            and len(values[group]) < MAX_NAMED_METRICS
+        ):
+            values[group][key.partition(".")[2]] = number
+    return LoadReport(**values)  # Unknown names are ignored.
 
 
 def _text_pairs(body: str) -> list[tuple[str, float]]:
@@ -118,7 +122,7 @@
     for part in filter(None, (part.strip() for part in body.split(","))):
         key, equals, text = part.partition("=")
         if not equals:
-            raise StateError(f"{part[:40]!r} is not NAME=VALUE")
+            raise HealthHeaderError(f"{part[:40]!r} is not NAME=VALUE")
         pairs.append((key.strip(), _number(text.strip(), key.strip())))
     return pairs
 
@@ -127,14 +131,14 @@
     try:
         document = json.loads(body)
     except ValueError:
-        raise StateError("JSON that cannot be read") from None
+        raise HealthHeaderError("the load report is not valid JSON") from None
     if not isinstance(document, dict):
-        raise StateError("JSON that is not an object")
+        raise HealthHeaderError("the load report is not a JSON object")
     pairs = []
     for key, value in document.items():
-        if key in _MAPS and isinstance(value, dict):
+        if key in _MAP_FIELDS and isinstance(value, dict):
             pairs += [(f"{key}.{name}", _number(inner, name)) for name, inner in value.items()]
-        elif key in _TOP:
+        elif key in _NUMBER_FIELDS:
             pairs.append((key, _number(value, key)))
     return pairs
 
@@ -145,5 +149,5 @@
     except (TypeError, ValueError):
         number = math.nan
     if not (0 <= number < math.inf):
-        raise StateError(f"{key}: {str(value)[:40]!r} is no number of 0 or more")
+        raise HealthHeaderError(f"{key}: {str(value)[:40]!r} is not a finite number of 0 or more")
     return number
--- a/cedarmill/health/events.py
+++ b/cedarmill/health/events.py
@@ -1,33 +1,34 @@
-"""Events and actions of the two cores of this package: verdicts on executors, and the budget of probes.
+"""Events and actions of `Verdicts` and `ProbeBudget`.
 
-Executors are numbered as in the endpoint list; all times are in microseconds, on the caller's clock.
+Executors are identified by their numbers in the endpoint list. All times are in microseconds on the caller's
+clock.
 """
 
 from dataclasses import dataclass
 
 from cedarmill.health.codecs.agent import AgentReply
 
-# Events of both cores.
+# Events of both classes.
 
 
 @dataclass(slots=True)
 class ExecutorRemoved:
-    """An executor is on the endpoint list no longer."""
+    """An executor was removed from the endpoint list."""
 
     executor: int
 
 
 @dataclass(slots=True)
 class TimeAdvanced:
-    """Time has passed, and nothing else happened."""
+    """Time has passed without another event."""
 
 
-# Events of the verdicts.
+# Events of `Verdicts`.
 
 
 @dataclass(slots=True)
 class ExecutorListed:
-    """An executor is on the endpoint list."""
+    """An executor was added to the endpoint list."""
 
     executor: int
 
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class AgentReplied:
-    """The agent of an executor has replied."""
+    """An executor's agent replied."""
 
     executor: int
     reply: AgentReply
@@ -50,7 +51,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt at an executor was answered, or lost: by a time-out, a reset, or no connection."""
+    """An attempt at an executor was answered, or failed by a time-out, a reset or no connection."""
 
     executor: int
     answered: bool
@@ -59,12 +60,12 @@
 VerdictEvent = ExecutorListed | ExecutorRemoved | CheckEnded | AgentReplied | AttemptEnded | TimeAdvanced
 
 
-# Events of the probe budget.
+# Events of `ProbeBudget`.
 
 
 @dataclass(slots=True)
 class ProbeRequested:
-    """A source wants to know how an executor is; an answer of at most `max_age_us` serves it."""
+    """A source requests a probe of an executor unless the last evidence is at most `max_age_us` old."""
 
     executor: int
     source: str
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class EvidenceReceived:
-    """Traffic, or a probe, showed how an executor is; it answers all sources that wait."""
+    """Traffic or a probe showed the health of an executor, which answers all waiting sources."""
 
     executor: int
     from_probe: bool = False
@@ -81,7 +82,7 @@
 
 @dataclass(slots=True)
 class ProbeFailed:
-    """A probe ended without an answer: the sources that waited for it have to ask again."""
+    """A probe ended without an answer; the waiting sources must request it again."""
 
     executor: int
 
@@ -94,17 +95,17 @@
 
 @dataclass(slots=True)
 class WakeAt:
-    """Step again at this time, though nothing else happens."""
+    """Call `step` again at this time, even without another event."""
 
     at_us: int
 
 
 @dataclass(slots=True, frozen=True)
 class VerdictChanged:
-    """Whether new requests may go to an executor, and at which part of its weight (1.0: all of it)."""
+    """Whether an executor may get new requests, and with which weight (1.0 is its full weight)."""
 
     executor: int
-    wanted: bool
+    is_eligible: bool
     weight: float
     reason: str
 
@@ -114,7 +115,7 @@
 
 @dataclass(slots=True)
 class SendProbe:
-    """Send one probe, on behalf of these sources."""
+    """Send one probe on behalf of these sources."""
 
     executor: int
     sources: tuple[str, ...]
--- a/cedarmill/health/probe_budget.py
+++ b/cedarmill/health/probe_budget.py
@@ -1,6 +1,6 @@
-"""What probes may cost: a token bucket for each executor and one for the node, shared probes, spread times.
+"""Rate limits of health probes: token buckets per executor and for the node, shared probes, and jitter.
 
-Pure: `ProbeBudget.step(now, event) -> actions`, all times in microseconds.
+`ProbeBudget.step(now, event) -> actions` does no I/O and reads no clock; all times are in microseconds.
 """
 
 import math
@@ -21,54 +21,54 @@
     WakeAt,
 )
 
-JITTER = 0.25  # of an interval, either way: a thousand executors listed at once must not be probed at once
-EXECUTOR_BURST = 1.0  # probes of one executor that may follow each other at once
+JITTER_FRACTION = 0.25  # Of the interval; spreads the probes of executors listed at the same time.
+EXECUTOR_BURST = 1.0  # Probes of one executor without a delay between them.
 US_PER_S = 1e6
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that come evenly up to a bound; one is taken for each probe."""
+    """Token bucket with a constant refill rate; each probe consumes one token."""
 
-    per_s: float
-    bound: float
+    tokens_per_s: float
+    capacity: float
     tokens: float = field(default=math.inf)
-    counted_at: int = 0
+    refilled_at: int = 0
 
-    def ready_in(self, now: int) -> int:
-        """Microseconds until a token is there."""
-        gained = (now - self.counted_at) * self.per_s / US_PER_S
-        self.tokens = min(self.bound, self.tokens + gained)
-        self.counted_at = now
-        return 0 if self.tokens >= 1 else math.ceil((1 - self.tokens) / self.per_s * US_PER_S)
+    def refill_wait_us(self, now: int) -> int:
+        """Refill the bucket and return the time until a token is available, in microseconds."""
+        gained = (now - self.refilled_at) * self.tokens_per_s / US_PER_S
+        self.tokens = min(self.capacity, self.tokens + gained)
+        self.refilled_at = now
+        return 0 if self.tokens >= 1 else math.ceil((1 - self.tokens) / self.tokens_per_s * US_PER_S)
 
-    def take(self) -> None:
-        """Take the token that `ready_in` showed."""
+    def consume(self) -> None:
+        """Consume one available token."""
         self.tokens -= 1
 
 
 @dataclass(slots=True)
 class _ProbedExecutor:
     bucket: TokenBucket
-    evidence_at: int = -1  # when traffic or a probe showed how it is; -1: never
-    in_flight: bool = False  # a probe is on its way
-    waiting: dict[str, None] = field(default_factory=dict)  # the sources that want one, in order
+    evidence_at: int = -1  # Time of the last evidence, -1 if there is none.
+    in_flight: bool = False
+    waiting_sources: dict[str, None] = field(default_factory=dict)  # In the order of their requests.
 
 
 class ProbeBudget:
-    """The probes of one node: which executor may be probed when.
+    """Schedules the probes of one node within its rate limits.
 
-    `sent`, `shared` and `spared` count probes sent, requests that joined a probe on its way, and requests
-    that recent evidence answered.
+    `sent`, `shared` and `avoided` count probes sent, requests that joined a pending probe, and requests
+    answered by recent evidence.
     """
 
     def __init__(self, executor_per_s: float, node_per_s: float, burst: float, seed: int) -> None:
-        self._executor_per_s = executor_per_s
-        self._node = TokenBucket(node_per_s, burst)
+        self._probes_per_s = executor_per_s
+        self._node_bucket = TokenBucket(node_per_s, burst)
         self._executors: dict[int, _ProbedExecutor] = {}
-        self._queue: dict[int, None] = {}  # executors that wait for a token, in order
+        self._queue: dict[int, None] = {}  # Executors that wait for a token, oldest first.
         self._random = Random(seed)
-        self.sent = self.shared = self.spared = 0
+        self.sent = self.shared = self.avoided = 0
         self._handlers: dict[type, Callable[[int, Any], None]] = {
             ProbeRequested: self._on_requested,
             EvidenceReceived: self._on_evidence,
@@ -78,28 +78,28 @@
         }
 
     def step(self, now: int, event: ProbeEvent) -> list[ProbeAction]:
-        """Take one event at its time and return what to do."""
+        """Process one event and return the resulting actions."""
         self._handlers[type(event)](now, event)
         return self._send_queued(now)
 
     def next_request_at(self, now: int, interval_us: int) -> int:
-        """When a source that asks at intervals asks next: apart from all others."""
-        return now + int(interval_us * (1 + JITTER * self._random.uniform(-1, 1)))
+        """Return the time of a source's next periodic request, with jitter."""
+        return now + int(interval_us * (1 + JITTER_FRACTION * self._random.uniform(-1, 1)))
 
     def _executor(self, number: int) -> _ProbedExecutor:
         if (executor := self._executors.get(number)) is None:
-            bucket = TokenBucket(self._executor_per_s, EXECUTOR_BURST)
+            bucket = TokenBucket(self._probes_per_s, EXECUTOR_BURST)
             executor = self._executors[number] = _ProbedExecutor(bucket)
         return executor
 
     def _on_requested(self, now: int, event: ProbeRequested) -> None:
         executor = self._executor(event.executor)
         if executor.evidence_at >= 0 and now - executor.evidence_at <= event.max_age_us:
-            self.spared += 1
+            self.avoided += 1
             return
-        if executor.in_flight or executor.waiting:
-            self.shared += event.source not in executor.waiting
-        executor.waiting[event.source] = None
+        if executor.in_flight or executor.waiting_sources:
+            self.shared += event.source not in executor.waiting_sources
+        executor.waiting_sources[event.source] = None
         if not executor.in_flight:
             self._queue[event.executor] = None
 
@@ -107,36 +107,36 @@
         executor = self._executor(event.executor)
         executor.evidence_at = now
         executor.in_flight = executor.in_flight and not event.from_probe
-        if executor.waiting:
-            self.spared += not event.from_probe and event.executor in self._queue
-            executor.waiting.clear()
+        if executor.waiting_sources:
+            self.avoided += not event.from_probe and event.executor in self._queue
+            executor.waiting_sources.clear()
             self._queue.pop(event.executor, None)
 
     def _on_failed(self, now: int, event: ProbeFailed) -> None:
         executor = self._executor(event.executor)
         executor.in_flight = False
-        executor.waiting.clear()
+        executor.waiting_sources.clear()
 
     def _on_removed(self, now: int, event: ExecutorRemoved) -> None:
         self._executors.pop(event.executor, None)
         self._queue.pop(event.executor, None)
 
     def _send_queued(self, now: int) -> list[ProbeAction]:
-        """Send what has a token of its executor and of the node; ask to be woken when the next may go."""
+        """Send the queued probes that have tokens; request a wake-up for the time of the next token."""
         actions: list[ProbeAction] = []
         next_at = math.inf
         for number in list(self._queue):
             executor = self._executors[number]
-            wait_us = max(executor.bucket.ready_in(now), self._node.ready_in(now))
+            wait_us = max(executor.bucket.refill_wait_us(now), self._node_bucket.refill_wait_us(now))
             if wait_us:
                 next_at = min(next_at, now + wait_us)
-                if self._node.tokens < 1:
+                if self._node_bucket.tokens < 1:
                     break
                 continue
-            executor.bucket.take()
-            self._node.take()
+            executor.bucket.consume()
+            self._node_bucket.consume()
             executor.in_flight = True
             self.sent += 1
             del self._queue[number]
-            actions.append(SendProbe(number, tuple(executor.waiting)))
+            actions.append(SendProbe(number, tuple(executor.waiting_sources)))
         return [*actions, WakeAt(int(next_at))] if next_at < math.inf else actions
--- a/cedarmill/health/verdict.py
+++ b/cedarmill/health/verdict.py
@@ -1,16 +1,16 @@
-"""Verdicts on executors out of checks, agents and attempts, by a stated order of evidence.
+"""Eligibility of executors for new requests, by evidence from agents, attempts and health checks.
 
-Pure: `Verdicts.step(now, event) -> actions`, all times in microseconds. The order, strongest first:
+`Verdicts.step(now, event) -> actions` does no I/O; all times are in microseconds. Precedence, highest first:
 
-1. The administrative state that an operator or agent sets (`drain`, `maint`, weight 0) is obeyed at once.
-2. What attempts show beats what checks say: `lost_in_row` of them eject an executor though every check
-   passes, and one that succeeded lately keeps it in though every check fails.
-3. Checks and agents: `fall` failures in a row take an executor out, `rise` successes bring it back.
-4. Damping: an executor that keeps changing stays out until it has kept still (`flap_damping.py`).
-5. Panic: where less than `panic_fraction` of all wanted executors would be left, health (1 excepted) is not
-   believed: what says that nearly all are dead is more likely itself broken, and would overload the few left.
+1. An administrative state (`drain`, `maint`, weight 0) takes effect at once.
+2. Attempts override checks: `losses_to_eject` consecutive lost attempts eject an executor whose checks pass,
+   and a recent answer keeps an executor whose checks fail.
+3. Checks and agents: `fall` consecutive failures mark an executor as down, `rise` successes as up.
+4. Damping: an executor whose state changes often is suppressed until it is stable (`flap_damping.py`).
+5. Panic mode: if fewer than `panic_fraction` of the enabled executors were left, all rules but the first are
+   ignored: the evidence is then probably wrong, and the executors left would be overloaded.
 
-An executor that comes back is let in slowly: its weight grows over `slow_start_us`.
+After recovery an executor's weight grows over `slow_start_us` (slow start).
 """
 
 from collections.abc import Callable
@@ -33,39 +33,39 @@
 )
 from cedarmill.health.flap_damping import DampingOptions, FlapDamping
 
-LEAST_WEIGHT = 0.1  # of an executor that has just come back: one that gets nothing shows nothing
+MIN_WEIGHT = 0.1  # Above 0, so that a recovered executor gets requests that show its health.
 MAX_EJECTION_DOUBLINGS = 4
-WEIGHT_STEPS = 10  # of a slow start: how often at least its weight is reported anew
-LONG_AGO = -(10**18)
+SLOW_START_STEPS = 10  # Minimum number of weight updates during a slow start.
+NEVER_US = -(10**18)
 
 
 @dataclass(frozen=True, slots=True)
 class VerdictOptions:
-    """When evidence changes a verdict; HAProxy's names stand behind its settings."""
-
-    rise: int = 2  # successful checks in a row
-    fall: int = 3  # failed checks in a row
-    interval_us: int = 2_000_000  # inter
-    fast_interval_us: int = 500_000  # fastinter: while the next result may change the verdict
-    down_interval_us: int = 5_000_000  # downinter
-    slow_start_us: int = 8_900_000  # slowstart
-    lost_in_row: int = 3  # observe layer7, error-limit: attempts lost in a row that eject an executor
-    ejection_us: int = 2_000_000  # the first; doubled each time, MAX_EJECTION_DOUBLINGS times
-    trust_us: int = 3_000_000  # for which a success of an attempt keeps an executor in
+    """Thresholds and durations of the verdicts; comments name the equivalent HAProxy settings."""
+
+    rise: int = 2  # Consecutive passed checks.
+    fall: int = 3  # Consecutive failed checks.
+    interval_us: int = 2_000_000  # inter.
+    fast_interval_us: int = 500_000  # fastinter: while results oppose the current state.
+    down_interval_us: int = 5_000_000  # downinter.
+    slow_start_us: int = 8_900_000  # slowstart.
+    losses_to_eject: int = 3  # observe layer7, error-limit: consecutive lost attempts.
+    ejection_us: int = 2_000_000  # First ejection; doubled up to MAX_EJECTION_DOUBLINGS times.
+    answer_valid_us: int = 3_000_000  # How long an answered attempt overrides failed checks.
     damping: DampingOptions = field(default_factory=DampingOptions)
     panic_fraction: float = 0.5
 
 
 class HealthState(IntEnum):
-    """What checks and attempts make of an executor."""
+    """Health state of an executor according to checks and attempts."""
 
     UP = 0
-    DOWN = 1  # by checks
-    EJECTED = 2  # by attempts: it takes work and does not answer, or breaks it
+    DOWN = 1  # Checks or the agent report a failure.
+    EJECTED = 2  # Attempts were lost.
 
 
-class _Health(NamedTuple):
-    good: bool
+class _HealthAssessment(NamedTuple):
+    is_healthy: bool
     reason: str
 
 
@@ -74,26 +74,26 @@
     damping: FlapDamping
     state: HealthState = HealthState.UP
     admin: Admin = Admin.READY
-    weight: float = 1.0  # that its agent gave it
-    opposed_in_row: int = 0  # results of checks in a row against the state
-    lost_in_row: int = 0  # attempts
-    answered_at: int = LONG_AGO
-    probation_at: int = 0  # when an ejected executor may be tried again
+    weight: float = 1.0  # As set by the agent.
+    opposing_checks: int = 0  # Consecutive check results that contradict the state.
+    lost_attempts: int = 0  # Consecutive.
+    last_answer_at: int = NEVER_US
+    probation_at: int = 0  # When an ejected executor may get a probation attempt.
     ejections: int = 0
-    up_since: int = LONG_AGO
-    reported: tuple[bool, float] | None = None  # the verdict that the caller has
+    up_since: int = NEVER_US
+    reported: tuple[bool, float] | None = None  # Last eligibility and weight reported.
 
 
 class Verdicts:
-    """The verdicts of one node; `panics` says whether health is not believed at the moment."""
+    """Decides which executors of one node are eligible; `is_panicking` is set in panic mode."""
 
     def __init__(self, options: VerdictOptions) -> None:
         self.options = options
-        self.panics = False
+        self.is_panicking = False
         self._executors: dict[int, _ExecutorRecord] = {}
-        self._time_dependent: dict[int, None] = {}  # executors whose verdict time alone will change
-        self._wanted: set[int] = set()  # by their operators
-        self._unhealthy: set[int] = set()  # of the wanted ones, those that their health keeps out
+        self._time_dependent: dict[int, None] = {}  # Executors whose verdict changes with time.
+        self._enabled: set[int] = set()  # Administratively ready.
+        self._unhealthy: set[int] = set()  # Enabled but not healthy.
         self._handlers: dict[type, Callable[[int, Any], None]] = {
             ExecutorListed: self._on_listed,
             ExecutorRemoved: self._on_removed,
@@ -104,50 +104,50 @@
         }
 
     def step(self, now: int, event: VerdictEvent) -> list[VerdictAction]:
-        """Take one event at its time and return what to do."""
+        """Process one event and return the resulting actions."""
         self._handlers[type(event)](now, event)
         if isinstance(event, TimeAdvanced):
-            touched = set(self._time_dependent)
+            affected = set(self._time_dependent)
         else:
-            touched = {event.executor} & self._executors.keys()
-        for number in touched:
+            affected = {event.executor} & self._executors.keys()
+        for number in affected:
             self._apply_time(now, number)
-        panicked, self.panics = self.panics, self._too_few_left()
-        if panicked != self.panics:  # all that are out change together
-            touched.update(self._unhealthy)
+        was_panicking, self.is_panicking = self.is_panicking, self._is_below_panic_threshold()
+        if was_panicking != self.is_panicking:  # Panic mode changes the verdict on all of them.
+            affected.update(self._unhealthy)
         actions: list[VerdictAction] = []
-        for number in sorted(touched):
+        for number in sorted(affected):
             actions += self._report_change(now, number)
-        wakes = [self._next_change(now, number) for number in touched if number in self._time_dependent]
+        wakes = [self._next_change(now, number) for number in affected if number in self._time_dependent]
         return [*actions, WakeAt(min(wakes))] if wakes else actions
 
     def check_interval_us(self, number: int) -> int:
-        """How long until this executor's next check: sooner while its next result may change the verdict."""
+        """Return the time until an executor's next check, shorter while results oppose its state."""
         executor, options = self._executors[number], self.options
-        if executor.opposed_in_row:
+        if executor.opposing_checks:
             return options.fast_interval_us
         return options.interval_us if executor.state is HealthState.UP else options.down_interval_us
 
     def _on_listed(self, now: int, event: ExecutorListed) -> None:
         self._executors.setdefault(event.executor, _ExecutorRecord(FlapDamping(self.options.damping, now)))
-        self._wanted.add(event.executor)
+        self._enabled.add(event.executor)
 
     def _on_removed(self, now: int, event: ExecutorRemoved) -> None:
         self._executors.pop(event.executor, None)
         self._time_dependent.pop(event.executor, None)
-        self._wanted.discard(event.executor)
+        self._enabled.discard(event.executor)
         self._unhealthy.discard(event.executor)
 
     def _on_check(self, now: int, event: CheckEnded) -> None:
         if (executor := self._executors.get(event.executor)) is None:
             return
         if executor.state is HealthState.EJECTED:
-            return  # it passed its checks while it lost attempts: they say nothing of it now
-        opposed = event.passed is (executor.state is HealthState.DOWN)
-        executor.opposed_in_row = executor.opposed_in_row + 1 if opposed else 0
+            return  # Only an answered attempt ends an ejection.
+        is_opposing = event.passed is (executor.state is HealthState.DOWN)
+        executor.opposing_checks = executor.opposing_checks + 1 if is_opposing else 0
         needed = self.options.rise if event.passed else self.options.fall
-        if executor.opposed_in_row >= needed:
-            self._change(now, executor, HealthState.UP if event.passed else HealthState.DOWN)
+        if executor.opposing_checks >= needed:
+            self._change_state(now, executor, HealthState.UP if event.passed else HealthState.DOWN)
 
     def _on_agent(self, now: int, event: AgentReplied) -> None:
         if (executor := self._executors.get(event.executor)) is None:
@@ -155,108 +155,108 @@
         reply = event.reply
         executor.admin = reply.admin or executor.admin
         if executor.admin is Admin.READY:
-            self._wanted.add(event.executor)
+            self._enabled.add(event.executor)
         else:
-            self._wanted.discard(event.executor)
+            self._enabled.discard(event.executor)
         if reply.weight is not None:
             executor.weight = reply.weight / 100
         if reply.status is not None and executor.state is not HealthState.EJECTED:
-            # An agent needs no results in a row: it knows.
+            # A single agent reply changes the state.
             state = HealthState.UP if reply.status is Status.UP else HealthState.DOWN
             if state is not executor.state:
-                self._change(now, executor, state)
+                self._change_state(now, executor, state)
 
     def _on_attempt(self, now: int, event: AttemptEnded) -> None:
         if (executor := self._executors.get(event.executor)) is None:
             return
         if event.answered:
-            executor.lost_in_row, executor.answered_at = 0, now
+            executor.lost_attempts, executor.last_answer_at = 0, now
             if executor.state is HealthState.EJECTED:
                 executor.ejections = 0
-                self._change(now, executor, HealthState.UP)
+                self._change_state(now, executor, HealthState.UP)
             return
-        executor.lost_in_row += 1
-        executor.answered_at = min(executor.answered_at, now - self.options.trust_us)
-        ejected = executor.state is HealthState.EJECTED
-        if executor.lost_in_row >= self.options.lost_in_row or ejected:
-            if not ejected:
-                self._change(now, executor, HealthState.EJECTED)
+        executor.lost_attempts += 1
+        executor.last_answer_at = min(executor.last_answer_at, now - self.options.answer_valid_us)
+        was_ejected = executor.state is HealthState.EJECTED
+        if executor.lost_attempts >= self.options.losses_to_eject or was_ejected:
+            if not was_ejected:
+                self._change_state(now, executor, HealthState.EJECTED)
             doublings = min(executor.ejections, MAX_EJECTION_DOUBLINGS)
             executor.probation_at = now + self.options.ejection_us * 2**doublings
             executor.ejections += 1
 
-    def _change(self, now: int, executor: _ExecutorRecord, state: HealthState) -> None:
-        """The one place that changes a state; each change is charged to the damping."""
+    def _change_state(self, now: int, executor: _ExecutorRecord, state: HealthState) -> None:
+        """Set the executor's state and add the change to its flap damping."""
         executor.damping.add_change(now)
-        executor.state, executor.opposed_in_row = state, 0
+        executor.state, executor.opposing_checks = state, 0
         if state is HealthState.UP:
             executor.up_since = now
 
     def _apply_time(self, now: int, number: int) -> None:
-        """What time alone does: penalties fall, ejections end."""
+        """Update everything that depends on time: damping, health and slow start."""
         executor = self._executors[number]
-        if executor.damping.releases(now):
+        if executor.damping.end_suppression(now):
             executor.up_since = now
-        if self._health(now, executor).good or number not in self._wanted:
+        if self._health(now, executor).is_healthy or number not in self._enabled:
             self._unhealthy.discard(number)
         else:
             self._unhealthy.add(number)
-        warms_up = now - executor.up_since < self.options.slow_start_us
-        trusted = self._is_trusted(now, executor) and executor.state is HealthState.DOWN
-        waits = executor.state is HealthState.EJECTED and now < executor.probation_at
-        if executor.damping.suppressed or warms_up or trusted or waits:
+        is_warming_up = now - executor.up_since < self.options.slow_start_us
+        overrides_checks = self._has_recent_answer(now, executor) and executor.state is HealthState.DOWN
+        awaits_probation = executor.state is HealthState.EJECTED and now < executor.probation_at
+        if executor.damping.is_suppressed or is_warming_up or overrides_checks or awaits_probation:
             self._time_dependent[number] = None
         else:
             self._time_dependent.pop(number, None)
 
-    def _is_trusted(self, now: int, executor: _ExecutorRecord) -> bool:
-        return now - executor.answered_at < self.options.trust_us
+    def _has_recent_answer(self, now: int, executor: _ExecutorRecord) -> bool:
+        return now - executor.last_answer_at < self.options.answer_valid_us
 
-    def _health(self, now: int, executor: _ExecutorRecord) -> _Health:
+    def _health(self, now: int, executor: _ExecutorRecord) -> _HealthAssessment:
         if executor.state is HealthState.EJECTED:
             if now < executor.probation_at:
-                return _Health(False, "attempts were lost")
-            return _Health(True, "one probation attempt")
-        if self._is_trusted(now, executor):
-            return _Health(True, "attempts are answered")
+                return _HealthAssessment(False, "attempts were lost")
+            return _HealthAssessment(True, "one probation attempt")
+        if self._has_recent_answer(now, executor):
+            return _HealthAssessment(True, "attempts are answered")
         if executor.state is HealthState.DOWN:
-            return _Health(False, "checks fail")
-        if executor.damping.suppressed:
-            return _Health(False, "it changes too often")
-        return _Health(True, "checks pass")
+            return _HealthAssessment(False, "checks fail")
+        if executor.damping.is_suppressed:
+            return _HealthAssessment(False, "its state changes too often")
+        return _HealthAssessment(True, "checks pass")
 
-    def _too_few_left(self) -> bool:
-        return len(self._unhealthy) > (1 - self.options.panic_fraction) * len(self._wanted) > 0
+    def _is_below_panic_threshold(self) -> bool:
+        return len(self._unhealthy) > (1 - self.options.panic_fraction) * len(self._enabled) > 0
 
     def _report_change(self, now: int, number: int) -> list[VerdictChanged]:
         if (executor := self._executors.get(number)) is None:
             return []
         health = self._health(now, executor)
         if executor.admin is not Admin.READY or executor.weight == 0:
-            said = executor.admin if executor.admin is not Admin.READY else "0%"
-            wanted, reason = False, f"its agent says {said}"
+            admin_state = executor.admin if executor.admin is not Admin.READY else "0%"
+            is_eligible, reason = False, f"its agent reports {admin_state}"
         else:
-            wanted = health.good or self.panics
-            reason = health.reason if health.good or not self.panics else "panic: too few would be left"
-        verdict = wanted, self._weight(now, executor) if wanted else 0.0
+            is_eligible = health.is_healthy or self.is_panicking
+            reason = health.reason if health.is_healthy or not self.is_panicking else "panic: too few left"
+        verdict = is_eligible, self._weight(now, executor) if is_eligible else 0.0
         if verdict == executor.reported:
             return []
         executor.reported = verdict
         return [VerdictChanged(number, *verdict, reason)]
 
     def _weight(self, now: int, executor: _ExecutorRecord) -> float:
-        """Its agent's weight, less while it warms up; rounded, so that not every step changes it."""
-        warm = (now - executor.up_since) / self.options.slow_start_us
-        part = LEAST_WEIGHT if executor.state is HealthState.EJECTED else min(1.0, max(LEAST_WEIGHT, warm))
-        return max(round(executor.weight * part, 1), LEAST_WEIGHT)
+        """Return the agent's weight, reduced during slow start and rounded to avoid frequent reports."""
+        progress = (now - executor.up_since) / self.options.slow_start_us
+        ramp_up = MIN_WEIGHT if executor.state is HealthState.EJECTED else min(1.0, max(MIN_WEIGHT, progress))
+        return max(round(executor.weight * ramp_up, 1), MIN_WEIGHT)
 
     def _next_change(self, now: int, number: int) -> int:
-        """When time alone may change the verdict next."""
+        """Return the next time at which the verdict may change without an event."""
         executor = self._executors[number]
-        times = [now + self.options.slow_start_us // WEIGHT_STEPS]
+        times = [now + self.options.slow_start_us // SLOW_START_STEPS]
         if executor.state is HealthState.EJECTED and executor.probation_at > now:
             times.append(executor.probation_at)
-        trusted_until = executor.answered_at + self.options.trust_us
-        if executor.state is HealthState.DOWN and trusted_until > now:
-            times.append(trusted_until)
+        answer_valid_until = executor.last_answer_at + self.options.answer_valid_us
+        if executor.state is HealthState.DOWN and answer_valid_until > now:
+            times.append(answer_valid_until)
         return min(times)
--- a/cedarmill/net/admin/__init__.py
+++ b/cedarmill/net/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The admin API on sockets: its listener, and the handlers that carry out its calls.
+"""The admin API's listener, and the handlers that carry out its requests.
 
-The routes and what each call may ask are a table without I/O in `admin/routes.py`.
+The routes are defined without I/O in `admin/routes.py`.
 """
--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -1,14 +1,13 @@
-"""What operators ask of the admin API, done on the node: readiness, excluded executors, draining clients.
+"""Handlers of the admin API's requests: readiness, manual exclusions of executors, draining of clients.
 
-The handlers only report and mark: an executor excluded by hand reaches the balancer as a draining one,
-through the discovery client, and what follows of that is the balancer's. The marks are kept in a state file
-that the node's next process finds, so that they hold across an upgrade. Times are whole microseconds.
+The discovery client reports an excluded executor to the balancer as draining. Exclusions are stored in a
+state file that the node's next process reads, so that they outlive an upgrade. Times are in microseconds.
 """
 
 from collections.abc import Callable
 from http import HTTPStatus
 
-from cedarmill.admin.exclusions import KIND, Exclusions
+from cedarmill.admin.exclusions import DOCUMENT_KIND, Exclusions
 from cedarmill.admin.routes import AdminAction, AdminRequest, AdminResponse
 from cedarmill.log import log_event
 from cedarmill.net.admin.server import Answer
@@ -17,11 +16,11 @@
 from cedarmill.net.loop import EventLoopDriver, clock_reading
 from cedarmill.net.upgrade.state_file import StateFile, state_file_path
 
-LOOK_US = 500_000  # between two looks at the state file: the node's other process may have changed it
-LOCK_WAIT_US = 500_000  # for the node's other process to leave that file: a call is answered within 1 s
-LOCK_AGAIN_US = 10_000  # between two tries
-IDLE_CLOSE_US = 1_000_000  # till idle connections close: new ones stop 0.2 s after `/ready` says no
-CLOSE_IDLE_AGAIN_US = 100_000  # then between two closings of what has become idle
+STATE_FILE_POLL_US = 500_000  # The node's other process may change the file.
+LOCK_TIMEOUT_US = 500_000  # Requests must be answered within 1 s.
+LOCK_RETRY_US = 10_000
+IDLE_CLOSE_DELAY_US = 1_000_000  # New connections stop 0.2 s after `/ready` reports not ready.
+IDLE_CLOSE_INTERVAL_US = 100_000
 
 
 class AdminHandlers:
@@ -33,128 +32,134 @@
         clients: ClientServer,
         discovery: DiscoveryClient,
         node: str,
-        ending: Callable[[], bool],
+        is_ending: Callable[[], bool],
     ) -> None:
-        """`ending`: whether the process is told to end."""
-        self.driver, self.clients, self.discovery, self.ending = driver, clients, discovery, ending
-        self.state_file = StateFile(state_file_path(node, KIND))
+        """Create handlers; `is_ending` returns whether the process has begun to shut down."""
+        self.driver, self.clients, self.discovery, self.is_ending = driver, clients, discovery, is_ending
+        self.state_file = StateFile(state_file_path(node, DOCUMENT_KIND))
         self.exclusions = Exclusions(node)
-        self.ask_cluster: Callable[[AdminRequest, Answer], None] | None = None  # where a cluster decides
-        self.excluded_by_cluster: dict[str, int] = {}  # executors, and since when
-        self._drains = 0  # grows each time clients are drained: an old sweep ends when it sees a newer one
+        self.ask_cluster: Callable[[AdminRequest, Answer], None] | None = None  # Set on nodes of a cluster.
+        self.excluded_by_cluster: dict[str, int] = {}  # Times of exclusion by executor.
+        self._drain_count = 0  # Number of drains, by which the timer of an earlier one ends.
         self._actions = {
-            AdminAction.READY: self._ready,
+            AdminAction.READY: self._report_readiness,
             AdminAction.DRAIN_CLIENTS: self._drain_clients,
             AdminAction.REJOIN: self._rejoin,
         }
 
     def start(self) -> None:
-        """Take up the marks that an earlier process of this node left, before the first list is told."""
-        self._look_again(self.driver.now())
+        """Load the stored exclusions, before the first endpoint list is applied."""
+        self._poll_state_file(self.driver.now())
 
-    def _look_again(self, now: int) -> None:
-        """Look at the state file every `LOOK_US`: the one chain that does."""
-        self.driver.timers.add(now + LOOK_US, self._look_again)
-        self._take_up()
+    def _poll_state_file(self, now: int) -> None:
+        """Reload the state file, and schedule the next reload."""
+        self.driver.timers.add(now + STATE_FILE_POLL_US, self._poll_state_file)
+        self._reload_exclusions()
 
-    def _take_up(self) -> None:
-        """Take up what the node's other process kept, if it changed."""
+    def _reload_exclusions(self) -> None:
+        """Apply the exclusions in the state file if the node's other process has changed them."""
         try:
-            text = self.state_file.read()
+            document = self.state_file.read()
             changed = (
-                self.exclusions.adopt(text, clock_reading(self.driver.now())) if text is not None else set()
+                self.exclusions.adopt(document, clock_reading(self.driver.now()))
+                if document is not None
+                else set()
             )
         except (OSError, ValueError) as error:
             log_event("exclusions-unread", reason=error)
             return
         if changed:
             log_event("exclusions-taken", names=", ".join(sorted(changed)))
-            self._tell()
+            self._publish_exclusions()
 
-    def _tell(self) -> None:
-        """Lay the marks as they now stand over what the balancer is told of these executors."""
+    def _publish_exclusions(self) -> None:
+        """Pass all exclusions to the discovery client."""
         self.discovery.set_exclusions({**self.excluded_by_cluster, **self.exclusions.marked_us})
 
     def handle(self, request: AdminRequest, answer: Answer) -> None:
-        """Answer a valid request: at once, or when the cluster has been asked, where there is one."""
+        """Answer a valid request, at once or after the cluster's decision."""
         if self.ask_cluster is not None and request.action != AdminAction.READY:
             self.ask_cluster(request, answer)
         elif request.action in (AdminAction.EXCLUDE, AdminAction.INCLUDE):
             now = self.driver.now()
-            self._mark(request, answer, now, now + LOCK_WAIT_US)
+            self._change_exclusion(request, answer, now, now + LOCK_TIMEOUT_US)
         else:
             answer(self._actions[request.action](request))
 
     def set_cluster_exclusions(self, marks: dict[str, int]) -> None:
-        """Exclude these for the cluster, besides those by this API; times in the balancer's clock."""
+        """Replace the cluster's exclusions, given with their times on the balancer's clock."""
         self.excluded_by_cluster = {
             name: self.excluded_by_cluster.get(name, at) for name, at in marks.items()
         }
-        self._tell()
+        self._publish_exclusions()
 
     def drain_clients(self, drain: bool) -> None:
-        """Send the clients away for the cluster, or take them again."""
+        """Start or end the draining of clients on behalf of the cluster."""
         if drain:
             self._drain_clients(AdminRequest(AdminAction.DRAIN_CLIENTS))
         else:
             self._rejoin(AdminRequest(AdminAction.REJOIN))
 
-    def _ready(self, request: AdminRequest) -> AdminResponse:
+    def _report_readiness(self, request: AdminRequest) -> AdminResponse:
         if self.clients.is_ready():
             return AdminResponse(HTTPStatus.OK, b"ready\n")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"not ready\n")
 
-    def _mark(self, request: AdminRequest, answer: Answer, now: int, until: int) -> None:
-        """Make the mark as soon as the node's other process leaves the file; a no if it has not by then."""
+    def _change_exclusion(self, request: AdminRequest, answer: Answer, now: int, deadline: int) -> None:
+        """Exclude or include an executor; retry the state file's lock until `deadline`."""
         try:
-            with self.state_file.exclusive_lock():  # the node's other process may mark at the same time
-                done = self._mark_alone(request.executor, request.action == AdminAction.EXCLUDE)
-        except OSError as error:  # nothing half done: `_mark_alone` takes the mark back
-            if not isinstance(error, BlockingIOError) or now >= until:
+            with self.state_file.exclusive_lock():  # The node's other process writes it too.
+                response = self._change_exclusion_locked(
+                    request.executor, request.action == AdminAction.EXCLUDE
+                )
+        except OSError as error:  # `_change_exclusion_locked` has undone the change.
+            if not isinstance(error, BlockingIOError) or now >= deadline:
                 log_event("exclusions-not-saved", reason=error)
-                done = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"the mark could not be kept\n")
+                response = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"the mark could not be kept\n")
             else:
                 self.driver.timers.add(
-                    now + LOCK_AGAIN_US, lambda now: self._mark(request, answer, now, until)
+                    now + LOCK_RETRY_US, lambda now: self._change_exclusion(request, answer, now, deadline)
                 )
                 return
-        answer(done)
+        answer(response)
 
-    def _mark_alone(self, name: str, out: bool) -> AdminResponse:
-        """Make the mark on the newest document of both processes; raises OSError where it cannot be kept."""
-        self._take_up()
+    def _change_exclusion_locked(self, name: str, should_exclude: bool) -> AdminResponse:
+        """Change and store the exclusions under the lock; undo the change and raise OSError on failure."""
+        self._reload_exclusions()
         if not (self.discovery.has_executor(name) or name in self.exclusions.since):
             return AdminResponse(HTTPStatus.NOT_FOUND, b"no executor of that id\n")
-        now, done = clock_reading(self.driver.now()), b"excluded\n" if out else b"included\n"
-        before = self.exclusions.copy()
-        if self.exclusions.exclude(name, now) if out else self.exclusions.include(name):
+        now, body = clock_reading(self.driver.now()), b"excluded\n" if should_exclude else b"included\n"
+        previous = self.exclusions.copy()
+        if self.exclusions.exclude(name, now) if should_exclude else self.exclusions.include(name):
             try:
                 self.state_file.write(self.exclusions.encode(now))
             except OSError:
-                self.exclusions = before
+                self.exclusions = previous
                 raise
-            log_event("excluded" if out else "included", executor=name)
-            self._tell()
-        return AdminResponse(HTTPStatus.OK, done)
+            log_event("excluded" if should_exclude else "included", executor=name)
+            self._publish_exclusions()
+        return AdminResponse(HTTPStatus.OK, body)
 
     def _drain_clients(self, request: AdminRequest) -> AdminResponse:
         if not self.clients.is_draining_clients:
-            self._drains += 1
+            self._drain_count += 1
             self.clients.set_draining_clients(True)
             log_event("clients-draining", sessions=len(self.clients.sessions))
-            drain = self._drains
+            drain_number = self._drain_count
             self.driver.timers.add(
-                self.driver.now() + IDLE_CLOSE_US, lambda now: self._close_idle(now, drain)
+                self.driver.now() + IDLE_CLOSE_DELAY_US, lambda now: self._close_idle(now, drain_number)
             )
         return AdminResponse(HTTPStatus.OK, b"evacuating\n")
 
-    def _close_idle(self, now: int, drain: int) -> None:
-        if self.clients.is_draining_clients and drain == self._drains:
+    def _close_idle(self, now: int, drain_number: int) -> None:
+        if self.clients.is_draining_clients and drain_number == self._drain_count:
             self.clients.close_idle()
-            self.driver.timers.add(now + CLOSE_IDLE_AGAIN_US, lambda now: self._close_idle(now, drain))
+            self.driver.timers.add(
+                now + IDLE_CLOSE_INTERVAL_US, lambda now: self._close_idle(now, drain_number)
+            )
 
     def _rejoin(self, request: AdminRequest) -> AdminResponse:
-        if self.ending():
+        if self.is_ending():
             return AdminResponse(HTTPStatus.CONFLICT, b"the process is ending\n")
         if self.clients.is_draining_clients:
             self.clients.set_draining_clients(False)
--- a/cedarmill/net/admin/server.py
+++ b/cedarmill/net/admin/server.py
@@ -1,8 +1,7 @@
-"""The admin API's listener: HTTP/1.1, one request on each connection, answered at once.
+"""Listener of the admin API: HTTP/1.1 with one request per connection.
 
-A request is answered in the turn in which its last byte arrives: nothing it asks waits for I/O but the write
-of a small file. Sessions are bounded; a caller that holds one without a whole request is ended after
-`CALL_US`, and sooner when a new caller needs its place, so that slow callers cannot keep the API shut.
+The number of sessions is limited. A session whose request is incomplete is closed after `REQUEST_TIMEOUT_US`,
+or earlier if a new session needs its place, so that slow callers cannot block the API.
 """
 
 from collections.abc import Callable
@@ -17,15 +16,19 @@
 from cedarmill.net.bounded_sessions import BoundedListener, BoundedSession, ListenerLimits, OverflowPolicy
 from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
-SESSIONS = 16  # open at once: an operator's tools make a few calls, not hundreds
-DESCRIPTORS = SESSIONS + 1  # with the listening socket
-CALL_US = 2_000_000  # for a request to arrive whole: requests are a line and a few headers
-LINGER_US = 1_000_000  # for the caller to read the answer
-MAX_CALL = 8 * 1024  # bytes of head and body together
-BOUNDS = ListenerLimits(SESSIONS, SESSIONS, SESSIONS * 4, OverflowPolicy.OLDEST, CALL_US)
-HEAD = b"HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n%s\r\n"
+MAX_SESSIONS = 16
+DESCRIPTORS = MAX_SESSIONS + 1  # Includes the listening socket.
+REQUEST_TIMEOUT_US = 2_000_000
+RESPONSE_TIMEOUT_US = 1_000_000
+MAX_REQUEST_BYTES = 8 * 1024  # Head and body together.
+LIMITS = ListenerLimits(
+    MAX_SESSIONS, MAX_SESSIONS, MAX_SESSIONS * 4, OverflowPolicy.OLDEST, REQUEST_TIMEOUT_US
+)
+RESPONSE_HEAD = (
+    b"HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n%s\r\n"
+)
 
-Answer = Callable[[AdminResponse], None]  # where a cluster is asked first, it comes later
+Answer = Callable[[AdminResponse], None]  # Called later if the cluster decides first.
 
 
 def _rejection(error: RequestRejectedError) -> AdminResponse:
@@ -33,80 +36,80 @@
 
 
 class AdminSession(BoundedSession):
-    """One caller's connection: one request, one answer, then the end."""
+    """Connection of one caller, closed after one request and its answer."""
 
     def __init__(self, server: "AdminServer") -> None:
         super().__init__(server)
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
-        self._size = 0
+        self._received_bytes = 0
 
     def on_close(self) -> None:
-        """Let go of the parser, which refers back."""
+        """Delete the parser to break its reference cycle with the session."""
         del self._parser
 
     def eof_received(self) -> bool:
-        """Answer a caller that stops sending before its request is whole; one answered gets nothing more."""
+        """Reject an incomplete request; do nothing if the request is answered already."""
         if not self.is_finished:
             self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, b"the call ended before it was whole\n"))
         return True
 
     @guarded_callback
     def data_received(self, data: bytes) -> None:
-        """Read the request; what is wrong with it is answered at once."""
+        """Parse a part of the request; answer an invalid request with an error."""
         if self.is_finished:
             return
-        self._size += len(data)
+        self._received_bytes += len(data)
         try:
-            if self._size > MAX_CALL:
+            if self._received_bytes > MAX_REQUEST_BYTES:
                 raise RequestRejectedError(
                     HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the call is over 8 KiB"
                 )
             self._parser.feed_data(data)
-        except RequestRejectedError as refused:
-            self.answer(_rejection(refused))
+        except RequestRejectedError as rejected:
+            self.answer(_rejection(rejected))
         except httptools.HttpParserUpgrade:
             self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, b"no upgrade here\n"))
         except httptools.HttpParserCallbackError as error:
-            fault = error.__context__
-            if not isinstance(fault, RequestRejectedError):
-                log_event("defect", fault, what="a call of the admin API")
-                fault = RequestRejectedError(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error")
-            self.answer(_rejection(fault))
+            cause = error.__context__
+            if not isinstance(cause, RequestRejectedError):
+                log_event("defect", cause, what="a call of the admin API")
+                cause = RequestRejectedError(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error")
+            self.answer(_rejection(cause))
         except httptools.HttpParserError:
             self.answer(AdminResponse(HTTPStatus.BAD_REQUEST, b"malformed HTTP\n"))
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Carry the request out, or say why not."""
+        """Handle the complete request, or answer with the reason of its rejection."""
         method = self._parser.get_method()
         try:
             request = routes.parse_request(method, self._target)
-        except RequestRejectedError as refused:
+        except RequestRejectedError as rejected:
             headers = b""
-            if refused.status == HTTPStatus.METHOD_NOT_ALLOWED:
+            if rejected.status == HTTPStatus.METHOD_NOT_ALLOWED:
                 headers = b"Allow: %s\r\n" % routes.allowed_methods(self._target)
-            self.answer(_rejection(refused), headers, method)
+            self.answer(_rejection(rejected), headers, method)
             return
-        # from here on the caller waits for this process: a lock, or the cluster
-        self.set_deadline(CALL_US)
+        # The response may wait for a lock or the cluster.
+        self.set_deadline(REQUEST_TIMEOUT_US)
         self._server.handle(request, lambda response: self.answer(response, b"", method))
 
     def answer(self, response: AdminResponse, headers: bytes = b"", method: bytes = b"") -> None:
-        """Give the one answer, then end the connection; `headers` are whole lines."""
+        """Send the response and close the connection; `headers` are complete lines."""
         if self.is_finished or not self.is_writable:
             return
         status, body = response.status, response.body
-        text = HEAD % (status, status.phrase.encode(), len(body), headers)
-        self.set_deadline(LINGER_US)
-        self.finish(text if method == b"HEAD" else text + body)
+        message = RESPONSE_HEAD % (status, status.phrase.encode(), len(body), headers)
+        self.set_deadline(RESPONSE_TIMEOUT_US)
+        self.finish(message if method == b"HEAD" else message + body)
 
     def on_deadline(self) -> None:
-        """Say that the request took too long; an answer that is not read is given up."""
+        """Answer a late request with an error; abort if an answer has been sent but not read."""
         if self.is_finished:
             self.abort()
         else:
@@ -114,8 +117,8 @@
 
 
 class AdminServer(BoundedListener[AdminSession]):
-    """The listening socket of the admin API; `handle` is given each request and where its answer goes."""
+    """Listener of the admin API; `handle` gets each request and the callback for its response."""
 
     def __init__(self, driver: EventLoopDriver, handle: Callable[[AdminRequest, Answer], None]) -> None:
-        super().__init__(driver, "admin", BOUNDS, lambda: AdminSession(self))
+        super().__init__(driver, "admin", LIMITS, lambda: AdminSession(self))
         self.handle = handle
--- a/cedarmill/net/health/__init__.py
+++ b/cedarmill/net/health/__init__.py
@@ -1,4 +1,4 @@
-"""Listeners on which a node tells load balancers of its own health. Off unless the settings name them.
+"""Listeners that answer health checks of this node by other load balancers; off unless configured.
 
-Their wire forms are in `health/codecs/`; nothing here judges an executor.
+Their codecs are in `health/codecs/`. This package does not check executors.
 """
--- a/cedarmill/net/health/grpc.py
+++ b/cedarmill/net/health/grpc.py
@@ -1,15 +1,15 @@
-"""The listener for gRPC health: HTTP/2 sessions whose watches hear of a change. Off on the platform."""
+"""Listener of the gRPC health service, which notifies watches of status changes."""
 
 from cedarmill.health.codecs.grpc import HealthConnection, ProtocolError, Status
 from cedarmill.net.health.listener import HealthListener, HealthSession, NodeHealth
 from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
-SERVICE = "cedarmill"  # besides "", which means the whole node
-LOOK_US = 250_000  # between two looks at what the watches were told; a drain is told at once
+SERVICE_NAME = "cedarmill"  # Has the same status as "", the whole server.
+STATUS_POLL_US = 250_000  # A drain is reported without this delay.
 
 
 class GrpcSession(HealthSession):
-    """One HTTP/2 connection; it may stay as long as it watches."""
+    """One HTTP/2 connection, without a deadline while it has watches."""
 
     def __init__(self, listener: "GrpcListener") -> None:
         super().__init__(listener)
@@ -17,43 +17,43 @@
 
     @guarded_callback
     def data_received(self, data: bytes) -> None:
-        """Answer what was asked."""
+        """Process received bytes and send the answers."""
         try:
-            text = self._connection.receive(data)
+            payload = self._connection.receive(data)
         except ProtocolError:
             self.abort()
             return
-        if not self.send(text):
+        if not self.send(payload):
             return
-        if self._connection.watches:  # it stays as long as it watches
+        if self._connection.watches:
             self.cancel_deadline()
-        elif self._connection.answered:
-            self.idle()
+        elif self._connection.answered_calls:
+            self.wait_for_next_check()
 
-    def changed(self) -> None:
-        """Tell the watches."""
-        if text := self._connection.changed():
-            self.send(text)
+    def send_status_changes(self) -> None:
+        """Send changed statuses to the watches."""
+        if payload := self._connection.encode_status_changes():
+            self.send(payload)
 
 
 class GrpcListener(HealthListener[GrpcSession]):
-    """Its sessions, told together."""
+    """Listener that notifies the watches of all its sessions."""
 
     def __init__(self, driver: EventLoopDriver, health: NodeHealth) -> None:
         super().__init__(driver, health, lambda listener: GrpcSession(self))
-        driver.timers.add(driver.now() + LOOK_US, self._look)
+        driver.timers.add(driver.now() + STATUS_POLL_US, self._poll_statuses)
 
     def statuses(self) -> dict[str, int]:
-        """Return the state of the node as a whole, and under its name: SERVING while it is ready."""
+        """Return the status of each service: SERVING while the node is ready."""
         ready = all(check.passed for check in self.health.checks())
         status = Status.SERVING if ready else Status.NOT_SERVING
-        return {"": status, SERVICE: status}
+        return {"": status, SERVICE_NAME: status}
 
     def on_health_changed(self) -> None:
-        """Tell all watches."""
+        """Send changed statuses to the watches of all sessions."""
         for session in list(self.sessions):
-            session.changed()
+            session.send_status_changes()
 
-    def _look(self, now: int) -> None:
-        self.driver.timers.add(now + LOOK_US, self._look)
+    def _poll_statuses(self, now: int) -> None:
+        self.driver.timers.add(now + STATUS_POLL_US, self._poll_statuses)
         self.on_health_changed()
--- a/tests/health/test_check_codecs.py
+++ b/tests/health/test_check_codecs.py
@@ -15,7 +15,7 @@
     st.none() | st.integers(0, 99_999),
     st.none() | st.integers(0, 999_999_999),
     st.text(st.characters(min_codepoint=32, max_codepoint=126), max_size=80).map(str.strip),
-).filter(lambda reply: reply.says_something)
+).filter(lambda reply: reply.sets_any_value)
 ODD = (  # replies seen or possible, and what they name; None: an error
     (b"up", AgentReply(Status.UP)), (b"UP\tREADY,100%", AgentReply(Status.UP, Admin.READY, 100)),
     (b"75%", AgentReply(weight=75)), (b"maxconn:30 drain", AgentReply(admin=Admin.DRAIN, maxconn=30)),
--- a/tests/health/test_header_codecs.py
+++ b/tests/health/test_header_codecs.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cedarmill.health.codecs.load import LoadReport, StateError
+from cedarmill.health.codecs.load import HealthHeaderError, LoadReport
 from cedarmill.health.codecs.orca import parse_binary, render_binary
 from cedarmill.health.codecs.state import (
     CheckerView,
@@ -26,12 +26,12 @@
         for state in ServerState:
             with self.subTest(state):
                 self.assertEqual(parse_server_state(f"{state.lower()}; later=1").state, state)
-        self.assertEqual(parse_server_state("NOLB").going, None)
+        self.assertEqual(parse_server_state("NOLB").transition, None)
 
     def test_broken_headers_are_refused_in_one_line(self):
         broken = ("", "HALF 1/2", "UP x/3", "UP; weight=1", "UP; scur", "UP; qcur=-1", "UP " + "1" * 5000)
         for value in broken:
-            with self.subTest(value[:20]), self.assertRaises(StateError) as raised:
+            with self.subTest(value[:20]), self.assertRaises(HealthHeaderError) as raised:
                 parse_server_state(value)
             self.assertNotIn("\n", str(raised.exception))
 
@@ -57,7 +57,7 @@
     def test_bad_reports_are_refused(self):
         for value in ("BIN AAAA", "TEXT cpu_utilization", "TEXT eps=-1", "TEXT eps=nan", "JSON [1]",
                       'JSON {"eps": true}', "JSON {", "TEXT eps=inf"):  # fmt: skip
-            with self.subTest(value), self.assertRaises(StateError):
+            with self.subTest(value), self.assertRaises(HealthHeaderError):
                 parse_load_report(value)
 
 
@@ -94,7 +94,7 @@
         minus = self.encoded(b"\x09" + struct.pack("<d", -1.0))
         nan = self.encoded(b"\x09" + struct.pack("<d", float("nan")))
         for value in ("!", "AAAA", self.encoded(b"\x09\x00"), minus, nan, "A" * 5000):
-            with self.subTest(value[:20]), self.assertRaises(StateError) as raised:
+            with self.subTest(value[:20]), self.assertRaises(HealthHeaderError) as raised:
                 parse_binary(value)
             self.assertNotIn("\n", str(raised.exception))
 
@@ -102,6 +102,6 @@
     def test_any_bytes_are_a_report_or_refused(self, raw):
         try:
             report = parse_binary(self.encoded(raw))
-        except StateError:
+        except HealthHeaderError:
             return
         self.assertEqual(parse_binary(render_binary(report)), report)
--- a/tests/health/test_probe_budget.py
+++ b/tests/health/test_probe_budget.py
@@ -28,7 +28,7 @@
         self.assertEqual(budget.step(S, ProbeRequested(1, "agent", 2 * S)), [])
         budget.step(2 * S, EvidenceReceived(1))  # traffic
         self.assertEqual(budget.step(3 * S, ProbeRequested(1, "agent", 2 * S)), [])
-        self.assertEqual((budget.sent, budget.shared, budget.spared), (1, 1, 2))
+        self.assertEqual((budget.sent, budget.shared, budget.avoided), (1, 1, 2))
 
     def test_however_often_an_executor_is_asked_for_it_is_probed_at_its_rate(self):
         """A flapping agent that asks for a probe with each change causes no flood of probes."""
--- a/tests/health/test_verdict.py
+++ b/tests/health/test_verdict.py
@@ -40,8 +40,8 @@
         actions = self.verdicts.step(self.now, event)
         for action in actions:
             if isinstance(action, VerdictChanged):
-                self.changes += self.wanted.get(action.executor, action.wanted) != action.wanted
-                self.wanted[action.executor] = action.wanted
+                self.changes += self.wanted.get(action.executor, action.is_eligible) != action.is_eligible
+                self.wanted[action.executor] = action.is_eligible
         return actions
 
     def reply(self, executor: int, text: bytes, after: int = 0) -> list[VerdictAction]:
@@ -59,7 +59,7 @@
     def test_an_executor_that_loses_attempts_is_out_though_its_checks_pass_and_comes_back(self):
         """A fifth of all at once: out within 3 attempts each, back by one probation attempt."""
         for executor in (0, 1):
-            for _ in range(self.options.lost_in_row):
+            for _ in range(self.options.losses_to_eject):
                 self.assertNotIn(executor, self.out())
                 self.feed(CheckEnded(executor, True))
                 self.feed(AttemptEnded(executor, False), 100_000)
@@ -87,7 +87,7 @@
             self.reply(executor, b"down")
         self.assertEqual(self.out(), set())
         self.feed(TimeAdvanced(), 4 * S)  # no attempts either: but nearly all cannot be dead
-        self.assertTrue(self.verdicts.panics)
+        self.assertTrue(self.verdicts.is_panicking)
         self.assertEqual(self.out(), set())
 
     def test_drain_and_maint_are_obeyed_at_once_whatever_works(self):
@@ -95,7 +95,9 @@
         self.feed(AttemptEnded(3, True))
         for executor, word in ((3, b"drain"), (4, b"maint"), (5, b"0%")):
             changed = [action for action in self.reply(executor, word) if isinstance(action, VerdictChanged)]
-            self.assertEqual([(change.executor, change.wanted) for change in changed], [(executor, False)])
+            self.assertEqual(
+                [(change.executor, change.is_eligible) for change in changed], [(executor, False)]
+            )
         for executor in range(10):
             self.reply(executor, b"drain")
         self.assertEqual(self.out(), set(range(10)))
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -18,8 +18,8 @@
 from cedarmill.admin.exclusions import Exclusions
 from cedarmill.admin.sealed_document import ClockReading
 from cedarmill.core.timers import Timers
-from cedarmill.net.admin.handlers import LOCK_AGAIN_US, LOCK_WAIT_US, LOOK_US, AdminHandlers
-from cedarmill.net.admin.server import SESSIONS
+from cedarmill.net.admin.handlers import LOCK_RETRY_US, LOCK_TIMEOUT_US, STATE_FILE_POLL_US, AdminHandlers
+from cedarmill.net.admin.server import MAX_SESSIONS
 from cedarmill.net.clients.server import ClientServer
 from cedarmill.net.clients.session import ClientSession
 from cedarmill.net.upgrade.state_file import StateFile
@@ -197,7 +197,7 @@
                     Told(),
                 )
             before = kept.looks
-            driver.run_till(20 * LOOK_US)
+            driver.run_till(20 * STATE_FILE_POLL_US)
             self.assertEqual(kept.looks - before, 20)
 
 
@@ -244,7 +244,7 @@
             self.assertEqual(told.status, 0)  # and the call has returned
             began = self.old.driver.now()
             self.old.driver.run_until(lambda: told.status)
-            self.assertLessEqual(LOCK_WAIT_US, self.old.driver.now() - began + LOCK_AGAIN_US)
+            self.assertLessEqual(LOCK_TIMEOUT_US, self.old.driver.now() - began + LOCK_RETRY_US)
             self.assertEqual((told.status, self.old.exclusions.since), (503, {}))
             self.old.handle(routes.AdminRequest(routes.AdminAction.EXCLUDE, "s-1"), marked)
         self.old.driver.run_until(lambda: marked.status)
@@ -299,7 +299,7 @@
         """A caller that holds a connection without a whole call gives its place to a new one."""
         slow = [
             socket.create_connection(("127.0.0.1", self.admin_api_port), timeout=WAIT)
-            for _ in range(3 * SESSIONS)
+            for _ in range(3 * MAX_SESSIONS)
         ]
         for sock in slow:
             self.addCleanup(sock.close)
--- a/tests/net/test_health_listeners.py
+++ b/tests/net/test_health_listeners.py
@@ -12,7 +12,7 @@
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.agent import Admin, Status
-from cedarmill.health.codecs.http import FAIL_AT_ONCE, JSON, Expected, evaluate
+from cedarmill.health.codecs.http import FAIL_AT_ONCE, JSON_CONTENT_TYPE, Expected, evaluate
 from tests.conf.test_settings import command
 from tests.support.node_case import WAIT, NodeCase
 
@@ -55,10 +55,10 @@
             self.assertEqual((self.get(path).status, self.get(path).text), (200, b"ok\n"))
         verbose = self.get("/readyz?verbose").text.decode().splitlines()
         self.assertEqual(verbose, ["[+]ping ok", "[+]backends ok", "[+]draining ok", "readyz check passed"])
-        document = self.get("/healthz", Accept=JSON)
+        document = self.get("/healthz", Accept=JSON_CONTENT_TYPE)
         self.assertEqual(json.loads(document.text)["status"], "pass")
         self.assertEqual(document.headers["x-envoy-upstream-healthchecked-cluster"], "n0")
-        self.assertTrue(evaluate(Expected(), 200, {"content-type": JSON}, document.text).passed)
+        self.assertTrue(evaluate(Expected(), 200, {"content-type": JSON_CONTENT_TYPE}, document.text).passed)
         self.assertEqual(self.get("/other").status, 404)
 
     def test_a_drain_shows_at_once_on_both_and_the_node_is_still_alive(self):
