--- a/cedarmill/health/codecs/agent.py
+++ b/cedarmill/health/codecs/agent.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 MAX_REPLY_BYTES = 1024  # Limit of the first line; agents usually send some tens of bytes.
-MAX_REASON_LENGTH = 256  # Characters; a longer text after `#` is truncated.
+MAX_REASON = 256  # Characters; a longer text after `#` is truncated.
 
 
 class Status(StrEnum):
@@ -84,9 +84,7 @@
             values["maxconn"] = int(match[1])
         else:
             unknown.append(word[:32])
-    printable = "".join(char if char.isprintable() else " " for char in reason.strip())[
-        :MAX_REASON_LENGTH
-    ].strip()
+    printable = "".join(char if char.isprintable() else " " for char in reason.strip())[:MAX_REASON].strip()
     reply = AgentReply(**values, reason=printable, unknown=tuple(unknown))
     if not reply.sets_any_value:
         raise AgentError("the reply has only unknown words" if unknown else "the reply is empty")
--- a/cedarmill/health/codecs/load.py
+++ b/cedarmill/health/codecs/load.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 MAX_HEADER_BYTES = 4096  # Valid headers have some tens of bytes.
-MAX_NAMED_METRICS = 64  # Per table of a report; the rest is ignored.
+MAX_METRICS = 64  # Per table of a report; the rest is ignored.
 
 
 class HealthHeaderError(ValueError):
--- a/cedarmill/health/codecs/orca.py
+++ b/cedarmill/health/codecs/orca.py
@@ -18,7 +18,7 @@
 )
 from google.protobuf.message import DecodeError  # type: ignore[import-untyped]
 
-from cedarmill.health.codecs.load import MAX_HEADER_BYTES, MAX_NAMED_METRICS, HealthHeaderError, LoadReport
+from cedarmill.health.codecs.load import MAX_HEADER_BYTES, MAX_METRICS, HealthHeaderError, LoadReport
 
 _DOUBLE_FIELDS = {
     "cpu_utilization": 1,
@@ -89,7 +89,7 @@
 
 
 def _metrics(table: Mapping[str, float]) -> dict[str, float]:
-    limited = sorted(table.items())[:MAX_NAMED_METRICS]
+    limited = sorted(table.items())[:MAX_METRICS]
     for name, number in limited:
         if not 0 <= number < math.inf:
             raise HealthHeaderError(f"{name[:40]}: {number} is not a finite number of 0 or more")
--- a/cedarmill/health/codecs/state.py
+++ b/cedarmill/health/codecs/state.py
@@ -15,7 +15,7 @@
 from enum import StrEnum
 from typing import Any
 
-from cedarmill.health.codecs.load import MAX_HEADER_BYTES, MAX_NAMED_METRICS, HealthHeaderError, LoadReport
+from cedarmill.health.codecs.load import MAX_HEADER_BYTES, MAX_METRICS, HealthHeaderError, LoadReport
 
 
 class ServerState(StrEnum):
@@ -86,7 +86,7 @@
 
 
 _NUMBER_FIELDS = ("cpu_utilization", "mem_utilization", "application_utilization", "rps_fractional", "eps")
-_MAP_FIELDS = ("named_metrics", "utilization")
+_TABLES = ("named_metrics", "utilization")
 
 
 def parse_load_report(value: str) -> LoadReport:
@@ -104,15 +104,11 @@
         return parse_binary(body.strip())
     else:
         raise HealthHeaderError(f"form {form[:10]!r} is not one of TEXT, JSON and BIN")
-    values: dict[str, Any] = {name: {} for name in _MAP_FIELDS}
+    values: dict[str, Any] = {name: {} for name in _TABLES}
     for key, number in pairs:
         if key in _NUMBER_FIELDS:
             values[key] = number
-        elif (
-            (group := key.partition(".")[0]) in _MAP_FIELDS
-            and "." in key
-            and len(values[group]) < MAX_NAMED_METRICS
-        ):
+        elif (group := key.partition(".")[0]) in _TABLES and "." in key and len(values[group]) < MAX_METRICS:
             values[group][key.partition(".")[2]] = number
     return LoadReport(**values)  # Unknown names are ignored.
 
@@ -136,7 +132,7 @@
         raise HealthHeaderError("the load report is not a JSON object")
     pairs = []
     for key, value in document.items():
-        if key in _MAP_FIELDS and isinstance(value, dict):
+        if key in _TABLES and isinstance(value, dict):
             pairs += [(f"{key}.{name}", _number(inner, name)) for name, inner in value.items()]
         elif key in _NUMBER_FIELDS:
             pairs.append((key, _number(value, key)))
--- a/cedarmill/health/verdict.py
+++ b/cedarmill/health/verdict.py
@@ -33,7 +33,7 @@
 )
 from cedarmill.health.flap_damping import DampingOptions, FlapDamping
 
-MIN_WEIGHT = 0.1  # Above 0, so that a recovered executor gets requests that show its health.
+MIN_WEIGHT = 0.1  # Gives a recovered executor some requests, which show its health.
 MAX_EJECTION_DOUBLINGS = 4
 SLOW_START_STEPS = 10  # Minimum number of weight updates during a slow start.
 NEVER_US = -(10**18)
@@ -41,15 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictOptions:
-    """Thresholds and durations of the verdicts; comments name the equivalent HAProxy settings."""
+    """Thresholds and durations of the verdicts, with the equivalent HAProxy settings."""
 
     rise: int = 2  # Consecutive passed checks.
     fall: int = 3  # Consecutive failed checks.
-    interval_us: int = 2_000_000  # inter.
-    fast_interval_us: int = 500_000  # fastinter: while results oppose the current state.
-    down_interval_us: int = 5_000_000  # downinter.
-    slow_start_us: int = 8_900_000  # slowstart.
-    losses_to_eject: int = 3  # observe layer7, error-limit: consecutive lost attempts.
+    interval_us: int = 2_000_000  # HAProxy: inter.
+    fast_interval_us: int = 500_000  # HAProxy: fastinter; used while results oppose the state.
+    down_interval_us: int = 5_000_000  # HAProxy: downinter.
+    slow_start_us: int = 8_900_000  # HAProxy: slowstart.
+    losses_to_eject: int = 3  # HAProxy: error-limit. Consecutive lost attempts.
     ejection_us: int = 2_000_000  # First ejection; doubled up to MAX_EJECTION_DOUBLINGS times.
     answer_valid_us: int = 3_000_000  # How long an answered attempt overrides failed checks.
     damping: DampingOptions = field(default_factory=DampingOptions)
@@ -76,7 +76,7 @@
     admin: Admin = Admin.READY
     weight: float = 1.0  # As set by the agent.
     opposing_checks: int = 0  # Consecutive check results that contradict the state.
-    lost_attempts: int = 0  # Consecutive.
+    lost_attempts: int = 0  # Consecutive lost attempts.
     last_answer_at: int = NEVER_US
     probation_at: int = 0  # When an ejected executor may get a probation attempt.
     ejections: int = 0
--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -86,10 +86,10 @@
         else:
             answer(self._actions[request.action](request))
 
-    def set_cluster_exclusions(self, marks: dict[str, int]) -> None:
+    def set_cluster_exclusions(self, excluded_at: dict[str, int]) -> None:
         """Replace the cluster's exclusions, given with their times on the balancer's clock."""
         self.excluded_by_cluster = {
-            name: self.excluded_by_cluster.get(name, at) for name, at in marks.items()
+            name: self.excluded_by_cluster.get(name, at) for name, at in excluded_at.items()
         }
         self._publish_exclusions()
 
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -161,7 +161,7 @@
         return True
 
     def set_exclusions(self, exclusions: dict) -> None:
-        self.exclusions = exclusions
+        self.recorded_exclusions = exclusions
 
 
 class ManualClockDriver:
