--- a/cedarmill/lab/scale/__init__.py
+++ b/cedarmill/lab/scale/__init__.py
@@ -1,4 +1,5 @@
-"""What one node needs as the number of executors grows: a real process, equal traffic, stated bounds.
+"""Measures the resource usage of one node as the number of executors grows, and checks it against bounds.
 
-The node is the real program, as it is; executors, discovery and clients are emulated here.
+The node is the unmodified program in its own process. Executors, discovery and clients are emulated here, and
+every run has the same traffic.
 """
--- a/cedarmill/lab/scale/bounds.py
+++ b/cedarmill/lab/scale/bounds.py
@@ -1,41 +1,41 @@
-"""What a node may need with many executors, against what it needs with the usual number.
+"""Bounds on the resource usage of a node with many executors, relative to a baseline run.
 
-The factors and allowances are those of the users' terms of acceptance, for up to sixteen times the
-executors.
+The factors and allowances come from the acceptance criteria, which cover up to sixteen times the baseline
+number of executors.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-USUAL_EXECUTORS = 200
+BASELINE_EXECUTORS = 200
 
 
 @dataclass(frozen=True, slots=True)
-class Needs:
-    """What one run of a node came to."""
+class NodeMeasurements:
+    """Resource usage of a node and share of requests served, measured over one run."""
 
     cpu_s: float
     peak_memory_mb: float
-    descriptors: int  # held at once, at most
-    connections: int  # made to executors
-    list_kb: float  # of lists from discovery
-    share_served: float  # of all first tries
+    descriptors: int  # peak number open at the same time
+    connections: int  # opened to executors over the whole run
+    list_kb: float  # endpoint list data written by discovery
+    share_served: float  # of all requests sent by the clients
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """Most that a need may come to: a factor of the usual, and allowances."""
+    """Limit on one measurement: a multiple of its baseline value plus fixed and per-executor allowances."""
 
     field: str
     label: str
     factor: float
-    plus: float = 0.0
-    per_thousand: float = 0.0  # for each thousand executors
+    allowance: float = 0.0
+    allowance_per_thousand: float = 0.0  # per thousand executors
 
-    def limit(self, usual: Needs, executors: int) -> float:
-        """What may be reached with so many executors."""
-        usual_value: float = getattr(usual, self.field)
-        return self.factor * usual_value + self.plus + self.per_thousand * executors / 1000
+    def limit(self, baseline: NodeMeasurements, executors: int) -> float:
+        """Return the limit for a run with the given number of executors."""
+        baseline_value: float = getattr(baseline, self.field)
+        return self.factor * baseline_value + self.allowance + self.allowance_per_thousand * executors / 1000
 
 
 BOUNDS = (
@@ -45,36 +45,40 @@
     Bound("connections", "connections made", 2.5, 40.0),
     Bound("list_kb", "bytes of lists (KB)", 2.0, 64.0, 500.0),
 )
-LEAST_SERVED = Bound("share_served", "share served", 0.85)  # a lower bound, all others are upper ones
+MINIMUM_SHARE_SERVED = Bound("share_served", "share served", 0.85)  # a lower bound; BOUNDS are upper bounds
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One need of one run against its bound."""
+    """Result of checking one measurement against its bound; the field names are keys of the JSON output."""
 
     field: str
     label: str
-    usual: float
+    usual: float  # value in the baseline run
     measured: float
     limit: float
     holds: bool
 
 
-def compare(usual: Needs, measured: Needs, executors: int, *, tells_changes: bool = True) -> list[Comparison]:
-    """Each bound against what was measured with so many executors.
+def compare(
+    baseline: NodeMeasurements, measured: NodeMeasurements, executors: int, *, sends_changes: bool = True
+) -> list[Comparison]:
+    """Return the comparison of every measurement with its bound, for the given number of executors.
 
-    The bound on bytes of lists holds only where discovery tells changes, not whole lists.
+    The bound on endpoint list data is skipped where discovery sends snapshots instead of changes.
     """
-    rows = []
-    for bound in (*BOUNDS, LEAST_SERVED):
-        if bound.field == "list_kb" and not tells_changes:
+    comparisons = []
+    for bound in (*BOUNDS, MINIMUM_SHARE_SERVED):
+        if bound.field == "list_kb" and not sends_changes:
             continue
-        value, limit = getattr(measured, bound.field), bound.limit(usual, executors)
-        holds = value >= limit if bound is LEAST_SERVED else value <= limit
-        rows.append(Comparison(bound.field, bound.label, getattr(usual, bound.field), value, limit, holds))
-    return rows
+        value, limit = getattr(measured, bound.field), bound.limit(baseline, executors)
+        holds = value >= limit if bound is MINIMUM_SHARE_SERVED else value <= limit
+        comparisons.append(
+            Comparison(bound.field, bound.label, getattr(baseline, bound.field), value, limit, holds)
+        )
+    return comparisons
 
 
-def broken(rows: Sequence[Comparison]) -> list[Comparison]:
-    """Those that do not hold."""
-    return [row for row in rows if not row.holds]
+def violations(comparisons: Sequence[Comparison]) -> list[Comparison]:
+    """Return the comparisons whose bound is violated."""
+    return [row for row in comparisons if not row.holds]
--- a/cedarmill/lab/scale/clients.py
+++ b/cedarmill/lab/scale/clients.py
@@ -1,4 +1,4 @@
-"""Open-loop clients of one node: requests come at a set rate, whatever the answers do."""
+"""Open-loop clients of one node: the request rate does not depend on the responses."""
 
 import asyncio
 from collections import deque
@@ -6,93 +6,93 @@
 import httptools
 import numpy
 
-CLASSES = (("pin-confirm", 0.7), ("code-issue", 0.3))  # with their shares of the requests
-DEADLINE_MS = 2_000
-PATIENCE_S = 2.5  # a client that has no answer by then goes
+REQUEST_CLASS_SHARES = (("pin-confirm", 0.7), ("code-issue", 0.3))  # class and share of all requests
+REQUEST_BUDGET_MS = 2_000
+CLIENT_TIMEOUT_S = 2.5  # after which a client without a response closes its connection
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection: one request at a time."""
+    """One client connection, which carries one request at a time."""
 
     transport: asyncio.Transport
-    timer: asyncio.TimerHandle  # while it waits for an answer
+    timeout_timer: asyncio.TimerHandle  # active while a response is awaited
 
     def __init__(self, clients: "ScaleClients") -> None:
         self.clients = clients
         self.parser = httptools.HttpResponseParser(self)
-        self.waits = False
+        self.is_awaiting_response = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep it."""
+        """Store the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def connection_lost(self, error: Exception | None) -> None:
-        """An answer that is owed will not come."""
-        self._end(0)
+        """Record a request that was in flight as unanswered."""
+        self._complete(0)
 
     def data_received(self, data: bytes) -> None:
-        """Read the answer."""
+        """Parse received bytes of the response."""
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
-        keep = self.parser.should_keep_alive()
-        self._end(self.parser.get_status_code())
-        if keep:
+        """Record the complete response and return the connection to the idle ones, or close it."""
+        is_reusable = self.parser.should_keep_alive()
+        self._complete(self.parser.get_status_code())
+        if is_reusable:
             self.clients.idle.append(self)
         else:
             self.transport.close()
 
-    def send(self, text: bytes) -> None:
-        """Ask, and wait for the answer."""
-        self.waits = True
-        self.timer = asyncio.get_running_loop().call_later(PATIENCE_S, self.transport.abort)
-        self.transport.write(text)
+    def send(self, request: bytes) -> None:
+        """Send a request and start its timeout."""
+        self.is_awaiting_response = True
+        self.timeout_timer = asyncio.get_running_loop().call_later(CLIENT_TIMEOUT_S, self.transport.abort)
+        self.transport.write(request)
 
-    def _end(self, status: int) -> None:
-        if self.waits:
-            self.waits = False
-            self.timer.cancel()
-            self.clients.answered(status)
+    def _complete(self, status: int) -> None:
+        if self.is_awaiting_response:
+            self.is_awaiting_response = False
+            self.timeout_timer.cancel()
+            self.clients.record_response(status)
 
 
 class ScaleClients:
-    """All clients of the node."""
+    """Sends requests to the node at random intervals and counts the responses."""
 
-    def __init__(self, port: int, rate: float, generator: numpy.random.Generator) -> None:
-        self.port, self.rate, self.generator = port, rate, generator  # rate: requests a second
+    def __init__(self, port: int, requests_per_second: float, generator: numpy.random.Generator) -> None:
+        self.port, self.requests_per_second, self.generator = port, requests_per_second, generator
         self.idle: deque[ClientConnection] = deque()
-        self.sent = self.served = self.open = 0
-        self.statuses: dict[int, int] = {}
+        self.sent = self.served = self.pending = 0
+        self.status_counts: dict[int, int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def play(self, seconds: float) -> None:
-        """Send for so long, then wait for the last answers."""
+    async def send_requests(self, duration_s: float) -> None:
+        """Send requests for the given duration, then wait for the outstanding responses."""
         loop = asyncio.get_running_loop()
-        due = loop.time()
-        end = due + seconds
-        while (due := due + float(self.generator.exponential(1 / self.rate))) < end:
-            await asyncio.sleep(max(0.0, due - loop.time()))
-            task = loop.create_task(self._ask())
+        send_at = loop.time()
+        end = send_at + duration_s
+        while (send_at := send_at + float(self.generator.exponential(1 / self.requests_per_second))) < end:
+            await asyncio.sleep(max(0.0, send_at - loop.time()))
+            task = loop.create_task(self._send_request())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        while self.open:
+        while self.pending:
             await asyncio.sleep(0.05)
 
-    def answered(self, status: int) -> None:
-        """A request has its end; 0: without an answer."""
-        self.open -= 1
+    def record_response(self, status: int) -> None:
+        """Count a finished request by its status, which is 0 if no response arrived."""
+        self.pending -= 1
         self.served += status == 200
-        self.statuses[status] = self.statuses.get(status, 0) + 1
+        self.status_counts[status] = self.status_counts.get(status, 0) + 1
 
-    async def _ask(self) -> None:
+    async def _send_request(self) -> None:
         self.sent += 1
-        self.open += 1
-        text = self._request(self.sent)
+        self.pending += 1
+        request = self._encode_request(self.sent)
         while self.idle:
             connection = self.idle.popleft()
             if not connection.transport.is_closing():
-                connection.send(text)
+                connection.send(request)
                 return
         loop = asyncio.get_running_loop()
         try:
@@ -100,16 +100,16 @@
                 lambda: ClientConnection(self), "127.0.0.1", self.port
             )
         except OSError:
-            self.answered(0)
+            self.record_response(0)
             return
-        connection.send(text)
+        connection.send(request)
 
-    def _request(self, number: int) -> bytes:
-        shares = [share for _, share in CLASSES]
-        name = CLASSES[int(self.generator.choice(len(CLASSES), p=shares))][0]
+    def _encode_request(self, request_number: int) -> bytes:
+        shares = [share for _, share in REQUEST_CLASS_SHARES]
+        name = REQUEST_CLASS_SHARES[int(self.generator.choice(len(REQUEST_CLASS_SHARES), p=shares))][0]
         return (
-            f"POST /api/{number:x} HTTP/1.1\r\nHost: lab\r\n"
-            f"X-Call-Id: {number:016x}\r\nX-Call-Class: {name}\r\n"
-            f"X-Caller: lab\r\nX-Budget-Ms: {DEADLINE_MS}\r\nIdempotency-Key: {number:032x}\r\n"
+            f"POST /api/{request_number:x} HTTP/1.1\r\nHost: lab\r\n"
+            f"X-Call-Id: {request_number:016x}\r\nX-Call-Class: {name}\r\n"
+            f"X-Caller: lab\r\nX-Budget-Ms: {REQUEST_BUDGET_MS}\r\nIdempotency-Key: {request_number:032x}\r\n"
             "Content-Length: 6\r\n\r\na body"
         ).encode()
--- a/cedarmill/lab/scale/discovery.py
+++ b/cedarmill/lab/scale/discovery.py
@@ -1,4 +1,4 @@
-"""A discovery stand-in that counts what it writes, falls silent, goes down, or writes lists in pieces."""
+"""Emulated discovery that counts the bytes it writes and can stall, fail, or send lists in small chunks."""
 
 import asyncio
 import json
@@ -8,11 +8,11 @@
 
 from cedarmill.lab.scale.executors import ScaleExecutor
 
-HEARTBEAT_S = 2.0  # between empty lines while nothing changes
+HEARTBEAT_INTERVAL_S = 2.0  # between the empty lines sent on an idle watch
 
 
-class DiscoveryCall(asyncio.Protocol):
-    """One call of the node: the list, or a watch that stays open."""
+class ScaleDiscoveryConnection(asyncio.Protocol):
+    """One connection of the node, which requests a snapshot of the list or a watch on it."""
 
     transport: asyncio.Transport
 
@@ -22,110 +22,111 @@
         self.target = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep it."""
+        """Store the transport and register the connection."""
         self.transport = transport  # type: ignore[assignment]
-        self.discovery.open_calls.add(self)
+        self.discovery.connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget it."""
-        self.discovery.open_calls.discard(self)
+        """Unregister the connection and its watch."""
+        self.discovery.connections.discard(self)
         self.discovery.watches.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read the call."""
+        """Parse received bytes; a malformed request aborts the connection."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of its target."""
+        """Append a fragment of the request target."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        """Answer it; where discovery is down, by 503."""
-        watch, self.target = b"watch=1" in self.target, b""
-        if self.discovery.down:
+        """Respond with a snapshot, followed by changes for a watch, or with 503 while discovery is down."""
+        is_watch, self.target = b"watch=1" in self.target, b""
+        if self.discovery.is_down:
             self.transport.write(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
             return
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.write_line(self.discovery.whole_list())
-        if watch:
+        self.write_line(self.discovery.encode_snapshot())
+        if is_watch:
             self.discovery.watches.add(self)
         else:
             self.transport.write(b"0\r\n\r\n")
 
-    def write_line(self, text: bytes) -> None:
-        """One line in chunks; the size of a piece is the discovery's."""
-        line = text + b"\n"
+    def write_line(self, content: bytes) -> None:
+        """Write one line, split into chunks of the size set in the discovery."""
+        line = content + b"\n"
         self.discovery.bytes_written += len(line)
-        piece = self.discovery.piece_bytes or len(line)
-        parts = (line[start : start + piece] for start in range(0, len(line), piece))
-        self.transport.write(b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts))
+        chunk_size = self.discovery.chunk_bytes or len(line)
+        chunks = (line[start : start + chunk_size] for start in range(0, len(line), chunk_size))
+        self.transport.write(b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks))
 
 
 class ScaleDiscovery:
-    """The endpoint list of a run."""
+    """Discovery service of a run: holds the endpoint list and serves snapshots and watches."""
 
     _server: asyncio.Server
     _heartbeat: asyncio.TimerHandle
 
     def __init__(self) -> None:
         self.entries: dict[str, dict[str, object]] = {}
-        self._texts: dict[str, tuple[dict[str, object], bytes]] = {}  # by name: the entry, and its text
-        self.open_calls: set[DiscoveryCall] = set()
-        self.watches: set[DiscoveryCall] = set()
+        self._encoded_entries: dict[str, tuple[dict[str, object], bytes]] = {}  # entry and its JSON, by name
+        self.connections: set[ScaleDiscoveryConnection] = set()
+        self.watches: set[ScaleDiscoveryConnection] = set()
         self.index = 1
         self.bytes_written = 0
-        self.piece_bytes = 0  # 0: a line in one piece
-        self.down = self.silent = False
+        self.chunk_bytes = 0  # 0 writes each line as one chunk
+        self.is_down = self.is_silent = False
         self.address = ""
 
-    async def open(self) -> None:
+    async def start(self) -> None:
         """Listen on a free loopback port."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: DiscoveryCall(self), "127.0.0.1", 0)
+        self._server = await loop.create_server(lambda: ScaleDiscoveryConnection(self), "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
-        self._heartbeat = loop.call_later(HEARTBEAT_S, self._tick)
+        self._heartbeat = loop.call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
     def close(self) -> None:
-        """End it."""
+        """Stop listening, cancel the heartbeat and reset all connections."""
         self._server.close()
         self._heartbeat.cancel()
-        self.reset_calls()
+        self.reset_connections()
 
-    def reset_calls(self) -> None:
-        """Reset every connection, as at an outage."""
-        for call in list(self.open_calls):
-            call.transport.abort()
+    def reset_connections(self) -> None:
+        """Abort every connection, as an outage would."""
+        for connection in list(self.connections):
+            connection.transport.abort()
 
-    def _tick(self) -> None:
-        if not self.silent:
-            for call in self.watches:
-                call.write_line(b"")
-        self._heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._tick)
+    def _send_heartbeat(self) -> None:
+        if not self.is_silent:
+            for connection in self.watches:
+                connection.write_line(b"")
+        self._heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
-    def listing(self) -> dict[str, object]:
-        """The whole list as a value."""
+    def snapshot(self) -> dict[str, object]:
+        """Return the endpoint list as an object for the node's configuration file."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
-    def whole_list(self) -> bytes:
-        """The whole list as a line's text.
+    def encode_snapshot(self) -> bytes:
+        """Return the endpoint list as JSON.
 
-        An entry's text is made once: this process plays the executors too and must not hold them up.
+        The JSON of each entry is cached, because encoding thousands of entries would delay the executors that
+        run in the same process.
         """
-        entries = b",".join(self._text(entry) for entry in self.entries.values())
+        entries = b",".join(self._encode_entry(entry) for entry in self.entries.values())
         return b'{"index":%d,"snapshot":true,"endpoints":[%s]}' % (self.index, entries)
 
-    def _text(self, entry: dict[str, object]) -> bytes:
+    def _encode_entry(self, entry: dict[str, object]) -> bytes:
         name = str(entry["name"])
-        known = self._texts.get(name)
-        if known is None or known[0] is not entry:
-            known = self._texts[name] = entry, json.dumps(entry).encode()
-        return known[1]
+        cached = self._encoded_entries.get(name)
+        if cached is None or cached[0] is not entry:
+            cached = self._encoded_entries[name] = entry, json.dumps(entry).encode()
+        return cached[1]
 
-    def enter(self, executor: ScaleExecutor, *, cold: bool = False) -> dict[str, object]:
-        """Make an executor's entry."""
+    def add_entry(self, executor: ScaleExecutor, *, cold: bool = False) -> dict[str, object]:
+        """Add or replace the entry of an executor and return it."""
         entry: dict[str, object] = {
             "name": executor.name,
             "address": executor.address,
@@ -139,21 +140,21 @@
         self.entries[executor.name] = entry
         return entry
 
-    def remove(self, name: str) -> dict[str, object]:
-        """Take an executor off the list; what a watch is told of it."""
+    def remove_entry(self, name: str) -> dict[str, object]:
+        """Remove the entry of an executor and return the deletion to publish on watches."""
         return {**self.entries.pop(name), "status": "DELETED"}
 
-    def announce(self, changed: list[dict[str, object]]) -> None:
-        """Tell every watch of changed entries, unless discovery is silent."""
+    def publish_changes(self, changed_entries: list[dict[str, object]]) -> None:
+        """Write the changed entries to every watch, unless discovery is silent or down."""
         self.index += 1
-        if self.silent or self.down or not changed:
+        if self.is_silent or self.is_down or not changed_entries:
             return
-        text = json.dumps({"index": self.index, "snapshot": False, "endpoints": changed}).encode()
-        for call in self.watches:
-            call.write_line(text)
+        content = json.dumps({"index": self.index, "snapshot": False, "endpoints": changed_entries}).encode()
+        for connection in self.watches:
+            connection.write_line(content)
 
-    def announce_whole(self) -> None:
-        """Write the whole list on every watch."""
+    def publish_snapshot(self) -> None:
+        """Write a snapshot of the list to every watch."""
         self.index += 1
-        for call in self.watches:
-            call.write_line(self.whole_list())
+        for connection in self.watches:
+            connection.write_line(self.encode_snapshot())
--- a/cedarmill/lab/scale/report.py
+++ b/cedarmill/lab/scale/report.py
@@ -1,18 +1,22 @@
-"""What runs at several sizes come to: rows against the bounds, a table, a plot."""
+"""Reports on runs with different numbers of executors: rows compared with the bounds, a table, a plot."""
 
 import statistics
 from collections.abc import Sequence
 from dataclasses import dataclass, fields
 from pathlib import Path
 
-from cedarmill.lab.scale.bounds import BOUNDS, USUAL_EXECUTORS, Comparison, Needs, compare
+from cedarmill.lab.scale.bounds import BASELINE_EXECUTORS, BOUNDS, Comparison, NodeMeasurements, compare
 from cedarmill.lab.scale.run import ScaleResult
-from cedarmill.lab.scale.scenarios import WHOLE_LIST_SCENARIOS
+from cedarmill.lab.scale.scenarios import SNAPSHOT_ONLY_SCENARIOS
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One need in one scenario at one size: medians over the seeds, and the spread of what was measured."""
+    """One measurement in one scenario at one size.
+
+    The comparison holds medians over the seeds; `least` and `most` are the extremes. The field names are keys
+    of the JSON output.
+    """
 
     scenario: str
     executors: int
@@ -21,49 +25,62 @@
     most: float
 
 
-def median_needs(results: Sequence[ScaleResult]) -> Needs:
-    """The median of each need."""
-    names = [field.name for field in fields(Needs)]
-    return Needs(
-        **{name: statistics.median(getattr(result.needs, name) for result in results) for name in names}
+def median_measurements(results: Sequence[ScaleResult]) -> NodeMeasurements:
+    """Return the median of each measurement over the results."""
+    names = [field.name for field in fields(NodeMeasurements)]
+    return NodeMeasurements(
+        **{
+            name: statistics.median(getattr(result.measurements, name) for result in results)
+            for name in names
+        }
     )
 
 
 def rows(results: Sequence[ScaleResult]) -> list[Row]:
-    """Every scenario and size against the usual size of the same scenario.
+    """Compare each scenario and size with the baseline size of the same scenario.
 
-    Raises KeyError where the usual size was not played.
+    Raises KeyError if a scenario was not run at the baseline size.
     """
-    groups: dict[tuple[str, int], list[ScaleResult]] = {}
+    results_by_case: dict[tuple[str, int], list[ScaleResult]] = {}
     for result in results:
-        groups.setdefault((result.plan.scenario, result.plan.executors), []).append(result)
-    found = []
-    for (scenario, executors), group in sorted(groups.items()):
-        usual = median_needs(groups[scenario, USUAL_EXECUTORS])
+        results_by_case.setdefault((result.plan.scenario, result.plan.executor_count), []).append(result)
+    report_rows = []
+    for (scenario, executors), group in sorted(results_by_case.items()):
+        baseline = median_measurements(results_by_case[scenario, BASELINE_EXECUTORS])
         for comparison in compare(
-            usual, median_needs(group), executors, tells_changes=scenario not in WHOLE_LIST_SCENARIOS
+            baseline,
+            median_measurements(group),
+            executors,
+            sends_changes=scenario not in SNAPSHOT_ONLY_SCENARIOS,
         ):
-            measured = [getattr(result.needs, comparison.field) for result in group]
-            found.append(Row(scenario, executors, comparison, min(measured), max(measured)))
-    return found
+            measured = [getattr(result.measurements, comparison.field) for result in group]
+            report_rows.append(Row(scenario, executors, comparison, min(measured), max(measured)))
+    return report_rows
 
 
-def table(found: Sequence[Row]) -> str:
-    """The rows as a Markdown table."""
+def table(report_rows: Sequence[Row]) -> str:
+    """Return the rows as a Markdown table."""
     lines = [
         "| scenario | executors | need | usual | measured (least to most) | bound | holds |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for row in found:
-        one = row.comparison
-        spread = f"{one.measured:.3g} ({row.least:.3g} to {row.most:.3g})"
-        cells = (row.scenario, row.executors, one.label, f"{one.usual:.3g}", spread, f"{one.limit:.3g}")
-        lines.append(f"| {' | '.join(map(str, cells))} | {'yes' if one.holds else '**no**'} |")
+    for row in report_rows:
+        comparison = row.comparison
+        spread = f"{comparison.measured:.3g} ({row.least:.3g} to {row.most:.3g})"
+        cells = (
+            row.scenario,
+            row.executors,
+            comparison.label,
+            f"{comparison.usual:.3g}",
+            spread,
+            f"{comparison.limit:.3g}",
+        )
+        lines.append(f"| {' | '.join(map(str, cells))} | {'yes' if comparison.holds else '**no**'} |")
     return "\n".join(lines)
 
 
-def plot(found: Sequence[Row], path: Path) -> None:
-    """One picture a need: what was measured by size, a line a scenario, and the bound of the calm one."""
+def plot(report_rows: Sequence[Row], path: Path) -> None:
+    """Save one chart per measurement: values by number of executors and their bounds, a line per scenario."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -71,13 +88,15 @@
 
     count = len(BOUNDS) + 1
     figure, axes = pyplot.subplots(count, 1, figsize=(7, 3 * count), layout="constrained")
-    labels = list(dict.fromkeys(row.comparison.label for row in found))
+    labels = list(dict.fromkeys(row.comparison.label for row in report_rows))
     for axis, label in zip(axes, labels, strict=True):
-        for scenario in dict.fromkeys(row.scenario for row in found):
-            mine = [row for row in found if row.scenario == scenario and row.comparison.label == label]
-            sizes = [row.executors for row in mine]
-            axis.plot(sizes, [row.comparison.measured for row in mine], marker="o", label=scenario)
-            axis.plot(sizes, [row.comparison.limit for row in mine], linestyle=":", color="grey")
+        for scenario in dict.fromkeys(row.scenario for row in report_rows):
+            scenario_rows = [
+                row for row in report_rows if row.scenario == scenario and row.comparison.label == label
+            ]
+            sizes = [row.executors for row in scenario_rows]
+            axis.plot(sizes, [row.comparison.measured for row in scenario_rows], marker="o", label=scenario)
+            axis.plot(sizes, [row.comparison.limit for row in scenario_rows], linestyle=":", color="grey")
         axis.set_ylabel(label)
         axis.set_xlabel("executors")
     axes[0].legend(fontsize="x-small")
--- a/cedarmill/lab/scale/run.py
+++ b/cedarmill/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""One run: a real node, so many emulated executors, one scenario, one seed; what the node needed."""
+"""Runs a real node with emulated executors through one scenario and measures its resource usage."""
 
 import asyncio
 import json
@@ -9,162 +9,172 @@
 
 import numpy
 
-from cedarmill.lab.scale.bounds import Needs
+from cedarmill.lab.scale.bounds import NodeMeasurements
 from cedarmill.lab.scale.clients import ScaleClients
 from cedarmill.lab.scale.configuration import node_configuration
 from cedarmill.lab.scale.discovery import ScaleDiscovery
-from cedarmill.lab.scale.executors import ExecutorFleet, ExecutorProfile, ScaleExecutor
+from cedarmill.lab.scale.executors import ExecutorCluster, ExecutorProfile, ScaleExecutor
 from cedarmill.lab.scale.node_process import NodeLimits, NodeProcess
 from cedarmill.lab.scale.scenarios import SCENARIOS
 
-SAMPLE_S = 0.1  # between two looks at the node's descriptors
+SAMPLE_INTERVAL_S = 0.1  # between two samples of the node's open file descriptors
 ZONES = ["zone-0", "zone-1", "zone-2", "zone-3"]
 
 
 @dataclass(frozen=True, slots=True)
 class ScalePlan:
-    """What is played."""
+    """Parameters of one run."""
 
-    executors: int
+    executor_count: int
     scenario: str
     seed: int
-    seconds: float = 15.0
-    rate: float = 30.0  # requests a second that the node gets
+    duration_s: float = 15.0
+    requests_per_second: float = 30.0
     profile: ExecutorProfile = ExecutorProfile()
     limits: NodeLimits = NodeLimits()
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleResult:
-    """What came of it."""
+    """Measurements, response counts, exit code and log of one run."""
 
     plan: ScalePlan
-    needs: Needs
-    statuses: dict[int, int]  # answers by status; 0: none
+    measurements: NodeMeasurements
+    status_counts: dict[int, int]  # responses by status; 0 counts requests without a response
     exit_code: int
     log: list[str]
 
 
 class ScaleRun:
-    """All actors of one run."""
+    """One run: owns the node, the executors and discovery, and offers the operations that scenarios use."""
 
     node: NodeProcess
 
-    def __init__(self, plan: ScalePlan, folder: Path) -> None:
-        self.plan, self.folder, self.zones = plan, folder, ZONES
-        fleet, clients, choices = numpy.random.SeedSequence(plan.seed).spawn(3)
-        self.executors = ExecutorFleet(plan.profile, numpy.random.default_rng(fleet))
-        self.generator = numpy.random.default_rng(choices)
-        self._client_generator = numpy.random.default_rng(clients)
+    def __init__(self, plan: ScalePlan, directory: Path) -> None:
+        self.plan, self.directory, self.zones = plan, directory, ZONES
+        cluster_seed, client_seed, scenario_seed = numpy.random.SeedSequence(plan.seed).spawn(3)
+        self.cluster = ExecutorCluster(plan.profile, numpy.random.default_rng(cluster_seed))
+        self.scenario_generator = numpy.random.default_rng(scenario_seed)
+        self._client_generator = numpy.random.default_rng(client_seed)
         self.discovery = ScaleDiscovery()
-        self._earlier: list[ScaleDiscovery] = []
-        self._opened = False
-        self._started = 0
+        self._previous_discoveries: list[ScaleDiscovery] = []
+        self._is_node_started = False
+        self._started_executors = 0
 
-    async def play(self) -> ScaleResult:
-        """Start all, play, end all."""
+    async def execute(self) -> ScaleResult:
+        """Start everything, play the scenario under traffic, and stop everything."""
         try:
-            await self._open()
-            sampler = asyncio.ensure_future(self._sample())
+            await self._start()
+            sampler = asyncio.ensure_future(self._sample_descriptors())
             scenario = asyncio.ensure_future(SCENARIOS[self.plan.scenario](self))
-            clients = ScaleClients(self.node.port.result(), self.plan.rate, self._client_generator)
-            await clients.play(self.plan.seconds)
+            clients = ScaleClients(
+                self.node.port.result(), self.plan.requests_per_second, self._client_generator
+            )
+            await clients.send_requests(self.plan.duration_s)
             sampler.cancel()
             await scenario
-            needs = self._needs(clients)
-            return ScaleResult(self.plan, needs, clients.statuses, await self.node.stop(), self.node.log)
+            measurements = self._collect_measurements(clients)
+            return ScaleResult(
+                self.plan, measurements, clients.status_counts, await self.node.stop(), self.node.log
+            )
         finally:
-            await self._close()
+            await self._stop()
 
-    async def _open(self) -> None:
-        await self.discovery.open()
-        for _ in range(self.plan.executors):
-            self.discovery.enter(await self._start_executor())
+    async def _start(self) -> None:
+        await self.discovery.start()
+        for _ in range(self.plan.executor_count):
+            self.discovery.add_entry(await self._start_executor())
         configuration = node_configuration(
-            self.discovery.listing(),
+            self.discovery.snapshot(),
             self.discovery.address,
             self.zones,
             self.plan.profile,
             self.plan.limits,
             self.plan.seed,
         )
-        self.node = await NodeProcess.start(configuration, self.folder)
-        self._opened = True
+        self.node = await NodeProcess.start(configuration, self.directory)
+        self._is_node_started = True
 
-    async def _close(self) -> None:
-        if self._opened:
+    async def _stop(self) -> None:
+        if self._is_node_started:
             await self.node.stop()
-        for discovery in (self.discovery, *self._earlier):
+        for discovery in (self.discovery, *self._previous_discoveries):
             discovery.close()
-        self.executors.stop_all()
+        self.cluster.stop_all()
 
-    async def _sample(self) -> None:
+    async def _sample_descriptors(self) -> None:
         while True:
-            self.node.sample()
-            await asyncio.sleep(SAMPLE_S)
+            self.node.sample_descriptors()
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    def _needs(self, clients: ScaleClients) -> Needs:
-        written = sum(discovery.bytes_written for discovery in (self.discovery, *self._earlier))
-        return Needs(
-            cpu_s=self.node.cpu_s(),
+    def _collect_measurements(self, clients: ScaleClients) -> NodeMeasurements:
+        written = sum(discovery.bytes_written for discovery in (self.discovery, *self._previous_discoveries))
+        return NodeMeasurements(
+            cpu_s=self.node.cpu_seconds(),
             peak_memory_mb=self.node.peak_memory_mb(),
-            descriptors=self.node.most_descriptors,
-            connections=self.executors.connections_made,
+            descriptors=self.node.peak_descriptors,
+            connections=self.cluster.connections_made,
             list_kb=written / 1000,
             share_served=clients.served / max(1, clients.sent),
         )
 
-    # What scenarios do.
+    # Operations for scenarios.
 
-    def sample(self, share: float) -> list[str]:
-        """Names of that share of the executors, drawn by the run's seed; one at least."""
-        names = list(self.executors.members)
+    def sample_executors(self, share: float) -> list[str]:
+        """Return the names of a random share of the executors, at least one, drawn by the seed of the run."""
+        names = list(self.cluster.executors)
         count = max(1, round(share * len(names)))
-        return [names[int(number)] for number in self.generator.choice(len(names), count, replace=False)]
+        return [
+            names[int(index)] for index in self.scenario_generator.choice(len(names), count, replace=False)
+        ]
 
     async def _start_executor(self, name: str = "", zone: str = "", *, cold: bool = False) -> ScaleExecutor:
-        number = self._started
-        self._started += 1
-        zone = zone or self.zones[number % len(self.zones)]
-        return await self.executors.start(name or f"executor-{number}", zone, cold=cold)
-
-    async def replace(self, names: list[str]) -> None:
-        """End these executors; others come, cold, in their zones."""
-        changed = []
+        executor_number = self._started_executors
+        self._started_executors += 1
+        zone = zone or self.zones[executor_number % len(self.zones)]
+        return await self.cluster.start(name or f"executor-{executor_number}", zone, cold=cold)
+
+    async def replace_executors(self, names: list[str]) -> None:
+        """Replace the named executors by new, cold ones in the same zones."""
+        changed_entries = []
         for name in names:
-            zone = self.executors.members[name].zone
-            changed.append(self.discovery.remove(name))
-            self.executors.stop(name)
-            changed.append(self.discovery.enter(await self._start_executor(zone=zone, cold=True), cold=True))
-        self.discovery.announce(changed)
-
-    async def restart(self, names: list[str]) -> None:
-        """These executors end and come back, cold, under the same names."""
-        changed = []
+            zone = self.cluster.executors[name].zone
+            changed_entries.append(self.discovery.remove_entry(name))
+            self.cluster.stop(name)
+            changed_entries.append(
+                self.discovery.add_entry(await self._start_executor(zone=zone, cold=True), cold=True)
+            )
+        self.discovery.publish_changes(changed_entries)
+
+    async def restart_executors(self, names: list[str]) -> None:
+        """Restart the named executors, which come back cold under the same names."""
+        changed_entries = []
         for name in names:
-            zone = self.executors.members[name].zone
-            self.executors.stop(name)
-            changed.append(self.discovery.enter(await self._start_executor(name, zone, cold=True), cold=True))
-        self.discovery.announce(changed)
-
-    async def move_discovery(self) -> None:
-        """Another discovery process, told to the node by SIGHUP."""
-        before = self.discovery
-        after = ScaleDiscovery()
-        after.entries, after.index = before.entries, before.index
-        await after.open()
-        path = self.folder / "node.json"
+            zone = self.cluster.executors[name].zone
+            self.cluster.stop(name)
+            changed_entries.append(
+                self.discovery.add_entry(await self._start_executor(name, zone, cold=True), cold=True)
+            )
+        self.discovery.publish_changes(changed_entries)
+
+    async def move_discovery_address(self) -> None:
+        """Move discovery to a new address and make the node reload its configuration."""
+        previous = self.discovery
+        replacement = ScaleDiscovery()
+        replacement.entries, replacement.index = previous.entries, previous.index
+        await replacement.start()
+        path = self.directory / "node.json"
         configuration = json.loads(path.read_text())
-        configuration["discovery"] = after.address
-        new = path.with_suffix(".new")
-        new.write_text(json.dumps(configuration))
-        os.replace(new, path)
-        self.discovery = after
-        self._earlier.append(before)
+        configuration["discovery"] = replacement.address
+        temporary_path = path.with_suffix(".new")
+        temporary_path.write_text(json.dumps(configuration))
+        os.replace(temporary_path, path)
+        self.discovery = replacement
+        self._previous_discoveries.append(previous)
         self.node.reload()
 
 
 def play(plan: ScalePlan) -> ScaleResult:
-    """Play one run in this process."""
-    with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(ScaleRun(plan, Path(folder)).play())
+    """Execute one run in this process and return its result."""
+    with tempfile.TemporaryDirectory() as directory:
+        return asyncio.run(ScaleRun(plan, Path(directory)).execute())
--- a/cedarmill/lab/scale/scenarios.py
+++ b/cedarmill/lab/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens to the executors and to discovery while a run's traffic goes on."""
+"""Scenarios: changes and faults of executors and discovery while the node handles traffic."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,96 +7,98 @@
 if TYPE_CHECKING:
     from cedarmill.lab.scale.run import ScaleRun
 
-REPLACED_SHARE = 0.6  # of all executors
-REPLACED_WITHIN_S = 7.0
+REPLACED_SHARE = 0.6  # share of all executors
+REPLACE_DURATION_S = 7.0
 REPLACE_STEPS = 14
-BEGIN_S = 3.0  # of each disturbance, after traffic has begun
+START_DELAY_S = 3.0  # between the start of traffic and the first change
 OUTAGE_S = 5.0
-SILENCE_S = 10.0
-CHANGE_EVERY_S = 0.5  # of an entry, while a watch is silent
-WHOLE_LIST_EVERY_S = 1.0
+SILENCE_DURATION_S = 10.0
+CHANGE_INTERVAL_S = 0.5  # between replacements of executors while the watch is silent
+SNAPSHOT_INTERVAL_S = 1.0
 
 Scenario = Callable[["ScaleRun"], Awaitable[None]]
 
 
 async def calm(run: "ScaleRun") -> None:
-    """No trouble."""
+    """Change nothing."""
 
 
 async def replace(run: "ScaleRun") -> None:
-    """Six in ten executors are replaced, cold, in steps within 7 s."""
-    await asyncio.sleep(BEGIN_S)
-    leaving = run.sample(REPLACED_SHARE)
-    step = -(-len(leaving) // REPLACE_STEPS)
-    for start in range(0, len(leaving), step):
-        await run.replace(leaving[start : start + step])
-        await asyncio.sleep(REPLACED_WITHIN_S / REPLACE_STEPS)
+    """Replace six in ten executors by cold ones, in steps spread over 7 s."""
+    await asyncio.sleep(START_DELAY_S)
+    replaced_names = run.sample_executors(REPLACED_SHARE)
+    batch_size = -(-len(replaced_names) // REPLACE_STEPS)
+    for start in range(0, len(replaced_names), batch_size):
+        await run.replace_executors(replaced_names[start : start + batch_size])
+        await asyncio.sleep(REPLACE_DURATION_S / REPLACE_STEPS)
 
 
 async def lose_zone(run: "ScaleRun") -> None:
-    """A zone falls silent and returns cold."""
-    await asyncio.sleep(BEGIN_S)
-    lost = [member for member in run.executors.members.values() if member.zone == run.zones[0]]
-    for member in lost:
-        member.silent = True
+    """Silence all executors of one zone, then restart them cold."""
+    await asyncio.sleep(START_DELAY_S)
+    zone_executors = [
+        executor for executor in run.cluster.executors.values() if executor.zone == run.zones[0]
+    ]
+    for executor in zone_executors:
+        executor.is_silent = True
     await asyncio.sleep(OUTAGE_S)
-    await run.restart([member.name for member in lost])
+    await run.restart_executors([executor.name for executor in zone_executors])
 
 
 async def discovery_down(run: "ScaleRun") -> None:
-    """Discovery is down, executors are replaced meanwhile, and it comes back."""
-    await asyncio.sleep(BEGIN_S)
-    run.discovery.down = True
-    run.discovery.reset_calls()
-    await run.replace(run.sample(0.05))
+    """Stop discovery, replace executors during the outage, and bring discovery back."""
+    await asyncio.sleep(START_DELAY_S)
+    run.discovery.is_down = True
+    run.discovery.reset_connections()
+    await run.replace_executors(run.sample_executors(0.05))
     await asyncio.sleep(OUTAGE_S)
-    run.discovery.down = False
+    run.discovery.is_down = False
 
 
 async def reload(run: "ScaleRun") -> None:
-    """A new configuration moves discovery to another address, twice."""
+    """Reload the configuration twice, each time with a new address of discovery."""
     for _ in range(2):
-        await asyncio.sleep(BEGIN_S)
-        await run.move_discovery()
+        await asyncio.sleep(START_DELAY_S)
+        await run.move_discovery_address()
 
 
 async def silent_watch(run: "ScaleRun") -> None:
-    """The watch falls silent while executors are replaced."""
-    await asyncio.sleep(BEGIN_S)
-    run.discovery.silent = True
-    for _ in range(int(SILENCE_S / CHANGE_EVERY_S)):
-        await run.replace(run.sample(0.002))
-        await asyncio.sleep(CHANGE_EVERY_S)
-    run.discovery.silent = False
+    """Stop all messages on the watch while executors are replaced."""
+    await asyncio.sleep(START_DELAY_S)
+    run.discovery.is_silent = True
+    for _ in range(int(SILENCE_DURATION_S / CHANGE_INTERVAL_S)):
+        await run.replace_executors(run.sample_executors(0.002))
+        await asyncio.sleep(CHANGE_INTERVAL_S)
+    run.discovery.is_silent = False
 
 
 async def whole_lists(run: "ScaleRun") -> None:
-    """Discovery writes the whole list every second."""
-    for _ in range(int((run.plan.seconds - 1) / WHOLE_LIST_EVERY_S)):
-        await asyncio.sleep(WHOLE_LIST_EVERY_S)
-        run.discovery.announce_whole()
+    """Publish a snapshot of the endpoint list every second."""
+    for _ in range(int((run.plan.duration_s - 1) / SNAPSHOT_INTERVAL_S)):
+        await asyncio.sleep(SNAPSHOT_INTERVAL_S)
+        run.discovery.publish_snapshot()
 
 
 async def list_in_bytes(run: "ScaleRun") -> None:
-    """The whole list comes once more, in chunks of one byte."""
-    await asyncio.sleep(BEGIN_S)
-    run.discovery.piece_bytes = 1
-    run.discovery.announce_whole()
-    run.discovery.piece_bytes = 0
+    """Publish one snapshot of the endpoint list in chunks of one byte."""
+    await asyncio.sleep(START_DELAY_S)
+    run.discovery.chunk_bytes = 1
+    run.discovery.publish_snapshot()
+    run.discovery.chunk_bytes = 0
 
 
 async def all_cold(run: "ScaleRun") -> None:
-    """All executors start anew at once."""
-    await asyncio.sleep(BEGIN_S)
-    await run.restart(list(run.executors.members))
+    """Restart all executors at the same time."""
+    await asyncio.sleep(START_DELAY_S)
+    await run.restart_executors(list(run.cluster.executors))
 
 
 async def probes_unanswered(run: "ScaleRun") -> None:
-    """No probe is answered, requests are."""
-    run.executors.answers_probes = False
+    """Leave probes unanswered while requests are still answered."""
+    run.cluster.answers_probes = False
 
 
-WHOLE_LIST_SCENARIOS = frozenset({"whole-lists"})  # in which discovery does not tell changes
+SNAPSHOT_ONLY_SCENARIOS = frozenset({"whole-lists"})  # discovery sends snapshots instead of changes
 SCENARIOS: dict[str, Scenario] = {
     "calm": calm,
     "replace": replace,
