--- a/cedarmill/lab/scale/bounds.py
+++ b/cedarmill/lab/scale/bounds.py
@@ -32,10 +32,14 @@
     allowance: float = 0.0
     allowance_per_thousand: float = 0.0  # per thousand executors
 
-    def limit(self, baseline: NodeMeasurements, executors: int) -> float:
+    def limit(self, baseline: NodeMeasurements, executor_count: int) -> float:
         """Return the limit for a run with the given number of executors."""
         baseline_value: float = getattr(baseline, self.field)
-        return self.factor * baseline_value + self.allowance + self.allowance_per_thousand * executors / 1000
+        return (
+            self.factor * baseline_value
+            + self.allowance
+            + self.allowance_per_thousand * executor_count / 1000
+        )
 
 
 BOUNDS = (
@@ -61,7 +65,7 @@
 
 
 def compare(
-    baseline: NodeMeasurements, measured: NodeMeasurements, executors: int, *, sends_changes: bool = True
+    baseline: NodeMeasurements, measured: NodeMeasurements, executor_count: int, *, sends_changes: bool = True
 ) -> list[Comparison]:
     """Return the comparison of every measurement with its bound, for the given number of executors.
 
@@ -71,7 +75,7 @@
     for bound in (*BOUNDS, MINIMUM_SHARE_SERVED):
         if bound.field == "list_kb" and not sends_changes:
             continue
-        value, limit = getattr(measured, bound.field), bound.limit(baseline, executors)
+        value, limit = getattr(measured, bound.field), bound.limit(baseline, executor_count)
         holds = value >= limit if bound is MINIMUM_SHARE_SERVED else value <= limit
         comparisons.append(
             Comparison(bound.field, bound.label, getattr(baseline, bound.field), value, limit, holds)
@@ -81,4 +85,4 @@
 
 def violations(comparisons: Sequence[Comparison]) -> list[Comparison]:
     """Return the comparisons whose bound is violated."""
-    return [row for row in comparisons if not row.holds]
+    return [comparison for comparison in comparisons if not comparison.holds]
--- a/cedarmill/lab/scale/discovery.py
+++ b/cedarmill/lab/scale/discovery.py
@@ -81,7 +81,7 @@
         self.is_down = self.is_silent = False
         self.address = ""
 
-    async def start(self) -> None:
+    async def listen(self) -> None:
         """Listen on a free loopback port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: ScaleDiscoveryConnection(self), "127.0.0.1", 0)
--- a/cedarmill/lab/scale/executors.py
+++ b/cedarmill/lab/scale/executors.py
@@ -24,7 +24,7 @@
     mean_service_time_s: float = 0.05
     cold_duration_s: float = 3.0  # time after a start in which requests take longer
     cold_speed_factor: float = 0.3  # speed while cold, relative to normal
-    idle_timeout_s: float = 10.0
+    idle_timeout_s: float = 10.0  # how long an idle connection may stay open, for the node
 
 
 @dataclass(slots=True, eq=False)
--- a/cedarmill/lab/scale/node_process.py
+++ b/cedarmill/lab/scale/node_process.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-SERVING_LOG_TEXT = " serves on "  # log line of the node that ends with its port
+SERVING_LOG_TEXT = " serves on "  # part of the log line that ends with the node's port
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 10.0
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
--- a/cedarmill/lab/scale/report.py
+++ b/cedarmill/lab/scale/report.py
@@ -45,16 +45,16 @@
     for result in results:
         results_by_case.setdefault((result.plan.scenario, result.plan.executor_count), []).append(result)
     report_rows = []
-    for (scenario, executors), group in sorted(results_by_case.items()):
+    for (scenario, executor_count), group in sorted(results_by_case.items()):
         baseline = median_measurements(results_by_case[scenario, BASELINE_EXECUTORS])
         for comparison in compare(
             baseline,
             median_measurements(group),
-            executors,
+            executor_count,
             sends_changes=scenario not in SNAPSHOT_ONLY_SCENARIOS,
         ):
             measured = [getattr(result.measurements, comparison.field) for result in group]
-            report_rows.append(Row(scenario, executors, comparison, min(measured), max(measured)))
+            report_rows.append(Row(scenario, executor_count, comparison, min(measured), max(measured)))
     return report_rows
 
 
--- a/cedarmill/lab/scale/run.py
+++ b/cedarmill/lab/scale/run.py
@@ -81,7 +81,7 @@
             await self._stop()
 
     async def _start(self) -> None:
-        await self.discovery.start()
+        await self.discovery.listen()
         for _ in range(self.plan.executor_count):
             self.discovery.add_entry(await self._start_executor())
         configuration = node_configuration(
@@ -162,7 +162,7 @@
         previous = self.discovery
         replacement = ScaleDiscovery()
         replacement.entries, replacement.index = previous.entries, previous.index
-        await replacement.start()
+        await replacement.listen()
         path = self.directory / "node.json"
         configuration = json.loads(path.read_text())
         configuration["discovery"] = replacement.address
--- a/cedarmill/lab/scale/scenarios.py
+++ b/cedarmill/lab/scale/scenarios.py
@@ -46,7 +46,7 @@
 
 
 async def discovery_down(run: "ScaleRun") -> None:
-    """Stop discovery, replace executors during the outage, and bring discovery back."""
+    """Replace executors while discovery rejects all requests, then end the outage."""
     await asyncio.sleep(START_DELAY_S)
     run.discovery.is_down = True
     run.discovery.reset_connections()
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -38,7 +38,7 @@
             "share_served": 0.849,
         }
         for name, value in values_over_bound.items():
-            with self.subTest(need=name):
+            with self.subTest(measurement=name):
                 rows = violations(compare(BASELINE, replace(AT_BOUND, **{name: value}), 3200))
                 self.assertEqual([row.field for row in rows], [name])
 
@@ -48,12 +48,17 @@
         self.assertEqual(violations(compare(BASELINE, large_lists, 3200, sends_changes=False)), [])
 
     def test_rows_compare_medians_with_the_baseline_size_of_the_same_scenario(self):
-        def result(executors: int, seed: int, connections: int) -> ScaleResult:
-            plan = ScalePlan(executors, "calm", seed)
+        def make_result(executor_count: int, seed: int, connections: int) -> ScaleResult:
+            plan = ScalePlan(executor_count, "calm", seed)
             return ScaleResult(plan, replace(BASELINE, connections=connections), {}, 0, [])
 
         rows = report.rows(
-            [result(200, 1, 100), result(3200, 1, 90), result(3200, 2, 300), result(3200, 3, 300)]
+            [
+                make_result(200, 1, 100),
+                make_result(3200, 1, 90),
+                make_result(3200, 2, 300),
+                make_result(3200, 3, 300),
+            ]
         )
         row = next(row for row in rows if row.executors == 3200 and row.comparison.field == "connections")
         self.assertEqual((row.comparison.measured, row.least, row.most), (300, 90, 300))
@@ -66,8 +71,8 @@
 class ShortRunTest(unittest.TestCase):
     """Each scenario with a real node: every request gets a response and the node exits with code 0."""
 
-    def assert_scenario_succeeds(self, name: str) -> None:
-        plan = ScalePlan(40, name, seed=1, duration_s=1.0, requests_per_second=20.0)
+    def assert_scenario_succeeds(self, scenario: str) -> None:
+        plan = ScalePlan(40, scenario, seed=1, duration_s=1.0, requests_per_second=20.0)
         result = play(plan)
         self.assertEqual(result.exit_code, 0, result.log)
         self.assertFalse(
@@ -80,19 +85,19 @@
         self.assertGreater(result.measurements.descriptors, 0)
 
 
-for _name in SCENARIOS:
+for _scenario in SCENARIOS:
     setattr(
         ShortRunTest,
-        f"test_{_name.replace('-', '_')}",
-        lambda self, name=_name: self.assert_scenario_succeeds(name),
+        f"test_{_scenario.replace('-', '_')}",
+        lambda self, scenario=_scenario: self.assert_scenario_succeeds(scenario),
     )
 
 
 class ScaleCommandTest(unittest.TestCase):
     def test_unknown_scenario_is_rejected_with_the_list_of_scenarios(self):
-        ran = CliRunner().invoke(main, ["lab", "scale", "--scenario", "storm"])
-        self.assertEqual(ran.exit_code, 2)
-        self.assertIn("no scenario 'storm'; there are calm, replace", ran.output)
+        invocation = CliRunner().invoke(main, ["lab", "scale", "--scenario", "storm"])
+        self.assertEqual(invocation.exit_code, 2)
+        self.assertIn("no scenario 'storm'; there are calm, replace", invocation.output)
 
 
 if __name__ == "__main__":
