--- a/cedarmill/cli/__main__.py
+++ b/cedarmill/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cedarmill.cli`: the command, where it is not on the path."""
+"""Entry point of `python -m cedarmill.cli`, for use where the `cedarmill` script is not on PATH."""
 
 import sys
 
--- a/cedarmill/cli/cluster/__init__.py
+++ b/cedarmill/cli/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""`cedarmill cluster ...`: what operators ask of the replicas and tell them, a module for each group."""
+"""The commands `cedarmill cluster ...` for operators of a cluster: one module per group of commands."""
 
 from cedarmill.cli.cluster import drains, load, overview, releases, replicas, zones
 from cedarmill.cli.cluster.group import cluster
--- a/cedarmill/cli/cluster/console.py
+++ b/cedarmill/cli/cluster/console.py
@@ -1,4 +1,4 @@
-"""The one place that asks a replica and prints what it answers, as JSON or as lines for people."""
+"""Sends operators' requests to the replicas and prints the replies as JSON or as text."""
 
 import enum
 import functools
@@ -15,16 +15,16 @@
     from cedarmill.net.cluster.operator import OperatorClient
 
 EXIT_CODES = (
-    "Exit codes: 0 done, or yes; 1 refused, or not possible; 2 bad input or use; 3 no replica answered; "
-    "4 it waits."
+    "Exit codes: 0 success, or yes; 1 refused, or not possible; 2 invalid input or usage; "
+    "3 no replica answered; 4 a permit is pending."
 )
 
 View = dict[str, Any]
-"""A part of the cluster's state as JSON; `cedarmill.cluster.state_views` makes them."""
+"""Part of the cluster's state, decoded from JSON; see `cedarmill.cluster.state_views`."""
 
 
 class ExitCode(enum.IntEnum):
-    """What a command ends with; bad input and bad use end with click's 2."""
+    """Exit code of a cluster command; click exits with 2 for invalid input and usage."""
 
     DONE = 0
     REFUSED = 1
@@ -33,14 +33,14 @@
 
 
 class ReplicaAddresses(NamedTuple):
-    """Whom to ask, as the options say it: a settings file, or addresses with the cluster's name."""
+    """Source of the replicas' addresses: a settings file, or the options --replicas and --cluster."""
 
     settings_path: str | None
-    addresses: str | None  # HOST:PORT, separated by commas
+    addresses: str | None  # HOST:PORT,...
     cluster: str | None
 
-    def client(self, name: str) -> "OperatorClient":
-        """A client that asks them under this name; raises ConfError or OSError."""
+    def create_client(self, name: str) -> "OperatorClient":
+        """Return a client of the replicas for the operator `name`; raise ConfError or OSError."""
         from cedarmill.conf.document import ConfError
         from cedarmill.conf.settings import Settings
         from cedarmill.net.cluster.operator import OperatorClient
@@ -48,28 +48,30 @@
         if self.settings_path is not None and self.addresses is None:
             membership = Settings(self.settings_path).options.cluster
             if membership is None:
-                raise ConfError(f"{self.settings_path}: no <fleet>")
+                raise ConfError(f"{self.settings_path}: element <fleet> is missing")
             return OperatorClient(membership.cluster, list(membership.replicas.values()), name)
         if self.settings_path is not None or self.addresses is None:
-            raise ConfError("give -c FILE, or --replicas and --cluster")
+            raise ConfError("-c FILE is required, or --replicas and --cluster")
         if not self.cluster:
-            raise ConfError("--replicas takes --cluster")
-        return OperatorClient(self.cluster, [text for text in self.addresses.split(",") if text], name)
+            raise ConfError("--replicas requires --cluster")
+        return OperatorClient(
+            self.cluster, [address for address in self.addresses.split(",") if address], name
+        )
 
 
 class Console:
-    """One operator's command: asks the replicas in his name, and prints."""
+    """Sends the requests of one command in the operator's name, and prints the results."""
 
     def __init__(self, replicas: ReplicaAddresses, as_json: bool, operator: str) -> None:
         self.replicas, self.as_json, self.operator = replicas, as_json, operator
 
     @functools.cached_property
     def client(self) -> "OperatorClient":
-        """Made when something is asked, so that help needs no file; raises ConfError or OSError."""
-        return self.replicas.client(self.operator)
+        """Client of the replicas, created on first use, so that --help needs no settings file."""
+        return self.replicas.create_client(self.operator)
 
-    def ask(self, request: "ClientRequest") -> "ClientReply":
-        """The answer of whichever replica gives one; ends the command where none does."""
+    def send_request(self, request: "ClientRequest") -> "ClientReply":
+        """Return the first replica's answer; exit with NO_ANSWER if no replica answers."""
         from cedarmill.net.cluster.operator import NoReplicaError
 
         try:
@@ -78,42 +80,42 @@
             click.echo(f"no replica answered: {error}", err=True)
             sys.exit(ExitCode.NO_ANSWER)
 
-    def view(self, name: str, kind: str = "", names: tuple[str, ...] = ()) -> Any:
-        """A part of the agreed state, by the name of its view."""
+    def read_view(self, name: str, kind: str = "", names: tuple[str, ...] = ()) -> Any:
+        """Return the view `name` of the replicated state, decoded from JSON."""
         from cedarmill.cluster.messages import ReadReply, ReadRequest
 
-        reply = self.ask(ReadRequest(name, kind, list(names)))
+        reply = self.send_request(ReadRequest(name, kind, list(names)))
         assert isinstance(reply, ReadReply)
         return json.loads(reply.body)
 
-    def submit(self, make: "Callable[[str, str], AnyRequest]") -> "SubmitReply":
-        """What became of the request that `make` makes of the operator's name and a new id.
+    def submit(self, make_request: "Callable[[str, str], AnyRequest]") -> "SubmitReply":
+        """Submit the request that `make_request` builds from the operator's name and a new request id.
 
-        The id is the same at each replica that is asked, so the request takes effect once.
+        Each replica receives the same id, so that a repeated request takes effect once.
         """
         from cedarmill.cluster.messages import SubmitReply, SubmitRequest
         from cedarmill.net.cluster.operator import new_id
 
-        reply = self.ask(SubmitRequest(make(self.operator, new_id())))
+        reply = self.send_request(SubmitRequest(make_request(self.operator, new_id())))
         assert isinstance(reply, SubmitReply)
         return reply
 
-    def show(self, value: Any, lines: Iterable[str]) -> None:
-        """Print the value as JSON, or the lines for people."""
+    def print_result(self, value: Any, lines: Iterable[str]) -> None:
+        """Print the value as JSON if --json is given, otherwise the lines."""
         if self.as_json:
             click.echo(json.dumps(value))
         else:
             for line in lines:
                 click.echo(line)
 
-    def finish(self, reply: "SubmitReply") -> NoReturn:
-        """Print what became of a request, and end the command with its exit code."""
-        self.show({"ok": reply.ok, "text": reply.text, "release": reply.release_id}, [reply.text])
+    def print_reply_and_exit(self, reply: "SubmitReply") -> NoReturn:
+        """Print the reply to a request, and exit with the code for its result."""
+        self.print_result({"ok": reply.ok, "text": reply.text, "release": reply.release_id}, [reply.text])
         sys.exit(ExitCode.DONE if reply.ok else ExitCode.REFUSED)
 
 
 def read_duration(text: str) -> int:
-    """A duration such as `10min` as microseconds; raises ConfError."""
+    """Return a duration such as `10min` in microseconds; raise ConfError if the text is not a duration."""
     from cedarmill.conf.document import ConfError, microseconds
 
     try:
--- a/cedarmill/cli/cluster/drains.py
+++ b/cedarmill/cli/cluster/drains.py
@@ -9,42 +9,42 @@
 
 from cedarmill.cli.cluster.console import EXIT_CODES, Console, ExitCode, View, read_duration
 
-WATCH_S = 0.5
-UNDER_WAY = ("waiting", "granted", "lost")
-"""States of a permit that has not come to its end."""
+POLL_INTERVAL_S = 0.5
+UNFINISHED_STATES = ("waiting", "granted", "lost")
+"""States of a permit that can still change."""
 
-_OLD_KINDS = {"replica": "keeper"}
-"""Kinds as the replicated log holds them, where that is an older word."""
+_STORED_KINDS = {"replica": "keeper"}
+"""Maps a kind to its name in the replicated log, where the two differ."""
 
-_KIND = click.option(
+_KIND_OPTION = click.option(
     "--kind",
     type=click.Choice(["executor", "node", "replica", "keeper"]),
     default="executor",
     show_default=True,
-    help="What the names are of; keeper is the old word for replica.",
+    help="Kind of the targets; keeper is the old word for replica.",
 )
 
 
 @click.command(epilog=EXIT_CODES)
 @click.argument("names", nargs=-1, required=True, metavar="NAME...")
-@_KIND
-@click.option("--reason", default="", help="For the cluster's log.")
+@_KIND_OPTION
+@click.option("--reason", default="", help="Reason, for the cluster's log.")
 @click.option(
     "--priority",
     type=click.IntRange(-100, 100),
     default=0,
     show_default=True,
-    help="Of those that wait, the highest is granted first.",
+    help="Among waiting requests, the highest priority is granted first.",
 )
 @click.option(
     "--wait",
     metavar="TIME",
     default="10min",
     show_default=True,
-    help="How long the request may wait for room.",
+    help="How long the request may wait for a permit.",
 )
-@click.option("--dry-run", is_flag=True, help="Say what would be granted now, and what stands in the way.")
-@click.option("--watch", is_flag=True, help="Stay till each is drained, or refused.")
+@click.option("--dry-run", is_flag=True, help="Print what would be granted now, and the reasons against it.")
+@click.option("--watch", is_flag=True, help="Wait until each target is drained or refused.")
 @click.pass_obj
 def drain(
     console: Console,
@@ -58,8 +58,8 @@
 ) -> None:
     """Take each NAME out of service, under the limits.
 
-    Each gets a permit, waits for one or is refused by itself. A target is drained when every node has said
-    that it holds nothing there any more.
+    Each target is granted a permit, waits for one or is refused on its own. A target is drained when every
+    node has confirmed that it holds no work there.
 
     \b
     Examples:
@@ -68,24 +68,24 @@
     """
     from cedarmill.cluster.state_machine import commands
 
-    kind = _OLD_KINDS.get(kind, kind)
+    kind = _STORED_KINDS.get(kind, kind)
     if dry_run:
-        sys.exit(_dry_run(console, names, kind))
+        sys.exit(_print_dry_run(console, names, kind))
     wait_us = read_duration(wait)
     reply = console.submit(
-        lambda operator, number: commands.RequestPermits(
-            0, operator, number, kind, names, reason, priority, wait_us
+        lambda operator, request_id: commands.RequestPermits(
+            0, operator, request_id, kind, names, reason, priority, wait_us
         )
     )
     rows = permit_rows(reply.permits)
     if watch:
         rows = watch_permits(console, rows)
-    console.show(rows, map(_permit_line, rows))
-    sys.exit(_exit_code(rows))
+    console.print_result(rows, map(_permit_line, rows))
+    sys.exit(_permits_exit_code(rows))
 
 
-def _exit_code(rows: list[View]) -> ExitCode:
-    """The code that says the worst of what became of permits."""
+def _permits_exit_code(rows: list[View]) -> ExitCode:
+    """Return the exit code for the worst state among the permits."""
     states = {row["state"] for row in rows}
     if states & {"refused", "expired"}:
         return ExitCode.REFUSED
@@ -93,7 +93,7 @@
 
 
 def permit_rows(permits: list[Any]) -> list[View]:
-    """The permits of a reply (`messages.PermitSummary`), as they are printed in JSON."""
+    """Convert the permits of a reply (`messages.PermitSummary`) to rows for JSON output."""
     return [
         {"permit": p[0], "target": p[1], "state": p[2], "why": p[3], "epoch": p[4], "drained": bool(p[5])}
         for p in permits
@@ -105,45 +105,45 @@
     return f"{row['target']}: {state} (permit {row['permit']}) {'; '.join(row['why'])}".rstrip()
 
 
-def _dry_run(console: Console, names: tuple[str, ...], kind: str) -> ExitCode:
-    """Print what would become of each; the exit code that says the worst of it."""
-    found = console.view("would", kind, names)
-    console.show(found, _verdict_lines(found))
-    verdicts = {one["verdict"] for one in found}
+def _print_dry_run(console: Console, names: tuple[str, ...], kind: str) -> ExitCode:
+    """Print the forecast for each target; return the exit code for the worst verdict."""
+    forecasts = console.read_view("would", kind, names)
+    console.print_result(forecasts, _forecast_lines(forecasts))
+    verdicts = {forecast["verdict"] for forecast in forecasts}
     if "never" in verdicts:
         return ExitCode.REFUSED
     return ExitCode.WAITING if "later" in verdicts else ExitCode.DONE
 
 
-def _verdict_lines(found: list[View]) -> Iterator[str]:
+def _forecast_lines(forecasts: list[View]) -> Iterator[str]:
     texts = {"now": "would be granted", "later": "would wait", "never": "would be refused"}
-    for one in found:
-        yield f"{one['target']}: {texts[one['verdict']]} {'; '.join(one['reasons'])}".rstrip()
+    for forecast in forecasts:
+        yield f"{forecast['target']}: {texts[forecast['verdict']]} {'; '.join(forecast['reasons'])}".rstrip()
 
 
 def watch_permits(console: Console, rows: list[View]) -> list[View]:
-    """Look at permits till each is drained or has ended; a line for each change, unless JSON is asked for."""
-    printed: dict[int, str] = {}
+    """Poll permits until each is drained or finished, and print each change unless --json is given."""
+    printed_lines: dict[int, str] = {}
     while True:
-        found = console.view("permits", names=tuple(str(row["permit"]) for row in rows))
-        by_id = {one["id"]: one for one in found}
+        permits = console.read_view("permits", names=tuple(str(row["permit"]) for row in rows))
+        permits_by_id = {permit["id"]: permit for permit in permits}
         for row in rows:
-            if (one := by_id.get(row["permit"])) is None:
+            if (permit := permits_by_id.get(row["permit"])) is None:
                 continue
-            row |= {"state": one["state"], "why": one["notes"]}
-            row |= {"drained": bool(one["drained"]), "need": one["need"]}
-            line = _permit_line(row) + (f" waits for {', '.join(one['need'])}" if one["need"] else "")
-            if printed.get(row["permit"]) != line and not console.as_json:
-                printed[row["permit"]] = line
+            row |= {"state": permit["state"], "why": permit["notes"]}
+            row |= {"drained": bool(permit["drained"]), "need": permit["need"]}
+            line = _permit_line(row) + (f" waits for {', '.join(permit['need'])}" if permit["need"] else "")
+            if printed_lines.get(row["permit"]) != line and not console.as_json:
+                printed_lines[row["permit"]] = line
                 click.echo(line)
-        if all(row["drained"] or row["state"] not in UNDER_WAY for row in rows):
+        if all(row["drained"] or row["state"] not in UNFINISHED_STATES for row in rows):
             return rows
-        time.sleep(WATCH_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 @click.command(epilog=EXIT_CODES)
 @click.argument("name")
-@_KIND
+@_KIND_OPTION
 @click.pass_obj
 def undrain(console: Console, name: str, kind: str) -> None:
     """Put NAME back into service, or stop waiting for a permit.
@@ -154,26 +154,28 @@
     """
     from cedarmill.cluster.state_machine import commands
 
-    kind = _OLD_KINDS.get(kind, kind)
-    console.finish(
-        console.submit(lambda operator, number: commands.ReturnPermit(0, operator, number, kind, name))
+    kind = _STORED_KINDS.get(kind, kind)
+    console.print_reply_and_exit(
+        console.submit(
+            lambda operator, request_id: commands.ReturnPermit(0, operator, request_id, kind, name)
+        )
     )
 
 
 @click.command(epilog=EXIT_CODES)
-@click.argument("what", type=click.Choice(["drained", "ended", "found", "forget", "go-on"]))
+@click.argument("statement", type=click.Choice(["drained", "ended", "found", "forget", "go-on"]))
 @click.argument("name", default="")
-@click.option("--reason", required=True, help="How you know, for the cluster's log.")
+@click.option("--reason", required=True, help="Evidence, for the cluster's log.")
 @click.pass_obj
-def say(console: Console, what: str, name: str, reason: str) -> None:
-    """State what no process can prove.
+def say(console: Console, statement: str, name: str, reason: str) -> None:
+    """State a fact that no process can prove.
 
-    The cluster takes it for a fact at once.
+    The cluster accepts the statement at once.
 
     \b
-    drained  NAME holds no work any more, whatever nodes that are cut off may hold
-    ended    the member NAME has ended, its machine is off
-    found    the target NAME, which was lost, is there again
+    drained  NAME holds no work; work on nodes that are cut off is disregarded
+    ended    the member NAME has stopped, its machine is off
+    found    the lost target NAME is available again
     forget   the target NAME will not come back
     go-on    grant permits again after a halt; takes no NAME
 
@@ -184,9 +186,11 @@
     """
     from cedarmill.cluster.state_machine import commands
 
-    console.finish(
+    console.print_reply_and_exit(
         console.submit(
-            lambda operator, number: commands.OperatorStatement(0, operator, number, what, name, reason)
+            lambda operator, request_id: commands.OperatorStatement(
+                0, operator, request_id, statement, name, reason
+            )
         )
     )
 
--- a/cedarmill/cli/cluster/group.py
+++ b/cedarmill/cli/cluster/group.py
@@ -1,4 +1,4 @@
-"""The group `cedarmill cluster` and its options: whom to ask, in whose name, and how to print."""
+"""The command group `cedarmill cluster` and its options: replicas, operator name and output format."""
 
 import getpass
 
@@ -12,7 +12,7 @@
     "-c",
     "--conf",
     type=click.Path(dir_okay=False),
-    help="A node's settings (cedarmill.xml), whose <fleet> names the replicas.",
+    help="Settings of a node (cedarmill.xml); element <fleet> lists the replicas.",
 )
 @click.option(
     "--replicas",
@@ -21,11 +21,14 @@
     metavar="HOST:PORT,...",
     help="Addresses of replicas, instead of -c; --keepers is the old name.",
 )
-@click.option("--cluster", metavar="NAME", help="The cluster's name; with --replicas.")
+@click.option("--cluster", metavar="NAME", help="Name of the cluster; required with --replicas.")
 @click.option(
-    "--as", "operator", metavar="NAME", help="Who asks, for the cluster's log; your user name by default."
+    "--as",
+    "operator",
+    metavar="NAME",
+    help="Operator's name, for the cluster's log; default: your user name.",
 )
-@click.option("--json", "as_json", is_flag=True, help="Print JSON instead of lines for people.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON instead of text.")
 @click.pass_context
 def cluster(
     ctx: click.Context,
@@ -35,10 +38,10 @@
     operator: str | None,
     as_json: bool,
 ) -> None:
-    """Look at a cluster and operate it: whichever replica answers is asked.
+    """Inspect and operate a cluster through any of its replicas.
 
-    Nodes of a cluster follow what its replicas agree on. Operators take executors, nodes, replicas and
-    zones out of service under limits, release new versions, and move or refuse traffic.
+    The nodes of a cluster follow the decisions of its replicas. Operators take executors, nodes, replicas and
+    zones out of service under limits, release new versions, and move or shed traffic.
 
     \b
     Examples:
--- a/cedarmill/cli/cluster/load.py
+++ b/cedarmill/cli/cluster/load.py
@@ -1,4 +1,4 @@
-"""`cedarmill cluster load|shed|budgets`: what is refused and why, and what all nodes together may spend."""
+"""The commands `cedarmill cluster load|shed|budgets`: load shedding and the cluster-wide budgets."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -7,25 +7,25 @@
 
 from cedarmill.cli.cluster.console import EXIT_CODES, Console, View, read_duration
 
-MANY_LATE = 200  # thousandths of requests: from here on the lateness is an alarm
-NOTHING_REFUSED = -1  # as a priority weight below which all is refused
+LATE_ALARM_THRESHOLD = 200  # thousandths of all requests
+WEIGHT_SHEDDING_NOTHING = -1  # lower than every priority weight
 
 
-def _rate(thousandths: int) -> str:
+def _decimal(thousandths: int) -> str:
     return f"{thousandths / 1000:g}"
 
 
 @click.command(epilog=EXIT_CODES)
 @click.pass_obj
 def load(console: Console) -> None:
-    """Show what is wanted and refused, and the cluster's budgets.
+    """Show demand, load shedding and budgets of the cluster.
 
     \b
     Example:
       cedarmill cluster -c cedarmill.xml load
     """
-    budgets, admission = console.view("budgets"), console.view("admission")
-    console.show({"budgets": budgets, "admission": admission}, _load_lines(admission, budgets))
+    budgets, admission = console.read_view("budgets"), console.read_view("admission")
+    console.print_result({"budgets": budgets, "admission": admission}, _load_lines(admission, budgets))
 
 
 def _load_lines(admission: View, budgets: list[View]) -> Iterator[str]:
@@ -36,61 +36,64 @@
 def _budget_lines(budgets: list[View]) -> Iterator[str]:
     if not budgets:
         yield "no budgets are set: each node spends by itself"
-    for one in budgets:
-        short = one["wanted"] > one["most"]
+    for budget in budgets:
+        is_short = budget["wanted"] > budget["most"]
         yield (
-            f"{one['name']}: {_rate(one['rate'])} a second, {_rate(one['leased'])} of {_rate(one['most'])} "
-            f"leased, {_rate(one['wanted'])} wanted; a node without a lease may spend "
-            f"{_rate(one['floor'])}{'  SHORT: nodes go without' if short else ''}"
+            f"{budget['name']}: {_decimal(budget['rate'])} a second, {_decimal(budget['leased'])} of "
+            f"{_decimal(budget['most'])} leased, {_decimal(budget['wanted'])} wanted; "
+            f"a node without a lease may spend {_decimal(budget['floor'])}"
+            f"{'  SHORT: nodes go without' if is_short else ''}"
         )
-        for key, held in one["slices"].items():
-            late = held["counts"] - held["rate"]
-            still = f", and may still spend {_rate(late)} more by an older word" if late else ""
-            yield f"  {key}: {_rate(held['rate'])} of {_rate(held['want'])} wanted{still}"
+        for node, grant in budget["slices"].items():
+            excess = grant["counts"] - grant["rate"]
+            excess_text = f", and may still spend {_decimal(excess)} more by an older word" if excess else ""
+            yield f"  {node}: {_decimal(grant['rate'])} of {_decimal(grant['want'])} wanted{excess_text}"
 
 
 def _admission_lines(admission: View) -> Iterator[str]:
-    """The level of admission of the cluster, what each zone offers, and where only a scope is short."""
+    """Return lines on the cluster's admission level, the load of each zone and each scope short of slots."""
     yield from _scope_lines("", admission["fleet"])
     for zone, slots_by_weight in sorted(admission["offered"].items()):
-        by_weight = sorted(slots_by_weight.items(), key=lambda one: -int(one[0]))
-        parts = ", ".join(
-            f"{_rate(slots)} worth {_rate(int(weight))}" for weight, slots in by_weight if slots
+        slots_from_highest = sorted(slots_by_weight.items(), key=lambda item: -int(item[0]))
+        weights = ", ".join(
+            f"{_decimal(slots)} worth {_decimal(int(weight))}"
+            for weight, slots in slots_from_highest
+            if slots
         )
-        yield f"  {zone} offers {_rate(sum(slots_by_weight.values()))} slots of jobs: {parts or 'none'}"
-    for scope, one in sorted(admission["tight"].items()):
+        yield f"  {zone} offers {_decimal(sum(slots_by_weight.values()))} slots of jobs: {weights or 'none'}"
+    for scope, state in sorted(admission["tight"].items()):
         zone, _, bound = scope.partition("/")
-        yield from _scope_lines(f"{zone}, what may not leave its {bound}: ", one)
+        yield from _scope_lines(f"{zone}, what may not leave its {bound}: ", state)
 
 
-def _scope_lines(where: str, one: View) -> Iterator[str]:
-    """One scope: what is refused, why, and what to do."""
-    weight, share = one["cut"]
+def _scope_lines(where: str, state: View) -> Iterator[str]:
+    """Return lines on one scope: what it refuses, why, and which action helps."""
+    weight, shed_share = state["cut"]
     if weight < 0:
         yield f"{where}nothing is cut"
     else:
         yield (
-            f"{where}CUT: what is worth less than {_rate(weight)}, and {share / 10:g}% of what is worth "
-            f"that; {one['why'] or 'by hand'}"
+            f"{where}CUT: what is worth less than {_decimal(weight)}, and {shed_share / 10:g}% of what is "
+            f"worth that; {state['why'] or 'by hand'}"
         )
-    busy = f", {_rate(one['busy'])} in use" if one["busy"] >= 0 else ""
+    busy_text = f", {_decimal(state['busy'])} in use" if state["busy"] >= 0 else ""
     yield (
-        f"{where}wanted {_rate(one['wanted'])} slots of {_rate(one['room'])} safe ones{busy}; "
-        f"{one['late'] / 10:g}% late"
+        f"{where}wanted {_decimal(state['wanted'])} slots of {_decimal(state['room'])} safe "
+        f"ones{busy_text}; {state['late'] / 10:g}% late"
     )
-    if one["queue"] >= 0:
+    if state["queue"] >= 0:
         yield (
-            f"{where}a job takes {one['queue'] / 10:g}% of the time that it may; nodes' own sight refuses "
-            f"{one['turned'] / 10:g}% of what is let pass"
+            f"{where}a job takes {state['queue'] / 10:g}% of the time that it may; nodes' own sight refuses "
+            f"{state['turned'] / 10:g}% of what is let pass"
         )
-    yield from _alarms(where, one)
+    yield from _alarm_lines(where, state)
 
 
-def _alarms(where: str, one: View) -> Iterator[str]:
-    if one["shed"] and one["wanted"] > one["room"]:
-        missing = _rate(one["wanted"] - one["room"])
+def _alarm_lines(where: str, state: View) -> Iterator[str]:
+    if state["shed"] and state["wanted"] > state["room"]:
+        missing = _decimal(state["wanted"] - state["room"])
         yield f"{where}ALARM: {missing} slots are missing: add executors, or see who floods"
-    elif one["late"] >= MANY_LATE and one["wanted"] <= one["room"]:
+    elif state["late"] >= LATE_ALARM_THRESHOLD and state["wanted"] <= state["room"]:
         yield (
             f"{where}ALARM: late though what is wanted fits: look for ill executors (`fleet zones`), "
             "or wait for the deep cut"
@@ -98,8 +101,10 @@
 
 
 @click.command(epilog=EXIT_CODES)
-@click.argument("act", metavar="ACTION", type=click.Choice(["set", "clear"]))
-@click.option("--below", type=float, help="The priority weight below which all is refused; with set.")
+@click.argument("action", metavar="ACTION", type=click.Choice(["set", "clear"]))
+@click.option(
+    "--below", type=float, help="Refuse all requests of a lower priority weight; required with set."
+)
 @click.option(
     "--share",
     "--part",
@@ -107,17 +112,20 @@
     metavar="PERCENT",
     default="0%",
     show_default=True,
-    help="How much is refused of what has just that weight; --part is the old name.",
+    help="Share of requests refused at exactly that weight; --part is the old name.",
 )
 @click.option(
-    "--for", "lasts", metavar="TIME", default="10min", show_default=True, help="Then it ends by itself."
+    "--for", "duration", metavar="TIME", default="10min", show_default=True, help="Duration of the shedding."
 )
-@click.option("--reason", default="", help="For the cluster's log; needed with set.")
+@click.option("--reason", default="", help="Reason, for the cluster's log; required with set.")
 @click.pass_obj
-def shed(console: Console, act: str, below: float | None, share_text: str, lasts: str, reason: str) -> None:
-    """Refuse requests of low priority weight at every node, by hand.
+def shed(
+    console: Console, action: str, below: float | None, share_text: str, duration: str, reason: str
+) -> None:
+    """Shed requests of low priority weight at every node.
 
-    It ends by itself. ACTION is set (begin, or change it) or clear (end it).
+    ACTION is set (begin or change the shedding) or clear (end the shedding). The shedding ends by itself
+    after the time given with --for.
 
     \b
     Examples:
@@ -127,17 +135,17 @@
     from cedarmill.cluster.state_machine import commands
     from cedarmill.conf.document import ConfError, share
 
-    if act == "clear":
-        weight = NOTHING_REFUSED
+    if action == "clear":
+        weight = WEIGHT_SHEDDING_NOTHING
     elif below is None:
-        raise ConfError("--below: needed with set")
+        raise ConfError("--below is required with set")
     else:
         weight = round(below * 1000)
-    refused, lasts_us = round(share(share_text) * 1000), read_duration(lasts)
-    console.finish(
+    refused_share, duration_us = round(share(share_text) * 1000), read_duration(duration)
+    console.print_reply_and_exit(
         console.submit(
-            lambda operator, number: commands.OverrideAdmission(
-                0, operator, number, weight, refused, lasts_us, reason
+            lambda operator, request_id: commands.OverrideAdmission(
+                0, operator, request_id, weight, refused_share, duration_us, reason
             )
         )
     )
@@ -149,13 +157,13 @@
     "path",
     type=click.Path(dir_okay=False, path_type=Path),
     required=True,
-    help="Replace them by the <budget>s of a replica's settings.",
+    help="Replace the budgets by the <budget> elements of a replica's settings.",
 )
 @click.pass_obj
 def budgets(console: Console, path: Path) -> None:
-    """Set what all nodes together may spend.
+    """Set the budgets that all nodes share.
 
-    `load` shows it. Where a budget becomes smaller, nodes give back what they hold of it one after the other.
+    `load` shows the budgets. When a budget shrinks, nodes return the excess one after another.
 
     \b
     Example:
@@ -165,5 +173,7 @@
     from cedarmill.cluster.state_machine import commands
     from cedarmill.conf.cluster import read_replica_settings
 
-    wanted = tuple(Budget(*one) for one in read_replica_settings(path).budgets)
-    console.finish(console.submit(lambda operator, number: commands.SetBudgets(0, operator, number, wanted)))
+    new_budgets = tuple(Budget(*budget) for budget in read_replica_settings(path).budgets)
+    console.print_reply_and_exit(
+        console.submit(lambda operator, request_id: commands.SetBudgets(0, operator, request_id, new_budgets))
+    )
--- a/cedarmill/cli/cluster/overview.py
+++ b/cedarmill/cli/cluster/overview.py
@@ -1,4 +1,4 @@
-"""`cedarmill cluster status|members|targets|permits|log|limits`: what the replicas agree on."""
+"""The commands `cedarmill cluster status|members|targets|permits|log|limits`: the replicated state."""
 
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
@@ -10,103 +10,104 @@
 if TYPE_CHECKING:
     from cedarmill.cluster.state import Limit
 
-SILENT_S = 1  # a replica that has been silent for longer is said to be
+MAX_UNREPORTED_SILENCE_S = 1
 
 
 @click.command(epilog=EXIT_CODES)
 @click.pass_obj
 def status(console: Console) -> None:
-    """Show who leads, what is out of service, and what is halted.
+    """Show the leader, targets out of service, and halted operations.
 
     \b
     Example:
       cedarmill cluster -c cedarmill.xml status
     """
-    found = console.view("status")
-    console.show(found, _status_lines(found))
+    view = console.read_view("status")
+    console.print_result(view, _status_lines(view))
 
 
-def _status_lines(found: View) -> Iterator[str]:
-    yield f"cluster {found['cluster']}, generation {found['generation']}"
-    yield f"leader {found['leader']}, term {found['term']}, agreed up to entry {found['agreed']}"
-    for name, one in found["keepers"].items():
-        silent = one.get("silent_s")
-        yield f"  {name} at {one['address']}: {'votes' if one['votes'] else 'is brought up to date'}" + (
-            f", silent for {silent} s" if silent and silent > SILENT_S else ""
+def _status_lines(view: View) -> Iterator[str]:
+    yield f"cluster {view['cluster']}, generation {view['generation']}"
+    yield f"leader {view['leader']}, term {view['term']}, agreed up to entry {view['agreed']}"
+    for name, replica in view["keepers"].items():
+        silence_s = replica.get("silent_s")
+        yield (
+            f"  {name} at {replica['address']}: {'votes' if replica['votes'] else 'is brought up to date'}"
+            + (f", silent for {silence_s} s" if silence_s and silence_s > MAX_UNREPORTED_SILENCE_S else "")
         )
-    yield f"members: {found['members']['node']} nodes, {found['members']['steward']} stewards"
-    yield f"out by permit: {', '.join(found['out']) or 'nothing'}; {found['waiting']} wait"
-    if found["halted"]:
-        yield f"HALTED: {found['halted']}"
+    yield f"members: {view['members']['node']} nodes, {view['members']['steward']} stewards"
+    yield f"out by permit: {', '.join(view['out']) or 'nothing'}; {view['waiting']} wait"
+    if view["halted"]:
+        yield f"HALTED: {view['halted']}"
 
 
 @click.command(epilog=EXIT_CODES)
 @click.pass_obj
 def members(console: Console) -> None:
-    """List nodes and process supervisors, and who of them is there.
+    """List nodes and process supervisors with their states.
 
-    Each is live, silent, cut off or ended, with the time since it was heard last.
+    The state is live, silent, cut off or ended; the time since the last message is shown with each.
 
     \b
     Example:
       cedarmill cluster -c cedarmill.xml members
     """
-    found = console.view("members")
-    console.show(found, _member_lines(found))
+    member_rows = console.read_view("members")
+    console.print_result(member_rows, _member_lines(member_rows))
 
 
-def _member_lines(found: list[View]) -> Iterator[str]:
-    for one in sorted(found, key=lambda one: (one["kind"], one["name"], one["joined"])):
+def _member_lines(member_rows: list[View]) -> Iterator[str]:
+    for member in sorted(member_rows, key=lambda row: (row["kind"], row["name"], row["joined"])):
         yield (
-            f"{one['kind']:8} {one['name']:20} {one['life']:14} {one['state']:8} "
-            f"zone {one['zone'] or '-'}"
-            f" heard {one['heard_s']} s ago"
+            f"{member['kind']:8} {member['name']:20} {member['life']:14} {member['state']:8} "
+            f"zone {member['zone'] or '-'}"
+            f" heard {member['heard_s']} s ago"
         )
 
 
 @click.command(epilog=EXIT_CODES)
 @click.pass_obj
 def targets(console: Console) -> None:
-    """List what may be taken out of service, with its health.
+    """List the targets that can be drained, with their health.
 
     \b
     Example:
       cedarmill cluster -c cedarmill.xml targets
     """
-    found = console.view("targets")
-    console.show(found, _target_lines(found))
+    target_rows = console.read_view("targets")
+    console.print_result(target_rows, _target_lines(target_rows))
 
 
-def _target_lines(found: list[View]) -> Iterator[str]:
-    for one in found:
+def _target_lines(target_rows: list[View]) -> Iterator[str]:
+    for target in target_rows:
         yield (
-            f"{one['kind']:8} {one['name']:20} {one['health']:8} zone {one['zone'] or '-'} type "
-            f"{one['type'] or '-'} slots {one['slots']}"
+            f"{target['kind']:8} {target['name']:20} {target['health']:8} zone {target['zone'] or '-'} type "
+            f"{target['type'] or '-'} slots {target['slots']}"
         )
 
 
 @click.command(epilog=EXIT_CODES)
 @click.pass_obj
 def permits(console: Console) -> None:
-    """List permits: what is out of service or waits, and why.
+    """List permits, granted and waiting, with their reasons.
 
     \b
     Example:
       cedarmill cluster -c cedarmill.xml permits
     """
-    found = console.view("permits")
-    console.show(found, _permit_lines(found))
+    permit_rows = console.read_view("permits")
+    console.print_result(permit_rows, _permit_lines(permit_rows))
 
 
-def _permit_lines(found: list[View]) -> Iterator[str]:
-    for one in found:
-        state = "drained" if one["drained"] and one["state"] == "granted" else one["state"]
-        waits_for = one["need"] if one["state"] in ("granted", "lost") else ()
-        need = f" waits for {', '.join(waits_for)}" if waits_for else ""
+def _permit_lines(permit_rows: list[View]) -> Iterator[str]:
+    for permit in permit_rows:
+        state = "drained" if permit["drained"] and permit["state"] == "granted" else permit["state"]
+        waits_for = permit["need"] if permit["state"] in ("granted", "lost") else ()
+        need_text = f" waits for {', '.join(waits_for)}" if waits_for else ""
         yield (
-            f"{one['id']:4} {one['kind']:8} {one['target']:16} {state:9} {one['holder']:16} "
-            f"{one['age_s']} s"
-            f"{need} {'; '.join(one['notes'])}"
+            f"{permit['id']:4} {permit['kind']:8} {permit['target']:16} {state:9} {permit['holder']:16} "
+            f"{permit['age_s']} s"
+            f"{need_text} {'; '.join(permit['notes'])}"
         )
 
 
@@ -115,14 +116,14 @@
 def log(console: Console) -> None:
     """Print the newest lines of the cluster's log for operators.
 
-    It says what was decided, by whom, and why.
+    Each line names a decision, its author and the reason.
 
     \b
     Example:
       cedarmill cluster -c cedarmill.xml log
     """
-    found = console.view("log")
-    console.show(found, found)
+    log_lines = console.read_view("log")
+    console.print_result(log_lines, log_lines)
 
 
 @click.command(epilog=EXIT_CODES)
@@ -130,13 +131,13 @@
     "--set",
     "path",
     type=click.Path(dir_okay=False),
-    help="Replace all limits by the <limit>s of a replica's settings.",
+    help="Replace all limits by the <limit> elements of a replica's settings.",
 )
 @click.pass_obj
 def limits(console: Console, path: str | None) -> None:
-    """Show or replace the limits on what may be out at once.
+    """Show or replace the limits on concurrent drains.
 
-    Each limit is shown with what is out of service under it, by permit or otherwise.
+    Each limit is shown with the targets out of service under it, by permit or otherwise.
 
     \b
     Examples:
@@ -146,12 +147,14 @@
     from cedarmill.cluster.state_machine import commands
 
     if path is None:
-        found = console.view("limits")
-        console.show(found, _limit_lines(found))
+        limit_rows = console.read_view("limits")
+        console.print_result(limit_rows, _limit_lines(limit_rows))
         return
-    wanted = _read_limits(path)
-    reply = console.submit(lambda operator, number: commands.SetLimits(0, operator, number, wanted))
-    console.show({"ok": reply.ok, "text": reply.text}, [reply.text])
+    new_limits = _read_limits(path)
+    reply = console.submit(
+        lambda operator, request_id: commands.SetLimits(0, operator, request_id, new_limits)
+    )
+    console.print_result({"ok": reply.ok, "text": reply.text}, [reply.text])
 
 
 def _read_limits(path: str) -> "tuple[Limit, ...]":
@@ -159,15 +162,15 @@
     from cedarmill.conf.cluster import read_replica_settings
 
     return tuple(
-        Limit(one.kind, one.per, one.most, one.share, one.capacity_left)
-        for one in read_replica_settings(path).limits
+        Limit(limit.kind, limit.per, limit.most, limit.share, limit.capacity_left)
+        for limit in read_replica_settings(path).limits
     )
 
 
-def _limit_lines(found: list[View]) -> Iterator[str]:
-    for one in found:
-        scope = f" {one['scope']}" if one["scope"] else ""
-        yield f"{one['limit']}{scope}: {one['out']:g} of {one['of']} out, {one['allowed']} allowed"
+def _limit_lines(limit_rows: list[View]) -> Iterator[str]:
+    for limit in limit_rows:
+        scope = f" {limit['scope']}" if limit["scope"] else ""
+        yield f"{limit['limit']}{scope}: {limit['out']:g} of {limit['of']} out, {limit['allowed']} allowed"
 
 
 COMMANDS = (status, members, targets, permits, log, limits)
--- a/cedarmill/cli/cluster/release_screen.py
+++ b/cedarmill/cli/cluster/release_screen.py
@@ -1,4 +1,4 @@
-"""A screen that shows releases as they go, till they have ended or halted, or q is pressed."""
+"""A terminal screen that shows the progress of releases until all are finished or q is pressed."""
 
 from collections.abc import Callable, Iterator, Sequence
 
@@ -7,46 +7,50 @@
 
 from cedarmill.cli.cluster.console import View
 
-REFRESH_S = 0.5
+REFRESH_INTERVAL_S = 0.5
 
 
 class ReleaseScreen(App[None]):
-    """One screen, asked anew twice a second."""
+    """Shows releases and reads them again every REFRESH_INTERVAL_S."""
 
     BINDINGS = [("q", "quit", "Leave")]
     TITLE = "cedarmill cluster release"
 
     def __init__(
         self,
-        read: Callable[[], list[View]],
-        lines_of: Callable[[View], Iterator[str]],
+        read_releases: Callable[[], list[View]],
+        format_release: Callable[[View], Iterator[str]],
         end_states: Sequence[str],
     ) -> None:
         super().__init__()
-        self.read, self.lines_of, self.end_states = read, lines_of, end_states
+        self.read_releases, self.format_release, self.end_states = read_releases, format_release, end_states
         self.body = Static("", markup=False)
 
     def compose(self) -> ComposeResult:
-        """The parts of the screen, from the top."""
+        """Yield the widgets of the screen from top to bottom."""
         yield Header()
         yield self.body
         yield Footer()
 
     def on_mount(self) -> None:
-        """Begin to read and show."""
+        """Show the releases and start the refresh timer."""
         self.show_releases()
-        self.set_interval(REFRESH_S, self.show_releases)
+        self.set_interval(REFRESH_INTERVAL_S, self.show_releases)
 
     def show_releases(self) -> None:
-        """Read the releases and show them; leave when all have come to an end."""
-        releases = self.read()
-        self.body.update("\n".join(line for one in releases for line in self.lines_of(one)) or "no release")
-        if releases and all(one["state"] in self.end_states for one in releases):
+        """Read and show the releases; close the screen when all are finished."""
+        releases = self.read_releases()
+        self.body.update(
+            "\n".join(line for release in releases for line in self.format_release(release)) or "no release"
+        )
+        if releases and all(release["state"] in self.end_states for release in releases):
             self.exit()
 
 
 def watch_releases(
-    read: Callable[[], list[View]], lines_of: Callable[[View], Iterator[str]], end_states: Sequence[str]
+    read_releases: Callable[[], list[View]],
+    format_release: Callable[[View], Iterator[str]],
+    end_states: Sequence[str],
 ) -> None:
-    """Show the releases that `read` gives, till the end."""
-    ReleaseScreen(read, lines_of, end_states).run()
+    """Show the releases returned by `read_releases` until all are finished."""
+    ReleaseScreen(read_releases, format_release, end_states).run()
--- a/cedarmill/cli/cluster/replicas.py
+++ b/cedarmill/cli/cluster/replicas.py
@@ -1,4 +1,4 @@
-"""`cedarmill cluster replicas|backup`: the replicas themselves, and their state in a file."""
+"""The commands `cedarmill cluster replicas|backup`: membership of replicas, backups of their state."""
 
 from pathlib import Path
 
@@ -8,15 +8,15 @@
 
 
 @click.command(epilog=EXIT_CODES)
-@click.argument("act", metavar="ACTION", type=click.Choice(["add", "remove", "lead"]))
+@click.argument("action", metavar="ACTION", type=click.Choice(["add", "remove", "lead"]))
 @click.argument("name")
-@click.option("--address", default="", help="Where the others reach it, HOST:PORT; with add.")
-@click.option("--disk", default="", help="The name of its disk, as its log tells it; with add.")
+@click.option("--address", default="", help="With add: HOST:PORT at which other replicas reach the new one.")
+@click.option("--disk", default="", help="With add: name of the new replica's disk, as printed in its log.")
 @click.pass_obj
-def replicas(console: Console, act: str, name: str, address: str, disk: str) -> None:
+def replicas(console: Console, action: str, name: str, address: str, disk: str) -> None:
     """Add or remove a replica, or make it the leader.
 
-    ACTION is add (NAME becomes a replica), remove (it is one no more) or lead (it becomes the leader).
+    ACTION is add (NAME becomes a replica), remove (NAME stops being one) or lead (NAME becomes the leader).
 
     \b
     Examples:
@@ -26,18 +26,18 @@
     """
     from cedarmill.cluster.messages import ChangeReplicas, SubmitReply
 
-    reply = console.ask(ChangeReplicas(act, name, address, disk))
+    reply = console.send_request(ChangeReplicas(action, name, address, disk))
     assert isinstance(reply, SubmitReply)
-    console.finish(reply)
+    console.print_reply_and_exit(reply)
 
 
 @click.command(epilog=EXIT_CODES)
 @click.argument("path", type=click.Path(dir_okay=False, path_type=Path))
 @click.pass_obj
 def backup(console: Console, path: Path) -> None:
-    """Write the cluster's agreed state into the file PATH.
+    """Write the replicated state of the cluster to the file PATH.
 
-    `cedarmill replica --init --restore PATH` begins a new cluster with it.
+    `cedarmill replica --init --restore PATH` starts a new cluster from that file.
 
     \b
     Example:
@@ -49,12 +49,12 @@
     from cedarmill.cluster.raft.messages import Snapshot
     from cedarmill.store import files, snapshots
 
-    reply = console.ask(ReadRequest("backup"))
+    reply = console.send_request(ReadRequest("backup"))
     assert isinstance(reply, ReadReply)
     snapshot = msgspec.msgpack.decode(reply.body, type=Snapshot)
     files.replace_file(str(path), snapshots.encode_checksummed(snapshot))
     size = len(reply.body)
-    console.show(
+    console.print_result(
         {"index": snapshot.index, "bytes": size},
         [f"{path}: agreed up to entry {snapshot.index}, {size} bytes"],
     )
--- a/cedarmill/cli/conf.py
+++ b/cedarmill/cli/conf.py
@@ -1,4 +1,4 @@
-"""`cedarmill conf check|show|schema`."""
+"""The commands `cedarmill conf check|show|schema`."""
 
 import click
 
@@ -8,12 +8,12 @@
     """Check and show settings in XML (cedarmill.xml)."""
 
 
-@conf.command(epilog="Exit codes: 0 the file is good; 2 it is not, said in one line.")
+@conf.command(epilog="Exit codes: 0 the file is valid; 2 it is not, with a one-line error.")
 @click.argument("path", type=click.Path(dir_okay=False))
 def check(path: str) -> None:
-    """Check the file PATH whole.
+    """Validate the whole settings file PATH.
 
-    The first mistake is named with its file, line and element.
+    The first error is reported with its file, line and element.
 
     \b
     Example:
@@ -25,12 +25,12 @@
     click.echo(f"{path}: good")
 
 
-@conf.command(epilog="Exit codes: 0 shown; 2 the file is not good, said in one line.")
+@conf.command(epilog="Exit codes: 0 printed; 2 the file is not valid, with a one-line error.")
 @click.argument("path", type=click.Path(dir_okay=False), required=False)
 def show(path: str | None) -> None:
-    """Print each setting that holds, and where it comes from.
+    """Print each effective setting and its origin.
 
-    Without PATH all defaults.
+    Without PATH, the defaults are printed.
 
     \b
     Examples:
@@ -39,10 +39,10 @@
     """
     from cedarmill.conf.settings import Settings
 
-    held = Settings(path).effective
-    names, values = (max(len(row[column]) for row in held) for column in (0, 1))
-    for name, value, origin in held:
-        click.echo(f"{name:<{names}}  {value:<{values}}  {origin}")
+    settings = Settings(path).effective
+    name_width, value_width = (max(len(row[column]) for row in settings) for column in (0, 1))
+    for name, value, origin in settings:
+        click.echo(f"{name:<{name_width}}  {value:<{value_width}}  {origin}")
 
 
 @conf.command(epilog="Exit codes: 0 printed.")
@@ -50,9 +50,9 @@
     "name", metavar="[NAME]", type=click.Choice(["cedarmill", "scenario", "types"]), default="cedarmill"
 )
 def schema(name: str) -> None:
-    """Print a schema, for editors that check while one types.
+    """Print an XML schema, for editors that validate while typing.
 
-    NAME is cedarmill (settings of a node), scenario (of the laboratory) or types (what both use).
+    NAME is cedarmill (settings of a node), scenario (of the laboratory) or types (shared by both).
 
     \b
     Example:
--- a/cedarmill/cli/groups.py
+++ b/cedarmill/cli/groups.py
@@ -1,4 +1,4 @@
-"""What all groups of commands share: errors in one line, and old names of commands that still work."""
+"""Helpers for all command groups: one-line errors, and old command names that still work."""
 
 import copy
 import inspect
@@ -6,29 +6,29 @@
 
 import click
 
-BAD_INPUT = 2
-"""The exit code of bad input and of bad use, whichever command it is."""
+EXIT_BAD_INPUT = 2
+"""Exit code of every command for invalid input and invalid usage."""
 
-click.ClickException.exit_code = BAD_INPUT  # as click's usage errors have
+click.ClickException.exit_code = EXIT_BAD_INPUT  # the same code as click's usage errors
 
 
-class OneLineErrors(click.Group):
-    """Ends bad input, wherever it shows, with one line and exit code 2."""
+class OneLineErrorGroup(click.Group):
+    """Command group that reports invalid input as a one-line error with exit code 2."""
 
     def invoke(self, ctx: click.Context) -> Any:
-        """Run the command; what it raises of bad input becomes one line."""
+        """Run the command and convert ValueError and OSError into a one-line error."""
         try:
             return super().invoke(ctx)
-        except BrokenPipeError:  # the reader has seen enough: click ends quietly
+        except BrokenPipeError:  # the reader closed the pipe; click exits without a message
             raise
-        except (ValueError, OSError) as error:  # ConfError and its like name file, line or field
+        except (ValueError, OSError) as error:  # ConfError is a ValueError
             raise click.ClickException(" ".join(str(error).split())) from None
 
 
 def add_with_old_name(group: click.Group, command: click.Command, old_name: str) -> None:
-    """Add a command under its name and under its old one, whose help says that it is the old one."""
+    """Add a command under its name and its old name; the help of the old name refers to the new one."""
     group.add_command(command)
-    alias = copy.copy(command)  # of a group too: both names then hold the same sub-commands
+    alias = copy.copy(command)  # a copied group shares the sub-commands of the original
     alias.name = old_name
     alias.short_help = f"Old name of `{command.name}`."
     alias.help = (
--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -1,4 +1,4 @@
-"""`cedarmill lab run|list|report|cluster`."""
+"""The commands `cedarmill lab run|list|report|cluster`."""
 
 import sys
 from collections.abc import Callable, Iterator, Sequence
@@ -16,31 +16,31 @@
     from cedarmill.lab.cluster.report import Verdict
     from cedarmill.lab.history import History
 
-PROGRESS_STEPS = 1000
-MOST_BREACHES = 3  # that are printed of one rule; the report has all of them
+PROGRESS_BAR_STEPS = 1000
+MAX_PRINTED_BREACHES = 3  # per rule; the report lists all breaches
 
-_SEED = click.option(
+_SEED_OPTION = click.option(
     "--seed",
     type=click.IntRange(0),
     default=[1],
     multiple=True,
     show_default=True,
-    help="What chance draws from; repeat it for several runs.",
+    help="Seed of the random numbers; may be repeated for several runs.",
 )
 
 
 @click.group()
 def lab() -> None:
-    """Try nodes and clusters in a laboratory on this machine.
+    """Test nodes and clusters in a laboratory on this machine.
 
-    It starts real nodes on loopback sockets between emulated executors, discovery and clients, brings
-    faults upon them, and checks what was served against rules.
+    The laboratory starts real nodes on loopback sockets with emulated executors, discovery and clients,
+    injects faults, and checks the recorded history against rules.
     """
 
 
-@lab.command(name="list", epilog="Exit codes: 0 listed.")
+@lab.command(name="list", epilog="Exit codes: 0 success.")
 def list_scenarios() -> None:
-    """Name the scenarios that the package ships, and their sides.
+    """List the scenarios shipped with the package, and their sides.
 
     \b
     Example:
@@ -55,29 +55,29 @@
 
 
 @contextmanager
-def _progress(label: str) -> Iterator[Callable[[float], None]]:
-    """A bar on standard error; what it gives takes how much is done, from 0 to 1."""
-    with click.progressbar(length=PROGRESS_STEPS, label=label, file=sys.stderr) as bar:
-        yield lambda done: bar.update(int(done * PROGRESS_STEPS) - bar.pos)
-        bar.update(PROGRESS_STEPS - bar.pos)
+def _progress_bar(label: str) -> Iterator[Callable[[float], None]]:
+    """Show a progress bar on standard error; yield a function that sets the finished share (0 to 1)."""
+    with click.progressbar(length=PROGRESS_BAR_STEPS, label=label, file=sys.stderr) as bar:
+        yield lambda finished_share: bar.update(int(finished_share * PROGRESS_BAR_STEPS) - bar.pos)
+        bar.update(PROGRESS_BAR_STEPS - bar.pos)
 
 
-@lab.command(epilog="Exit codes: 0 all rules were kept; 1 a rule was broken; 2 bad input or use.")
+@lab.command(epilog="Exit codes: 0 no rule is broken; 1 a rule is broken; 2 invalid input or usage.")
 @click.argument("scenario")
-@_SEED
-@click.option("--side", "names", multiple=True, help="Only this side; repeat it for several.")
+@_SEED_OPTION
+@click.option("--side", "side_names", multiple=True, help="Run only this side; may be repeated.")
 @click.option(
     "-o",
     "--out",
     type=click.Path(file_okay=False, path_type=Path),
     default=Path("found"),
     show_default=True,
-    help="The folder for the runs and the report.",
+    help="Folder for the recorded runs and the report.",
 )
-def run(scenario: str, seed: tuple[int, ...], names: tuple[str, ...], out: Path) -> None:
-    """Play SCENARIO, shipped or from a file, with one node or a few.
+def run(scenario: str, seed: tuple[int, ...], side_names: tuple[str, ...], out: Path) -> None:
+    """Play SCENARIO, shipped or from a file, with one or a few nodes.
 
-    Its sides differ in settings; each is played with each seed, one after the other.
+    The sides of a scenario differ in settings. Each side is played with each seed, one run after the other.
 
     \b
     Examples:
@@ -91,23 +91,23 @@
     from cedarmill.lab.run import play
     from cedarmill.lab.scenario import read
 
-    read_in = read(scenario)
-    sides = [side for side in read_in.sides if not names or side.name in names]
-    if unknown := set(names) - {side.name for side in sides}:
-        raise ConfError(f"{scenario}: no side {sorted(unknown)[0]!r}")
+    loaded = read(scenario)
+    sides = [side for side in loaded.sides if not side_names or side.name in side_names]
+    if unknown := set(side_names) - {side.name for side in sides}:
+        raise ConfError(f"{scenario}: no side named {sorted(unknown)[0]!r}")
     out.mkdir(parents=True, exist_ok=True)
     histories = []
-    for number in seed:
+    for run_seed in seed:
         for side in sides:
-            with _progress(f"{read_in.name} {side.name} seed {number}") as progress:
-                history = play(read_in, side, number, progress)
-            path = out / f"{read_in.name}-{side.name}-{number}.json"
+            with _progress_bar(f"{loaded.name} {side.name} seed {run_seed}") as progress:
+                history = play(loaded, side, run_seed, progress)
+            path = out / f"{loaded.name}-{side.name}-{run_seed}.json"
             path.write_bytes(msgspec.json.encode(history))
             histories.append(history)
-    sys.exit(_report_histories(histories, out / f"{read_in.name}.html"))
+    sys.exit(_report_histories(histories, out / f"{loaded.name}.html"))
 
 
-@lab.command(epilog="Exit codes: 0 written, all rules were kept; 1 a rule was broken; 2 bad input or use.")
+@lab.command(epilog="Exit codes: 0 written, no rule is broken; 1 a rule is broken; 2 invalid input or usage.")
 @click.argument("runs", nargs=-1, required=True, type=click.Path(dir_okay=False, path_type=Path))
 @click.option(
     "-o",
@@ -115,12 +115,12 @@
     type=click.Path(dir_okay=False, path_type=Path),
     default=Path("report.html"),
     show_default=True,
-    help="The file to write.",
+    help="File to write.",
 )
 def report(runs: tuple[Path, ...], out: Path) -> None:
-    """Write an HTML file with tables and plots of one or several RUNS.
+    """Write an HTML report with tables and plots of RUNS.
 
-    RUNS are files that `lab run` wrote; they stand side by side.
+    RUNS are one or more files written by `lab run`; the report shows them side by side.
 
     \b
     Example:
@@ -136,35 +136,35 @@
         try:
             histories.append(msgspec.json.decode(path.read_bytes(), type=History))
         except msgspec.MsgspecError as error:
-            raise ConfError(f"{path}: no run of the laboratory: {error}") from None
+            raise ConfError(f"{path}: not a recorded run of the laboratory: {error}") from None
     sys.exit(_report_histories(histories, out))
 
 
-@click.command(epilog="Exit codes: 0 all invariants were kept; 1 one was broken; 2 bad input or use.")
-@click.argument("scenario", required=False)
-@click.option("--list", "listed", is_flag=True, help="Name the scenarios that the package ships.")
-@click.option(
-    "--nodes", type=click.IntRange(1, 200), help="How many nodes, instead of the scenario's number."
+@click.command(
+    epilog="Exit codes: 0 no invariant is broken; 1 an invariant is broken; 2 invalid input or usage."
 )
+@click.argument("scenario", required=False)
+@click.option("--list", "list_only", is_flag=True, help="List the scenarios shipped with the package.")
+@click.option("--nodes", type=click.IntRange(1, 200), help="Number of nodes, instead of the scenario's.")
 @click.option(
     "--replicas",
     "--keepers",
     "replicas",
     type=click.Choice(["0", "1", "3", "5"]),
-    help="How many replicas, instead of the scenario's number; --keepers is the old name.",
+    help="Number of replicas, instead of the scenario's; --keepers is the old name.",
 )
-@_SEED
+@_SEED_OPTION
 @click.option(
     "-o",
     "--out",
     type=click.Path(file_okay=False, path_type=Path),
     default=Path("found"),
     show_default=True,
-    help="The folder for histories, verdicts, logs and reports.",
+    help="Folder for histories, verdicts, logs and reports.",
 )
 def cluster(
     scenario: str | None,
-    listed: bool,
+    list_only: bool,
     nodes: int | None,
     replicas: str | None,
     seed: tuple[int, ...],
@@ -172,7 +172,7 @@
 ) -> None:
     """Play SCENARIO with a cluster of many real processes.
 
-    Faults are brought upon processes, links and disks; invariants of the whole history are checked.
+    Faults are injected into processes, links and disks, and the history is checked against invariants.
 
     \b
     Examples:
@@ -183,34 +183,34 @@
     from cedarmill.conf.document import ConfError
     from cedarmill.lab.cluster.scenario import read, shipped
 
-    if listed:
+    if list_only:
         for name in shipped():
             click.echo(f"{name}: {read(name).about}")
         return
     if scenario is None:
-        raise ConfError("name a scenario, or ask with --list")
-    given = (("nodes", nodes), ("replicas", replicas))
-    changes = {name: int(value) for name, value in given if value is not None}
-    sys.exit(_print_verdicts(_play_clusters(scenario, changes, seed, out), out))
+        raise ConfError("SCENARIO is required; --list shows the scenarios")
+    options = (("nodes", nodes), ("replicas", replicas))
+    layout_changes = {name: int(value) for name, value in options if value is not None}
+    sys.exit(_print_verdicts(_play_clusters(scenario, layout_changes, seed, out), out))
 
 
 def _play_clusters(
-    scenario: str, changes: dict[str, Any], seeds: Sequence[int], out: Path
+    scenario: str, layout_changes: dict[str, Any], seeds: Sequence[int], out: Path
 ) -> "list[Verdict]":
-    """Play the scenario with each seed, with other numbers of processes where `changes` names them."""
+    """Play the scenario once per seed, with `layout_changes` applied to its layout; return the verdicts."""
     import dataclasses
 
     from cedarmill.lab.cluster import report as reports
     from cedarmill.lab.cluster.run import play
     from cedarmill.lab.cluster.scenario import read
 
-    read_in = read(scenario)
-    read_in = dataclasses.replace(read_in, layout=dataclasses.replace(read_in.layout, **changes))
+    loaded = read(scenario)
+    loaded = dataclasses.replace(loaded, layout=dataclasses.replace(loaded.layout, **layout_changes))
     verdicts = []
     for seed in seeds:
-        folder = out / f"{read_in.name}-{seed}"
-        with _progress(f"{read_in.name} seed {seed}") as progress:
-            record = play(read_in, seed, folder, progress)
+        folder = out / f"{loaded.name}-{seed}"
+        with _progress_bar(f"{loaded.name} seed {seed}") as progress:
+            record = play(loaded, seed, folder, progress)
         verdicts.append(reports.write(record, folder))
     return verdicts
 
@@ -219,42 +219,42 @@
 
 
 def _print_verdicts(verdicts: "Sequence[Verdict]", out: Path) -> int:
-    """Print the table and the breaches; 1 where an invariant was broken."""
+    """Print the table of verdicts and the breaches; return 1 if an invariant is broken, otherwise 0."""
     from rich.table import Table
 
     from cedarmill.lab.cluster.report import table
 
-    heads = (f"{one.scenario}\nseed {one.seed}" for one in verdicts)
-    _print_table(Table("", *heads), table(verdicts))
-    for one in verdicts:
-        for invariant, breaches in one.invariants.items():
-            for text in breaches[:MOST_BREACHES]:
-                click.echo(f"seed {one.seed}: {invariant}: {text}")
+    headings = (f"{verdict.scenario}\nseed {verdict.seed}" for verdict in verdicts)
+    _print_table(Table("", *headings), table(verdicts))
+    for verdict in verdicts:
+        for invariant, breaches in verdict.invariants.items():
+            for breach in breaches[:MAX_PRINTED_BREACHES]:
+                click.echo(f"seed {verdict.seed}: {invariant}: {breach}")
     click.echo(f"reports: {out}/*/report.html")
-    return int(not all(one.kept for one in verdicts))
+    return int(not all(verdict.kept for verdict in verdicts))
 
 
 def _report_histories(histories: "Sequence[History]", path: Path) -> int:
-    """Print the table and the breaches, write the report; 1 where a rule was broken."""
+    """Print the table and the breaches, and write the report; return 1 if a rule is broken, otherwise 0."""
     from rich.table import Table
 
     from cedarmill.lab import report as reports
     from cedarmill.lab.checker import check_history
 
-    heads = (f"{history.side}\nseed {history.seed}" for history in histories)
-    _print_table(Table("", *heads), reports.rows(histories))
-    broken = 0
+    headings = (f"{history.side}\nseed {history.seed}" for history in histories)
+    _print_table(Table("", *headings), reports.rows(histories))
+    breach_count = 0
     for history in histories:
         label = f"{history.side} seed {history.seed}"
         if not history.kept_promise:
             click.echo(f"{label}: this machine was late by {history.lag / 1000:.0f} ms")
         for rule, breaches in check_history(history).items():
-            broken += len(breaches)
-            for text in breaches[:MOST_BREACHES]:
-                click.echo(f"{label}: {rule}: {text}")
+            breach_count += len(breaches)
+            for breach in breaches[:MAX_PRINTED_BREACHES]:
+                click.echo(f"{label}: {rule}: {breach}")
     path.write_text(reports.page(histories))
     click.echo(f"report: {path}")
-    return int(broken > 0)
+    return int(breach_count > 0)
 
 
 def _print_table(table: "Table", rows: Sequence[tuple[str, Sequence[str]]]) -> None:
--- a/cedarmill/cli/lab_scale.py
+++ b/cedarmill/cli/lab_scale.py
@@ -1,4 +1,4 @@
-"""`cedarmill lab scale`: what a node needs as the number of executors grows, against stated bounds."""
+"""The command `cedarmill lab scale`: checks the resource use of a node at growing numbers of executors."""
 
 import json
 import sys
@@ -15,30 +15,42 @@
 if TYPE_CHECKING:
     from cedarmill.lab.scale.report import Row
 
-USUAL, LARGEST = 200, 3200
+BASELINE_EXECUTORS, MAX_DEFAULT_EXECUTORS = 200, 3200
 
 
-@lab.command(epilog="Exit codes: 0 all bounds hold; 1 one does not; 2 bad input or use.")
+@lab.command(epilog="Exit codes: 0 all bounds hold; 1 a bound is exceeded; 2 invalid input or usage.")
 @click.option(
     "--executors",
     "sizes",
     type=click.IntRange(1, 4000),
     multiple=True,
-    default=(USUAL, LARGEST),
+    default=(BASELINE_EXECUTORS, MAX_DEFAULT_EXECUTORS),
     show_default=True,
-    help="A size to play; may be given several times. 200, the usual size, is always played.",
+    help="Number of executors; may be repeated. The baseline of 200 always runs.",
 )
-@click.option("--scenario", "names", multiple=True, help="A scenario by its name; all, where none is given.")
-@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Runs of each.")
 @click.option(
-    "--seconds", type=click.FloatRange(1), default=15.0, show_default=True, help="Seconds of traffic."
+    "--scenario", "scenario_names", multiple=True, help="Name of a scenario, may be repeated; default: all."
 )
-@click.option("--at-once", type=click.IntRange(1), default=1, show_default=True, help="Runs side by side.")
-@click.option("--out", type=click.Path(path_type=Path, file_okay=False), help="Folder for table and plot.")
-@click.option("--json", "as_json", is_flag=True, help="Print rows as JSON lines instead of a table.")
+@click.option(
+    "--seeds", type=click.IntRange(1), default=1, show_default=True, help="Runs per scenario and size."
+)
+@click.option(
+    "--seconds",
+    type=click.FloatRange(1),
+    default=15.0,
+    show_default=True,
+    help="Duration of the traffic, in seconds.",
+)
+@click.option(
+    "--at-once", type=click.IntRange(1), default=1, show_default=True, help="Number of runs in parallel."
+)
+@click.option(
+    "--out", type=click.Path(path_type=Path, file_okay=False), help="Folder for the table and the plot."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print JSON lines instead of a table.")
 def scale(
     sizes: tuple[int, ...],
-    names: tuple[str, ...],
+    scenario_names: tuple[str, ...],
     seeds: int,
     seconds: float,
     at_once: int,
@@ -47,8 +59,9 @@
 ) -> None:
     """Measure one node with few and with many executors.
 
-    Each run starts one node between emulated executors, discovery and clients, and plays one scenario. CPU
-    time, memory, connections, bytes of lists and the share served are compared with those at 200 executors.
+    Each run starts one node with emulated executors, discovery and clients, and plays one scenario. CPU
+    time, memory, connections, bytes of endpoint lists and the share served are compared with those at 200
+    executors.
 
     \b
     Examples:
@@ -59,28 +72,28 @@
     from cedarmill.lab.scale.run import ScalePlan, play
     from cedarmill.lab.scale.scenarios import SCENARIOS
 
-    unknown = [name for name in names if name not in SCENARIOS]
+    unknown = [name for name in scenario_names if name not in SCENARIOS]
     if unknown:
         raise click.BadParameter(f"no scenario {unknown[0]!r}; there are {', '.join(SCENARIOS)}")
     plans = [
         ScalePlan(executors, name, seed, seconds)
-        for name in names or SCENARIOS
-        for executors in sorted({USUAL, *sizes})
+        for name in scenario_names or SCENARIOS
+        for executors in sorted({BASELINE_EXECUTORS, *sizes})
         for seed in range(1, seeds + 1)
     ]
     with ProcessPoolExecutor(at_once, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool:
-        found = report.rows(list(pool.map(play, plans)))
-    _show(found, out, as_json)
-    sys.exit(0 if all(row.comparison.holds for row in found) else 1)
+        rows = report.rows(list(pool.map(play, plans)))
+    _output_rows(rows, out, as_json)
+    sys.exit(0 if all(row.comparison.holds for row in rows) else 1)
 
 
-def _show(found: "list[Row]", out: Path | None, as_json: bool) -> None:
-    """Print the rows, and write table and plot where a folder is given."""
+def _output_rows(rows: "list[Row]", out: Path | None, as_json: bool) -> None:
+    """Print the rows, and write the table and the plot to `out` if it is given."""
     from cedarmill.lab.scale import report
 
-    table = report.table(found)
-    click.echo("\n".join(json.dumps(asdict(row)) for row in found) if as_json else table)
+    table = report.table(rows)
+    click.echo("\n".join(json.dumps(asdict(row)) for row in rows) if as_json else table)
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
         (out / "scale.md").write_text(table + "\n")
-        report.plot(found, out / "scale.png")
+        report.plot(rows, out / "scale.png")
--- a/cedarmill/cli/node.py
+++ b/cedarmill/cli/node.py
@@ -1,23 +1,23 @@
-"""`cedarmill node`."""
+"""The command `cedarmill node`."""
 
 import sys
 
 import click
 
-from cedarmill.cli.options import LOG_FORMAT
+from cedarmill.cli.options import LOG_FORMAT_OPTION
 
 
-@click.command(epilog="Exit codes: 0 ended by a signal; 2 it could not start, said in one line.")
+@click.command(epilog="Exit codes: 0 stopped by a signal; 2 the node could not start, with a one-line error.")
 @click.option(
     "-c",
     "--conf",
     "path",
     type=click.Path(dir_okay=False),
-    help="Further settings, an XML file (see `conf`).",
+    help="XML file with further settings (see `conf`).",
 )
-@LOG_FORMAT
+@LOG_FORMAT_OPTION
 def node(path: str | None, log_format: str) -> None:
-    """Run one node: it takes clients' requests and sends each to an executor.
+    """Run one node, which forwards clients' requests to executors.
 
     The environment variable LB_CONFIG names the node's configuration (JSON).
 
--- a/cedarmill/cli/replica.py
+++ b/cedarmill/cli/replica.py
@@ -1,29 +1,31 @@
-"""`cedarmill replica`."""
+"""The command `cedarmill replica`."""
 
 import sys
 from pathlib import Path
 
 import click
 
-from cedarmill.cli.options import LOG_FORMAT, SETTINGS_FILE
+from cedarmill.cli.options import LOG_FORMAT_OPTION, SETTINGS_FILE_OPTION
 
-EXIT_CODES = "Exit codes: 0 ended by a signal, or formatted; 2 bad input, or it could not start."
+EXIT_CODES = (
+    "Exit codes: 0 stopped by a signal, or formatted; 2 invalid input, or the replica could not start."
+)
 
 
 @click.command(epilog=EXIT_CODES)
-@SETTINGS_FILE
-@click.option("--init", is_flag=True, help="Format its data folder for a new cluster, and end.")
+@SETTINGS_FILE_OPTION
+@click.option("--init", is_flag=True, help="Format the data folder for a new cluster, and exit.")
 @click.option(
     "--restore",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="With --init: begin with the state in a file that `cluster backup` wrote.",
+    help="With --init: restore the state from a file written by `cluster backup`.",
 )
-@LOG_FORMAT
+@LOG_FORMAT_OPTION
 def replica(path: str, init: bool, restore: Path | None, log_format: str) -> None:
     """Run one replica of the cluster's replicated log.
 
-    Replicas agree on what all nodes of the cluster follow: permits, releases, traffic between zones,
-    budgets. A cluster has one, three or five; clients' requests never pass through them.
+    Replicas agree on the permits, releases, budgets and traffic between zones that all nodes of the cluster
+    follow. A cluster has one, three or five replicas; clients' requests never pass through them.
 
     \b
     Examples:
@@ -38,7 +40,7 @@
 
     options = read_replica_settings(path)
     if restore is not None and not init:
-        raise ConfError("--restore goes with --init: a replica begins with a backup on an empty disk")
+        raise ConfError("--restore requires --init: a backup can only be restored into an empty data folder")
     if not init:
         sys.exit(main(options, log_format))
     try:
--- a/cedarmill/cli/sim.py
+++ b/cedarmill/cli/sim.py
@@ -1,16 +1,16 @@
-"""`cedarmill sim`."""
+"""The command `cedarmill sim`."""
 
 import sys
 
 import click
 
 
-@click.command(epilog="Exit codes: 0 the input has ended; 1 the reader has gone; 2 malformed input.")
+@click.command(epilog="Exit codes: 0 end of input; 1 the reader closed the pipe; 2 malformed input.")
 def sim() -> None:
     """Answer a simulator with the node's decisions.
 
-    It reads batches of events from standard input and writes the actions that a node would take, without
-    sockets and without a clock.
+    The command reads batches of events from standard input and writes the actions that a node would take. It
+    uses neither sockets nor a clock.
 
     \b
     Example:
--- a/tests/cli/test_replica_command.py
+++ b/tests/cli/test_replica_command.py
@@ -1,4 +1,4 @@
-"""`cedarmill replica --init` under its name: what it prints, and that it refuses what would lose a disk."""
+"""`cedarmill replica --init`: output, and refusal to overwrite a formatted data folder."""
 
 from pathlib import Path
 
@@ -6,33 +6,33 @@
 
 from cedarmill.cli import main
 
-FILE = """<keeper version="1" cluster="main" name="r0" listen="127.0.0.1:7100" data="{data}">
+SETTINGS = """<keeper version="1" cluster="main" name="r0" listen="127.0.0.1:7100" data="{data}">
 <peer name="r0" address="127.0.0.1:7100"/></keeper>"""
 
 
-def run(path: Path, *words: str) -> Result:
-    return CliRunner().invoke(main, ["replica", "-c", str(path), *words])
+def run_replica(path: Path, *options: str) -> Result:
+    return CliRunner().invoke(main, ["replica", "-c", str(path), *options])
 
 
-def test_init_formats_an_empty_disk_and_refuses_one_that_holds_something(tmp_path):
-    path, data = tmp_path / "r0.xml", tmp_path / "data"
-    path.write_text(FILE.format(data=data))
-    formatted = run(path, "--init")
+def test_init_formats_an_empty_data_folder_and_refuses_a_formatted_one(tmp_path):
+    settings_path, data = tmp_path / "r0.xml", tmp_path / "data"
+    settings_path.write_text(SETTINGS.format(data=data))
+    formatted = run_replica(settings_path, "--init")
     assert formatted.output == f"{data}: formatted for keeper r0 of cluster main\n"
     assert formatted.exit_code == 0
-    again = run(path, "--init")
-    assert again.exit_code == 2
-    assert str(data) in again.output and again.output.count("\n") == 1
-
-
-def test_a_backup_is_restored_on_an_empty_disk_alone(tmp_path):
-    path = tmp_path / "r0.xml"
-    path.write_text(FILE.format(data=tmp_path / "data"))
-    found = run(path, "--restore", str(tmp_path / "cluster.backup"))
-    assert found.exit_code == 2
-    assert "--restore goes with --init" in found.output
-    torn = tmp_path / "torn.backup"
-    torn.write_bytes(b"torn")
-    found = run(path, "--init", "--restore", str(torn))
-    assert found.exit_code == 2
-    assert str(torn) in found.output and found.output.count("\n") == 1
+    repeated = run_replica(settings_path, "--init")
+    assert repeated.exit_code == 2
+    assert str(data) in repeated.output and repeated.output.count("\n") == 1
+
+
+def test_restore_without_init_and_restore_of_a_torn_backup_are_errors(tmp_path):
+    settings_path = tmp_path / "r0.xml"
+    settings_path.write_text(SETTINGS.format(data=tmp_path / "data"))
+    result = run_replica(settings_path, "--restore", str(tmp_path / "cluster.backup"))
+    assert result.exit_code == 2
+    assert "--restore requires --init" in result.output
+    torn_backup = tmp_path / "torn.backup"
+    torn_backup.write_bytes(b"torn")
+    result = run_replica(settings_path, "--init", "--restore", str(torn_backup))
+    assert result.exit_code == 2
+    assert str(torn_backup) in result.output and result.output.count("\n") == 1
