--- a/cedarmill/cli/cluster/load.py
+++ b/cedarmill/cli/cluster/load.py
@@ -44,10 +44,10 @@
             f"a node without a lease may spend {_decimal(budget['floor'])}"
             f"{'  SHORT: nodes go without' if is_short else ''}"
         )
-        for node, grant in budget["slices"].items():
+        for member, grant in budget["slices"].items():
             excess = grant["counts"] - grant["rate"]
             excess_text = f", and may still spend {_decimal(excess)} more by an older word" if excess else ""
-            yield f"  {node}: {_decimal(grant['rate'])} of {_decimal(grant['want'])} wanted{excess_text}"
+            yield f"  {member}: {_decimal(grant['rate'])} of {_decimal(grant['want'])} wanted{excess_text}"
 
 
 def _admission_lines(admission: View) -> Iterator[str]:
--- a/cedarmill/cli/lab_scale.py
+++ b/cedarmill/cli/lab_scale.py
@@ -60,8 +60,7 @@
     """Measure one node with few and with many executors.
 
     Each run starts one node with emulated executors, discovery and clients, and plays one scenario. CPU
-    time, memory, connections, bytes of endpoint lists and the share served are compared with those at 200
-    executors.
+    time, memory, connections, list bytes and the share served are compared with those at 200 executors.
 
     \b
     Examples:
--- a/tests/cli/test_log_events.py
+++ b/tests/cli/test_log_events.py
@@ -65,7 +65,7 @@
 
 
 def test_the_on_call_page_lists_the_events_of_the_table():
-    """Guards against undocumented events and outdated documentation."""
+    """Guards against undocumented events and outdated descriptions."""
     expected = {
         name: (documented_line(event), logging.getLevelName(event.level), event.fields)
         for name, event in EVENTS.items()
@@ -83,7 +83,7 @@
 
 
 def test_the_translation_page_names_existing_events_lines_and_fields():
-    """Guards operators who update log filters written for an earlier version."""
+    """Guards against a page that misleads operators who update log filters of an earlier version."""
     for old, new, fields, old_line, new_line in table_rows(TRANSLATION_PAGE, 5):
         event = EVENTS[new.strip("`")]
         line = (old_line if new_line == "the same" else new_line).strip("`")
--- a/tests/cli/test_operators_pages.py
+++ b/tests/cli/test_operators_pages.py
@@ -60,7 +60,7 @@
 
 
 def test_glossary_tables_are_in_alphabetical_order():
-    """Guards the lookup of old words."""
+    """Readers look up old words by their first letter."""
     tables: list[list[str]] = []
     for line in (ROOT / "docs/glossary.md").read_text().splitlines():
         if line.startswith("| ---"):
