--- a/cedarmill/cli/health.py
+++ b/cedarmill/cli/health.py
@@ -81,7 +81,7 @@
     reader = AgentReader()
     reply = reader.feed(_read_until_close(sock, deadline)) or reader.close()
     if reply is None:
-        raise ValueError("the connection closed without an answer")
+        raise ValueError("nothing came")
     fields = (
         ("status", reply.status, "its own word on whether it works"),
         ("admin", reply.admin, "whether its owner wants new work there"),
@@ -115,7 +115,7 @@
         response.begin()
         body = response.read(MAX_ANSWER_BYTES)
     except http.client.HTTPException as error:
-        raise ValueError(f"not an HTTP response: {error!r}") from None
+        raise ValueError(f"not HTTP: {error!r}") from None
     headers = {name.lower(): value for name, value in response.getheaders()}
     result = evaluate(Expected(), response.status, headers, body)
     lines = [
