--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -18,7 +18,7 @@
 from cedarmill.lab.load import ClientConnection
 from cedarmill.lab.run import Run
 from cedarmill.lab.scenario import read
-from tests.net.test_node import CutOff
+from tests.net.test_node import UnansweredConnects
 from tests.support.node_case import ROOT, WAIT, NodeCase
 
 
@@ -41,7 +41,7 @@
         return sock
 
 
-class Racing(LeavingCase):
+class CloseRaces(LeavingCase):
     def test_a_client_close_together_with_an_executor_reset_starts_no_late_retry(self):
         """The reset allows a retry of a keyed request and the close forbids it, in both orders."""
         for number in range(40):
@@ -70,7 +70,7 @@
         self.assertEqual(self.executors[0].next_request().headers["X-Call-Id"], f"{client.count:016x}")
 
 
-class HeldByte(LeavingCase):
+class DelayedLastByte(LeavingCase):
     log_format = "json"
 
     def test_a_client_that_closes_before_the_last_byte_wastes_no_work(self):
@@ -94,7 +94,7 @@
         self.assertEqual(event["words"] == "wasted work: nothing", complete_requests == 0)
 
 
-class Kinds(LeavingCase):
+class CancelledAttempts(LeavingCase):
     """Executors of kinds that differ in how an attempt is cancelled."""
 
     def send_and_cancel(self):
@@ -105,7 +105,7 @@
         return request
 
 
-class CancelByHalfClose(Kinds):
+class CancelByHalfClose(CancelledAttempts):
     xml_settings = '<backends><kind name="box" cancel="end"/></backends>'
 
     def test_a_half_close_cancels_the_attempt(self):
@@ -117,7 +117,7 @@
         self.assertEqual(client.answer()[0], 200)
 
 
-class CancelUnsupported(Kinds):
+class CancelUnsupported(CancelledAttempts):
     xml_settings = '<backends><kind name="box" cancel="none"/></backends>'
 
     def test_an_attempt_that_cannot_be_cancelled_keeps_its_connection_until_it_ends(self):
@@ -210,7 +210,7 @@
         self.wait_log("a client's deadline cannot be")
 
 
-class DeadlineBeforeConnectTimeout(CutOff):
+class DeadlineBeforeConnectTimeout(UnansweredConnects):
     settings_changes = {"caps.connect_timeout": 5_000_000, "caps.probes": True}
     test_a_connect_without_an_answer_times_out = None  # That test expects a shorter connect time-out.
 
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -35,7 +35,7 @@
     sock.close()
 
 
-class GoneWhileNothingIsRead(LeavingCase):
+class ClientClosesWhileReadingIsPaused(LeavingCase):
     """A pipelining client, whose socket is not read for now, closes: its attempt must be cancelled."""
 
     def check_cancelled(self, leave) -> None:
@@ -66,7 +66,7 @@
 
         self.check_cancelled(leave)
 
-    def test_a_close_while_the_answer_before_is_not_read(self):
+    def test_a_close_with_an_unread_answer_starts_no_further_request(self):
         """The event loop reports the close only once its write buffer is empty, which may never happen."""
         sock = self.raw_client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -126,7 +126,7 @@
         self.assertIn(client.answer()[0], (200, 503))  # The balancer may wait for the executor to recover.
 
 
-class Ending(LeavingCase):
+class RequestsDuringShutdown(LeavingCase):
     """Requests that are open or arrive while the node handles SIGTERM."""
 
     def stop_accepting(self) -> None:
@@ -161,7 +161,7 @@
         self.assertEqual(read_all(sock).count(b"HTTP/1.1 200"), 2)
         self.assertEqual(self.process.wait(WAIT), 0)
 
-    def test_a_resting_client_that_sends_as_the_node_closes_is_neither_reset_nor_forwarded(self):
+    def test_an_idle_client_that_sends_as_the_node_closes_is_neither_reset_nor_forwarded(self):
         """Closing a socket with unread bytes resets it; a request read after the shutdown must not start."""
         sock = self.raw_client()
         sock.sendall(raw(1))
@@ -188,7 +188,7 @@
         sock.sendall(b"y" * 100_000)
         self.assertTrue(read_all(sock).endswith(b"x" * 1000))
 
-    def test_a_client_that_never_closes_does_not_hold_the_node(self):
+    def test_a_client_that_never_closes_does_not_delay_the_exit(self):
         sock = self.raw_client()
         sock.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
         self.assertIn(b" 200 ", sock.recv(65536))
@@ -207,7 +207,7 @@
                 return number
         raise AssertionError("the node's write buffer did not fill")
 
-    def test_a_slow_reader_gets_its_whole_answer_beside_a_drain(self):
+    def test_a_slow_reader_gets_its_whole_answer_during_a_drain(self):
         """Guards against closing a reader that makes progress; other clients are not delayed by it."""
         slow, stuck = (socket.socket() for _ in range(2))
         for sock in (slow, stuck):
@@ -298,7 +298,7 @@
         self.assertLessEqual(self.forwarded_budget_s(100), 6 - self.unread_s + 0.15)
 
 
-class BoundAtTheEnd(LeavingCase):
+class BacklogAtShutdown(LeavingCase):
     """A node at its session limit stops listening: it accepts the backlog as sessions end."""
 
     sockets = 64
@@ -457,7 +457,7 @@
         self.assertIsNot(second.connection, request.connection)
 
 
-class Full(NodeCase):
+class SessionsUseAllDescriptors(NodeCase):
     """Idle clients use all descriptors available to sessions while discovery is unavailable."""
 
     sockets = 64
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -238,7 +238,7 @@
         self.assertEqual({client.answer()[0] for client in clients}, {200})
 
 
-class Rude(NodeCase):
+class AbusiveClients(NodeCase):
     executor_count = 2
 
     def test_a_duplicate_call_id_of_an_open_request_is_answered_409(self):
@@ -377,7 +377,7 @@
         self.assertEqual(client.answer()[0], 503)
 
 
-class CutOff(NodeCase):
+class UnansweredConnects(NodeCase):
     def setUp(self) -> None:
         """Fill the backlog of the executor's listener, so that further connects get no answer."""
         self.silent = [socket.create_server(("127.0.0.1", 0), backlog=0)]
@@ -583,7 +583,7 @@
         self.assertNotIn("reload", self.process.stderr.read())
 
 
-class Ending(NodeCase):
+class NodeDrain(NodeCase):
     def test_a_drain_answers_open_requests_and_late_ones(self):
         """Requests that arrive up to 0.4 s after SIGTERM are answered before the exit with status 0."""
         active, idle, early, late = (self.client() for _ in range(4))
@@ -608,7 +608,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)
 
 
-class Killing(NodeCase):
+class DrainBeforeKill(NodeCase):
     def test_a_request_late_in_a_drain_is_answered_before_sigkill(self):
         """SIGKILL may come 3.7 s after SIGTERM, which loses a late request that is still unanswered."""
         head = b"POST /api HTTP/1.1\r\nX-Call-Class: issue\r\nX-Budget-Ms: 9000\r\nX-Call-Id: a\r\n"
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -125,7 +125,7 @@
         "docs/design/",
         "net/clients/",
         "Dispatch.withdraw",
-        "test_node.Rude",
+        "test_node.AbusiveClients",
     )
     bad = (
         "core/nowhere.py",
