--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from tests.net.test_client_cancellation import Thousand  # noqa: E402
+from tests.net.test_client_cancellation import MassDisconnect  # noqa: E402
 
 
 def main() -> None:
@@ -22,7 +22,7 @@
     parser.add_argument("--rounds", type=int, default=3)
     ratios = []
     for _ in range(parser.parse_args().rounds):
-        calm_s, leaving_s, left = Thousand().thousand()
+        calm_s, leaving_s, left = MassDisconnect().measure()
         ratios.append(max(leaving_s) / max(calm_s))
         print(f"calm {max(calm_s):.3f} s, while {left} leave {max(leaving_s):.3f} s: {ratios[-1]:.2f}x")
     print(f"median {statistics.median(ratios):.2f}x ({min(ratios):.2f} to {max(ratios):.2f})")
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -22,16 +22,16 @@
 from tests.support.node_case import ROOT, WAIT, NodeCase
 
 
-def raw(number: int, job_class: str = "pin", budget: int = 6000, more: str = "") -> bytes:
-    """Return the bytes of a request; `more` holds further header lines."""
+def raw(number: int, job_class: str = "pin", budget: int = 6000, extra_headers: str = "") -> bytes:
+    """Return the bytes of a request; `extra_headers` holds further header lines."""
     head = (
         f"POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: raw{number}\r\nX-Call-Class: {job_class}\r\n"
-        f"X-Caller: acme\r\nX-Budget-Ms: {budget}\r\n{more}Content-Length: 6\r\n\r\n"
+        f"X-Caller: acme\r\nX-Budget-Ms: {budget}\r\n{extra_headers}Content-Length: 6\r\n\r\n"
     )
     return head.encode() + b"a body"
 
 
-class LeavingCase(NodeCase):
+class RawClientCase(NodeCase):
     """A node with clients that write to a plain socket."""
 
     def raw_client(self) -> socket.socket:
@@ -41,7 +41,7 @@
         return sock
 
 
-class CloseRaces(LeavingCase):
+class CloseRaces(RawClientCase):
     def test_a_client_close_together_with_an_executor_reset_starts_no_late_retry(self):
         """The reset allows a retry of a keyed request and the close forbids it, in both orders."""
         for number in range(40):
@@ -70,7 +70,7 @@
         self.assertEqual(self.executors[0].next_request().headers["X-Call-Id"], f"{client.count:016x}")
 
 
-class DelayedLastByte(LeavingCase):
+class DelayedLastByte(RawClientCase):
     log_format = "json"
 
     def test_a_client_that_closes_before_the_last_byte_wastes_no_work(self):
@@ -94,7 +94,7 @@
         self.assertEqual(event["words"] == "wasted work: nothing", complete_requests == 0)
 
 
-class CancelledAttempts(LeavingCase):
+class CancelledAttempts(RawClientCase):
     """Executors of kinds that differ in how an attempt is cancelled."""
 
     def send_and_cancel(self):
@@ -143,7 +143,7 @@
         self.wait_log("pin left: 1 attempts")
 
 
-class HalfCloseCancels(LeavingCase):
+class HalfCloseCancels(RawClientCase):
     def test_a_half_close_of_the_client_cancels_its_request_by_default(self):
         """Clients of the platform do not half-close a connection that they still read."""
         sock = self.raw_client()
@@ -153,7 +153,7 @@
         self.assertTrue(request.connection.ended.wait(WAIT))
 
 
-class HalfCloseAllowed(LeavingCase):
+class HalfCloseAllowed(RawClientCase):
     xml_settings = '<deadlines half-close="stays"/>'
 
     def test_a_half_closed_client_gets_its_answers_and_is_then_closed(self):
@@ -169,7 +169,7 @@
         self.assertEqual(idle.recv(1), b"")
 
 
-class CancelByRequest(LeavingCase):
+class CancelByRequest(RawClientCase):
     xml_settings = '<deadlines cancel-calls="on"/>'
 
     def test_a_delete_request_cancels_an_open_call_of_its_caller(self):
@@ -188,7 +188,7 @@
         self.assertEqual(first.answer()[0], 200)
 
 
-class DeadlineHeaders(LeavingCase):
+class DeadlineHeaders(RawClientCase):
     xml_settings = ('<deadlines><source header="grpc-timeout"/><source header="x-deadline-unix-ms"/>'
             '<skew bound="50ms"/></deadlines>')  # fmt: skip
 
@@ -235,7 +235,7 @@
         self.assertLess(time.monotonic() - began, 4)
 
 
-class ChainedNodes(LeavingCase):
+class ChainedNodes(RawClientCase):
     """Two nodes in a row: client -> front -> inner -> executor."""
 
     xml_settings = ('<deadlines><margin kind="learned"/></deadlines>'
@@ -309,13 +309,13 @@
     def call_ended(self, call: Call, retry_after: float | None) -> None: ...
 
 
-class Thousand(unittest.TestCase):
+class MassDisconnect(unittest.TestCase):
     def test_a_thousand_clients_that_close_at_once_do_not_block_the_others(self):
         """All closes are read in one loop iteration; `benchmarks/leaving.py` measures the delay."""
-        _, leaving_s, visit_count = self.thousand()
+        _, leaving_s, visit_count = self.measure()
         self.assertEqual((len(leaving_s), visit_count), (75, 1000))
 
-    def thousand(self) -> tuple[list[float], list[float], int]:
+    def measure(self) -> tuple[list[float], list[float], int]:
         """Return durations of regular calls before and during the closes, and how many calls were open."""
         with (
             tempfile.TemporaryDirectory() as folder,
--- a/tests/net/test_client_socket_errors.py
+++ b/tests/net/test_client_socket_errors.py
@@ -100,7 +100,7 @@
                 sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
                 self.addCleanup(sock.close)
                 self.arm("accepted.write_eof", error)
-                sock.sendall(raw(1, more="Connection: close\r\n"))
+                sock.sendall(raw(1, extra_headers="Connection: close\r\n"))
                 self.assertEqual(self.statuses(sock), [200])
                 self.check_node_serves()
 
@@ -133,7 +133,7 @@
                     self.arm(call, "ENOMEM", times)
                     sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
                     self.addCleanup(sock.close)
-                    sock.sendall(raw(1, more="Connection: close\r\n"))
+                    sock.sendall(raw(1, extra_headers="Connection: close\r\n"))
                     self.assertEqual(self.statuses(sock), [status])
                     self.check_node_serves()
 
@@ -164,7 +164,7 @@
         """Guards against a retry for a client that may have disconnected."""
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=WAIT)
         self.addCleanup(sock.close)
-        sock.sendall(raw(1, more="Connection: close\r\n"))
+        sock.sendall(raw(1, extra_headers="Connection: close\r\n"))
         self.wait_for(lambda: any(server.received.qsize() for server in self.executors))
         received = next(server for server in self.executors if server.received.qsize()).next_request()
         self.plan.arm(Fault("poll", "ENOMEM", times=0))
--- a/tests/net/test_endings.py
+++ b/tests/net/test_endings.py
@@ -10,7 +10,7 @@
 import time
 import unittest
 
-from tests.net.test_client_cancellation import LeavingCase, raw
+from tests.net.test_client_cancellation import RawClientCase, raw
 from tests.support.node_case import WAIT, NodeCase
 from tests.support.stand_in_server import ReceivedRequest
 
@@ -35,7 +35,7 @@
     sock.close()
 
 
-class ClientClosesWhileReadingIsPaused(LeavingCase):
+class ClientClosesWhileReadingIsPaused(RawClientCase):
     """A pipelining client, whose socket is not read for now, closes: its attempt must be cancelled."""
 
     def check_cancelled(self, leave) -> None:
@@ -82,7 +82,7 @@
         self.assertTrue(self.executors[0].received.empty())
 
 
-class HeldUp(LeavingCase):
+class HeldUp(RawClientCase):
     """A paused node reads a request after its client has closed: no attempt may start for it."""
 
     def test_a_request_read_together_with_its_close_does_not_start(self):
@@ -126,7 +126,7 @@
         self.assertIn(client.answer()[0], (200, 503))  # The balancer may wait for the executor to recover.
 
 
-class RequestsDuringShutdown(LeavingCase):
+class RequestsDuringShutdown(RawClientCase):
     """Requests that are open or arrive while the node handles SIGTERM."""
 
     def stop_accepting(self) -> None:
@@ -181,7 +181,7 @@
         """Closing a connection with unread input resets it and loses the rest of the answer."""
         sock = self.raw_client()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.sendall(raw(1, more="Connection: close\r\n"))
+        sock.sendall(raw(1, extra_headers="Connection: close\r\n"))
         request = self.executors[0].next_request()
         request.done("x" * 150_000)
         self.wait_for(lambda: select.select([sock], [], [], 0)[0])
@@ -242,7 +242,7 @@
         self.assertEqual(self.process.wait(WAIT), 0)  # The client that reads nothing does not delay the exit.
 
 
-class WaitedUnread(LeavingCase):
+class WaitedUnread(RawClientCase):
     """A budget runs while the request waits unread: the forwarded X-Budget-Ms excludes the wait."""
 
     sockets = 64
@@ -298,7 +298,7 @@
         self.assertLessEqual(self.forwarded_budget_s(100), 6 - self.unread_s + 0.15)
 
 
-class BacklogAtShutdown(LeavingCase):
+class BacklogAtShutdown(RawClientCase):
     """A node at its session limit stops listening: it accepts the backlog as sessions end."""
 
     sockets = 64
--- a/tests/net/test_stalled_clients.py
+++ b/tests/net/test_stalled_clients.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from tests.net.test_client_cancellation import LeavingCase, raw
+from tests.net.test_client_cancellation import RawClientCase, raw
 from tests.support.node_case import WAIT
 
 # A stalled client gets its error or the close between MIN_ERROR_DELAY_S and this time after its last byte.
@@ -15,7 +15,7 @@
 MIN_ERROR_DELAY_S = 2.0
 
 
-class StalledRequests(LeavingCase):
+class StalledRequests(RawClientCase):
     def client_with_served_request(self):
         """Return a connection on which a valid request has been answered."""
         sock = self.raw_client()
@@ -106,7 +106,7 @@
         self.assertIn(b" 200 ", sock.recv(4096))
 
 
-class UnreadResponses(LeavingCase):
+class UnreadResponses(RawClientCase):
     """Clients that leave an incomplete request behind responses that they do not read."""
 
     def client_with_blocked_response(self) -> socket.socket:
@@ -152,7 +152,7 @@
         return any(row[1:3] == endpoints and row[9] != "0" for row in rows)
 
 
-class SessionEviction(LeavingCase):
+class SessionEviction(RawClientCase):
     """At the session limit, sessions that stall in their first request are closed for new connections."""
 
     sockets = 64  # This allows 20 sessions.
