--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -346,7 +346,7 @@
 
 
 class UnknownBootId(ClockStepCase):
-    def arm_first(self) -> None:
+    def arm_initial_faults(self) -> None:
         self.plan.arm(Fault("open", "EACCES", match="boot_id", times=0))
 
     def test_unknown_boot_id_is_logged_and_ages_use_unix_time(self) -> None:
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -653,7 +653,7 @@
         """Before the first endpoint list a node can only refuse requests."""
         config = self.config()
         config["known"]["endpoints"] = []
-        self.end()
+        self.stop_node()
         self.process.stderr.close()
         self.process = self.start(config)
         self.wait_log("serves on")
--- a/tests/net/test_sibling_faults.py
+++ b/tests/net/test_sibling_faults.py
@@ -119,7 +119,7 @@
 class NoFileLocks(TwoProcessesCase):
     """On a file system without locks, a process counts as alive while it writes heartbeats."""
 
-    def arm_first(self) -> None:
+    def arm_initial_faults(self) -> None:
         self.plan.arm(Fault("flock", "ENOLCK", times=0))
 
     def test_processes_count_while_they_write(self):
--- a/tests/net/test_upgrade.py
+++ b/tests/net/test_upgrade.py
@@ -287,7 +287,7 @@
         return self.clock.command(module, *arguments)
 
     def advance_clock(self, span_us: int) -> None:
-        self.clock.move_on(span_us)
+        self.clock.advance(span_us)
 
     def test_slots_occupied_by_the_old_process_are_not_reused_until_its_requests_end(self):
         """Guards against a new process that sends requests to slots which the old one still occupies."""
--- a/tests/support/faulty_node_case.py
+++ b/tests/support/faulty_node_case.py
@@ -15,9 +15,9 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.plan = FaultPlan(folder.name)
-        self.arm_first()
+        self.arm_initial_faults()
 
-    def arm_first(self) -> None:
+    def arm_initial_faults(self) -> None:
         """Arm faults before the node starts; does nothing unless overridden."""
 
     def command(self, module: str, *arguments: str) -> list[str]:
--- a/tests/support/node_case.py
+++ b/tests/support/node_case.py
@@ -55,7 +55,7 @@
         """Start the node and wait until it serves."""
         self.prepare()
         self.process = self.start(self.config())
-        self.addCleanup(self.end)
+        self.addCleanup(self.stop_node)
         self.wait_log("serves on")
         self.port = self.logged_port()
 
@@ -159,7 +159,7 @@
         """Send SIGTERM."""
         self.process.send_signal(signal.SIGTERM)
 
-    def end(self) -> None:
+    def stop_node(self) -> None:
         """Kill the node if it still runs, and check that its log has no traceback."""
         if self.process.poll() is None:
             self.process.kill()
--- a/tests/support/slow_clock.py
+++ b/tests/support/slow_clock.py
@@ -30,7 +30,7 @@
         """Return the command line that runs a module of the program on this clock."""
         return [sys.executable, __file__, self.path, module, *arguments]
 
-    def move_on(self, span_us: int) -> None:
+    def advance(self, span_us: int) -> None:
         """Advance the clock by this time, at once in all processes."""
         self._advanced_ns += span_us * 1000
         with open(self.path, "r+b", buffering=0) as file:
