--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -166,7 +166,7 @@
         still, full = (
             framing.encode_frame(0, GossipUpdate(some, 1 << 40, 1 << 40, 100_000)) for some in ([], reports)
         )
-        mean, low, high = statistics.mean(links), 1e6 / gossip.STILL_US, 1e6 / gossip.TELL_US
+        mean, low, high = statistics.mean(links), 1e6 / gossip.IDLE_SEND_INTERVAL_US, 1e6 / gossip.SEND_INTERVAL_US
         began = time.process_time()
         for _ in range(FRAMES):
             framing.FrameReader().feed(
