--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages for engineers and operators: each path and each member of a class that they name exists."""
+"""Checks of the pages for engineers and operators: named paths and class members exist."""
 
 import ast
 import re
@@ -15,57 +15,59 @@
     *sorted((ROOT / "docs/design").glob("*.md")),
     *sorted((ROOT / "docs/operators").glob("*.md")),
 ]
-QUOTED = re.compile(r"`([^`\n]+)`")
-MODULE = re.compile(r"[\w/.]+\.py")
-MEMBER = re.compile(r"([A-Z]\w+)\.([a-z_]\w*)(?:\(\))?")
-FOLDER = re.compile(r"(?:[a-z]\w*/)+")
+CODE_SPAN = re.compile(r"`([^`\n]+)`")
+MODULE_PATH = re.compile(r"[\w/.]+\.py")
+CLASS_MEMBER = re.compile(r"([A-Z]\w+)\.([a-z_]\w*)(?:\(\))?")
+FOLDER_PATH = re.compile(r"(?:[a-z]\w*/)+")
 TEST_CLASS = re.compile(r"(test_\w+)\.([A-Z]\w+)")
-CODE = ("cedarmill", "tests", "benchmarks", "example", "tools")
+CODE_FOLDERS = ("cedarmill", "tests", "benchmarks", "example", "tools")
 
 
 @cache
 def modules() -> frozenset[str]:
-    """All modules, as paths from the root."""
-    return frozenset(str(path.relative_to(ROOT)) for name in CODE for path in (ROOT / name).rglob("*.py"))
+    """Return the paths of all modules, relative to the repository root."""
+    return frozenset(
+        str(path.relative_to(ROOT)) for name in CODE_FOLDERS for path in (ROOT / name).rglob("*.py")
+    )
 
 
 def module_exists(name: str) -> bool:
-    """A path from the root or from the package; a bare file name may be of any folder."""
+    """Return whether a module exists: a path from the root or the package, or a bare name in any folder."""
     if "/" in name:
         return name in modules() or f"cedarmill/{name}" in modules()
     return any(Path(path).name == name for path in modules())
 
 
 def folder_exists(name: str) -> bool:
-    """A path from the root or from the package; a bare folder name may be anywhere in the package."""
+    """Return whether a folder exists: a path from the root or the package, or a bare name in the package."""
     if name.count("/") == 1 and any(path.is_dir() for path in (ROOT / "cedarmill").rglob(name[:-1])):
         return True
     return (ROOT / name).is_dir() or (ROOT / "cedarmill" / name).is_dir()
 
 
 @cache
-def members() -> dict[str, set[str]]:
-    """Members of each class: methods, fields, attributes set on self, and names of its bases' members."""
-    found: dict[str, set[str]] = {}
+def class_members() -> dict[str, set[str]]:
+    """Return the members of each class: methods, fields, attributes set on self, and inherited members."""
+    members: dict[str, set[str]] = {}
     bases: dict[str, set[str]] = {}
     for path in modules():
         for node in ast.walk(ast.parse((ROOT / path).read_text())):
             if isinstance(node, ast.ClassDef):
-                found.setdefault(node.name, set()).update(names_set_in(node))
+                members.setdefault(node.name, set()).update(defined_members(node))
                 bases.setdefault(node.name, set()).update(map(ast.unparse, node.bases))
-    for name in found:
-        pending, known = list(bases[name]), {name}
+    for name in members:
+        pending, visited = list(bases[name]), {name}
         while pending:
             base = pending.pop().split(".")[-1]
-            if base in found and base not in known:
-                known.add(base)
-                found[name] |= found[base]
+            if base in members and base not in visited:
+                visited.add(base)
+                members[name] |= members[base]
                 pending += bases[base]
-    return found
+    return members
 
 
-def names_set_in(definition: ast.ClassDef) -> set[str]:
-    """Names of the class body (methods, fields, constants), and attributes assigned on self."""
+def defined_members(definition: ast.ClassDef) -> set[str]:
+    """Return the names defined in a class body, and the attributes assigned on self."""
     names = set()
     for node in definition.body:
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
@@ -76,50 +78,50 @@
                 name.id for target in targets for name in ast.walk(target) if isinstance(name, ast.Name)
             }
     for node in ast.walk(definition):
-        stored = isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Store)
-        if stored and ast.unparse(node.value) == "self":
+        is_assigned = isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Store)
+        if is_assigned and ast.unparse(node.value) == "self":
             names.add(node.attr)
     return names
 
 
-def missing(text: str) -> list[str]:
-    """What a page names between backticks and nothing in the tree bears."""
-    lost = []
-    for quoted in QUOTED.findall(text):
-        if MODULE.fullmatch(quoted):
-            exists = module_exists(quoted)
-        elif FOLDER.fullmatch(quoted):
-            exists = folder_exists(quoted)
-        elif match := MEMBER.fullmatch(quoted):
-            exists = match[2] in members().get(match[1], ())
-        elif match := TEST_CLASS.fullmatch(quoted):
-            exists = module_exists(f"{match[1]}.py") and match[2] in members()
+def missing_names(text: str) -> list[str]:
+    """Return the paths and members in code spans of a page that do not exist in the repository."""
+    missing = []
+    for code_span in CODE_SPAN.findall(text):
+        if MODULE_PATH.fullmatch(code_span):
+            exists = module_exists(code_span)
+        elif FOLDER_PATH.fullmatch(code_span):
+            exists = folder_exists(code_span)
+        elif match := CLASS_MEMBER.fullmatch(code_span):
+            exists = match[2] in class_members().get(match[1], ())
+        elif match := TEST_CLASS.fullmatch(code_span):
+            exists = module_exists(f"{match[1]}.py") and match[2] in class_members()
         else:
             continue
         if not exists:
-            lost.append(quoted)
-    return lost
+            missing.append(code_span)
+    return missing
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
-def test_modules_and_members_that_a_page_names_exist(page):
-    assert missing(page.read_text()) == []
+def test_page_names_only_existing_modules_folders_and_members(page):
+    assert missing_names(page.read_text()) == []
 
 
-ENGINEERS_PAGES = [page for page in PAGES if page.parent.name != "operators"]  # tests/cli holds those
+# tests/cli/test_operators_pages.py checks the words of the operators' pages.
+ENGINEERS_PAGES = [page for page in PAGES if page.parent.name != "operators"]
 
 
 @pytest.mark.parametrize("page", ENGINEERS_PAGES, ids=lambda page: str(page.relative_to(ROOT)))
-def test_a_page_uses_no_withdrawn_word_but_in_quotations(page):
-    """Names of files, calls and XML stand between backticks; what the words meant is the glossary's."""
+def test_page_uses_no_withdrawn_word_outside_code(page):
+    """Code spans, code blocks and link targets may hold withdrawn words, as names of files and XML do."""
     words = set(tomllib.loads((ROOT / "tools/readability.toml").read_text())["withdrawn_words"])
     text = re.sub(r"```.*?```|`[^`]*`|\]\([^)]*\)", " ", page.read_text(), flags=re.DOTALL)
     assert sorted(words & set(re.findall(r"[a-z]+", text.lower()))) == []
 
 
-def test_a_planted_path_or_member_is_found():
-    """The check itself: what stands is passed over, what does not is named."""
-    good = (
+def test_missing_names_returns_exactly_the_names_that_do_not_exist():
+    existing = (
         "core/dispatch.py",
         "dispatch.py",
         "docs/design/",
@@ -127,7 +129,7 @@
         "Dispatch.withdraw",
         "test_node.Rude",
     )
-    bad = (
+    nonexistent = (
         "core/nowhere.py",
         "nowhere.py",
         "net/nowhere/",
@@ -135,5 +137,5 @@
         "Nobody.withdraw",
         "test_node.Nobody",
     )
-    assert missing(" ".join(f"`{name}`" for name in good)) == []
-    assert missing(" ".join(f"`{name}`" for name in good + bad)) == list(bad)
+    assert missing_names(" ".join(f"`{name}`" for name in existing)) == []
+    assert missing_names(" ".join(f"`{name}`" for name in existing + nonexistent)) == list(nonexistent)
--- a/tools/readability.py
+++ b/tools/readability.py
@@ -1,9 +1,9 @@
-"""Measure how the packages and the tests read, and hold them to the bounds that they have reached.
+"""Measure the readability of packages and tests, and check it against the bounds in tools/readability.toml.
 
 `python tools/readability.py` prints a table by package: lines, longest module, longest function, public
-items with a docstring, withdrawn words left (`docs/glossary.md` explains them). Of the tests it measures
-lines, the longest helper (a function that is no test) and withdrawn words. With `--check` it exits with 1
-where a package or the tests are over a bound in `tools/readability.toml`; a bound may only be lowered.
+items with a docstring, and withdrawn words (`docs/glossary.md` lists their replacements). For the tests it
+prints lines, the longest helper (a function that is not a test) and withdrawn words. With `--check` it exits
+with 1 if a package or the tests exceed a bound. A bound may only be lowered.
 """
 
 import argparse
@@ -28,8 +28,8 @@
 
 
 @dataclass
-class PackageFigures:
-    """What was measured of one package."""
+class PackageMetrics:
+    """Readability metrics of one package."""
 
     lines: int = 0
     longest_module: int = 0  # lines
@@ -40,13 +40,13 @@
 
     @property
     def undocumented(self) -> int:
-        """Public items without a docstring."""
+        """Return the number of public items without a docstring."""
         return self.public_items - self.documented
 
 
 @dataclass
-class TestFigures:
-    """What was measured of the tests."""
+class TestMetrics:
+    """Readability metrics of the tests."""
 
     lines: int = 0
     longest_helper: int = 0  # lines
@@ -55,8 +55,8 @@
 
 
 def count_withdrawn(text: str, words: frozenset[str]) -> Counter[str]:
-    """Withdrawn words among the names, comments and docstrings of a module; other strings are data."""
-    found: Counter[str] = Counter()
+    """Count withdrawn words in the names, comments and docstrings of a module, but not in other strings."""
+    counts: Counter[str] = Counter()
     for token in tokenize.generate_tokens(io.StringIO(text).readline):
         if token.type == tokenize.NAME:
             parts = NAME_PART.findall(token.string)
@@ -64,12 +64,12 @@
             parts = PROSE_WORD.findall(token.string)
         else:
             continue
-        found.update(part.lower() for part in parts if part.lower() in words)
-    return found
+        counts.update(part.lower() for part in parts if part.lower() in words)
+    return counts
 
 
 def _is_docstring(token: tokenize.TokenInfo) -> bool:
-    """Whether a string token stands alone on its line, in three quotation marks."""
+    """Return whether a token is a triple-quoted string at the start of its line."""
     return (
         token.type == tokenize.STRING
         and token.string.startswith('"""')
@@ -77,25 +77,25 @@
     )
 
 
-def measure_module(path: Path, words: frozenset[str], figures: PackageFigures) -> None:
-    """Add one module to its package's figures."""
+def measure_module(path: Path, words: frozenset[str], metrics: PackageMetrics) -> None:
+    """Add the metrics of one module to those of its package."""
     text = path.read_text()
     tree = ast.parse(text)
     lines = text.count("\n")
-    figures.lines += lines
-    figures.longest_module = max(figures.longest_module, lines)
+    metrics.lines += lines
+    metrics.longest_module = max(metrics.longest_module, lines)
     for node in ast.walk(tree):
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
             length = (node.end_lineno or node.lineno) - node.lineno + 1
-            figures.longest_function = max(figures.longest_function, length)
-    for documented in public_items(tree):
-        figures.public_items += 1
-        figures.documented += documented
-    figures.withdrawn += count_withdrawn(text, words)
+            metrics.longest_function = max(metrics.longest_function, length)
+    for has_docstring in public_items(tree):
+        metrics.public_items += 1
+        metrics.documented += has_docstring
+    metrics.withdrawn += count_withdrawn(text, words)
 
 
 def public_items(tree: ast.Module) -> Iterator[bool]:
-    """For the module, and each public class, function and method: whether it has a docstring."""
+    """Yield for the module and each public class, function and method whether it has a docstring."""
     yield bool(ast.get_docstring(tree))
     pending: list[ast.AST] = list(tree.body)
     while pending:
@@ -107,44 +107,44 @@
             pending += node.body
 
 
-def packages() -> dict[str, list[Path]]:
-    """The modules of each package of the first level; those beside the packages count as `.`."""
-    found: dict[str, list[Path]] = {}
+def modules_by_package() -> dict[str, list[Path]]:
+    """Return the modules of each top-level package; modules outside of these packages belong to `.`."""
+    modules: dict[str, list[Path]] = {}
     for path in sorted(PACKAGE.rglob("*.py")):
         parts = path.relative_to(PACKAGE).parts
-        found.setdefault(parts[0] if len(parts) > 1 else ".", []).append(path)
-    return found
+        modules.setdefault(parts[0] if len(parts) > 1 else ".", []).append(path)
+    return modules
 
 
-def measure(words: frozenset[str]) -> dict[str, PackageFigures]:
-    """The figures of each package."""
-    result = {}
-    for name, paths in packages().items():
-        result[name] = PackageFigures()
+def measure_packages(words: frozenset[str]) -> dict[str, PackageMetrics]:
+    """Return the metrics of each package."""
+    measured = {}
+    for name, paths in modules_by_package().items():
+        measured[name] = PackageMetrics()
         for path in paths:
-            measure_module(path, words, result[name])
-    return result
+            measure_module(path, words, measured[name])
+    return measured
 
 
-def measure_tests(words: frozenset[str], folder: Path = TESTS) -> TestFigures:
-    """The figures of all modules under the tests' folder."""
-    figures = TestFigures()
+def measure_tests(words: frozenset[str], folder: Path = TESTS) -> TestMetrics:
+    """Return the metrics of all modules in the test folder."""
+    metrics = TestMetrics()
     for path in sorted(folder.rglob("*.py")):
         text = path.read_text()
-        figures.lines += text.count("\n")
-        figures.withdrawn += count_withdrawn(text, words)
+        metrics.lines += text.count("\n")
+        metrics.withdrawn += count_withdrawn(text, words)
         for node in ast.walk(ast.parse(text)):
             if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef) and not node.name.startswith("test_"):
                 length = (node.end_lineno or node.lineno) - node.lineno + 1
-                if length > figures.longest_helper:
-                    figures.longest_helper = length
-                    figures.longest_helper_name = f"{path.relative_to(folder)}: {node.name}"
-    return figures
+                if length > metrics.longest_helper:
+                    metrics.longest_helper = length
+                    metrics.longest_helper_name = f"{path.relative_to(folder)}: {node.name}"
+    return metrics
 
 
-def breaches_of_tests(figures: TestFigures, bounds: dict[str, int]) -> list[str]:
-    """One line for each bound that the tests are over."""
-    values = {"longest_helper": figures.longest_helper, "withdrawn": figures.withdrawn.total()}
+def exceeded_test_bounds(metrics: TestMetrics, bounds: dict[str, int]) -> list[str]:
+    """Return one message for each bound that the tests exceed."""
+    values = {"longest_helper": metrics.longest_helper, "withdrawn": metrics.withdrawn.total()}
     return [
         f"tests: {key} is {value}, at most {bounds[key]} is allowed"
         for key, value in values.items()
@@ -152,51 +152,53 @@
     ]
 
 
-def breaches(measured: dict[str, PackageFigures], bounds: dict[str, dict[str, int]]) -> list[str]:
-    """One line for each bound that a package is over, and for each package without bounds."""
-    lines = []
-    for name, figures in measured.items():
+def exceeded_bounds(measured: dict[str, PackageMetrics], bounds: dict[str, dict[str, int]]) -> list[str]:
+    """Return one message for each bound that a package exceeds, and for each package without bounds."""
+    messages = []
+    for name, metrics in measured.items():
         if name not in bounds:
-            lines.append(f"{name}: has no bounds in {BOUNDS.name}")
+            messages.append(f"{name}: has no bounds in {BOUNDS.name}")
             continue
         values = {
-            "longest_module": figures.longest_module,
-            "longest_function": figures.longest_function,
-            "undocumented": figures.undocumented,
-            "withdrawn": figures.withdrawn.total(),
+            "longest_module": metrics.longest_module,
+            "longest_function": metrics.longest_function,
+            "undocumented": metrics.undocumented,
+            "withdrawn": metrics.withdrawn.total(),
         }
         for key, value in values.items():
             if value > bounds[name][key]:
-                lines.append(f"{name}: {key} is {value}, at most {bounds[name][key]} is allowed")
-    return lines
+                messages.append(f"{name}: {key} is {value}, at most {bounds[name][key]} is allowed")
+    return messages
 
 
 def main() -> int:
-    """Print the table; the exit code."""
+    """Print the table and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--check", action="store_true", help="exit with 1 where a package is over a bound")
+    parser.add_argument(
+        "--check", action="store_true", help="exit with 1 if a package or the tests exceed a bound"
+    )
     parser.add_argument(
         "--words", metavar="PACKAGE", help="also print the withdrawn words of this package, or of `tests`"
     )
     options = parser.parse_args()
     settings = tomllib.loads(BOUNDS.read_text())
     words = frozenset(settings["withdrawn_words"])
-    measured = measure(words)
+    measured = measure_packages(words)
     print("| package | lines | longest module | longest function | documented | withdrawn words |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for name, figures in measured.items():
-        documented = f"{figures.documented} of {figures.public_items}"
-        cells = (name, figures.lines, figures.longest_module, figures.longest_function, documented)
-        print(f"| {' | '.join(map(str, cells))} | {figures.withdrawn.total()} |")
+    for name, metrics in measured.items():
+        documented = f"{metrics.documented} of {metrics.public_items}"
+        cells = (name, metrics.lines, metrics.longest_module, metrics.longest_function, documented)
+        print(f"| {' | '.join(map(str, cells))} | {metrics.withdrawn.total()} |")
     tests = measure_tests(words)
-    helper = f"longest helper {tests.longest_helper} lines ({tests.longest_helper_name})"
-    print(f"\ntests: {tests.lines} lines, {helper}, {tests.withdrawn.total()} withdrawn words")
-    withdrawn = {name: figures.withdrawn for name, figures in measured.items()} | {"tests": tests.withdrawn}
+    helper_text = f"longest helper {tests.longest_helper} lines ({tests.longest_helper_name})"
+    print(f"\ntests: {tests.lines} lines, {helper_text}, {tests.withdrawn.total()} withdrawn words")
+    withdrawn = {name: metrics.withdrawn for name, metrics in measured.items()} | {"tests": tests.withdrawn}
     if options.words in withdrawn:
         print(*(f"{word}: {count}" for word, count in withdrawn[options.words].most_common()), sep="\n")
-    found = breaches(measured, settings["bounds"]) + breaches_of_tests(tests, settings["tests"])
-    print(*found, sep="\n", end="\n" if found else "")
-    return 1 if options.check and found else 0
+    messages = exceeded_bounds(measured, settings["bounds"]) + exceeded_test_bounds(tests, settings["tests"])
+    print(*messages, sep="\n", end="\n" if messages else "")
+    return 1 if options.check and messages else 0
 
 
 if __name__ == "__main__":
