--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -108,8 +108,8 @@
     for row, nodes in zip(grid, sizes, strict=True):
         for axes, (title, name) in zip(row, PLOTTED_FIELDS.items(), strict=True):
             for policy in POLICIES:
-                runs = [results[f"{nodes} nodes, load {load:g}", policy] for load in PEAK_LOADS]
-                values = [statistics.mean(getattr(run, name) for run in seeds) for seeds in runs]
+                runs_by_load = [results[f"{nodes} nodes, load {load:g}", policy] for load in PEAK_LOADS]
+                values = [statistics.mean(getattr(run, name) for run in runs) for runs in runs_by_load]
                 axes.plot(PEAK_LOADS, values, marker="o", label=policy)
             axes.set_title(f"{title}, {nodes} nodes")
             axes.set_xlabel("load / slots")
@@ -135,7 +135,7 @@
             print(f"{name}, {policy}: {_format_results(results[name, policy])}", flush=True)
 
 
-def measure_metastable_load(seeds: int) -> None:
+def measure_recovery_by_load(seeds: int) -> None:
     """Print whether policies recover from five seconds of load at twice the slots, by base load."""
     tasks = [
         (f"load {load:g}", policy, OverloadSetup(normal=load, fixed_queue_slots=20.0, length=60.0), seed)
@@ -242,7 +242,7 @@
     if "incidents" in args.only:
         compare_incidents(args.seeds)
     if "outlives" in args.only:
-        measure_metastable_load(args.seeds)
+        measure_recovery_by_load(args.seeds)
     if "size" in args.only:
         measure_gossip_size()
     if "budgets" in args.only:
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -63,8 +63,9 @@
             if policy == "agreed" and (invariants := violations(result, INCIDENTS[name])):
                 failures.append(f"{name} seed {seed}: {', '.join(invariants)}")
     print(
-        "incident, policy: served; served of the possible in the steady phase; sent to another zone without "
-        "need; longest overload (s); zones overloaded; highest load; settling time (s); status changes"
+        "incident, policy: share served; share of the possible served in the steady phase; share sent to "
+        "another zone without need; longest overload (s); collapsed zones; highest load; settling time (s); "
+        "zone status changes"
     )
     for name in INCIDENTS:
         for policy in POLICIES:
@@ -124,9 +125,9 @@
             began = time.monotonic()
             result = play(name, seed, policy, setup)
             print(
-                f"{name}, {policy}: served {result.served:.3f}, served in the steady phase "
+                f"{name}, {policy}: served {result.served:.3f}, steady phase "
                 f"{result.steady:.3f}, sent to another zone without need {result.crossed:.3f}, longest "
-                f"overload {result.overload_time} s, zones overloaded {result.zones_fallen}, settling time "
+                f"overload {result.overload_time} s, collapsed zones {result.zones_fallen}, settling time "
                 f"{result.settled} s, simulated in {time.monotonic() - began:.0f} s",
                 flush=True,
             )
