--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -67,7 +67,7 @@
             sealed_document.age_us(WRITTEN, ClockReading(5_000_000, 31_000_700, "boot-1"), MAX_AGE_US)
 
     def test_document_from_before_the_last_boot_is_rejected(self):
-        with self.assertRaisesRegex(ValueError, "last start"):
+        with self.assertRaisesRegex(ValueError, "last boot"):
             sealed_document.age_us(WRITTEN, ClockReading(5_000_000, 700, "boot-2"), MAX_AGE_US)
 
     def test_newest_of_two_documents_is_chosen_by_the_monotonic_clock(self):
