--- a/cedarmill/cluster/raft/actions.py
+++ b/cedarmill/cluster/raft/actions.py
@@ -26,7 +26,7 @@
     """Write the current term and the candidate that this replica voted for in that term."""
 
     term: int
-    vote: str
+    voted_for: str
 
 
 class PersistEntries(msgspec.Struct, frozen=True):
--- a/cedarmill/cluster/raft/configuration.py
+++ b/cedarmill/cluster/raft/configuration.py
@@ -37,7 +37,7 @@
     @property
     def voters(self) -> list[str]:
         """Names of the voters."""
-        return [name for name, peer in self.peers.items() if peer.voter]
+        return [name for name, peer in self.peers.items() if peer.is_voter]
 
     @property
     def other_replicas(self) -> list[str]:
@@ -52,14 +52,14 @@
     @property
     def is_voter(self) -> bool:
         """Whether this replica is a voter."""
-        return self._own_name in self.peers and self.peers[self._own_name].voter
+        return self._own_name in self.peers and self.peers[self._own_name].is_voter
 
     def is_majority(self, names: Collection[str]) -> bool:
         """Return whether `names` include a majority of the voters."""
         voters = self.voters
         return 2 * sum(name in names for name in voters) > len(voters)
 
-    def reached_by_majority(self, own_value: int, value_of: Callable[[str], int]) -> int:
+    def majority_value(self, own_value: int, value_of: Callable[[str], int]) -> int:
         """Return the highest value that a majority of the voters has reached, given at least one voter.
 
         `own_value` is the value of this replica, and `value_of` returns the value of another voter.
--- a/cedarmill/cluster/raft/election.py
+++ b/cedarmill/cluster/raft/election.py
@@ -116,7 +116,7 @@
     def _has_live_leader(self, now: int) -> bool:
         """Return whether a leader made contact within the election timeout, or this replica leads (4.2.3)."""
         state = self._state
-        return now - state.last_leader_contact < state.timing.election_timeout or state.leads(now)
+        return now - state.last_leader_contact < state.timing.election_timeout or state.is_leading(now)
 
     def _may_vote_for(self, message: RequestVote) -> bool:
         """Return whether the candidate's log is at least as up to date as this replica's log (3.6.1).
@@ -135,7 +135,9 @@
         if message.term > state.term:
             state.become_follower(now, message.term, NO_REPLICA)
         granted = (
-            message.term == state.term and state.vote in (NO_REPLICA, source) and self._may_vote_for(message)
+            message.term == state.term
+            and state.voted_for in (NO_REPLICA, source)
+            and self._may_vote_for(message)
         )
         if granted:
             state.set_term_and_vote(state.term, source)
--- a/cedarmill/cluster/raft/membership.py
+++ b/cedarmill/cluster/raft/membership.py
@@ -43,7 +43,7 @@
             return RejectionReason.CHANGE_PENDING
         if not state.has_committed_in_term:
             return RejectionReason.TERM_NOT_COMMITTED
-        if not any(peer.voter for peer in peers.values()):
+        if not any(peer.is_voter for peer in peers.values()):
             return RejectionReason.NO_VOTER_LEFT
         return None
 
@@ -51,7 +51,7 @@
         """Promote a non-voter to voter once its log is close to the leader's log (thesis, 4.2.1)."""
         state = self._state
         peer = state.cluster.peers.get(name)
-        if peer is None or peer.voter or state.cluster.index > state.commit_index:
+        if peer is None or peer.is_voter or state.cluster.index > state.commit_index:
             return
         progress = state.leader_state.progress.get(name)
         if progress is None or progress.match_index + MAX_PROMOTION_LAG < state.log.last_index:
--- a/cedarmill/cluster/raft/messages.py
+++ b/cedarmill/cluster/raft/messages.py
@@ -38,7 +38,7 @@
     """
 
     address: str
-    voter: bool = True
+    is_voter: bool = True
     disk: str = ""
 
 
--- a/cedarmill/cluster/raft/node.py
+++ b/cedarmill/cluster/raft/node.py
@@ -59,9 +59,9 @@
         self.name = name
         self.state = NodeState(name, persistent, now, seed, timing or Timing())
         self._membership = MembershipChanges(self.state)
-        self._reads = ReadIndex(self.state)
+        self._read_index = ReadIndex(self.state)
         self._transfer = LeadershipTransfer(self.state)
-        self._replicator = Replicator(self.state, self._membership, self._reads, self._transfer)
+        self._replicator = Replicator(self.state, self._membership, self._read_index, self._transfer)
         self._entries_receiver = EntriesReceiver(self.state)
         self._snapshot_receiver = SnapshotReceiver(self.state)
         self._election = Election(self.state, self._replicator)
@@ -70,7 +70,7 @@
 
     @property
     def role(self) -> Role:
-        """Current role; a leader that has been superseded may still have the role LEADER, see `leads`."""
+        """Current role; a leader that was superseded may still have the role LEADER, see `is_leading`."""
         return self.state.role
 
     @property
@@ -126,9 +126,9 @@
         """Replication progress of each follower; empty unless this replica is the leader."""
         return self.state.leader_state.progress
 
-    def leads(self, now: int) -> bool:
+    def is_leading(self, now: int) -> bool:
         """Return whether this replica is the leader and has been in contact with a majority recently."""
-        return self.state.leads(now)
+        return self.state.is_leading(now)
 
     # Events.
 
@@ -136,7 +136,7 @@
         """Handle an event and return the resulting actions in the order to carry them out."""
         state = self.state
         state.actions = []
-        if state.role is Role.LEADER and state.lost_quorum_contact(now):
+        if state.role is Role.LEADER and state.has_lost_quorum_contact(now):
             state.become_follower(now, state.term, NO_REPLICA)
         self._route(now, event)
         return state.actions
@@ -208,7 +208,7 @@
         Only a leader that is not transferring its leadership accepts proposals.
         """
         state = self.state
-        if not state.leads(now):
+        if not state.is_leading(now):
             state.emit(RequestRejected(token, RejectionReason.NOT_LEADER, state.leader))
             return False
         target = state.leader_state.transfer_target
@@ -218,6 +218,6 @@
         return True
 
     def _on_confirm_leadership(self, now: int, event: ConfirmLeadership) -> None:
-        is_registered = self._reads.register(now, event)
+        is_registered = self._read_index.register(now, event)
         if is_registered and len(self.voters) == 1:
             self._replicator.send_heartbeats(now)  # A single voter confirms the read without replies.
--- a/cedarmill/cluster/raft/reads.py
+++ b/cedarmill/cluster/raft/reads.py
@@ -17,7 +17,7 @@
         Reject the read and return False if this replica is not the leader.
         """
         state = self._state
-        if not state.leads(now):
+        if not state.is_leading(now):
             state.emit(RequestRejected(event.token, RejectionReason.NOT_LEADER, state.leader))
             return False
         next_round = state.leader_state.heartbeat_round + 1
@@ -26,7 +26,7 @@
             state.deadline = now
         return True
 
-    def answer_confirmed(self) -> None:
+    def confirm_reads(self) -> None:
         """Confirm the reads whose heartbeat round a majority has answered.
 
         No read is confirmed before an entry of the current term is committed.
@@ -34,7 +34,7 @@
         state, leader_state = self._state, self._state.leader_state
         if not state.has_committed_in_term:
             return
-        confirmed_round = state.cluster.reached_by_majority(
+        confirmed_round = state.cluster.majority_value(
             leader_state.heartbeat_round, leader_state.heartbeat_round_of
         )
         pending = leader_state.pending_reads
--- a/cedarmill/cluster/raft/replication.py
+++ b/cedarmill/cluster/raft/replication.py
@@ -25,11 +25,15 @@
     """Leader side of replication: sends the log to followers and commits entries persisted by a majority."""
 
     def __init__(
-        self, state: NodeState, membership: MembershipChanges, reads: ReadIndex, transfer: LeadershipTransfer
+        self,
+        state: NodeState,
+        membership: MembershipChanges,
+        read_index: ReadIndex,
+        transfer: LeadershipTransfer,
     ) -> None:
         self._state = state
         self._membership = membership
-        self._reads = reads
+        self._read_index = read_index
         self._transfer = transfer
         self._snapshot_sender = SnapshotSender(state)
 
@@ -162,7 +166,7 @@
         state, leader_state = self._state, self._state.leader_state
         if not state.cluster.voters:
             return
-        confirmed_round = state.cluster.reached_by_majority(
+        confirmed_round = state.cluster.majority_value(
             leader_state.heartbeat_round, leader_state.heartbeat_round_of
         )
         sent_at = leader_state.heartbeats_sent_at
@@ -170,10 +174,10 @@
             leader_state.quorum_confirmed_at = max(leader_state.quorum_confirmed_at, sent_at[confirmed_round])
         for heartbeat_round in [sent_round for sent_round in sent_at if sent_round <= confirmed_round]:
             del sent_at[heartbeat_round]
-        if state.lost_quorum_contact(now):
+        if state.has_lost_quorum_contact(now):
             state.become_follower(now, state.term, NO_REPLICA)
             return
-        self._reads.answer_confirmed()
+        self._read_index.confirm_reads()
 
     # Commit.
 
@@ -182,10 +186,10 @@
         state = self._state
         if not state.cluster.voters:
             return
-        index = state.cluster.reached_by_majority(state.persisted_index, state.leader_state.match_index_of)
+        index = state.cluster.majority_value(state.persisted_index, state.leader_state.match_index_of)
         if index > state.commit_index and state.log.term(index) == state.term:
             state.commit_up_to(index)
-            self._reads.answer_confirmed()
+            self._read_index.confirm_reads()
             self._step_down_if_removed(now)
 
     def _step_down_if_removed(self, now: int) -> None:
--- a/cedarmill/cluster/raft/state.py
+++ b/cedarmill/cluster/raft/state.py
@@ -46,7 +46,7 @@
     """
 
     term: int
-    vote: str
+    voted_for: str
     snapshot: Snapshot
     entries: tuple[Entry, ...] = ()
     needs_catch_up: bool = False
@@ -95,7 +95,7 @@
         self.name = name
         self.timing = timing
         self.term = persistent.term
-        self.vote = persistent.vote
+        self.voted_for = persistent.voted_for
         self.needs_catch_up = persistent.needs_catch_up
         self.log = Log(persistent.snapshot, persistent.entries)
         self.cluster = ClusterConfiguration(name, self.log)
@@ -126,22 +126,22 @@
             now + self.timing.election_timeout + self._random.randrange(self.timing.election_timeout)
         )
 
-    def lost_quorum_contact(self, now: int) -> bool:
+    def has_lost_quorum_contact(self, now: int) -> bool:
         """Return whether a majority has been silent so long that another leader may be elected (6.2)."""
         elapsed = now - self.leader_state.quorum_confirmed_at
         return elapsed > self.timing.election_timeout and len(self.cluster.voters) > 1
 
-    def leads(self, now: int) -> bool:
+    def is_leading(self, now: int) -> bool:
         """Return whether this replica is the leader and has not lost contact with a majority."""
-        return self.role is Role.LEADER and not self.lost_quorum_contact(now)
+        return self.role is Role.LEADER and not self.has_lost_quorum_contact(now)
 
     # Term, vote and role.
 
-    def set_term_and_vote(self, term: int, vote: str) -> None:
+    def set_term_and_vote(self, term: int, voted_for: str) -> None:
         """Set the term and the vote, and persist them if they change."""
-        if (term, vote) != (self.term, self.vote):
-            self.term, self.vote = term, vote
-            self.emit(PersistTermAndVote(term, vote))
+        if (term, voted_for) != (self.term, self.voted_for):
+            self.term, self.voted_for = term, voted_for
+            self.emit(PersistTermAndVote(term, voted_for))
 
     def change_role(self, role: Role) -> None:
         """Change the role; raise InvalidTransition if the change is not allowed."""
--- a/cedarmill/cluster/raft/transfer.py
+++ b/cedarmill/cluster/raft/transfer.py
@@ -20,7 +20,7 @@
     def start(self, now: int, event: TransferLeadership) -> None:
         """Start a transfer; do nothing if this replica does not lead or there is no eligible target."""
         state, leader_state = self._state, self._state.leader_state
-        if not state.leads(now):
+        if not state.is_leading(now):
             return
         candidates = [name for name in state.cluster.other_voters if name in leader_state.progress]
         target = event.target or max(candidates, key=leader_state.match_index_of, default="")
--- a/cedarmill/cluster/replica.py
+++ b/cedarmill/cluster/replica.py
@@ -139,7 +139,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether the replica has the leader role; `raft.leads(now)` also excludes an outdated leader."""
+        """Whether the replica has the leader role; `raft.is_leading(now)` excludes an outdated leader."""
         return self.raft.role.value == "leader"
 
     def cluster_time(self, now: int) -> int:
@@ -162,7 +162,7 @@
 
     def take_actions(self, now: int) -> Actions:
         """Run the due leader duties, and return all queued actions; called at the end of each event."""
-        if self.is_leader and self.duties.is_due(now) and self.raft.leads(now):
+        if self.is_leader and self.duties.is_due(now) and self.raft.is_leading(now):
             self._proposed_keys.clear()
             self.duties.carry_out(now)
         log = self.raft.log
--- a/cedarmill/cluster/request_router.py
+++ b/cedarmill/cluster/request_router.py
@@ -47,7 +47,7 @@
         """Handle a request if this replica is the leader, or else forward it to the leader."""
         if isinstance(request, Probe):
             self.reply(token, ProbeReply(self._replica.name, ""))
-        elif not self._replica.raft.leads(now):
+        elif not self._replica.raft.is_leading(now):
             self._forward(now, token, request)
         elif isinstance(request, Heartbeat):
             self.member_requests.on_heartbeat(now, token, request)
--- a/cedarmill/cluster/state_views.py
+++ b/cedarmill/cluster/state_views.py
@@ -55,7 +55,7 @@
 def _replicas(replica: "Replica", now: int) -> dict[str, Row]:
     rows: dict[str, Row] = {}
     for name, peer in replica.raft.config.items():
-        rows[name] = {"address": peer.address, "votes": peer.voter, "disk": peer.disk}
+        rows[name] = {"address": peer.address, "votes": peer.is_voter, "disk": peer.disk}
         follower = replica.raft.progress.get(name)
         if follower is not None:
             rows[name]["match"] = follower.match_index
--- a/cedarmill/lab/cluster/mutants/replicated_log.py
+++ b/cedarmill/lab/cluster/mutants/replicated_log.py
@@ -37,7 +37,7 @@
 
     def on_request_vote(self: Election, now: int, source: str, message: RequestVote) -> None:
         if not message.pre_vote and message.term == self._state.term:
-            self._state.vote = ""
+            self._state.voted_for = ""
         original(self, now, source, message)
 
     return [(Election, "on_request_vote", on_request_vote)]
@@ -60,10 +60,10 @@
 
     def advance_commit_index(self: Replicator, now: int) -> None:
         state = self._state
-        index = state.cluster.reached_by_majority(state.persisted_index, state.leader_state.match_index_of)
+        index = state.cluster.majority_value(state.persisted_index, state.leader_state.match_index_of)
         if index > state.commit_index:
             state.commit_up_to(index)
-            self._reads.answer_confirmed()
+            self._read_index.confirm_reads()
 
     return [
         (Replicator, "advance_commit_index", advance_commit_index),
@@ -114,4 +114,7 @@
         self._state.emit(LeadershipConfirmed(event.token, self._state.commit_index))
         return False
 
-    return [(ReadIndex, "register", register), (NodeState, "lost_quorum_contact", lambda self, now: False)]
+    return [
+        (ReadIndex, "register", register),
+        (NodeState, "has_lost_quorum_contact", lambda self, now: False),
+    ]
--- a/cedarmill/lab/simulation/disk.py
+++ b/cedarmill/lab/simulation/disk.py
@@ -30,20 +30,20 @@
     def _keep(self, action: Persist) -> None:
         saved = self.saved
         if isinstance(action, PersistTermAndVote):
-            self.saved = PersistentState(action.term, action.vote, saved.snapshot, saved.entries)
+            self.saved = PersistentState(action.term, action.voted_for, saved.snapshot, saved.entries)
         else:
             first = action.entries[0].index
             older = tuple(entry for entry in saved.entries if entry.index < first)
-            self.saved = PersistentState(saved.term, saved.vote, saved.snapshot, older + action.entries)
+            self.saved = PersistentState(saved.term, saved.voted_for, saved.snapshot, older + action.entries)
 
     def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         """Keep a snapshot and the entries after it, with all that was written before."""
         self.sync()
-        self.saved = PersistentState(self.saved.term, self.saved.vote, snapshot, tuple(entries))
+        self.saved = PersistentState(self.saved.term, self.saved.voted_for, snapshot, tuple(entries))
 
     def load(self) -> PersistentState:
         """What a process finds that starts now; what was not synced is gone."""
         self.unsynced = []
         saved = self.saved
         entries = tuple(entry for entry in saved.entries if entry.index > saved.snapshot.index)
-        return PersistentState(saved.term, saved.vote, saved.snapshot, entries, saved.needs_catch_up)
+        return PersistentState(saved.term, saved.voted_for, saved.snapshot, entries, saved.needs_catch_up)
--- a/cedarmill/store/replica_store.py
+++ b/cedarmill/store/replica_store.py
@@ -190,8 +190,8 @@
     def append(self, action: PersistTermAndVote | PersistEntries) -> None:
         """Append a term with its vote, or entries, which `sync` makes durable; raise OSError on failure."""
         if isinstance(action, PersistTermAndVote):
-            self.log.append(records.encode(TermRecord(action.term, action.vote)))
-            self._term_and_vote = action.term, action.vote
+            self.log.append(records.encode(TermRecord(action.term, action.voted_for)))
+            self._term_and_vote = action.term, action.voted_for
         else:
             self.log.append(records.encode(EntriesRecord(action.entries)))
             self._last_entry = action.entries[-1].term, action.entries[-1].index
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -356,7 +356,7 @@
     store = ReplicaStore(Directory(folder), "main", "k1")
     saved, encode = store.persistent_state, msgspec.msgpack.encode
     store.close()
-    return Replica(encode(store.identity), saved.term, saved.vote, encode(saved.snapshot),
+    return Replica(encode(store.identity), saved.term, saved.voted_for, encode(saved.snapshot),
                    list(map(encode, saved.entries)), store.peer_start_counts)  # fmt: skip
 
 
--- a/tests/store/test_replica_store.py
+++ b/tests/store/test_replica_store.py
@@ -120,7 +120,7 @@
         self.assertEqual(
             (
                 reopened.persistent_state.term,
-                reopened.persistent_state.vote,
+                reopened.persistent_state.voted_for,
                 reopened.persistent_state.needs_catch_up,
             ),
             (4, "k2", False),
@@ -146,7 +146,7 @@
         )
         self.assertEqual([entry.index for entry in reopened.persistent_state.entries], [6])
         self.assertEqual(
-            (reopened.persistent_state.term, reopened.persistent_state.vote, reopened.peer_start_counts),
+            (reopened.persistent_state.term, reopened.persistent_state.voted_for, reopened.peer_start_counts),
             (2, "k0", {"other": 7}),
         )
 
@@ -450,7 +450,11 @@
         last = self.open_store(self.directory)
         self.assertEqual([entry.index for entry in last.persistent_state.entries], [2, 3, 4])
         self.assertEqual(
-            (last.persistent_state.term, last.persistent_state.vote, last.persistent_state.needs_catch_up),
+            (
+                last.persistent_state.term,
+                last.persistent_state.voted_for,
+                last.persistent_state.needs_catch_up,
+            ),
             (4, "k2", False),
         )
 
@@ -627,7 +631,7 @@
             store = self.open_store()
             store.close()
             recovered = store.persistent_state
-            state = recovered.term, recovered.vote, [entry.index for entry in recovered.entries]
+            state = recovered.term, recovered.voted_for, [entry.index for entry in recovered.entries]
             self.assertEqual(state, expected_states[sum(end <= size for end in record_ends)], size)
             self.assertFalse(recovered.needs_catch_up)
 
