--- a/cedarmill/cluster/executor_health.py
+++ b/cedarmill/cluster/executor_health.py
@@ -49,8 +49,8 @@
                 continue
             worsened += (
                 agreed is not None
-                and agreed.health == TargetHealth.WELL
-                and target.health in (TargetHealth.ILL, TargetHealth.GONE)
+                and agreed.health == TargetHealth.HEALTHY
+                and target.health in (TargetHealth.FAILING, TargetHealth.UNLISTED)
             )
             changed_targets.append(target)
         self.changed.clear()
@@ -58,7 +58,7 @@
         if worsened <= MAX_WORSENED_COUNT or worsened <= MAX_WORSENED_SHARE * executor_count:
             return tuple(changed_targets), ""
         self.changed.update(target.name for target in changed_targets)  # checked again in the next round
-        healthy_targets = tuple(target for target in changed_targets if target.health == TargetHealth.WELL)
+        healthy_targets = tuple(target for target in changed_targets if target.health == TargetHealth.HEALTHY)
         return healthy_targets, f"{worsened} of {executor_count} executors seem ill or gone {AT_ONCE}"
 
 
@@ -76,10 +76,10 @@
 
 def _merged_health(reports: list[ExecutorObservation], listed: list[ExecutorObservation]) -> TargetHealth:
     if not listed or len(listed) * 2 < len(reports):
-        return TargetHealth.GONE
+        return TargetHealth.UNLISTED
     if sum(report.listing == "draining" for report in reports) * 2 > len(reports):
         return TargetHealth.DRAINING
-    return TargetHealth.ILL if _is_failing(reports) else TargetHealth.WELL
+    return TargetHealth.FAILING if _is_failing(reports) else TargetHealth.HEALTHY
 
 
 def _is_failing(reports: list[ExecutorObservation]) -> bool:
--- a/cedarmill/cluster/leader_duties.py
+++ b/cedarmill/cluster/leader_duties.py
@@ -83,7 +83,10 @@
         state = self._replica.state
         silent = tuple(key for key in expired.silent if state.members[key].state != MemberState.SILENT)
         undrained = {
-            key for permit in state.permits.values() if permit.out for key in permit.undrained_members
+            key
+            for permit in state.permits.values()
+            if permit.is_out_of_service
+            for key in permit.undrained_members
         }
         stopped = tuple(key for key in expired.certainly_stopped if key in undrained)
         if silent or expired.unreachable or stopped:
@@ -101,7 +104,7 @@
         for name in replica.raft.config:
             follower = replica.raft.progress.get(name)
             is_responsive = follower is not None and now - follower.last_contact <= REPLICA_SILENCE_TIMEOUT_US
-            health = TargetHealth.WELL if is_responsive or name == replica.name else TargetHealth.SILENT
+            health = TargetHealth.HEALTHY if is_responsive or name == replica.name else TargetHealth.SILENT
             recorded = replica.state.targets.get(target_key("keeper", name))
             if recorded is None or recorded.health != health:
                 changed.append(Target("keeper", name, health=health))
@@ -156,7 +159,7 @@
     def _compare_releases(self, now: int) -> None:
         """Compare the new version of each running release with the old one by the nodes' request counts."""
         state, comparisons = self._replica.state, self._replica.leadership.comparisons
-        running = {release.id for release in rollout.to_compare(state)}
+        running = {release.id for release in rollout.releases_to_compare(state)}
         for release_id in [release_id for release_id in comparisons if release_id not in running]:
             del comparisons[release_id]
         counts = self._request_counts()
--- a/cedarmill/cluster/member_orders.py
+++ b/cedarmill/cluster/member_orders.py
@@ -34,14 +34,18 @@
 
 def _excluded_executors(state: ClusterState) -> dict[str, int]:
     permits = state.permits.values()
-    return {permit.target: permit.epoch for permit in permits if permit.out and permit.kind == "executor"}
+    return {
+        permit.target: permit.epoch
+        for permit in permits
+        if permit.is_out_of_service and permit.kind == "executor"
+    }
 
 
 def _drain_clients_epoch(state: ClusterState, member: Member) -> int:
     """Return the epoch of the permit to drain this node's clients, or 0; releases drain no clients."""
     epoch = 0
     for permit in state.permits.values():
-        is_for_member = permit.out and permit.kind == "node" and permit.target == member.name
+        is_for_member = permit.is_out_of_service and permit.kind == "node" and permit.target == member.name
         if is_for_member and not permit.holder.startswith("release:"):
             epoch = permit.epoch
     return epoch
--- a/cedarmill/cluster/member_requests.py
+++ b/cedarmill/cluster/member_requests.py
@@ -93,7 +93,7 @@
         drained = {
             permit.target: permit.epoch
             for permit in self._state.permits.values()
-            if permit.out
+            if permit.is_out_of_service
             and key in permit.undrained_members
             and heartbeat.drained.get(permit.target) == permit.epoch
         }
@@ -112,7 +112,9 @@
     def _is_target_out(self, key: str) -> bool:
         kind, _, target = key.partition(":")
         permits = self._state.permits.values()
-        return any(permit.out and (permit.kind, permit.target) == (kind, target) for permit in permits)
+        return any(
+            permit.is_out_of_service and (permit.kind, permit.target) == (kind, target) for permit in permits
+        )
 
     def _update_budgets(self, now: int, key: str, heartbeat: Heartbeat) -> None:
         """Propose a node's changed budget demand, and its acknowledgement of reduced budget leases."""
--- a/cedarmill/cluster/observations/verdicts.py
+++ b/cedarmill/cluster/observations/verdicts.py
@@ -30,7 +30,7 @@
 class Verdict(StrEnum):
     """The combined verdict of all observer groups on a zone."""
 
-    WELL = "well"
+    HEALTHY = "well"
     FAILING = "ill"
     LOST = "lost"
     UNKNOWN = "unknown"
@@ -157,7 +157,7 @@
     failed = median(finding.failed for observer, finding in findings.items() if observer not in unreached_by)
     if failed >= FAILING_SHARE:
         return ZoneVerdict(Verdict.FAILING, f"{failed / 10:g}% of attempts fail")
-    return ZoneVerdict(Verdict.WELL)
+    return ZoneVerdict(Verdict.HEALTHY)
 
 
 def failing_links(findings: Findings, verdicts: Mapping[str, ZoneVerdict]) -> dict[str, str]:
@@ -184,7 +184,7 @@
     failing = []
     for group in groups:
         zone = group.partition("/")[0]
-        if zone not in verdicts or verdicts[zone].verdict != Verdict.WELL:
+        if zone not in verdicts or verdicts[zone].verdict != Verdict.HEALTHY:
             continue
         combined = [combine_observations(observations_of(group, fresh[observer])) for observer in names]
         findings = [finding for finding in combined if finding is not None]
--- a/cedarmill/cluster/state.py
+++ b/cedarmill/cluster/state.py
@@ -58,20 +58,20 @@
     """Limits on how many targets of a kind may be out of service at once in each scope; -1 means no limit."""
 
     kind: str
-    per: str = "fleet"  # The scope: "fleet", "zone", "type" or "group".
-    most: int = -1  # targets
+    scope: str = "fleet"  # The scope: "fleet", "zone", "type" or "group".
+    max_targets: int = -1
     share: int = -1  # thousandths of the targets
     capacity_left: int = -1  # thousandths of the slots that must stay in service
 
     def text(self) -> str:
         """Return a description for operators."""
-        parts = [f"at most {self.most}"] if self.most >= 0 else []
+        parts = [f"at most {self.max_targets}"] if self.max_targets >= 0 else []
         parts += [f"at most {self.share / 10:g}%"] if self.share >= 0 else []
         parts += [f"{self.capacity_left / 10:g}% of the slots left"] if self.capacity_left >= 0 else []
-        return f"{self.kind} per {self.per}: {' and '.join(parts)}"
+        return f"{self.kind} per {self.scope}: {' and '.join(parts)}"
 
 
-class Target(msgspec.Struct, rename={"health_since": "since", "slow_start_from": "cold_from"}):
+class Target(msgspec.Struct, rename={"health_since": "since", "slow_start_started_at": "cold_from"}):
     """Something that a permit may take out of service: an executor, a node, a replica or a zone."""
 
     kind: str
@@ -80,9 +80,9 @@
     type: str = ""
     group: str = ""
     slots: int = 1
-    health: str = TargetHealth.WELL
+    health: str = TargetHealth.HEALTHY
     health_since: int = 0
-    slow_start_from: int = -1  # Time of the last return to service; -1 if long ago or never.
+    slow_start_started_at: int = -1  # Time of the last return to service; -1 if long ago or never.
     started_ms: int = 0  # Unix time in milliseconds, from discovery.
 
 
@@ -146,7 +146,7 @@
     notes: list[str] = msgspec.field(default_factory=list)  # Reasons for waiting, and operators' statements.
 
     @property
-    def out(self) -> bool:
+    def is_out_of_service(self) -> bool:
         """Whether the permit's target counts as out of service."""
         return self.state in OUT_OF_SERVICE_STATES
 
--- a/cedarmill/cluster/state_machine/drains.py
+++ b/cedarmill/cluster/state_machine/drains.py
@@ -21,7 +21,7 @@
 def confirm_drain(state: ClusterState, key: str, target: str, epoch: int) -> None:
     """Record a member's confirmation that it has drained a target under the grant of an epoch."""
     for permit in state.permits.values():
-        if permit.out and permit.target == target and permit.epoch == epoch:
+        if permit.is_out_of_service and permit.target == target and permit.epoch == epoch:
             if key in permit.undrained_members:
                 permit.undrained_members.remove(key)
             check_drained(state, permit)
@@ -29,7 +29,7 @@
 
 def check_drained(state: ClusterState, permit: Permit) -> None:
     """Mark a permit's target as drained if no confirmation is outstanding."""
-    if permit.out and not permit.undrained_members and not permit.drained_at:
+    if permit.is_out_of_service and not permit.undrained_members and not permit.drained_at:
         permit.drained_at = state.clock
         state.note(f"{permit.kind} {permit.target} is drained (permit {permit.id})")
 
@@ -45,7 +45,7 @@
 def member_joined(state: ClusterState, key: str) -> None:
     """Require a new member's confirmation for each drain in progress that involves the member."""
     for permit in state.permits.values():
-        if not permit.out or permit.drained_at or key in permit.undrained_members:
+        if not permit.is_out_of_service or permit.drained_at or key in permit.undrained_members:
             continue
         if key in members_to_drain(state, permit):
             permit.undrained_members.append(key)
--- a/cedarmill/cluster/state_machine/limits.py
+++ b/cedarmill/cluster/state_machine/limits.py
@@ -30,7 +30,7 @@
 class Verdict(NamedTuple):
     """The answer to a request, its reasons, and the limit scopes that are at capacity."""
 
-    word: Answer
+    answer: Answer
     reasons: tuple[str, ...] = ()
     full_scopes: frozenset[tuple[Limit, str]] = frozenset()
 
@@ -46,17 +46,17 @@
     """Return the scope in which a limit counts a target; None if the limit does not apply to the target."""
     if limit.kind != target.kind:
         return None
-    if limit.per == "fleet":
+    if limit.scope == "fleet":
         return ""
-    scope: str = getattr(target, limit.per)
+    scope: str = getattr(target, limit.scope)
     return scope
 
 
-def slow_start_part(state: ClusterState, target: Target) -> int:
+def slow_start_missing_share(state: ClusterState, target: Target) -> int:
     """Return the thousandths of a target's capacity that are still missing during its slow start."""
-    if target.kind != "executor" or target.slow_start_from < 0 or state.slow_start_us <= 0:
+    if target.kind != "executor" or target.slow_start_started_at < 0 or state.slow_start_us <= 0:
         return 0
-    age = state.clock - target.slow_start_from
+    age = state.clock - target.slow_start_started_at
     if age >= state.slow_start_us:
         return 0
     return (PER_MILLE - state.slow_start_share) * (state.slow_start_us - age) // state.slow_start_us
@@ -74,23 +74,23 @@
 def out_shares(state: ClusterState) -> OutShares:
     """Return the out-of-service share of each target that is wholly or partly out."""
     shares: OutShares = {}
-    well = TargetHealth.WELL
+    well = TargetHealth.HEALTHY
     for key, target in state.targets.items():
         if target.health != well or (target.kind == "node" and is_flapping(state, target.name)):
             shares[key] = PER_MILLE
-        elif missing_share := slow_start_part(state, target):
+        elif missing_share := slow_start_missing_share(state, target):
             shares[key] = missing_share
     for permit in state.permits.values():
-        if permit.out:
+        if permit.is_out_of_service:
             shares[target_key(permit.kind, permit.target)] = PER_MILLE
     return shares
 
 
-def allowed(limit: Limit, count: int) -> int:
+def max_out_count(limit: Limit, count: int) -> int:
     """Return how many of `count` targets the limit allows to be out at once."""
     max_out = count
-    if limit.most >= 0:
-        max_out = min(max_out, limit.most)
+    if limit.max_targets >= 0:
+        max_out = min(max_out, limit.max_targets)
     if limit.share >= 0:
         max_out = min(max_out, count * limit.share // PER_MILLE)
     return max_out
@@ -108,14 +108,14 @@
 
     @property
     def suffix(self) -> str:
-        return f" of {self.limit.per} {self.name}" if self.name else ""
+        return f" of {self.limit.scope} {self.name}" if self.name else ""
 
     def count_objection(self) -> Objection | None:
         """Return the objection of a limit on the number or share of targets; None if there is none."""
         limit, count = self.limit, len(self.targets)
-        if limit.most < 0 and limit.share < 0:
+        if limit.max_targets < 0 and limit.share < 0:
             return None
-        max_out = allowed(limit, count)
+        max_out = max_out_count(limit, count)
         if max_out < 1:
             return Objection(Answer.NEVER, f"{limit.text()}: none of {count}{self.suffix} may be out")
         total_out = sum(self.out.get(key, 0) for key, _ in self.targets if key != self.requested_key)
@@ -168,7 +168,7 @@
     if target_key(kind, name) not in state.targets:
         return Verdict(Answer.NEVER, (f"no {kind} of the name {name} is known",))
     for permit in state.permits.values():
-        if permit.out and (permit.kind, permit.target) == (kind, name):
+        if permit.is_out_of_service and (permit.kind, permit.target) == (kind, name):
             reason = f"{name} is out already, by permit {permit.id} of {permit.holder}"
             return Verdict(Answer.NEVER, (reason,))
     if state.halt_reason:
@@ -176,7 +176,7 @@
     return None
 
 
-def decide(state: ClusterState, kind: str, name: str, out: OutShares | None = None) -> Verdict:
+def evaluate(state: ClusterState, kind: str, name: str, out: OutShares | None = None) -> Verdict:
     """Return the verdict on a request for a target; `out` defaults to the current out-of-service shares."""
     if (verdict := _decide_without_limits(state, kind, name)) is not None:
         return verdict
@@ -201,8 +201,8 @@
     """Return the verdict on each target in turn, counting those granted earlier in the list as out."""
     out, verdicts = out_shares(state), []
     for name in names:
-        verdict = decide(state, kind, name, out)
-        if verdict.word == Answer.NOW:
+        verdict = evaluate(state, kind, name, out)
+        if verdict.answer == Answer.NOW:
             out[target_key(kind, name)] = PER_MILLE
         verdicts.append((name, verdict))
     return verdicts
--- a/cedarmill/cluster/state_machine/operator_statements.py
+++ b/cedarmill/cluster/state_machine/operator_statements.py
@@ -34,7 +34,9 @@
 
 def _mark_drained(state: ClusterState, request: OperatorStatement) -> RequestOutcome:
     """Mark a target as drained despite outstanding confirmations."""
-    permit = next((p for p in state.permits.values() if p.out and p.target == request.name), None)
+    permit = next(
+        (p for p in state.permits.values() if p.is_out_of_service and p.target == request.name), None
+    )
     if permit is None:
         raise RequestRejected(f"{request.name} is not out by a permit")
     missing = ", ".join(permit.undrained_members) or "anybody missing"
@@ -77,7 +79,7 @@
     keys = [
         key
         for key, target in state.targets.items()
-        if target.name == request.name and target.health != TargetHealth.WELL
+        if target.name == request.name and target.health != TargetHealth.HEALTHY
     ]
     if not keys:
         raise RequestRejected(f"{request.name} is unknown, or well")
--- a/cedarmill/cluster/state_machine/permit_queue.py
+++ b/cedarmill/cluster/state_machine/permit_queue.py
@@ -9,7 +9,7 @@
 from cedarmill.cluster.state import ClusterState, Limit, Permit
 from cedarmill.cluster.state_machine import drains, limits
 from cedarmill.cluster.state_machine.limits import FLAP_WINDOW_US, Answer
-from cedarmill.cluster.state_machine.permit_states import OPEN_STATES, move, target_key
+from cedarmill.cluster.state_machine.permit_states import OPEN_STATES, apply_event, target_key
 from cedarmill.cluster.states import PermitState
 
 MAX_ENDED_PERMITS = 500  # oldest ended permits in excess of this number are removed
@@ -43,13 +43,13 @@
         waits_until=state.clock + request.wait_us,
     )
     state.permits[permit.id] = permit
-    verdict = limits.decide(state, request.kind, request.target)
-    if verdict.word == Answer.NEVER or duplicate is not None:
+    verdict = limits.evaluate(state, request.kind, request.target)
+    if verdict.answer == Answer.NEVER or duplicate is not None:
         duplicate_text = (
             f"{request.target} waits already, by permit {duplicate.id}" if duplicate is not None else ""
         )
         permit.notes = list(verdict.reasons) or [duplicate_text]
-        move(state, permit, "refuse")
+        apply_event(state, permit, "refuse")
     return permit
 
 
@@ -65,7 +65,7 @@
     return [permit for permit in state.permits.values() if permit.state == waiting]
 
 
-def in_order(state: ClusterState) -> list[Permit]:
+def grant_order(state: ClusterState) -> list[Permit]:
     """Return the waiting permits in the order in which they are considered.
 
     The order is by priority, then by the fewest permits that the holder has out, so that a holder with many
@@ -73,7 +73,7 @@
     """
     out_counts: dict[str, int] = {}
     for permit in state.permits.values():
-        if permit.out:
+        if permit.is_out_of_service:
             out_counts[permit.holder] = out_counts.get(permit.holder, 0) + 1
     return sorted(
         _waiting_permits(state),
@@ -89,7 +89,7 @@
     """
     granted: list[Permit] = []
     while (permit := _next_to_grant(state)) is not None:
-        move(state, permit, "grant")
+        apply_event(state, permit, "grant")
         permit.notes = []
         permit.undrained_members = drains.members_to_drain(state, permit)
         drains.check_drained(state, permit)
@@ -100,13 +100,13 @@
 def _next_to_grant(state: ClusterState) -> Permit | None:
     blocked_scopes: set[tuple[Limit, str]] = set()
     out = limits.out_shares(state)
-    for permit in in_order(state):
-        verdict = limits.decide(state, permit.kind, permit.target, out)
-        if verdict.word == Answer.NOW and not _is_blocked(state, permit, blocked_scopes):
+    for permit in grant_order(state):
+        verdict = limits.evaluate(state, permit.kind, permit.target, out)
+        if verdict.answer == Answer.NOW and not _is_blocked(state, permit, blocked_scopes):
             return permit
-        if verdict.word == Answer.NEVER:
+        if verdict.answer == Answer.NEVER:
             permit.notes = list(verdict.reasons)
-            move(state, permit, "refuse")
+            apply_event(state, permit, "refuse")
             continue
         permit.notes = list(verdict.reasons) or ["an earlier one waits for the same room"]
         blocked_scopes |= verdict.full_scopes
@@ -124,7 +124,7 @@
     for permit in _waiting_permits(state):
         if state.clock >= permit.waits_until:
             permit.notes = [*permit.notes, "waited as long as was asked"]
-            move(state, permit, "expire")
+            apply_event(state, permit, "expire")
     ended_ids = [permit.id for permit in state.permits.values() if permit.state not in OPEN_STATES]
     for permit_id in ended_ids[:-MAX_ENDED_PERMITS]:
         del state.permits[permit_id]
@@ -136,9 +136,9 @@
     if not times:
         return None
     slow_start_ends = [
-        target.slow_start_from + state.slow_start_us
+        target.slow_start_started_at + state.slow_start_us
         for target in state.targets.values()
-        if target.slow_start_from >= 0
+        if target.slow_start_started_at >= 0
     ]
     pending_end = [end for end in slow_start_ends if end > state.clock][:1]
     # The missing share shrinks throughout the slow start, so a request may be granted before its end.
--- a/cedarmill/cluster/state_machine/permit_states.py
+++ b/cedarmill/cluster/state_machine/permit_states.py
@@ -1,10 +1,10 @@
-"""State machine of a permit: all transitions are in `STATES`."""
+"""State machine of a permit: all transitions are in `TRANSITIONS`."""
 
 from cedarmill.cluster.state import ClusterState, Permit
 from cedarmill.cluster.states import PermitState
 
 # Transitions: (state, event) -> state.
-STATES: dict[tuple[str, str], PermitState] = {
+TRANSITIONS: dict[tuple[str, str], PermitState] = {
     (PermitState.WAITING, "grant"): PermitState.GRANTED,
     (PermitState.WAITING, "expire"): PermitState.EXPIRED,
     (PermitState.WAITING, "refuse"): PermitState.REFUSED,
@@ -22,9 +22,9 @@
     return f"{kind}:{name}"
 
 
-def move(state: ClusterState, permit: Permit, event: str) -> bool:
+def apply_event(state: ClusterState, permit: Permit, event: str) -> bool:
     """Apply an event to a permit; return whether the permit's state allows the event."""
-    new_state = STATES.get((permit.state, event))
+    new_state = TRANSITIONS.get((permit.state, event))
     if new_state is None:
         return False
     permit.state = new_state
@@ -41,7 +41,7 @@
     matching_permits = [
         permit for permit in state.permits.values() if (permit.kind, permit.target) == (kind, name)
     ]
-    granted = next((permit for permit in matching_permits if permit.out), None)
+    granted = next((permit for permit in matching_permits if permit.is_out_of_service), None)
     return granted or next(
         (permit for permit in matching_permits if permit.state == PermitState.WAITING), None
     )
@@ -49,11 +49,11 @@
 
 def return_to_service(state: ClusterState, permit: Permit, reason: str = "") -> bool:
     """Return a permit and start an executor's slow start; return whether the permit was out."""
-    if not move(state, permit, "give"):
+    if not apply_event(state, permit, "give"):
         return False
     if reason:
         permit.notes.append(reason)
     target = state.targets.get(target_key(permit.kind, permit.target))
     if target is not None and target.kind == "executor":
-        target.slow_start_from = state.clock
+        target.slow_start_started_at = state.clock
     return True
--- a/cedarmill/cluster/state_machine/permits.py
+++ b/cedarmill/cluster/state_machine/permits.py
@@ -11,7 +11,7 @@
     accepted,
 )
 from cedarmill.cluster.state_machine.permit_queue import PermitRequest
-from cedarmill.cluster.state_machine.permit_states import move, open_permit, return_to_service
+from cedarmill.cluster.state_machine.permit_states import apply_event, open_permit, return_to_service
 from cedarmill.cluster.states import PermitState
 
 
@@ -83,7 +83,8 @@
 
 def _is_out(state: ClusterState, kind: str, name: str) -> bool:
     return any(
-        permit.out and (permit.kind, permit.target) == (kind, name) for permit in state.permits.values()
+        permit.is_out_of_service and (permit.kind, permit.target) == (kind, name)
+        for permit in state.permits.values()
     )
 
 
@@ -117,10 +118,10 @@
     if permit.holder.startswith("release:"):
         raise RequestRejected(f"{request.name} is out by {permit.holder}: halt it, or take it back")
     reason = f"put back by {request.requester}"
-    if permit.kind == "zone" and permit.out:
+    if permit.kind == "zone" and permit.is_out_of_service:
         return zones.cancel_evacuation(state, request.name, reason)
     if permit.state == PermitState.WAITING:
-        move(state, permit, "withdraw")
+        apply_event(state, permit, "withdraw")
         return accepted(state, f"permit {permit.id} is withdrawn", [permit.id])
     return_to_service(state, permit, reason)
     return accepted(state, f"permit {permit.id} is returned", [permit.id])
--- a/cedarmill/cluster/state_machine/release_states.py
+++ b/cedarmill/cluster/state_machine/release_states.py
@@ -1,10 +1,10 @@
-"""State machines of a release and of each unit's step: all transitions are in `STATES` and `STEPS`."""
+"""State machines of a release and of a step, all in `RELEASE_TRANSITIONS` and `STEP_TRANSITIONS`."""
 
 from cedarmill.cluster.state import ClusterState, Release, UnitStep
 from cedarmill.cluster.states import ReleaseState, StepState
 
 # Transitions of a release: (state, event) -> state.
-STATES: dict[tuple[str, str], ReleaseState] = {
+RELEASE_TRANSITIONS: dict[tuple[str, str], ReleaseState] = {
     (ReleaseState.PLANNED, "start"): ReleaseState.RUNNING,
     (ReleaseState.PLANNED, "halt"): ReleaseState.HALTED,
     (ReleaseState.PLANNED, "back"): ReleaseState.ROLLED_BACK,
@@ -25,7 +25,7 @@
 END_STATES = (ReleaseState.DONE, ReleaseState.ROLLED_BACK)
 
 # Transitions of a unit's step within a release: (state, event) -> state.
-STEPS: dict[tuple[str, str], StepState] = {
+STEP_TRANSITIONS: dict[tuple[str, str], StepState] = {
     (StepState.OLD, "ask"): StepState.REQUESTING,
     (StepState.REQUESTING, "granted"): StepState.CHANGING,
     (StepState.REQUESTING, "turned-down"): StepState.OLD,
@@ -52,9 +52,9 @@
 }
 
 
-def move(state: ClusterState, release: Release, event: str, reason: str = "") -> bool:
+def apply_event(state: ClusterState, release: Release, event: str, reason: str = "") -> bool:
     """Apply an event to a release; return whether the release's state allows the event."""
-    new_state = STATES.get((release.state, event))
+    new_state = RELEASE_TRANSITIONS.get((release.state, event))
     if new_state is None:
         return False
     release.state, release.state_since = new_state, state.clock
@@ -66,9 +66,9 @@
     return True
 
 
-def move_step(state: ClusterState, step: UnitStep, event: str) -> bool:
+def apply_step_event(state: ClusterState, step: UnitStep, event: str) -> bool:
     """Apply an event to a unit's step; return whether the step's state allows the event."""
-    new_state = STEPS.get((step.state, event))
+    new_state = STEP_TRANSITIONS.get((step.state, event))
     if new_state is None:
         return False
     step.state, step.state_since = new_state, state.clock
--- a/cedarmill/cluster/state_machine/releases.py
+++ b/cedarmill/cluster/state_machine/releases.py
@@ -4,7 +4,7 @@
 from cedarmill.cluster.state import ClusterState, Release, ReleasePlan, RequestOutcome, UnitStep
 from cedarmill.cluster.state_machine import rollout
 from cedarmill.cluster.state_machine.command import Command, Handlers, OperatorRequest, accepted
-from cedarmill.cluster.state_machine.release_states import END_STATES, move, move_step
+from cedarmill.cluster.state_machine.release_states import END_STATES, apply_event, apply_step_event
 from cedarmill.cluster.states import ReleaseState
 
 
@@ -41,7 +41,7 @@
         return
     release.compared_requests = max(release.compared_requests, command.requests)
     if command.worse and release.state == ReleaseState.RUNNING:
-        move(state, release, "worse", command.worse)
+        apply_event(state, release, "worse", command.worse)
 
 
 def plan_release(state: ClusterState, request: PlanRelease) -> RequestOutcome:
@@ -84,7 +84,7 @@
         _check_no_newer_release(state, release)
     previous_state = release.state
     reason = f"by {request.requester}" + (f", {request.reason}" if request.reason else "")
-    if not move(state, release, request.action, reason):
+    if not apply_event(state, release, request.action, reason):
         raise RequestRejected(
             f"release {release.id} is {previous_state}: {request.action} is not possible from there"
         )
@@ -110,8 +110,8 @@
     """Retry failed units; a unit that has already returned its permit starts over with a new request."""
     for step in release.steps:
         if not rollout.holds_permit(state, step):
-            move_step(state, step, "again")
-        elif move_step(state, step, "retry"):
+            apply_step_event(state, step, "again")
+        elif apply_step_event(state, step, "retry"):
             rollout.order_unit(state, release, step)
 
 
--- a/cedarmill/cluster/state_machine/rollout.py
+++ b/cedarmill/cluster/state_machine/rollout.py
@@ -9,9 +9,9 @@
 from cedarmill.cluster.state import ClusterState, Release, UnitOrder, UnitOrderFields, UnitStep
 from cedarmill.cluster.state_machine import permit_queue
 from cedarmill.cluster.state_machine.permit_queue import PermitRequest
-from cedarmill.cluster.state_machine.permit_states import move as move_permit
+from cedarmill.cluster.state_machine.permit_states import apply_event as apply_permit_event
 from cedarmill.cluster.state_machine.permit_states import return_to_service
-from cedarmill.cluster.state_machine.release_states import move, move_step
+from cedarmill.cluster.state_machine.release_states import apply_event, apply_step_event
 from cedarmill.cluster.states import PermitState, ReleaseState, StepState
 
 MAX_UNEXPECTED_EXITS = 2  # exits since the order at which a unit has failed; a single exit is tolerated
@@ -45,15 +45,15 @@
         has_applied_order = unit is not None and unit.applied_epoch == unit.ordered_epoch
         if unit is None or not has_applied_order or step.state in (StepState.OLD, StepState.RESTORED):
             _check_ready_timeout(state, release, step)
-        elif unit.unexpected_exits >= MAX_UNEXPECTED_EXITS and move_step(state, step, "exits"):
+        elif unit.unexpected_exits >= MAX_UNEXPECTED_EXITS and apply_step_event(state, step, "exits"):
             reason = f"{step.unit} ended {unit.unexpected_exits} times by itself"
-            move(state, release, "failed", reason)
+            apply_event(state, release, "failed", reason)
         elif (
             unit.state == "ready"
             and unit.version == unit.ordered_version
             and unit.unexpected_exits < MAX_UNEXPECTED_EXITS
         ):
-            if move_step(state, step, "ready"):
+            if apply_step_event(state, step, "ready"):
                 _return_permit(state, step)
         else:
             _check_ready_timeout(state, release, step)
@@ -63,8 +63,8 @@
     timeout_us = release.plan.ready_timeout_us
     is_changing = step.state in (StepState.CHANGING, StepState.ROLLING_BACK)
     is_late = is_changing and state.clock - step.state_since >= timeout_us
-    if is_late and move_step(state, step, "late"):
-        move(state, release, "failed", f"{step.unit} was not ready after {timeout_us / 1e6:g} s")
+    if is_late and apply_step_event(state, step, "late"):
+        apply_event(state, release, "failed", f"{step.unit} was not ready after {timeout_us / 1e6:g} s")
 
 
 def _return_permit(state: ClusterState, step: UnitStep) -> None:
@@ -79,7 +79,7 @@
 
 def _roll_forward(state: ClusterState, release: Release) -> None:
     if release.group >= len(release.plan.groups):
-        move(state, release, "complete")
+        apply_event(state, release, "complete")
         return
     if state.clock < release.paused_until:
         return
@@ -119,7 +119,7 @@
         is_due = state.clock >= step.state_since + _retry_delay_us(state, step)
         if step.state != from_state or units_in_progress >= release.plan.max_concurrent or not is_due:
             continue
-        move_step(state, step, event)
+        apply_step_event(state, step, event)
         units_in_progress += 1
         holder = f"release:{release.id}"
         request = PermitRequest("node", step.unit, holder, release.plan.version, 0, RELEASE_PERMIT_WAIT_US)
@@ -138,10 +138,10 @@
         permit = state.permits.get(step.permit_id)
         if permit is None or step.state not in (StepState.REQUESTING, StepState.ROLL_BACK_REQUESTING):
             continue
-        if permit.state == PermitState.GRANTED and move_step(state, step, "granted"):
+        if permit.state == PermitState.GRANTED and apply_step_event(state, step, "granted"):
             order_unit(state, release, step)
         elif permit.state in (PermitState.REFUSED, PermitState.EXPIRED, PermitState.WITHDRAWN):
-            move_step(state, step, "turned-down")
+            apply_step_event(state, step, "turned-down")
 
 
 def order_unit(state: ClusterState, release: Release, step: UnitStep) -> None:
@@ -160,8 +160,8 @@
         permit = state.permits.get(step.permit_id)
         if step.state not in (StepState.REQUESTING, StepState.ROLL_BACK_REQUESTING) or permit is None:
             continue
-        if move_permit(state, permit, "withdraw"):
-            move_step(state, step, "turned-down")
+        if apply_permit_event(state, permit, "withdraw"):
+            apply_step_event(state, step, "turned-down")
 
 
 # Rolling back.
@@ -170,26 +170,26 @@
 def holds_permit(state: ClusterState, step: UnitStep) -> bool:
     """Return whether the unit is out of service under its step's permit."""
     permit = state.permits.get(step.permit_id)
-    return permit is not None and permit.out
+    return permit is not None and permit.is_out_of_service
 
 
 def _roll_back(state: ClusterState, release: Release) -> None:
     for step in release.steps:
         if step.state == StepState.REQUESTING:
             _cancel_request(state, step)
-        elif holds_permit(state, step) and move_step(state, step, "back"):
+        elif holds_permit(state, step) and apply_step_event(state, step, "back"):
             order_unit(state, release, step)  # the unit still holds its permit
     for from_state in (StepState.FAILED, StepState.NEW):
         _request_permits(state, release, release.steps, from_state, "ask-back")
     if all(step.state in (StepState.OLD, StepState.RESTORED) for step in release.steps):
-        move(state, release, "complete")
+        apply_event(state, release, "complete")
 
 
 def _cancel_request(state: ClusterState, step: UnitStep) -> None:
     permit = state.permits.get(step.permit_id)
-    if permit is not None and not move_permit(state, permit, "withdraw"):
+    if permit is not None and not apply_permit_event(state, permit, "withdraw"):
         return_to_service(state, permit)
-    move_step(state, step, "back")
+    apply_step_event(state, step, "back")
 
 
 # Queries for supervisors, the version comparison and timers.
@@ -204,7 +204,7 @@
     }
 
 
-def to_compare(state: ClusterState) -> list[Release]:
+def releases_to_compare(state: ClusterState) -> list[Release]:
     """Return the running releases with at least one unit on the new version."""
     running = [release for release in state.releases.values() if release.state == ReleaseState.RUNNING]
     return [release for release in running if any(step.state == StepState.NEW for step in release.steps)]
--- a/cedarmill/cluster/state_machine/sessions.py
+++ b/cedarmill/cluster/state_machine/sessions.py
@@ -4,7 +4,7 @@
 from cedarmill.cluster.state import ClusterState, Member, Target
 from cedarmill.cluster.state_machine import drains
 from cedarmill.cluster.state_machine.command import Command, Handlers
-from cedarmill.cluster.state_machine.permit_states import move, target_key
+from cedarmill.cluster.state_machine.permit_states import apply_event, target_key
 from cedarmill.cluster.states import MemberState, PermitState, TargetHealth
 
 ENDED_MEMBER_RETENTION_US = 600_000_000
@@ -94,7 +94,7 @@
         return
     incarnations = [m for m in state.members.values() if m.kind == "node" and m.name == name]
     is_present = any(member.state in (MemberState.LIVE, MemberState.UNREACHABLE) for member in incarnations)
-    health = TargetHealth.WELL if is_present else TargetHealth.SILENT
+    health = TargetHealth.HEALTHY if is_present else TargetHealth.SILENT
     if target.health != health:
         target.health, target.health_since = health, state.clock
 
@@ -145,7 +145,7 @@
     for permit in state.permits.values():
         is_held_by_release = permit.kind == "node" and permit.holder.startswith("release:")
         if is_held_by_release and _supervises(state, member, permit.target):
-            move(state, permit, "lose")
+            apply_event(state, permit, "lose")
 
 
 def restore_session(state: ClusterState, command: RestoreSession) -> None:
@@ -158,7 +158,7 @@
         return
     for permit in state.permits.values():
         if permit.state == PermitState.LOST and _supervises(state, member, permit.target):
-            move(state, permit, "find")
+            apply_event(state, permit, "find")
 
 
 def record_end(state: ClusterState, command: EndMember) -> None:
--- a/cedarmill/cluster/state_machine/targets.py
+++ b/cedarmill/cluster/state_machine/targets.py
@@ -35,7 +35,7 @@
         state.targets[key] = msgspec.structs.replace(
             observed,
             health_since=_health_since(state, observed, previous),
-            slow_start_from=_slow_start_from(state, observed, previous),
+            slow_start_started_at=_slow_start_started_at(state, observed, previous),
         )
 
 
@@ -45,13 +45,15 @@
     return previous.health_since
 
 
-def _slow_start_from(state: ClusterState, observed: Target, previous: Target | None) -> int:
+def _slow_start_started_at(state: ClusterState, observed: Target, previous: Target | None) -> int:
     if previous is None:
         return -1
     if observed.started_ms > previous.started_ms > 0:
         return state.clock  # restarted, by a release or otherwise
-    has_returned = previous.health == TargetHealth.SILENT and observed.health == TargetHealth.WELL
-    return state.clock if has_returned and previous.slow_start_from < 0 else previous.slow_start_from
+    has_returned = previous.health == TargetHealth.SILENT and observed.health == TargetHealth.HEALTHY
+    return (
+        state.clock if has_returned and previous.slow_start_started_at < 0 else previous.slow_start_started_at
+    )
 
 
 def update_units(state: ClusterState, command: UpdateUnits) -> None:
--- a/cedarmill/cluster/state_machine/zones.py
+++ b/cedarmill/cluster/state_machine/zones.py
@@ -12,7 +12,7 @@
     accepted,
 )
 from cedarmill.cluster.state_machine.permit_queue import PermitRequest
-from cedarmill.cluster.state_machine.permit_states import move, open_permit, return_to_service
+from cedarmill.cluster.state_machine.permit_states import apply_event, open_permit, return_to_service
 from cedarmill.cluster.states import PermitState
 from cedarmill.cluster.traffic_control import intake, ramps, zone_status
 from cedarmill.cluster.traffic_control.errors import InvalidLayoutError
@@ -95,7 +95,7 @@
     if permit is None:
         raise RequestRejected(f"zone {name} is not out by a permit, and waits for none")
     if permit.state == PermitState.WAITING:
-        move(state, permit, "withdraw")
+        apply_event(state, permit, "withdraw")
     else:
         return_to_service(state, permit, reason)
     state.traffic.next_review_at = 0
--- a/cedarmill/cluster/state_views.py
+++ b/cedarmill/cluster/state_views.py
@@ -46,7 +46,7 @@
         "halted": state.halt_reason,
         "clock_s": state.clock / 1e6,
         "keepers": _replicas(replica, now),
-        "out": sorted(permit.target for permit in state.permits.values() if permit.out),
+        "out": sorted(permit.target for permit in state.permits.values() if permit.is_out_of_service),
         "waiting": sum(permit.state == PermitState.WAITING for permit in state.permits.values()),
         "members": {kind: live_kinds.count(kind) for kind in ("node", "steward")},
     }
@@ -91,11 +91,11 @@
         "limit": limit.text(),
         "scope": scope,
         "of": len(target_keys),
-        "allowed": limits.allowed(limit, len(target_keys)),
+        "allowed": limits.max_out_count(limit, len(target_keys)),
         "out": sum(out_shares.get(key, 0) for key in target_keys) / PER_MILLE,
         "kind": limit.kind,
-        "per": limit.per,
-        "most": limit.most,
+        "per": limit.scope,
+        "most": limit.max_targets,
         "share": limit.share,
         "capacity_left": limit.capacity_left,
     }
@@ -180,7 +180,7 @@
     """Return the decision that a permit request for each target, taken in order, would get now."""
     verdicts = limits.dry_run(replica.state, request.kind or "executor", request.names)
     return [
-        {"target": name, "verdict": verdict.word, "reasons": list(verdict.reasons)}
+        {"target": name, "verdict": verdict.answer, "reasons": list(verdict.reasons)}
         for name, verdict in verdicts
     ]
 
--- a/cedarmill/cluster/states.py
+++ b/cedarmill/cluster/states.py
@@ -18,15 +18,15 @@
 class TargetHealth(enum.StrEnum):
     """Health of a target: an executor, a node, a replica or a zone."""
 
-    WELL = "well"
-    ILL = "ill"  # Most nodes that tried the target report failures.
+    HEALTHY = "well"
+    FAILING = "ill"  # Most nodes that tried the target report failures.
     SILENT = "silent"
     DRAINING = "draining"  # Discovery lists the target as draining.
-    GONE = "gone"  # Discovery no longer lists the target.
+    UNLISTED = "gone"  # Discovery no longer lists the target.
 
 
 class PermitState(enum.StrEnum):
-    """State of a permit; `permit_states.STATES` defines the transitions."""
+    """State of a permit; `permit_states.TRANSITIONS` defines the transitions."""
 
     WAITING = "waiting"
     GRANTED = "granted"
@@ -38,7 +38,7 @@
 
 
 class ReleaseState(enum.StrEnum):
-    """State of a release; `release_states.STATES` defines the transitions."""
+    """State of a release; `release_states.RELEASE_TRANSITIONS` defines the transitions."""
 
     PLANNED = "planned"
     RUNNING = "running"
@@ -50,7 +50,7 @@
 
 
 class StepState(enum.StrEnum):
-    """State of a unit within a release; `release_states.STEPS` defines the transitions."""
+    """State of a unit within a release; `release_states.STEP_TRANSITIONS` defines the transitions."""
 
     OLD = "old"
     REQUESTING = "asking"  # The unit waits for its permit.
--- a/cedarmill/cluster/traffic_control/intake.py
+++ b/cedarmill/cluster/traffic_control/intake.py
@@ -102,7 +102,7 @@
     if assessed.verdict == Verdict.UNKNOWN:
         return
     is_bad = assessed.verdict in (Verdict.LOST, Verdict.FAILING)
-    is_well = assessed.verdict == Verdict.WELL and assessed.failed < MAX_RECOVERED_FAILURE_SHARE
+    is_well = assessed.verdict == Verdict.HEALTHY and assessed.failed < MAX_RECOVERED_FAILURE_SHARE
     zone.bad_since = _start_of_period(state, zone.bad_since) if is_bad else -1
     zone.well_since = _start_of_period(state, zone.well_since) if is_well else -1
 
--- a/cedarmill/cluster/traffic_control/zone_status.py
+++ b/cedarmill/cluster/traffic_control/zone_status.py
@@ -47,7 +47,7 @@
         zone.well_since = -1
     target = state.targets.get(target_key("zone", zone.name))
     if target is not None:
-        health = TargetHealth.SILENT if status == ZoneStatus.LOST else TargetHealth.WELL
+        health = TargetHealth.SILENT if status == ZoneStatus.LOST else TargetHealth.HEALTHY
         target.health_since = target.health_since if target.health == health else state.clock
         target.health = health
     state.note(f"zone {zone.name} is {status}" + (f": {reason}" if reason else ""))
@@ -69,7 +69,7 @@
 def evacuation_permit(state: "ClusterState", zone: ZoneState) -> "Permit | None":
     """Return the permit under which the zone is taken out of service, or None."""
     for permit in state.permits.values():
-        if permit.out and permit.kind == "zone" and permit.target == zone.name:
+        if permit.is_out_of_service and permit.kind == "zone" and permit.target == zone.name:
             return permit
     return None
 
--- a/cedarmill/lab/cluster/mutants/drains.py
+++ b/cedarmill/lab/cluster/mutants/drains.py
@@ -86,5 +86,5 @@
     return {
         permit.target: permit.epoch
         for permit in requests._replica.state.permits.values()
-        if permit.out and key in permit.undrained_members
+        if permit.is_out_of_service and key in permit.undrained_members
     }
--- a/cedarmill/lab/cluster/mutants/permits.py
+++ b/cedarmill/lab/cluster/mutants/permits.py
@@ -16,11 +16,11 @@
         out = limits.out_shares(state)
         granted = [
             permit
-            for permit in permit_queue.in_order(state)
-            if limits.decide(state, permit.kind, permit.target, dict(out)).word == limits.Answer.NOW
+            for permit in permit_queue.grant_order(state)
+            if limits.evaluate(state, permit.kind, permit.target, dict(out)).answer == limits.Answer.NOW
         ]
         for permit in granted:
-            permit_states.move(state, permit, "grant")
+            permit_states.apply_event(state, permit, "grant")
             permit.undrained_members = drains.members_to_drain(state, permit)
             drains.check_drained(state, permit)
         return granted
@@ -46,7 +46,7 @@
     """Only what is out by plan counts, not what reports errors or is silent."""
 
     def out_shares(state: ClusterState) -> OutShares:
-        out = [permit for permit in state.permits.values() if permit.out]
+        out = [permit for permit in state.permits.values() if permit.is_out_of_service]
         return {permit_states.target_key(permit.kind, permit.target): PER_MILLE for permit in out}
 
     return [(limits, "out_shares", out_shares)]
@@ -54,17 +54,17 @@
 
 def cold_not_counted() -> list[Patch]:
     """One that has just come back counts as whole."""
-    return [(limits, "slow_start_part", lambda state, target: 0)]
+    return [(limits, "slow_start_missing_share", lambda state, target: 0)]
 
 
 def shares_rounded_up() -> list[Patch]:
     """30 % of 8 are 3."""
 
-    def allowed(limit: Limit, count: int) -> int:
-        cap = min(count, limit.most) if limit.most >= 0 else count
+    def max_out_count(limit: Limit, count: int) -> int:
+        cap = min(count, limit.max_targets) if limit.max_targets >= 0 else count
         return min(cap, -(-count * limit.share // PER_MILLE)) if limit.share >= 0 else cap
 
-    return [(limits, "allowed", allowed)]
+    return [(limits, "max_out_count", max_out_count)]
 
 
 def done_twice() -> list[Patch]:
--- a/cedarmill/lab/cluster/mutants/releases.py
+++ b/cedarmill/lab/cluster/mutants/releases.py
@@ -20,7 +20,7 @@
                 step.state, step.state_since = "back-changing", state.clock
                 rollout.order_unit(state, release, step)
         if all(step.state in ("old", "restored") for step in release.steps):
-            release_states.move(state, release, "complete")
+            release_states.apply_event(state, release, "complete")
 
     return [(rollout, "_roll_back", roll_back)]
 
--- a/cedarmill/lab/simulation/cluster.py
+++ b/cedarmill/lab/simulation/cluster.py
@@ -92,7 +92,8 @@
         targets += [(f"node-{number}", "node") for number in range(setup.nodes)]
         places = {name: {"kind": kind, "zone": setup.zone_of(name)} for name, kind in targets}
         limits = tuple(
-            LimitOptions(one.kind, one.per, one.most, one.share, one.capacity_left) for one in setup.limits
+            LimitOptions(one.kind, one.scope, one.max_targets, one.share, one.capacity_left)
+            for one in setup.limits
         )
         floors = PROBE_BUDGET.rate - PROBE_BUDGET.grantable
         return Record(
@@ -125,7 +126,7 @@
         states = [replica.replica.state for replica in self.replicas.values()]
         newest = max(states, key=lambda state: (state.generation, state.index))
         for permit in newest.permits.values():
-            if permit.out:
+            if permit.is_out_of_service:
                 self.history.tell("keepers", "named", permit.target, epoch=permit.epoch)
 
     def _schedule_drains(self) -> None:
--- a/cedarmill/lab/simulation/cluster_setup.py
+++ b/cedarmill/lab/simulation/cluster_setup.py
@@ -34,8 +34,8 @@
 )
 DEFAULT_LIMITS = (
     Limit("executor", "fleet", share=300),
-    Limit("executor", "zone", most=1),
-    Limit("node", "fleet", most=1),
+    Limit("executor", "zone", max_targets=1),
+    Limit("node", "fleet", max_targets=1),
 )
 
 
--- a/cedarmill/lab/simulation/drain_case.py
+++ b/cedarmill/lab/simulation/drain_case.py
@@ -35,7 +35,9 @@
     )
 
     def __init__(self) -> None:
-        super().__init__(ClusterState("c", slow_start_us=0, limits=[Limit("executor", "fleet", most=1)]))
+        super().__init__(
+            ClusterState("c", slow_start_us=0, limits=[Limit("executor", "fleet", max_targets=1)])
+        )
         for name in "ab":
             self.world.targets[f"executor:{name}"] = Target("executor", name, "z")
         for number in range(2):
@@ -57,7 +59,9 @@
 
     def _open_permit(self, name: str) -> Permit | None:
         permits = self.world.permits.values()
-        return next((permit for permit in permits if permit.out and permit.target == name), None)
+        return next(
+            (permit for permit in permits if permit.is_out_of_service and permit.target == name), None
+        )
 
     def happen(self, event: str) -> None:
         """Let an event happen."""
--- a/cedarmill/lab/simulation/traffic_case.py
+++ b/cedarmill/lab/simulation/traffic_case.py
@@ -51,7 +51,7 @@
     DEMAND: dict[str, int] = {"any": 8_000, "region": 2_000, "zone": 1_000}  # of each zone, thousandths
 
     def __init__(self) -> None:
-        super().__init__(ClusterState("c", limits=[Limit("zone", "fleet", most=1)]))
+        super().__init__(ClusterState("c", limits=[Limit("zone", "fleet", max_targets=1)]))
         self.apply(SetZones(self.now, "op", "1", LAYOUT))
         self.verdicts = dict.fromkeys(ZONES, "well")
         self._record_evidence()
--- a/tests/cluster/test_permits_and_releases.py
+++ b/tests/cluster/test_permits_and_releases.py
@@ -25,8 +25,11 @@
 class StateMachineCase(unittest.TestCase):
     """Base of tests that apply log entries one after the other to a cluster state, as each replica does."""
 
-    limits: tuple[Limit, ...] = (Limit("executor", "fleet", most=2), Limit("executor", "zone", most=1),
-                                 Limit("node", "fleet", most=1))  # fmt: skip
+    limits: tuple[Limit, ...] = (
+        Limit("executor", "fleet", max_targets=2),
+        Limit("executor", "zone", max_targets=1),
+        Limit("node", "fleet", max_targets=1),
+    )
 
     def setUp(self):
         self.cluster_state = ClusterState("c", slow_start_us=10 * SECOND_US)
@@ -60,7 +63,9 @@
         return self.apply(commands.ReturnPermit, "op", str(self.last_request_id), kind, name)
 
     def confirm_drained(self, name: str, *nodes: int) -> None:
-        permit = next(p for p in self.cluster_state.permits.values() if p.out and p.target == name)
+        permit = next(
+            p for p in self.cluster_state.permits.values() if p.is_out_of_service and p.target == name
+        )
         for n in nodes:
             self.apply(commands.ConfirmDrained, f"node:n{n}:1", {name: permit.epoch})
 
@@ -124,7 +129,7 @@
         self.assertIn("is out already", again.notes[0])
 
     def test_grants_go_by_priority_then_fewest_permits_out(self):
-        self.apply(commands.SetLimits, "op", "two", (Limit("executor", "fleet", most=2),))
+        self.apply(commands.SetLimits, "op", "two", (Limit("executor", "fleet", max_targets=2),))
         greedy = self.request("b0", "b1", "b2", "b3", requester="much")
         (little,), (urgent,) = (
             self.request("b4", requester="little"),
@@ -155,7 +160,7 @@
     def test_dry_run_returns_verdicts_and_changes_nothing(self):
         before = encode_snapshot(self.cluster_state)
         answers = [
-            verdict.word
+            verdict.answer
             for _, verdict in limits.dry_run(self.cluster_state, "executor", ("b0", "b3", "b99", "b1", "b2"))
         ]
         self.assertEqual(answers, ["now", "later", "never", "now", "later"])
@@ -278,14 +283,14 @@
         self.report_unit(2)
         self.bake()
         self.assertEqual(self.release.state, "done")
-        self.assertFalse([p for p in self.cluster_state.permits.values() if p.out])
+        self.assertFalse([p for p in self.cluster_state.permits.values() if p.is_out_of_service])
 
     def test_canary_not_ready_in_time_halts_release_and_rolls_back_under_its_permit(self):
         self.control("start")
         self.report_unit(0, "starting")
         self.pass_time(11 * SECOND_US)
         self.assertEqual((self.release.state, self.step_states()), ("halted", ["failed", "old", "old"]))
-        self.assertEqual(len([p for p in self.cluster_state.permits.values() if p.out]), 1)
+        self.assertEqual(len([p for p in self.cluster_state.permits.values() if p.is_out_of_service]), 1)
         self.control("back")
         self.assertEqual(self.step_states(), ["back-changing", "old", "old"])
         self.report_unit(0)
@@ -307,8 +312,10 @@
         self.assertEqual(self.step_states(), ["new", "new", "old"])
 
     def test_roll_back_is_possible_from_every_state_but_rolling_back(self):
-        for state in {state for state, _ in release_states.STATES}:
-            self.assertTrue((state, "back") in release_states.STATES or state == "backing", state)
+        for state in {state for state, _ in release_states.RELEASE_TRANSITIONS}:
+            self.assertTrue(
+                (state, "back") in release_states.RELEASE_TRANSITIONS or state == "backing", state
+            )
 
     def test_failed_roll_back_halts_and_names_unit(self):
         self.advance_to_second_group()
--- a/tests/cluster/test_traffic_plan.py
+++ b/tests/cluster/test_traffic_plan.py
@@ -197,7 +197,7 @@
 class TrafficPlanTestCase(unittest.TestCase, AppliedCommands):
     """Base class: applies commands to a cluster state with three zones, as every replica does."""
 
-    limits: tuple[Limit, ...] = (Limit("zone", "fleet", most=1),)
+    limits: tuple[Limit, ...] = (Limit("zone", "fleet", max_targets=1),)
 
     def setUp(self):
         AppliedCommands.__init__(self, ClusterState("c", limits=list(self.limits)))
--- a/tests/lab/test_zone_simulation.py
+++ b/tests/lab/test_zone_simulation.py
@@ -68,7 +68,7 @@
 
 def test_two_zones_out_at_once_are_found():
     assert explore(TwoDrainsCase(), TwoDrainsCase.EVENTS).breach is None
-    with applied_patches([(limits, "allowed", lambda limit, count: count)]):
+    with applied_patches([(limits, "max_out_count", lambda limit, count: count)]):
         found = explore(TwoDrainsCase(), TwoDrainsCase.EVENTS)
     assert "evacuated at once" in found.breach[1]
 
