--- a/cedarmill/cluster/admission_level/controller.py
+++ b/cedarmill/cluster/admission_level/controller.py
@@ -29,7 +29,7 @@
 
 # The most by which the shed slots change in a second: thousandths of the demand or of the slots, the larger.
 SHED_RATE = 1500
-RELEASE_RATE = 2000
+MAX_RELEASE_RATE = 2000
 
 # Changes of the fill share: thousandths of its value, per step.
 FILL_STEP_DOWN = 60  # while requests take too long
@@ -127,7 +127,7 @@
     return stricter(cluster, level.threshold) if level is not None else cluster
 
 
-def override(state: "ClusterState", threshold: SheddingThreshold, duration_us: int, author: str) -> None:
+def set_override(state: "ClusterState", threshold: SheddingThreshold, duration_us: int, author: str) -> None:
     """Apply an operator's threshold for a duration; a weight below 0 ends the current override."""
     level = state.admission
     if threshold.weight < 0:
@@ -156,12 +156,12 @@
         level.deep_cut_until = min(level.deep_cut_until, now)  # end the cut early
     in_deep_cut = now < level.deep_cut_until
     if not in_deep_cut and not level.stale:  # slots left idle by a deep cut are no evidence
-        _adjust_fill(level, _has_idle_slots(level))
+        _adjust_fill_share(level, _has_idle_slots(level))
     admitted_share = WHOLE - DEEP_CUT_FREE_SHARE if in_deep_cut else level.fill_share
     excess_slots = max(0, wanted_slots - level.slots * admitted_share // WHOLE) if level.active else 0
     reference_slots = max(wanted_slots, level.slots) * elapsed_us // 1_000_000
     max_shed_slots = level.shed_slots + reference_slots * SHED_RATE // WHOLE
-    min_shed_slots = level.shed_slots - reference_slots * RELEASE_RATE // WHOLE
+    min_shed_slots = level.shed_slots - reference_slots * MAX_RELEASE_RATE // WHOLE
     level.shed_slots = min(max(min(excess_slots, max_shed_slots), min_shed_slots), wanted_slots)
     if in_deep_cut:
         level.reason = "a deep cut: late though what is admitted fits"
@@ -188,7 +188,7 @@
     return level.slots_in_use * WHOLE < level.slots * (MIN_BUSY_SHARE if is_prompt else MIN_BUSY_SHARE_LATE)
 
 
-def _adjust_fill(level: AdmissionLevel, has_idle_slots: bool) -> None:
+def _adjust_fill_share(level: AdmissionLevel, has_idle_slots: bool) -> None:
     """Lower the fill share while requests take too long; raise it while queues are short."""
     is_overloaded = _is_overloaded(level)
     if (is_overloaded or level.late >= LATE_SHARE) and level.wanted_slots > level.slots:
--- a/cedarmill/cluster/budget_grants.py
+++ b/cedarmill/cluster/budget_grants.py
@@ -95,7 +95,7 @@
     for name in state.budgets:
         grant = state.budget_grants.setdefault(name, {}).setdefault(member, BudgetGrant())
         grant.demand = max(0, demands.get(name, 0))
-    deal(state)
+    redistribute(state)
 
 
 def acknowledge(state: "ClusterState", member: str, epoch: int) -> None:
@@ -104,7 +104,7 @@
         grant = by_member.get(member)
         if grant is not None and grant.epoch <= epoch:
             grant.previous_rate = grant.rate
-    deal(state)
+    redistribute(state)
 
 
 def release(state: "ClusterState", member: str) -> None:
@@ -113,10 +113,10 @@
     if any(grant is not None for grant in removed_grants):
         # A returning member receives the new rates before its lease is valid again.
         state.orders_epoch = state.epoch
-        deal(state)
+        redistribute(state)
 
 
-def deal(state: "ClusterState") -> None:
+def redistribute(state: "ClusterState") -> None:
     """Redistribute all budgets by demand.
 
     Grants are lowered at once. They are raised only from the free rate, which grows as lowered grants are
@@ -158,7 +158,7 @@
     return changed
 
 
-def rates_for(state: "ClusterState", member: str) -> dict[str, tuple[int, int]]:
+def rates_of(state: "ClusterState", member: str) -> dict[str, tuple[int, int]]:
     """Return the granted rate and the floor rate of a member, by budget."""
     rates = {}
     for name, budget in state.budgets.items():
@@ -179,5 +179,5 @@
         raise InvalidBudgetError("a budget needs a rate of at least 0 and at least 1 node")
     state.budgets = {budget.name: budget for budget in budgets}
     state.budget_grants = {name: state.budget_grants.get(name, {}) for name in names}
-    deal(state)
+    redistribute(state)
     state.orders_epoch = state.epoch
--- a/cedarmill/cluster/budget_lease.py
+++ b/cedarmill/cluster/budget_lease.py
@@ -25,7 +25,7 @@
         self.min_capacity = min_capacity  # of the bucket, for any rate above 0
         self.tokens = 0
         self.refilled_at = now
-        self.lease_held = False  # at the last check
+        self.is_lease_valid = False  # at the last check
         self.requested_operations = 0  # since `demand_counted_from`
         self.demand_counted_from = now
         self._last_demand = 0
@@ -38,7 +38,7 @@
 
     def rate(self) -> int:
         """Return the current refill rate per second."""
-        return max(self.granted_rate, self.floor_rate) if self.lease_held else self.floor_rate
+        return max(self.granted_rate, self.floor_rate) if self.is_lease_valid else self.floor_rate
 
     def spend(self, now: int, lease_holds: bool, reserve: int = 0) -> bool:
         """Take one token and return True if the budget allows one more operation now.
@@ -65,8 +65,8 @@
         return max(self.min_capacity if self.rate() else 0, self.rate() * BURST_US // 1_000_000)
 
     def _refill(self, now: int, lease_holds: bool) -> None:
-        if lease_holds != self.lease_held:
-            self.lease_held = lease_holds
+        if lease_holds != self.is_lease_valid:
+            self.is_lease_valid = lease_holds
             self.tokens = min(self.tokens, self._capacity())
         rate, capacity = self.rate(), self._capacity()
         added_tokens = rate * max(0, now - self.refilled_at) // 1_000_000
--- a/cedarmill/cluster/canary_comparison.py
+++ b/cedarmill/cluster/canary_comparison.py
@@ -19,13 +19,13 @@
     late: int = 0
     rejected: int = 0
 
-    def plus(self, other: "RequestCounts") -> "RequestCounts":
+    def add(self, other: "RequestCounts") -> "RequestCounts":
         """Return the sum of both counts."""
         return RequestCounts(
             *(own_count + other_count for own_count, other_count in zip(self, other, strict=True))
         )
 
-    def since(self, earlier: "RequestCounts") -> "RequestCounts":
+    def increase_since(self, earlier: "RequestCounts") -> "RequestCounts":
         """Return the increase since earlier counts; the counts of a restarted process begin at 0."""
         if earlier.requests > self.requests:
             return self
@@ -40,27 +40,27 @@
         self.updated_nodes: set[str] = set()
         self.rest_by_node: dict[str, RequestCounts] = {}  # counts of nodes not yet updated
         self.rest_before_update = RequestCounts()  # counts that updated nodes had before their update
-        self.new, self.rest = RequestCounts(), RequestCounts()
+        self.new_counts, self.rest_counts = RequestCounts(), RequestCounts()
 
     def update(self, counts: dict[str, RequestCounts], updated_nodes: set[str]) -> None:
         """Update both sums from the counts of each node's newest process and the set of updated nodes."""
         for name in updated_nodes - self.updated_nodes:
             before = self.rest_by_node.pop(name, RequestCounts())
-            self.rest_before_update = self.rest_before_update.plus(before)
+            self.rest_before_update = self.rest_before_update.add(before)
             self.baselines[name] = counts.get(name, RequestCounts())
         self.updated_nodes |= updated_nodes
         new, rest = RequestCounts(), self.rest_before_update
         for name, request_counts in counts.items():
-            since = request_counts.since(self.baselines.get(name, RequestCounts()))
+            since = request_counts.increase_since(self.baselines.get(name, RequestCounts()))
             if name in updated_nodes:
-                new = new.plus(since)
+                new = new.add(since)
             elif name not in self.updated_nodes:
                 self.rest_by_node[name] = since
-                rest = rest.plus(since)
-        self.new, self.rest = new, rest
+                rest = rest.add(since)
+        self.new_counts, self.rest_counts = new, rest
 
 
-def chance_if_alike(bad: int, requests: int, rest_bad: int, rest_requests: int) -> float:
+def fisher_p_value(bad: int, requests: int, rest_bad: int, rest_requests: int) -> float:
     """Return the probability of at least `bad` bad requests among `requests` if both versions are alike.
 
     This is the upper tail of the hypergeometric distribution.
@@ -94,7 +94,7 @@
         difference = (bad * rest.requests - rest_bad * new.requests) * 1000
         if difference <= plan.min_difference * new.requests * rest.requests:
             continue
-        p_value = chance_if_alike(bad, new.requests, rest_bad, rest.requests)
+        p_value = fisher_p_value(bad, new.requests, rest_bad, rest.requests)
         if p_value < plan.max_chance / 10_000:
             return (
                 f"{kind} {bad} of {new.requests} against {rest_bad} of {rest.requests} with the rest "
--- a/cedarmill/cluster/executor_health.py
+++ b/cedarmill/cluster/executor_health.py
@@ -2,7 +2,7 @@
 
 from cedarmill.cluster import session_tracker
 from cedarmill.cluster.messages import ExecutorObservation
-from cedarmill.cluster.session_tracker import AT_ONCE, SessionTracker
+from cedarmill.cluster.session_tracker import MASS_LOSS_MARKER, SessionTracker
 from cedarmill.cluster.state import ClusterState, Target
 from cedarmill.cluster.states import TargetHealth
 
@@ -17,9 +17,9 @@
     """Merges the nodes' reports on executors for the agreed state."""
 
     def __init__(self) -> None:
-        self.changed: set[str] = set()  # names of executors reported on since the last round
+        self.changed_names: set[str] = set()  # names of executors reported on since the last round
 
-    def merged(self, now: int, sessions: SessionTracker, name: str) -> Target | None:
+    def merge_reports(self, now: int, sessions: SessionTracker, name: str) -> Target | None:
         """Return one executor as the majority of current reports describes it, or None without reports."""
         reports = _current_reports(now, sessions, name)
         if not reports:
@@ -42,8 +42,8 @@
     ) -> tuple[tuple[Target, ...], str]:
         """Return the changed targets, and a reason if too many worsened and these are withheld."""
         changed_targets, worsened = [], 0
-        for name in sorted(self.changed):
-            target = self.merged(now, sessions, name)
+        for name in sorted(self.changed_names):
+            target = self.merge_reports(now, sessions, name)
             agreed = state.targets.get(f"executor:{name}")
             if target is None or (agreed is not None and _are_equal(target, agreed)):
                 continue
@@ -53,13 +53,17 @@
                 and target.health in (TargetHealth.FAILING, TargetHealth.UNLISTED)
             )
             changed_targets.append(target)
-        self.changed.clear()
+        self.changed_names.clear()
         executor_count = sum(target.kind == "executor" for target in state.targets.values())
         if worsened <= MAX_WORSENED_COUNT or worsened <= MAX_WORSENED_SHARE * executor_count:
             return tuple(changed_targets), ""
-        self.changed.update(target.name for target in changed_targets)  # checked again in the next round
+        # These are checked again in the next round.
+        self.changed_names.update(target.name for target in changed_targets)
         healthy_targets = tuple(target for target in changed_targets if target.health == TargetHealth.HEALTHY)
-        return healthy_targets, f"{worsened} of {executor_count} executors seem ill or gone {AT_ONCE}"
+        return (
+            healthy_targets,
+            f"{worsened} of {executor_count} executors seem ill or gone {MASS_LOSS_MARKER}",
+        )
 
 
 def _current_reports(now: int, sessions: SessionTracker, name: str) -> list[ExecutorObservation]:
@@ -69,7 +73,7 @@
         for key, session in sessions.by_key.items()
         if name in session.executors
         and not session.was_suspended
-        and now - session.heard_at < session_tracker.LEASE_US
+        and now - session.last_heartbeat_at < session_tracker.LEASE_US
         and key.startswith("node:")
     ]
 
--- a/cedarmill/cluster/leader_duties.py
+++ b/cedarmill/cluster/leader_duties.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from cedarmill.cluster import canary_comparison
-from cedarmill.cluster.session_tracker import AT_ONCE, LEASE_US, ExpiredLeases
+from cedarmill.cluster.session_tracker import LEASE_US, MASS_LOSS_MARKER, ExpiredLeases
 from cedarmill.cluster.state import Target
 from cedarmill.cluster.state_machine import dispatch, rollout
 from cedarmill.cluster.state_machine.commands import (
@@ -32,7 +32,7 @@
 
 def ends_automatically(halt_reason: str) -> bool:
     """Return whether a halt ends without an operator, judging by its reason: the state stores no more."""
-    return halt_reason == NEW_LEADER_HALT or AT_ONCE in halt_reason
+    return halt_reason == NEW_LEADER_HALT or MASS_LOSS_MARKER in halt_reason
 
 
 class LeaderDuties:
@@ -44,7 +44,7 @@
         self._last_comparison = now
         self._last_evidence = now
 
-    def begin(self, now: int) -> None:
+    def on_elected(self, now: int) -> None:
         """Schedule the first round one interval after the replica's election."""
         self._last_round = now
 
@@ -57,18 +57,18 @@
         """Return whether a round is due."""
         return now >= self.due
 
-    def carry_out(self, now: int) -> None:
+    def run_round(self, now: int) -> None:
         """Run one round of the leader's periodic work."""
         replica = self._replica
         state, sessions = replica.state, replica.leadership.sessions
-        sessions.excuse_stall(now)
+        sessions.exclude_leader_stall(now)
         self._last_round = now
         sessions.forget_ended(state)
         if replica.raft.log.term(replica.raft.commit_index) != replica.raft.term:
             return  # Entries of earlier terms may not be committed before one of this term is.
         expired = sessions.expired(now, state)
         targets, mass_failure = replica.leadership.executors.changes(now, sessions, state)
-        halt_reason = mass_failure or expired.disbelieved or self._new_leader_halt(now)
+        halt_reason = mass_failure or expired.mass_loss_reason or self._new_leader_halt(now)
         self._expire_sessions(now, expired)
         self._update_targets(now, targets)
         # The end of a halt grants permits immediately, so the targets have to be up to date before.
@@ -126,14 +126,14 @@
             return ""
         nodes = [node for node in replica.state.members_of("node") if node.state != MemberState.SILENT]
         sessions = leadership.sessions.by_key
-        reported = sum(node.key in sessions and sessions[node.key].reported_all for node in nodes)
+        reported = sum(node.key in sessions and sessions[node.key].has_full_report for node in nodes)
         return "" if 2 * reported > len(nodes) or not nodes else NEW_LEADER_HALT
 
     def _record_zone_evidence(self, now: int, halt_reason: str) -> None:
         """Propose changed zone evidence from the nodes' reports, unless a halt makes them unreliable."""
         replica = self._replica
         state, zones = replica.state, replica.leadership.zones
-        if now - self._last_evidence < ZONE_EVIDENCE_INTERVAL_US or not state.zoning.regions:
+        if now - self._last_evidence < ZONE_EVIDENCE_INTERVAL_US or not state.zone_layout.regions:
             return
         self._last_evidence = now
         if halt_reason or state.halt_reason == NEW_LEADER_HALT:
@@ -142,7 +142,7 @@
         zones.forget(
             [key for key in zones.digests if key in members and members[key].state == MemberState.ENDED]
         )
-        evidence = zones.assess(now, state.zoning.zones)
+        evidence = zones.assess(now, state.zone_layout.zones)
         time_us = replica.cluster_time(now)
         is_admission_update_due = (
             state.admission.active and time_us - state.traffic.assessed_at >= ADMISSION_EVIDENCE_INTERVAL_US
@@ -174,8 +174,10 @@
             release_id, canary_comparison.CanaryComparison(counts)
         )
         comparison.update(counts, {step.unit for step in release.steps if step.state == StepState.NEW})
-        halt_reason = canary_comparison.reason_to_halt(release.plan, comparison.new, comparison.rest)
-        sample_size = min(comparison.new.requests, comparison.rest.requests)
+        halt_reason = canary_comparison.reason_to_halt(
+            release.plan, comparison.new_counts, comparison.rest_counts
+        )
+        sample_size = min(comparison.new_counts.requests, comparison.rest_counts.requests)
         if halt_reason or release.compared_requests < release.plan.min_sample <= sample_size:
             command = RecordComparison(self._replica.cluster_time(now), release_id, halt_reason, sample_size)
             self._replica.propose_once(now, f"judged {release_id}", command)
--- a/cedarmill/cluster/member_orders.py
+++ b/cedarmill/cluster/member_orders.py
@@ -27,8 +27,8 @@
         routes=reports.route_weights(state, member.zone),
         admission_cut=state.admission.threshold,
         scoped_cuts=_scoped_cuts(state, member.zone),
-        budget_leases=budget_grants.rates_for(state, member.key),
-        membership_epoch=state.membership_epoch if state.zoning.gossip else 0,
+        budget_leases=budget_grants.rates_of(state, member.key),
+        membership_epoch=state.membership_epoch if state.zone_layout.gossip else 0,
     )
 
 
--- a/cedarmill/cluster/member_requests.py
+++ b/cedarmill/cluster/member_requests.py
@@ -39,9 +39,9 @@
         leadership = replica.leadership
         session = leadership.sessions.record(now, key, heartbeat)
         is_term_current = heartbeat.term == replica.raft.term
-        session.reported_all |= is_term_current
+        session.has_full_report |= is_term_current
         if heartbeat.kind == "node":
-            leadership.executors.changed.update(heartbeat.executors)
+            leadership.executors.changed_names.update(heartbeat.executors)
             if heartbeat.digest is not None and is_term_current and heartbeat.leader_timestamp >= 0:
                 made_at = min(now, heartbeat.leader_timestamp + heartbeat.timestamp_age_us)
                 leadership.zones.accept(made_at, key, heartbeat.digest)
--- a/cedarmill/cluster/observations/assessment.py
+++ b/cedarmill/cluster/observations/assessment.py
@@ -39,7 +39,7 @@
 
     zones: dict[str, ZoneAssessment]
     links: dict[str, str] = {}  # value of a LinkState, by `from>to`
-    blind_zones: list[str] = []  # zones whose observers are silent or failing
+    unobserved_zones: list[str] = []  # zones whose observers are silent or failing
     failing_groups: list[str] = []  # failing executor groups of healthy zones, as `zone/group`
 
     def demand_by_weight(self) -> dict[int, int]:
@@ -112,7 +112,9 @@
     return ClusterAssessment(
         zones,
         links=verdicts.failing_links(trusted_findings, verdict_by_zone),
-        blind_zones=sorted({*failing_observers, *(observer for observer in names if not fresh[observer])}),
+        unobserved_zones=sorted(
+            {*failing_observers, *(observer for observer in names if not fresh[observer])}
+        ),
         failing_groups=verdicts.failing_groups(names, fresh, verdict_by_zone),
     )
 
--- a/cedarmill/cluster/plan_follower.py
+++ b/cedarmill/cluster/plan_follower.py
@@ -27,7 +27,7 @@
 class ZoneExclusion:
     """The exclusion of a zone: its end (us), and the number of consecutive exclusions."""
 
-    until: int
+    ends_at: int
     times: int = 1
 
 
@@ -83,9 +83,9 @@
             return {}
         excluded = self._excluded(now) | self.plan.closed_zones.keys() | self.empty_zones
         returning = {
-            zone: now - exclusion.until
+            zone: now - exclusion.ends_at
             for zone, exclusion in self.exclusions.items()
-            if zone not in excluded and now - exclusion.until < RETURN_RAMP_US
+            if zone not in excluded and now - exclusion.ends_at < RETURN_RAMP_US
         }
         return {scope: self._ramped_row(scope, excluded, returning) for scope in SCOPES}
 
@@ -109,7 +109,7 @@
         return remaining | {own_zone: local_weight} if local_weight else remaining
 
     def _excluded(self, now: int) -> set[str]:
-        return {zone for zone, exclusion in self.exclusions.items() if now < exclusion.until}
+        return {zone for zone, exclusion in self.exclusions.items() if now < exclusion.ends_at}
 
     def _exclude_unreached(
         self, now: int, observations: Mapping[str, LocationObservation], streaks: Mapping[str, int]
@@ -122,11 +122,11 @@
             if "/" in zone or not (is_mostly_unreached or streaks.get(zone, 0) >= UNREACHED_STREAK):
                 continue
             exclusion = self.exclusions.get(zone)
-            if exclusion is None or now - exclusion.until > EXCLUSION_RESET_US:
+            if exclusion is None or now - exclusion.ends_at > EXCLUSION_RESET_US:
                 self.exclusions[zone] = ZoneExclusion(now + EXCLUSION_US)
-            elif now >= exclusion.until:
+            elif now >= exclusion.ends_at:
                 exclusion.times += 1
-                exclusion.until = now + min(MAX_EXCLUSION_US, EXCLUSION_US << (exclusion.times - 1))
+                exclusion.ends_at = now + min(MAX_EXCLUSION_US, EXCLUSION_US << (exclusion.times - 1))
 
     def _ramped_row(self, scope: str, excluded: set[str], returning: Mapping[str, int]) -> WeightRow:
         """Return the row interpolated between those without and with the returning zones.
--- a/cedarmill/cluster/replica.py
+++ b/cedarmill/cluster/replica.py
@@ -103,34 +103,34 @@
                 self.emit(Reply(forwarded.token, message.reply))
         else:
             self.run_raft(now, MessageReceived(source, message))
-        return self.take_actions(now)
+        return self.pop_actions(now)
 
     def on_request(self, now: int, token: int, request: ClientRequest) -> Actions:
         """Process a member's or an operator's request; a partitioned replica may never reply."""
         self.router.route(now, token, request)
-        return self.take_actions(now)
+        return self.pop_actions(now)
 
     def on_time(self, now: int) -> Actions:
         """Run due timers, and fail expired forwarded requests; has to be called at `due` at the latest."""
         self.run_raft(now, TimeAdvanced())
         for token in self.pending.expire_forwarded(now - FORWARD_TIMEOUT_US):
             self.router.reply(token, Unavailable("the leader did not answer"))
-        return self.take_actions(now)
+        return self.pop_actions(now)
 
     def transfer_leadership(self, now: int) -> Actions:
         """Transfer the leadership to another replica before this replica ends."""
         self.run_raft(now, TransferLeadership())
-        return self.take_actions(now)
+        return self.pop_actions(now)
 
     def on_synced(self, now: int, index: int) -> Actions:
         """Process the completed write of all log entries up to the index."""
         self.run_raft(now, PersistenceCompleted(index))
-        return self.take_actions(now)
+        return self.pop_actions(now)
 
     def on_snapshot_stored(self, now: int, snapshot: Snapshot) -> Actions:
         """Process the completed write of the snapshot."""
         self.run_raft(now, SnapshotPersisted(snapshot))
-        return self.take_actions(now)
+        return self.pop_actions(now)
 
     @property
     def due(self) -> int:
@@ -160,11 +160,11 @@
         """Queue an action for the adapter."""
         self._actions.append(action)
 
-    def take_actions(self, now: int) -> Actions:
+    def pop_actions(self, now: int) -> Actions:
         """Run the due leader duties, and return all queued actions; called at the end of each event."""
         if self.is_leader and self.duties.is_due(now) and self.raft.is_leading(now):
             self._proposed_keys.clear()
-            self.duties.carry_out(now)
+            self.duties.run_round(now)
         log = self.raft.log
         if len(log.entries) > MAX_UNCOMPACTED_ENTRIES and self.raft.commit_index > log.snapshot.index:
             self.store_snapshot()
@@ -237,7 +237,7 @@
         self.emit(action)
         if action.leads:
             self.leadership = Leadership(now, elected_at=now, time_at_election=self.state.clock)
-            self.duties.begin(now)
+            self.duties.on_elected(now)
             self._is_newly_elected = True
         else:
             self._reject_pending(action.leader)
--- a/cedarmill/cluster/session.py
+++ b/cedarmill/cluster/session.py
@@ -131,7 +131,7 @@
         self._last_check_at = now
         self._last_reply_at = now
         self._next_heartbeat = now
-        self._announced = False  # whether the last lease action was `LeaseHolds`
+        self._is_announced = False  # whether the last lease action was `LeaseHolds`
 
     def holds(self, now: int) -> bool:
         """Return whether the lease is valid at the given time."""
@@ -140,7 +140,7 @@
     @property
     def due(self) -> int:
         """The latest time at which `on_time` has to be called."""
-        return min(self._next_heartbeat, self.lease_until) if self._announced else self._next_heartbeat
+        return min(self._next_heartbeat, self.lease_until) if self._is_announced else self._next_heartbeat
 
     def on_time(self, now: int) -> Actions:
         """Send a heartbeat if one is due, and report an expired lease."""
@@ -164,8 +164,8 @@
         if now - self._last_check_at > STALL_THRESHOLD_US:
             self.doubts_until = now + SUSPENSION_EFFECT_US
         self._last_check_at = now
-        if self._announced and not self.holds(now):
-            self._announced = False
+        if self._is_announced and not self.holds(now):
+            self._is_announced = False
             return [LeaseExpired()]
         return []
 
@@ -266,8 +266,8 @@
         if orders is not None and orders.epoch > self.epoch:
             self.epoch, self.orders = orders.epoch, orders
             actions.append(FollowOrders(orders))
-        if not self._announced and self.holds(now) and self.orders is not None:
-            self._announced = True
+        if not self._is_announced and self.holds(now) and self.orders is not None:
+            self._is_announced = True
             actions.append(LeaseHolds())
         return actions
 
--- a/cedarmill/cluster/session_tracker.py
+++ b/cedarmill/cluster/session_tracker.py
@@ -35,7 +35,7 @@
 # Members in these states have a lease that can expire.
 STATES_WITH_LEASE = frozenset({MemberState.LIVE, MemberState.UNREACHABLE})
 # A part of each halt reason that reports a mass loss; `leader_duties` searches for it.
-AT_ONCE = "at once"
+MASS_LOSS_MARKER = "at once"
 
 
 def holder_lease_end(sent_at: int, lease_us: int) -> int:
@@ -47,11 +47,11 @@
 class Session:
     """The leader's local data on a member, beyond the replicated state."""
 
-    heard_at: int
+    last_heartbeat_at: int
     was_suspended: bool = False  # reported by the member, whose observations are then unreliable
     request_counts: tuple[int, int, int, int] = (0, 0, 0, 0)
     executors: dict[str, ExecutorObservation] = field(default_factory=dict)
-    reported_all: bool = False  # whether this leader has a full report
+    has_full_report: bool = False  # whether this leader has a full report
     probed_at: int | None = None
     has_answered_probe: bool = False  # whether another member has recently reached the member
 
@@ -67,13 +67,13 @@
 class ExpiredLeases(NamedTuple):
     """Keys of members whose lease has expired, grouped by the conclusion for each member.
 
-    `disbelieved` is the reason for drawing no conclusion: too many members are missing together.
+    `mass_loss_reason` is the reason for drawing no conclusion: too many members are missing together.
     """
 
     silent: tuple[str, ...] = ()
     unreachable: tuple[str, ...] = ()  # Other members still reach these.
     certainly_stopped: tuple[str, ...] = ()  # These stop by themselves when their lease expires.
-    disbelieved: str = ""
+    mass_loss_reason: str = ""
 
 
 class SessionTracker:
@@ -82,13 +82,13 @@
     def __init__(self, now: int) -> None:
         self.by_key: dict[str, Session] = {}
         # Leases granted by the previous leader may last a full lease duration from this time.
-        self.counted_from = now
+        self.leases_counted_from = now
         self._last_round_at = now
 
     def record(self, now: int, key: str, heartbeat: Heartbeat) -> Session:
         """Update the session of a member from its heartbeat, and return it."""
         session = self.by_key.setdefault(key, Session(now))
-        session.heard_at = now
+        session.last_heartbeat_at = now
         session.was_suspended = heartbeat.was_suspended
         session.request_counts = heartbeat.request_counts
         session.executors.update(heartbeat.executors)
@@ -103,37 +103,43 @@
             session.has_answered_probe = answered or session.is_reachable(now)
             session.probed_at = now
 
-    def heard_at(self, key: str) -> int:
-        """Return when the last heartbeat of a member arrived, but no time before `counted_from`."""
+    def last_heartbeat_at(self, key: str) -> int:
+        """Return when the last heartbeat of a member arrived, but no time before `leases_counted_from`."""
         session = self.by_key.get(key)
-        return max(self.counted_from, session.heard_at) if session is not None else self.counted_from
+        return (
+            max(self.leases_counted_from, session.last_heartbeat_at)
+            if session is not None
+            else self.leases_counted_from
+        )
 
-    def excuse_stall(self, now: int) -> None:
+    def exclude_leader_stall(self, now: int) -> None:
         """Exclude a suspension of the leader from the silence of all members; called in each round."""
         gap = now - self._last_round_at
         self._last_round_at = now
         if gap <= STALL_THRESHOLD_US:
             return
-        self.counted_from = max(self.counted_from, min(now, self.counted_from + gap))
+        self.leases_counted_from = max(self.leases_counted_from, min(now, self.leases_counted_from + gap))
         for session in self.by_key.values():
-            session.heard_at += gap
+            session.last_heartbeat_at += gap
 
     def suspects(self, now: int, state: ClusterState) -> dict[str, str]:
         """Return the addresses of the members to probe, by member key."""
         return {
             key: member.address
             for key, member in state.members.items()
-            if _has_lease(member) and member.address and now - self.heard_at(key) > SUSPECT_SILENCE_US
+            if _has_lease(member)
+            and member.address
+            and now - self.last_heartbeat_at(key) > SUSPECT_SILENCE_US
         }
 
     def expired(self, now: int, state: ClusterState) -> ExpiredLeases:
         """Classify the members whose lease has expired."""
         members = [member for member in state.members.values() if _has_lease(member)]
-        lapsed = [member for member in members if now - self.heard_at(member.key) > LEASE_US]
+        lapsed = [member for member in members if now - self.last_heartbeat_at(member.key) > LEASE_US]
         reachable = {member.key for member in lapsed if self._is_reachable(now, member.key)}
         missing_members = [member for member in lapsed if member.key not in reachable]
         if missing_members and (reason := self._mass_loss_reason(now, members, reachable)):
-            return ExpiredLeases(disbelieved=reason)
+            return ExpiredLeases(mass_loss_reason=reason)
         return ExpiredLeases(
             silent=tuple(member.key for member in missing_members),
             unreachable=tuple(m.key for m in lapsed if m.key in reachable and m.state == MemberState.LIVE),
@@ -148,17 +154,18 @@
         """Return why a loss is implausible if too many live members are missing or about to be, or ""."""
         live = [member for member in members if member.state == MemberState.LIVE]
         missing = sum(
-            member.key not in reachable and now - self.heard_at(member.key) > LEASE_US - HEARTBEAT_SPREAD_US
+            member.key not in reachable
+            and now - self.last_heartbeat_at(member.key) > LEASE_US - HEARTBEAT_SPREAD_US
             for member in live
         )
         if missing > MAX_PLAUSIBLE_LOSSES and missing > MAX_MISSING_SHARE * len(live):
-            return f"{missing} of {len(live)} members fell silent {AT_ONCE}"
+            return f"{missing} of {len(live)} members fell silent {MASS_LOSS_MARKER}"
         return ""
 
     def _certainly_stopped(self, now: int, state: ClusterState) -> Iterator[str]:
         """Yield the members that stop at lease expiry, and whose lease has certainly expired."""
         for member in state.members.values():
-            expired = now - self.heard_at(member.key) > LEASE_US
+            expired = now - self.last_heartbeat_at(member.key) > LEASE_US
             if member.stops_at_lease_expiry and member.state != MemberState.ENDED and expired:
                 yield member.key
 
--- a/cedarmill/cluster/state.py
+++ b/cedarmill/cluster/state.py
@@ -63,7 +63,7 @@
     share: int = -1  # thousandths of the targets
     capacity_left: int = -1  # thousandths of the slots that must stay in service
 
-    def text(self) -> str:
+    def describe(self) -> str:
         """Return a description for operators."""
         parts = [f"at most {self.max_targets}"] if self.max_targets >= 0 else []
         parts += [f"at most {self.share / 10:g}%"] if self.share >= 0 else []
@@ -172,6 +172,7 @@
         "budget_grants": "slices",
         "scoped_admission": "tight",
         "membership_epoch": "peopled",
+        "zone_layout": "zoning",
         "budgets_dealt_from": "deal_from",
     },
 ):
@@ -194,7 +195,7 @@
     last_id: int = 0  # The last id given to a permit or release.
     orders_epoch: int = 0  # Epoch of the newest change to the members' orders.
     log: list[str] = msgspec.field(default_factory=list)  # The newest log lines for operators.
-    zoning: ZoneLayout = msgspec.field(default_factory=ZoneLayout)
+    zone_layout: ZoneLayout = msgspec.field(default_factory=ZoneLayout)
     zones: dict[str, ZoneState] = msgspec.field(default_factory=dict)
     traffic: TrafficState = msgspec.field(default_factory=TrafficState)
     budgets: dict[str, Budget] = msgspec.field(default_factory=dict)
@@ -210,7 +211,7 @@
         """Epoch of the log entry that was applied last or is being applied."""
         return self.generation << EPOCH_INDEX_BITS | self.index
 
-    def new_id(self) -> int:
+    def allocate_id(self) -> int:
         """Return a new id for a permit or a release."""
         self.last_id += 1
         return self.last_id
--- a/cedarmill/cluster/state_machine/limits.py
+++ b/cedarmill/cluster/state_machine/limits.py
@@ -117,14 +117,14 @@
             return None
         max_out = max_out_count(limit, count)
         if max_out < 1:
-            return Objection(Answer.NEVER, f"{limit.text()}: none of {count}{self.suffix} may be out")
+            return Objection(Answer.NEVER, f"{limit.describe()}: none of {count}{self.suffix} may be out")
         total_out = sum(self.out.get(key, 0) for key, _ in self.targets if key != self.requested_key)
         if total_out + PER_MILLE <= max_out * PER_MILLE:
             return None
         out_keys = [key for key, _ in self.targets if key != self.requested_key and self.out.get(key)]
         names = ", ".join(sorted(key.partition(":")[2] for key in out_keys))
         usage = f"{total_out / PER_MILLE:g} of {max_out}{self.suffix} are out ({names})"
-        return Objection(Answer.LATER, f"{limit.text()}: {usage}")
+        return Objection(Answer.LATER, f"{limit.describe()}: {usage}")
 
     def capacity_objection(self) -> Objection | None:
         """Return the objection of a limit on the remaining slots (thousandths); None if there is none."""
@@ -145,7 +145,7 @@
         slots = (
             f"{remaining / PER_MILLE:g} slots{self.suffix} would be left, {required / PER_MILLE:g} are needed"
         )
-        return f"{self.limit.text()}: {slots}"
+        return f"{self.limit.describe()}: {slots}"
 
 
 def _objections(
--- a/cedarmill/cluster/state_machine/permit_queue.py
+++ b/cedarmill/cluster/state_machine/permit_queue.py
@@ -33,7 +33,7 @@
     """Add a request to the queue; refuse a request that can never be granted or duplicates a waiting one."""
     duplicate = _find_waiting(state, request.kind, request.target)
     permit = Permit(
-        state.new_id(),
+        state.allocate_id(),
         request.kind,
         request.target,
         request.holder,
--- a/cedarmill/cluster/state_machine/permits.py
+++ b/cedarmill/cluster/state_machine/permits.py
@@ -65,7 +65,7 @@
         if _is_out(state, kind, name):
             continue
         permit = Permit(
-            state.new_id(),
+            state.allocate_id(),
             kind,
             name,
             "before the restore",
--- a/cedarmill/cluster/state_machine/releases.py
+++ b/cedarmill/cluster/state_machine/releases.py
@@ -50,7 +50,7 @@
     names = [name for group in plan.groups for name in group]
     _check_plan(state, plan, names)
     steps = [UnitStep(name, _current_version(state, name)) for name in names]
-    release = Release(state.new_id(), plan, request.requester, steps=steps, state_since=state.clock)
+    release = Release(state.allocate_id(), plan, request.requester, steps=steps, state_since=state.clock)
     state.releases[release.id] = release
     return accepted(state, f"release {release.id} is planned", [release.id])
 
--- a/cedarmill/cluster/state_machine/sessions.py
+++ b/cedarmill/cluster/state_machine/sessions.py
@@ -113,7 +113,7 @@
 
 def _note_membership_change(state: ClusterState, member: Member) -> None:
     """Make gossiping nodes refresh their peer lists after a change of the nodes."""
-    if state.zoning.gossip and member.kind == "node":
+    if state.zone_layout.gossip and member.kind == "node":
         state.membership_epoch = state.orders_epoch = state.epoch
 
 
--- a/cedarmill/cluster/state_machine/traffic.py
+++ b/cedarmill/cluster/state_machine/traffic.py
@@ -42,7 +42,7 @@
         raise RequestRejected("a cut takes a reason, an end, and a part of at most the whole")
     author = f"{request.requester} ({request.reason})" if request.reason else request.requester
     threshold = SheddingThreshold(request.weight, request.part)
-    controller.override(state, threshold, request.duration_us, author)
+    controller.set_override(state, threshold, request.duration_us, author)
     return accepted(state, "the cut holds" if is_set else "the cut by hand has ended")
 
 
--- a/cedarmill/cluster/state_machine/zones.py
+++ b/cedarmill/cluster/state_machine/zones.py
@@ -20,10 +20,10 @@
 from cedarmill.cluster.traffic_plan.state import ZoneState
 
 
-class SetZones(OperatorRequest, tag="zones", frozen=True):
+class SetZones(OperatorRequest, tag="zones", rename={"zone_layout": "zoning"}, frozen=True):
     """Replace the layout of zones and regions."""
 
-    zoning: ZoneLayout
+    zone_layout: ZoneLayout
 
 
 class ControlZone(OperatorRequest, tag="zone", frozen=True):
@@ -39,10 +39,10 @@
 def set_zones(state: ClusterState, request: SetZones) -> RequestOutcome:
     """Replace the zone layout; raise RequestRejected with the reason if it is invalid."""
     try:
-        intake.set_layout(state, request.zoning)
+        intake.set_layout(state, request.zone_layout)
     except InvalidLayoutError as error:
         raise RequestRejected(str(error)) from None
-    zones, regions = request.zoning.zones, request.zoning.regions
+    zones, regions = request.zone_layout.zones, request.zone_layout.regions
     state.note(f"zones set by {request.requester}: {len(zones)} in {len(regions)} regions")
     return accepted(state, f"{len(zones)} zones are planned")
 
--- a/cedarmill/cluster/state_views.py
+++ b/cedarmill/cluster/state_views.py
@@ -69,7 +69,7 @@
         row = msgspec.to_builtins(member)
         session = sessions.by_key.get(member.key)
         row["counts"] = list(session.request_counts) if session is not None else []
-        row["heard_s"] = _seconds(now - sessions.heard_at(member.key), 2)
+        row["heard_s"] = _seconds(now - sessions.last_heartbeat_at(member.key), 2)
         rows.append(row)
     return rows
 
@@ -88,7 +88,7 @@
 def _limit_row(state: ClusterState, limit: Limit, scope: str, out_shares: dict[str, int]) -> Row:
     target_keys = [key for key, target in state.targets.items() if limits.scope_of(limit, target) == scope]
     return {
-        "limit": limit.text(),
+        "limit": limit.describe(),
         "scope": scope,
         "of": len(target_keys),
         "allowed": limits.max_out_count(limit, len(target_keys)),
@@ -125,8 +125,8 @@
     row["plan"] = {"version": plan.version, "groups": plan.groups, "width": plan.max_concurrent}
     row["age_s"] = _seconds(replica.state.clock - release.state_since, 1)
     comparison = replica.leadership.comparisons.get(release.id)
-    row["new"] = list(comparison.new) if comparison is not None else []
-    row["rest"] = list(comparison.rest) if comparison is not None else []
+    row["new"] = list(comparison.new_counts) if comparison is not None else []
+    row["rest"] = list(comparison.rest_counts) if comparison is not None else []
     return row
 
 
--- a/cedarmill/cluster/traffic_control/intake.py
+++ b/cedarmill/cluster/traffic_control/intake.py
@@ -27,7 +27,7 @@
     """
     _validate_layout(layout)
     names = layout.zones
-    state.zoning = layout
+    state.zone_layout = layout
     state.zones = {name: state.zones.get(name) or ZoneState(name, status_since=state.clock) for name in names}
     for existing in [target.name for target in state.targets.values() if target.kind == "zone"]:
         if existing not in names:
@@ -60,14 +60,14 @@
     traffic.latest_assessment = assessment
     previous = traffic.assessment.zones if traffic.assessment is not None else {}
     zones: dict[str, ZoneAssessment] = {}
-    for name in state.zoning.zones:
+    for name in state.zone_layout.zones:
         assessed = assessment.zones.get(name, ZoneAssessment(Verdict.UNKNOWN))
-        is_blind = name in assessment.blind_zones
+        is_blind = name in assessment.unobserved_zones
         if not is_blind and assessed.demand:
             traffic.demand_observed_at[name] = state.clock
         zones[name] = _fill_in_unknowns(state, name, assessed, previous.get(name), is_blind)
     traffic.assessment = ClusterAssessment(
-        zones, assessment.links, assessment.blind_zones, assessment.failing_groups
+        zones, assessment.links, assessment.unobserved_zones, assessment.failing_groups
     )
     traffic.assessed_at, traffic.next_review_at = state.clock, 0
     for name, zone in state.zones.items():
--- a/cedarmill/cluster/traffic_control/ramps.py
+++ b/cedarmill/cluster/traffic_control/ramps.py
@@ -75,5 +75,5 @@
     zones = state.zones
     if open_share is not None:
         zones = {**zones, name: msgspec.structs.replace(zones[name], open_share=open_share)}
-    plan = planner.make_plan(state.zoning, zones, assessment)
+    plan = planner.make_plan(state.zone_layout, zones, assessment)
     return plan.missing_slots - plan.allocation.unserved.get((name, "zone"), 0)
--- a/cedarmill/cluster/traffic_control/reports.py
+++ b/cedarmill/cluster/traffic_control/reports.py
@@ -81,7 +81,7 @@
         "missing_slots": "missing",
         "frozen_by": "frozen",
         "distrust_reason": "doubted",
-        "blind_zones": "blind",
+        "unobserved_zones": "blind",
         "failing_groups": "groups",
         "target_changes": "changes",
     },
@@ -94,7 +94,7 @@
     frozen_by: str
     distrust_reason: str
     links: dict[str, str]
-    blind_zones: list[str]
+    unobserved_zones: list[str]
     failing_groups: list[str]
     epoch: int
     target_changes: int
@@ -104,7 +104,7 @@
     """Return the route weights for the nodes of a zone, or None if the zone is not in the layout."""
     from cedarmill.cluster.messages import RouteWeights  # avoids an import cycle through `traffic_plan/`
 
-    traffic, layout = state.traffic, state.zoning
+    traffic, layout = state.traffic, state.zone_layout
     if zone not in state.zones:
         return None
     reachable = {scope: layout.reachable_zones(zone, scope) for scope in SCOPES}
@@ -129,11 +129,11 @@
         raise NoAssessmentError("nothing is known of zones yet")
     if zone and zone not in state.zones:
         raise UnknownZoneError(f"no zone {zone!r}")
-    current = planner.make_plan(state.zoning, state.zones, assessment)
-    forecast = planner.make_plan(state.zoning, state.zones, assessment, zone)
+    current = planner.make_plan(state.zone_layout, state.zones, assessment)
+    forecast = planner.make_plan(state.zone_layout, state.zones, assessment, zone)
     zones = {
         name: ZoneForecast(current.load.get(name, 0), forecast.load.get(name, 0), forecast.room[name])
-        for name in state.zoning.zones
+        for name in state.zone_layout.zones
     }
     return LossForecast(zone, forecast.missing_slots, current.missing_slots, zones)
 
@@ -143,7 +143,7 @@
     traffic, assessment = state.traffic, state.traffic.assessment
     if assessment is None:
         return TrafficReport([], 0, traffic.frozen_by, "", {}, [], [], 0, 0)
-    available = planner.available_room(state.zoning, state.zones, assessment)
+    available = planner.available_slots(state.zone_layout, state.zones, assessment)
     load = expected_load(traffic.weights, planner.demand_by_source(assessment))
     zones = [
         _zone_report(
@@ -162,7 +162,7 @@
         traffic.frozen_by,
         traffic.distrust_reason,
         assessment.links,
-        assessment.blind_zones,
+        assessment.unobserved_zones,
         assessment.failing_groups,
         traffic.epoch,
         traffic.target_changes,
@@ -180,7 +180,7 @@
     assessed = assessment.zones[zone.name]
     return ZoneReport(
         zone=zone.name,
-        region=state.zoning.region(zone.name),
+        region=state.zone_layout.region(zone.name),
         status=zone.status,
         open_share=zone.open_share,
         pinned=zone.pinned,
--- a/cedarmill/cluster/traffic_control/rollout.py
+++ b/cedarmill/cluster/traffic_control/rollout.py
@@ -18,7 +18,7 @@
 def retarget(state: "ClusterState", assessment: ClusterAssessment, statuses_changed: bool) -> None:
     """Make a new plan the target if it differs by enough or a zone's status has changed."""
     traffic = state.traffic
-    plan = planner.make_plan(state.zoning, state.zones, assessment)
+    plan = planner.make_plan(state.zone_layout, state.zones, assessment)
     traffic.missing_slots = plan.missing_slots
     is_different = weights.max_difference(plan.weights, traffic.target_weights) >= MIN_TARGET_DIFFERENCE
     changed = statuses_changed or not traffic.target_weights or is_different
@@ -36,7 +36,7 @@
 def _replan_fallbacks(state: "ClusterState", plan: TrafficPlan, assessment: ClusterAssessment) -> bool:
     """Recompute the fallback weights; return whether they differ by enough to be sent to nodes."""
     traffic = state.traffic
-    fallbacks = _fallbacks(state, plan, assessment)
+    fallbacks = _fallback_tables(state, plan, assessment)
     traffic.fallback_assessed_at = traffic.assessed_at
     current = traffic.fallback_weights
     names = current.keys() | fallbacks.keys()
@@ -49,10 +49,10 @@
     return True
 
 
-def _fallbacks(
+def _fallback_tables(
     state: "ClusterState", plan: TrafficPlan, assessment: ClusterAssessment
 ) -> dict[str, WeightTable]:
-    return planner.fallback_plans(state.zoning, plan, assessment.links)
+    return planner.fallback_plans(state.zone_layout, plan, assessment.links)
 
 
 def move_weights(state: "ClusterState", assessment: ClusterAssessment) -> None:
@@ -67,7 +67,7 @@
         return
     max_step = MOVE_RATE * elapsed_us // 1_000_000
     stepped = weights.step_towards(traffic.weights, traffic.target_weights, max_step, unavailable)
-    available = planner.available_room(state.zoning, state.zones, assessment)
+    available = planner.available_slots(state.zone_layout, state.zones, assessment)
     room = {name: slots + available.last_resort[name] for name, slots in available.planned.items()}
     demand = planner.demand_by_source(assessment)
     traffic.weights = weights.hold_overloading_rows(traffic.weights, stepped, demand, room, unavailable)
--- a/cedarmill/cluster/traffic_control/schedule.py
+++ b/cedarmill/cluster/traffic_control/schedule.py
@@ -19,7 +19,7 @@
     """Update zone statuses, ramps, trust and weights if a review is due, and schedule the next review."""
     traffic = state.traffic
     assessment = traffic.assessment
-    if not state.zoning.regions or assessment is None or state.clock < traffic.next_review_at:
+    if not state.zone_layout.regions or assessment is None or state.clock < traffic.next_review_at:
         return
     previous_statuses = _zone_statuses(state)
     if not traffic.frozen_by:
@@ -38,10 +38,10 @@
 
 def due_times(state: "ClusterState") -> list[int]:
     """Return the times of the next review and admission step (us of the cluster's clock)."""
-    if not state.zoning.regions or state.traffic.assessment is None:
+    if not state.zone_layout.regions or state.traffic.assessment is None:
         return []
     levels = [state.admission, *state.scoped_admission.values()]
-    is_shedding = state.zoning.sheds_load and any(
+    is_shedding = state.zone_layout.sheds_load and any(
         level.shed_slots or level.late >= ADMISSION_LATE_SHARE or level.override_until > state.clock
         for level in levels
     )
--- a/cedarmill/cluster/traffic_control/shedding.py
+++ b/cedarmill/cluster/traffic_control/shedding.py
@@ -18,9 +18,9 @@
     Besides the cluster's level there is one for each zone and scope whose requests alone find no room.
     """
     assessment = state.traffic.assessment
-    if not state.zoning.sheds_load or assessment is None:
+    if not state.zone_layout.sheds_load or assessment is None:
         return
-    available = planner.available_room(state.zoning, state.zones, assessment)
+    available = planner.available_slots(state.zone_layout, state.zones, assessment)
     slots = sum(available.planned.values()) + sum(available.last_resort.values())
     if not slots:
         return  # no slots have been reported yet
@@ -54,7 +54,7 @@
     demanded = sum(sum(zone.demand.values()) for zone in assessment.zones.values())
     unserved: dict[tuple[str, str], int] = {}
     if demanded <= slots:
-        plan = planner.make_plan(state.zoning, state.zones, assessment)
+        plan = planner.make_plan(state.zone_layout, state.zones, assessment)
         unserved = plan.allocation.unserved
     for key in sorted({f"{zone}/{scope}" for zone, scope in unserved} | state.scoped_admission.keys()):
         zone, _, scope = key.partition("/")
--- a/cedarmill/cluster/traffic_control/trust.py
+++ b/cedarmill/cluster/traffic_control/trust.py
@@ -25,7 +25,7 @@
 
 def adjust_trust(state: "ClusterState", assessment: ClusterAssessment) -> None:
     """Lower or raise the trust of each open zone by one step if its change interval has passed."""
-    room = planner.available_room(state.zoning, state.zones, assessment).planned
+    room = planner.available_slots(state.zone_layout, state.zones, assessment).planned
     load = expected_load(state.traffic.weights, planner.demand_by_source(assessment))
     for name, zone in state.zones.items():
         assessed = assessment.zones[name]
--- a/cedarmill/cluster/traffic_control/zone_status.py
+++ b/cedarmill/cluster/traffic_control/zone_status.py
@@ -15,13 +15,15 @@
 if TYPE_CHECKING:
     from cedarmill.cluster.state import ClusterState, Permit
 
-DWELL_US = 10_000_000  # minimum time of being well before a return; doubles with each recent loss
+MIN_DWELL_US = 10_000_000  # minimum time of being well before a return; doubles with each recent loss
 MAX_DWELL_US = 160_000_000
 RECENT_LOSS_WINDOW_US = 600_000_000
 MAX_RECORDED_LOSSES = 8
 LOST_CONFIRMATION_US = 700_000  # time that the verdict must last
 FAILING_CONFIRMATION_US = 2_000_000  # time that the verdict must last
-MASS_LOSS = 2  # zones; that many lost at once are not acted on if they make up more than half of all zones
+MASS_LOSS_MIN_ZONES = (
+    2  # zones; that many lost at once are not acted on if they make up more than half of all zones
+)
 
 # The open share (thousandths) set on entering a status; other statuses keep the previous share.
 OPEN_SHARE_ON_ENTRY = {
@@ -63,7 +65,7 @@
 def dwell_us(state: "ClusterState", zone: ZoneState) -> int:
     """Return how long (us) a zone must be well before it returns, which grows with its recent losses."""
     recent = sum(state.clock - at < RECENT_LOSS_WINDOW_US for at in zone.losses)
-    return min(MAX_DWELL_US, DWELL_US << max(0, recent - 1))
+    return min(MAX_DWELL_US, MIN_DWELL_US << max(0, recent - 1))
 
 
 def evacuation_permit(state: "ClusterState", zone: ZoneState) -> "Permit | None":
@@ -131,7 +133,7 @@
         and zone.status != ZoneStatus.LEAVING
     ]
     unavailable = sum(zone.status in (ZoneStatus.LOST, ZoneStatus.OUT) for zone in state.zones.values())
-    if len(newly_lost) >= MASS_LOSS and 2 * (len(newly_lost) + unavailable) > len(state.zones):
+    if len(newly_lost) >= MASS_LOSS_MIN_ZONES and 2 * (len(newly_lost) + unavailable) > len(state.zones):
         return f"{len(newly_lost)} of {len(state.zones)} zones seem lost at once"
     return ""
 
--- a/cedarmill/cluster/traffic_plan/planner.py
+++ b/cedarmill/cluster/traffic_plan/planner.py
@@ -17,7 +17,7 @@
 PROBE_WEIGHT = 20
 
 
-class Room(NamedTuple):
+class AvailableSlots(NamedTuple):
     """Slots (thousandths) that are available to a plan, by zone."""
 
     planned: dict[str, int]
@@ -40,22 +40,22 @@
     return assessment.slots * zone.trust // WHOLE * working // WHOLE
 
 
-def available_room(
-    layout: ZoneLayout, zones: Mapping[str, ZoneState], assessment: ClusterAssessment, without: str = ""
-) -> Room:
-    """Return the room of each zone, with none in the zone `without`."""
+def available_slots(
+    layout: ZoneLayout, zones: Mapping[str, ZoneState], assessment: ClusterAssessment, lost_zone: str = ""
+) -> AvailableSlots:
+    """Return the room of each zone, with none in the zone `lost_zone`."""
     planned, last_resort = {}, {}
     for name, zone in zones.items():
         assessed = assessment.zones.get(name)
         slots = capacity(zone, assessed) * layout.max_load // WHOLE if assessed is not None else 0
         planned[name] = last_resort[name] = 0
-        if name == without or zone.status == ZoneStatus.LOST:
+        if name == lost_zone or zone.status == ZoneStatus.LOST:
             continue
         if zone.status == ZoneStatus.FAILING:
             last_resort[name] = slots
         else:
             planned[name] = slots * zone.open_share // WHOLE
-    return Room(planned, last_resort)
+    return AvailableSlots(planned, last_resort)
 
 
 def demand_by_source(assessment: ClusterAssessment) -> dict[DemandKey, int]:
@@ -69,10 +69,10 @@
 
 
 def make_plan(
-    layout: ZoneLayout, zones: Mapping[str, ZoneState], assessment: ClusterAssessment, without: str = ""
+    layout: ZoneLayout, zones: Mapping[str, ZoneState], assessment: ClusterAssessment, lost_zone: str = ""
 ) -> TrafficPlan:
-    """Return the plan for the current zones, or for the loss of the zone `without`."""
-    room = available_room(layout, zones, assessment, without)
+    """Return the plan for the current zones, or for the loss of the zone `lost_zone`."""
+    room = available_slots(layout, zones, assessment, lost_zone)
     demand = demand_by_source(assessment)
     allocation = allocate(layout, room.planned, room.last_resort, demand, assessment.links)
     weights = _weights(layout, allocation, zones, room.planned)
--- a/cedarmill/cluster/traffic_plan/similarity.py
+++ b/cedarmill/cluster/traffic_plan/similarity.py
@@ -17,7 +17,11 @@
 
 def are_similar(previous: ClusterAssessment | None, current: ClusterAssessment) -> bool:
     """Return whether two assessments differ by no more than the tolerances."""
-    if previous is None or previous.links != current.links or previous.blind_zones != current.blind_zones:
+    if (
+        previous is None
+        or previous.links != current.links
+        or previous.unobserved_zones != current.unobserved_zones
+    ):
         return False
     if previous.zones.keys() != current.zones.keys():
         return False
--- a/cedarmill/lab/cluster/mutants/budgets.py
+++ b/cedarmill/lab/cluster/mutants/budgets.py
@@ -48,6 +48,6 @@
                 freed = (grant.previous_rate - grant.rate) * PER_MILLE // GRANTED_SHARE
                 state.budgets[name] = Budget(name, budget.rate + freed, budget.nodes)
                 grant.previous_rate = grant.rate
-        budget_grants.deal(state)
+        budget_grants.redistribute(state)
 
     return [(budget_grants, "acknowledge", acknowledge)]
--- a/cedarmill/lab/cluster/mutants/leases.py
+++ b/cedarmill/lab/cluster/mutants/leases.py
@@ -17,7 +17,7 @@
 
 def lease_by_a_timer() -> list[Patch]:
     """A process that stood still goes by what its timer said before."""
-    return [(MemberSession, "holds", lambda self, now: self._announced or now < self.lease_until)]
+    return [(MemberSession, "holds", lambda self, now: self._is_announced or now < self.lease_until)]
 
 
 def lease_not_asked_when_acting() -> list[Patch]:
@@ -38,6 +38,6 @@
 
     def init(self: SessionTracker, now: int) -> None:
         original(self, now)
-        self.counted_from = now - 2 * session_tracker.LEASE_US
+        self.leases_counted_from = now - 2 * session_tracker.LEASE_US
 
     return [(SessionTracker, "__init__", init), (session_tracker, "MAX_MISSING_SHARE", 2.0)]
--- a/cedarmill/lab/simulation/node.py
+++ b/cedarmill/lab/simulation/node.py
@@ -135,7 +135,7 @@
         lease_holds = self.session.holds(self.clock.now())
         if self.budget_leases.spend(self.clock.now(), lease_holds, PROBE_BUDGET.name):
             lease = self.budget_leases.by_name.get(PROBE_BUDGET.name)
-            by_lease = lease is None or lease.lease_held
+            by_lease = lease is None or lease.is_lease_valid
             self.environment.spending.append((self.environment.scheduler.now, by_lease))
 
     # Sending work.
--- a/cedarmill/lab/simulation/overload/cluster_policy.py
+++ b/cedarmill/lab/simulation/overload/cluster_policy.py
@@ -142,7 +142,7 @@
         state.clock = us
         self._agreed.index = state.index
         self._agreed.apply(commands.SetBudgetDemand(us, key, node.budget_leases.demands(us)))
-        node.budget_leases.set_rates(us, True, budget_grants.rates_for(state, key))
+        node.budget_leases.set_rates(us, True, budget_grants.rates_of(state, key))
         budget_grants.acknowledge(state, key, state.epoch)
 
     def _note_traffic(self) -> None:
--- a/cedarmill/lab/simulation/overload/mutants.py
+++ b/cedarmill/lab/simulation/overload/mutants.py
@@ -43,7 +43,7 @@
 
 def cut_is_never_lifted() -> list[Patch]:
     """What is shed only grows."""
-    return [(controller, "RELEASE_RATE", 0)]
+    return [(controller, "MAX_RELEASE_RATE", 0)]
 
 
 def quota_is_not_asked() -> list[Patch]:
@@ -82,7 +82,7 @@
     def adjust_fill(level: AdmissionLevel, idle: bool) -> None:
         level.active, level.fill_share = True, 500
 
-    return [(controller, "_adjust_fill", adjust_fill)]
+    return [(controller, "_adjust_fill_share", adjust_fill)]
 
 
 MUTANTS = {
--- a/cedarmill/lab/simulation/replica.py
+++ b/cedarmill/lab/simulation/replica.py
@@ -84,7 +84,7 @@
         """Store a snapshot of what is applied, so that others may need it; nothing where nothing is."""
         if self.alive and not self.paused and self.replica.raft.commit_index > 1:
             self.replica.store_snapshot()
-            self._carry_out(self.replica.take_actions(self.clock.now()))
+            self._carry_out(self.replica.pop_actions(self.clock.now()))
 
     # The port of the host.
 
--- a/cedarmill/lab/simulation/traffic_case.py
+++ b/cedarmill/lab/simulation/traffic_case.py
@@ -12,7 +12,7 @@
 from cedarmill.cluster.state_machine.zones import ControlZone, SetZones
 from cedarmill.cluster.traffic_control.reports import route_weights
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
-from cedarmill.cluster.traffic_plan.planner import available_room, demand_by_source
+from cedarmill.cluster.traffic_plan.planner import available_slots, demand_by_source
 from cedarmill.cluster.traffic_plan.state import WeightRow
 from cedarmill.cluster.traffic_plan.weights import expected_load
 from cedarmill.lab.simulation.applied_commands import AppliedCommands
@@ -111,7 +111,7 @@
         """Equal for states from which the same follows."""
         followed = []
         for zone, follower in self.followers.items():
-            exclusions = sorted((name, one.until) for name, one in follower.exclusions.items())
+            exclusions = sorted((name, one.ends_at) for name, one in follower.exclusions.items())
             followed.append((zone, self._plan_of(zone).epoch, exclusions))
         return short_hash(self.encoded_state() + repr((self.now, self.verdicts, followed)).encode())
 
@@ -145,7 +145,7 @@
         """What others send to a zone by the target weights never brings it over its safe load."""
         plan = self.world.traffic
         assert plan.assessment is not None  # recorded at the start
-        room, last_resort = available_room(LAYOUT, self.world.zones, plan.assessment)
+        room, last_resort = available_slots(LAYOUT, self.world.zones, plan.assessment)
         demand = demand_by_source(plan.assessment)
         load = expected_load(plan.target_weights, demand)
         found = []
--- a/cedarmill/lab/simulation/zones/agreed.py
+++ b/cedarmill/lab/simulation/zones/agreed.py
@@ -97,7 +97,7 @@
         if status in ("lost", "ill") and there_for > MAX_BELIEVED_LOST and is_reached:
             self._report("nothing is lost that is there", f"{name} is {status} after {there_for:.1f} s")
         returns = before in ("lost", "ill") and status == "returning"
-        if returns and is_well and there_for < zone_status.DWELL_US / US - DWELL_TOLERANCE:
+        if returns and is_well and there_for < zone_status.MIN_DWELL_US / US - DWELL_TOLERANCE:
             self._report("one change in a damped period", f"{name} back after {there_for:.1f} s")
 
     def _check_moves(self) -> None:
--- a/cedarmill/lab/simulation/zones/mutants.py
+++ b/cedarmill/lab/simulation/zones/mutants.py
@@ -16,7 +16,7 @@
 from cedarmill.cluster.traffic_control import ramps, rollout, trust, zone_status
 from cedarmill.cluster.traffic_plan import planner
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
-from cedarmill.cluster.traffic_plan.planner import Room
+from cedarmill.cluster.traffic_plan.planner import AvailableSlots
 from cedarmill.cluster.traffic_plan.state import WeightRow, WeightTable, ZoneState
 from cedarmill.cluster.traffic_plan.weights import normalized
 from cedarmill.lab.cluster.mutants import Patch
@@ -72,20 +72,20 @@
 
 def masses_are_believed() -> list[Patch]:
     """However many zones seem lost at once, they are."""
-    return [(zone_status, "MASS_LOSS", 99)]
+    return [(zone_status, "MASS_LOSS_MIN_ZONES", 99)]
 
 
 def room_not_kept() -> list[Patch]:
     """A receiver is sent whatever there is, as if it had three times its slots."""
-    plain = planner.available_room
+    plain = planner.available_slots
 
-    def available_room(
-        layout: ZoneLayout, zones: Mapping[str, ZoneState], found: ClusterAssessment, without: str = ""
-    ) -> Room:
-        room = plain(layout, zones, found, without)
-        return Room({name: 3 * slots for name, slots in room.planned.items()}, room.last_resort)
+    def available_slots(
+        layout: ZoneLayout, zones: Mapping[str, ZoneState], assessed: ClusterAssessment, lost_zone: str = ""
+    ) -> AvailableSlots:
+        room = plain(layout, zones, assessed, lost_zone)
+        return AvailableSlots({name: 3 * slots for name, slots in room.planned.items()}, room.last_resort)
 
-    return [(planner, "available_room", available_room)]
+    return [(planner, "available_slots", available_slots)]
 
 
 def residency_forgotten() -> list[Patch]:
@@ -112,14 +112,14 @@
     """The plan for a loss is made as if all zones followed it, not only those that notice."""
 
     def fallbacks(
-        state: ClusterState, plan: planner.TrafficPlan, found: ClusterAssessment
+        state: ClusterState, plan: planner.TrafficPlan, assessed: ClusterAssessment
     ) -> dict[str, WeightTable]:
         return {
-            name: planner.make_plan(state.zoning, state.zones, found, name).weights
-            for name in state.zoning.zones
+            name: planner.make_plan(state.zone_layout, state.zones, assessed, name).weights
+            for name in state.zone_layout.zones
         }
 
-    return [(rollout, "_fallbacks", fallbacks)]
+    return [(rollout, "_fallback_tables", fallbacks)]
 
 
 def older_plans_followed() -> list[Patch]:
@@ -136,9 +136,9 @@
     """A zone that operators have emptied is used when others are not reached."""
     plain = PlanFollower.row_without
 
-    def row_without(self: PlanFollower, scope: str, left_out: Iterable[str]) -> WeightRow:
+    def row_without(self: PlanFollower, scope: str, excluded: Iterable[str]) -> WeightRow:
         assert self.plan is not None
-        found = plain(self, scope, set(left_out) - self.plan.closed_zones.keys())
+        found = plain(self, scope, set(excluded) - self.plan.closed_zones.keys())
         names = [*self.plan.closed_zones] if scope == "any" else []
         return normalized(found | dict.fromkeys(names, WHOLE // 2)) if names else found
 
@@ -147,7 +147,7 @@
 
 def slots_believed_as_claimed() -> list[Patch]:
     """Late jobs say nothing of slots that are claimed."""
-    return [(trust, "adjust_trust", lambda state, found: None)]
+    return [(trust, "adjust_trust", lambda state, assessed: None)]
 
 
 MUTANTS = {
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -10,7 +10,7 @@
 from cedarmill.cluster.admission_level.controller import threshold_for, threshold_of
 from cedarmill.cluster.admission_level.gate import FADE_OUT_US, AdmissionGate
 from cedarmill.cluster.admission_level.state import STEP_US, LoadReport, SheddingThreshold
-from cedarmill.cluster.budget_grants import Budget, BudgetGrant, granted_rate, max_min_fair_rates, rates_for
+from cedarmill.cluster.budget_grants import Budget, BudgetGrant, granted_rate, max_min_fair_rates, rates_of
 from cedarmill.cluster.budget_lease import BudgetLease, BudgetLeases, RetryBudget
 from cedarmill.cluster.gossip_plan import MAX_AGE_S, ExecutorReport, GossipPlan, ReportBoard
 from cedarmill.cluster.observations.assessment import ClusterAssessment, ZoneAssessment
@@ -98,7 +98,7 @@
         self.apply(commands.ExpireSessions(SECOND_US, ("node:a:1",)))
         self.apply(commands.RestoreSession(SECOND_US, "node:a:1"))
         self.assertGreater(self.state.orders_epoch, previous_epoch)
-        self.assertEqual(rates_for(self.state, "node:a:1")["probes"], (0, PROBES.floor))
+        self.assertEqual(rates_of(self.state, "node:a:1")["probes"], (0, PROBES.floor))
 
     def test_new_incarnation_gets_no_rate_until_old_incarnation_has_ended(self):
         self.set_demand("a", 80_000)
--- a/tests/cluster/test_permits_and_releases.py
+++ b/tests/cluster/test_permits_and_releases.py
@@ -5,7 +5,7 @@
 from cedarmill.cluster.canary_comparison import (
     CanaryComparison,
     RequestCounts,
-    chance_if_alike,
+    fisher_p_value,
     reason_to_halt,
 )
 from cedarmill.cluster.state import (
@@ -378,8 +378,8 @@
         )
 
     def test_chance_matches_fishers_exact_test(self):
-        self.assertAlmostEqual(chance_if_alike(3, 4, 1, 4), 0.242857, 6)  # Fisher's tea-tasting example
-        self.assertAlmostEqual(chance_if_alike(0, 10, 5, 10), 1.0, 9)
+        self.assertAlmostEqual(fisher_p_value(3, 4, 1, 4), 0.242857, 6)  # Fisher's tea-tasting example
+        self.assertAlmostEqual(fisher_p_value(0, 10, 5, 10), 1.0, 9)
 
     def test_requests_before_update_stay_with_the_rest(self):
         counts = RequestCounts
@@ -387,7 +387,7 @@
         comparison.update({"a": counts(30, 1), "b": counts(30)}, set())
         comparison.update({"a": counts(5), "b": counts(40)}, {"a"})
         comparison.update({"a": counts(25, 8), "b": counts(50)}, {"a"})
-        self.assertEqual((comparison.new, comparison.rest), (counts(20, 8), counts(60, 1)))
+        self.assertEqual((comparison.new_counts, comparison.rest_counts), (counts(20, 8), counts(60, 1)))
 
 
 if __name__ == "__main__":
--- a/tests/cluster/test_traffic_plan.py
+++ b/tests/cluster/test_traffic_plan.py
@@ -89,7 +89,7 @@
         assessment = self.collector.assess(SECOND, "abc")
         self.assertEqual({name: zone.verdict for name, zone in assessment.zones.items()},
                          {"a": "well", "b": "well", "c": "well"})  # fmt: skip
-        self.assertEqual(assessment.blind_zones, ["a"])
+        self.assertEqual(assessment.unobserved_zones, ["a"])
 
     def test_a_reached_zone_with_many_failed_attempts_is_failing(self):
         for zone in "abc":
@@ -124,7 +124,7 @@
         assessment = self.collector.assess(SECOND + 10 * SECOND, "abc")
         self.assertEqual({assessed.verdict for assessed in assessment.zones.values()}, {"unknown"})
         self.assertEqual(
-            (assessment.zones["a"].demand, assessment.blind_zones), ({"any": 9000}, ["a", "b", "c"])
+            (assessment.zones["a"].demand, assessment.unobserved_zones), ({"any": 9000}, ["a", "b", "c"])
         )
 
     def test_a_loss_reported_by_a_single_other_zone_gives_an_unknown_verdict(self):
@@ -237,7 +237,7 @@
         self.assertEqual((self.status_of(), self.weight("a", "a")), ("lost", PROBE_WEIGHT))
         self.pass_time(5 * SECOND)
         self.record_assessment()
-        self.pass_time(zone_status.DWELL_US - 1)
+        self.pass_time(zone_status.MIN_DWELL_US - 1)
         self.assertEqual(self.status_of(), "lost")
         self.pass_time(2 * SECOND)
         self.assertEqual(self.status_of(), "returning")
@@ -255,11 +255,13 @@
             self.pass_time(3 * SECOND)
             status_changes.append(self.world.zones["a"].status_changes)
         self.assertLessEqual(status_changes[-1], 2, "3 s of being well are shorter than the dwell time")
-        self.pass_time(zone_status.DWELL_US + 12 * SECOND)
+        self.pass_time(zone_status.MIN_DWELL_US + 12 * SECOND)
         self.assertEqual(self.status_of(), "open")
         self.record_assessment(a="lost")
         self.pass_time(3 * SECOND)
-        self.assertEqual(zone_status.dwell_us(self.world, self.world.zones["a"]), 2 * zone_status.DWELL_US)
+        self.assertEqual(
+            zone_status.dwell_us(self.world, self.world.zones["a"]), 2 * zone_status.MIN_DWELL_US
+        )
 
     def test_a_loss_of_most_zones_at_once_is_applied_only_by_an_operator(self):
         self.record_assessment(a="lost", b="lost")
@@ -449,7 +451,7 @@
         at = SECOND + EXCLUSION_US + RETURN_RAMP_US
         self.assertEqual(self.follower.decide(at, {}).weights["any"]["a"], 700)
         self.follower.decide(at, {"b": LocationObservation(attempts=9, unreached=9)})
-        self.assertEqual(self.follower.exclusions["b"].until, at + 2 * EXCLUSION_US)
+        self.assertEqual(self.follower.exclusions["b"].ends_at, at + 2 * EXCLUSION_US)
 
     def test_a_streak_of_unreached_attempts_excludes_a_zone_before_their_share_is_high(self):
         observation_log = ObservationLog(0)
