--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -176,7 +176,7 @@
         leases = dict.fromkeys(("probes", "connects", "retries", "lists"), (10_000, 1_000))
         orders = Orders(
             1 << 40,
-            admission_cut=SheddingThreshold(1000, 500),
+            admission_threshold=SheddingThreshold(1000, 500),
             budget_leases=leases,
             membership_epoch=1 << 40,
         )
--- a/cedarmill/cluster/admission_level/controller.py
+++ b/cedarmill/cluster/admission_level/controller.py
@@ -132,11 +132,11 @@
     level = state.admission
     if threshold.weight < 0:
         level.override, level.override_until = SheddingThreshold(), 0
-        state.note(f"{author} ends the cut")
+        state.log_for_operators(f"{author} ends the cut")
         _publish(state, SheddingThreshold())
         return
     level.override, level.override_until = threshold, state.clock + duration_us
-    state.note(f"{author} cuts what is worth less than {threshold.weight / WHOLE:g}")
+    state.log_for_operators(f"{author} cuts what is worth less than {threshold.weight / WHOLE:g}")
     _publish(state, stricter(level.threshold, level.override))
 
 
@@ -256,7 +256,7 @@
     level.deep_cut_until, level.next_deep_cut_at = now + DEEP_CUT_US, now + DEEP_CUT_US + DEEP_CUT_REST_US
     level.late_since = -1
     level.active = True
-    state.note(
+    state.log_for_operators(
         f"a deep cut in {scope_label} for {DEEP_CUT_US / 1e6:g} s: {level.late / 10:g}% late, though what is "
         "admitted fits"
     )
@@ -270,7 +270,7 @@
         threshold = stricter(threshold, level.override)
     elif level.override != empty:
         level.override = empty
-        state.note("the cut by hand has ended")
+        state.log_for_operators("the cut by hand has ended")
     same_weight = threshold.weight == level.threshold.weight
     if same_weight and abs(threshold.share - level.threshold.share) < MIN_SHARE_CHANGE and threshold != empty:
         return
--- a/cedarmill/cluster/budget_grants.py
+++ b/cedarmill/cluster/budget_grants.py
@@ -122,7 +122,7 @@
     Grants are lowered at once. They are raised only from the free rate, which grows as lowered grants are
     acknowledged.
     """
-    if state.clock < state.budgets_dealt_from:
+    if state.clock < state.budgets_leased_from:
         return
     changed = False
     for name, budget in state.budgets.items():
--- a/cedarmill/cluster/hosting.py
+++ b/cedarmill/cluster/hosting.py
@@ -27,7 +27,7 @@
     def sync(self) -> bool:
         """Make all saved data durable, and return whether there was any. Raises OSError."""
 
-    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
+    def save_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         """Store a snapshot and the log entries after it. Raises OSError."""
 
     def send(self, target: str, message: object) -> None:
@@ -36,18 +36,18 @@
     def reply(self, token: int, answer: object) -> None:
         """Send the reply to a member's or an operator's request."""
 
-    def tell(self, action: RoleChanged | RaiseAlarm) -> None:
+    def log_action(self, action: RoleChanged | RaiseAlarm) -> None:
         """Write a role change or an alarm to the operators' log."""
 
 
-class Host:
+class ReplicaHost:
     """Executes the actions of one replica through a port."""
 
     def __init__(self, replica: Replica, port: Port) -> None:
         self.replica, self.port = replica, port
         self.pending: Actions = []
 
-    def take(self, actions: Actions) -> None:
+    def queue_actions(self, actions: Actions) -> None:
         """Queue actions of this turn for `flush`."""
         self.pending += actions
 
@@ -68,25 +68,25 @@
                         action.entries[-1].index if isinstance(action, PersistEntries) else last_index
                     )
                 elif isinstance(action, RestoreSnapshot):
-                    self.port.put_snapshot(action.snapshot, list(self.replica.raft.log.entries))
+                    self.port.save_snapshot(action.snapshot, list(self.replica.raft.log.entries))
                 elif isinstance(action, StoreSnapshot):
                     self._store_snapshot(now, action.snapshot)
                 else:
                     outgoing.append(action)
             if self.port.sync() and last_index >= 0:
                 self.pending += self.replica.on_synced(now, last_index)
-        self._out(outgoing)
+        self._send_outgoing(outgoing)
 
     def _store_snapshot(self, now: int, snapshot: Snapshot) -> None:
         later_entries = [entry for entry in self.replica.raft.log.entries if entry.index > snapshot.index]
-        self.port.put_snapshot(snapshot, later_entries)
+        self.port.save_snapshot(snapshot, later_entries)
         self.pending += self.replica.on_snapshot_stored(now, snapshot)
 
-    def _out(self, actions: Actions) -> None:
+    def _send_outgoing(self, actions: Actions) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
                 self.port.send(action.target, action.message)
             elif isinstance(action, Reply):
                 self.port.reply(action.token, action.reply)
             else:
-                self.port.tell(action)
+                self.port.log_action(action)
--- a/cedarmill/cluster/member_messages.py
+++ b/cedarmill/cluster/member_messages.py
@@ -99,8 +99,8 @@
         "excluded_executors": "out",
         "drain_clients_epoch": "away",
         "routes": "way",
-        "admission_cut": "cut",
-        "scoped_cuts": "tight",
+        "admission_threshold": "cut",
+        "scoped_thresholds": "tight",
         "budget_leases": "purse",
         "membership_epoch": "peers",
     },
@@ -112,8 +112,8 @@
     drain_clients_epoch: int = 0  # epoch of the grant to drain this node's clients; 0: no drain
     units: dict[str, UnitOrderFields] = {}  # units that a process supervisor has to run
     routes: RouteWeights | None = None  # for a node, if a traffic plan is in use
-    admission_cut: SheddingThreshold = SheddingThreshold()  # below it, a node rejects requests
-    scoped_cuts: dict[str, SheddingThreshold] = {}  # stricter thresholds, by bound
+    admission_threshold: SheddingThreshold = SheddingThreshold()  # below it, a node rejects requests
+    scoped_thresholds: dict[str, SheddingThreshold] = {}  # stricter thresholds, by bound
     budget_leases: dict[str, tuple[int, int]] = {}  # lease and floor in thousandths per second, by budget
     membership_epoch: int = 0  # a change makes a gossiping node request the list of members
 
--- a/cedarmill/cluster/member_orders.py
+++ b/cedarmill/cluster/member_orders.py
@@ -25,8 +25,8 @@
         excluded_executors=_excluded_executors(state),
         drain_clients_epoch=_drain_clients_epoch(state, member),
         routes=reports.route_weights(state, member.zone),
-        admission_cut=state.admission.threshold,
-        scoped_cuts=_scoped_cuts(state, member.zone),
+        admission_threshold=state.admission.threshold,
+        scoped_thresholds=_scoped_thresholds(state, member.zone),
         budget_leases=budget_grants.rates_of(state, member.key),
         membership_epoch=state.membership_epoch if state.zone_layout.gossip else 0,
     )
@@ -51,7 +51,7 @@
     return epoch
 
 
-def _scoped_cuts(state: ClusterState, zone: str) -> dict[str, SheddingThreshold]:
+def _scoped_thresholds(state: ClusterState, zone: str) -> dict[str, SheddingThreshold]:
     return {
         bound: controller.threshold_of(state, zone, bound)
         for bound in SCOPES
--- a/cedarmill/cluster/raft/actions.py
+++ b/cedarmill/cluster/raft/actions.py
@@ -85,9 +85,9 @@
 
 
 class RoleChanged(msgspec.Struct, frozen=True):
-    """Report a change of the role, the leader or the term; `leads` means that this replica is the leader."""
+    """Report a change of the role, the leader or the term; `is_leader` tells whether this replica leads."""
 
-    leads: bool
+    is_leader: bool
     leader: str
     term: int
 
--- a/cedarmill/cluster/replica.py
+++ b/cedarmill/cluster/replica.py
@@ -235,7 +235,7 @@
 
     def _on_role_changed(self, now: int, action: RoleChanged) -> None:
         self.emit(action)
-        if action.leads:
+        if action.is_leader:
             self.leadership = Leadership(now, elected_at=now, time_at_election=self.state.clock)
             self.duties.on_elected(now)
             self._is_newly_elected = True
--- a/cedarmill/cluster/session.py
+++ b/cedarmill/cluster/session.py
@@ -52,10 +52,10 @@
 
 
 class LeaseExpired(msgspec.Struct, frozen=True):
-    """An action, emitted once when the lease expires; `LeaseHolds` follows when the lease is renewed."""
+    """An action, emitted once when the lease expires; `LeaseAcquired` follows when the lease is renewed."""
 
 
-class LeaseHolds(msgspec.Struct, frozen=True):
+class LeaseAcquired(msgspec.Struct, frozen=True):
     """An action, emitted once when the lease becomes valid, for the first time or after an expiry."""
 
 
@@ -117,7 +117,7 @@
         self.orders: Orders | None = None
         self.epoch = 0  # epoch of the current orders
         self.lease_until = -1
-        self.doubts_until = -1
+        self.suspected_suspension_until = -1
         self._build_report = report
         self._replica_index = first % len(replicas)
         self._is_connected = False
@@ -131,9 +131,9 @@
         self._last_check_at = now
         self._last_reply_at = now
         self._next_heartbeat = now
-        self._is_announced = False  # whether the last lease action was `LeaseHolds`
+        self._is_announced = False  # whether the last lease action was `LeaseAcquired`
 
-    def holds(self, now: int) -> bool:
+    def is_lease_valid(self, now: int) -> bool:
         """Return whether the lease is valid at the given time."""
         return now < self.lease_until
 
@@ -162,9 +162,9 @@
     def _check_stall_and_lease(self, now: int) -> Actions:
         """Detect a suspension of this process, and return `LeaseExpired` if the lease has expired."""
         if now - self._last_check_at > STALL_THRESHOLD_US:
-            self.doubts_until = now + SUSPENSION_EFFECT_US
+            self.suspected_suspension_until = now + SUSPENSION_EFFECT_US
         self._last_check_at = now
-        if self._is_announced and not self.holds(now):
+        if self._is_announced and not self.is_lease_valid(now):
             self._is_announced = False
             return [LeaseExpired()]
         return []
@@ -195,7 +195,7 @@
             version=identity.version,
             unit_type=identity.unit_type,
             stops_at_lease_expiry=identity.stops_at_lease_expiry,
-            was_suspended=now < self.doubts_until,
+            was_suspended=now < self.suspected_suspension_until,
             leaving=self._is_leaving,
             drained=report.drained,
             held_grants=self._held_grants(),
@@ -266,9 +266,9 @@
         if orders is not None and orders.epoch > self.epoch:
             self.epoch, self.orders = orders.epoch, orders
             actions.append(FollowOrders(orders))
-        if not self._is_announced and self.holds(now) and self.orders is not None:
+        if not self._is_announced and self.is_lease_valid(now) and self.orders is not None:
             self._is_announced = True
-            actions.append(LeaseHolds())
+            actions.append(LeaseAcquired())
         return actions
 
     def on_probed(self, key: str, answered: bool) -> None:
--- a/cedarmill/cluster/state.py
+++ b/cedarmill/cluster/state.py
@@ -173,7 +173,7 @@
         "scoped_admission": "tight",
         "membership_epoch": "peopled",
         "zone_layout": "zoning",
-        "budgets_dealt_from": "deal_from",
+        "budgets_leased_from": "deal_from",
     },
 ):
     """The complete replicated state of a cluster."""
@@ -204,7 +204,7 @@
     admission: AdmissionLevel = msgspec.field(default_factory=AdmissionLevel)
     scoped_admission: dict[str, AdmissionLevel] = msgspec.field(default_factory=dict)  # by `zone/bound`
     membership_epoch: int = 0  # Epoch of the last membership change, for nodes that gossip.
-    budgets_dealt_from: int = 0  # No budget is leased before this time, set after a restore.
+    budgets_leased_from: int = 0  # No budget is leased before this time, set after a restore.
 
     @property
     def epoch(self) -> int:
@@ -216,7 +216,7 @@
         self.last_id += 1
         return self.last_id
 
-    def note(self, text: str) -> None:
+    def log_for_operators(self, text: str) -> None:
         """Add a line to the log for operators, and drop the oldest lines beyond the maximum."""
         self.log.append(f"{self.clock / 1e6:.1f} {text}")
         del self.log[:-MAX_OPERATOR_LOG_LINES]
--- a/cedarmill/cluster/state_machine/budgets.py
+++ b/cedarmill/cluster/state_machine/budgets.py
@@ -46,7 +46,7 @@
         budget_grants.set_budgets(state, list(request.budgets))
     except InvalidBudgetError as error:
         raise RequestRejected(str(error)) from None
-    state.note(f"budgets set by {request.requester}: {', '.join(state.budgets) or 'none'}")
+    state.log_for_operators(f"budgets set by {request.requester}: {', '.join(state.budgets) or 'none'}")
     return accepted(state, f"{len(request.budgets)} budgets hold")
 
 
--- a/cedarmill/cluster/state_machine/drains.py
+++ b/cedarmill/cluster/state_machine/drains.py
@@ -31,7 +31,7 @@
     """Mark a permit's target as drained if no confirmation is outstanding."""
     if permit.is_out_of_service and not permit.undrained_members and not permit.drained_at:
         permit.drained_at = state.clock
-        state.note(f"{permit.kind} {permit.target} is drained (permit {permit.id})")
+        state.log_for_operators(f"{permit.kind} {permit.target} is drained (permit {permit.id})")
 
 
 def member_ended(state: ClusterState, key: str) -> None:
--- a/cedarmill/cluster/state_machine/operator_statements.py
+++ b/cedarmill/cluster/state_machine/operator_statements.py
@@ -28,7 +28,7 @@
         raise RequestRejected(f"no word {request.statement!r}: one of {', '.join(STATEMENTS)}")
     outcome = handler(state, request)
     about = request.name or "the fleet"
-    state.note(f"{request.requester} says {request.statement} of {about}: {request.reason}")
+    state.log_for_operators(f"{request.requester} says {request.statement} of {about}: {request.reason}")
     return outcome
 
 
--- a/cedarmill/cluster/state_machine/permits.py
+++ b/cedarmill/cluster/state_machine/permits.py
@@ -78,7 +78,7 @@
         permit.undrained_members = drains.members_to_drain(state, permit)
         state.permits[permit.id] = permit
         state.orders_epoch = state.epoch
-        state.note(f"{kind} {name} is out by a grant that was lost with the keepers' state")
+        state.log_for_operators(f"{kind} {name} is out by a grant that was lost with the keepers' state")
 
 
 def _is_out(state: ClusterState, kind: str, name: str) -> bool:
@@ -91,7 +91,7 @@
 def set_limits(state: ClusterState, request: SetLimits) -> RequestOutcome:
     """Replace all limits on targets out of service."""
     state.limits = list(request.limits)
-    state.note(f"limits set by {request.requester}: {len(request.limits)}")
+    state.log_for_operators(f"limits set by {request.requester}: {len(request.limits)}")
     return accepted(state, f"{len(request.limits)} limits hold")
 
 
--- a/cedarmill/cluster/state_machine/release_states.py
+++ b/cedarmill/cluster/state_machine/release_states.py
@@ -61,7 +61,9 @@
     if reason:
         release.reasons.append(f"{state.clock / 1e6:.1f} {event}: {reason}")
     suffix = f": {reason}" if reason else ""
-    state.note(f"release {release.id} ({release.plan.version}): {event}, now {new_state}{suffix}")
+    state.log_for_operators(
+        f"release {release.id} ({release.plan.version}): {event}, now {new_state}{suffix}"
+    )
     state.orders_epoch = state.epoch
     return True
 
--- a/cedarmill/cluster/state_machine/rollout.py
+++ b/cedarmill/cluster/state_machine/rollout.py
@@ -102,10 +102,12 @@
     if state.clock - release.bake_started_at < plan.bake_us * (1 if has_enough_requests else MAX_BAKE_FACTOR):
         return
     if not has_enough_requests:
-        state.note(f"release {release.id}: too few jobs to compare, it goes on by readiness alone")
+        state.log_for_operators(
+            f"release {release.id}: too few jobs to compare, it goes on by readiness alone"
+        )
     release.group += 1
     release.bake_started_at, release.paused_until = 0, state.clock + plan.pause_us
-    state.note(f"release {release.id}: group {release.group} of {len(plan.groups)} is through")
+    state.log_for_operators(f"release {release.id}: group {release.group} of {len(plan.groups)} is through")
     _roll_forward(state, release)
 
 
--- a/cedarmill/cluster/state_machine/sessions.py
+++ b/cedarmill/cluster/state_machine/sessions.py
@@ -122,11 +122,13 @@
     for key in command.silent:
         if (member := _change_state(state, key, MemberState.SILENT)) is not None:
             member.lease_expiries = [*member.lease_expiries, state.clock][-MAX_LEASE_EXPIRIES:]
-            state.note(f"{member.kind} {member.name} is silent")
+            state.log_for_operators(f"{member.kind} {member.name} is silent")
             _lose_supervised_permits(state, member)
     for key in command.unreachable:
         if (member := _change_state(state, key, MemberState.UNREACHABLE)) is not None:
-            state.note(f"{member.kind} {member.name} reaches no keeper, others reach it: it serves on")
+            state.log_for_operators(
+                f"{member.kind} {member.name} reaches no keeper, others reach it: it serves on"
+            )
     for key in command.certainly_stopped:
         drains.member_ended(state, key)
     for key in (*command.silent, *command.unreachable):
@@ -153,7 +155,7 @@
     member = _change_state(state, command.member_key, MemberState.LIVE)
     if member is None:
         return
-    state.note(f"{member.kind} {member.name} is back")
+    state.log_for_operators(f"{member.kind} {member.name} is back")
     if member.kind != "steward":
         return
     for permit in state.permits.values():
@@ -171,7 +173,7 @@
     member = _change_state(state, key, MemberState.ENDED)
     if member is None:
         return
-    state.note(f"{member.kind} {member.name} has ended: {reason}")
+    state.log_for_operators(f"{member.kind} {member.name} has ended: {reason}")
     drains.member_ended(state, key)
     budget_grants.release(state, key)
 
--- a/cedarmill/cluster/state_machine/targets.py
+++ b/cedarmill/cluster/state_machine/targets.py
@@ -72,7 +72,7 @@
     if command.reason == state.halt_reason:
         return
     state.halt_reason = command.reason
-    state.note(f"nothing is granted: {command.reason}" if command.reason else "grants go on")
+    state.log_for_operators(f"nothing is granted: {command.reason}" if command.reason else "grants go on")
 
 
 HANDLERS: Handlers = {UpdateTargets: update_targets, UpdateUnits: update_units, HaltGrants: halt_grants}
--- a/cedarmill/cluster/state_machine/zones.py
+++ b/cedarmill/cluster/state_machine/zones.py
@@ -43,7 +43,7 @@
     except InvalidLayoutError as error:
         raise RequestRejected(str(error)) from None
     zones, regions = request.zone_layout.zones, request.zone_layout.regions
-    state.note(f"zones set by {request.requester}: {len(zones)} in {len(regions)} regions")
+    state.log_for_operators(f"zones set by {request.requester}: {len(zones)} in {len(regions)} regions")
     return accepted(state, f"{len(zones)} zones are planned")
 
 
@@ -65,7 +65,7 @@
     author = f"{request.requester}: {request.reason or 'no reason given'}"
     state.traffic.frozen_by = author if is_frozen else ""
     state.traffic.next_review_at = 0
-    state.note(f"the plan of traffic is {'frozen by ' + author if is_frozen else 'thawed'}")
+    state.log_for_operators(f"the plan of traffic is {'frozen by ' + author if is_frozen else 'thawed'}")
     return accepted(state, "nothing moves by itself" if is_frozen else "traffic moves again")
 
 
@@ -106,7 +106,9 @@
     """Pin a zone to its current status, or unpin it."""
     zone.pinned = request.action == "pin"
     state.traffic.next_review_at = 0
-    state.note(f"{request.requester} says {request.action} of zone {zone.name}: {request.reason}")
+    state.log_for_operators(
+        f"{request.requester} says {request.action} of zone {zone.name}: {request.reason}"
+    )
     return accepted(state, f"{zone.name} stays {zone.status}" if zone.pinned else "it moves again")
 
 
--- a/cedarmill/cluster/supervision.py
+++ b/cedarmill/cluster/supervision.py
@@ -50,7 +50,7 @@
 
 
 class StopProcess(msgspec.Struct, frozen=True):
-    """An action: send SIGTERM; `to_kill` returns the processes that do not exit in time."""
+    """An action: send SIGTERM; `processes_to_kill` returns the processes that do not exit in time."""
 
     unit: str
     incarnation: str
@@ -139,7 +139,7 @@
         self.ended_members: list[str] = []  # keys of members that have ended recently
         self._actions: Actions = []
 
-    def begin(self, now: int, is_alive: Callable[[Process], bool]) -> Actions:
+    def start(self, now: int, is_alive: Callable[[Process], bool]) -> Actions:
         """Adopt live processes of the previous supervisor, record the ended ones, and start missing ones."""
         for unit in self.units.values():
             for process in list(unit.processes.values()):
@@ -152,7 +152,7 @@
                     self._stop_process(now, unit, process)
         return self._take_actions()
 
-    def order(self, now: int, orders: Mapping[str, UnitOrderFields], lease_until: int) -> Actions:
+    def apply_orders(self, now: int, orders: Mapping[str, UnitOrderFields], lease_until: int) -> Actions:
         """Apply orders with a newer epoch, if the lease is valid."""
         for name, (version, epoch) in orders.items():
             unit = self.units.get(name)
@@ -207,7 +207,7 @@
                 self._start_process(unit)
         return self._take_actions()
 
-    def to_kill(self, now: int) -> list[Process]:
+    def processes_to_kill(self, now: int) -> list[Process]:
         """Return the stopping processes whose stop timeout has passed."""
         return [process for process in self._all_processes() if process.kill_at and now >= process.kill_at]
 
--- a/cedarmill/cluster/traffic_control/ramps.py
+++ b/cedarmill/cluster/traffic_control/ramps.py
@@ -58,7 +58,7 @@
         zone.open_share = previous_share
     if bool(reason) != bool(zone.halt_reason):
         verb = f"is halted: {reason}" if reason else "goes on"
-        state.note(f"the evacuation of zone {zone.name} {verb}")
+        state.log_for_operators(f"the evacuation of zone {zone.name} {verb}")
     zone.halt_reason = reason
     if zone.open_share == 0:
         zone_status.apply_event(state, zone, ZoneEvent.EMPTIED)
--- a/cedarmill/cluster/traffic_control/zone_status.py
+++ b/cedarmill/cluster/traffic_control/zone_status.py
@@ -52,7 +52,7 @@
         health = TargetHealth.SILENT if status == ZoneStatus.LOST else TargetHealth.HEALTHY
         target.health_since = target.health_since if target.health == health else state.clock
         target.health = health
-    state.note(f"zone {zone.name} is {status}" + (f": {reason}" if reason else ""))
+    state.log_for_operators(f"zone {zone.name} is {status}" + (f": {reason}" if reason else ""))
     return True
 
 
@@ -142,4 +142,6 @@
     if reason == state.traffic.distrust_reason:
         return
     state.traffic.distrust_reason = reason
-    state.note(f"traffic stays as it is: {reason}" if reason else "news of zones are believed again")
+    state.log_for_operators(
+        f"traffic stays as it is: {reason}" if reason else "news of zones are believed again"
+    )
--- a/cedarmill/lab/cluster/mutants/leases.py
+++ b/cedarmill/lab/cluster/mutants/leases.py
@@ -17,19 +17,19 @@
 
 def lease_by_a_timer() -> list[Patch]:
     """A process that stood still goes by what its timer said before."""
-    return [(MemberSession, "holds", lambda self, now: self._is_announced or now < self.lease_until)]
+    return [(MemberSession, "is_lease_valid", lambda self, now: self._is_announced or now < self.lease_until)]
 
 
 def lease_not_asked_when_acting() -> list[Patch]:
     """A supervisor acts on orders whatever has become of its lease."""
-    original = ProcessSupervisor.order
+    original = ProcessSupervisor.apply_orders
 
-    def order(
+    def apply_orders(
         self: ProcessSupervisor, now: int, orders: Mapping[str, UnitOrderFields], lease_until: int
     ) -> Actions:
         return original(self, now, orders, now + 1)
 
-    return [(ProcessSupervisor, "order", order)]
+    return [(ProcessSupervisor, "apply_orders", apply_orders)]
 
 
 def new_leader_without_grace() -> list[Patch]:
--- a/cedarmill/lab/cluster/mutants/releases.py
+++ b/cedarmill/lab/cluster/mutants/releases.py
@@ -27,9 +27,9 @@
 
 def older_orders_followed() -> list[Patch]:
     """A supervisor follows orders by their arrival, not by their epoch."""
-    original = ProcessSupervisor.order
+    original = ProcessSupervisor.apply_orders
 
-    def order(
+    def apply_orders(
         self: ProcessSupervisor, now: int, orders: Mapping[str, UnitOrderFields], lease_until: int
     ) -> Actions:
         first_orders: dict[str, UnitOrderFields] = self.__dict__.setdefault("first_orders", {})
@@ -42,4 +42,4 @@
                 self.units[name].applied_epoch = -1
         return original(self, now, first_orders, lease_until)
 
-    return [(ProcessSupervisor, "order", order)]
+    return [(ProcessSupervisor, "apply_orders", apply_orders)]
--- a/cedarmill/lab/cluster/mutants/replicated_log.py
+++ b/cedarmill/lab/cluster/mutants/replicated_log.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from cedarmill.cluster.hosting import Host
+from cedarmill.cluster.hosting import ReplicaHost
 from cedarmill.cluster.raft import replication
 from cedarmill.cluster.raft.actions import (
     LeadershipConfirmed,
@@ -86,25 +86,25 @@
 def sent_before_synced() -> list[Patch]:
     """Promises leave before what they promise is on the disk."""
 
-    def flush(self: Host, now: int) -> None:
+    def flush(self: ReplicaHost, now: int) -> None:
         while self.pending:
             actions, self.pending = self.pending, []
             last = -1
             persists = PersistTermAndVote | PersistEntries | RestoreSnapshot
-            self._out([action for action in actions if not isinstance(action, persists)])
+            self._send_outgoing([action for action in actions if not isinstance(action, persists)])
             for action in actions:
                 if isinstance(action, PersistTermAndVote | PersistEntries):
                     self.port.save(action)
                     last = action.entries[-1].index if isinstance(action, PersistEntries) else last
                 elif isinstance(action, RestoreSnapshot):
-                    self.port.put_snapshot(action.snapshot, list(self.replica.raft.log.entries))
+                    self.port.save_snapshot(action.snapshot, list(self.replica.raft.log.entries))
             if self.port.sync() and last >= 0:
                 self.pending += self.replica.on_synced(now, last)
 
     def send_after_sync(self: LogReplica, action: SendMessage) -> None:
         self.send_now(action)
 
-    return [(Host, "flush", flush), (LogReplica, "send_after_sync", send_after_sync)]
+    return [(ReplicaHost, "flush", flush), (LogReplica, "send_after_sync", send_after_sync)]
 
 
 def reads_without_a_majority() -> list[Patch]:
--- a/cedarmill/lab/simulation/node.py
+++ b/cedarmill/lab/simulation/node.py
@@ -112,7 +112,7 @@
     def follow(self, orders: Orders) -> None:
         """Take over what is out, what may be spent, and the plan if it is newer."""
         self.excluded = dict(orders.excluded_executors)
-        lease_holds = self.session.holds(self.clock.now())
+        lease_holds = self.session.is_lease_valid(self.clock.now())
         self.budget_leases.set_rates(self.clock.now(), lease_holds, orders.budget_leases)
         if self.follower.accept_plan(orders.routes) and self.follower.plan is not None:
             who, epoch = f"{self.name}/{self.identity.incarnation}", self.follower.plan.epoch
@@ -132,7 +132,7 @@
         scheduler.after(delay, self._spend_often)
 
     def _spend(self) -> None:
-        lease_holds = self.session.holds(self.clock.now())
+        lease_holds = self.session.is_lease_valid(self.clock.now())
         if self.budget_leases.spend(self.clock.now(), lease_holds, PROBE_BUDGET.name):
             lease = self.budget_leases.by_name.get(PROBE_BUDGET.name)
             by_lease = lease is None or lease.is_lease_valid
@@ -183,7 +183,7 @@
     def may_send(self) -> bool:
         """Not before it has heard what is out; one that stops by its lease asks it at this moment."""
         return self.session.orders is not None and (
-            not self.identity.stops_at_lease_expiry or self.session.holds(self.clock.now())
+            not self.identity.stops_at_lease_expiry or self.session.is_lease_valid(self.clock.now())
         )
 
     def on_request_ended(self, executor: str, lost: bool = False) -> None:
--- a/cedarmill/lab/simulation/raft_log_replica.py
+++ b/cedarmill/lab/simulation/raft_log_replica.py
@@ -85,7 +85,7 @@
         elif isinstance(action, ApplyEntries):
             for entry in action.entries:
                 checks.on_committed(self.name, entry)
-        elif isinstance(action, RoleChanged) and action.leads:
+        elif isinstance(action, RoleChanged) and action.is_leader:
             checks.on_leading(self.name, action.term)
         elif isinstance(action, LeadershipConfirmed):
             checks.on_read_confirmed(action.token, action.index)
--- a/cedarmill/lab/simulation/replica.py
+++ b/cedarmill/lab/simulation/replica.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cedarmill.cluster.hosting import Host
+from cedarmill.cluster.hosting import ReplicaHost
 from cedarmill.cluster.messages import ClientRequest
 from cedarmill.cluster.raft.actions import PersistEntries, PersistTermAndVote, RaiseAlarm, RoleChanged
 from cedarmill.cluster.raft.messages import Config, Entry, Snapshot
@@ -41,7 +41,7 @@
         self.replica = Replica(
             self.name, self.disk.load(), self.clock.now(), seed, self.environment.raft_timing
         )
-        self.host = Host(self.replica, self)
+        self.host = ReplicaHost(self.replica, self)
         self.replica.on_applied = self._on_applied
         self._on_replies.clear()
         self.dies_at_sync = False
@@ -62,7 +62,7 @@
         self.environment.applied.add(self.name, entry, self.replica.state.generation)
 
     def _carry_out(self, actions: Actions) -> None:
-        self.host.take(actions)
+        self.host.queue_actions(actions)
         try:
             self.host.flush(self.clock.now())
         except OSError:  # killed while it wrote: what was not synced is gone
@@ -98,7 +98,7 @@
             raise OSError("killed before the sync")
         return self.disk.sync()
 
-    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
+    def save_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         """Keep a snapshot and the entries after it."""
         self.disk.put_snapshot(snapshot, entries)
 
@@ -116,7 +116,7 @@
         if on_reply is not None:
             on_reply(answer)
 
-    def tell(self, action: RoleChanged | RaiseAlarm) -> None:
+    def log_action(self, action: RoleChanged | RaiseAlarm) -> None:
         """Enter into the history that this replica leads now."""
-        if isinstance(action, RoleChanged) and action.leads:
+        if isinstance(action, RoleChanged) and action.is_leader:
             self.environment.history.tell(self.name, "leads", epoch=action.term)
--- a/cedarmill/lab/simulation/supervisor.py
+++ b/cedarmill/lab/simulation/supervisor.py
@@ -41,7 +41,7 @@
         )
         name = f"steward-{number}"
         super().__init__(environment, name, MemberIdentity("steward", name, str(incarnation)))
-        self._act(self.core.begin(self.clock.now(), self._is_alive))
+        self._act(self.core.start(self.clock.now(), self._is_alive))
         self._look_often()
 
     def _new_incarnation(self) -> str:
@@ -58,7 +58,7 @@
 
     def follow(self, orders: Orders) -> None:
         """Act on what is ordered for the units, as long as the lease holds."""
-        self._act(self.core.order(self.clock.now(), orders.units, self.session.lease_until))
+        self._act(self.core.apply_orders(self.clock.now(), orders.units, self.session.lease_until))
 
     def _look_often(self) -> None:
         if not self.alive:
@@ -70,12 +70,12 @@
         now = self.clock.now()
         self._act(self.core.on_time(now))
         if self.session.orders is not None:
-            self._act(self.core.order(now, self.session.orders.units, self.session.lease_until))
+            self._act(self.core.apply_orders(now, self.session.orders.units, self.session.lease_until))
         for incarnation, node in list(self.machine.nodes.items()):
             if not node.alive:
                 del self.machine.nodes[incarnation]
                 self._act(self.core.on_exited(now, self.unit, incarnation))
-        for process in self.core.to_kill(now):
+        for process in self.core.processes_to_kill(now):
             doomed = self.machine.nodes.get(process.incarnation)
             if doomed is not None:
                 doomed.kill()
--- a/cedarmill/net/cluster/member.py
+++ b/cedarmill/net/cluster/member.py
@@ -15,8 +15,8 @@
 from cedarmill.cluster.session import (
     Connect,
     FollowOrders,
+    LeaseAcquired,
     LeaseExpired,
-    LeaseHolds,
     MemberIdentity,
     MemberReport,
     MemberSession,
@@ -92,7 +92,7 @@
 
     def holds(self) -> bool:
         """Return whether the lease holds now."""
-        return self.session.holds(self.driver.now())
+        return self.session.is_lease_valid(self.driver.now())
 
     def leave(self) -> None:
         """Send a last heartbeat: this incarnation ends and has no requests in flight."""
@@ -125,7 +125,7 @@
             case LeaseExpired():
                 log_event("lease-expired")
                 self._on_lease_expired()
-            case LeaseHolds():
+            case LeaseAcquired():
                 log_event("lease-holds", epoch=self.session.epoch)
                 self._on_lease_holds()
 
--- a/cedarmill/net/cluster/node_role.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -82,7 +82,7 @@
         self.budgets, self.retry_budget = BudgetLeases(known=options.start == "alone"), RetryBudget()
         self.routing: ClusterRouting | None = None
         if identity.zone:
-            holds = self.membership.session.holds
+            holds = self.membership.session.is_lease_valid
             self.routing = ClusterRouting(
                 driver, self.name, identity.zone, discovery, options, holds, self.may_spend
             )
@@ -131,11 +131,11 @@
         """
         if self.orders is None:
             return self.options.start == "alone"
-        return self.options.cut_off == "serve" or self.membership.session.holds(now)
+        return self.options.cut_off == "serve" or self.membership.session.is_lease_valid(now)
 
     def may_spend(self, now: int, budget: str) -> bool:
         """Spend one unit of a cluster budget, at a rate set by the lease; return False if none is left."""
-        return self.budgets.spend(now, self.membership.session.holds(now), budget)
+        return self.budgets.spend(now, self.membership.session.is_lease_valid(now), budget)
 
     def may_retry(self, now: int) -> bool:
         """Spend one retry if the budgets permit; return whether it was spent.
@@ -176,10 +176,10 @@
             self.handlers.set_cluster_exclusions(dict.fromkeys(orders.excluded_executors, now))
         if self.may_send(now) or self.options.cut_off == "serve":
             self.discovery.suspend_sending(False)
-        self.budgets.set_rates(now, self.membership.session.holds(now), orders.budget_leases)
+        self.budgets.set_rates(now, self.membership.session.is_lease_valid(now), orders.budget_leases)
         self._refresh_peers()
         if self.routing is not None:
-            self.routing.set_admission(orders.admission_cut, orders.scoped_cuts)
+            self.routing.set_admission(orders.admission_threshold, orders.scoped_thresholds)
             self.routing.set_plan(orders.routes)
         if must_drain_clients != bool(previous is not None and previous.drain_clients_epoch):
             self.handlers.drain_clients(must_drain_clients)
@@ -218,7 +218,7 @@
     def report(self) -> MemberReport:
         """Return the contents of the next heartbeat."""
         now = self.driver.now()
-        was_suspended = now < self.membership.session.doubts_until
+        was_suspended = now < self.membership.session.suspected_suspension_until
         return MemberReport(
             self.reports.drained_targets(self.orders, self.routing),
             self.reports.observed_executors(now),
--- a/cedarmill/net/cluster/replica.py
+++ b/cedarmill/net/cluster/replica.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from cedarmill import log
-from cedarmill.cluster.hosting import Host
+from cedarmill.cluster.hosting import ReplicaHost
 from cedarmill.cluster.messages import (
     REPLICA_ROLE,
     ClientRequest,
@@ -58,7 +58,7 @@
 
     store: ReplicaStore
     replica: Replica
-    host: Host
+    host: ReplicaHost
 
     def __init__(self, options: ReplicaOptions, directory: Directory | None = None) -> None:
         """Open the store, or schedule a retry if the disk fails temporarily.
@@ -89,7 +89,7 @@
         self.store = self.replica_port.store = store
         seed = int.from_bytes(store.identity.disk.encode()[-6:], "big") + store.identity.start_count
         self.replica = Replica(self.options.name, store.persistent_state, self.driver.now(), seed)
-        self.host = Host(self.replica, self.replica_port)
+        self.host = ReplicaHost(self.replica, self.replica_port)
         self.has_store = True
         # Messages in transit are addressed to the replaced replica object.
         self.peers.end_connected("the replica has reopened its store")
@@ -112,7 +112,7 @@
 
     def queue_actions(self, actions: Actions) -> None:
         """Queue the actions that an event caused, to be carried out together at the end of this loop turn."""
-        self.host.take(actions)
+        self.host.queue_actions(actions)
         if not self._is_flush_scheduled:
             self._is_flush_scheduled = True
             self.loop.call_soon(self.flush)
@@ -126,8 +126,8 @@
         try:
             self.host.flush(self.driver.now())
             if not self.replica.raft.needs_catch_up:
-                self.store.end_doubt()
-        except OSError as error:  # from the disk: `send`, `reply` and `tell` raise no OSError
+                self.store.complete_catch_up()
+        except OSError as error:  # from the disk: `send`, `reply` and `log_action` raise no OSError
             self.disk.handle_failure(error)
             return
         self._schedule_timer()
--- a/cedarmill/net/cluster/replica_format.py
+++ b/cedarmill/net/cluster/replica_format.py
@@ -80,8 +80,8 @@
             permit.state = "lost"
     state.index, state.orders_epoch = backup.index, state.generation << EPOCH_INDEX_BITS | backup.index
     state.budget_grants = {}
-    state.budgets_dealt_from = state.clock + LEASE_US  # leases granted after the backup may still be valid
-    state.note("restored from a backup: what was granted counts as out till it is back")
+    state.budgets_leased_from = state.clock + LEASE_US  # leases granted after the backup may still be valid
+    state.log_for_operators("restored from a backup: what was granted counts as out till it is back")
     return state
 
 
--- a/cedarmill/net/cluster/replica_port.py
+++ b/cedarmill/net/cluster/replica_port.py
@@ -25,7 +25,7 @@
         """Make all appended data durable, and return whether there was any. Raises OSError."""
         return self.store.sync()
 
-    def put_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
+    def save_snapshot(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         """Store a snapshot and the log entries after it. Raises OSError."""
         self.store.write_snapshot(snapshot, entries)
 
@@ -37,10 +37,10 @@
         """Send the reply to a member's or an operator's request."""
         self.requests.reply(token, answer)
 
-    def tell(self, action: RoleChanged | RaiseAlarm) -> None:
+    def log_action(self, action: RoleChanged | RaiseAlarm) -> None:
         """Log a role change or an alarm."""
         if isinstance(action, RoleChanged):
-            role = "leader" if action.leads else "follower"
+            role = "leader" if action.is_leader else "follower"
             log_event("replica-role", role=role, leader=action.leader or "nobody", term=action.term)
         else:
             self.log_alarm(action.text)
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -34,7 +34,7 @@
 from cedarmill.net.cluster.unit_processes import UnitProcesses
 from cedarmill.net.config import Address
 from cedarmill.net.loop import EventLoopDriver
-from cedarmill.store.errors import may_pass
+from cedarmill.store.errors import is_transient
 from cedarmill.store.files import Directory
 from cedarmill.values import SupervisorOptions, UnitOptions
 
@@ -105,7 +105,7 @@
             log_event("supervisor-waits", unit=", ".join(self.units), reason=error.strerror or error)
             self.timers.add(now + CHECK_INTERVAL_US, self.begin)
             return
-        self.actions.add(self.core.begin(now, lambda process: process.incarnation in live_incarnations))
+        self.actions.add(self.core.start(now, lambda process: process.incarnation in live_incarnations))
         self.check_processes(now)
         self.membership.start()
         log_event("supervisor-serves", name=self.options.name, units=", ".join(self.units))
@@ -141,7 +141,7 @@
             else:
                 log_event("supervisor-waits", unit=name, reason=f"no command for version {order[0]}")
         lease_until = self.membership.session.lease_until
-        self.actions.add(self.core.order(self.driver.now(), applicable_orders, lease_until))
+        self.actions.add(self.core.apply_orders(self.driver.now(), applicable_orders, lease_until))
 
     # Actions.
 
@@ -199,7 +199,7 @@
             self._check_unit(now, name)
         if self.actions.is_failing:
             return
-        for process in self.core.to_kill(now):
+        for process in self.core.processes_to_kill(now):
             for name, unit in self.core.units.items():
                 if process.incarnation in unit.processes:
                     self.units[name].send_signal(process, signal.SIGKILL)
@@ -258,7 +258,7 @@
     try:
         return SupervisorProcess(options)
     except OSError as error:
-        if not may_pass(error):
+        if not is_transient(error):
             raise
         log_event("supervisor-disk-failed", reason=error.strerror or error)
         return None
--- a/cedarmill/store/replica_store.py
+++ b/cedarmill/store/replica_store.py
@@ -44,7 +44,7 @@
     """The disk of one replica, locked for this process.
 
     `persistent_state` is the recovered Raft state. `identity` identifies the disk and includes this start in
-    its count. `doubt` is the reason why the disk may lack acknowledged state, or empty if it lacks none.
+    its count. `catch_up_reason` says why the disk may lack acknowledged state; it is "" if it lacks none.
     """
 
     def __init__(
@@ -144,15 +144,15 @@
 
     def _check_catch_up(self, new_disk: str, acknowledged: AcknowledgedState | None) -> None:
         """Detect lost state, and mark it durably before the log is rewritten; raise OSError on failure."""
-        self.doubt = ""
+        self.catch_up_reason = ""
         if self.was_empty and new_disk:  # A disk to be formatted has acknowledged nothing.
             catch_up.remove_marker(self.directory)
             return
-        self.doubt = catch_up.read_reason(self.directory)
-        if not self.doubt and (reason := self._detect_loss(acknowledged)):
+        self.catch_up_reason = catch_up.read_reason(self.directory)
+        if not self.catch_up_reason and (reason := self._detect_loss(acknowledged)):
             catch_up.write_marker(self.directory, reason)
-            self.doubt = reason
-        self.persistent_state.needs_catch_up = bool(self.doubt)
+            self.catch_up_reason = reason
+        self.persistent_state.needs_catch_up = bool(self.catch_up_reason)
 
     def _detect_loss(self, acknowledged: AcknowledgedState | None) -> str:
         """Return the reason why the recovered state may lack acknowledged state, or "" if it lacks none."""
@@ -225,11 +225,11 @@
         self._last_entry = last.term, last.index
         self._rewrite_log(tuple(entries))
 
-    def end_doubt(self) -> None:
+    def complete_catch_up(self) -> None:
         """Record durably that the replica has caught up and synced its state; raise OSError on failure."""
-        if self.doubt:
+        if self.catch_up_reason:
             catch_up.remove_marker(self.directory)
-            self.doubt = ""
+            self.catch_up_reason = ""
 
     def close(self) -> None:
         """Close all files and release the lock; unsynced records may be lost. Raises OSError on failure."""
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -117,7 +117,7 @@
         self.assertFalse(self.apply_request(commands.SetBudgets, (PROBES, PROBES)).ok)
 
     def test_nothing_is_granted_before_leases_of_an_older_state_expire(self):
-        self.state.budgets_dealt_from = 5 * SECOND_US
+        self.state.budgets_leased_from = 5 * SECOND_US
         self.set_demand("a", 80_000)
         self.assertEqual(self.granted_rates(), {"a": 0})
 
--- a/tests/net/cluster/test_replicas.py
+++ b/tests/net/cluster/test_replicas.py
@@ -298,10 +298,10 @@
         self.assertEqual(
             self.run_cluster_command("cut", "set", "--below", "3", "--reason", "storm").returncode, 0
         )
-        self.wait_for(lambda: node.send_heartbeat() and node.orders.admission_cut.weight == 3000)
+        self.wait_for(lambda: node.send_heartbeat() and node.orders.admission_threshold.weight == 3000)
         self.assertIn("CUT: what is worth less than 3", self.run_cluster_command("load").stdout)
         self.assertEqual(self.run_cluster_command("cut", "clear").returncode, 0)
-        self.wait_for(lambda: node.send_heartbeat() and node.orders.admission_cut.weight < 0)
+        self.wait_for(lambda: node.send_heartbeat() and node.orders.admission_threshold.weight < 0)
 
     def test_membership_epoch_grows_with_members_and_peers_need_an_address(self):
         first = Member(self, "n0")
--- a/tests/store/test_replica_store.py
+++ b/tests/store/test_replica_store.py
@@ -191,14 +191,14 @@
                 for start in range(3):
                     store = self.restart()
                     self.assertEqual(
-                        (store.doubt, store.persistent_state.needs_catch_up), (reason, True), start
+                        (store.catch_up_reason, store.persistent_state.needs_catch_up), (reason, True), start
                     )
                 store = self.open_store()
-                store.end_doubt()
-                store.end_doubt()
+                store.complete_catch_up()
+                store.complete_catch_up()
                 store.close()
                 store = self.restart()
-                self.assertEqual((store.doubt, store.persistent_state.needs_catch_up), ("", False))
+                self.assertEqual((store.catch_up_reason, store.persistent_state.needs_catch_up), ("", False))
 
     def test_failure_at_any_step_of_opening_preserves_the_need_to_catch_up(self):
         steps = ("rename", "write", "sync", "sync_directory")
@@ -551,9 +551,9 @@
                     self.directory, "c", "k0", acknowledged=acknowledged._replace(**changed_fields)
                 )
                 self.addCleanup(store.close)
-                self.assertEqual(store.doubt, catch_up.LOST_RECORDS if needs_catch_up else "")
+                self.assertEqual(store.catch_up_reason, catch_up.LOST_RECORDS if needs_catch_up else "")
                 self.assertEqual(store.persistent_state.needs_catch_up, needs_catch_up)
-                store.end_doubt()
+                store.complete_catch_up()
         store.append(PersistEntries(self.make_entries(4, 1, term=4)))
         self.assertEqual(store.acknowledged, acknowledged, "unsynced entries must not count as acknowledged")
 
