--- a/cedarmill/cluster/member_orders.py
+++ b/cedarmill/cluster/member_orders.py
@@ -25,29 +25,33 @@
         excluded_executors=_excluded_executors(state),
         drain_clients_epoch=_drain_clients_epoch(state, member),
         routes=reports.route_weights(state, member.zone),
-        admission_cut=state.admission.threshold,
-        scoped_cuts=_scoped_cuts(state, member.zone),
-        budget_leases=budget_grants.rates_for(state, member.key),
-        membership_epoch=state.membership_epoch if state.zoning.gossip else 0,
+        admission_threshold=state.admission.threshold,
+        scoped_thresholds=_scoped_thresholds(state, member.zone),
+        budget_leases=budget_grants.rates_of(state, member.key),
+        membership_epoch=state.membership_epoch if state.zone_layout.gossip else 0,
     )
 
 
 def _excluded_executors(state: ClusterState) -> dict[str, int]:
     permits = state.permits.values()
-    return {permit.target: permit.epoch for permit in permits if permit.out and permit.kind == "executor"}
+    return {
+        permit.target: permit.epoch
+        for permit in permits
+        if permit.is_out_of_service and permit.kind == "executor"
+    }
 
 
 def _drain_clients_epoch(state: ClusterState, member: Member) -> int:
     """Return the epoch of the permit to drain this node's clients, or 0; releases drain no clients."""
     epoch = 0
     for permit in state.permits.values():
-        is_for_member = permit.out and permit.kind == "node" and permit.target == member.name
+        is_for_member = permit.is_out_of_service and permit.kind == "node" and permit.target == member.name
         if is_for_member and not permit.holder.startswith("release:"):
             epoch = permit.epoch
     return epoch
 
 
-def _scoped_cuts(state: ClusterState, zone: str) -> dict[str, SheddingThreshold]:
+def _scoped_thresholds(state: ClusterState, zone: str) -> dict[str, SheddingThreshold]:
     return {
         bound: controller.threshold_of(state, zone, bound)
         for bound in SCOPES
--- a/cedarmill/cluster/member_requests.py
+++ b/cedarmill/cluster/member_requests.py
@@ -39,9 +39,9 @@
         leadership = replica.leadership
         session = leadership.sessions.record(now, key, heartbeat)
         is_term_current = heartbeat.term == replica.raft.term
-        session.reported_all |= is_term_current
+        session.has_full_report |= is_term_current
         if heartbeat.kind == "node":
-            leadership.executors.changed.update(heartbeat.executors)
+            leadership.executors.changed_names.update(heartbeat.executors)
             if heartbeat.digest is not None and is_term_current and heartbeat.leader_timestamp >= 0:
                 made_at = min(now, heartbeat.leader_timestamp + heartbeat.timestamp_age_us)
                 leadership.zones.accept(made_at, key, heartbeat.digest)
@@ -93,7 +93,7 @@
         drained = {
             permit.target: permit.epoch
             for permit in self._state.permits.values()
-            if permit.out
+            if permit.is_out_of_service
             and key in permit.undrained_members
             and heartbeat.drained.get(permit.target) == permit.epoch
         }
@@ -112,7 +112,9 @@
     def _is_target_out(self, key: str) -> bool:
         kind, _, target = key.partition(":")
         permits = self._state.permits.values()
-        return any(permit.out and (permit.kind, permit.target) == (kind, target) for permit in permits)
+        return any(
+            permit.is_out_of_service and (permit.kind, permit.target) == (kind, target) for permit in permits
+        )
 
     def _update_budgets(self, now: int, key: str, heartbeat: Heartbeat) -> None:
         """Propose a node's changed budget demand, and its acknowledgement of reduced budget leases."""
--- a/cedarmill/cluster/state_machine/sessions.py
+++ b/cedarmill/cluster/state_machine/sessions.py
@@ -4,7 +4,7 @@
 from cedarmill.cluster.state import ClusterState, Member, Target
 from cedarmill.cluster.state_machine import drains
 from cedarmill.cluster.state_machine.command import Command, Handlers
-from cedarmill.cluster.state_machine.permit_states import move, target_key
+from cedarmill.cluster.state_machine.permit_states import apply_event, target_key
 from cedarmill.cluster.states import MemberState, PermitState, TargetHealth
 
 ENDED_MEMBER_RETENTION_US = 600_000_000
@@ -94,7 +94,7 @@
         return
     incarnations = [m for m in state.members.values() if m.kind == "node" and m.name == name]
     is_present = any(member.state in (MemberState.LIVE, MemberState.UNREACHABLE) for member in incarnations)
-    health = TargetHealth.WELL if is_present else TargetHealth.SILENT
+    health = TargetHealth.HEALTHY if is_present else TargetHealth.SILENT
     if target.health != health:
         target.health, target.health_since = health, state.clock
 
@@ -113,7 +113,7 @@
 
 def _note_membership_change(state: ClusterState, member: Member) -> None:
     """Make gossiping nodes refresh their peer lists after a change of the nodes."""
-    if state.zoning.gossip and member.kind == "node":
+    if state.zone_layout.gossip and member.kind == "node":
         state.membership_epoch = state.orders_epoch = state.epoch
 
 
@@ -122,11 +122,13 @@
     for key in command.silent:
         if (member := _change_state(state, key, MemberState.SILENT)) is not None:
             member.lease_expiries = [*member.lease_expiries, state.clock][-MAX_LEASE_EXPIRIES:]
-            state.note(f"{member.kind} {member.name} is silent")
+            state.log_for_operators(f"{member.kind} {member.name} is silent")
             _lose_supervised_permits(state, member)
     for key in command.unreachable:
         if (member := _change_state(state, key, MemberState.UNREACHABLE)) is not None:
-            state.note(f"{member.kind} {member.name} reaches no keeper, others reach it: it serves on")
+            state.log_for_operators(
+                f"{member.kind} {member.name} reaches no keeper, others reach it: it serves on"
+            )
     for key in command.certainly_stopped:
         drains.member_ended(state, key)
     for key in (*command.silent, *command.unreachable):
@@ -145,7 +147,7 @@
     for permit in state.permits.values():
         is_held_by_release = permit.kind == "node" and permit.holder.startswith("release:")
         if is_held_by_release and _supervises(state, member, permit.target):
-            move(state, permit, "lose")
+            apply_event(state, permit, "lose")
 
 
 def restore_session(state: ClusterState, command: RestoreSession) -> None:
@@ -153,12 +155,12 @@
     member = _change_state(state, command.member_key, MemberState.LIVE)
     if member is None:
         return
-    state.note(f"{member.kind} {member.name} is back")
+    state.log_for_operators(f"{member.kind} {member.name} is back")
     if member.kind != "steward":
         return
     for permit in state.permits.values():
         if permit.state == PermitState.LOST and _supervises(state, member, permit.target):
-            move(state, permit, "find")
+            apply_event(state, permit, "find")
 
 
 def record_end(state: ClusterState, command: EndMember) -> None:
@@ -171,7 +173,7 @@
     member = _change_state(state, key, MemberState.ENDED)
     if member is None:
         return
-    state.note(f"{member.kind} {member.name} has ended: {reason}")
+    state.log_for_operators(f"{member.kind} {member.name} has ended: {reason}")
     drains.member_ended(state, key)
     budget_grants.release(state, key)
 
--- a/cedarmill/cluster/state_machine/zones.py
+++ b/cedarmill/cluster/state_machine/zones.py
@@ -12,7 +12,7 @@
     accepted,
 )
 from cedarmill.cluster.state_machine.permit_queue import PermitRequest
-from cedarmill.cluster.state_machine.permit_states import move, open_permit, return_to_service
+from cedarmill.cluster.state_machine.permit_states import apply_event, open_permit, return_to_service
 from cedarmill.cluster.states import PermitState
 from cedarmill.cluster.traffic_control import intake, ramps, zone_status
 from cedarmill.cluster.traffic_control.errors import InvalidLayoutError
@@ -20,10 +20,10 @@
 from cedarmill.cluster.traffic_plan.state import ZoneState
 
 
-class SetZones(OperatorRequest, tag="zones", frozen=True):
+class SetZones(OperatorRequest, tag="zones", rename={"zone_layout": "zoning"}, frozen=True):
     """Replace the layout of zones and regions."""
 
-    zoning: ZoneLayout
+    zone_layout: ZoneLayout
 
 
 class ControlZone(OperatorRequest, tag="zone", frozen=True):
@@ -39,11 +39,11 @@
 def set_zones(state: ClusterState, request: SetZones) -> RequestOutcome:
     """Replace the zone layout; raise RequestRejected with the reason if it is invalid."""
     try:
-        intake.set_layout(state, request.zoning)
+        intake.set_layout(state, request.zone_layout)
     except InvalidLayoutError as error:
         raise RequestRejected(str(error)) from None
-    zones, regions = request.zoning.zones, request.zoning.regions
-    state.note(f"zones set by {request.requester}: {len(zones)} in {len(regions)} regions")
+    zones, regions = request.zone_layout.zones, request.zone_layout.regions
+    state.log_for_operators(f"zones set by {request.requester}: {len(zones)} in {len(regions)} regions")
     return accepted(state, f"{len(zones)} zones are planned")
 
 
@@ -65,7 +65,7 @@
     author = f"{request.requester}: {request.reason or 'no reason given'}"
     state.traffic.frozen_by = author if is_frozen else ""
     state.traffic.next_review_at = 0
-    state.note(f"the plan of traffic is {'frozen by ' + author if is_frozen else 'thawed'}")
+    state.log_for_operators(f"the plan of traffic is {'frozen by ' + author if is_frozen else 'thawed'}")
     return accepted(state, "nothing moves by itself" if is_frozen else "traffic moves again")
 
 
@@ -95,7 +95,7 @@
     if permit is None:
         raise RequestRejected(f"zone {name} is not out by a permit, and waits for none")
     if permit.state == PermitState.WAITING:
-        move(state, permit, "withdraw")
+        apply_event(state, permit, "withdraw")
     else:
         return_to_service(state, permit, reason)
     state.traffic.next_review_at = 0
@@ -106,7 +106,9 @@
     """Pin a zone to its current status, or unpin it."""
     zone.pinned = request.action == "pin"
     state.traffic.next_review_at = 0
-    state.note(f"{request.requester} says {request.action} of zone {zone.name}: {request.reason}")
+    state.log_for_operators(
+        f"{request.requester} says {request.action} of zone {zone.name}: {request.reason}"
+    )
     return accepted(state, f"{zone.name} stays {zone.status}" if zone.pinned else "it moves again")
 
 
--- a/cedarmill/cluster/state_views.py
+++ b/cedarmill/cluster/state_views.py
@@ -46,7 +46,7 @@
         "halted": state.halt_reason,
         "clock_s": state.clock / 1e6,
         "keepers": _replicas(replica, now),
-        "out": sorted(permit.target for permit in state.permits.values() if permit.out),
+        "out": sorted(permit.target for permit in state.permits.values() if permit.is_out_of_service),
         "waiting": sum(permit.state == PermitState.WAITING for permit in state.permits.values()),
         "members": {kind: live_kinds.count(kind) for kind in ("node", "steward")},
     }
@@ -55,7 +55,7 @@
 def _replicas(replica: "Replica", now: int) -> dict[str, Row]:
     rows: dict[str, Row] = {}
     for name, peer in replica.raft.config.items():
-        rows[name] = {"address": peer.address, "votes": peer.voter, "disk": peer.disk}
+        rows[name] = {"address": peer.address, "votes": peer.is_voter, "disk": peer.disk}
         follower = replica.raft.progress.get(name)
         if follower is not None:
             rows[name]["match"] = follower.match_index
@@ -69,7 +69,7 @@
         row = msgspec.to_builtins(member)
         session = sessions.by_key.get(member.key)
         row["counts"] = list(session.request_counts) if session is not None else []
-        row["heard_s"] = _seconds(now - sessions.heard_at(member.key), 2)
+        row["heard_s"] = _seconds(now - sessions.last_heartbeat_at(member.key), 2)
         rows.append(row)
     return rows
 
@@ -88,14 +88,14 @@
 def _limit_row(state: ClusterState, limit: Limit, scope: str, out_shares: dict[str, int]) -> Row:
     target_keys = [key for key, target in state.targets.items() if limits.scope_of(limit, target) == scope]
     return {
-        "limit": limit.text(),
+        "limit": limit.describe(),
         "scope": scope,
         "of": len(target_keys),
-        "allowed": limits.allowed(limit, len(target_keys)),
+        "allowed": limits.max_out_count(limit, len(target_keys)),
         "out": sum(out_shares.get(key, 0) for key in target_keys) / PER_MILLE,
         "kind": limit.kind,
-        "per": limit.per,
-        "most": limit.most,
+        "per": limit.scope,
+        "most": limit.max_targets,
         "share": limit.share,
         "capacity_left": limit.capacity_left,
     }
@@ -125,8 +125,8 @@
     row["plan"] = {"version": plan.version, "groups": plan.groups, "width": plan.max_concurrent}
     row["age_s"] = _seconds(replica.state.clock - release.state_since, 1)
     comparison = replica.leadership.comparisons.get(release.id)
-    row["new"] = list(comparison.new) if comparison is not None else []
-    row["rest"] = list(comparison.rest) if comparison is not None else []
+    row["new"] = list(comparison.new_counts) if comparison is not None else []
+    row["rest"] = list(comparison.rest_counts) if comparison is not None else []
     return row
 
 
@@ -180,7 +180,7 @@
     """Return the decision that a permit request for each target, taken in order, would get now."""
     verdicts = limits.dry_run(replica.state, request.kind or "executor", request.names)
     return [
-        {"target": name, "verdict": verdict.word, "reasons": list(verdict.reasons)}
+        {"target": name, "verdict": verdict.answer, "reasons": list(verdict.reasons)}
         for name, verdict in verdicts
     ]
 
--- a/cedarmill/cluster/traffic_control/ramps.py
+++ b/cedarmill/cluster/traffic_control/ramps.py
@@ -58,7 +58,7 @@
         zone.open_share = previous_share
     if bool(reason) != bool(zone.halt_reason):
         verb = f"is halted: {reason}" if reason else "goes on"
-        state.note(f"the evacuation of zone {zone.name} {verb}")
+        state.log_for_operators(f"the evacuation of zone {zone.name} {verb}")
     zone.halt_reason = reason
     if zone.open_share == 0:
         zone_status.apply_event(state, zone, ZoneEvent.EMPTIED)
@@ -75,5 +75,5 @@
     zones = state.zones
     if open_share is not None:
         zones = {**zones, name: msgspec.structs.replace(zones[name], open_share=open_share)}
-    plan = planner.make_plan(state.zoning, zones, assessment)
+    plan = planner.make_plan(state.zone_layout, zones, assessment)
     return plan.missing_slots - plan.allocation.unserved.get((name, "zone"), 0)
--- a/cedarmill/lab/cluster/mutants/replicated_log.py
+++ b/cedarmill/lab/cluster/mutants/replicated_log.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from cedarmill.cluster.hosting import Host
+from cedarmill.cluster.hosting import ReplicaHost
 from cedarmill.cluster.raft import replication
 from cedarmill.cluster.raft.actions import (
     LeadershipConfirmed,
@@ -37,7 +37,7 @@
 
     def on_request_vote(self: Election, now: int, source: str, message: RequestVote) -> None:
         if not message.pre_vote and message.term == self._state.term:
-            self._state.vote = ""
+            self._state.voted_for = ""
         original(self, now, source, message)
 
     return [(Election, "on_request_vote", on_request_vote)]
@@ -60,10 +60,10 @@
 
     def advance_commit_index(self: Replicator, now: int) -> None:
         state = self._state
-        index = state.cluster.reached_by_majority(state.persisted_index, state.leader_state.match_index_of)
+        index = state.cluster.majority_value(state.persisted_index, state.leader_state.match_index_of)
         if index > state.commit_index:
             state.commit_up_to(index)
-            self._reads.answer_confirmed()
+            self._read_index.confirm_reads()
 
     return [
         (Replicator, "advance_commit_index", advance_commit_index),
@@ -86,25 +86,25 @@
 def sent_before_synced() -> list[Patch]:
     """Promises leave before what they promise is on the disk."""
 
-    def flush(self: Host, now: int) -> None:
+    def flush(self: ReplicaHost, now: int) -> None:
         while self.pending:
             actions, self.pending = self.pending, []
             last = -1
             persists = PersistTermAndVote | PersistEntries | RestoreSnapshot
-            self._out([action for action in actions if not isinstance(action, persists)])
+            self._send_outgoing([action for action in actions if not isinstance(action, persists)])
             for action in actions:
                 if isinstance(action, PersistTermAndVote | PersistEntries):
                     self.port.save(action)
                     last = action.entries[-1].index if isinstance(action, PersistEntries) else last
                 elif isinstance(action, RestoreSnapshot):
-                    self.port.put_snapshot(action.snapshot, list(self.replica.raft.log.entries))
+                    self.port.save_snapshot(action.snapshot, list(self.replica.raft.log.entries))
             if self.port.sync() and last >= 0:
                 self.pending += self.replica.on_synced(now, last)
 
     def send_after_sync(self: LogReplica, action: SendMessage) -> None:
         self.send_now(action)
 
-    return [(Host, "flush", flush), (LogReplica, "send_after_sync", send_after_sync)]
+    return [(ReplicaHost, "flush", flush), (LogReplica, "send_after_sync", send_after_sync)]
 
 
 def reads_without_a_majority() -> list[Patch]:
@@ -114,4 +114,7 @@
         self._state.emit(LeadershipConfirmed(event.token, self._state.commit_index))
         return False
 
-    return [(ReadIndex, "register", register), (NodeState, "lost_quorum_contact", lambda self, now: False)]
+    return [
+        (ReadIndex, "register", register),
+        (NodeState, "has_lost_quorum_contact", lambda self, now: False),
+    ]
