--- a/cedarmill/cli/lab_scale.py
+++ b/cedarmill/cli/lab_scale.py
@@ -13,7 +13,7 @@
 from cedarmill.cli.lab import lab
 
 if TYPE_CHECKING:
-    from cedarmill.lab.scale.report import Row
+    from cedarmill.lab.scale.report import ReportRow
 
 BASELINE_EXECUTORS, MAX_DEFAULT_EXECUTORS = 200, 3200
 
@@ -68,7 +68,7 @@
       cedarmill lab scale --executors 800 --seeds 3 --out found/scale
     """
     from cedarmill.lab.scale import report
-    from cedarmill.lab.scale.run import ScalePlan, play
+    from cedarmill.lab.scale.run import ScalePlan, execute_run
     from cedarmill.lab.scale.scenarios import SCENARIOS
 
     unknown = [name for name in scenario_names if name not in SCENARIOS]
@@ -81,18 +81,18 @@
         for seed in range(1, seeds + 1)
     ]
     with ProcessPoolExecutor(at_once, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool:
-        rows = report.rows(list(pool.map(play, plans)))
+        rows = report.compare_with_baseline(list(pool.map(execute_run, plans)))
     _output_rows(rows, out, as_json)
     sys.exit(0 if all(row.comparison.holds for row in rows) else 1)
 
 
-def _output_rows(rows: "list[Row]", out: Path | None, as_json: bool) -> None:
+def _output_rows(rows: "list[ReportRow]", out: Path | None, as_json: bool) -> None:
     """Print the rows, and write the table and the plot to `out` if it is given."""
     from cedarmill.lab.scale import report
 
-    table = report.table(rows)
+    table = report.format_table(rows)
     click.echo("\n".join(json.dumps(asdict(row)) for row in rows) if as_json else table)
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
         (out / "scale.md").write_text(table + "\n")
-        report.plot(rows, out / "scale.png")
+        report.save_plot(rows, out / "scale.png")
--- a/cedarmill/lab/scale/report.py
+++ b/cedarmill/lab/scale/report.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class ReportRow:
     """One measurement in one scenario at one size.
 
     The comparison holds medians over the seeds; `least` and `most` are the extremes. The field names are keys
@@ -36,7 +36,7 @@
     )
 
 
-def rows(results: Sequence[ScaleResult]) -> list[Row]:
+def compare_with_baseline(results: Sequence[ScaleResult]) -> list[ReportRow]:
     """Compare each scenario and size with the baseline size of the same scenario.
 
     Raises KeyError if a scenario was not run at the baseline size.
@@ -54,11 +54,11 @@
             sends_changes=scenario not in SNAPSHOT_ONLY_SCENARIOS,
         ):
             measured = [getattr(result.measurements, comparison.field) for result in group]
-            report_rows.append(Row(scenario, executor_count, comparison, min(measured), max(measured)))
+            report_rows.append(ReportRow(scenario, executor_count, comparison, min(measured), max(measured)))
     return report_rows
 
 
-def table(report_rows: Sequence[Row]) -> str:
+def format_table(report_rows: Sequence[ReportRow]) -> str:
     """Return the rows as a Markdown table."""
     lines = [
         "| scenario | executors | need | usual | measured (least to most) | bound | holds |",
@@ -79,7 +79,7 @@
     return "\n".join(lines)
 
 
-def plot(report_rows: Sequence[Row], path: Path) -> None:
+def save_plot(report_rows: Sequence[ReportRow], path: Path) -> None:
     """Save one chart per measurement: values by number of executors and their bounds, a line per scenario."""
     import matplotlib
 
--- a/cedarmill/lab/scale/run.py
+++ b/cedarmill/lab/scale/run.py
@@ -174,7 +174,7 @@
         self.node.reload()
 
 
-def play(plan: ScalePlan) -> ScaleResult:
+def execute_run(plan: ScalePlan) -> ScaleResult:
     """Execute one run in this process and return its result."""
     with tempfile.TemporaryDirectory() as directory:
         return asyncio.run(ScaleRun(plan, Path(directory)).execute())
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -8,7 +8,7 @@
 from cedarmill.cli import main
 from cedarmill.lab.scale import report
 from cedarmill.lab.scale.bounds import NodeMeasurements, compare, violations
-from cedarmill.lab.scale.run import ScalePlan, ScaleResult, play
+from cedarmill.lab.scale.run import ScalePlan, ScaleResult, execute_run
 from cedarmill.lab.scale.scenarios import SCENARIOS
 
 BASELINE = NodeMeasurements(
@@ -52,7 +52,7 @@
             plan = ScalePlan(executor_count, "calm", seed)
             return ScaleResult(plan, replace(BASELINE, connections=connections), {}, 0, [])
 
-        rows = report.rows(
+        rows = report.compare_with_baseline(
             [
                 make_result(200, 1, 100),
                 make_result(3200, 1, 90),
@@ -64,7 +64,8 @@
         self.assertEqual((row.comparison.measured, row.least, row.most), (300, 90, 300))
         self.assertFalse(row.comparison.holds)
         self.assertIn(
-            "| calm | 3200 | connections made | 100 | 300 (90 to 300) | 290 | **no** |", report.table(rows)
+            "| calm | 3200 | connections made | 100 | 300 (90 to 300) | 290 | **no** |",
+            report.format_table(rows),
         )
 
 
@@ -73,7 +74,7 @@
 
     def assert_scenario_succeeds(self, scenario: str) -> None:
         plan = ScalePlan(40, scenario, seed=1, duration_s=1.0, requests_per_second=20.0)
-        result = play(plan)
+        result = execute_run(plan)
         self.assertEqual(result.exit_code, 0, result.log)
         self.assertFalse(
             [line for line in result.log if "Traceback" in line or " failed" in line], result.log
