--- a/cedarmill/cli/cluster/console.py
+++ b/cedarmill/cli/cluster/console.py
@@ -116,9 +116,9 @@
 
 def read_duration(text: str) -> int:
     """Return a duration such as `10min` in microseconds; raise ConfError if the text is not a duration."""
-    from cedarmill.conf.document import ConfError, microseconds
+    from cedarmill.conf.document import ConfError, parse_duration
 
     try:
-        return microseconds(text)
+        return parse_duration(text)
     except ValueError as error:
         raise ConfError(str(error)) from None
--- a/cedarmill/cli/cluster/load.py
+++ b/cedarmill/cli/cluster/load.py
@@ -133,7 +133,7 @@
       cedarmill cluster -c cedarmill.xml shed clear
     """
     from cedarmill.cluster.state_machine import commands
-    from cedarmill.conf.document import ConfError, share
+    from cedarmill.conf.document import ConfError, parse_percent
 
     if action == "clear":
         weight = WEIGHT_SHEDDING_NOTHING
@@ -141,7 +141,7 @@
         raise ConfError("--below is required with set")
     else:
         weight = round(below * 1000)
-    refused_share, duration_us = round(share(share_text) * 1000), read_duration(duration)
+    refused_share, duration_us = round(parse_percent(share_text) * 1000), read_duration(duration)
     console.print_reply_and_exit(
         console.submit(
             lambda operator, request_id: commands.OverrideAdmission(
--- a/cedarmill/cli/conf.py
+++ b/cedarmill/cli/conf.py
@@ -58,6 +58,6 @@
     Example:
       cedarmill conf schema cedarmill > cedarmill.xsd
     """
-    from cedarmill.conf.document import SCHEMAS
+    from cedarmill.conf.document import SCHEMA_DIRECTORY
 
-    click.echo((SCHEMAS / f"{name}.xsd").read_text(), nl=False)
+    click.echo((SCHEMA_DIRECTORY / f"{name}.xsd").read_text(), nl=False)
--- a/cedarmill/conf/cluster.py
+++ b/cedarmill/conf/cluster.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from cedarmill.conf.document import ConfError, load, microseconds, share
+from cedarmill.conf.document import ConfError, load_document, parse_duration, parse_percent
 from cedarmill.conf.elements import (
     Element,
     attribute,
@@ -52,7 +52,7 @@
 
 
 def _thousandths(percentage: str) -> int:
-    return round(share(percentage) * 1000)
+    return round(parse_percent(percentage) * 1000)
 
 
 def read_budget(element: Element) -> BudgetOptions:
@@ -65,7 +65,7 @@
 
 def read_replica_settings(path: str | Path) -> ReplicaOptions:
     """Read the configuration file of a replica; raise ConfError or OSError."""
-    root: Element = load(path, "keeper")
+    root: Element = load_document(path, "keeper")
     peers, name = read_named_addresses(path, root.findall("peer")), attribute(root, "name")
     if name not in peers:
         raise ConfError(f"{location(path, root)}: <keeper> name: no <peer> has the name {name!r}")
@@ -90,7 +90,7 @@
     """Return the slow start duration (microseconds) and the initial share of slots (thousandths)."""
     if element is None:
         return defaults.slow_start_us, defaults.slow_start_share
-    return microseconds(attribute(element, "lasts")), _thousandths(attribute(element, "share"))
+    return parse_duration(attribute(element, "lasts")), _thousandths(attribute(element, "share"))
 
 
 def _read_budgets(path: str | Path, root: Element) -> tuple[BudgetOptions, ...]:
@@ -135,7 +135,7 @@
 
 def read_supervisor_settings(path: str | Path) -> SupervisorOptions:
     """Read the configuration file of a process supervisor; raise ConfError or OSError."""
-    root: Element = load(path, "steward")
+    root: Element = load_document(path, "steward")
     units = tuple(_read_unit(path, element) for element in root.findall("unit"))
     if len({unit.name for unit in units}) < len(units):
         raise ConfError(f"{location(path, root)}: <unit> name: duplicate name")
--- a/cedarmill/conf/document.py
+++ b/cedarmill/conf/document.py
@@ -6,7 +6,7 @@
 
 from lxml import etree  # type: ignore[import-untyped]
 
-SCHEMAS = Path(__file__).parent / "schema"
+SCHEMA_DIRECTORY = Path(__file__).parent / "schema"
 MAX_DOCUMENT_BYTES = 1024 * 1024
 _MICROSECONDS_PER_UNIT = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000}
 _DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(us|ms|s|min)")
@@ -18,20 +18,20 @@
     """An invalid configuration file (the message names file, line and element) or command-line setting."""
 
 
-def microseconds(text: str) -> int:
+def parse_duration(text: str) -> int:
     """Return a duration such as `20ms`, `6s` or `1min` in whole microseconds; raise ValueError if invalid."""
     if (match := _DURATION.fullmatch(text)) is None:
         raise ValueError(f"{text!r} is not a duration: expected a number with the unit us, ms, s or min")
     return round(float(match[1]) * _MICROSECONDS_PER_UNIT[match[2]])
 
 
-def duration(duration_us: int) -> str:
-    """Format microseconds in the largest unit that divides them; `microseconds` is the inverse."""
+def format_duration(duration_us: int) -> str:
+    """Format microseconds in the largest unit that divides them; `parse_duration` is the inverse."""
     unit = next(unit for unit in ("min", "s", "ms", "us") if duration_us % _MICROSECONDS_PER_UNIT[unit] == 0)
     return f"{duration_us // _MICROSECONDS_PER_UNIT[unit]}{unit}"
 
 
-def share(text: str) -> float:
+def parse_percent(text: str) -> float:
     """Return a percentage such as `95%` as a fraction from 0 to 1; raise ValueError if invalid."""
     return float(text.removesuffix("%")) / 100
 
@@ -53,7 +53,7 @@
 
 def load_schema(name: str) -> etree.XMLSchema:
     """Load a bundled schema by its file name without the suffix."""
-    return etree.XMLSchema(etree.parse(SCHEMAS / f"{name}.xsd", _parser()))
+    return etree.XMLSchema(etree.parse(SCHEMA_DIRECTORY / f"{name}.xsd", _parser()))
 
 
 def _parser() -> etree.XMLParser:
@@ -67,7 +67,7 @@
     )
 
 
-def load(path: str | Path, name: str) -> Any:
+def load_document(path: str | Path, name: str) -> Any:
     """Return the root of a validated file (see `elements.Element`); raise ConfError or OSError."""
     with open(path, "rb") as file:
         text = file.read(MAX_DOCUMENT_BYTES + 1)
--- a/cedarmill/conf/settings.py
+++ b/cedarmill/conf/settings.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from cedarmill.conf.document import ConfError, duration, load, microseconds, share
+from cedarmill.conf.document import ConfError, format_duration, load_document, parse_duration, parse_percent
 from cedarmill.conf.elements import (
     Element,
     attribute,
@@ -51,11 +51,11 @@
     "on_leave": _Attribute("deadlines", "on-leave"),
     "half_close": _Attribute("deadlines", "half-close"),
     "cancel_calls": _Attribute("deadlines", "cancel-calls", _parse_on_or_off, _format_on_or_off),
-    "skew_us": _Attribute("deadlines/skew", "bound", microseconds, duration),
+    "skew_us": _Attribute("deadlines/skew", "bound", parse_duration, format_duration),
     "margin": _Attribute("deadlines/margin", "kind"),
-    "margin_us": _Attribute("deadlines/margin", "most", microseconds, duration),
-    "margin_floor_us": _Attribute("deadlines/margin", "least", microseconds, duration),
-    "worth_quantile": _Attribute("deadlines/worth", "quantile", share, _format_percentage),
+    "margin_us": _Attribute("deadlines/margin", "most", parse_duration, format_duration),
+    "margin_floor_us": _Attribute("deadlines/margin", "least", parse_duration, format_duration),
+    "worth_quantile": _Attribute("deadlines/worth", "quantile", parse_percent, _format_percentage),
 }
 
 
@@ -68,7 +68,7 @@
     def __init__(self, path: str | Path | None) -> None:
         self.path = path
         self.effective: list[EffectiveSetting] = []
-        self._root: Element | None = load(path, "cedarmill") if path is not None else None
+        self._root: Element | None = load_document(path, "cedarmill") if path is not None else None
         self.options = Options(
             self._read_deadlines(),
             self._read_health(),
@@ -160,7 +160,8 @@
         """Return the interval between `wasted-work` events in microseconds."""
         interval_us = int(
             self._read_attribute(
-                _Attribute("ledger", "every", microseconds, duration), Options().waste_log_interval_us
+                _Attribute("ledger", "every", parse_duration, format_duration),
+                Options().waste_log_interval_us,
             )
         )
         element = self._find("ledger")
--- a/cedarmill/lab/cluster/fault_schedule.py
+++ b/cedarmill/lab/cluster/fault_schedule.py
@@ -5,7 +5,7 @@
 
 import numpy
 
-from cedarmill.conf.document import microseconds
+from cedarmill.conf.document import parse_duration
 from cedarmill.lab.cluster.links import ANY
 from cedarmill.lab.cluster.scenario import ScenarioEvent
 
@@ -44,9 +44,9 @@
         if targets != ["zone"] and not self._named(targets):
             return []  # nobody of those is there
         events: list[ScenarioEvent] = []
-        at, until = float(entry.at), microseconds(entry.attributes["until"])
+        at, until = float(entry.at), parse_duration(entry.attributes["until"])
         while True:
-            at += float(self.random.exponential(microseconds(entry.attributes["every"])))
+            at += float(self.random.exponential(parse_duration(entry.attributes["every"])))
             if at >= until:
                 return events
             span = Span(int(at), int(self.random.uniform(*DURATION_S) * 1e6))
--- a/cedarmill/lab/cluster/faults.py
+++ b/cedarmill/lab/cluster/faults.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from cedarmill.conf.document import microseconds, share
+from cedarmill.conf.document import parse_duration, parse_percent
 from cedarmill.lab.cluster.fault_schedule import FaultSchedule
 from cedarmill.lab.cluster.links import ANY, LinkFault
 from cedarmill.lab.cluster.partitions import PARTITIONS, Replicas
@@ -116,7 +116,7 @@
             process.pause()
             self._end_after(event, process.resume)
         elif fault == "slow":
-            process.slow(share(event.attributes["size"]))
+            process.slow(parse_percent(event.attributes["size"]))
             self._end_after(event, process.full_speed)
 
     def _start_again(self, name: str, disk: str) -> None:
@@ -185,7 +185,7 @@
                     self._end_after(event, partial(self._start_executor, name))
                 continue
             self.run.history.tell(name, "lost" if fault == "hang" else fault, name, note="fault")
-            executor.begin_fault(fault, share(event.attributes.get("size", "100%")))
+            executor.begin_fault(fault, parse_percent(event.attributes.get("size", "100%")))
             if event.duration:
                 self._end_after(event, partial(self._recover_executor, name, fault))
 
@@ -218,9 +218,9 @@
     """The fault that an entry of the timeline names."""
     kind, size = attributes["fault"], 0.0
     if kind == "drop":
-        size = share(attributes["share"])
+        size = parse_percent(attributes["share"])
     elif kind == "delay":
-        size = microseconds(attributes["delay"]) / 1e6
+        size = parse_duration(attributes["delay"]) / 1e6
     elif kind == "trickle":
         size = float(attributes["bytes-per-s"])
-    return LinkFault(kind, size, microseconds(attributes.get("jitter", "0s")) / 1e6)
+    return LinkFault(kind, size, parse_duration(attributes.get("jitter", "0s")) / 1e6)
--- a/cedarmill/lab/cluster/operators.py
+++ b/cedarmill/lab/cluster/operators.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from cedarmill.conf.document import microseconds
+from cedarmill.conf.document import parse_duration
 from cedarmill.lab.cluster.executor_restarts import ExecutorRestart
 from cedarmill.lab.cluster.operator_client import ASK_S, LabOperator
 from cedarmill.lab.cluster.release_acts import control_newest, start_release
@@ -83,7 +83,7 @@
         await control_newest(self._operator(who), act)
 
     async def _drain_zone(self, who: str, target: str, attributes: Attributes) -> None:
-        await drain_zone(self._operator(who), target, microseconds(attributes.get("over", "2s")))
+        await drain_zone(self._operator(who), target, parse_duration(attributes.get("over", "2s")))
 
     async def _return_zone(self, who: str, target: str, attributes: Attributes) -> None:
         await return_zone(self._operator(who), target)
--- a/cedarmill/lab/cluster/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from cedarmill.conf.cluster import read_budget, read_limit
-from cedarmill.conf.document import ConfError, load, microseconds
+from cedarmill.conf.document import ConfError, load_document, parse_duration
 from cedarmill.lab import scenario as single
 from cedarmill.lab.history import ClassRules
 from cedarmill.lab.load import Habits
@@ -82,11 +82,11 @@
 def read(name: str) -> ClusterScenario:
     """A shipped scenario by its name, or a file by its path; raises ConfError or OSError."""
     path = single.locate(name, SHIPPED)
-    root = load(path, "fleet-scenario")
+    root = load_document(path, "fleet-scenario")
     return ClusterScenario(
         path.stem,
         root.get("about"),
-        microseconds(root.get("length")),
+        parse_duration(root.get("length")),
         _layout(root.find("fleet")),
         float(root.find("load").get("rate")),
         *request_classes(root),
@@ -137,7 +137,7 @@
     for needed in _NEEDED_ATTRIBUTES[element.tag].get(action, ()):
         if needed not in attributes:
             raise ConfError(f"{path}:{element.sourceline}: <{element.tag}> {needed}: needed here")
-    duration = microseconds(element.get("for", "0s"))
+    duration = parse_duration(element.get("for", "0s"))
     return ScenarioEvent(
-        element.tag, microseconds(element.get("at")), duration, attributes, element.sourceline
+        element.tag, parse_duration(element.get("at")), duration, attributes, element.sourceline
     )
--- a/cedarmill/lab/scenario.py
+++ b/cedarmill/lab/scenario.py
@@ -6,7 +6,7 @@
 
 from lxml import etree  # type: ignore[import-untyped]
 
-from cedarmill.conf.document import ConfError, load, microseconds, share
+from cedarmill.conf.document import ConfError, load_document, parse_duration, parse_percent
 from cedarmill.lab.history import ClassRules
 from cedarmill.lab.load import Habits
 
@@ -96,7 +96,7 @@
 def read(name: str) -> Scenario:
     """A shipped scenario by its name, or a file by its path; raises ConfError or OSError."""
     path = locate(name)
-    root = load(path, "scenario")
+    root = load_document(path, "scenario")
     _check_parts(path, root)
     chain = root.find("chain")
     nodes = int(chain.get("nodes")) if chain is not None else 1
@@ -104,7 +104,7 @@
     return Scenario(
         path.stem,
         root.get("about"),
-        microseconds(root.get("length")),
+        parse_duration(root.get("length")),
         _pool(root.find("fleet")),
         nodes,
         float(clients.get("rate")),
@@ -131,12 +131,12 @@
     get = element.get
     return Habits(
         get("name"),
-        share(get("part")),
-        microseconds(get("budget")),
-        microseconds(get("work")),
+        parse_percent(get("part")),
+        parse_duration(get("budget")),
+        parse_duration(get("work")),
         float(get("spread")),
-        share(get("leave")),
-        microseconds(get("patience")),
+        parse_percent(get("leave")),
+        parse_duration(get("patience")),
         int(get("retries")),
         get("effect") != "unsafe",
     )
@@ -144,12 +144,12 @@
 
 def _rules(element: Element) -> ClassRules:
     """What may be repeated of a `<class>`."""
-    return ClassRules(element.get("effect"), "zone", microseconds(element.get("window", "0s")))
+    return ClassRules(element.get("effect"), "zone", parse_duration(element.get("window", "0s")))
 
 
 def _check_parts(path: Path, root: Element) -> None:
     classes = root.findall("load/class")
-    whole = sum(share(element.get("part")) for element in classes)
+    whole = sum(parse_percent(element.get("part")) for element in classes)
     if abs(whole - 1) > PARTS_TOLERANCE:
         raise ConfError(f"{path}:{classes[0].sourceline}: <class> part: the parts add up to {whole:.0%}")
 
@@ -170,7 +170,7 @@
     file = path.parent / name
     for number, line in enumerate(file.read_text().split(), 1):
         try:
-            times.append(microseconds(line))
+            times.append(parse_duration(line))
         except ValueError as error:
             raise ConfError(f"{file}:{number}: {error}") from None
         if times[-2:] != sorted(times[-2:]):
@@ -192,12 +192,12 @@
     get = element.get
     return Fault(
         get("kind"),
-        microseconds(get("at")),
-        microseconds(get("for", "0s")),
-        microseconds(get("every", "0s")),
-        share(get("boxes", "100%")),
+        parse_duration(get("at")),
+        parse_duration(get("for", "0s")),
+        parse_duration(get("every", "0s")),
+        parse_percent(get("boxes", "100%")),
         int(get("node", "0")),
-        share(get("size", "100%")),
+        parse_percent(get("size", "100%")),
     )
 
 
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cedarmill.conf.document import ConfError, duration, microseconds
+from cedarmill.conf.document import ConfError, format_duration, parse_duration
 from cedarmill.conf.settings import Settings
 from cedarmill.values import Options
 from tests.support.node_case import ROOT, NodeCase
@@ -96,7 +96,7 @@
     @given(st.integers(0, 10**12))
     def test_formatted_duration_parses_to_the_same_value(self, us: int):
         """Guards against output of `conf show` that a file could not contain."""
-        self.assertEqual(microseconds(duration(us)), us)
+        self.assertEqual(parse_duration(format_duration(us)), us)
 
 
 class CommandLine(unittest.TestCase):
