--- a/cedarmill/cli/health.py
+++ b/cedarmill/cli/health.py
@@ -103,11 +103,11 @@
 ) -> tuple[bool, list[str]]:
     import http.client
 
-    from cedarmill.health.codecs.http import FAIL_AT_ONCE, Expected, evaluate
-    from cedarmill.health.codecs.proxy import ProxyHeader, compose_1
+    from cedarmill.health.codecs.http import IMMEDIATE_FAIL_HEADER, Expected, evaluate
+    from cedarmill.health.codecs.proxy import ProxyHeader, compose_v1
 
     if proxy:
-        sock.sendall(compose_1(ProxyHeader(sock.getsockname()[:2], sock.getpeername()[:2])))
+        sock.sendall(compose_v1(ProxyHeader(sock.getsockname()[:2], sock.getpeername()[:2])))
     sock.sendall(f"GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\r\n".encode())
     sock.settimeout(max(0.001, deadline - time.monotonic()))
     response = http.client.HTTPResponse(sock)
@@ -122,5 +122,9 @@
         f"status: {response.status}",
         *body.decode("utf-8", "replace").splitlines()[:MAX_PRINTED_BODY_LINES],
     ]
-    lines += [f"{FAIL_AT_ONCE}: take it out without waiting for more"] if FAIL_AT_ONCE in headers else []
+    lines += (
+        [f"{IMMEDIATE_FAIL_HEADER}: take it out without waiting for more"]
+        if IMMEDIATE_FAIL_HEADER in headers
+        else []
+    )
     return result.passed, lines + ([] if result.passed else [f"why: {result.reason}"])
--- a/cedarmill/health/codecs/http.py
+++ b/cedarmill/health/codecs/http.py
@@ -13,7 +13,7 @@
 JSON_CONTENT_TYPE = "application/health+json"
 TEXT_CONTENT_TYPE = "text/plain; charset=utf-8"
 # A balancer that reads this header removes the host at the first failure.
-FAIL_AT_ONCE = "x-envoy-immediate-health-check-fail"
+IMMEDIATE_FAIL_HEADER = "x-envoy-immediate-health-check-fail"
 DEGRADED_HEADER = "x-envoy-degraded"  # The host is used only if no healthy one is left.
 CLUSTER_HEADER = "x-envoy-upstream-healthchecked-cluster"  # Identifies the host that answers.
 
@@ -46,9 +46,12 @@
     degraded: bool = False,
     fail_at_once: bool = False,
 ) -> Answer:
-    """Return the answer for these checks, 200 if all pass, else 503; `fail_at_once` adds FAIL_AT_ONCE."""
+    """Return the answer for these checks, 200 if all pass, else 503.
+
+    `fail_at_once` adds IMMEDIATE_FAIL_HEADER.
+    """
     passed = all(check.passed for check in checks)
-    headers = [(FAIL_AT_ONCE, "true")] if fail_at_once else []
+    headers = [(IMMEDIATE_FAIL_HEADER, "true")] if fail_at_once else []
     headers += [(DEGRADED_HEADER, "true")] if degraded else []
     headers += [(CLUSTER_HEADER, cluster)] if cluster else []
     status = 200 if passed else 503
@@ -97,8 +100,8 @@
 
 def evaluate(expected: Expected, status: int, headers: dict[str, str], body: bytes) -> Check:
     """Return the check result for a host's answer; header names are in lower case."""
-    if headers.get(FAIL_AT_ONCE) is not None:
-        return Check("http", False, f"{FAIL_AT_ONCE} is set")
+    if headers.get(IMMEDIATE_FAIL_HEADER) is not None:
+        return Check("http", False, f"{IMMEDIATE_FAIL_HEADER} is set")
     if not expected.min_status <= status <= expected.max_status:
         return Check(
             "http", False, f"status {status} is not in {expected.min_status} to {expected.max_status}"
--- a/cedarmill/health/codecs/proxy.py
+++ b/cedarmill/health/codecs/proxy.py
@@ -90,7 +90,7 @@
     raise ProxyError("the data does not start with a PROXY header")
 
 
-def compose_1(header: ProxyHeader) -> bytes:
+def compose_v1(header: ProxyHeader) -> bytes:
     """Return a version 1 header, as sent by `send-proxy`."""
     if header.source is None or header.target is None:
         return b"PROXY UNKNOWN\r\n"
@@ -99,7 +99,7 @@
     return f"PROXY {family} {host} {to_host} {port} {to_port}\r\n".encode("ascii")
 
 
-def compose_2(header: ProxyHeader) -> bytes:
+def compose_v2(header: ProxyHeader) -> bytes:
     """Return a version 2 header, as sent by `send-proxy-v2`."""
     if header.source is None or header.target is None:
         return _V2_HEADER.pack(SIGNATURE, 0x20, 0, 0)
--- a/cedarmill/net/admin/handlers.py
+++ b/cedarmill/net/admin/handlers.py
@@ -38,7 +38,7 @@
         self.driver, self.clients, self.discovery, self.is_ending = driver, clients, discovery, is_ending
         self.state_file = StateFile(state_file_path(node, DOCUMENT_KIND))
         self.exclusions = Exclusions(node)
-        self.ask_cluster: Callable[[AdminRequest, Answer], None] | None = None  # Set on nodes of a cluster.
+        self.submit_to_cluster: Callable[[AdminRequest, Answer], None] | None = None  # Set in a cluster.
         self.excluded_by_cluster: dict[str, int] = {}  # Times of exclusion by executor.
         self._drain_count = 0  # Number of drains, by which the timer of an earlier one ends.
         self._actions = {
@@ -78,8 +78,8 @@
 
     def handle(self, request: AdminRequest, answer: Answer) -> None:
         """Answer a valid request, at once or after the cluster's decision."""
-        if self.ask_cluster is not None and request.action != AdminAction.READY:
-            self.ask_cluster(request, answer)
+        if self.submit_to_cluster is not None and request.action != AdminAction.READY:
+            self.submit_to_cluster(request, answer)
         elif request.action in (AdminAction.EXCLUDE, AdminAction.INCLUDE):
             now = self.driver.now()
             self._change_exclusion(request, answer, now, now + LOCK_TIMEOUT_US)
--- a/cedarmill/net/admin/server.py
+++ b/cedarmill/net/admin/server.py
@@ -17,7 +17,7 @@
 from cedarmill.net.loop import EventLoopDriver, guarded_callback
 
 MAX_SESSIONS = 16
-DESCRIPTORS = MAX_SESSIONS + 1  # Includes the listening socket.
+MAX_DESCRIPTORS = MAX_SESSIONS + 1  # Includes the listening socket.
 REQUEST_TIMEOUT_US = 2_000_000
 RESPONSE_TIMEOUT_US = 1_000_000
 MAX_REQUEST_BYTES = 8 * 1024  # Head and body together.
--- a/cedarmill/net/cluster/node_role.py
+++ b/cedarmill/net/cluster/node_role.py
@@ -89,7 +89,7 @@
         self._peers_epoch, self._is_requesting_peers = 0, False  # membership epoch of the known peers
         self.gossip = Gossip(driver, self.name, options.cluster, discovery)
         self.membership.probes.accept_peer = self.gossip.accept_peer
-        handlers.ask_cluster = self.submit
+        handlers.submit_to_cluster = self.submit
         self.dispatch.observer = ClusterObserver(self)
         if options.start == "wait":
             discovery.suspend_sending(True)
--- a/cedarmill/net/node.py
+++ b/cedarmill/net/node.py
@@ -89,7 +89,7 @@
         """Return the limits shared by all processes of the node, and what each process uses itself."""
         health, configured = self.options.health, self.config.limits
         sockets = min(configured.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        own_descriptors = OWN_DESCRIPTORS + (admin.DESCRIPTORS if self.config.mgmt else 0)
+        own_descriptors = OWN_DESCRIPTORS + (admin.MAX_DESCRIPTORS if self.config.mgmt else 0)
         own_descriptors += CLUSTER_DESCRIPTORS if self.options.cluster is not None else 0
         own_descriptors += HEALTH_DESCRIPTORS * sum(map(bool, (health.agent, health.http, health.grpc)))
         return NodeLimits(sockets, own_descriptors, configured.memory_mb, OWN_MEMORY_MB, SESSION_MB)
--- a/tests/health/test_check_codecs.py
+++ b/tests/health/test_check_codecs.py
@@ -76,14 +76,14 @@
         """The data after the header must not be consumed."""
         host = str(six_ip if six else four_ip)
         header = proxy.ProxyHeader((host, port), (host, 80))
-        text = (proxy.compose_2 if second else proxy.compose_1)(header)
+        text = (proxy.compose_v2 if second else proxy.compose_v1)(header)
         self.assertEqual(proxy.parse(text + b"GET /"), (header, len(text)))
         for end in range(len(text)):
             self.assertIsNone(proxy.parse(text[:end]))
 
     def test_header_of_the_senders_own_check_has_no_addresses(self):
         """Section 2.2 requires that LOCAL and UNKNOWN are accepted."""
-        for text in (proxy.compose_1(proxy.ProxyHeader()), proxy.compose_2(proxy.ProxyHeader())):
+        for text in (proxy.compose_v1(proxy.ProxyHeader()), proxy.compose_v2(proxy.ProxyHeader())):
             self.assertEqual(proxy.parse(text), (proxy.ProxyHeader(), len(text)))
 
     def test_invalid_headers_are_rejected(self):
--- a/tests/net/test_health_listeners.py
+++ b/tests/net/test_health_listeners.py
@@ -12,7 +12,7 @@
 
 from cedarmill.health.codecs import agent, proxy
 from cedarmill.health.codecs.agent import Admin, Status
-from cedarmill.health.codecs.http import FAIL_AT_ONCE, JSON_CONTENT_TYPE, Expected, evaluate
+from cedarmill.health.codecs.http import IMMEDIATE_FAIL_HEADER, JSON_CONTENT_TYPE, Expected, evaluate
 from tests.conf.test_settings import command
 from tests.support.node_case import WAIT, NodeCase
 
@@ -69,15 +69,19 @@
         self.wait_log("draining")
         self.assertEqual(self.agent().admin, Admin.DRAIN)
         answer = self.get("/readyz")
-        self.assertEqual((answer.status, answer.headers[FAIL_AT_ONCE]), (503, "true"))
+        self.assertEqual((answer.status, answer.headers[IMMEDIATE_FAIL_HEADER]), (503, "true"))
         self.assertIn(b"[-]draining failed: draining", answer.text)
-        self.assertFalse(evaluate(Expected(), 200, {FAIL_AT_ONCE: "true"}, b"").passed)
+        self.assertFalse(evaluate(Expected(), 200, {IMMEDIATE_FAIL_HEADER: "true"}, b"").passed)
         self.assertEqual(self.get("/livez").status, 200)
 
     def test_check_after_a_proxy_header_is_answered(self):
         """Both versions of the header are read in chunks."""
         header = proxy.ProxyHeader(("10.0.0.1", 1234), ("10.0.0.2", 80))
-        for start in (proxy.compose_1(header), proxy.compose_2(header), proxy.compose_2(proxy.ProxyHeader())):
+        for start in (
+            proxy.compose_v1(header),
+            proxy.compose_v2(header),
+            proxy.compose_v2(proxy.ProxyHeader()),
+        ):
             with socket.create_connection(("127.0.0.1", self.ports["http"]), timeout=WAIT) as sock:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 text = start + b"GET /livez HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
