--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -149,11 +149,11 @@
     """Send requests one after the other until the deadline; append an item to `completed` for each."""
     from cedarmill.cluster.messages import SubmitRequest
     from cedarmill.cluster.state_machine import commands
-    from cedarmill.net.cluster.operator import OperatorClient, new_id
+    from cedarmill.net.cluster.operator import OperatorClient, new_request_id
 
     operator = OperatorClient("bench", replicas, "bench")
     while time.monotonic() < deadline:
-        operator.ask(SubmitRequest(commands.ReturnPermit(0, "bench", new_id(), "executor", "nobody")))
+        operator.ask(SubmitRequest(commands.ReturnPermit(0, "bench", new_request_id(), "executor", "nobody")))
         completed.append(1)
 
 
--- a/cedarmill/cli/cluster/console.py
+++ b/cedarmill/cli/cluster/console.py
@@ -94,9 +94,9 @@
         Each replica receives the same id, so that a repeated request takes effect once.
         """
         from cedarmill.cluster.messages import SubmitReply, SubmitRequest
-        from cedarmill.net.cluster.operator import new_id
+        from cedarmill.net.cluster.operator import new_request_id
 
-        reply = self.send_request(SubmitRequest(make_request(self.operator, new_id())))
+        reply = self.send_request(SubmitRequest(make_request(self.operator, new_request_id())))
         assert isinstance(reply, SubmitReply)
         return reply
 
--- a/cedarmill/lab/cluster/executor_restarts.py
+++ b/cedarmill/lab/cluster/executor_restarts.py
@@ -14,7 +14,7 @@
     call_admin,
     call_admin_once,
 )
-from cedarmill.net.cluster.operator import new_id
+from cedarmill.net.cluster.operator import new_request_id
 
 DRAIN_S = 1.6  # after the last node's yes: the rule on drains, and the call's own time
 EMPTY_S = 6.0  # then for its jobs to end
@@ -31,7 +31,9 @@
     async def by_replicas(self) -> None:
         """By a permit that the replicas are asked for."""
         operator, target = self.operator, self.target
-        request = commands.RequestPermits(0, operator.name, new_id(), "executor", (target,), "a restart")
+        request = commands.RequestPermits(
+            0, operator.name, new_request_id(), "executor", (target,), "a restart"
+        )
         permit = (await operator.submit(request)).summaries()[0]
         operator.tell("answer", target, number=permit.id)
         if permit.state == "refused":
@@ -39,7 +41,9 @@
             return
         if await operator.wait_until_drained(target, permit.id):
             await self._restart()
-            await operator.submit(commands.ReturnPermit(0, operator.name, new_id(), "executor", target))
+            await operator.submit(
+                commands.ReturnPermit(0, operator.name, new_request_id(), "executor", target)
+            )
             operator.tell("given", target)
 
     async def by_one_node(self, node: str) -> None:
--- a/cedarmill/lab/cluster/release_acts.py
+++ b/cedarmill/lab/cluster/release_acts.py
@@ -7,7 +7,7 @@
 from cedarmill.cluster.state import ReleasePlan
 from cedarmill.cluster.state_machine import commands
 from cedarmill.lab.cluster.operator_client import LOOK_S, TRIES, LabOperator
-from cedarmill.net.cluster.operator import new_id
+from cedarmill.net.cluster.operator import new_request_id
 
 REASON = "the scenario"
 END_STATES = ("done", "backed", "halted", "back-halted")
@@ -41,7 +41,7 @@
 
 
 async def _plan(operator: LabOperator, plan: ReleasePlan) -> SubmitReply:
-    return await operator.submit(commands.PlanRelease(0, operator.name, new_id(), plan))
+    return await operator.submit(commands.PlanRelease(0, operator.name, new_request_id(), plan))
 
 
 async def control_newest(operator: LabOperator, act: str) -> None:
@@ -53,7 +53,9 @@
 
 
 async def _control(operator: LabOperator, act: str, number: int) -> None:
-    reply = await operator.submit(commands.ControlRelease(0, operator.name, new_id(), number, act, REASON))
+    reply = await operator.submit(
+        commands.ControlRelease(0, operator.name, new_request_id(), number, act, REASON)
+    )
     operator.tell(f"release-{act}", note=reply.text, number=number)
 
 
--- a/cedarmill/lab/cluster/zone_acts.py
+++ b/cedarmill/lab/cluster/zone_acts.py
@@ -3,7 +3,7 @@
 from cedarmill.cluster.messages import SubmitReply
 from cedarmill.cluster.state_machine import commands
 from cedarmill.lab.cluster.operator_client import LabOperator
-from cedarmill.net.cluster.operator import new_id
+from cedarmill.net.cluster.operator import new_request_id
 
 REASON = "the scenario"
 
@@ -11,7 +11,9 @@
 async def _control(
     operator: LabOperator, act: str, zone: str = "", over_us: int = 0, reason: str = REASON
 ) -> SubmitReply:
-    return await operator.submit(commands.ControlZone(0, operator.name, new_id(), act, zone, over_us, reason))
+    return await operator.submit(
+        commands.ControlZone(0, operator.name, new_request_id(), act, zone, over_us, reason)
+    )
 
 
 async def drain_zone(operator: LabOperator, zone: str, over_us: int) -> None:
--- a/cedarmill/net/cluster/operator.py
+++ b/cedarmill/net/cluster/operator.py
@@ -29,7 +29,7 @@
     """Raised when no replica answers a request; the message has the reason for each replica."""
 
 
-def new_id() -> str:
+def new_request_id() -> str:
     """Return a random id for a request."""
     return secrets.token_hex(8)
 
--- a/cedarmill/net/cluster/replica_disk.py
+++ b/cedarmill/net/cluster/replica_disk.py
@@ -9,7 +9,7 @@
 from cedarmill.core.timers import Timers
 from cedarmill.log import log_event
 from cedarmill.net.loop import EventLoopDriver
-from cedarmill.store.errors import StoreError, may_pass
+from cedarmill.store.errors import StoreError, is_transient
 from cedarmill.store.files import Directory
 from cedarmill.store.replica_store import ReplicaStore
 from cedarmill.values import ReplicaOptions
@@ -58,7 +58,7 @@
         try:
             self._open_store()
         except OSError as error:
-            if not may_pass(error):
+            if not is_transient(error):
                 raise
             self.handle_failure(error)
 
@@ -91,7 +91,7 @@
             self.close()
             self._open_store()
         except (StoreError, OSError) as error:
-            if self._store is None and not may_pass(error):
+            if self._store is None and not is_transient(error):
                 self.permanent_failure = error
                 self._on_permanent_failure()
                 return
--- a/cedarmill/net/cluster/supervisor.py
+++ b/cedarmill/net/cluster/supervisor.py
@@ -34,7 +34,7 @@
 from cedarmill.net.cluster.unit_processes import UnitProcesses
 from cedarmill.net.config import Address
 from cedarmill.net.loop import EventLoopDriver
-from cedarmill.store.errors import may_pass
+from cedarmill.store.errors import is_transient
 from cedarmill.store.files import Directory
 from cedarmill.values import SupervisorOptions, UnitOptions
 
@@ -258,7 +258,7 @@
     try:
         return SupervisorProcess(options)
     except OSError as error:
-        if not may_pass(error):
+        if not is_transient(error):
             raise
         log_event("supervisor-disk-failed", reason=error.strerror or error)
         return None
--- a/cedarmill/store/errors.py
+++ b/cedarmill/store/errors.py
@@ -19,7 +19,7 @@
 )
 
 
-def may_pass(error: Exception) -> bool:
+def is_transient(error: Exception) -> bool:
     """Return whether a retry may succeed without a configuration change, as after a full or failing disk."""
     return isinstance(error, OSError) and error.errno not in CONFIGURATION_ERRNOS
 
--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -30,7 +30,7 @@
 from cedarmill.cluster.raft.state import PersistentState
 from cedarmill.cluster.replica import Replica
 from cedarmill.cluster.state_machine.commands import RequestPermits
-from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_id
+from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_request_id
 from cedarmill.net.cluster.replica import DISK_FAILURE_REASON, ReplicaProcess
 from cedarmill.net.cluster.replica_format import initial_disk_name, initial_snapshot
 from cedarmill.store.errors import ForeignDiskError
@@ -79,7 +79,7 @@
             self.running[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
 
     def permit_request(self, target: str) -> SubmitRequest:
-        return SubmitRequest(RequestPermits(0, "operator", new_id(), "executor", (target,)))
+        return SubmitRequest(RequestPermits(0, "operator", new_request_id(), "executor", (target,)))
 
     def ask_replica(self, name: str, request: ClientRequest, wait_s: float = 1) -> ClientReply:
         """Return the reply of one replica, without other replicas as a fallback."""
--- a/tests/net/cluster/test_replicas.py
+++ b/tests/net/cluster/test_replicas.py
@@ -7,7 +7,7 @@
 from cedarmill.cluster.messages import ReadRequest, SubmitRequest
 from cedarmill.cluster.observations.digest import LocationObservation, ObservationDigest
 from cedarmill.cluster.state_machine import commands
-from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_id
+from cedarmill.net.cluster.operator import NoReplicaError, OperatorClient, new_request_id
 from tests.support.replica_case import LONG, Member, ReplicaCase, cli
 
 
@@ -63,7 +63,7 @@
         node = Member(self, "n0")
         node.join()
         request = SubmitRequest(
-            commands.RequestPermits(0, "operator", new_id(), "executor", ("b0", "b1", "b2"))
+            commands.RequestPermits(0, "operator", new_request_id(), "executor", ("b0", "b1", "b2"))
         )
         first_reply = self.operator.ask(request, LONG)
         leader = self.leader()
@@ -223,7 +223,7 @@
                 leader = self.leader()
                 self.fault_path(leader).write_text(fault)
                 request = SubmitRequest(
-                    commands.RequestPermits(0, "operator", new_id(), "executor", (target,))
+                    commands.RequestPermits(0, "operator", new_request_id(), "executor", (target,))
                 )
                 self.assertEqual(self.operator.ask(request, LONG).permits[0][1], target)
                 self.wait_for(lambda name=leader: self.look("status")["keepers"][name].get("silent_s", 0) > 1)
@@ -240,7 +240,7 @@
                 leader = self.leader()
                 self.fault_path(leader).write_text(fault)
                 request = SubmitRequest(
-                    commands.RequestPermits(0, "operator", new_id(), "executor", (target,))
+                    commands.RequestPermits(0, "operator", new_request_id(), "executor", (target,))
                 )
                 self.assertEqual(self.operator.ask(request, LONG).permits[0][1], target)
                 self.assertEqual(self.running[leader].wait(LONG), -9)
