--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -153,7 +153,9 @@
 
     operator = OperatorClient("bench", replicas, "bench")
     while time.monotonic() < deadline:
-        operator.ask(SubmitRequest(commands.ReturnPermit(0, "bench", new_request_id(), "executor", "nobody")))
+        operator.send(
+            SubmitRequest(commands.ReturnPermit(0, "bench", new_request_id(), "executor", "nobody"))
+        )
         completed.append(1)
 
 
@@ -206,9 +208,9 @@
     """Print how the same load is served without replicas, with replicas, and with all replicas killed."""
     from cedarmill.lab.cluster.report import verdict_of
     from cedarmill.lab.cluster.run import play
-    from cedarmill.lab.cluster.scenario import ScenarioEvent, read
+    from cedarmill.lab.cluster.scenario import ScenarioEvent, read_scenario
 
-    undisturbed = dataclasses.replace(read("drains"), timeline=())
+    undisturbed = dataclasses.replace(read_scenario("drains"), timeline=())
     kill = ScenarioEvent("process", 3 * SECOND, 0, {"name": "keeper-*", "fault": "kill"})
     without_replicas = dataclasses.replace(
         undisturbed, layout=dataclasses.replace(undisturbed.layout, replicas=0)
--- a/cedarmill/cli/cluster/console.py
+++ b/cedarmill/cli/cluster/console.py
@@ -75,7 +75,7 @@
         from cedarmill.net.cluster.operator import NoReplicaError
 
         try:
-            return self.client.ask(request)
+            return self.client.send(request)
         except NoReplicaError as error:
             click.echo(f"no replica answered: {error}", err=True)
             sys.exit(ExitCode.NO_ANSWER)
--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -46,10 +46,10 @@
     Example:
       cedarmill lab list
     """
-    from cedarmill.lab.scenario import read, shipped
+    from cedarmill.lab.scenario import read_scenario, shipped_scenarios
 
-    for name in shipped():
-        scenario = read(name)
+    for name in shipped_scenarios():
+        scenario = read_scenario(name)
         sides = ", ".join(side.name for side in scenario.sides)
         click.echo(f"{name}: {scenario.about} ({scenario.length // 1_000_000} s; sides: {sides})")
 
@@ -89,9 +89,9 @@
 
     from cedarmill.conf.document import ConfError
     from cedarmill.lab.run import play
-    from cedarmill.lab.scenario import read
+    from cedarmill.lab.scenario import read_scenario
 
-    loaded = read(scenario)
+    loaded = read_scenario(scenario)
     sides = [side for side in loaded.sides if not side_names or side.name in side_names]
     if unknown := set(side_names) - {side.name for side in sides}:
         raise ConfError(f"{scenario}: no side named {sorted(unknown)[0]!r}")
@@ -181,11 +181,11 @@
       cedarmill lab cluster drains --nodes 12 --replicas 3 --seed 1 --seed 2 --out found/drains
     """
     from cedarmill.conf.document import ConfError
-    from cedarmill.lab.cluster.scenario import read, shipped
+    from cedarmill.lab.cluster.scenario import read_scenario, shipped_scenarios
 
     if list_only:
-        for name in shipped():
-            click.echo(f"{name}: {read(name).about}")
+        for name in shipped_scenarios():
+            click.echo(f"{name}: {read_scenario(name).about}")
         return
     if scenario is None:
         raise ConfError("SCENARIO is required; --list shows the scenarios")
@@ -202,9 +202,9 @@
 
     from cedarmill.lab.cluster import report as reports
     from cedarmill.lab.cluster.run import play
-    from cedarmill.lab.cluster.scenario import read
+    from cedarmill.lab.cluster.scenario import read_scenario
 
-    loaded = read(scenario)
+    loaded = read_scenario(scenario)
     loaded = dataclasses.replace(loaded, layout=dataclasses.replace(loaded.layout, **layout_changes))
     verdicts = []
     for seed in seeds:
--- a/cedarmill/lab/cluster/operator_client.py
+++ b/cedarmill/lab/cluster/operator_client.py
@@ -76,7 +76,7 @@
         client = OperatorClient(CLUSTER, self.processes.replica_addresses, self.name)
         for _ in range(TRIES):
             try:
-                return await asyncio.to_thread(client.ask, request, ASK_S)
+                return await asyncio.to_thread(client.send, request, ASK_S)
             except OSError:
                 await asyncio.sleep(LOOK_S)
         raise TimeoutError(f"{self.name}: no keeper answered")
--- a/cedarmill/lab/cluster/scenario.py
+++ b/cedarmill/lab/cluster/scenario.py
@@ -74,12 +74,12 @@
     budgets: tuple[tuple[str, int, int], ...] = ()  # name, rate (thousandths/s), nodes with a floor
 
 
-def shipped() -> list[str]:
+def shipped_scenarios() -> list[str]:
     """The names of the scenarios that the package ships."""
-    return single.shipped(SHIPPED)
+    return single.shipped_scenarios(SHIPPED)
 
 
-def read(name: str) -> ClusterScenario:
+def read_scenario(name: str) -> ClusterScenario:
     """A shipped scenario by its name, or a file by its path; raises ConfError or OSError."""
     path = single.locate(name, SHIPPED)
     root = load_document(path, "fleet-scenario")
--- a/cedarmill/lab/scenario.py
+++ b/cedarmill/lab/scenario.py
@@ -78,7 +78,7 @@
     priority_weights: dict[str, float]
 
 
-def shipped(folder: Path = SHIPPED) -> list[str]:
+def shipped_scenarios(folder: Path = SHIPPED) -> list[str]:
     """The names of the scenarios that the package ships."""
     return sorted(path.stem for path in folder.glob("*.xml"))
 
@@ -86,14 +86,14 @@
 def locate(name: str, folder: Path = SHIPPED) -> Path:
     """A shipped scenario by its name, or a file by its path; raises ConfError."""
     path = folder / f"{name}.xml"
-    if name not in shipped(folder):
+    if name not in shipped_scenarios(folder):
         path = Path(name)
         if not path.exists():
-            raise ConfError(f"{name}: neither a file nor one of {', '.join(shipped(folder))}")
+            raise ConfError(f"{name}: neither a file nor one of {', '.join(shipped_scenarios(folder))}")
     return path
 
 
-def read(name: str) -> Scenario:
+def read_scenario(name: str) -> Scenario:
     """A shipped scenario by its name, or a file by its path; raises ConfError or OSError."""
     path = locate(name)
     root = load_document(path, "scenario")
--- a/cedarmill/net/cluster/operator.py
+++ b/cedarmill/net/cluster/operator.py
@@ -41,9 +41,9 @@
         self.cluster, self.name = cluster, name
         self.replicas = [Address.parse(text) for text in replicas]
 
-    def ask(self, request: ClientRequest, wait_s: float = TOTAL_TIMEOUT_S) -> ClientReply:
+    def send(self, request: ClientRequest, timeout_s: float = TOTAL_TIMEOUT_S) -> ClientReply:
         """Send a request to the replicas in turn, and return the first reply. Raises NoReplicaError."""
-        deadline = time.monotonic() + wait_s
+        deadline = time.monotonic() + timeout_s
         reasons: dict[str, str] = {}
         while time.monotonic() < deadline:
             for address in list(self.replicas):
--- a/tests/cli/test_help.py
+++ b/tests/cli/test_help.py
@@ -115,7 +115,7 @@
 
     requests = []
     monkeypatch.setattr(
-        OperatorClient, "ask", lambda _, request: requests.append(request) or ReadReply(b"[]")
+        OperatorClient, "send", lambda _, request: requests.append(request) or ReadReply(b"[]")
     )
     for kind in ("replica", "keeper"):
         words = ("cluster", "--replicas", "127.0.0.1:1", "--cluster", "c", "drain", "k0", "--kind", kind)
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -20,7 +20,7 @@
 from cedarmill.decisions import interface as api
 from cedarmill.lab.cluster.invariants import check_invariants
 from cedarmill.lab.cluster.run import play as run_cluster
-from cedarmill.lab.cluster.scenario import read
+from cedarmill.lab.cluster.scenario import read_scenario
 from cedarmill.lab.simulation.overload import mutants as overload_mutants
 from cedarmill.lab.simulation.overload.results import INVARIANTS as OVERLOAD_INVARIANTS
 from cedarmill.lab.simulation.overload.results import violations
@@ -476,7 +476,7 @@
 
     def test_real_processes_stay_within_budgets_under_faults(self):
         with tempfile.TemporaryDirectory() as folder:
-            record = run_cluster(read("storm-rounds"), 1, Path(folder))
+            record = run_cluster(read_scenario("storm-rounds"), 1, Path(folder))
             logs = [path.read_text() for path in Path(folder).glob("node-*.log")]
         self.assertEqual(
             {invariant: violated for invariant, violated in check_invariants(record).items() if violated}, {}
--- a/tests/golden/reach.py
+++ b/tests/golden/reach.py
@@ -418,7 +418,7 @@
     from cedarmill.net.cluster.operator import OperatorClient
 
     with mock.patch.object(
-        OperatorClient, "ask", lambda self, ask: ReadReply(render(played.replica, played.now, ask))
+        OperatorClient, "send", lambda self, ask: ReadReply(render(played.replica, played.now, ask))
     ):
         found = CliRunner().invoke(main, ["fleet", "--keepers", "127.0.0.1:1", "--cluster", "lab", *words])
     if found.exception is not None and not isinstance(found.exception, SystemExit):
@@ -464,7 +464,7 @@
         name = path.stem
         if path.parent.name == "scenarios":
             lab = fleet_scenario if path.parent.parent.name != "lab" else scenario
-            found[f"scenario {name}"] = plain(lab.read(name))
+            found[f"scenario {name}"] = plain(lab.read_scenario(name))
         elif name in readers:
             with _without_comments(path) as bare:
                 found[f"deploy {name}"] = plain(readers[name](bare))
--- a/tests/lab/test_cluster_lab.py
+++ b/tests/lab/test_cluster_lab.py
@@ -14,7 +14,7 @@
 from cedarmill.lab.cluster.links import LinkFault, Links
 from cedarmill.lab.cluster.report import write
 from cedarmill.lab.cluster.run import play
-from cedarmill.lab.cluster.scenario import SHIPPED, read, shipped
+from cedarmill.lab.cluster.scenario import SHIPPED, read_scenario, shipped_scenarios
 from cedarmill.lab.history import Visit
 from cedarmill.values import LimitOptions as Limit
 
@@ -187,9 +187,9 @@
 
 
 def test_all_shipped_scenarios_are_read():
-    assert "doors" in shipped()
-    for name in shipped():
-        assert read(name).timeline
+    assert "doors" in shipped_scenarios()
+    for name in shipped_scenarios():
+        assert read_scenario(name).timeline
 
 
 @pytest.mark.parametrize(
@@ -205,7 +205,7 @@
     path = tmp_path / "broken.xml"
     path.write_text((SHIPPED / "doors.xml").read_text().replace(old, new))
     with pytest.raises(ConfError) as caught:
-        read(str(path))
+        read_scenario(str(path))
     for word in (str(path), *words):
         assert word in str(caught.value)
 
@@ -226,7 +226,7 @@
 
     Real processes; they are asked for invariants only, never for speeds.
     """
-    scenario = read("doors")
+    scenario = read_scenario("doors")
     small = dataclasses.replace(scenario, layout=dataclasses.replace(scenario.layout, nodes=6))
     verdict = write(play(small, 1, tmp_path), tmp_path)
     assert (tmp_path / "verdict.json").stat().st_size
--- a/tests/lab/test_cluster_scenarios.py
+++ b/tests/lab/test_cluster_scenarios.py
@@ -5,12 +5,12 @@
 from cedarmill.lab.cluster.record import Record
 from cedarmill.lab.cluster.report import verdict_of
 from cedarmill.lab.cluster.run import play
-from cedarmill.lab.cluster.scenario import read
+from cedarmill.lab.cluster.scenario import read_scenario
 
 
 def played(name: str, folder: Path, seed: int = 1) -> Record:
     """A scenario's record; an invariant that was broken fails the test with its words."""
-    record = play(read(name), seed, folder)
+    record = play(read_scenario(name), seed, folder)
     broken = {name: texts for name, texts in verdict_of(record).invariants.items() if texts}
     assert broken == {}
     return record
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -19,7 +19,7 @@
 from cedarmill.lab.figures import figures
 from cedarmill.lab.history import Answer, Call, ClassRules, Drain, History, Visit
 from cedarmill.lab.load import Attempt, Load, LoadOptions
-from cedarmill.lab.scenario import SHIPPED, read, shipped
+from cedarmill.lab.scenario import SHIPPED, read_scenario, shipped_scenarios
 from tests.conf.test_settings import command
 
 RULES = {"pin": ClassRules("keyed", "zone", 1_000_000), "issue": ClassRules("unsafe")}
@@ -158,9 +158,9 @@
 
 
 def test_the_shipped_scenarios_are_good():
-    assert set(shipped()) == {"abandon", "chain", "rehearsal"}
-    for name in shipped():
-        assert read(name).sides
+    assert set(shipped_scenarios()) == {"abandon", "chain", "rehearsal"}
+    for name in shipped_scenarios():
+        assert read_scenario(name).sides
 
 
 @pytest.mark.parametrize(
@@ -177,12 +177,12 @@
     path = tmp_path / "bad.xml"
     path.write_text(REHEARSAL.replace(old, new))
     with pytest.raises(ConfError, match=words):
-        read(str(path))
+        read_scenario(str(path))
 
 
 def idle_load(seed: int, **options) -> Load:
     """Clients whose clock stands still."""
-    habits = read("abandon").habits
+    habits = read_scenario("abandon").habits
     return Load(LoadOptions(habits, **options), lambda: 0, numpy.random.SeedSequence(seed), list)
 
 
@@ -222,11 +222,11 @@
             path, trace = Path(folder) / "day.xml", Path(folder) / "day.txt"
             path.write_text(REHEARSAL.replace("<load ", '<load trace="day.txt" '))
             trace.write_text("1ms\n1ms\n3ms\n")
-            scenario = read(str(path))
+            scenario = read_scenario(str(path))
             for text, words in (("1ms 2", "day.txt:2: '2' is no"), ("2ms 1ms", "day.txt:2: 1ms comes")):
                 trace.write_text(text)
                 with self.assertRaisesRegex(ConfError, words):
-                    read(str(path))
+                    read_scenario(str(path))
         load, due, over = idle_load(1, rate=1.0, trace=scenario.trace), [], asyncio.Event()
         load._try = lambda attempt: (due.append(attempt.due), len(due) == 3 and over.set())
         load.start(1_000_000)
--- a/tests/lab/test_zone_simulation.py
+++ b/tests/lab/test_zone_simulation.py
@@ -7,7 +7,7 @@
 from cedarmill.lab.cluster.mutants import applied_patches
 from cedarmill.lab.cluster.report import write
 from cedarmill.lab.cluster.run import play
-from cedarmill.lab.cluster.scenario import read
+from cedarmill.lab.cluster.scenario import read_scenario
 from cedarmill.lab.simulation.drain_case import DrainCase
 from cedarmill.lab.simulation.exhaustive import explore
 from cedarmill.lab.simulation.traffic_case import TrafficCase
@@ -92,7 +92,7 @@
 
 
 def test_a_zone_dies_with_the_leader_while_another_is_drained(tmp_path):
-    run = play(read("zone-quick"), 1, tmp_path)
+    run = play(read_scenario("zone-quick"), 1, tmp_path)
     found = write(run, tmp_path)
     assert {invariant: texts for invariant, texts in found.invariants.items() if texts} == {}
     assert found.plans > 1
--- a/tests/net/cluster/test_replica_disk.py
+++ b/tests/net/cluster/test_replica_disk.py
@@ -83,7 +83,7 @@
 
     def ask_replica(self, name: str, request: ClientRequest, wait_s: float = 1) -> ClientReply:
         """Return the reply of one replica, without other replicas as a fallback."""
-        return OperatorClient("main", [f"127.0.0.1:{self.ports[name]}"], "test").ask(request, wait_s)
+        return OperatorClient("main", [f"127.0.0.1:{self.ports[name]}"], "test").send(request, wait_s)
 
     def permits(self) -> dict[str, int]:
         """Return the number of permits by target."""
@@ -94,13 +94,13 @@
 class ThreeReplicas(DiskCase):
     def test_leader_with_a_failed_disk_is_replaced_and_can_lead_again_after_recovery(self):
         Member(self, "n0", EXECUTOR_COUNT).join()
-        self.assertEqual(self.operator.ask(self.permit_request("b0"), LONG).permits[0][1], "b0")
+        self.assertEqual(self.operator.send(self.permit_request("b0"), LONG).permits[0][1], "b0")
         for number, faults in enumerate((DISK_FULL_WITHIN_RECORD, SYNC_FAILS), start=1):
             with self.subTest(faults=faults):
                 before, leader = self.permits(), self.leader()
                 self.plans[leader].arm(*faults)
                 request = self.permit_request(f"b{number}")
-                self.assertEqual(self.operator.ask(request, LONG).permits[0][1], f"b{number}")
+                self.assertEqual(self.operator.send(request, LONG).permits[0][1], f"b{number}")
                 self.wait_for(lambda name=leader: FAILURE_LOG_LINE in self.replica_log(name))
                 self.assertNotEqual(self.leader(), leader)
                 with self.assertRaisesRegex(NoReplicaError, DISK_FAILURE_REASON):
@@ -109,7 +109,7 @@
                 self.plans[leader].arm()
                 self.wait_for(lambda name=leader: RECOVERY_LOG_LINE in self.replica_log(name))
                 self.wait_for(lambda name=leader: self.look("status")["keepers"][name].get("silent_s", 0) < 1)
-                self.operator.ask(ChangeReplicas("lead", leader), LONG)
+                self.operator.send(ChangeReplicas("lead", leader), LONG)
                 self.wait_for(lambda name=leader: self.leader() == name)
                 self.assertEqual(self.permits(), before | {f"b{number}": 1})
                 self.assertIsNone(self.running[leader].poll())
@@ -124,18 +124,18 @@
 
     def test_lasting_disk_failure_blocks_grants_and_keeps_permits_until_recovery(self):
         Member(self, "n0", EXECUTOR_COUNT).join()
-        self.operator.ask(self.permit_request("b0"), LONG)
+        self.operator.send(self.permit_request("b0"), LONG)
         for number, faults in enumerate(LASTING_FAULTS):
             with self.subTest(faults=faults):
                 before, request = self.permits(), self.permit_request(f"b{number + 1}")
                 self.plans["k0"].arm(*faults)
                 with self.assertRaises(NoReplicaError):
-                    self.operator.ask(request, 1.5)
+                    self.operator.send(request, 1.5)
                 with self.assertRaisesRegex(NoReplicaError, DISK_FAILURE_REASON):
-                    self.operator.ask(ReadRequest("permits"), 0.5)
-                self.assertEqual(self.operator.ask(Probe("test"), LONG).name, "k0")
+                    self.operator.send(ReadRequest("permits"), 0.5)
+                self.assertEqual(self.operator.send(Probe("test"), LONG).name, "k0")
                 self.plans["k0"].arm()
-                self.assertEqual(self.operator.ask(request, LONG).permits[0][1], f"b{number + 1}")
+                self.assertEqual(self.operator.send(request, LONG).permits[0][1], f"b{number + 1}")
                 self.assertEqual(self.permits(), before | {f"b{number + 1}": 1})
                 self.assertEqual(self.store_open_count(), number + 2)
                 self.assertIsNone(self.running["k0"].poll())
@@ -146,7 +146,7 @@
 
     def test_replica_started_on_a_failing_disk_rejects_requests_until_recovery(self):
         Member(self, "n0", EXECUTOR_COUNT).join()
-        self.operator.ask(self.permit_request("b0"), LONG)
+        self.operator.send(self.permit_request("b0"), LONG)
         for number, faults in enumerate(START_FAULTS):
             with self.subTest(faults=faults):
                 before, request, previous_log = (
@@ -164,11 +164,11 @@
                 )
                 for rejected_request in (request, ReadRequest("permits")):
                     with self.assertRaisesRegex(NoReplicaError, DISK_FAILURE_REASON):
-                        self.operator.ask(rejected_request, 0.5)
-                self.assertEqual(self.operator.ask(Probe("test"), LONG).name, "k0")
+                        self.operator.send(rejected_request, 0.5)
+                self.assertEqual(self.operator.send(Probe("test"), LONG).name, "k0")
                 self.assertIn(FAILURE_LOG_LINE, self.replica_log("k0")[len(previous_log) :])
                 self.plans["k0"].arm()
-                self.assertEqual(self.operator.ask(request, LONG).permits[0][1], f"b{number + 1}")
+                self.assertEqual(self.operator.send(request, LONG).permits[0][1], f"b{number + 1}")
                 self.assertEqual(self.permits(), before | {f"b{number + 1}": 1})
                 self.assertIsNone(self.running["k0"].poll())
 
@@ -177,7 +177,7 @@
         self.plans["k0"].arm(*DISK_FULL)
         self.start_replica("k0")
         self.wait_for(lambda: FAILURE_LOG_LINE in self.replica_log("k0"))
-        self.operator.ask(Probe("test"), LONG)
+        self.operator.send(Probe("test"), LONG)
         self.running["k0"].terminate()
         self.assertEqual(self.running["k0"].wait(LONG), 0)
 
@@ -212,7 +212,7 @@
             with self.subTest(faults=faults):
                 before, request = self.permits(), self.permit_request(f"b{number + 1}")
                 self.plans["k0"].arm(*faults)
-                self.assertEqual(self.operator.ask(request, LONG).permits[0][1], f"b{number + 1}")
+                self.assertEqual(self.operator.send(request, LONG).permits[0][1], f"b{number + 1}")
                 self.assertEqual(self.permits(), before | {f"b{number + 1}": 1})
                 self.assertEqual(self.store_open_count(), number + 2)
         self.assertIsNone(self.running["k0"].poll())
@@ -221,7 +221,7 @@
         self.wait_for(lambda: self.leader() == "k0")
         plan = self.plans["k0"]
         plan.arm(Fault("accepted.write", "EPIPE"))
-        self.assertEqual(self.operator.ask(self.permit_request("b0"), LONG).ok, False)
+        self.assertEqual(self.operator.send(self.permit_request("b0"), LONG).ok, False)
         self.assertEqual((plan.hits("accepted.write"), self.store_open_count()), (1, 1))
         self.assertNotIn(FAILURE_LOG_LINE, self.replica_log("k0"))
 
@@ -229,7 +229,7 @@
         self.wait_for(lambda: self.leader() == "k0")
         self.plans["k0"].arm(*DISK_FULL)
         with self.assertRaises(NoReplicaError):
-            self.operator.ask(self.permit_request("b0"), 1)
+            self.operator.send(self.permit_request("b0"), 1)
         self.wait_for(lambda: FAILURE_LOG_LINE in self.replica_log("k0"))
         self.running["k0"].terminate()
         self.assertEqual(self.running["k0"].wait(LONG), 0)
--- a/tests/net/cluster/test_replicas.py
+++ b/tests/net/cluster/test_replicas.py
@@ -65,10 +65,10 @@
         request = SubmitRequest(
             commands.RequestPermits(0, "operator", new_request_id(), "executor", ("b0", "b1", "b2"))
         )
-        first_reply = self.operator.ask(request, LONG)
+        first_reply = self.operator.send(request, LONG)
         leader = self.leader()
         self.kill(leader)
-        second_reply = self.operator.ask(request, LONG)
+        second_reply = self.operator.send(request, LONG)
         self.assertEqual([row[:2] for row in second_reply.permits], [row[:2] for row in first_reply.permits])
         self.assertEqual(len(self.look("permits")), 3)
         self.assertNotEqual(self.leader(), leader)
@@ -78,7 +78,7 @@
         self.assertEqual(self.run_cluster_command("drain", "b0").returncode, 0)
         self.kill(*self.ports)
         with self.assertRaises(NoReplicaError):
-            self.operator.ask(ReadRequest("status"), 0.5)
+            self.operator.send(ReadRequest("status"), 0.5)
         self.assertEqual(self.run_cluster_command("status").returncode, 3)
         for name in self.ports:
             self.start_replica(name)
@@ -110,7 +110,7 @@
         self.wait_for(self.leader)  # A replica that is still starting does not report its cluster.
         client = OperatorClient("other", [f"127.0.0.1:{port}" for port in self.ports.values()], "x")
         with self.assertRaisesRegex(NoReplicaError, "this is cluster main, not other"):
-            client.ask(ReadRequest("status"), 1)
+            client.send(ReadRequest("status"), 1)
 
     def test_invalid_settings_are_refused_with_a_one_line_error(self):
         path = self.folder / "bad.xml"
@@ -225,7 +225,7 @@
                 request = SubmitRequest(
                     commands.RequestPermits(0, "operator", new_request_id(), "executor", (target,))
                 )
-                self.assertEqual(self.operator.ask(request, LONG).permits[0][1], target)
+                self.assertEqual(self.operator.send(request, LONG).permits[0][1], target)
                 self.wait_for(lambda name=leader: self.look("status")["keepers"][name].get("silent_s", 0) > 1)
                 self.assertNotEqual(self.leader(), leader)
                 self.fault_path(leader).unlink()
@@ -242,7 +242,7 @@
                 request = SubmitRequest(
                     commands.RequestPermits(0, "operator", new_request_id(), "executor", (target,))
                 )
-                self.assertEqual(self.operator.ask(request, LONG).permits[0][1], target)
+                self.assertEqual(self.operator.send(request, LONG).permits[0][1], target)
                 self.assertEqual(self.running[leader].wait(LONG), -9)
                 self.start_replica(leader)
         self.assertEqual({row["target"] for row in self.look("permits")}, {"b0", "b1"})
--- a/tests/net/test_client_cancellation.py
+++ b/tests/net/test_client_cancellation.py
@@ -17,7 +17,7 @@
 from cedarmill.lab.history import Call
 from cedarmill.lab.load import ClientConnection
 from cedarmill.lab.run import Run
-from cedarmill.lab.scenario import read
+from cedarmill.lab.scenario import read_scenario
 from tests.net.test_node import UnansweredConnects
 from tests.support.node_case import ROOT, WAIT, NodeCase
 
@@ -323,7 +323,7 @@
         ):
             path = Path(folder) / "thousand.xml"
             path.write_text(SCENARIO)
-            scenario = read(str(path))
+            scenario = read_scenario(str(path))
             run = Run(scenario, scenario.sides[0], 1, lambda done: None, sockets=4096)
             return runner.run(self.measure_closes(run, Path(folder)))
 
--- a/tests/support/replica_case.py
+++ b/tests/support/replica_case.py
@@ -88,7 +88,7 @@
 
     def look(self, view: str, *names: str):
         """Return a view of the replicated state."""
-        return json.loads(self.operator.ask(ReadRequest(view, names=list(names)), LONG).body)
+        return json.loads(self.operator.send(ReadRequest(view, names=list(names)), LONG).body)
 
     def leader(self) -> str:
         return self.look("status")["leader"]
@@ -124,7 +124,7 @@
     def send_heartbeat(self, **facts) -> HeartbeatReply:
         """Send a heartbeat, store the orders from the reply, and return the reply."""
         self.sequence_number += 1
-        reply = self.test_case.operator.ask(
+        reply = self.test_case.operator.send(
             Heartbeat(
                 "node",
                 self.name,
