--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -206,7 +206,7 @@
 
 def measure_replica_loss() -> None:
     """Print how the same load is served without replicas, with replicas, and with all replicas killed."""
-    from cedarmill.lab.cluster.report import verdict_of
+    from cedarmill.lab.cluster.report import make_verdict
     from cedarmill.lab.cluster.run import play
     from cedarmill.lab.cluster.scenario import ScenarioEvent, read_scenario
 
@@ -221,7 +221,7 @@
         ("replicas running", undisturbed),
         ("all replicas killed at 3 s", with_kill),
     ):
-        verdict = verdict_of(play(scenario, 1))
+        verdict = make_verdict(play(scenario, 1))
         print(
             f"{name}: {verdict.served} of {verdict.calls} served ({verdict.served / verdict.calls:.2%}), "
             f"{verdict.refused} refused, {verdict.failed} failed, {verdict.broken} broken"
--- a/cedarmill/cli/health.py
+++ b/cedarmill/cli/health.py
@@ -88,7 +88,7 @@
         ("weight", None if reply.weight is None else f"{reply.weight}%", "share of its usual weight"),
         ("maxconn", reply.maxconn, "connections at once, at most"),
         ("reason", reply.reason or None, ""),
-        ("passed over", " ".join(reply.unknown) or None, "words that agent-check does not know"),
+        ("passed over", " ".join(reply.unknown_words) or None, "words that agent-check does not know"),
     )
     present = [(name, value, meaning) for name, value, meaning in fields if value is not None]
     lines = [f"{name}: {value}" + (f" ({meaning})" if meaning else "") for name, value, meaning in present]
--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -211,7 +211,7 @@
         folder = out / f"{loaded.name}-{seed}"
         with _progress_bar(f"{loaded.name} seed {seed}") as progress:
             record = play(loaded, seed, folder, progress)
-        verdicts.append(reports.write(record, folder))
+        verdicts.append(reports.write_report(record, folder))
     return verdicts
 
 
@@ -222,10 +222,10 @@
     """Print the table of verdicts and the breaches; return 1 if an invariant is broken, otherwise 0."""
     from rich.table import Table
 
-    from cedarmill.lab.cluster.report import table
+    from cedarmill.lab.cluster.report import verdict_rows
 
     headings = (f"{verdict.scenario}\nseed {verdict.seed}" for verdict in verdicts)
-    _print_table(Table("", *headings), table(verdicts))
+    _print_table(Table("", *headings), verdict_rows(verdicts))
     for verdict in verdicts:
         for invariant, breaches in verdict.invariants.items():
             for breach in breaches[:MAX_PRINTED_BREACHES]:
--- a/cedarmill/health/codecs/agent.py
+++ b/cedarmill/health/codecs/agent.py
@@ -60,7 +60,7 @@
     weight: int | None = None
     maxconn: int | None = None
     reason: str = ""
-    unknown: tuple[str, ...] = field(default=(), compare=False)  # Ignored words.
+    unknown_words: tuple[str, ...] = field(default=(), compare=False)  # Ignored words.
 
     @property
     def sets_any_value(self) -> bool:
@@ -85,7 +85,7 @@
         else:
             unknown.append(word[:32])
     printable = "".join(char if char.isprintable() else " " for char in reason.strip())[:MAX_REASON].strip()
-    reply = AgentReply(**values, reason=printable, unknown=tuple(unknown))
+    reply = AgentReply(**values, reason=printable, unknown_words=tuple(unknown))
     if not reply.sets_any_value:
         raise AgentError("the reply has only unknown words" if unknown else "the reply is empty")
     return reply
--- a/cedarmill/lab/cluster/report.py
+++ b/cedarmill/lab/cluster/report.py
@@ -57,7 +57,7 @@
         return not any(self.invariants.values())
 
 
-def verdict_of(record: Record) -> Verdict:
+def make_verdict(record: Record) -> Verdict:
     """The invariants and the counts."""
     history = record.played()
     kinds = [event.what for event in record.events]
@@ -162,15 +162,15 @@
     return html_page(f"{verdict.scenario}, seed {verdict.seed}", table + "".join(pictures))
 
 
-def write(record: Record, folder: Path) -> Verdict:
+def write_report(record: Record, folder: Path) -> Verdict:
     """`verdict.json` and `report.html` into the folder; raises OSError."""
-    verdict = verdict_of(record)
+    verdict = make_verdict(record)
     (folder / "verdict.json").write_bytes(msgspec.json.format(msgspec.json.encode(verdict), indent=1))
     (folder / "report.html").write_text(page(record, verdict))
     return verdict
 
 
-def table(verdicts: Sequence[Verdict]) -> list[Row]:
+def verdict_rows(verdicts: Sequence[Verdict]) -> list[Row]:
     """A row a figure, a column a run."""
     rows = [(name, [str(getattr(verdict, name)) for verdict in verdicts]) for name in COUNTS]
     broken = [str(sum(map(bool, verdict.invariants.values()))) for verdict in verdicts]
--- a/tests/lab/test_cluster_lab.py
+++ b/tests/lab/test_cluster_lab.py
@@ -12,7 +12,7 @@
 from cedarmill.lab.cluster.history import read as read_history
 from cedarmill.lab.cluster.invariants import Record, check_invariants
 from cedarmill.lab.cluster.links import LinkFault, Links
-from cedarmill.lab.cluster.report import write
+from cedarmill.lab.cluster.report import write_report
 from cedarmill.lab.cluster.run import play
 from cedarmill.lab.cluster.scenario import SHIPPED, read_scenario, shipped_scenarios
 from cedarmill.lab.history import Visit
@@ -228,7 +228,7 @@
     """
     scenario = read_scenario("doors")
     small = dataclasses.replace(scenario, layout=dataclasses.replace(scenario.layout, nodes=6))
-    verdict = write(play(small, 1, tmp_path), tmp_path)
+    verdict = write_report(play(small, 1, tmp_path), tmp_path)
     assert (tmp_path / "verdict.json").stat().st_size
     named = [invariant for invariant, breaches in verdict.invariants.items() if breaches]
     assert named == ["never too many out", "grants fit one order"]
--- a/tests/lab/test_cluster_scenarios.py
+++ b/tests/lab/test_cluster_scenarios.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from cedarmill.lab.cluster.record import Record
-from cedarmill.lab.cluster.report import verdict_of
+from cedarmill.lab.cluster.report import make_verdict
 from cedarmill.lab.cluster.run import play
 from cedarmill.lab.cluster.scenario import read_scenario
 
@@ -11,7 +11,7 @@
 def played(name: str, folder: Path, seed: int = 1) -> Record:
     """A scenario's record; an invariant that was broken fails the test with its words."""
     record = play(read_scenario(name), seed, folder)
-    broken = {name: texts for name, texts in verdict_of(record).invariants.items() if texts}
+    broken = {name: texts for name, texts in make_verdict(record).invariants.items() if texts}
     assert broken == {}
     return record
 
--- a/tests/lab/test_zone_simulation.py
+++ b/tests/lab/test_zone_simulation.py
@@ -5,7 +5,7 @@
 from cedarmill.cluster.state_machine import drains, limits
 from cedarmill.cluster.traffic_plan.layout import ZoneLayout
 from cedarmill.lab.cluster.mutants import applied_patches
-from cedarmill.lab.cluster.report import write
+from cedarmill.lab.cluster.report import write_report
 from cedarmill.lab.cluster.run import play
 from cedarmill.lab.cluster.scenario import read_scenario
 from cedarmill.lab.simulation.drain_case import DrainCase
@@ -93,7 +93,7 @@
 
 def test_a_zone_dies_with_the_leader_while_another_is_drained(tmp_path):
     run = play(read_scenario("zone-quick"), 1, tmp_path)
-    found = write(run, tmp_path)
+    found = write_report(run, tmp_path)
     assert {invariant: texts for invariant, texts in found.invariants.items() if texts} == {}
     assert found.plans > 1
     assert "drained" in {event.what for event in run.events if event.target == "zone-1"}
