--- a/benchmarks/agree.py
+++ b/benchmarks/agree.py
@@ -149,11 +149,13 @@
     """Send requests one after the other until the deadline; append an item to `completed` for each."""
     from cedarmill.cluster.messages import SubmitRequest
     from cedarmill.cluster.state_machine import commands
-    from cedarmill.net.cluster.operator import OperatorClient, new_id
+    from cedarmill.net.cluster.operator import OperatorClient, new_request_id
 
     operator = OperatorClient("bench", replicas, "bench")
     while time.monotonic() < deadline:
-        operator.ask(SubmitRequest(commands.ReturnPermit(0, "bench", new_id(), "executor", "nobody")))
+        operator.send(
+            SubmitRequest(commands.ReturnPermit(0, "bench", new_request_id(), "executor", "nobody"))
+        )
         completed.append(1)
 
 
@@ -204,11 +206,11 @@
 
 def measure_replica_loss() -> None:
     """Print how the same load is served without replicas, with replicas, and with all replicas killed."""
-    from cedarmill.lab.cluster.report import verdict_of
+    from cedarmill.lab.cluster.report import make_verdict
     from cedarmill.lab.cluster.run import play
-    from cedarmill.lab.cluster.scenario import ScenarioEvent, read
+    from cedarmill.lab.cluster.scenario import ScenarioEvent, read_scenario
 
-    undisturbed = dataclasses.replace(read("drains"), timeline=())
+    undisturbed = dataclasses.replace(read_scenario("drains"), timeline=())
     kill = ScenarioEvent("process", 3 * SECOND, 0, {"name": "keeper-*", "fault": "kill"})
     without_replicas = dataclasses.replace(
         undisturbed, layout=dataclasses.replace(undisturbed.layout, replicas=0)
@@ -219,7 +221,7 @@
         ("replicas running", undisturbed),
         ("all replicas killed at 3 s", with_kill),
     ):
-        verdict = verdict_of(play(scenario, 1))
+        verdict = make_verdict(play(scenario, 1))
         print(
             f"{name}: {verdict.served} of {verdict.calls} served ({verdict.served / verdict.calls:.2%}), "
             f"{verdict.refused} refused, {verdict.failed} failed, {verdict.broken} broken"
--- a/cedarmill/cli/cluster/console.py
+++ b/cedarmill/cli/cluster/console.py
@@ -75,7 +75,7 @@
         from cedarmill.net.cluster.operator import NoReplicaError
 
         try:
-            return self.client.ask(request)
+            return self.client.send(request)
         except NoReplicaError as error:
             click.echo(f"no replica answered: {error}", err=True)
             sys.exit(ExitCode.NO_ANSWER)
@@ -94,9 +94,9 @@
         Each replica receives the same id, so that a repeated request takes effect once.
         """
         from cedarmill.cluster.messages import SubmitReply, SubmitRequest
-        from cedarmill.net.cluster.operator import new_id
+        from cedarmill.net.cluster.operator import new_request_id
 
-        reply = self.send_request(SubmitRequest(make_request(self.operator, new_id())))
+        reply = self.send_request(SubmitRequest(make_request(self.operator, new_request_id())))
         assert isinstance(reply, SubmitReply)
         return reply
 
@@ -116,9 +116,9 @@
 
 def read_duration(text: str) -> int:
     """Return a duration such as `10min` in microseconds; raise ConfError if the text is not a duration."""
-    from cedarmill.conf.document import ConfError, microseconds
+    from cedarmill.conf.document import ConfError, parse_duration
 
     try:
-        return microseconds(text)
+        return parse_duration(text)
     except ValueError as error:
         raise ConfError(str(error)) from None
--- a/cedarmill/cli/lab.py
+++ b/cedarmill/cli/lab.py
@@ -46,10 +46,10 @@
     Example:
       cedarmill lab list
     """
-    from cedarmill.lab.scenario import read, shipped
+    from cedarmill.lab.scenario import read_scenario, shipped_scenarios
 
-    for name in shipped():
-        scenario = read(name)
+    for name in shipped_scenarios():
+        scenario = read_scenario(name)
         sides = ", ".join(side.name for side in scenario.sides)
         click.echo(f"{name}: {scenario.about} ({scenario.length // 1_000_000} s; sides: {sides})")
 
@@ -89,9 +89,9 @@
 
     from cedarmill.conf.document import ConfError
     from cedarmill.lab.run import play
-    from cedarmill.lab.scenario import read
+    from cedarmill.lab.scenario import read_scenario
 
-    loaded = read(scenario)
+    loaded = read_scenario(scenario)
     sides = [side for side in loaded.sides if not side_names or side.name in side_names]
     if unknown := set(side_names) - {side.name for side in sides}:
         raise ConfError(f"{scenario}: no side named {sorted(unknown)[0]!r}")
@@ -181,11 +181,11 @@
       cedarmill lab cluster drains --nodes 12 --replicas 3 --seed 1 --seed 2 --out found/drains
     """
     from cedarmill.conf.document import ConfError
-    from cedarmill.lab.cluster.scenario import read, shipped
+    from cedarmill.lab.cluster.scenario import read_scenario, shipped_scenarios
 
     if list_only:
-        for name in shipped():
-            click.echo(f"{name}: {read(name).about}")
+        for name in shipped_scenarios():
+            click.echo(f"{name}: {read_scenario(name).about}")
         return
     if scenario is None:
         raise ConfError("SCENARIO is required; --list shows the scenarios")
@@ -202,16 +202,16 @@
 
     from cedarmill.lab.cluster import report as reports
     from cedarmill.lab.cluster.run import play
-    from cedarmill.lab.cluster.scenario import read
+    from cedarmill.lab.cluster.scenario import read_scenario
 
-    loaded = read(scenario)
+    loaded = read_scenario(scenario)
     loaded = dataclasses.replace(loaded, layout=dataclasses.replace(loaded.layout, **layout_changes))
     verdicts = []
     for seed in seeds:
         folder = out / f"{loaded.name}-{seed}"
         with _progress_bar(f"{loaded.name} seed {seed}") as progress:
             record = play(loaded, seed, folder, progress)
-        verdicts.append(reports.write(record, folder))
+        verdicts.append(reports.write_report(record, folder))
     return verdicts
 
 
@@ -222,10 +222,10 @@
     """Print the table of verdicts and the breaches; return 1 if an invariant is broken, otherwise 0."""
     from rich.table import Table
 
-    from cedarmill.lab.cluster.report import table
+    from cedarmill.lab.cluster.report import verdict_rows
 
     headings = (f"{verdict.scenario}\nseed {verdict.seed}" for verdict in verdicts)
-    _print_table(Table("", *headings), table(verdicts))
+    _print_table(Table("", *headings), verdict_rows(verdicts))
     for verdict in verdicts:
         for invariant, breaches in verdict.invariants.items():
             for breach in breaches[:MAX_PRINTED_BREACHES]:
