--- a/cedarmill/lab/simulation/overload/__init__.py
+++ b/cedarmill/lab/simulation/overload/__init__.py
@@ -1,4 +1,4 @@
-"""Overload in virtual time: nodes, executors, tenants and clients that retry, and planted mutants.
+"""Simulation of overload in virtual time, with nodes, executors, tenants, retrying clients and mutants.
 
-Requests are simulated one by one; processes and sockets are `lab/cluster/`.
+Each request is simulated individually. Tests with real processes and sockets are in `lab/cluster/`.
 """
--- a/cedarmill/lab/simulation/overload/cluster_policy.py
+++ b/cedarmill/lab/simulation/overload/cluster_policy.py
@@ -1,4 +1,4 @@
-"""The cluster as one: the real threshold of admission, leased budgets, and reports that nodes share."""
+"""The cluster-wide policy, with the production shedding threshold, budget leases and shared load reports."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from cedarmill.cluster.state import ClusterState, Member
 from cedarmill.cluster.state_machine import commands
 from cedarmill.lab.simulation.applied_commands import AppliedCommands
-from cedarmill.lab.simulation.overload.admission_control import CONTROL_STEPS, AdmissionControl
+from cedarmill.lab.simulation.overload.admission_control import CONTROL_INTERVAL_STEPS, AdmissionControl
 from cedarmill.lab.simulation.overload.node import SimulatedNode
 from cedarmill.lab.simulation.overload.policies import Admission, AlonePolicy
 from cedarmill.lab.simulation.overload.request import ClientRequest
-from cedarmill.lab.simulation.overload.setup import TENANTS, TOP_WEIGHT, US
+from cedarmill.lab.simulation.overload.setup import MICROSECONDS_PER_SECOND, TENANTS, TOP_WEIGHT
 
 if TYPE_CHECKING:
     from cedarmill.lab.simulation.overload.nodes import NodeGroup
     from cedarmill.lab.simulation.overload.simulation import OverloadSimulation
 
-GRANT_STEPS = 20  # between two looks at demand, budgets and who uses what: 1 s
-RATE_PER_EXECUTOR = 2000  # thousandths a second, of probes and of connections
-RETRY_RATE = 100  # thousandths: a tenth of the requests that fill all slots
-QUOTA_RESERVE = 800  # thousandths of a quota that requests of no weight leave to others
-CALM_WEIGHT = 2 * TOP_WEIGHT  # where nothing is shed: half a queue slot more than the top weight has
+GRANT_INTERVAL_STEPS = 20  # simulation steps between two budget grants
+RATE_PER_EXECUTOR = 2000  # probes or connections per second, in thousandths
+RETRY_RATE = 100  # retries, in thousandths of the request rate that fills all slots
+QUOTA_RESERVE = 800  # thousandths of a quota that requests of zero weight may not spend
+UNSHED_QUEUE_WEIGHT = 2 * TOP_WEIGHT  # raises the queue limit while nothing is shed
 
 
 class ClusterPolicy(AlonePolicy):
-    """What is agreed, and nodes that obey it."""
+    """Coordinates the nodes through replicated cluster state and shared load reports."""
 
     def __init__(self, simulation: OverloadSimulation) -> None:
         super().__init__(simulation)
         self._gossip = GossipPlan()
         self._names = [f"e{number}" for number in range(self.setup.executors)]
-        self._users: dict[int, list[int]] = {}  # nodes, by executor
-        self._traffic_shares: dict[int, float] = {}  # by node, as last reported
-        self._agreed = AppliedCommands(ClusterState("lab"))
-        budget_grants.set_budgets(self._agreed.world, self._budgets())
+        self._nodes_by_executor: dict[int, list[int]] = {}  # node numbers by executor
+        self._traffic_shares: dict[int, float] = {}  # by node number, as last measured
+        self._applied_commands = AppliedCommands(ClusterState("lab"))
+        budget_grants.set_budgets(self._applied_commands.world, self._budgets())
         for number in range(self.setup.nodes):
             member = Member("node", f"n{number}", "1")
-            self._agreed.world.members[member.key] = member
-        self._control = AdmissionControl(simulation, self._agreed.world)
+            self._applied_commands.world.members[member.key] = member
+        self._control = AdmissionControl(simulation, self._applied_commands.world)
         self._assign_executors()
 
     def _budgets(self) -> list[Budget]:
@@ -53,125 +53,135 @@
             Budget("probes", per_executors, setup.nodes),
             Budget("connects", per_executors, setup.nodes),
         ]
-        quotas = [Budget(_quota(one.name), int(rate * one.share * 1000), setup.nodes) for one in TENANTS]
+        quotas = [
+            Budget(_quota_budget(tenant.name), int(rate * tenant.share * 1000), setup.nodes)
+            for tenant in TENANTS
+        ]
         return budgets + quotas
 
-    def _lease_holds(self) -> bool:
+    def _is_lease_valid(self) -> bool:
         return self.setup.has_replica(self.simulation.now)
 
-    # What a node may do.
+    # Decisions of one node.
 
     def _spend(self, now: float, node: SimulatedNode, budget: str, reserve: int = 0) -> bool:
-        return node.budget_leases.spend(int(now * US), self._lease_holds(), budget, reserve)
+        return node.budget_leases.spend(
+            int(now * MICROSECONDS_PER_SECOND), self._is_lease_valid(), budget, reserve
+        )
 
     def admit(self, now: float, request: ClientRequest, node: SimulatedNode) -> Admission:
-        """By the threshold, at the weight that the tenant's quota leaves the request."""
+        """Admit a request by the shedding threshold, at a reduced weight if its tenant is over quota."""
         weight = request.weight
         reserve = QUOTA_RESERVE - QUOTA_RESERVE * weight // TOP_WEIGHT
-        if not self._spend(now, node, _quota(TENANTS[request.tenant].name), reserve):
+        if not self._spend(now, node, _quota_budget(TENANTS[request.tenant].name), reserve):
             weight = weight * OVER_QUOTA_SHARE // 1000
         step = self.simulation.step_number
-        node.recent.wanted.append((step, weight, request.size))
+        node.recent.demand.append((step, weight, request.size))
         sample = float(self.generator.random())
-        if node.gate.rejects(int(now * US), self._lease_holds(), weight, sample):
+        if node.gate.rejects(int(now * MICROSECONDS_PER_SECOND), self._is_lease_valid(), weight, sample):
             return Admission.REFUSED_WITH_ADVICE
         node.recent.admitted.append(step)
         return Admission.ADMITTED
 
     def may_connect(self, now: float, node: SimulatedNode) -> bool:
-        """By the budget of connections."""
+        """Return whether the connection budget permits another connection."""
         return self._spend(now, node, "connects")
 
     def may_probe(self, now: float, node: SimulatedNode) -> bool:
-        """By the budget of probes."""
+        """Return whether the probe budget permits another probe."""
         return self._spend(now, node, "probes")
 
     def may_retry(self, now: float, node: SimulatedNode) -> bool:
-        """By the node's own first attempts, and the budget of retries."""
+        """Return whether the node's retry ratio and the retry budget both permit a retry."""
         return node.retry_budget.spend(node.first_attempts) and self._spend(now, node, "retries")
 
     def sharers(self, executor: int) -> int:
         """Nodes that use the executor."""
-        return len(self._users[executor])
+        return len(self._nodes_by_executor[executor])
 
     def choose(self, now: float, node: SimulatedNode, request: ClientRequest, nodes: NodeGroup) -> int | None:
-        """The best of two, of some more, of all that the node uses; where nothing is shed by milder rules."""
-        drawn = self.draw(node)
-        for part in (drawn[:2], drawn[2:], node.executors):
-            found = nodes.least_loaded(now, node, part, request.weight, MAX_SENT_FACTOR)
-            if found is not None:
-                return found
+        """Return the least loaded of two executors, of the other samples, or of all, or None.
+
+        While the cluster sheds nothing, a last search accepts longer queues.
+        """
+        sampled = self.sample_executors(node)
+        for candidates in (sampled[:2], sampled[2:], node.executors):
+            executor = nodes.least_loaded(now, node, candidates, request.weight, MAX_SENT_FACTOR)
+            if executor is not None:
+                return executor
         if node.gate.threshold.weight >= 0:
             return None
-        # others do not all send at the same time
-        return nodes.least_loaded(now, node, node.executors, CALM_WEIGHT, 1)
+        # The other nodes do not all send at the same time, so only the node's own requests count.
+        return nodes.least_loaded(now, node, node.executors, UNSHED_QUEUE_WEIGHT, 1)
 
-    def on_no_room(self, node: SimulatedNode) -> None:
-        """It enters the node's digest."""
+    def on_no_executor(self, node: SimulatedNode) -> None:
+        """Record the rejection for the node's digest."""
         node.recent.rejected_locally.append(self.simulation.step_number)
 
     def on_report(self, now: float, node: SimulatedNode, report: ExecutorReport) -> None:
-        """It goes to those that use the same executor, later."""
+        """Schedule delivery of the report to the nodes that use the same executor."""
         if node.board.may_share(report):
             self.simulation.schedule(now + self.setup.report_delay, self._deliver, report, node.number)
 
     def _deliver(self, now: float, report: ExecutorReport, sender: int) -> None:
-        """Reports come to the others; nobody passes on what it was told."""
-        for number in self._users[int(report.executor)]:
+        """Deliver a report to the other nodes of its executor, which do not forward it."""
+        for number in self._nodes_by_executor[int(report.executor)]:
             if number != sender and self.generator.random() >= self.setup.report_loss:
                 self.simulation.nodes.all[number].board.accept(report)
 
-    # What is agreed.
+    # Replicated state.
 
     def step(self, number: int) -> None:
-        """Digests, the threshold, budgets: as real as they are, over reports that come late."""
-        if number % CONTROL_STEPS == 0:
-            self._control.note_queues()
-        if number % GRANT_STEPS == 0 and self._lease_holds():
+        """Run the periodic budget grants and threshold control while a replica is available."""
+        if number % CONTROL_INTERVAL_STEPS == 0:
+            self._control.record_queue_spread()
+        if number % GRANT_INTERVAL_STEPS == 0 and self._is_lease_valid():
             for node in self.simulation.nodes.all:
                 if node.alive:
-                    self._grant(node)
-            self._note_traffic()
-        if number % CONTROL_STEPS == 0 and self._lease_holds():
+                    self._renew_budget_leases(node)
+            self._update_traffic_shares()
+        if number % CONTROL_INTERVAL_STEPS == 0 and self._is_lease_valid():
             self._control.step(number)
 
-    def _grant(self, node: SimulatedNode) -> None:
-        """A node reports its demand, and follows what it is granted."""
-        key, us = f"node:n{node.number}:1", int(self.simulation.now * US)
-        state = self._agreed.world
-        state.clock = us
-        self._agreed.index = state.index
-        self._agreed.apply(commands.SetBudgetDemand(us, key, node.budget_leases.demands(us)))
-        node.budget_leases.set_rates(us, True, budget_grants.rates_for(state, key))
+    def _renew_budget_leases(self, node: SimulatedNode) -> None:
+        """Report a node's budget demand, apply its granted rates and acknowledge them."""
+        key, now_us = f"node:n{node.number}:1", int(self.simulation.now * MICROSECONDS_PER_SECOND)
+        state = self._applied_commands.world
+        state.clock = now_us
+        self._applied_commands.index = state.index
+        self._applied_commands.apply(
+            commands.SetBudgetDemand(now_us, key, node.budget_leases.demands(now_us))
+        )
+        node.budget_leases.set_rates(now_us, True, budget_grants.rates_for(state, key))
         budget_grants.acknowledge(state, key, state.epoch)
 
-    def _note_traffic(self) -> None:
-        """Who is there, and what comes to whom; where that has changed, who uses what."""
-        came = {
-            node.number: sum(size for _, _, size in node.recent.wanted)
+    def _update_traffic_shares(self) -> None:
+        """Measure the nodes' shares of the traffic and reassign executors by them."""
+        demand_by_node = {
+            node.number: sum(size for _, _, size in node.recent.demand)
             for node in self.simulation.nodes.all
             if node.alive
         }
-        total = max(1e-9, sum(came.values()))
-        self._traffic_shares = {number: size / total for number, size in came.items()}
+        total = max(1e-9, sum(demand_by_node.values()))
+        self._traffic_shares = {number: size / total for number, size in demand_by_node.items()}
         self._assign_executors()
 
     def _assign_executors(self) -> None:
-        """Who uses what: by the nodes that are there, and their parts of the traffic."""
+        """Assign executors to the nodes with a valid lease, by their shares of the traffic."""
         now = self.simulation.now
-        there = {
+        leased_nodes = {
             f"n{node.number}": node
             for node in self.simulation.nodes.all
             if node.alive or now < node.lease_until
         }
-        self._users = {number: [] for number in range(self.setup.executors)}
-        self._gossip.update(there, self._names)
-        for name, node in there.items():
+        self._nodes_by_executor = {number: [] for number in range(self.setup.executors)}
+        self._gossip.update(leased_nodes, self._names)
+        for name, node in leased_nodes.items():
             share = self._traffic_shares.get(node.number, 0.0)
-            node.executors = [int(one[1:]) for one in self._gossip.executors_of(name, share)]
+            node.executors = [int(executor[1:]) for executor in self._gossip.executors_of(name, share)]
             for executor in node.executors:
-                self._users[executor].append(node.number)
+                self._nodes_by_executor[executor].append(node.number)
 
 
-def _quota(tenant: str) -> str:
+def _quota_budget(tenant: str) -> str:
     return f"tenant:{tenant}"
--- a/cedarmill/lab/simulation/overload/executor.py
+++ b/cedarmill/lab/simulation/overload/executor.py
@@ -1,52 +1,53 @@
-"""A simulated executor: slots that work in order, and do not know whose client has left."""
+"""A simulated executor, which processes requests in order even after their clients have left."""
 
 import heapq
 from collections import deque
 
-SLOW_START, SLOW_START_SHARE = 8.9, 0.3  # s, and the share of its speed with which an executor starts
-MAX_REQUESTS_PER_SLOT = 12.0  # that an executor takes before it says that it is full
-LONG_AGO = -1e9  # s
+# Seconds until a restarted executor reaches full speed, and the share of full speed at its start.
+SLOW_START_TIME, SLOW_START_SPEED = 8.9, 0.3
+MAX_REQUESTS_PER_SLOT = 12.0  # running and queued, at full speed
+LONG_AGO = -1e9  # seconds
 
 
 class SimulatedExecutor:
-    """The end of each request is known as soon as it is sent, since slots work in order."""
+    """Computes the end of each request on arrival, since slots work in order."""
 
-    __slots__ = ("_free_at", "slots", "_started_at", "_ends")
+    __slots__ = ("_free_at", "slots", "_started_at", "_end_times")
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
-        self._free_at = [0.0] * slots  # a heap: when each slot is free
+        self._free_at = [0.0] * slots  # heap of the times at which slots become free
         self._started_at = LONG_AGO
-        self._ends: deque[float] = deque()
+        self._end_times: deque[float] = deque()
 
     def requests(self, now: float) -> int:
-        """How many run or wait."""
-        while self._ends and self._ends[0] <= now:
-            self._ends.popleft()
-        return len(self._ends)
+        """Return the number of running and queued requests."""
+        while self._end_times and self._end_times[0] <= now:
+            self._end_times.popleft()
+        return len(self._end_times)
 
     def is_full(self, now: float, requests: int) -> bool:
-        """Whether it refuses more, with so many there."""
+        """Return whether the executor refuses another request while it has this number of requests."""
         return requests >= MAX_REQUESTS_PER_SLOT * self.slots * self._speed(now)
 
     def _speed(self, now: float) -> float:
-        age = min(1.0, max(0.0, (now - self._started_at) / SLOW_START))
-        return SLOW_START_SHARE + (1 - SLOW_START_SHARE) * age
+        age = min(1.0, max(0.0, (now - self._started_at) / SLOW_START_TIME))
+        return SLOW_START_SPEED + (1 - SLOW_START_SPEED) * age
 
-    def work(self, now: float, size: float) -> float:
-        """Spend so much of a slot (slot-seconds); when that ends."""
-        begin = max(now, self._free_at[0])
-        end = begin + size / self._speed(begin)
+    def occupy_slot(self, now: float, size: float) -> float:
+        """Occupy the next free slot with `size` slot-seconds of work and return the end time."""
+        start = max(now, self._free_at[0])
+        end = start + size / self._speed(start)
         heapq.heapreplace(self._free_at, end)
         return end
 
-    def take(self, now: float, size: float) -> float:
-        """Take a request; when it ends. They end in about the order in which they came."""
-        end = self.work(now, size)
-        self._ends.append(max(end, self._ends[-1] if self._ends else 0.0))
+    def enqueue(self, now: float, size: float) -> float:
+        """Accept a request and return its end time; recorded end times never decrease."""
+        end = self.occupy_slot(now, size)
+        self._end_times.append(max(end, self._end_times[-1] if self._end_times else 0.0))
         return end
 
     def restart(self, now: float) -> None:
-        """Start anew, with nothing there."""
+        """Restart empty and at reduced speed."""
         self._started_at, self._free_at = now, [now] * self.slots
-        self._ends.clear()
+        self._end_times.clear()
--- a/cedarmill/lab/simulation/overload/mutants.py
+++ b/cedarmill/lab/simulation/overload/mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of admission, budgets and shared reports, each with the incident in which it shows."""
+"""Mutants of admission, budgets and shared reports, each with the incident that detects it."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, NamedTuple
@@ -15,18 +15,18 @@
 
 
 class Mutant(NamedTuple):
-    """What stands instead, and the incident in which it shows."""
+    """The patches of a mutant and the incident that detects it."""
 
     patches: Callable[[], list[Patch]]
     incident: str
 
 
-def most_worth_first_refused() -> list[Patch]:
-    """The level begins at the wrong end: the highest priority weight is refused first."""
-    plain = controller.threshold_for
+def shed_highest_weight_first() -> list[Patch]:
+    """Return patches that shed the highest priority weight first."""
+    original = controller.threshold_for
 
     def threshold_for(demand: Mapping[int, int], shed_slots: int) -> SheddingThreshold:
-        mirrored = plain({-weight: slots for weight, slots in demand.items()}, shed_slots)
+        mirrored = original({-weight: slots for weight, slots in demand.items()}, shed_slots)
         if mirrored == SheddingThreshold():
             return mirrored
         return SheddingThreshold(-mirrored.weight, mirrored.share)
@@ -34,50 +34,50 @@
     def rejects(
         self: AdmissionGate, now: int, lease_holds: bool, weight: int, sample: float, scope: str = "any"
     ) -> bool:
-        one = self.threshold
-        share = 1.0 if weight > one.weight else one.share / 1000
-        return one.weight >= 0 and weight >= one.weight and sample < share
+        threshold = self.threshold
+        share = 1.0 if weight > threshold.weight else threshold.share / 1000
+        return threshold.weight >= 0 and weight >= threshold.weight and sample < share
 
     return [(controller, "threshold_for", threshold_for), (AdmissionGate, "rejects", rejects)]
 
 
-def cut_is_never_lifted() -> list[Patch]:
-    """What is shed only grows."""
+def never_release_shedding() -> list[Patch]:
+    """Return patches that never lower the shed load."""
     return [(controller, "RELEASE_RATE", 0)]
 
 
-def quota_is_not_asked() -> list[Patch]:
-    """A tenant's requests all count as within its quota."""
-    plain = BudgetLeases.spend
+def ignore_quotas() -> list[Patch]:
+    """Return patches that treat every request as within its tenant's quota."""
+    original = BudgetLeases.spend
 
     def spend(self: BudgetLeases, now: int, lease_holds: bool, name: str, reserve: int = 0) -> bool:
-        return name.startswith(QUOTA_PREFIX) or plain(self, now, lease_holds, name, reserve)
+        return name.startswith(QUOTA_PREFIX) or original(self, now, lease_holds, name, reserve)
 
     return [(BudgetLeases, "spend", spend)]
 
 
-def probes_without_budget() -> list[Patch]:
-    """Each node probes as it likes, and reports are never shared."""
-    plain = BudgetLeases.spend
+def ignore_probe_budget() -> list[Patch]:
+    """Return patches that lift the probe budget and disable the sharing of reports."""
+    original = BudgetLeases.spend
 
     def spend(self: BudgetLeases, now: int, lease_holds: bool, name: str, reserve: int = 0) -> bool:
-        return name == "probes" or plain(self, now, lease_holds, name, reserve)
+        return name == "probes" or original(self, now, lease_holds, name, reserve)
 
     return [(BudgetLeases, "spend", spend), (ReportBoard, "may_share", lambda self, report: False)]
 
 
-def cut_lapses_with_the_beat() -> list[Patch]:
-    """A threshold is obeyed for a tenth of each second only, as if the lease were that short."""
-    plain = AdmissionGate.rejects
+def enforce_threshold_intermittently() -> list[Patch]:
+    """Return patches that enforce the threshold for a tenth of each second only."""
+    original = AdmissionGate.rejects
 
-    def rejects(self: AdmissionGate, now: int, lease_holds: bool, *more: Any) -> bool:
-        return now % 1_000_000 < 100_000 and plain(self, now, lease_holds, *more)
+    def rejects(self: AdmissionGate, now: int, lease_holds: bool, *arguments: Any) -> bool:
+        return now % 1_000_000 < 100_000 and original(self, now, lease_holds, *arguments)
 
     return [(AdmissionGate, "rejects", rejects)]
 
 
-def every_lateness_is_a_storm() -> list[Patch]:
-    """Shedding begins by what is wanted alone, at half of the slots."""
+def shed_by_demand_alone() -> list[Patch]:
+    """Return patches that shed by demand alone, from half of the slots."""
 
     def adjust_fill(level: AdmissionLevel, idle: bool) -> None:
         level.active, level.fill_share = True, 500
@@ -86,13 +86,13 @@
 
 
 MUTANTS = {
-    "most-worth-first-refused": Mutant(most_worth_first_refused, "month-end"),
-    "cut-is-never-lifted": Mutant(cut_is_never_lifted, "burst"),
-    "quota-is-not-asked": Mutant(quota_is_not_asked, "flood"),
-    "probes-without-budget": Mutant(probes_without_budget, "calm"),
-    "cut-lapses-with-the-beat": Mutant(cut_lapses_with_the_beat, "outlives"),
-    "most-worth-first-in-two-epochs": Mutant(most_worth_first_refused, "two-epochs"),
-    "every-lateness-is-a-storm": Mutant(every_lateness_is_a_storm, "calm"),
+    "most-worth-first-refused": Mutant(shed_highest_weight_first, "month-end"),
+    "cut-is-never-lifted": Mutant(never_release_shedding, "burst"),
+    "quota-is-not-asked": Mutant(ignore_quotas, "flood"),
+    "probes-without-budget": Mutant(ignore_probe_budget, "calm"),
+    "cut-lapses-with-the-beat": Mutant(enforce_threshold_intermittently, "outlives"),
+    "most-worth-first-in-two-epochs": Mutant(shed_highest_weight_first, "two-epochs"),
+    "every-lateness-is-a-storm": Mutant(shed_by_demand_alone, "calm"),
 }
 
 
@@ -101,7 +101,7 @@
 
 
 def hunt(name: str, seeds: Sequence[int]) -> Detection:
-    """Play the mutant's incident till an invariant sees it."""
+    """Run the mutant's incident with each seed until an invariant is violated."""
     mutant = MUTANTS[name]
     trials = [Trial(mutant.incident, seed) for seed in seeds]
     return hunt_mutant(name, mutant.patches(), trials, _violations)
--- a/cedarmill/lab/simulation/overload/nodes.py
+++ b/cedarmill/lab/simulation/overload/nodes.py
@@ -1,4 +1,4 @@
-"""All simulated nodes: a request comes to one, goes to an executor, and ends or is refused."""
+"""The simulated nodes, which forward requests to executors, retry them and handle their completion."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from cedarmill.lab.simulation.overload.policies import Admission
 from cedarmill.lab.simulation.overload.request import ClientRequest
 from cedarmill.lab.simulation.overload.setup import (
+    CLIENT_TIMEOUT,
     LATENCY_OBJECTIVE,
-    PATIENCE,
     REQUEST_TIME,
     TOP_WEIGHT,
 )
@@ -19,13 +19,13 @@
 if TYPE_CHECKING:
     from cedarmill.lab.simulation.overload.simulation import OverloadSimulation
 
-MAX_ATTEMPTS = 3  # of a node for one request
-MAX_REPORT_AGE = 0.4  # s beyond which a node probes
-REFUSAL_COST, PROBE_COST, CONNECT_COST = 0.01, 0.002, 0.005  # slot-seconds of an executor
+MAX_ATTEMPTS = 3  # per try of a request at a node
+MAX_REPORT_AGE = 0.4  # seconds, after which a node probes the executor
+REFUSAL_COST, PROBE_COST, CONNECT_COST = 0.01, 0.002, 0.005  # slot-seconds
 
 
 class NodeGroup:
-    """The nodes of a run."""
+    """Routes requests through all nodes of a run."""
 
     def __init__(self, simulation: OverloadSimulation) -> None:
         self._simulation, self._setup = simulation, simulation.setup
@@ -36,7 +36,7 @@
         ]
 
     def accept(self, now: float, request: ClientRequest) -> None:
-        """A client sends a request; one whose node has died goes to another at once."""
+        """Admit or refuse a client's request, at another node if its own is dead."""
         clients = self._simulation.clients
         self._figures.offered += 1
         while not self.all[request.node].alive:
@@ -54,7 +54,7 @@
         policy = self._simulation.policy
         number = policy.choose(now, node, request, self)
         if number is None:
-            policy.on_no_room(node)
+            policy.on_no_executor(node)
             self._simulation.clients.on_refused(now, request, advised=False)
             return
         executor = self._executors[number]
@@ -63,42 +63,42 @@
         if number not in node.connected and policy.may_connect(now, node):
             node.connected.add(number)
             self._figures.connects += 1
-            self._charge(now, executor, CONNECT_COST)
+            self._charge_overhead(now, executor, CONNECT_COST)
         requests = executor.requests(now)
         if executor.is_full(now, requests):
-            self._charge(now, executor, REFUSAL_COST)
-            self._note_report(now, node, number, requests)
-            self._send_again(now, request, node)
+            self._charge_overhead(now, executor, REFUSAL_COST)
+            self._record_report(now, node, number, requests)
+            self._retry_attempt(now, request, node)
             return
         node.board.on_sent(number)
-        end = executor.take(now, request.size)
+        end = executor.enqueue(now, request.size)
         self._figures.work += request.size
-        known_at = min(end, now + PATIENCE)
-        self._simulation.schedule(known_at, self._on_ended, request, node, number, end, now)
+        observed_at = min(end, now + CLIENT_TIMEOUT)
+        self._simulation.schedule(observed_at, self._on_attempt_ended, request, node, number, end, now)
 
-    def _send_again(self, now: float, request: ClientRequest, node: SimulatedNode) -> None:
-        """A node tries once more, if it may."""
+    def _retry_attempt(self, now: float, request: ClientRequest, node: SimulatedNode) -> None:
+        """Retry a refused attempt if the attempt limit and the policy permit, or refuse the request."""
         if request.attempts < MAX_ATTEMPTS and self._simulation.policy.may_retry(now, node):
             self._send(now, request, node)
         else:
             self._simulation.clients.on_refused(now, request, advised=False)
 
-    def _charge(self, now: float, executor: SimulatedExecutor, size: float) -> None:
-        """Work of an executor that serves nobody (slot-seconds)."""
-        executor.work(now, size)
+    def _charge_overhead(self, now: float, executor: SimulatedExecutor, size: float) -> None:
+        """Charge an executor with overhead (slot-seconds) and count it as wasted work."""
+        executor.occupy_slot(now, size)
         self._figures.work += size
         self._figures.wasted_work += size
 
-    # Reports of executors.
+    # Load reports of executors.
 
     def least_loaded(
         self, now: float, node: SimulatedNode, numbers: list[int], weight: int, max_sharers: int = 1
     ) -> int | None:
-        """The least loaded of these executors that has room by the node's reports; old ones are asked again.
+        """Return the least loaded of these executors with capacity, or None.
 
-        For others that share the reports the node's own requests since count up to `max_sharers` times.
+        Executors with outdated reports are probed first. The node's requests since a report count once per sharing node, up to `max_sharers` times.
         """
-        found = []
+        available = []
         for number in numbers:
             report = node.board.reports.get(number)
             if report is None or now - report.at > MAX_REPORT_AGE:
@@ -106,8 +106,8 @@
             sharers = self._simulation.policy.sharers(number)
             load = node.board.estimated_load(number, now, min(sharers, max_sharers))
             if load < self._setup.slots + node.queue_slots(number, weight):
-                found.append((node.board.estimated_load(number, now, sharers**0.5), number))
-        return min(found)[1] if found else None
+                available.append((node.board.estimated_load(number, now, sharers**0.5), number))
+        return min(available)[1] if available else None
 
     def _probe(self, now: float, node: SimulatedNode, number: int) -> None:
         if not self._simulation.policy.may_probe(now, node):
@@ -116,36 +116,36 @@
         key = number, int(now)
         self._figures.probes_by_second[key] = self._figures.probes_by_second.get(key, 0) + 1
         executor = self._executors[number]
-        self._charge(now, executor, PROBE_COST)
-        self._note_report(now, node, number, executor.requests(now))
+        self._charge_overhead(now, executor, PROBE_COST)
+        self._record_report(now, node, number, executor.requests(now))
 
-    def _note_report(self, now: float, node: SimulatedNode, number: int, requests: int) -> None:
-        """A node hears how many requests are at an executor."""
+    def _record_report(self, now: float, node: SimulatedNode, number: int, requests: int) -> None:
+        """Record the number of requests at an executor in the node's reports, and pass it to the policy."""
         report = ExecutorReport(number, now, requests, self._setup.slots)
         node.board.accept(report)
         self._simulation.policy.on_report(now, node, report)
 
-    # Ends.
+    # Completion.
 
-    def _on_ended(
+    def _on_attempt_ended(
         self, now: float, request: ClientRequest, node: SimulatedNode, number: int, end: float, sent_at: float
     ) -> None:
-        """It is served, or its client has left while it goes on."""
+        """Handle the end of an attempt: a response, a timeout of its client or the death of its node."""
         clients = self._simulation.clients
         if not node.alive:
             self._figures.wasted_work += request.size
-            clients.try_again(now, request)
+            clients.retry(now, request)
             return
         node.board.on_ended(number)
         response_time = now - request.first_at if request.tries == 1 else now - sent_at
-        late = end > sent_at + PATIENCE or response_time > LATENCY_OBJECTIVE + REQUEST_TIME
-        node.recent.ends.append((self._simulation.step_number, late))
-        node.learn(now, number, late, self._setup.slots)
+        late = end > sent_at + CLIENT_TIMEOUT or response_time > LATENCY_OBJECTIVE + REQUEST_TIME
+        node.recent.completions.append((self._simulation.step_number, late))
+        node.update_queue_slots(now, number, late, self._setup.slots)
         if end > now + 1e-9:
             self._figures.wasted_work += request.size
-            clients.try_again(now, request)
+            clients.retry(now, request)
             return
-        self._note_report(now, node, number, self._executors[number].requests(now))
+        self._record_report(now, node, number, self._executors[number].requests(now))
         if not request.done:
             request.done = True
             if not late:
@@ -153,7 +153,7 @@
 
     def _count_served(self, request: ClientRequest, response_time: float) -> None:
         setup, figures = self._setup, self._figures
-        if self._simulation.now >= setup.begins:
+        if self._simulation.now >= setup.peak_start:
             figures.value += request.weight * request.size
             figures.response_times[request.weight].append(response_time)
         figures.served_by_second[int(request.first_at)] += 1
--- a/cedarmill/lab/simulation/overload/policies.py
+++ b/cedarmill/lab/simulation/overload/policies.py
@@ -1,4 +1,4 @@
-"""Who decides what is admitted and spent: each node alone, or each by a fixed part of the whole."""
+"""Admission and budget policies without coordination: independent nodes, and fixed equal shares."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     from cedarmill.lab.simulation.overload.nodes import NodeGroup
     from cedarmill.lab.simulation.overload.simulation import OverloadSimulation
 
-SAMPLES = 6  # executors at which a node looks for one request
-FIXED_PROBE_SHARE = 0.2  # of probes that a fixed part leaves
-PART_BURST = 0.2  # s of its part that a node may use at once, one request at least
+EXECUTOR_SAMPLES = 6  # executors sampled per request
+PERMITTED_PROBE_SHARE = 0.2  # share of probes that the fixed policy permits
+FIXED_SHARE_BURST = 0.2  # seconds of a node's fixed rate, one request at least
 
 
 class Admission(enum.Enum):
-    """What becomes of a request that has come to a node."""
+    """The admission decision on a request at a node."""
 
     ADMITTED = enum.auto()
     REFUSED = enum.auto()
@@ -27,72 +27,72 @@
 
 
 class AlonePolicy:
-    """Each node by its own reports, as today: nothing is asked of anyone."""
+    """Lets each node decide by its own load reports, without limits."""
 
     def __init__(self, simulation: OverloadSimulation) -> None:
         self.simulation, self.setup = simulation, simulation.setup
         self.generator = simulation.generator
 
     def step(self, number: int) -> None:
-        """Called in each step, after the clients."""
+        """Run periodic work, once per simulation step after the clients."""
 
     def admit(self, now: float, request: ClientRequest, node: SimulatedNode) -> Admission:
-        """Whether a node takes a request on."""
+        """Return the admission decision on a request."""
         return Admission.ADMITTED
 
     def may_connect(self, now: float, node: SimulatedNode) -> bool:
-        """Whether a node may open a connection now."""
+        """Return whether a node may open a connection now."""
         return True
 
     def may_probe(self, now: float, node: SimulatedNode) -> bool:
-        """Whether a node may probe an executor now."""
+        """Return whether a node may probe an executor now."""
         return True
 
     def may_retry(self, now: float, node: SimulatedNode) -> bool:
-        """Whether a node may send a request again that an executor refused."""
+        """Return whether a node may retry a request that an executor refused."""
         return True
 
     def sharers(self, executor: int) -> int:
-        """Nodes that share reports of an executor, the own one included."""
+        """Return the number of nodes that share reports of an executor, the asking node included."""
         return 1
 
     def choose(self, now: float, node: SimulatedNode, request: ClientRequest, nodes: NodeGroup) -> int | None:
-        """The best of some executors that have room by the node's reports; none where none has."""
-        return nodes.least_loaded(now, node, self.draw(node), request.weight)
+        """Return the least loaded of some sampled executors with capacity, or None."""
+        return nodes.least_loaded(now, node, self.sample_executors(node), request.weight)
 
-    def draw(self, node: SimulatedNode) -> list[int]:
-        """Some of the executors that a node uses."""
+    def sample_executors(self, node: SimulatedNode) -> list[int]:
+        """Return random executors among those that a node uses."""
         count = len(node.executors)
-        return [node.executors[int(n)] for n in self.generator.integers(count, size=SAMPLES)]
+        return [node.executors[int(n)] for n in self.generator.integers(count, size=EXECUTOR_SAMPLES)]
 
-    def on_no_room(self, node: SimulatedNode) -> None:
-        """A node has found no executor for a request."""
+    def on_no_executor(self, node: SimulatedNode) -> None:
+        """Handle a request for which a node found no executor with capacity."""
 
     def on_report(self, now: float, node: SimulatedNode, report: ExecutorReport) -> None:
-        """A node has heard something of an executor itself."""
+        """Handle a load report that a node received directly from an executor."""
 
 
 class FixedPolicy(AlonePolicy):
-    """Each node has an even part of all slots, retries and probes."""
+    """Gives each node an equal, fixed share of all slots, and limits its retries and probes."""
 
     def __init__(self, simulation: OverloadSimulation) -> None:
         super().__init__(simulation)
-        self._used = [0.0] * self.setup.nodes  # requests of its part, which drain at its rate
+        self._used = [0.0] * self.setup.nodes  # leaky-bucket level in requests, by node
         self._used_at = [0.0] * self.setup.nodes
 
     def admit(self, now: float, request: ClientRequest, node: SimulatedNode) -> Admission:
-        """As long as the node's even part of all slots allows, by the rate that they stand."""
+        """Admit a request if the leaky bucket of the node's equal share has capacity."""
         rate = self.setup.request_rate / self.setup.nodes
         number = node.number
         used = max(0.0, self._used[number] - (now - self._used_at[number]) * rate)
-        admitted = used < max(1.0, rate * PART_BURST)
+        admitted = used < max(1.0, rate * FIXED_SHARE_BURST)
         self._used[number], self._used_at[number] = used + admitted, now
         return Admission.ADMITTED if admitted else Admission.REFUSED
 
     def may_probe(self, now: float, node: SimulatedNode) -> bool:
-        """A fifth of the time."""
-        return float(self.generator.random()) <= FIXED_PROBE_SHARE
+        """Permit a probe at random, with the fixed probability."""
+        return float(self.generator.random()) <= PERMITTED_PROBE_SHARE
 
     def may_retry(self, now: float, node: SimulatedNode) -> bool:
-        """A part of the node's own first attempts."""
+        """Permit retries up to a fixed ratio of the node's first attempts."""
         return node.retry_budget.spend(node.first_attempts)
--- a/cedarmill/lab/simulation/overload/setup.py
+++ b/cedarmill/lab/simulation/overload/setup.py
@@ -1,22 +1,22 @@
-"""Who is there in the simulation of overload, what comes, and what its model takes for given."""
+"""Setup of the overload simulation and the constants of its model."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-US = 1_000_000  # a second, for the parts that count microseconds
-STEP = 0.05  # s, between two turns of clients, reports and agreement
-POLICIES = ("alone", "fixed", "fleet")  # who decides what is admitted and spent
+MICROSECONDS_PER_SECOND = 1_000_000  # microseconds per second
+STEP = 0.05  # seconds per simulation step
+POLICIES = ("alone", "fixed", "fleet")  # admission and budget policies by name
 
 
 class RequestClass(NamedTuple):
-    """Requests of one priority weight (thousandths), and their share of all."""
+    """A priority weight (thousandths) and its share of all requests."""
 
     weight: int
     share: float
 
 
 class Tenant(NamedTuple):
-    """A tenant and its quota, of all slots; it sends as much of the normal load."""
+    """A tenant and its share of both the slots (its quota) and the normal load."""
 
     name: str
     share: float
@@ -26,58 +26,61 @@
 TOP_WEIGHT = REQUEST_CLASSES[0].weight
 TENANTS = (Tenant("large", 0.6), Tenant("middle", 0.3), Tenant("small", 0.1))
 
-REQUEST_TIME = 0.2  # s, mean of a request
-LATENCY_OBJECTIVE = 0.4  # s that a request may wait and be in time
-PATIENCE = 1.0  # s till its client leaves
-LEASE_TIME = 3.6  # s till a dead node's lease has passed at its giver
-REPORT_DELAY = 0.3  # s that reports of one node take to the others
+REQUEST_TIME = 0.2  # seconds, mean service time
+LATENCY_OBJECTIVE = 0.4  # seconds of waiting in which a request is in time
+CLIENT_TIMEOUT = 1.0  # seconds until a client gives up
+LEASE_TIME = 3.6  # seconds until a dead node's lease expires at the leader
+REPORT_DELAY = 0.3  # seconds from one node to the others
 NO_PERIOD = (0.0, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadSetup:
-    """Loads are times the slots, times in seconds."""
+    """Parameters of one run; loads are multiples of all slots, times are seconds."""
 
     nodes: int = 12
     executors: int = 24
-    slots: int = 4  # of an executor
+    slots: int = 4  # per executor
     normal: float = 0.7
     peak: float = 2.0
-    begins: float = 10.0
+    peak_start: float = 10.0
     lasts: float = 5.0
     length: float = 40.0
-    floods: tuple[str, int] = ("", 0)  # a tenant that brings the peak alone, at so many nodes (0: at all)
-    killed: float = 0.0  # share of the nodes that die as it begins; their clients go to the others at once
-    cold: float = 0.0  # share of the executors that start anew as it begins
-    demand_lie: float = 0.0  # times by which one node reports more than its clients want
-    no_replica: tuple[float, float] = NO_PERIOD  # between which no replica of the log is there
-    report_loss: float = 0.0  # share of shared reports that is lost
+    # Tenant that causes the whole peak, and the number of nodes to which it sends (0: all nodes).
+    flood: tuple[str, int] = ("", 0)
+    killed_node_share: float = 0.0  # share of the nodes that die at the start of the peak
+    cold_executor_share: float = 0.0  # share of the executors that restart at the start of the peak
+    overstated_demand_factor: float = 0.0  # factor by which one node overstates its demand (0: none)
+    no_replica_period: tuple[float, float] = NO_PERIOD  # start and end
+    report_loss: float = 0.0  # share of reports between nodes
     report_delay: float = REPORT_DELAY
-    half_told: tuple[float, float] = NO_PERIOD  # between which a threshold reaches every second node only
-    forgets: bool = False  # all nodes lose reports and connections as it begins: discovery was restarted
-    retrying_hops: int = 1  # clients, and nodes in front that try again as well
-    fixed_queue_slots: float = 0.0  # to wait at an executor, by a node that does not learn them; 0: it learns
+    partial_delivery_period: tuple[float, float] = (
+        NO_PERIOD  # start and end; a threshold reaches every second node only
+    )
+    drops_node_state: bool = False  # nodes drop reports and connections as the peak starts
+    retrying_hops: int = 1  # clients, and proxies in front of the nodes that also retry
+    fixed_queue_slots: float = 0.0  # queue limit per executor (0: learned by the node)
 
     @property
     def all_slots(self) -> int:
-        """Slots of all executors."""
+        """The number of slots of all executors."""
         return self.executors * self.slots
 
     @property
-    def ends(self) -> float:
-        """When the peak is over."""
-        return self.begins + self.lasts
+    def peak_end(self) -> float:
+        """The end of the peak, in seconds."""
+        return self.peak_start + self.lasts
 
     @property
     def request_rate(self) -> float:
-        """Requests a second that fill all slots."""
+        """The number of requests per second that fills all slots."""
         return self.all_slots / REQUEST_TIME
 
     def load(self, now: float) -> float:
-        """The load that is offered at a time."""
-        return self.peak if self.begins <= now < self.ends else self.normal
+        """Return the offered load at a time."""
+        return self.peak if self.peak_start <= now < self.peak_end else self.normal
 
     def has_replica(self, now: float) -> bool:
-        """Whether the log is there, and with it all leases."""
-        first, last = self.no_replica
+        """Return whether the replicas, and with them all leases, are available."""
+        first, last = self.no_replica_period
         return not first <= now < last
--- a/cedarmill/lab/simulation/overload/simulation.py
+++ b/cedarmill/lab/simulation/overload/simulation.py
@@ -1,11 +1,13 @@
-"""Overload in virtual time: nodes, executors, tenants and clients that try again; three policies.
-
-Every request is one of its own. An executor works in order on its slots and does not know whose client has
-left, so an overload can outlive its trigger. A node knows of an executor what an answer or a probe told it,
-and what it sent itself since. `alone` is a model of what nodes do today, each by its own reports (without the
-preemption of requests that run); `fixed` gives each node an even part of all slots, retries and probes;
-`fleet` runs the real admission level, the real budget grants and leases, and reports that nodes share. The
-all-knowing admission that value is held against sees first tries only. One seed is one timeline.
+"""Event-driven simulation of overload under three admission policies.
+
+Executors also process requests whose clients have left, so an overload can outlast its cause. Nodes estimate
+an executor's load from responses, probes and the requests that they have sent since.
+
+- `alone`: each node decides by its own load reports.
+- `fixed`: each node has an equal share of all slots, and limited retries and probes.
+- `fleet`: nodes use the production shedding threshold, budget grants and leases, and share load reports.
+
+The ideal admission, to which a run's value is compared, sees first tries only. A seed determines the run.
 """
 
 from collections.abc import Callable
@@ -32,7 +34,7 @@
 
 
 class OverloadSimulation:
-    """One run; times are seconds."""
+    """Runs one setup under one policy; times are seconds."""
 
     def __init__(self, policy: str, setup: OverloadSetup, seed: int) -> None:
         self.setup = setup
@@ -46,14 +48,14 @@
         self.policy = _POLICIES[policy](self)
 
     def schedule(self, at: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Call that at a time, or at the beginning of the step in which that is, with the time first."""
+        """Schedule a call with its time as first argument, which is at least the start of the step that runs it."""
         self._events.push(at, call, *arguments)
 
     def run(self) -> OverloadResult:
-        """Play it to its end."""
+        """Run the simulation to its end and return the measurements."""
         for number in range(int(self.setup.length / STEP)):
             self.step_number, self.now = number, number * STEP
-            if number == int(self.setup.begins / STEP):
+            if number == int(self.setup.peak_start / STEP):
                 self._begin_incident()
             self.clients.send_first_tries(self.now)
             self.policy.step(number)
@@ -67,16 +69,16 @@
 
     def _begin_incident(self) -> None:
         setup = self.setup
-        for node in self.nodes.all[: int(setup.killed * setup.nodes)]:
+        for node in self.nodes.all[: int(setup.killed_node_share * setup.nodes)]:
             node.alive, node.lease_until = False, self.now + LEASE_TIME
-        for executor in self.executors[: int(setup.cold * setup.executors)]:
+        for executor in self.executors[: int(setup.cold_executor_share * setup.executors)]:
             executor.restart(self.now)
-        if setup.forgets:
+        if setup.drops_node_state:
             for node in self.nodes.all:
-                node.forget()
+                node.drop_reports_and_connections()
 
 
 def play(policy: str, setup: OverloadSetup | str, seed: int) -> OverloadResult:
-    """One run of a setup, or of a named incident."""
+    """Run a setup or a named incident and return its measurements."""
     setup = INCIDENTS[setup] if isinstance(setup, str) else setup
     return OverloadSimulation(policy, setup, seed).run()
