--- a/cedarmill/lab/simulation/overload/admission_control.py
+++ b/cedarmill/lab/simulation/overload/admission_control.py
@@ -89,9 +89,8 @@
             sum(executor.requests(simulation.now) for executor in simulation.executors)
         )
         samples_ago = int(DIGEST_DELAY / STEP / CONTROL_INTERVAL_STEPS)
-        requests_in_cluster = self._request_samples[
-            max(0, len(self._request_samples) - 1 - samples_ago)
-        ]  # at the time of the digests
+        # Requests at the time of the digests.
+        requests_in_cluster = self._request_samples[max(0, len(self._request_samples) - 1 - samples_ago)]
         allotted = len(lateness) * (LATENCY_OBJECTIVE + REQUEST_TIME) / window.seconds
         queueing = (
             int(1000 * requests_in_cluster / allotted) if allotted else UNKNOWN if requests_in_cluster else 0
--- a/cedarmill/lab/simulation/overload/clients.py
+++ b/cedarmill/lab/simulation/overload/clients.py
@@ -51,7 +51,7 @@
         for weight in sorted(demand, reverse=True):
             served = min(demand[weight], capacity)
             if now >= setup.peak_start:
-                self._figures.best_value += weight * served
+                self._figures.ideal_value += weight * served
             capacity -= served
 
     def _mean_tries(self, tenant: Tenant, load: float, in_peak: bool) -> float:
@@ -99,7 +99,7 @@
 
     def retry(self, now: float, request: ClientRequest, advised: bool = False) -> None:
         """Schedule a retry of an unfinished request if any tries remain."""
-        if request.tries < MAX_TRIES * self._setup.retrying_hops and not request.done:
+        if request.tries < MAX_TRIES * self._setup.retrying_hops and not request.is_done:
             request.tries += 1
             delays = ADVISED_RETRY_DELAYS if advised else RETRY_DELAYS
             at = now + float(self._generator.uniform(*delays))
--- a/cedarmill/lab/simulation/overload/cluster_policy.py
+++ b/cedarmill/lab/simulation/overload/cluster_policy.py
@@ -137,7 +137,7 @@
             self._control.record_queue_spread()
         if number % GRANT_INTERVAL_STEPS == 0 and self._is_lease_valid():
             for node in self.simulation.nodes.all:
-                if node.alive:
+                if node.is_alive:
                     self._renew_budget_leases(node)
             self._update_traffic_shares()
         if number % CONTROL_INTERVAL_STEPS == 0 and self._is_lease_valid():
@@ -160,7 +160,7 @@
         demand_by_node = {
             node.number: sum(size for _, _, size in node.recent.demand)
             for node in self.simulation.nodes.all
-            if node.alive
+            if node.is_alive
         }
         total = max(1e-9, sum(demand_by_node.values()))
         self._traffic_shares = {number: size / total for number, size in demand_by_node.items()}
@@ -172,13 +172,15 @@
         leased_nodes = {
             f"n{node.number}": node
             for node in self.simulation.nodes.all
-            if node.alive or now < node.lease_until
+            if node.is_alive or now < node.lease_until
         }
         self._nodes_by_executor = {number: [] for number in range(self.setup.executors)}
         self._gossip.update(leased_nodes, self._names)
         for name, node in leased_nodes.items():
             share = self._traffic_shares.get(node.number, 0.0)
-            node.executors = [int(executor[1:]) for executor in self._gossip.executors_of(name, share)]
+            node.executors = [
+                int(executor_name[1:]) for executor_name in self._gossip.executors_of(name, share)
+            ]
             for executor in node.executors:
                 self._nodes_by_executor[executor].append(node.number)
 
--- a/cedarmill/lab/simulation/overload/node.py
+++ b/cedarmill/lab/simulation/overload/node.py
@@ -38,7 +38,7 @@
     """Holds the state of one node, which identifies executors by number."""
 
     def __init__(self, number: int, executors: int, fixed_queue_slots: float) -> None:
-        self.number, self.alive = number, True
+        self.number, self.is_alive = number, True
         self._fixed_queue_slots = fixed_queue_slots
         self.lease_until = 0.0  # seconds, end of a dead node's lease
         self.board = ReportBoard()
@@ -58,7 +58,7 @@
         return learned * (ZERO_WEIGHT_SHARE + (1 - ZERO_WEIGHT_SHARE) * weight / TOP_WEIGHT)
 
     def update_queue_slots(self, now: float, executor: int, late: bool, slots: int) -> None:
-        """Adapt the learned queue limit: raise it on a prompt response, halve it once per congestion."""
+        """Adapt the learned queue limit: raise it on a prompt response, lower it once per congestion."""
         learned = self._queue_slots.get(executor, INITIAL_QUEUE_SLOTS)
         if not late:
             self._queue_slots[executor] = min(slots, learned + QUEUE_SLOTS_GAIN)
--- a/cedarmill/lab/simulation/overload/nodes.py
+++ b/cedarmill/lab/simulation/overload/nodes.py
@@ -39,7 +39,7 @@
         """Admit or refuse a client's request, at another node if its own is dead."""
         clients = self._simulation.clients
         self._figures.offered += 1
-        while not self.all[request.node].alive:
+        while not self.all[request.node].is_alive:
             request.node = clients.choose_node()
         node = self.all[request.node]
         node.first_attempts += 1
@@ -52,29 +52,31 @@
 
     def _send(self, now: float, request: ClientRequest, node: SimulatedNode) -> None:
         policy = self._simulation.policy
-        number = policy.choose(now, node, request, self)
-        if number is None:
+        executor_number = policy.choose(now, node, request, self)
+        if executor_number is None:
             policy.on_no_executor(node)
             self._simulation.clients.on_refused(now, request, advised=False)
             return
-        executor = self._executors[number]
+        executor = self._executors[executor_number]
         self._figures.attempts += 1
         request.attempts += 1
-        if number not in node.connected and policy.may_connect(now, node):
-            node.connected.add(number)
+        if executor_number not in node.connected and policy.may_connect(now, node):
+            node.connected.add(executor_number)
             self._figures.connects += 1
             self._charge_overhead(now, executor, CONNECT_COST)
         requests = executor.requests(now)
         if executor.is_full(now, requests):
             self._charge_overhead(now, executor, REFUSAL_COST)
-            self._record_report(now, node, number, requests)
+            self._record_report(now, node, executor_number, requests)
             self._retry_attempt(now, request, node)
             return
-        node.board.on_sent(number)
+        node.board.on_sent(executor_number)
         end = executor.enqueue(now, request.size)
         self._figures.work += request.size
         observed_at = min(end, now + CLIENT_TIMEOUT)
-        self._simulation.schedule(observed_at, self._on_attempt_ended, request, node, number, end, now)
+        self._simulation.schedule(
+            observed_at, self._on_attempt_ended, request, node, executor_number, end, now
+        )
 
     def _retry_attempt(self, now: float, request: ClientRequest, node: SimulatedNode) -> None:
         """Retry a refused attempt if the attempt limit and the policy permit, or refuse the request."""
@@ -92,62 +94,71 @@
     # Load reports of executors.
 
     def least_loaded(
-        self, now: float, node: SimulatedNode, numbers: list[int], weight: int, max_sharers: int = 1
+        self, now: float, node: SimulatedNode, executor_numbers: list[int], weight: int, max_sharers: int = 1
     ) -> int | None:
         """Return the least loaded of these executors with capacity, or None.
 
-        Executors with outdated reports are probed first. The node's requests since a report count once per sharing node, up to `max_sharers` times.
+        Executors with outdated reports are probed first if the policy permits. The node's requests since
+        a report count once per sharing node, up to `max_sharers` times.
         """
         available = []
-        for number in numbers:
-            report = node.board.reports.get(number)
+        for executor_number in executor_numbers:
+            report = node.board.reports.get(executor_number)
             if report is None or now - report.at > MAX_REPORT_AGE:
-                self._probe(now, node, number)
-            sharers = self._simulation.policy.sharers(number)
-            load = node.board.estimated_load(number, now, min(sharers, max_sharers))
-            if load < self._setup.slots + node.queue_slots(number, weight):
-                available.append((node.board.estimated_load(number, now, sharers**0.5), number))
+                self._probe(now, node, executor_number)
+            sharers = self._simulation.policy.sharers(executor_number)
+            load = node.board.estimated_load(executor_number, now, min(sharers, max_sharers))
+            if load < self._setup.slots + node.queue_slots(executor_number, weight):
+                available.append(
+                    (node.board.estimated_load(executor_number, now, sharers**0.5), executor_number)
+                )
         return min(available)[1] if available else None
 
-    def _probe(self, now: float, node: SimulatedNode, number: int) -> None:
+    def _probe(self, now: float, node: SimulatedNode, executor_number: int) -> None:
         if not self._simulation.policy.may_probe(now, node):
             return
         self._figures.probes += 1
-        key = number, int(now)
+        key = executor_number, int(now)
         self._figures.probes_by_second[key] = self._figures.probes_by_second.get(key, 0) + 1
-        executor = self._executors[number]
+        executor = self._executors[executor_number]
         self._charge_overhead(now, executor, PROBE_COST)
-        self._record_report(now, node, number, executor.requests(now))
+        self._record_report(now, node, executor_number, executor.requests(now))
 
-    def _record_report(self, now: float, node: SimulatedNode, number: int, requests: int) -> None:
+    def _record_report(self, now: float, node: SimulatedNode, executor_number: int, requests: int) -> None:
         """Record the number of requests at an executor in the node's reports, and pass it to the policy."""
-        report = ExecutorReport(number, now, requests, self._setup.slots)
+        report = ExecutorReport(executor_number, now, requests, self._setup.slots)
         node.board.accept(report)
         self._simulation.policy.on_report(now, node, report)
 
     # Completion.
 
     def _on_attempt_ended(
-        self, now: float, request: ClientRequest, node: SimulatedNode, number: int, end: float, sent_at: float
+        self,
+        now: float,
+        request: ClientRequest,
+        node: SimulatedNode,
+        executor_number: int,
+        end: float,
+        sent_at: float,
     ) -> None:
         """Handle the end of an attempt: a response, a timeout of its client or the death of its node."""
         clients = self._simulation.clients
-        if not node.alive:
+        if not node.is_alive:
             self._figures.wasted_work += request.size
             clients.retry(now, request)
             return
-        node.board.on_ended(number)
+        node.board.on_ended(executor_number)
         response_time = now - request.first_at if request.tries == 1 else now - sent_at
         late = end > sent_at + CLIENT_TIMEOUT or response_time > LATENCY_OBJECTIVE + REQUEST_TIME
         node.recent.completions.append((self._simulation.step_number, late))
-        node.update_queue_slots(now, number, late, self._setup.slots)
+        node.update_queue_slots(now, executor_number, late, self._setup.slots)
         if end > now + 1e-9:
             self._figures.wasted_work += request.size
             clients.retry(now, request)
             return
-        self._record_report(now, node, number, self._executors[number].requests(now))
-        if not request.done:
-            request.done = True
+        self._record_report(now, node, executor_number, self._executors[executor_number].requests(now))
+        if not request.is_done:
+            request.is_done = True
             if not late:
                 self._count_served(request, response_time)
 
--- a/cedarmill/lab/simulation/overload/policies.py
+++ b/cedarmill/lab/simulation/overload/policies.py
@@ -77,16 +77,16 @@
 
     def __init__(self, simulation: OverloadSimulation) -> None:
         super().__init__(simulation)
-        self._used = [0.0] * self.setup.nodes  # leaky-bucket level in requests, by node
-        self._used_at = [0.0] * self.setup.nodes
+        self._bucket_levels = [0.0] * self.setup.nodes  # leaky-bucket level in requests, by node
+        self._bucket_updated_at = [0.0] * self.setup.nodes
 
     def admit(self, now: float, request: ClientRequest, node: SimulatedNode) -> Admission:
         """Admit a request if the leaky bucket of the node's equal share has capacity."""
         rate = self.setup.request_rate / self.setup.nodes
         number = node.number
-        used = max(0.0, self._used[number] - (now - self._used_at[number]) * rate)
-        admitted = used < max(1.0, rate * FIXED_SHARE_BURST)
-        self._used[number], self._used_at[number] = used + admitted, now
+        level = max(0.0, self._bucket_levels[number] - (now - self._bucket_updated_at[number]) * rate)
+        admitted = level < max(1.0, rate * FIXED_SHARE_BURST)
+        self._bucket_levels[number], self._bucket_updated_at[number] = level + admitted, now
         return Admission.ADMITTED if admitted else Admission.REFUSED
 
     def may_probe(self, now: float, node: SimulatedNode) -> bool:
--- a/cedarmill/lab/simulation/overload/results.py
+++ b/cedarmill/lab/simulation/overload/results.py
@@ -23,7 +23,7 @@
     rejected_in_calm: float = 0.0  # by nodes' own estimates, per first try before the peak
     shed_in_calm: float = 0.0  # by the shedding threshold, per first try before the peak
     recovery: float = NEVER  # seconds from the end of the peak, or NEVER
-    wasted: float = 0.0  # share of the executors' work without a client that waits
+    wasted: float = 0.0  # share of the executors' work that served no client
     response_times: dict[int, tuple[float, float]] = field(default_factory=dict)  # p50 and p99 by weight
     probes: float = 0.0  # per second and executor
     connects: float = 0.0  # per second and executor
@@ -42,7 +42,7 @@
         self.first_tries = self.offered = self.attempts = self.probes = self.connects = 0
         self.first_tries_before_peak = self.rejected_in_calm = self.shed_in_calm = 0
         self.work = self.wasted_work = 0.0  # slot-seconds
-        self.value = self.best_value = 0.0  # slot-seconds times priority weight
+        self.value = self.ideal_value = 0.0  # slot-seconds times priority weight
         self.response_times: dict[int, list[float]] = {
             request_class.weight: [] for request_class in REQUEST_CLASSES
         }
@@ -60,7 +60,7 @@
         shares = self._shares_by_second()
         executor_seconds = setup.executors * setup.length
         return OverloadResult(
-            value=self.value / max(MIN_DIVISOR, self.best_value),
+            value=self.value / max(MIN_DIVISOR, self.ideal_value),
             attempts=self.attempts / first,
             offered=self.offered / first,
             rejected_in_calm=self.rejected_in_calm / max(1, self.first_tries_before_peak),
@@ -80,7 +80,7 @@
     def _shares_by_second(self) -> list[float]:
         last = int(self._setup.length) - 2
         counts = zip(self.first_tries_by_second[:last], self.served_by_second[:last], strict=True)
-        return [served / came if came else 1.0 for came, served in counts]
+        return [served / sent if sent else 1.0 for sent, served in counts]
 
     def _recovery(self, shares: list[float]) -> float:
         end = int(self._setup.peak_end)
@@ -109,7 +109,7 @@
         return sum(ratios) ** 2 / max(MIN_DIVISOR, len(ratios) * sum(ratio * ratio for ratio in ratios))
 
     def _entitlements(self) -> list[float]:
-        """Return the tenants' entitlements in the peak (slot-seconds): quotas plus shares of unused capacity."""
+        """Return each tenant's quota plus its share of unused capacity in the peak, in slot-seconds."""
         capacity = self._setup.all_slots * self._setup.lasts
         demands = self.demand_by_tenant
         quotas = [
--- a/cedarmill/lab/simulation/overload/setup.py
+++ b/cedarmill/lab/simulation/overload/setup.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MICROSECONDS_PER_SECOND = 1_000_000  # microseconds per second
+MICROSECONDS_PER_SECOND = 1_000_000
 STEP = 0.05  # seconds per simulation step
 POLICIES = ("alone", "fixed", "fleet")  # admission and budget policies by name
 
@@ -54,9 +54,8 @@
     no_replica_period: tuple[float, float] = NO_PERIOD  # start and end
     report_loss: float = 0.0  # share of reports between nodes
     report_delay: float = REPORT_DELAY
-    partial_delivery_period: tuple[float, float] = (
-        NO_PERIOD  # start and end; a threshold reaches every second node only
-    )
+    # Start and end of the time in which thresholds reach every second node only.
+    partial_delivery_period: tuple[float, float] = NO_PERIOD
     drops_node_state: bool = False  # nodes drop reports and connections as the peak starts
     retrying_hops: int = 1  # clients, and proxies in front of the nodes that also retry
     fixed_queue_slots: float = 0.0  # queue limit per executor (0: learned by the node)
--- a/cedarmill/lab/simulation/overload/simulation.py
+++ b/cedarmill/lab/simulation/overload/simulation.py
@@ -48,7 +48,7 @@
         self.policy = _POLICIES[policy](self)
 
     def schedule(self, at: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Schedule a call with its time as first argument, which is at least the start of the step that runs it."""
+        """Schedule a call that gets its time, or the start of its step if later, as first argument."""
         self._events.push(at, call, *arguments)
 
     def run(self) -> OverloadResult:
@@ -70,7 +70,7 @@
     def _begin_incident(self) -> None:
         setup = self.setup
         for node in self.nodes.all[: int(setup.killed_node_share * setup.nodes)]:
-            node.alive, node.lease_until = False, self.now + LEASE_TIME
+            node.is_alive, node.lease_until = False, self.now + LEASE_TIME
         for executor in self.executors[: int(setup.cold_executor_share * setup.executors)]:
             executor.restart(self.now)
         if setup.drops_node_state:
