--- a/cedarmill/lab/simulation/overload/admission_control.py
+++ b/cedarmill/lab/simulation/overload/admission_control.py
@@ -67,13 +67,9 @@
     def _demand(self, window: LoadWindow) -> dict[int, int]:
         """Return the demanded slots (thousandths) by priority weight."""
         demand: dict[int, int] = {}
-        overstated_demand_factor = self._simulation.setup.overstated_demand_factor
+        overstatement = self._simulation.setup.overstated_demand_factor
         for node in self._simulation.nodes.all:
-            factor = (
-                overstated_demand_factor
-                if overstated_demand_factor and node.number == OVERSTATING_NODE
-                else 1.0
-            )
+            factor = overstatement if overstatement and node.number == OVERSTATING_NODE else 1.0
             for at, weight, size in node.recent.demand:
                 if at < window.last:
                     demand[weight] = demand.get(weight, 0) + int(1000 * factor * size / window.seconds)
